--- a/cmd/pewterline/calls_test.go
+++ b/cmd/pewterline/calls_test.go
@@ -79,7 +79,7 @@
 	for _, a := range open {
 		r, err := a.Answer()
 		require.NoError(t, err)
-		require.Equal(t, thrift.Broken, r.Kind)
+		require.Equal(t, thrift.ReplyBroken, r.Kind)
 	}
 	c.Close()
 	require.NoError(t, p.Wait(), p.Log())
--- a/cmd/pewterline/command.go
+++ b/cmd/pewterline/command.go
@@ -59,7 +59,7 @@
 	case ctx.Command() == "try":
 		err = c.Try.do(out)
 	case ctx.Command() == "check":
-		problems := config.CheckAll(getenv)
+		problems := config.ValidateFiles(getenv)
 		for _, p := range problems {
 			fmt.Fprintf(out, "%s: %v\n", p.File, p.Err)
 		}
--- a/cmd/pewterline/copies.go
+++ b/cmd/pewterline/copies.go
@@ -43,18 +43,18 @@
 
 // state is what a server says of its group.
 type copiesState struct {
-	ID       uint32            `json:"id"`
-	Life     string            `json:"life"`
-	Group    string            `json:"group"`
-	Epoch    uint64            `json:"epoch"`
-	Copies   int               `json:"copies"`
-	Changing bool              `json:"changing"`
-	Marked   int               `json:"changing_marked"`
-	Why      string            `json:"why"`
-	Lost     int64             `json:"lost_ms"`
-	Voting   bool              `json:"voting"`
-	Members  []holdings.Member `json:"members"`
-	Counters holdings.Counters `json:"counters"`
+	ID       uint32                  `json:"id"`
+	Life     string                  `json:"life"`
+	Group    string                  `json:"group"`
+	Epoch    uint64                  `json:"epoch"`
+	Copies   int                     `json:"copies"`
+	Changing bool                    `json:"changing"`
+	Marked   int                     `json:"changing_marked"`
+	Why      string                  `json:"why"`
+	Lost     int64                   `json:"lost_ms"`
+	Voting   bool                    `json:"voting"`
+	Members  []holdings.MemberStatus `json:"members"`
+	Counters holdings.Counters       `json:"counters"`
 }
 
 // run does what the command line says: the words behind copies.
@@ -66,7 +66,7 @@
 			if err != nil {
 				return fmt.Errorf("%w; or say --admin", err)
 			}
-			admin = cfg.Admin
+			admin = cfg.AdminAddress
 		}
 	}
 	if admin == "" {
@@ -133,7 +133,7 @@
 
 func export(admin string, out io.Writer) error {
 	for after := ""; ; {
-		var some []holdings.Kept
+		var some []holdings.ExportedKey
 		if err := ask(admin, http.MethodGet, "export", url.Values{"after": {after}}, &some); err != nil || len(some) == 0 {
 			return err
 		}
@@ -150,15 +150,15 @@
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "ID\tADDRESS\tREACHED\tMEMBER\tLIFE")
 	for _, m := range s.Members {
-		part, life := "now", m.Life
+		part, life := "now", m.Incarnation
 		switch {
-		case !m.Now:
+		case !m.InCurrent:
 			part = "to come"
-		case s.Changing && !m.ToCome:
+		case s.Changing && !m.InNext:
 			part = "leaving"
 		}
-		if m.Lives != "" && m.Lives != m.Life {
-			life += ", lost; it lives as " + m.Lives
+		if m.CurrentIncarnation != "" && m.CurrentIncarnation != m.Incarnation {
+			life += ", lost; it lives as " + m.CurrentIncarnation
 		}
 		fmt.Fprintf(w, "%d\t%s\t%v\t%s\t%s\n", m.ID, m.Address, m.Up, part, life)
 	}
@@ -172,7 +172,7 @@
 	}
 	fmt.Fprintf(out, "Group %s, epoch %d, %d copies of each intake; the last change: %s\n", s.Group, s.Epoch, s.Copies, s.Why)
 	if s.Changing {
-		fmt.Fprintf(out, "Members change: %d of them have brought on what they hold, %d keys here are owed\n", s.Marked, s.Counters.Owed)
+		fmt.Fprintf(out, "Members change: %d of them have brought on what they hold, %d keys here are owed\n", s.Marked, s.Counters.KeysPendingTransfer)
 	}
 	if s.Lost > 0 {
 		fmt.Fprintf(out, "A majority was given up: until %s and a window nothing runs of which nothing is known\n", time.UnixMilli(s.Lost).UTC().Format(time.RFC3339))
@@ -190,11 +190,11 @@
 		n    any
 		what string
 	}{
-		{c.Held, "keys held here"}, {c.Repairing, "keys to be brought to other holders"}, {c.Repaired, "keys brought so far"},
-		{c.Granted, "leaves to run given"}, {c.Copied, "results copied"}, {c.Found, "results found for a repeat"},
-		{c.Refused, "intakes refused before they ran: no majority in time"}, {c.Unknown, "answers that nobody knows whether it ran"},
-		{c.Uncopied, "results AT RISK: ran, and no majority took the result in time"}, {c.DiskFailed, "failures of the disk"},
-		{c.Unreachable, "members that can't be reached"},
+		{c.KeysHeld, "keys held here"}, {c.KeysToRepair, "keys to be brought to other holders"}, {c.KeysRepaired, "keys brought so far"},
+		{c.LeasesGranted, "leaves to run given"}, {c.ResultsReplicated, "results copied"}, {c.ResultsFound, "results found for a repeat"},
+		{c.RejectedUnreplicated, "intakes refused before they ran: no majority in time"}, {c.OutcomesUnknown, "answers that nobody knows whether it ran"},
+		{c.ResultsAtRisk, "results AT RISK: ran, and no majority took the result in time"}, {c.DiskFailures, "failures of the disk"},
+		{c.MembersUnreachable, "members that can't be reached"},
 	} {
 		fmt.Fprintf(w, "%v\t  %s\n", l.n, l.what)
 	}
--- a/cmd/pewterline/copies_test.go
+++ b/cmd/pewterline/copies_test.go
@@ -62,7 +62,7 @@
 	require.Contains(t, out, "a group is known here")
 	told, err := g.Intake(1, "basket", time.Now(), false)
 	require.NoError(t, err)
-	require.Equal(t, thrift.Answered, told.Kind)
+	require.Equal(t, thrift.ReplyAnswer, told.Kind)
 	code, out = do(2, "status")
 	require.Equal(t, fine, code)
 	require.Contains(t, out, "epoch 1, 3 copies")
--- a/cmd/pewterline/main.go
+++ b/cmd/pewterline/main.go
@@ -27,7 +27,7 @@
 
 // vaultConns are the descriptors for links to the vault, also where only a later configuration has runs call it.
 func vaultConns(cfg config.Config) int {
-	if cfg.Vault == "" {
+	if cfg.VaultAddress == "" {
 		return 0
 	}
 	return vaultlink.MaxConns
@@ -57,7 +57,7 @@
 	}
 	// The runtime keeps well under the machine's limit: what the limit counts, stacks, kernel pages of files and
 	// the binary included, is more than the heap. Two threads, so that a timer fires while the loop waits.
-	debug.SetMemoryLimit(cfg.Memory / 2)
+	debug.SetMemoryLimit(cfg.MemoryLimit / 2)
 	runtime.GOMAXPROCS(2)
 	logf := newCapped().Logf
 	wall := wallOf(clock)
@@ -80,7 +80,7 @@
 		}
 	}
 	if cfg.Copies.ID != 0 {
-		held, err := holdings.Open(holdings.Config(cfg.Copies), wall.UnixMilli, srv.Window(), logf)
+		held, err := holdings.Open(holdings.Config(cfg.Copies), wall.UnixMilli, srv.LongestRetention(), logf)
 		if err != nil {
 			return err
 		}
@@ -89,27 +89,27 @@
 				log.Printf("copies: close: %v", err)
 			}
 		}()
-		srv.UseCopies(held)
+		srv.UseReplication(held)
 	}
 	before, err := approach(os.TempDir(), cfg, patience, logf)
 	if err != nil {
 		return err
 	}
 	h := &host{cfg: cfg, logf: logf}
-	srv.UseHost(h)
+	srv.UseProcessHost(h)
 	if before != nil {
 		if err := srv.Inherit(before.told); err != nil {
 			return err
 		}
 		h.before = before.path
 	}
-	opts := sockets.Options{Listen: []string{cfg.Listen, cfg.AJP.Listen, "", cfg.Admin, "", cfg.Copies.Listen}, Datagrams: cfg.Control, Clock: clock, Options: transport.Options{
+	opts := sockets.Options{Listen: []string{cfg.Listen, cfg.AJP.Listen, "", cfg.AdminAddress, "", cfg.Copies.Listen}, DatagramPeer: cfg.ControlAddress, Clock: clock, Options: transport.Options{
 		// The limit on memory counts what the kernel holds of the sockets too; this leaves it as much again.
-		MaxConns: cfg.Sockets - spareSockets, Buffers: int(cfg.Memory / 8), Logf: logf,
-		Apart: map[int]int{edge.AdminListener: edge.AdminConns, edge.HandoverListener: edge.HandoverConns, edge.CopiesListener: peers.Conns},
+		MaxConns: cfg.SocketLimit - spareSockets, MaxBuffered: int(cfg.MemoryLimit / 8), Logf: logf,
+		DedicatedLimits: map[int]int{edge.AdminListener: edge.MaxAdminConns, edge.HandoffListener: edge.MaxHandoffConns, edge.ReplicationListener: peers.MaxConns},
 	}}
-	if cfg.AJP.Runner != "" {
-		opts.MaxConns -= cfg.AJP.Connections
+	if cfg.AJP.BackendAddress != "" {
+		opts.MaxConns -= cfg.AJP.BackendConnections
 	}
 	opts.MaxConns -= vaultConns(cfg)
 	// Before this process listens for proxies: the next one finds it from then on.
@@ -117,7 +117,7 @@
 		defer func() { _ = wait.Close() }() // the path goes with it
 		h.wait = wait
 	}
-	h.conns, h.buffers = opts.MaxConns, opts.Buffers
+	h.conns, h.buffers = opts.MaxConns, opts.MaxBuffered
 	// Guards whoever would connect now: of the time that the sender of the notice gives, little may be left.
 	select {
 	case <-leave:
@@ -133,7 +133,7 @@
 		return err
 	}
 	if before != nil {
-		if err := loop.Adopt(before.conn, srv.Predecessor); err != nil {
+		if err := loop.Adopt(before.conn, srv.AcceptPredecessor); err != nil {
 			return err
 		}
 	}
--- a/cmd/pewterline/signals.go
+++ b/cmd/pewterline/signals.go
@@ -64,7 +64,7 @@
 		case <-ended:
 			return
 		case at := <-leave:
-			execute(loop, "SIGTERM", func() { srv.Leave(at) })
+			execute(loop, "SIGTERM", func() { srv.Shutdown(at) })
 		}
 	}
 }
@@ -75,7 +75,7 @@
 	cfg, err := config.Load(os.Getenv)
 	if err != nil {
 		log.Printf("SIGHUP: %v; nothing has changed", err)
-		execute(loop, "SIGHUP", srv.FileRefused)
+		execute(loop, "SIGHUP", srv.ReloadRejected)
 		return
 	}
 	execute(loop, "SIGHUP", func() {
--- a/cmd/pewterline/try.go
+++ b/cmd/pewterline/try.go
@@ -20,7 +20,7 @@
 	Log bool `help:"Print at the end what the servers have logged."`
 }
 
-var said = map[thrift.ReplyKind]string{thrift.Answered: "served", thrift.Throttled: "refused before it ran", thrift.Broken: "failed"}
+var said = map[thrift.ReplyKind]string{thrift.ReplyAnswer: "served", thrift.ReplyThrottled: "refused before it ran", thrift.ReplyBroken: "failed"}
 
 // callingClass is the class of the example's configuration whose requests call the vault.
 const callingClass = "lot-update"
@@ -64,7 +64,7 @@
 			answer = err.Error()
 		}
 		fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\t%d\n", id, class, key, answer, told.Result, runs)
-		if told.Kind != thrift.Answered || told.Result != resultOf(class, key) || same && runs != 1 {
+		if told.Kind != thrift.ReplyAnswer || told.Result != resultOf(class, key) || same && runs != 1 {
 			wrong = errors.Join(wrong, fmt.Errorf("try: %s at server %d: %s %q after %d runs", key, id, answer, told.Result, runs))
 		}
 	}
--- a/cmd/pewterline/upgrade.go
+++ b/cmd/pewterline/upgrade.go
@@ -43,7 +43,7 @@
 // nobody could ask a successor whether it is ready. Where Unix sockets are refused, the process
 // serves without one.
 func meetingPoint(dir string, cfg config.Config, logf func(string, ...any)) net.Listener {
-	if cfg.Admin == "" || cfg.Copies.ID != 0 { // one process holds a server's copies: the next one starts once it has ended
+	if cfg.AdminAddress == "" || cfg.Copies.ID != 0 { // one process holds a server's copies: the next one starts once it has ended
 		return nil
 	}
 	path := filepath.Join(dir, meeting(cfg)+strconv.FormatInt(time.Now().UnixNano(), 36))
@@ -70,7 +70,7 @@
 // approach looks for a process to take over from; nil: there is none. Leftovers of dead ones are taken away. One that lives
 // and does not hand over within the patience is an error, as its keys are not known and it may run them.
 func approach(dir string, cfg config.Config, patience time.Duration, logf func(string, ...any)) (*predecessor, error) {
-	if cfg.Admin == "" || cfg.Copies.ID != 0 {
+	if cfg.AdminAddress == "" || cfg.Copies.ID != 0 {
 		return nil, nil
 	}
 	until := time.Now().Add(patience)
@@ -152,9 +152,9 @@
 			return nil, fmt.Errorf("%w: over %d bytes were told", upgrade.ErrFrame, toldMost)
 		}
 		switch m.Kind {
-		case upgrade.Refuse:
-			return nil, fmt.Errorf("refused: %s", m.Text)
-		case upgrade.More:
+		case upgrade.Reject:
+			return nil, fmt.Errorf("refused: %s", m.Reason)
+		case upgrade.NextChunk:
 			if _, err := conn.Write(upgrade.Append(nil, m)); err != nil {
 				return nil, err
 			}
@@ -200,16 +200,16 @@
 func (h *host) use(l *sockets.Loop) error {
 	h.loop.Store(l)
 	if h.wait != nil {
-		l.Serve(h.wait, edge.HandoverListener)
+		l.Serve(h.wait, edge.HandoffListener)
 	}
 	if h.before == "" {
 		return nil
 	}
-	return l.Execute(func() { h.Share(h.others) })
+	return l.Execute(func() { h.ShareLimits(h.others) })
 }
 
-// Steer is part of edge.Host. Proxies' and web servers' listeners are steered; operators call each process at its own address.
-func (h *host) Steer(place int) {
+// SteerListeners is part of edge.Host. Proxies' and web servers' listeners are steered; operators call each process at its own address.
+func (h *host) SteerListeners(place int) {
 	l := h.loop.Load()
 	if l == nil {
 		return // a successor that comes before this process serves shares the port as the kernel picks
@@ -224,23 +224,23 @@
 	}
 }
 
-// Share is part of edge.Host. Two processes have the descriptors and the memory of one: each keeps to half of
+// ShareLimits is part of edge.Host. Two processes have the descriptors and the memory of one: each keeps to half of
 // the places, and the new one to less where the old one has more in use.
-func (h *host) Share(others int) {
+func (h *host) ShareLimits(others int) {
 	h.others = others
 	l := h.loop.Load()
 	if others < 0 {
-		debug.SetMemoryLimit(h.cfg.Memory / 2)
+		debug.SetMemoryLimit(h.cfg.MemoryLimit / 2)
 	} else {
-		debug.SetMemoryLimit(h.cfg.Memory / 4)
+		debug.SetMemoryLimit(h.cfg.MemoryLimit / 4)
 	}
 	switch {
 	case l == nil: // use comes later
 	case others < 0:
-		l.Bound(h.conns, h.buffers)
+		l.SetLimits(h.conns, h.buffers)
 	default:
 		both := h.conns - spareSockets - vaultConns(h.cfg)
-		l.Bound(max(min(both/2, both-others), sureConns), h.buffers/2)
+		l.SetLimits(max(min(both/2, both-others), sureConns), h.buffers/2)
 	}
 }
 
--- a/cmd/pewterline/upgrade_test.go
+++ b/cmd/pewterline/upgrade_test.go
@@ -88,7 +88,7 @@
 	w.t.Helper()
 	p, err := a.Answer()
 	require.NoError(w.t, err)
-	require.Equal(w.t, thrift.Answered, p.Kind, body)
+	require.Equal(w.t, thrift.ReplyAnswer, p.Kind, body)
 	require.Equal(w.t, "did "+body, string(p.Body))
 }
 
@@ -96,7 +96,7 @@
 	w.t.Helper()
 	p, err := a.Answer()
 	require.NoError(w.t, err)
-	require.Equal(w.t, thrift.Broken, p.Kind, "neither served nor refused: whether it ran is not known")
+	require.Equal(w.t, thrift.ReplyBroken, p.Kind, "neither served nor refused: whether it ran is not known")
 }
 
 func (w *twin) once() { require.Empty(w.t, w.Ledger.Twice()) }
@@ -174,7 +174,7 @@
 			} else { // the successor knows whether the old one had begun it by then; either way it runs once
 				p, err := w.ask(d, "lot-intake", "four", "four").Answer()
 				require.NoError(t, err)
-				require.Contains(t, []thrift.ReplyKind{thrift.Answered, thrift.Broken}, p.Kind)
+				require.Contains(t, []thrift.ReplyKind{thrift.ReplyAnswer, thrift.ReplyBroken}, p.Kind)
 				require.Len(t, w.Ledger.Runs("four"), 1)
 			}
 			w.served(w.ask(d, "lot-intake", "new", "new"), "new")
@@ -248,10 +248,10 @@
 	for i, a := range open {
 		p, err := a.Answer()
 		require.NoError(t, err, bodies[i])
-		if p.Kind == thrift.Answered {
+		if p.Kind == thrift.ReplyAnswer {
 			require.Equal(t, "did "+bodies[i], string(p.Body))
 		} else { // what never ran may be refused, and may come again at the successor
-			require.Equal(t, thrift.Throttled, p.Kind, "%s: %v", bodies[i], p)
+			require.Equal(t, thrift.ReplyThrottled, p.Kind, "%s: %v", bodies[i], p)
 			require.Empty(t, w.Ledger.Runs(bodies[i]), "refused though it ran")
 		}
 	}
@@ -597,7 +597,7 @@
 	dir, err := os.MkdirTemp("", "pw")
 	require.NoError(t, err)
 	defer os.RemoveAll(dir)
-	cfg := config.Config{Name: "n0", Listen: "127.0.0.1:2", Admin: "127.0.0.1:1"}
+	cfg := config.Config{Name: "n0", Listen: "127.0.0.1:2", AdminAddress: "127.0.0.1:1"}
 	at := func(n int) string { return filepath.Join(dir, meeting(cfg)+strconv.Itoa(n)) }
 	try := func() (*predecessor, error) { return approach(dir, cfg, 3*askAgain, t.Logf) }
 	require.NoError(t, os.WriteFile(at(1), []byte("spoilt"), 0o600))
--- a/control/allowance_test.go
+++ b/control/allowance_test.go
@@ -7,21 +7,21 @@
 
 // serveRounds plays rounds of one tick each: what ran in one ends in the next, and caller i sends senders[i] requests.
 func serveRounds(c *Controller, rounds int, busy float64, age time.Duration, senders ...int) {
-	var running []ID
+	var running []RequestID
 	for range rounds {
-		events := []Event{Tick{Gauges: Gauges{Busy: busy}}}
+		events := []Event{Tick{Gauges: Gauges{CPUUtilization: busy}}}
 		for _, id := range running {
-			events = append(events, Done{ID: id, Outcome: OutcomeOK})
+			events = append(events, RequestFinished{ID: id, Outcome: OutcomeOK})
 		}
 		running = nil
 		for caller, n := range senders {
 			for i := range n {
-				id := ID(c.now/tick)*1000 + ID(caller)*100 + ID(i) + 1
-				events = append(events, Arrive{ID: id, Caller: uint32(caller), HeldKB: 1, Age: age})
+				id := RequestID(c.now/tick)*1000 + RequestID(caller)*100 + RequestID(i) + 1
+				events = append(events, RequestArrived{ID: id, Caller: uint32(caller), QueuedKB: 1, Age: age})
 			}
 		}
 		for _, action := range c.Step(c.now+tick, events) {
-			if run, ok := action.(Run); ok {
+			if run, ok := action.(Start); ok {
 				running = append(running, run.ID)
 			}
 		}
@@ -29,7 +29,9 @@
 }
 
 func allowanceController(t *testing.T) *Controller {
-	return testController(t, func(s *Settings) { s.Signal, s.Cores, s.Callers, s.Classes[0].Calls = SignalAllowance, 8, 8, false })
+	return testController(t, func(s *Settings) {
+		s.LoadSignal, s.Cores, s.Callers, s.Classes[0].MakesCalls = LoadSignalAllowance, 8, 8, false
+	})
 }
 
 // One caller of eight sends nearly all: with an even split the cores idled while it turned its own requests away.
@@ -59,7 +61,7 @@
 	if c.said >= before || c.said != floor {
 		t.Errorf("allowance %v after %v, want its floor %v", c.said, before, floor)
 	}
-	c.Step(c.now+tick, []Event{Drain{Stop: c.now + time.Minute}})
+	c.Step(c.now+tick, []Event{DrainRequested{StopAt: c.now + time.Minute}})
 	serveRounds(c, 250, 1, 0, 7)
 	if c.said != floor {
 		t.Errorf("allowance %v while draining, want %v: who hears nothing sends without bound", c.said, floor)
--- a/control/calls_test.go
+++ b/control/calls_test.go
@@ -8,22 +8,22 @@
 // A call that may have run is never made again for a request with an effect; one that is proved unrun is. Every outcome is
 // asked, so that one added later must be placed here.
 func TestOnlyProvedUnrunCallsAreRepeated(t *testing.T) {
-	repeated := map[Outcome]bool{OutcomeError: false, OutcomeFull: true, OutcomeTimeout: false, OutcomeUnreached: true,
-		OutcomeReset: false, OutcomeCancelled: false, OutcomeMoot: true}
-	for outcome := OutcomeError; outcome <= OutcomeMoot; outcome++ {
+	repeated := map[Outcome]bool{OutcomeError: false, OutcomeRejected: true, OutcomeTimeout: false, OutcomeUnreachable: true,
+		OutcomeReset: false, OutcomeCancelled: false, OutcomeAlreadyEnded: true}
+	for outcome := OutcomeError; outcome <= OutcomeAlreadyEnded; outcome++ {
 		want, known := repeated[outcome]
 		if !known {
 			t.Fatalf("outcome %d is not in the table", outcome)
 		}
 		c := testController(t, func(s *Settings) {
-			s.Below, s.Classes[1].Effect = BelowTier, Unsafe
+			s.Dependency, s.Classes[1].Idempotency = DependencyTier, NonIdempotent
 		})
-		c.Step(0, []Event{Arrive{ID: 1, Class: 1, HeldKB: 1}})
+		c.Step(0, []Event{RequestArrived{ID: 1, Class: 1, QueuedKB: 1}})
 		if first := c.Step(tick, []Event{CallNeeded{ID: 1}}); count[Call](first) != 1 {
 			t.Fatalf("outcome %d: %d first calls", outcome, count[Call](first))
 		}
 		calls, fails := 0, 0
-		event := Event(CallDone{ID: 1, Outcome: outcome})
+		event := Event(CallFinished{ID: 1, Outcome: outcome})
 		for now := 2 * tick; now < 500*time.Millisecond; now += tick {
 			as := c.Step(now, []Event{event})
 			calls, fails, event = calls+count[Call](as), fails+count[Fail](as), Tick{}
--- a/control/control.go
+++ b/control/control.go
@@ -79,7 +79,7 @@
 )
 
 type request struct {
-	Arrive
+	RequestArrived
 	at, due        time.Duration // reached the machine; an answer is owed by then
 	state          state
 	answered       bool          // answered while running, or its caller has left
@@ -127,9 +127,9 @@
 	begun, drained, wasBound bool // wasBound: the limit is what holds work back
 	out                      []Action
 	classes, current         []*class // current: those that are not retired
-	live                     map[ID]*request
+	live                     map[RequestID]*request
 	order                    []*request // live, oldest first
-	keys                     map[ID]*entry
+	keys                     map[RequestID]*entry
 	heldKB, runKB            float64
 	n                        [states]int // requests in each state
 
@@ -188,7 +188,7 @@
 func (c *Controller) advance(now time.Duration) {
 	if !c.begun {
 		c.begun, c.now, c.born, c.nextFit, c.epochs = true, now, now, now+refit, now+epoch
-		c.do(Health{Good: true, Stored: true}, Wake{After: tick})
+		c.do(SetHealth{Healthy: true, Cached: true}, ScheduleTick{After: tick})
 	}
 	dt := (now - c.now).Seconds()
 	c.now = now
@@ -217,30 +217,30 @@
 
 func (c *Controller) take(e Event) {
 	switch e := e.(type) {
-	case Arrive:
+	case RequestArrived:
 		c.arrive(e)
-	case Done:
+	case RequestFinished:
 		c.done(e)
 	case CallNeeded:
 		if r := c.live[e.ID]; r != nil && r.state == running {
 			c.enter(r, atCall)
 		}
-	case CallDone:
+	case CallFinished:
 		c.callDone(e)
-	case Gone:
+	case RequestCancelled:
 		if r := c.live[e.ID]; r != nil {
 			c.release(r)
 		}
-	case Drain:
-		c.drained, c.drainAt, c.stop = true, c.now-e.Ago, e.Stop
-		c.do(Health{Good: false, Stored: true}, Log{Text: "draining: notice to leave"})
+	case DrainRequested:
+		c.drained, c.drainAt, c.stop = true, c.now-e.Age, e.StopAt
+		c.do(SetHealth{Healthy: false, Cached: true}, Log{Text: "draining: notice to leave"})
 	case Tick:
-		c.busy = e.Gauges.Busy
+		c.busy = e.Gauges.CPUUtilization
 		c.runnable += (e.Gauges.Runnable - c.runnable) * tick.Seconds() / climbEvery.Seconds()
 		c.heldMean += (float64(c.n[held]) - c.heldMean) * tick.Seconds() / climbEvery.Seconds()
-		c.do(Wake{After: tick})
+		c.do(ScheduleTick{After: tick})
 		c.nKeys = 0
-		maps.DeleteFunc(c.keys, func(_ ID, k *entry) bool {
+		maps.DeleteFunc(c.keys, func(_ RequestID, k *entry) bool {
 			if c.now < k.expires {
 				c.nKeys++
 			}
@@ -280,9 +280,9 @@
 // drop forgets a request that has ended.
 func (c *Controller) drop(r *request) {
 	if r.state == held || r.state == joined {
-		c.heldKB -= r.HeldKB
+		c.heldKB -= r.QueuedKB
 	} else {
-		c.runKB -= r.HeldKB * c.s.RunFactor
+		c.runKB -= r.QueuedKB * c.s.RunningMemoryFactor
 	}
 	c.enter(r, over)
 	c.heard[r.Caller] = c.now
@@ -299,9 +299,9 @@
 	worst, least, sure, cvSum, n := 0.0, math.Inf(1), 1.0, 0.0, 0.0
 	for _, k := range c.classes {
 		k.moments()
-		m := meanBudget(k.cv, k.Aim, k.Deadline)
+		m := meanBudget(k.cv, k.LatencyObjective, k.Deadline)
 		// Departure: S may outgrow M, and a budget under zero would order by service time alone.
-		k.budget = max(m-seconds(k.service.v), seconds(budgetMin*k.Aim.Seconds()))
+		k.budget = max(m-seconds(k.service.v), seconds(budgetMin*k.LatencyObjective.Seconds()))
 		if !k.best {
 			// Departure: who is turned away is disengaged too. Latencies alone tell nothing of them, and the more
 			// of a class were given up, the more of its slots went to best effort.
@@ -323,8 +323,8 @@
 	var sum, sq, u float64
 	for _, x := range k.lat {
 		sum, sq = sum+x, sq+x*x
-		span := math.Max((k.Deadline - k.Aim).Seconds(), time.Millisecond.Seconds())
-		u += clamp((x-k.Aim.Seconds())/span, 0, 1)
+		span := math.Max((k.Deadline - k.LatencyObjective).Seconds(), time.Millisecond.Seconds())
+		u += clamp((x-k.LatencyObjective.Seconds())/span, 0, 1)
 	}
 	n := float64(len(k.lat))
 	m := math.Max(sum/math.Max(n, 1), time.Microsecond.Seconds())
@@ -398,7 +398,7 @@
 	var first, best *request
 	for i := range c.classes {
 		k := c.classes[(c.turn+i)%len(c.classes)]
-		if len(k.line) == 0 || k.Calls && c.n[atCall] > 0 && float64(c.n[atCall]) >= c.callBound() {
+		if len(k.line) == 0 || k.MakesCalls && c.n[atCall] > 0 && float64(c.n[atCall]) >= c.callBound() {
 			continue // more work with calls would only pile up at its call
 		}
 		if r := k.line[0]; k.best && best == nil {
@@ -424,12 +424,12 @@
 		} else if !c.roomToRun(r) {
 			return
 		}
-		c.heldKB, c.runKB, r.started = c.heldKB-r.HeldKB, c.runKB+r.HeldKB*c.s.RunFactor, c.now
+		c.heldKB, c.runKB, r.started = c.heldKB-r.QueuedKB, c.runKB+r.QueuedKB*c.s.RunningMemoryFactor, c.now
 		if k := c.keys[r.ID]; k != nil {
 			k.ran = true
 		}
 		c.enter(r, running)
-		c.do(Run{r.ID})
+		c.do(Start{r.ID})
 	}
 }
 
@@ -438,8 +438,9 @@
 	if c.wasBound = float64(c.n[running]) >= c.limit; c.wasBound || c.sick != "" && c.n[running] > 0 {
 		return false // a sick machine is probed with one run at a time
 	}
-	crowded := c.s.CrowdPerCore > 0 && float64(c.n[running]+c.n[atCall]+c.inHand()+1) > crowdShare*c.crowd()
-	return !crowded && c.memoryWith(r.HeldKB*(c.s.RunFactor-1)) <= memoryFull
+	crowded := c.s.MaxConcurrencyPerCore > 0 &&
+		float64(c.n[running]+c.n[atCall]+c.inHand()+1) > crowdShare*c.crowd()
+	return !crowded && c.memoryWith(r.QueuedKB*(c.s.RunningMemoryFactor-1)) <= memoryFull
 }
 
 // learnLimit climbs fast while cores idle and work waits, then hill-climbs on throughput.
@@ -471,7 +472,7 @@
 		c.score = score
 		c.limit += c.climbDir * math.Max(cores/12, c.limit/16)
 	}
-	if c.s.CrowdPerCore > 0 {
+	if c.s.MaxConcurrencyPerCore > 0 {
 		ceiling = crowdShare * c.crowd()
 	}
 	c.limit = clamp(c.limit, limitMin*cores, ceiling)
@@ -480,18 +481,18 @@
 
 // ---- Admission: what is held, what is turned away.
 
-func (c *Controller) arrive(a Arrive) {
+func (c *Controller) arrive(a RequestArrived) {
 	if a.Class < 0 || a.Class >= len(c.classes) {
 		c.do(Fail{a.ID}) // nothing is known of it but that it is owed an answer
 		return
 	}
 	k := c.classes[a.Class]
-	r := &request{Arrive: a, at: c.now - a.Age, due: a.Due}
-	if !c.s.HasDeadline || a.Due == 0 {
+	r := &request{RequestArrived: a, at: c.now - a.Age, due: a.Deadline}
+	if !c.s.DeadlinePropagated || a.Deadline == 0 {
 		r.due = r.at + k.Deadline
 	}
 	c.live[a.ID], c.order = r, append(c.order, r)
-	c.n[held], c.heldKB, c.read, c.readNow = c.n[held]+1, c.heldKB+a.HeldKB, c.read+1, c.readNow+1
+	c.n[held], c.heldKB, c.read, c.readNow = c.n[held]+1, c.heldKB+a.QueuedKB, c.read+1, c.readNow+1
 	c.hear(r)
 	c.open[r.Caller]++
 	c.mostOpen = max(c.mostOpen, c.open[r.Caller])
@@ -499,8 +500,8 @@
 	if a.Retry {
 		c.again++
 	}
-	if a.Hint > 0 {
-		k.hint.add(a.Hint.Seconds())
+	if a.CostHint > 0 {
+		k.hint.add(a.CostHint.Seconds())
 	}
 	if a.Original != 0 && c.join(r) {
 		return
@@ -518,7 +519,8 @@
 // meter tells whether r is beyond its tenant's share of this server, a part of that counted over the fleet.
 // What is over counts less where work must be turned away, and is served otherwise.
 func (c *Controller) meter(r *request) {
-	if r.Tenant < 0 || r.Tenant >= len(c.tokens) || c.s.OverShare >= 1 || c.s.Tenants[r.Tenant].Quota <= 0 {
+	if r.Tenant < 0 || r.Tenant >= len(c.tokens) || c.s.OverQuotaWeightShare >= 1 ||
+		c.s.Tenants[r.Tenant].Quota <= 0 {
 		return
 	}
 	if r.over = c.tokens[r.Tenant] < 1; !r.over && !r.Retry { // a retry was counted as it first came
@@ -529,14 +531,14 @@
 // barred says that r cannot be run here whatever waits.
 func (c *Controller) barred(r *request) bool {
 	k, late := c.classes[r.Class], r.at+r.Age > c.drainAt+c.s.DrainGrace || c.now+c.serviceOf(r) > c.stop
-	return c.drained && late || c.sick != "" && (k.Effect != Safe || len(k.line) > 1)
+	return c.drained && late || c.sick != "" && (k.Idempotency != Idempotent || len(k.line) > 1)
 }
 
 // slotOf is the slot time that r should take, scaled by its hint half of the way: hints are rough.
 func (c *Controller) slotOf(r *request) float64 {
 	k := c.classes[r.Class]
-	if r.Hint > 0 && k.hint.v > 0 {
-		return k.slot.v * (1 + math.Min(r.Hint.Seconds()/k.hint.v, 4)) / 2
+	if r.CostHint > 0 && k.hint.v > 0 {
+		return k.slot.v * (1 + math.Min(r.CostHint.Seconds()/k.hint.v, 4)) / 2
 	}
 	return k.slot.v
 }
@@ -554,11 +556,11 @@
 
 // worth is the worth of r for each unit of work.
 func (c *Controller) worth(r *request) float64 {
-	w := c.classes[r.Class].Worth
+	w := c.classes[r.Class].Weight
 	if r.over {
-		w *= c.s.OverShare
+		w *= c.s.OverQuotaWeightShare
 	}
-	if c.s.WorthByWork {
+	if c.s.WeightPerWork {
 		return w
 	}
 	return w / c.slotOf(r)
@@ -567,17 +569,17 @@
 // lastUse is when an answer to r stops earning its full worth.
 func (c *Controller) lastUse(r *request) time.Duration {
 	k := c.classes[r.Class]
-	aim := k.Aim
+	aim := k.LatencyObjective
 	if r.Retry { // it counts from the first try, which came earlier, nobody tells when
 		aim = seconds(repeatAim * aim.Seconds())
 	}
-	return min(r.at+aim+seconds(k.AimStretch*r.Hint.Seconds()), r.due)
+	return min(r.at+aim+seconds(k.ObjectiveStretch*r.CostHint.Seconds()), r.due)
 }
 
 // hopeless says that r cannot be answered in time to be worth its work. Late answers are for idle times.
 func (c *Controller) hopeless(r *request) bool {
 	use := c.lastUse(r)
-	if c.classes[r.Class].LateWorth > 0 && c.n[held] <= c.s.Cores {
+	if c.classes[r.Class].LateWeightShare > 0 && c.n[held] <= c.s.Cores {
 		use = r.due
 	}
 	return c.now+c.serviceOf(r) > use || c.drained && c.barred(r)
@@ -616,7 +618,7 @@
 			late := c.now+seconds(work/rate) > limit
 			work += c.slotOf(r)
 			// Departure: calls are a second queue behind the first, with a bound and a shortage of their own.
-			lateCall := k.Calls && c.now+c.callWait(calls) > limit
+			lateCall := k.MakesCalls && c.now+c.callWait(calls) > limit
 			calls += k.calls.v
 			if late || lateCall {
 				shed(!late)
@@ -637,7 +639,7 @@
 		if forCalls {
 			w *= c.slotOf(r) / math.Max(k.calls.v, 0.1)
 		}
-		if w <= low && (k.Calls || !forCalls) {
+		if w <= low && (k.MakesCalls || !forCalls) {
 			v, low = i, w
 		}
 	}
@@ -654,27 +656,27 @@
 	}
 	deep := math.Min(c.shed/math.Max(c.read, 1), 1)
 	fleet := deep // how full the others are
-	if c.s.MarksRetries {
+	if c.s.RetriesMarked {
 		fleet = c.again / math.Max(c.read-c.again, 1)
 	}
-	late := r.Age > seconds(ageLate*c.classes[r.Class].Aim.Seconds())
+	late := r.Age > seconds(ageLate*c.classes[r.Class].LatencyObjective.Seconds())
 	last = last || c.now > c.lastUse(r) || fleet > shedHalf || deep > shedHalf && late
 	if c.sick != "" || c.drained {
 		deep = 1
 	}
-	c.do(Refuse{ID: r.ID, Last: last, StayAway: time.Duration(deep * float64(c.s.MaxRetryAfter))})
+	c.do(Reject{ID: r.ID, NoRetry: last, RetryAfter: time.Duration(deep * float64(c.s.MaxRetryAfter))})
 	c.unkeep(r)
 	c.drop(r)
 }
 
-func (c *Controller) done(e Done) {
+func (c *Controller) done(e RequestFinished) {
 	r := c.live[e.ID]
-	if r == nil || r.state == held || e.Outcome == OutcomeMoot {
+	if r == nil || r.state == held || e.Outcome == OutcomeAlreadyEnded {
 		return
 	}
 	was := r.state
 	c.drop(r)
-	if e.Outcome == OutcomeFull {
+	if e.Outcome == OutcomeRejected {
 		c.void(r)
 	}
 	// What was joined, or failed by ourselves, says nothing of the machine.
@@ -730,8 +732,9 @@
 	if r.state == held || r.state == joined {
 		c.unkeep(r)
 		c.drop(r)
-	} else if c.s.Stop != StopNever && r.state == running && c.classes[r.Class].Effect == Safe {
-		c.do(Pause{r.ID})
+	} else if c.s.Preemption != PreemptNever && r.state == running &&
+		c.classes[r.Class].Idempotency == Idempotent {
+		c.do(Preempt{r.ID})
 	}
 }
 
@@ -754,8 +757,8 @@
 // the few that take far longer than others: they held a tenth of the slots for answers worth nothing.
 func (c *Controller) inVain(r *request) bool {
 	k := c.classes[r.Class]
-	return r.state == running && !r.answered && k.Effect == Safe && k.LateWorth == 0 &&
-		c.s.Stop == StopDiscard && c.wasBound && c.now > c.lastUse(r)
+	return r.state == running && !r.answered && k.Idempotency == Idempotent && k.LateWeightShare == 0 &&
+		c.s.Preemption == PreemptDiscard && c.wasBound && c.now > c.lastUse(r)
 }
 
 func (c *Controller) fail(r *request) {
@@ -768,21 +771,21 @@
 // keep enters a keyed request before it can run, for its window from arrival. False: no room, so no run.
 func (c *Controller) keep(r *request) bool {
 	k := c.classes[r.Class]
-	span := k.Window - r.Age + tick
+	span := k.RetentionWindow - r.Age + tick
 	switch {
-	case k.Effect == Safe && c.s.Fresh > 0 && r.Key != 0:
-		span = k.Deadline + c.s.Fresh
-	case k.Effect != Keyed:
+	case k.Idempotency == Idempotent && c.s.ResultFreshness > 0 && r.Key != 0:
+		span = k.Deadline + c.s.ResultFreshness
+	case k.Idempotency != IdempotentByKey:
 		return true
 	}
 	// Entries outlive their requests by far: they must leave the cores room to run, or those starve on keys.
-	room := memoryFull*c.s.MemoryKB - float64(c.s.Cores)*r.HeldKB*c.s.RunFactor
+	room := memoryFull*c.s.MemoryKB - float64(c.s.Cores)*r.QueuedKB*c.s.RunningMemoryFactor
 	if c.s.MemoryKB > 0 && (c.memoryWith(c.s.KeyKB) > memoryFull || float64(c.nKeys+1)*c.s.KeyKB > room) {
-		return k.Effect == Safe
+		return k.Idempotency == Idempotent
 	}
 	c.keys[r.ID] = &entry{expires: c.now + span}
 	c.nKeys++
-	c.do(Keep{ID: r.ID, For: span})
+	c.do(RetainKey{ID: r.ID, TTL: span})
 	return true
 }
 
@@ -791,7 +794,7 @@
 	if k := c.keys[r.ID]; k != nil && !k.ran {
 		c.nKeys-- // the next tick counts again
 		delete(c.keys, r.ID)
-		c.do(Forget{r.ID})
+		c.do(ReleaseKey{r.ID})
 	}
 }
 
@@ -805,7 +808,7 @@
 	if k == nil {
 		return false
 	}
-	if old := c.live[id]; !k.ran && old != nil && c.classes[r.Class].Effect == Keyed {
+	if old := c.live[id]; !k.ran && old != nil && c.classes[r.Class].Idempotency == IdempotentByKey {
 		c.refuse(old, true)
 		return false
 	}
@@ -814,7 +817,7 @@
 		return true
 	}
 	c.enter(r, joined)
-	c.do(Reuse{r.ID})
+	c.do(ReplayResult{r.ID})
 	return true
 }
 
@@ -831,10 +834,10 @@
 // crowd is how many running requests this server survives now, warming no faster than it must.
 func (c *Controller) crowd() float64 {
 	share := 1.0
-	if c.s.Cold && c.s.Ramp > 0 {
-		share = math.Min(1, c.s.ColdFrom+(1-c.s.ColdFrom)*float64(c.now-c.born)/float64(c.s.Ramp))
+	if c.s.ColdStart && c.s.WarmUpTime > 0 {
+		share = math.Min(1, c.s.WarmUpMinSpeed+(1-c.s.WarmUpMinSpeed)*float64(c.now-c.born)/float64(c.s.WarmUpTime))
 	}
-	return float64(c.s.Cores) * (1 + (c.s.CrowdPerCore-1)*share)
+	return float64(c.s.Cores) * (1 + (c.s.MaxConcurrencyPerCore-1)*share)
 }
 
 func (c *Controller) inHand() int { return c.n[calling] + len(c.lingers) }
@@ -845,7 +848,9 @@
 // callBurst is what may be spent at once beside callsMean of the share: they stay under the share over the
 // dependency's window, however long calls take, by resting. Guards against all servers calling as it slows
 // down; harm where others leave room, which nobody tells.
-func (c *Controller) callBurst() float64 { return (1 - callsMean) * c.share * c.s.CallsOver.Seconds() }
+func (c *Controller) callBurst() float64 {
+	return (1 - callsMean) * c.share * c.s.CallConcurrencyWindow.Seconds()
+}
 
 // callWait is how long so many calls wait.
 func (c *Controller) callWait(calls float64) time.Duration {
@@ -862,30 +867,30 @@
 	for _, r := range wait {
 		k := c.classes[r.Class]
 		switch {
-		case c.now > c.lastUse(r) && k.LateWorth == 0 && k.Effect == Safe:
+		case c.now > c.lastUse(r) && k.LateWeightShare == 0 && k.Idempotency == Idempotent:
 			c.fail(r)
 		case r.since > c.now: // turned away a moment ago
 		case float64(c.inHand()+1) <= c.callBound() && c.callStock >= need:
 			patience := r.due - c.now
 			if c.share < math.Inf(1) { // what is in stock, split among all that may be in hand
-				patience = min(patience, seconds(c.callStock/c.callBound())-c.s.CallLinger)
+				patience = min(patience, seconds(c.callStock/c.callBound())-c.s.AbandonedCallTime)
 			}
 			c.enter(r, calling)
 			c.do(Call{ID: r.ID, Timeout: max(patience, tick)})
-		case k.SkipWorth > 0 && c.now+c.serviceOf(r) > c.lastUse(r):
+		case k.SkippedCallWeightShare > 0 && c.now+c.serviceOf(r) > c.lastUse(r):
 			c.enter(r, running)
 			c.do(SkipCall{r.ID})
 		}
 	}
 }
 
-func (c *Controller) callDone(e CallDone) {
+func (c *Controller) callDone(e CallFinished) {
 	r := c.live[e.ID]
 	if r == nil || r.state != calling {
 		return
 	}
-	if e.Outcome == OutcomeTimeout && c.s.CallLinger > 0 {
-		c.lingers = append(c.lingers, c.now+c.s.CallLinger) // it is still in the dependency's hands
+	if e.Outcome == OutcomeTimeout && c.s.AbandonedCallTime > 0 {
+		c.lingers = append(c.lingers, c.now+c.s.AbandonedCallTime) // it is still in the dependency's hands
 	}
 	if e.Outcome == OutcomeOK {
 		c.callTime.add(e.Took.Seconds())
@@ -897,7 +902,8 @@
 	c.enter(r, atCall)
 	r.since = c.now + callPause<<min(r.failed, 6) // no storm of calls on what is already full
 	r.failed++
-	if !e.Outcome.provesUnrun() && (c.classes[r.Class].Effect != Safe || r.failed >= callTries) && !r.answered {
+	final := c.classes[r.Class].Idempotency != Idempotent || r.failed >= callTries
+	if !e.Outcome.provesUnrun() && final && !r.answered {
 		c.fail(r) // may have taken effect: never called again
 	}
 }
@@ -922,7 +928,7 @@
 		later += c.gaps[i]
 	}
 	for i, n := range c.gaps[:len(c.gaps)-1] {
-		t := min(keepMin<<i, c.s.KeepAliveMax)
+		t := min(keepMin<<i, c.s.MaxKeepAlive)
 		later -= n
 		idle += n * t.Seconds()
 		if cost := later + (idle+later*t.Seconds())/connWorth; cost < low {
@@ -933,9 +939,9 @@
 	c.gaps[len(c.gaps)-1] *= gapFade
 	if low > 0 && best != c.kept {
 		c.kept = best
-		c.do(CloseIdle{After: best})
+		c.do(CloseIdleConnections{IdleTimeout: best})
 	}
-	maps.DeleteFunc(c.heard, func(_ uint32, t time.Duration) bool { return c.now-t > c.s.KeepAliveMax })
+	maps.DeleteFunc(c.heard, func(_ uint32, t time.Duration) bool { return c.now-t > c.s.MaxKeepAlive })
 }
 
 // ---- Health and signals.
@@ -951,10 +957,10 @@
 	} else if c.n[running] > 0 && c.stuck > hungRuns*c.slotTime.v*c.okayPace {
 		c.sick = "hung"
 	}
-	top := slices.MaxFunc(c.current, func(a, b *class) int { return cmp.Compare(a.Worth, b.Worth) })
+	top := slices.MaxFunc(c.current, func(a, b *class) int { return cmp.Compare(a.Weight, b.Weight) })
 	c.useless = c.pace > slowPace && top.gone >= goneSure && top.gone > useless*top.seen
 	if good := c.sick == "" && !c.useless; !c.drained && (good != wasGood || c.sick != was) {
-		c.do(Health{Good: good, Stored: true})
+		c.do(SetHealth{Healthy: good, Cached: true})
 		c.do(Log{Text: fmt.Sprintf("health: %v, %q after %q, %.0f%% errors, pace %.1f, %.0f of %.0f turned away",
 			good, c.sick, was, 100*c.errs/math.Max(c.runs, 1), c.pace, top.gone, top.seen)})
 	}
@@ -962,7 +968,7 @@
 
 // signal sets the free value from the share of arrivals turned away, in small steps: callers hear it late.
 func (c *Controller) signal() {
-	if c.now < c.nextSay || c.s.Signal == SignalNone {
+	if c.now < c.nextSay || c.s.LoadSignal == LoadSignalNone {
 		return
 	}
 	c.nextSay = c.now + sayEvery
@@ -975,10 +981,10 @@
 		return less
 	}
 	v, most := c.said, 1-1/float64(len(c.current)) // the class of most worth is always asked for
-	switch c.s.Signal {
-	case SignalWeight: // never zero: a caller that never comes never hears better
+	switch c.s.LoadSignal {
+	case LoadSignalWeight: // never zero: a caller that never comes never hears better
 		v = clamp(v*pick(0, weightDown, weightUp), weightMin, 1)
-	case SignalFloor:
+	case LoadSignalThreshold:
 		if v = clamp(v+pick(1, floorUp, -floorDown), 0, pick(1, most, most)); c.useless {
 			v = 1
 		}
@@ -988,7 +994,7 @@
 	c.shedNow, c.readNow, c.mostOpen = 0, 0, 0
 	if v != c.said {
 		c.said = v
-		c.do(Signal{Value: v})
+		c.do(SetLoadSignal{Value: v})
 	}
 }
 
--- a/control/example_test.go
+++ b/control/example_test.go
@@ -10,8 +10,8 @@
 // A server with one core takes two requests: it runs one, holds the other, and runs it when the first is done.
 func Example() {
 	c, err := control.New(control.Settings{
-		Seed: 1, Cores: 1, RunFactor: 8, MemoryKB: 100_000, CrowdPerCore: 4, CrowdOver: 2 * time.Second,
-		Classes: []control.Class{{Name: "lookup", Aim: 2 * time.Second, Deadline: 8 * time.Second, Worth: 1}},
+		Seed: 1, Cores: 1, RunningMemoryFactor: 8, MemoryKB: 100_000, MaxConcurrencyPerCore: 4, MaxConcurrencyWindow: 2 * time.Second,
+		Classes: []control.Class{{Name: "lookup", LatencyObjective: 2 * time.Second, Deadline: 8 * time.Second, Weight: 1}},
 	})
 	if err != nil {
 		fmt.Println(err)
@@ -20,17 +20,17 @@
 	step := func(now time.Duration, events ...control.Event) {
 		for _, a := range c.Step(now, events) {
 			switch a := a.(type) {
-			case control.Run:
+			case control.Start:
 				fmt.Println(now, "run", a.ID)
-			case control.Wake:
+			case control.ScheduleTick:
 				// Call Step with a control.Tick and the machine's gauges after a.After.
-			case control.Refuse, control.Fail:
+			case control.Reject, control.Fail:
 				// Send the answer.
 			}
 		}
 	}
-	step(0, control.Arrive{ID: 1, HeldKB: 10}, control.Arrive{ID: 2, HeldKB: 10})
-	step(250*time.Millisecond, control.Done{ID: 1, Outcome: control.OutcomeOK, Took: 250 * time.Millisecond})
+	step(0, control.RequestArrived{ID: 1, QueuedKB: 10}, control.RequestArrived{ID: 2, QueuedKB: 10})
+	step(250*time.Millisecond, control.RequestFinished{ID: 1, Outcome: control.OutcomeOK, Took: 250 * time.Millisecond})
 	// Output:
 	// 0s run 1
 	// 250ms run 2
--- a/control/guards_test.go
+++ b/control/guards_test.go
@@ -7,9 +7,9 @@
 
 func testController(t *testing.T, change func(*Settings)) *Controller {
 	t.Helper()
-	s := Settings{Cores: 2, MemoryKB: 10_000, KeyKB: 100, RunFactor: 4, CrowdPerCore: 6, MaxRetryAfter: time.Second,
-		Classes: []Class{{Aim: 2 * time.Second, Deadline: 8 * time.Second, Worth: 1, Calls: true},
-			{Aim: 2 * time.Second, Deadline: 8 * time.Second, Worth: 4, Calls: true, Effect: Keyed, Window: 30 * time.Second}}}
+	s := Settings{Cores: 2, MemoryKB: 10_000, KeyKB: 100, RunningMemoryFactor: 4, MaxConcurrencyPerCore: 6, MaxRetryAfter: time.Second,
+		Classes: []Class{{LatencyObjective: 2 * time.Second, Deadline: 8 * time.Second, Weight: 1, MakesCalls: true},
+			{LatencyObjective: 2 * time.Second, Deadline: 8 * time.Second, Weight: 4, MakesCalls: true, Idempotency: IdempotentByKey, RetentionWindow: 30 * time.Second}}}
 	if change != nil {
 		change(&s)
 	}
@@ -31,15 +31,15 @@
 
 // Incident i3d13bd: a dependency that turns calls away must not be met by a call every tick.
 func TestCallsTurnedAwayBackOff(t *testing.T) {
-	c := testController(t, func(s *Settings) { s.Below = BelowTier })
-	c.Step(0, []Event{Arrive{ID: 1, HeldKB: 1}})
+	c := testController(t, func(s *Settings) { s.Dependency = DependencyTier })
+	c.Step(0, []Event{RequestArrived{ID: 1, QueuedKB: 1}})
 	now, calls := time.Duration(0), 0
 	as := c.Step(now, []Event{CallNeeded{ID: 1}})
 	for now < 1500*time.Millisecond {
 		ev := []Event{Tick{}}
 		if n := count[Call](as); n > 0 {
 			calls += n
-			ev = append(ev, CallDone{ID: 1, Outcome: OutcomeFull})
+			ev = append(ev, CallFinished{ID: 1, Outcome: OutcomeRejected})
 		}
 		now += tick
 		as = c.Step(now, ev)
@@ -59,14 +59,14 @@
 		c.wasBound = held
 	}
 	for range 100 {
-		beat(Gauges{Busy: 0.5, Runnable: 1}, true)
+		beat(Gauges{CPUUtilization: 0.5, Runnable: 1}, true)
 	}
 	high := c.limit
 	if high <= float64(c.s.Cores) {
 		t.Fatalf("limit %v though cores idle and work waits", high)
 	}
 	for range 200 {
-		beat(Gauges{Busy: 1, Runnable: 8}, false)
+		beat(Gauges{CPUUtilization: 1, Runnable: 8}, false)
 	}
 	if c.limit >= high/2 {
 		t.Errorf("limit %v, was %v, with four for each core", c.limit, high)
@@ -77,28 +77,30 @@
 func TestEntriesLeaveRoomToRun(t *testing.T) {
 	c := testController(t, nil)
 	now := time.Duration(0)
-	for id := ID(1); id < 400; id++ {
+	for id := RequestID(1); id < 400; id++ {
 		now += tick
-		as := c.Step(now, []Event{Tick{}, Arrive{ID: id, Class: 1, HeldKB: 200}})
-		if count[Run](as) > 0 {
-			c.Step(now, []Event{Done{ID: id, Outcome: OutcomeOK}})
+		as := c.Step(now, []Event{Tick{}, RequestArrived{ID: id, Class: 1, QueuedKB: 200}})
+		if count[Start](as) > 0 {
+			c.Step(now, []Event{RequestFinished{ID: id, Outcome: OutcomeOK}})
 		}
 	}
 	if c.memoryWith(2*200*4) > memoryFull {
 		t.Errorf("entries take %.2f of memory: no room for a run a core", c.memoryWith(0))
 	}
-	if as := c.Step(now+tick, []Event{Arrive{ID: 1000, HeldKB: 200}}); count[Run](as) != 1 {
+	if as := c.Step(now+tick, []Event{RequestArrived{ID: 1000, QueuedKB: 200}}); count[Start](as) != 1 {
 		t.Error("a safe request does not run beside the entries")
 	}
 }
 
 // With a slow dependency the calls go to what is worth most.
 func TestShortCallsGoToTheWorthiest(t *testing.T) {
-	c := testController(t, func(s *Settings) { s.Below, s.CallsShare, s.CallsOver = BelowShared, 2, 5*time.Second })
+	c := testController(t, func(s *Settings) {
+		s.Dependency, s.CallConcurrencyShare, s.CallConcurrencyWindow = DependencyShared, 2, 5*time.Second
+	})
 	c.callTime = mean{100, 0.9} // one call in hand at 0.9 s each: a second one comes too late for an aim of 2 s
-	as := c.Step(0, []Event{Arrive{ID: 1, HeldKB: 1}, Arrive{ID: 2, HeldKB: 1}, Arrive{ID: 3, HeldKB: 1},
-		Arrive{ID: 4, Class: 1, HeldKB: 1}})
-	if count[Refuse](as) == 0 {
+	as := c.Step(0, []Event{RequestArrived{ID: 1, QueuedKB: 1}, RequestArrived{ID: 2, QueuedKB: 1}, RequestArrived{ID: 3, QueuedKB: 1},
+		RequestArrived{ID: 4, Class: 1, QueuedKB: 1}})
+	if count[Reject](as) == 0 {
 		t.Error("nothing is turned away though the calls cannot be made in time")
 	}
 	if c.live[4] == nil || c.keys[4] == nil {
@@ -109,9 +111,9 @@
 // One error in three runs is chance; a machine that fails is not told from it by share alone.
 func TestOneErrorIsNotFailing(t *testing.T) {
 	c := testController(t, nil)
-	run := func(id ID, o Outcome) {
-		c.Step(c.now+tick, []Event{Tick{}, Arrive{ID: id, HeldKB: 1}})
-		c.Step(c.now+tick, []Event{Done{ID: id, Outcome: o}, Tick{}})
+	run := func(id RequestID, o Outcome) {
+		c.Step(c.now+tick, []Event{Tick{}, RequestArrived{ID: id, QueuedKB: 1}})
+		c.Step(c.now+tick, []Event{RequestFinished{ID: id, Outcome: o}, Tick{}})
 	}
 	run(1, OutcomeOK)
 	run(2, OutcomeError)
@@ -119,7 +121,7 @@
 	if c.sick != "" {
 		t.Fatalf("%s after one error", c.sick)
 	}
-	for id := ID(4); id < 10; id++ {
+	for id := RequestID(4); id < 10; id++ {
 		run(id, OutcomeError)
 	}
 	if c.sick != "failing" {
@@ -137,7 +139,7 @@
 // be turned away. Two runs that take eight times the mean each are no hang; one without end is.
 func TestSlowIsNotHung(t *testing.T) {
 	c := testController(t, nil)
-	c.Step(0, []Event{Arrive{ID: 1, HeldKB: 1}, Arrive{ID: 2, HeldKB: 1}})
+	c.Step(0, []Event{RequestArrived{ID: 1, QueuedKB: 1}, RequestArrived{ID: 2, QueuedKB: 1}})
 	mean := seconds(c.slotTime.v)
 	for c.now < 8*mean {
 		c.Step(c.now+tick, []Event{Tick{}})
@@ -156,7 +158,7 @@
 // Guards against a level that outlasts its overload: callers would still hold back what the idle cores could run.
 // What two seconds of shedding raised, one second without any takes back.
 func TestLevelIsSoonTakenBack(t *testing.T) {
-	c := testController(t, func(s *Settings) { s.Signal = SignalFloor })
+	c := testController(t, func(s *Settings) { s.LoadSignal = LoadSignalThreshold })
 	for now := time.Duration(0); now <= 2*time.Second; now += tick {
 		c.readNow, c.shedNow = 10, 5
 		c.Step(now, []Event{Tick{}})
@@ -175,7 +177,7 @@
 // Guards the cores against waves: callers keep a value for a second, and large steps have them all come and go
 // together. The level moves four times a second, by a tenth at most.
 func TestLevelMovesInSmallSteps(t *testing.T) {
-	c := testController(t, func(s *Settings) { s.Signal = SignalFloor })
+	c := testController(t, func(s *Settings) { s.LoadSignal = LoadSignalThreshold })
 	said, moves := 0.0, 0
 	for c.now < 2*time.Second {
 		c.readNow, c.shedNow = 10, 5
@@ -183,7 +185,7 @@
 			c.shedNow = 0
 		}
 		for _, a := range c.Step(c.now+tick, []Event{Tick{}}) {
-			if s, ok := a.(Signal); ok {
+			if s, ok := a.(SetLoadSignal); ok {
 				if d := s.Value - said; d > 0.11 || d < -0.11 {
 					t.Errorf("at %v the level moves by %v", c.now, d)
 				}
@@ -200,17 +202,17 @@
 // beyond a tenant's share go first, and where there is room they run like any other.
 func TestOverShareIsShedFirst(t *testing.T) {
 	c := testController(t, func(s *Settings) {
-		s.Tenants, s.Peers, s.OverShare = []Tenant{{"flood", 10}, {"calm", 10}}, 2, 0.05 // five a second here
+		s.Tenants, s.Peers, s.OverQuotaWeightShare = []Tenant{{"flood", 10}, {"calm", 10}}, 2, 0.05 // five a second here
 	})
 	c.Step(0, nil)
 	c.Step(time.Second, nil)
 	var ev []Event
-	for i := ID(1); i <= 40; i++ {
-		ev = append(ev, Arrive{ID: i, Tenant: int(i) % 10 / 9, HeldKB: 1}) // one in ten is calm
+	for i := RequestID(1); i <= 40; i++ {
+		ev = append(ev, RequestArrived{ID: i, Tenant: int(i) % 10 / 9, QueuedKB: 1}) // one in ten is calm
 	}
-	refused := map[ID]bool{}
+	refused := map[RequestID]bool{}
 	for _, a := range c.Step(c.now, ev) {
-		if r, ok := a.(Refuse); ok {
+		if r, ok := a.(Reject); ok {
 			refused[r.ID] = true
 		}
 	}
@@ -218,7 +220,7 @@
 	if calm || len(refused) < 10 || len(refused) > 31 {
 		t.Errorf("%d of 40 refused, one within its share among them: %v", len(refused), calm)
 	}
-	if as := testController(t, nil).Step(0, []Event{Arrive{ID: 1, Tenant: 7, HeldKB: 1}}); count[Run](as) != 1 {
+	if as := testController(t, nil).Step(0, []Event{RequestArrived{ID: 1, Tenant: 7, QueuedKB: 1}}); count[Start](as) != 1 {
 		t.Error("a request of no known tenant is not run")
 	}
 }
@@ -227,14 +229,14 @@
 // they fail at once.
 func TestRepeatsLeaveMemory(t *testing.T) {
 	c := testController(t, func(s *Settings) { s.MemoryKB = 1000 })
-	c.Step(0, []Event{Arrive{ID: 1, Class: 1, HeldKB: 50}})
+	c.Step(0, []Event{RequestArrived{ID: 1, Class: 1, QueuedKB: 50}})
 	var ev []Event
-	for i := ID(2); i <= 30; i++ {
-		ev = append(ev, Arrive{ID: i, Class: 1, HeldKB: 50, Original: 1})
+	for i := RequestID(2); i <= 30; i++ {
+		ev = append(ev, RequestArrived{ID: i, Class: 1, QueuedKB: 50, Original: 1})
 	}
 	as := c.Step(tick, ev)
-	if c.memoryWith(0) > 1 || count[Fail](as)+count[Reuse](as) != 29 || count[Refuse](as) != 0 || count[Reuse](as) < 10 {
-		t.Errorf("%d joined and %d failed of 29, memory %.2f", count[Reuse](as), count[Fail](as), c.memoryWith(0))
+	if c.memoryWith(0) > 1 || count[Fail](as)+count[ReplayResult](as) != 29 || count[Reject](as) != 0 || count[ReplayResult](as) < 10 {
+		t.Errorf("%d joined and %d failed of 29, memory %.2f", count[ReplayResult](as), count[Fail](as), c.memoryWith(0))
 	}
 }
 
@@ -246,8 +248,8 @@
 	}{{1.4, 0}, {1.6, 1}} {
 		c := testController(t, nil)
 		age := 2*time.Second - seconds(left.means*c.slotTime.v)
-		if as := c.Step(time.Minute, []Event{Arrive{ID: 1, HeldKB: 1, Age: age}}); count[Run](as) != left.runs {
-			t.Errorf("%d runs with %v mean services left", count[Run](as), left.means)
+		if as := c.Step(time.Minute, []Event{RequestArrived{ID: 1, QueuedKB: 1, Age: age}}); count[Start](as) != left.runs {
+			t.Errorf("%d runs with %v mean services left", count[Start](as), left.means)
 		}
 	}
 }
@@ -255,10 +257,10 @@
 // A repeat that names a repeat read in the same batch joins the run too.
 func TestRepeatOfARepeat(t *testing.T) {
 	c := testController(t, nil)
-	c.Step(0, []Event{Arrive{ID: 1, Class: 1, HeldKB: 1}})
-	as := c.Step(tick, []Event{Arrive{ID: 2, Class: 1, HeldKB: 1, Original: 1}, Arrive{ID: 3, Class: 1, HeldKB: 1, Original: 2}})
-	if count[Reuse](as) != 2 || count[Run](as) != 0 {
-		t.Errorf("%d reuses and %d runs of two repeats", count[Reuse](as), count[Run](as))
+	c.Step(0, []Event{RequestArrived{ID: 1, Class: 1, QueuedKB: 1}})
+	as := c.Step(tick, []Event{RequestArrived{ID: 2, Class: 1, QueuedKB: 1, Original: 1}, RequestArrived{ID: 3, Class: 1, QueuedKB: 1, Original: 2}})
+	if count[ReplayResult](as) != 2 || count[Start](as) != 0 {
+		t.Errorf("%d reuses and %d runs of two repeats", count[ReplayResult](as), count[Start](as))
 	}
 }
 
@@ -266,13 +268,13 @@
 // every second keep theirs.
 func TestIdleConnectionsFollowReturns(t *testing.T) {
 	last := func(callers int) (kept time.Duration) {
-		c := testController(t, func(s *Settings) { s.KeepAliveMax = 30 * time.Second })
+		c := testController(t, func(s *Settings) { s.MaxKeepAlive = 30 * time.Second })
 		for i := range 1000 {
-			as := c.Step(c.now+tick, []Event{Tick{}, Arrive{ID: ID(i + 1), HeldKB: 1, Caller: uint32(i % callers)}})
-			as = append(as, c.Step(c.now, []Event{Done{ID: ID(i + 1), Outcome: OutcomeOK}})...)
+			as := c.Step(c.now+tick, []Event{Tick{}, RequestArrived{ID: RequestID(i + 1), QueuedKB: 1, Caller: uint32(i % callers)}})
+			as = append(as, c.Step(c.now, []Event{RequestFinished{ID: RequestID(i + 1), Outcome: OutcomeOK}})...)
 			for _, a := range as {
-				if x, ok := a.(CloseIdle); ok {
-					kept = x.After
+				if x, ok := a.(CloseIdleConnections); ok {
+					kept = x.IdleTimeout
 				}
 			}
 		}
@@ -291,27 +293,27 @@
 func TestCallsStayUnderAShareBelowOne(t *testing.T) {
 	for _, share := range []float64{0.3, 0.47, 0.9, 2.5} {
 		c := testController(t, func(s *Settings) {
-			s.Below, s.CallsShare, s.CallsOver, s.CallLinger = BelowShared, share, 5*time.Second, 200*time.Millisecond
+			s.Dependency, s.CallConcurrencyShare, s.CallConcurrencyWindow, s.AbandonedCallTime = DependencyShared, share, 5*time.Second, 200*time.Millisecond
 		})
-		ends, inHand := map[ID]time.Duration{}, []float64{}
+		ends, inHand := map[RequestID]time.Duration{}, []float64{}
 		calls := 0
 		for i := range 3000 {
-			ev := []Event{Tick{Gauges: Gauges{Busy: 0.5}}}
-			for id := ID(1); id <= ID(i); id++ {
+			ev := []Event{Tick{Gauges: Gauges{CPUUtilization: 0.5}}}
+			for id := RequestID(1); id <= RequestID(i); id++ {
 				if end, ok := ends[id]; ok && c.now+tick >= end {
-					ev = append(ev, CallDone{ID: id, Outcome: OutcomeTimeout})
+					ev = append(ev, CallFinished{ID: id, Outcome: OutcomeTimeout})
 					delete(ends, id)
 				}
 			}
-			ev = append(ev, Arrive{ID: ID(i + 1), HeldKB: 1})
+			ev = append(ev, RequestArrived{ID: RequestID(i + 1), QueuedKB: 1})
 			as := c.Step(c.now+tick, ev)
 			var need []Event
 			for _, a := range as {
 				switch a := a.(type) {
-				case Run:
+				case Start:
 					need = append(need, CallNeeded{ID: a.ID})
 				case Fail: // at its call: the host ends it
-					need = append(need, Done{ID: a.ID, Outcome: OutcomeCancelled})
+					need = append(need, RequestFinished{ID: a.ID, Outcome: OutcomeCancelled})
 				}
 			}
 			for _, a := range append(as, c.Step(c.now, need)...) {
@@ -321,11 +323,11 @@
 				}
 			}
 			inHand = append(inHand, float64(len(ends)+len(c.lingers)))
-			sum, from := 0.0, max(0, len(inHand)-int(c.s.CallsOver/tick))
+			sum, from := 0.0, max(0, len(inHand)-int(c.s.CallConcurrencyWindow/tick))
 			for _, x := range inHand[from:] {
 				sum += x
 			}
-			if m := sum * tick.Seconds() / c.s.CallsOver.Seconds(); m > share {
+			if m := sum * tick.Seconds() / c.s.CallConcurrencyWindow.Seconds(); m > share {
 				t.Fatalf("share %v: %.2f calls in the mean of a window at %v", share, m, c.now)
 			}
 		}
@@ -339,13 +341,13 @@
 // fleet is full, or its own reading late, it asks them not to.
 func TestLastFollowsTheFleet(t *testing.T) {
 	lasts := func(retries bool, age time.Duration) (last, all int) {
-		c := testController(t, func(s *Settings) { s.MarksRetries = true })
+		c := testController(t, func(s *Settings) { s.RetriesMarked = true })
 		for i := range 400 {
-			as := c.Step(c.now+tick, []Event{Tick{}, Arrive{ID: ID(i + 1), HeldKB: 1, Age: age, Retry: retries && i%2 == 0}})
+			as := c.Step(c.now+tick, []Event{Tick{}, RequestArrived{ID: RequestID(i + 1), QueuedKB: 1, Age: age, Retry: retries && i%2 == 0}})
 			for _, a := range as {
-				if r, ok := a.(Refuse); ok && i > 200 {
+				if r, ok := a.(Reject); ok && i > 200 {
 					all++
-					if r.Last {
+					if r.NoRetry {
 						last++
 					}
 				}
@@ -370,22 +372,24 @@
 		"one core":         func(s *Settings) { s.Cores = 1 },
 		"many peers":       func(s *Settings) { s.Peers, s.Callers = 5000, 20000 },
 		"no quota":         func(s *Settings) { s.Peers, s.Tenants = 5000, []Tenant{{Quota: 0}, {Quota: 0.001}} },
-		"hardly any share": func(s *Settings) { s.Below, s.CallsShare = BelowShared, 1e-6 },
-		"no window":        func(s *Settings) { s.Below, s.CallsShare, s.CallsOver = BelowShared, 0.5, 0 },
+		"hardly any share": func(s *Settings) { s.Dependency, s.CallConcurrencyShare = DependencyShared, 1e-6 },
+		"no window": func(s *Settings) {
+			s.Dependency, s.CallConcurrencyShare, s.CallConcurrencyWindow = DependencyShared, 0.5, 0
+		},
 		"no memory stated": func(s *Settings) { s.MemoryKB = 0 },
-		"signal":           func(s *Settings) { s.Signal, s.Callers = SignalAllowance, 0 },
-		"keep alive":       func(s *Settings) { s.KeepAliveMax = time.Millisecond },
+		"signal":           func(s *Settings) { s.LoadSignal, s.Callers = LoadSignalAllowance, 0 },
+		"keep alive":       func(s *Settings) { s.MaxKeepAlive = time.Millisecond },
 	}
 	for name, change := range odd {
 		c := testController(t, change)
 		runs := map[int]int{}
 		for i := range 2000 {
-			as := c.Step(c.now+tick, []Event{Tick{Gauges: Gauges{Busy: -1, Runnable: -1}}, Arrive{ID: ID(i + 1), Class: i % 2, HeldKB: 1,
+			as := c.Step(c.now+tick, []Event{Tick{Gauges: Gauges{CPUUtilization: -1, Runnable: -1}}, RequestArrived{ID: RequestID(i + 1), Class: i % 2, QueuedKB: 1,
 				Tenant: i % 3}})
 			for _, a := range as {
-				if r, ok := a.(Run); ok {
+				if r, ok := a.(Start); ok {
 					runs[c.live[r.ID].Class]++
-					c.Step(c.now, []Event{Done{ID: r.ID, Outcome: OutcomeOK}})
+					c.Step(c.now, []Event{RequestFinished{ID: r.ID, Outcome: OutcomeOK}})
 				}
 			}
 		}
@@ -399,11 +403,11 @@
 // plan, which counts slots, turned away half of what could run.
 func TestLimitStepsScaleWithCores(t *testing.T) {
 	for _, cores := range []int{1, 2, 6, 16} {
-		c := testController(t, func(s *Settings) { s.Cores, s.CrowdPerCore = cores, 0 })
+		c := testController(t, func(s *Settings) { s.Cores, s.MaxConcurrencyPerCore = cores, 0 })
 		c.limit = 2 * float64(cores)
 		for range 200 {
 			before := c.limit
-			c.Step(c.now+tick, []Event{Tick{Gauges: Gauges{Busy: 1, Runnable: 4 * float64(cores)}}})
+			c.Step(c.now+tick, []Event{Tick{Gauges: Gauges{CPUUtilization: 1, Runnable: 4 * float64(cores)}}})
 			if step := before - c.limit; step > float64(cores)/8+1e-9 {
 				t.Fatalf("%d cores: a step of %.2f slots", cores, step)
 			}
@@ -417,12 +421,12 @@
 // Guards against callers that make requests up: what the host could not run, as nobody had asked for it, leaves no
 // trace in the counts by which a server judges its load, nor in the shares of the tenants that it was sent for.
 func TestMadeUpRequestsAreNotCounted(t *testing.T) {
-	c := testController(t, func(s *Settings) { s.Tenants, s.Peers, s.OverShare = []Tenant{{"hill", 10}}, 1, 0.05 })
+	c := testController(t, func(s *Settings) { s.Tenants, s.Peers, s.OverQuotaWeightShare = []Tenant{{"hill", 10}}, 1, 0.05 })
 	c.Step(0, nil)
 	c.Step(time.Second, nil)
 	tokens, others := c.tokens[0], c.others
-	c.Step(c.now, []Event{Arrive{ID: 1, Class: 1, HeldKB: 1}, Arrive{ID: 2, HeldKB: 1, Retry: true}})
-	c.Step(c.now, []Event{Done{ID: 1, Outcome: OutcomeFull}, Done{ID: 2, Outcome: OutcomeFull}})
+	c.Step(c.now, []Event{RequestArrived{ID: 1, Class: 1, QueuedKB: 1}, RequestArrived{ID: 2, QueuedKB: 1, Retry: true}})
+	c.Step(c.now, []Event{RequestFinished{ID: 1, Outcome: OutcomeRejected}, RequestFinished{ID: 2, Outcome: OutcomeRejected}})
 	if c.read != 0 || c.readNow != 0 || c.again != 0 || c.classes[1].seen != 0 || c.runs != 0 {
 		t.Errorf("read %v and %v, again %v, seen %v, runs %v; want none", c.read, c.readNow, c.again, c.classes[1].seen, c.runs)
 	}
@@ -434,25 +438,25 @@
 // Guards the worthiest work against a machine that is far too slow for it: it turns that away at once, which draws
 // callers that count what is open, so they must be told to go elsewhere. Without evidence it is asked again.
 func TestUselessMachineIsTold(t *testing.T) {
-	c := testController(t, func(s *Settings) { s.Signal = SignalFloor })
+	c := testController(t, func(s *Settings) { s.LoadSignal = LoadSignalThreshold })
 	good := true
 	slow := 1.0
 	beat := func(ev ...Event) {
 		c.spent, c.yield = 100*slow, 100
 		for _, a := range c.Step(c.now+tick, append(ev, Tick{})) {
-			if h, ok := a.(Health); ok {
-				good = h.Good
+			if h, ok := a.(SetHealth); ok {
+				good = h.Healthy
 			}
 		}
 	}
-	id := ID(0)
+	id := RequestID(0)
 	arrive := func(age time.Duration) Event {
 		id++
-		return Arrive{ID: id, Class: 1, HeldKB: 1, Age: age}
+		return RequestArrived{ID: id, Class: 1, QueuedKB: 1, Age: age}
 	}
 	for range 50 {
 		beat(arrive(0))
-		beat(Done{ID: id, Outcome: OutcomeOK})
+		beat(RequestFinished{ID: id, Outcome: OutcomeOK})
 		if beat(arrive(2 * time.Second)); !good { // too late wherever it is run
 			t.Fatal("told to go though half of its work is done")
 		}
@@ -481,14 +485,14 @@
 // pace, or the spell would count twice, in them and in the pace, and for long after it.
 func TestSlowSpellIsNotLearned(t *testing.T) {
 	c := testController(t, nil)
-	id := ID(0)
+	id := RequestID(0)
 	run := func(ticks int) {
 		id += 2
-		c.Step(c.now+tick, []Event{Tick{}, Arrive{ID: id, HeldKB: 1}, Arrive{ID: id + 1, HeldKB: 1}})
+		c.Step(c.now+tick, []Event{Tick{}, RequestArrived{ID: id, QueuedKB: 1}, RequestArrived{ID: id + 1, QueuedKB: 1}})
 		for range ticks {
 			c.Step(c.now+tick, []Event{Tick{}})
 		}
-		c.Step(c.now, []Event{Done{ID: id, Outcome: OutcomeOK}, Done{ID: id + 1, Outcome: OutcomeOK}})
+		c.Step(c.now, []Event{RequestFinished{ID: id, Outcome: OutcomeOK}, RequestFinished{ID: id + 1, Outcome: OutcomeOK}})
 	}
 	for range 300 {
 		run(5)
@@ -508,17 +512,17 @@
 	for _, c := range []struct {
 		class, waits, want int
 	}{{0, 1, 1}, {0, 0, 0}, {1, 1, 0}} {
-		m := testController(t, func(s *Settings) { s.Stop = StopDiscard })
+		m := testController(t, func(s *Settings) { s.Preemption = PreemptDiscard })
 		m.limit = 1
-		m.Step(0, []Event{Arrive{ID: 1, Class: c.class, HeldKB: 1, Age: 1500 * time.Millisecond}})
+		m.Step(0, []Event{RequestArrived{ID: 1, Class: c.class, QueuedKB: 1, Age: 1500 * time.Millisecond}})
 		m.Step(450*time.Millisecond, nil)
 		before := m.classes[c.class].slot.v
 		for i := range c.waits {
-			m.Step(m.now, []Event{Arrive{ID: ID(2 + i), HeldKB: 1}})
+			m.Step(m.now, []Event{RequestArrived{ID: RequestID(2 + i), QueuedKB: 1}})
 		}
 		as := m.Step(501*time.Millisecond, nil) // the aim is two seconds
 		as = append(as, m.Step(502*time.Millisecond, nil)...)
-		if fails, stops := count[Fail](as), count[Pause](as); fails != c.want || stops != c.want {
+		if fails, stops := count[Fail](as), count[Preempt](as); fails != c.want || stops != c.want {
 			t.Errorf("%+v: %d failed, %d stopped, want %d", c, fails, stops, c.want)
 		}
 		if learned := m.classes[c.class].slot.v > before; learned != (c.want == 1) {
@@ -532,8 +536,8 @@
 func TestRepeatsHaveLessTime(t *testing.T) {
 	for _, retry := range []bool{false, true} {
 		c := testController(t, nil)
-		as := c.Step(0, []Event{Arrive{ID: 1, HeldKB: 1, Age: 1550 * time.Millisecond, Retry: retry}})
-		if ran := count[Run](as) == 1; ran == retry {
+		as := c.Step(0, []Event{RequestArrived{ID: 1, QueuedKB: 1, Age: 1550 * time.Millisecond, Retry: retry}})
+		if ran := count[Start](as) == 1; ran == retry {
 			t.Errorf("retry %v: %v", retry, as)
 		}
 	}
@@ -545,7 +549,7 @@
 	for class, want := range []int{0, 1} {
 		c := testController(t, nil)
 		age := 2*time.Second - seconds(0.8*c.classes[class].slot.v)
-		if ran := count[Run](c.Step(0, []Event{Arrive{ID: 1, Class: class, HeldKB: 1, Age: age}})); ran != want {
+		if ran := count[Start](c.Step(0, []Event{RequestArrived{ID: 1, Class: class, QueuedKB: 1, Age: age}})); ran != want {
 			t.Errorf("class %d with four fifths of its mean service left: %d run, want %d", class, ran, want)
 		}
 	}
@@ -555,9 +559,9 @@
 // is no reason to raise it.
 func TestLevelIsForWorkWithinShares(t *testing.T) {
 	for _, over := range []bool{false, true} {
-		c := testController(t, func(s *Settings) { s.Signal = SignalFloor })
-		for id := ID(1); c.now < time.Second; id++ {
-			c.Step(c.now+tick, []Event{Tick{}, Arrive{ID: id, HeldKB: 1}})
+		c := testController(t, func(s *Settings) { s.LoadSignal = LoadSignalThreshold })
+		for id := RequestID(1); c.now < time.Second; id++ {
+			c.Step(c.now+tick, []Event{Tick{}, RequestArrived{ID: id, QueuedKB: 1}})
 			c.live[id].over = over
 			c.refuse(c.live[id], false)
 		}
@@ -571,12 +575,12 @@
 // asked. Found by the hunt over fault scripts, seed 2172 of worst.
 func TestReadPastTheDrainLimitNeverRuns(t *testing.T) {
 	c := testController(t, func(s *Settings) { s.DrainGrace = 2500 * time.Millisecond })
-	c.Step(0, []Event{Drain{Stop: 10 * time.Second}})
-	if n := count[Run](c.Step(2400*time.Millisecond, []Event{Arrive{ID: 1, HeldKB: 1}})); n != 1 {
+	c.Step(0, []Event{DrainRequested{StopAt: 10 * time.Second}})
+	if n := count[Start](c.Step(2400*time.Millisecond, []Event{RequestArrived{ID: 1, QueuedKB: 1}})); n != 1 {
 		t.Errorf("read within the limit: %d runs", n)
 	}
-	as := c.Step(2600*time.Millisecond, []Event{Arrive{ID: 2, HeldKB: 1, Age: time.Second}, Arrive{ID: 3, HeldKB: 1}})
-	if n, refused := count[Run](as), count[Refuse](as); n != 0 || refused != 2 {
+	as := c.Step(2600*time.Millisecond, []Event{RequestArrived{ID: 2, QueuedKB: 1, Age: time.Second}, RequestArrived{ID: 3, QueuedKB: 1}})
+	if n, refused := count[Start](as), count[Reject](as); n != 0 || refused != 2 {
 		t.Errorf("read past the limit: %d runs, %d refusals", n, refused)
 	}
 }
--- a/control/lanes_test.go
+++ b/control/lanes_test.go
@@ -12,40 +12,40 @@
 // class that is worth ten of the other, and returns what share of each class was turned away in the last quarter.
 func overload(t *testing.T, span time.Duration) (low, high float64) {
 	const cores, mean, step = 4, 0.05, 5 * time.Millisecond
-	c, err := New(Settings{Seed: 3, Cores: cores, CrowdPerCore: 8, CrowdOver: 3 * time.Second, Classes: []Class{
-		{Aim: 360 * time.Millisecond, Deadline: 900 * time.Millisecond, Worth: 1},
-		{Aim: 360 * time.Millisecond, Deadline: 900 * time.Millisecond, Worth: 10}}})
+	c, err := New(Settings{Seed: 3, Cores: cores, MaxConcurrencyPerCore: 8, MaxConcurrencyWindow: 3 * time.Second, Classes: []Class{
+		{LatencyObjective: 360 * time.Millisecond, Deadline: 900 * time.Millisecond, Weight: 1},
+		{LatencyObjective: 360 * time.Millisecond, Deadline: 900 * time.Millisecond, Weight: 10}}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	rng := rand.New(rand.NewPCG(5, 5))
 	type run struct {
-		id   ID
+		id   RequestID
 		left float64 // of its work
 	}
 	var runs []run
-	class := map[ID]int{}
+	class := map[RequestID]int{}
 	var read, shed [2]float64
-	var id ID
+	var id RequestID
 	var tick time.Duration
 	for now := time.Duration(0); now < span; now += step {
 		var events []Event
 		if now >= tick {
 			busy := math.Min(1, float64(len(runs))/cores)
-			events = append(events, Tick{Gauges: Gauges{Busy: busy, Runnable: float64(len(runs))}})
+			events = append(events, Tick{Gauges: Gauges{CPUUtilization: busy, Runnable: float64(len(runs))}})
 			tick = now + 20*time.Millisecond
 		}
 		rate := step.Seconds() * math.Min(1, cores/math.Max(1, float64(len(runs))))
 		runs = slices.DeleteFunc(runs, func(r run) bool { return r.left <= 0 })
 		for i := range runs {
 			if runs[i].left -= rate; runs[i].left <= 0 {
-				events = append(events, Done{ID: runs[i].id, Outcome: OutcomeOK})
+				events = append(events, RequestFinished{ID: runs[i].id, Outcome: OutcomeOK})
 			}
 		}
 		for range 8 {
 			if rng.Float64() < 1.4*cores/mean*step.Seconds()/8 {
 				id++
-				a := Arrive{ID: id, HeldKB: 1, Rank: rng.Float64()}
+				a := RequestArrived{ID: id, QueuedKB: 1, Rank: rng.Float64()}
 				if rng.Float64() < 0.2 {
 					a.Class = 1
 				}
@@ -58,9 +58,9 @@
 		}
 		for _, a := range c.Step(now, events) {
 			switch a := a.(type) {
-			case Run:
+			case Start:
 				runs = append(runs, run{a.ID, mean * rng.ExpFloat64()})
-			case Refuse:
+			case Reject:
 				if now > 3*span/4 {
 					shed[class[a.ID]]++
 				}
--- a/control/learned.go
+++ b/control/learned.go
@@ -1,39 +1,39 @@
 package control
 
-// Learned is what a Controller has found out about its machine and its classes: what a successor on the same machine
+// LearnedState is what a Controller has found out about its machine and its classes: what a successor on the same machine
 // need not find out anew. It holds no decisions. Times are in seconds.
-type Learned struct {
+type LearnedState struct {
 	Limit, Alpha, Said float64 // of running requests; of the lanes; the free value
-	Usual, SlotTime    Mean
-	CallTime           Mean // of calls below
-	Classes            []LearnedClass
+	Usual, SlotTime    MeanEstimate
+	CallTime           MeanEstimate // of calls below
+	Classes            []LearnedClassState
 }
 
-// Mean is a mean and the completions behind it.
-type Mean struct{ N, V float64 }
+// MeanEstimate is a mean and the completions behind it.
+type MeanEstimate struct{ N, V float64 }
 
-// LearnedClass is what is known of the class of that name.
-type LearnedClass struct {
+// LearnedClassState is what is known of the class of that name.
+type LearnedClassState struct {
 	Name                string
-	Service, Slot, Away Mean
-	Calls               Mean // of a request
+	Service, Slot, Away MeanEstimate
+	Calls               MeanEstimate // of a request
 }
 
-// Learned tells what has been found out.
-func (c *Controller) Learned() Learned {
-	l := Learned{Limit: c.limit, Alpha: c.alpha, Said: c.said, Usual: Mean{c.usual.n, c.usual.v}, SlotTime: Mean{c.slotTime.n, c.slotTime.v},
-		CallTime: Mean{c.callTime.n, c.callTime.v}}
+// LearnedState tells what has been found out.
+func (c *Controller) LearnedState() LearnedState {
+	l := LearnedState{Limit: c.limit, Alpha: c.alpha, Said: c.said, Usual: MeanEstimate{c.usual.n, c.usual.v}, SlotTime: MeanEstimate{c.slotTime.n, c.slotTime.v},
+		CallTime: MeanEstimate{c.callTime.n, c.callTime.v}}
 	for _, k := range c.classes {
-		l.Classes = append(l.Classes, LearnedClass{k.Name, Mean{k.service.n, k.service.v}, Mean{k.slot.n, k.slot.v}, Mean{k.away.n, k.away.v},
-			Mean{k.calls.n, k.calls.v}})
+		l.Classes = append(l.Classes, LearnedClassState{k.Name, MeanEstimate{k.service.n, k.service.v}, MeanEstimate{k.slot.n, k.slot.v}, MeanEstimate{k.away.n, k.away.v},
+			MeanEstimate{k.calls.n, k.calls.v}})
 	}
 	return l
 }
 
-// Learn takes up what a predecessor on the same machine has found out. Figures that make no sense are passed over: they come
+// RestoreLearned takes up what a predecessor on the same machine has found out. Figures that make no sense are passed over: they come
 // from another process.
-func (c *Controller) Learn(l Learned) {
-	take := func(m *mean, from Mean, most float64) {
+func (c *Controller) RestoreLearned(l LearnedState) {
+	take := func(m *mean, from MeanEstimate, most float64) {
 		if from.N > 0 && from.N <= most && from.V > 0 && from.V < 3600 {
 			m.n, m.v = from.N, from.V
 		}
@@ -65,7 +65,7 @@
 
 // mostSaid is the highest free value that makes sense.
 func (c *Controller) mostSaid() float64 {
-	if c.s.Signal == SignalAllowance {
+	if c.s.LoadSignal == LoadSignalAllowance {
 		return allowMost * c.limit
 	}
 	return 1
--- a/control/mechanism_test.go
+++ b/control/mechanism_test.go
@@ -70,8 +70,8 @@
 // S may outgrow M: the budget keeps a share of the aim, and aims their order.
 func TestBudgetStaysPositive(t *testing.T) {
 	c, err := New(Settings{Cores: 2, Classes: []Class{
-		{Aim: 2 * time.Second, Deadline: 8 * time.Second, Worth: 1},
-		{Aim: 3 * time.Second, Deadline: 8 * time.Second, Worth: 1}}})
+		{LatencyObjective: 2 * time.Second, Deadline: 8 * time.Second, Weight: 1},
+		{LatencyObjective: 3 * time.Second, Deadline: 8 * time.Second, Weight: 1}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -90,8 +90,8 @@
 // Alpha grows by a quarter while the worst class misses its target and falls by gamma over the mean CV else.
 func TestAlpha(t *testing.T) {
 	c, _ := New(Settings{Cores: 2, Classes: []Class{
-		{Aim: time.Second, Deadline: 4 * time.Second, Worth: 1},
-		{Aim: time.Second, Deadline: 4 * time.Second, Worth: 2}}})
+		{LatencyObjective: time.Second, Deadline: 4 * time.Second, Weight: 1},
+		{LatencyObjective: time.Second, Deadline: 4 * time.Second, Weight: 2}}})
 	if !c.classes[0].best || c.classes[1].best {
 		t.Fatal("the lowest worth is best effort, the other is not")
 	}
@@ -118,8 +118,8 @@
 		k.lat[i] = 0.1 + 0.1*float64(i%2)
 	}
 	c.alpha, before = 0.6, 0.6
-	for id := ID(1); id <= 4; id++ {
-		c.take(Arrive{ID: id, Class: 1, HeldKB: 1})
+	for id := RequestID(1); id <= 4; id++ {
+		c.take(RequestArrived{ID: id, Class: 1, QueuedKB: 1})
 		c.refuse(c.live[id], false)
 	}
 	c.fit()
@@ -131,7 +131,7 @@
 // Where all classes tie none is best effort: a single lane by due time.
 func TestNoBestEffortAmongEquals(t *testing.T) {
 	c, _ := New(Settings{Cores: 1, Classes: []Class{
-		{Aim: time.Second, Deadline: 4 * time.Second, Worth: 1}, {Aim: time.Second, Deadline: 4 * time.Second, Worth: 1}}})
+		{LatencyObjective: time.Second, Deadline: 4 * time.Second, Weight: 1}, {LatencyObjective: time.Second, Deadline: 4 * time.Second, Weight: 1}}})
 	for i, k := range c.classes {
 		if k.best {
 			t.Errorf("class %d is best effort among equals", i)
@@ -142,10 +142,10 @@
 // The fitted law decides from the first completion: a thin class rests on the prior, near-exponential latency, and
 // moves to its own CV as completions come.
 func TestThinClassIsFitted(t *testing.T) {
-	c, _ := New(Settings{Cores: 2, Classes: []Class{{Aim: 2 * time.Second, Deadline: 8 * time.Second, Worth: 1}}})
+	c, _ := New(Settings{Cores: 2, Classes: []Class{{LatencyObjective: 2 * time.Second, Deadline: 8 * time.Second, Weight: 1}}})
 	k := c.classes[0]
 	c.fit()
-	if want := meanBudget(1, k.Aim, k.Deadline) - seconds(k.service.v); k.budget != want || want >= k.Aim {
+	if want := meanBudget(1, k.LatencyObjective, k.Deadline) - seconds(k.service.v); k.budget != want || want >= k.LatencyObjective {
 		t.Fatalf("budget %v without completions, want %v, under the aim", k.budget, want)
 	}
 	for n, last := 1, k.budget; n <= window; n *= 10 {
--- a/control/setup.go
+++ b/control/setup.go
@@ -12,13 +12,13 @@
 // This file builds a Controller from its settings, and anew when they change. It decides nothing about requests.
 
 func (s Settings) check() error {
-	times := min(s.AnswerSlack, s.DrainGrace, s.Ramp, s.CrowdOver, s.CallsOver, s.CallLinger, s.MaxRetryAfter)
-	limits := min(s.MemoryKB, s.KeyKB, s.CallsShare, s.CrowdPerCore, s.RunFactor, s.OverShare)
+	times := min(s.AnswerGrace, s.DrainGrace, s.WarmUpTime, s.MaxConcurrencyWindow, s.CallConcurrencyWindow, s.AbandonedCallTime, s.MaxRetryAfter)
+	limits := min(s.MemoryKB, s.KeyKB, s.CallConcurrencyShare, s.MaxConcurrencyPerCore, s.RunningMemoryFactor, s.OverQuotaWeightShare)
 	if len(s.inUse()) == 0 || s.Cores <= 0 || times < 0 || limits < 0 {
 		return fmt.Errorf("control: %d classes, %d cores, or a negative figure", len(s.inUse()), s.Cores)
 	}
 	for _, k := range s.Classes {
-		if k.Aim <= 0 || k.Deadline <= 0 || k.Window < 0 || k.Worth < 0 {
+		if k.LatencyObjective <= 0 || k.Deadline <= 0 || k.RetentionWindow < 0 || k.Weight < 0 {
 			return fmt.Errorf("control: class %q: aim, deadline, window or worth out of range", k.Name)
 		}
 	}
@@ -36,11 +36,11 @@
 		return nil, err
 	}
 	c := &Controller{
-		rng: rand.New(rand.NewPCG(s.Seed, 0)), live: map[ID]*request{}, keys: map[ID]*entry{},
+		rng: rand.New(rand.NewPCG(s.Seed, 0)), live: map[RequestID]*request{}, keys: map[RequestID]*entry{},
 		alpha: alphaMax, limit: float64(s.Cores), climbDir: 1, pace: 1, okayPace: 1, busy: -1,
 		heard: map[uint32]time.Duration{}, open: map[uint32]int{},
 	}
-	if s.Signal == SignalWeight {
+	if s.LoadSignal == LoadSignalWeight {
 		c.said = 1
 	}
 	c.settle(s)
@@ -50,17 +50,17 @@
 	return c, nil
 }
 
-// Retune takes up other settings while serving; an error says that nothing has changed. Classes and tenants keep their
+// Reconfigure takes up other settings while serving; an error says that nothing has changed. Classes and tenants keep their
 // numbers: a class that is gone is retired, one whose number has gone over to another name is over. What was learned of a
 // class is kept under its name, and what is open stays as it was read. The seed and the cold start are those of New.
-func (c *Controller) Retune(s Settings) error {
+func (c *Controller) Reconfigure(s Settings) error {
 	if err := s.check(); err != nil {
 		return err
 	}
 	if len(s.Classes) < len(c.classes) || len(s.Tenants) < len(c.tokens) {
 		return fmt.Errorf("control: %d classes or %d tenants are fewer than there were", len(s.Classes), len(s.Tenants))
 	}
-	s.Seed, s.Cold = c.s.Seed, c.s.Cold
+	s.Seed, s.ColdStart = c.s.Seed, c.s.ColdStart
 	c.settle(s)
 	return nil
 }
@@ -68,25 +68,25 @@
 // settle builds what depends on the settings and keeps what is there.
 func (c *Controller) settle(s Settings) {
 	c.s = s
-	c.s.CallsOver = max(s.CallsOver, time.Second)
-	if s.Below != BelowShared || s.CallsShare <= 0 {
+	c.s.CallConcurrencyWindow = max(s.CallConcurrencyWindow, time.Second)
+	if s.Dependency != DependencyShared || s.CallConcurrencyShare <= 0 {
 		c.share, c.callStock = math.Inf(1), math.Inf(1)
-	} else if c.share != s.CallsShare {
-		c.share, c.callStock = s.CallsShare, 0
+	} else if c.share != s.CallConcurrencyShare {
+		c.share, c.callStock = s.CallConcurrencyShare, 0
 	}
-	if n := 2 + int(math.Ceil(math.Log2(math.Max(1, float64(s.KeepAliveMax)/float64(keepMin))))); n != len(c.gaps) {
+	if n := 2 + int(math.Ceil(math.Log2(math.Max(1, float64(s.MaxKeepAlive)/float64(keepMin))))); n != len(c.gaps) {
 		c.gaps = make([]float64, n)
 	}
 	for len(c.tokens) < len(s.Tenants) {
 		c.tokens = append(c.tokens, 0)
 	}
-	ranks := func(a, b Class) int { return cmp.Compare(a.Worth, b.Worth) }
-	low, high := slices.MinFunc(s.inUse(), ranks).Worth, slices.MaxFunc(s.inUse(), ranks).Worth
+	ranks := func(a, b Class) int { return cmp.Compare(a.Weight, b.Weight) }
+	low, high := slices.MinFunc(s.inUse(), ranks).Weight, slices.MaxFunc(s.inUse(), ranks).Weight
 	before := c.classes
 	c.classes, c.current = nil, nil
 	for i, k := range s.Classes {
-		guess := mean{priorRuns, k.Aim.Seconds() * priorShare}
-		to := &class{cv: 1, service: guess, slot: guess, calls: mean{priorRuns, 1}, away: mean{fitPrior, 0}, budget: k.Aim}
+		guess := mean{priorRuns, k.LatencyObjective.Seconds() * priorShare}
+		to := &class{cv: 1, service: guess, slot: guess, calls: mean{priorRuns, 1}, away: mean{fitPrior, 0}, budget: k.LatencyObjective}
 		if i < len(before) && before[i].Name == k.Name {
 			to = before[i]
 		} else if j := slices.IndexFunc(before, func(b *class) bool { return b.Name == k.Name }); j >= 0 {
@@ -96,7 +96,7 @@
 		}
 		// A fair chance to be in time is worth more than the best effort in its place. Where all classes tie there is no
 		// lowest: none is best effort.
-		to.Class, to.spread, to.best = k, map[bool]float64{false: spread, true: dearSpread}[k.Worth > low], k.Worth == low && low < high
+		to.Class, to.spread, to.best = k, map[bool]float64{false: spread, true: dearSpread}[k.Weight > low], k.Weight == low && low < high
 		if c.classes = append(c.classes, to); !k.Retired {
 			c.current = append(c.current, to)
 		}
--- a/example/toy/client.go
+++ b/example/toy/client.go
@@ -27,7 +27,7 @@
 	if _, err := c.Write(thrift.AppendCall(nil, 1, fields, []byte("three baskets"))); err != nil {
 		return err
 	}
-	return show(c, func(in []byte) ([]byte, int, error) { return thrift.Split(in) }, func(p []byte) bool {
+	return show(c, func(in []byte) ([]byte, int, error) { return thrift.SplitFrame(in) }, func(p []byte) bool {
 		fmt.Printf("%q\n", p)
 		return true
 	})
@@ -40,26 +40,26 @@
 	}
 	defer c.Close() //nolint:errcheck // only read from here on
 	body := []byte("three baskets")
-	out := ajp.AppendForward(nil, ajp.Request{Method: "POST", URI: "/" + class, RemoteAddr: "127.0.0.1", Headers: []ajp.Header{
+	out := ajp.AppendForwardRequest(nil, ajp.Request{Method: "POST", URI: "/" + class, RemoteAddr: "127.0.0.1", Headers: []ajp.Header{
 		{Name: "content-length", Value: strconv.Itoa(len(body))}, {Name: "X-Relay-Tenant", Value: "hill-estate"},
 		{Name: "X-Relay-Once", Value: once}}})
-	out, _ = ajp.AppendBody(out, body)
+	out, _ = ajp.AppendBodyChunk(out, body)
 	if _, err := c.Write(out); err != nil {
 		return err
 	}
-	return show(c, func(in []byte) ([]byte, int, error) { return ajp.Split(in, ajp.FromContainer) }, func(p []byte) bool {
+	return show(c, func(in []byte) ([]byte, int, error) { return ajp.SplitPacket(in, ajp.FromContainer) }, func(p []byte) bool {
 		r, err := ajp.ParseResponse(p)
 		if err != nil {
 			fmt.Println(err)
 			return true
 		}
 		switch r.Code {
-		case ajp.CodeHeaders:
+		case ajp.CodeSendHeaders:
 			fmt.Println(r.Status, r.Headers)
-		case ajp.CodeChunk:
-			fmt.Printf("%s\n", r.Chunk)
+		case ajp.CodeSendBodyChunk:
+			fmt.Printf("%s\n", r.BodyChunk)
 		}
-		return r.Code == ajp.CodeEnd
+		return r.Code == ajp.CodeEndResponse
 	})
 }
 
--- a/example/toy/workers.go
+++ b/example/toy/workers.go
@@ -49,7 +49,7 @@
 func (l *link) obey(c pool.Command) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	switch c.Order {
+	switch c.Verb {
 	case pool.Bind:
 		l.notice = c.Notice
 		l.write([]byte("bound LOADED 0\r\n"))
@@ -102,7 +102,7 @@
 	l.end(id, pool.Pass, result)
 }
 
-func (l *link) end(id string, end pool.End, result string) {
+func (l *link) end(id string, end pool.Outcome, result string) {
 	l.write(pool.AppendFinished(nil, l.nextNotice(), id, end, int(l.work.Milliseconds()), []byte(result)))
 }
 
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -25,22 +25,22 @@
 
 // Config is all that the program is told.
 type Config struct {
-	Name     string
-	Listen   string
-	Pool     string // empty only where AJP.Runner is set
-	Vault    string // where runs call; may be empty where they call nothing
-	Control  string // empty: no reports
-	Admin    string // where operators call; empty: nowhere
-	Stop     micro.Time
-	Memory   int64 // bytes
-	Sockets  int
-	Raw      map[string]any // the JSON file as it was, for Lacks
-	Settings control.Settings
-	Gauges   []string // the pool's gauges, in their order
-	AJP      AJP
-	Store    Store
-	Fleet    Fleet
-	Copies   Copies
+	Name            string
+	Listen          string
+	PoolAddress     string // empty only where AJP.Runner is set
+	VaultAddress    string // where runs call; may be empty where they call nothing
+	ControlAddress  string // empty: no reports
+	AdminAddress    string // where operators call; empty: nowhere
+	ShutdownTimeout micro.Time
+	MemoryLimit     int64 // bytes
+	SocketLimit     int
+	Document        map[string]any // the JSON file as it was, for Lacks
+	Settings        control.Settings
+	Gauges          []string // the pool's gauges, in their order
+	AJP             AJP
+	Store           Store
+	Fleet           Fleet
+	Copies          Copies
 }
 
 // Store is deploy/store.toml.
@@ -52,14 +52,14 @@
 
 // Fleet is deploy/fleet.toml: the log servers that do the work in place of a worker pool.
 type Fleet struct {
-	Members []Member // none: the program is a log server itself
-	From    uint32   // the number by which it makes itself known to them
+	Members  []Member // none: the program is a log server itself
+	CallerID uint32   // the number by which it makes itself known to them
 	// Exchange is where other instances reach this one, and Peers where it reaches them. No file sets them yet: what
 	// instances tell each other is to go over TLS alone.
-	Exchange string
-	Peers    []string
-	Decide   fleet.Config
-	Attempts fleet.AttemptsConfig
+	GossipListen string
+	GossipPeers  []string
+	LoadBalancer fleet.Config
+	Retries      fleet.RetryConfig
 }
 
 // Copies is deploy/copies.toml: the group of servers that hold copies of intakes for each other.
@@ -69,7 +69,7 @@
 	Folder string
 	Copies int // of a group that is founded here
 	Decide copies.Config
-	Peers  []copies.Peer // of the group to be, or where members of it are reached from here
+	Peers  []copies.Member // of the group to be, or where members of it are reached from here
 }
 
 // check names what makes no sense.
@@ -77,11 +77,11 @@
 	if c.Folder == "" {
 		return errors.New("folder: missing")
 	}
-	g := copies.Group{Name: 1, Epoch: 1, Copies: c.Copies, Now: c.Peers}
-	if err := errors.Join(c.Decide.Check(), g.Check()); err != nil {
+	g := copies.Membership{ClusterID: 1, Epoch: 1, ReplicationFactor: c.Copies, Current: c.Peers}
+	if err := errors.Join(c.Decide.Validate(), g.Validate()); err != nil {
 		return err
 	}
-	if !slices.ContainsFunc(c.Peers, func(p copies.Peer) bool { return p.ID == c.ID }) {
+	if !slices.ContainsFunc(c.Peers, func(p copies.Member) bool { return p.ID == c.ID }) {
 		return fmt.Errorf("member: none has id %d, this server's own", c.ID)
 	}
 	return nil
@@ -95,15 +95,15 @@
 
 // AJP is deploy/ajp.toml.
 type AJP struct {
-	Listen      string     // empty: no front
-	Secret      string     // empty: none is asked for
-	BodyTimeout micro.Time // how long a caller may take over a body
-	MaxBody     int
-	MaxConns    int    // of the front; they come out of the limit on sockets
-	Runner      string // empty: the worker pool does the work
-	RunnerKey   string
-	RunnerPath  string
-	Connections int // of the runner
+	Listen             string     // empty: no front
+	Secret             string     // empty: none is asked for
+	BodyTimeout        micro.Time // how long a caller may take over a body
+	MaxBody            int
+	MaxConnections     int    // of the front; they come out of the limit on sockets
+	BackendAddress     string // empty: the worker pool does the work
+	BackendSecret      string
+	BackendPath        string
+	BackendConnections int // of the runner
 }
 
 // Defaults of what may be left out.
@@ -171,14 +171,14 @@
 	return parse(text, ajp, store, fleetText, copiesText, getenv)
 }
 
-// Problem is what is wrong with one file.
-type Problem struct {
+// FileError is what is wrong with one file.
+type FileError struct {
 	File string // as named, or its usual path
 	Err  error
 }
 
-// CheckAll looks at every file by itself and tells each one's first fault, and what does not fit together.
-func CheckAll(getenv func(string) string) (out []Problem) {
+// ValidateFiles looks at every file by itself and tells each one's first fault, and what does not fit together.
+func ValidateFiles(getenv func(string) string) (out []FileError) {
 	texts := map[string][]byte{}
 	for _, f := range []struct {
 		key, path string
@@ -194,7 +194,7 @@
 			err = f.parse(text)
 		}
 		if err != nil {
-			out = append(out, Problem{orString(getenv(f.key), f.path), err})
+			out = append(out, FileError{orString(getenv(f.key), f.path), err})
 			continue
 		}
 		texts[f.key] = text
@@ -210,7 +210,7 @@
 		err = fmt.Errorf("config: RELAY_CONFIG: %w", err)
 	}
 	if err != nil {
-		out = append(out, Problem{orString(path, "RELAY_CONFIG"), err})
+		out = append(out, FileError{orString(path, "RELAY_CONFIG"), err})
 	}
 	return out
 }
@@ -243,9 +243,9 @@
 		return Config{}, fmt.Errorf("config: RELAY_CONFIG: %w", err)
 	}
 	c := Config{
-		Raw: raw, Name: orString(getenv("RELAY_NAME"), f.Name), Listen: orString(getenv("RELAY_LISTEN"), f.Listen), Pool: f.Pool, Vault: f.Vault, Control: f.Control,
-		Admin: orString(getenv("RELAY_ADMIN"), f.Admin),
-		Stop:  defaultStopMS * micro.Millisecond, Memory: defaultMemoryMB << 20, Sockets: defaultSockets,
+		Document: raw, Name: orString(getenv("RELAY_NAME"), f.Name), Listen: orString(getenv("RELAY_LISTEN"), f.Listen), PoolAddress: f.Pool, VaultAddress: f.Vault, ControlAddress: f.Control,
+		AdminAddress:    orString(getenv("RELAY_ADMIN"), f.Admin),
+		ShutdownTimeout: defaultStopMS * micro.Millisecond, MemoryLimit: defaultMemoryMB << 20, SocketLimit: defaultSockets,
 	}
 	var err error
 	if c.AJP, err = parseAJP(ajpText); err != nil {
@@ -263,7 +263,7 @@
 	if c.Copies.ID != 0 && c.Store.Driver != "" {
 		return c, errors.New("config: copies.toml: id: store.toml names a store of record as well; only one can hold the intakes")
 	}
-	if len(c.Fleet.Members) > 0 && c.AJP.Runner != "" {
+	if len(c.Fleet.Members) > 0 && c.AJP.BackendAddress != "" {
 		return c, errors.New("config: fleet.toml: server: ajp.toml names a runner as well; only one can do the work")
 	}
 	if c.Name == "" || strings.ContainsAny(c.Name, " \r\n\t") {
@@ -272,23 +272,23 @@
 	if err := address("listen", c.Listen); err != nil {
 		return c, err
 	}
-	if c.Pool != "" || c.AJP.Runner == "" && len(c.Fleet.Members) == 0 {
-		if err := address("pool", c.Pool); err != nil {
+	if c.PoolAddress != "" || c.AJP.BackendAddress == "" && len(c.Fleet.Members) == 0 {
+		if err := address("pool", c.PoolAddress); err != nil {
 			return c, err
 		}
 	}
-	if c.Vault != "" {
-		if err := address("vault", c.Vault); err != nil {
+	if c.VaultAddress != "" {
+		if err := address("vault", c.VaultAddress); err != nil {
 			return c, err
 		}
 	}
-	if c.Control != "" {
-		if err := address("control", c.Control); err != nil {
+	if c.ControlAddress != "" {
+		if err := address("control", c.ControlAddress); err != nil {
 			return c, err
 		}
 	}
-	if c.Admin != "" {
-		if err := address("admin", c.Admin); err != nil {
+	if c.AdminAddress != "" {
+		if err := address("admin", c.AdminAddress); err != nil {
 			return c, err
 		}
 	}
@@ -296,19 +296,19 @@
 		if !(*f.StopMS > 0 && *f.StopMS <= 3600e3) {
 			return c, fmt.Errorf("config: stop_ms: %v is not within 0 to an hour", *f.StopMS)
 		}
-		c.Stop = micro.Time(*f.StopMS * 1000)
+		c.ShutdownTimeout = micro.Time(*f.StopMS * 1000)
 	}
 	if m := f.Limits.MemoryMB; m != nil {
 		if !(*m >= 32 && *m <= 1<<20) {
 			return c, fmt.Errorf("config: limits.memory_mb: %v is not within 32 to 1048576", *m)
 		}
-		c.Memory = int64(*m * (1 << 20))
+		c.MemoryLimit = int64(*m * (1 << 20))
 	}
 	if n := f.Limits.Sockets; n != nil {
 		if *n < 64 {
 			return c, fmt.Errorf("config: limits.sockets: %d is under 64", *n)
 		}
-		c.Sockets = *n
+		c.SocketLimit = *n
 	}
 	var seed uint64
 	if f.Seed != "" {
@@ -319,7 +319,7 @@
 	if len(f.Setting) == 0 {
 		return c, errors.New("config: settings: missing")
 	}
-	if c.Settings, c.Gauges, err = wire.ParseSettings(f.Setting, seed); err != nil {
+	if c.Settings, c.Gauges, err = wire.Parse(f.Setting, seed); err != nil {
 		return c, fmt.Errorf("config: %w", err)
 	}
 	if c.Settings.Cores <= 0 {
@@ -335,13 +335,13 @@
 func (c Config) checkCalls() error {
 	const key = "config: settings.extra.downstream"
 	switch {
-	case c.Settings.Below == control.BelowNone:
+	case c.Settings.Dependency == control.DependencyNone:
 		return nil
-	case c.AJP.Runner != "":
+	case c.AJP.BackendAddress != "":
 		return fmt.Errorf("%s: calls need the worker pool to do the work, and ajp.toml: runner.address names a server in its place", key)
 	case len(c.Fleet.Members) > 0:
 		return fmt.Errorf("%s: calls need the worker pool to do the work, and fleet.toml: server names others in its place", key)
-	case c.Vault == "":
+	case c.VaultAddress == "":
 		return errors.New("config: vault: missing; settings.extra.downstream says that runs call it")
 	}
 	return nil
@@ -426,10 +426,10 @@
 	}
 	e := f.Edge
 	ms := func(n int) micro.Time { return micro.Time(n) * micro.Millisecond }
-	c := Fleet{Members: f.Servers, From: e.From,
-		Decide: fleet.Config{ProbeFirst: ms(e.ProbeFirst), ProbeMost: ms(e.ProbeMost), Warm: ms(e.Warm), WarmFrom: e.WarmFrom, EjectMost: e.EjectMost,
-			LimitFirst: e.LimitFirst, LimitMost: e.LimitMost},
-		Attempts: fleet.AttemptsConfig{Earn: e.RetryEarn, Most: e.RetryBudget, Tries: e.Tries}}
+	c := Fleet{Members: f.Servers, CallerID: e.From,
+		LoadBalancer: fleet.Config{InitialProbeBackoff: ms(e.ProbeFirst), MaxProbeBackoff: ms(e.ProbeMost), SlowStart: ms(e.Warm), SlowStartShare: e.WarmFrom, MaxEjectedShare: e.EjectMost,
+			InitialConcurrency: e.LimitFirst, MaxConcurrency: e.LimitMost},
+		Retries: fleet.RetryConfig{TokensPerSuccess: e.RetryEarn, MaxTokens: e.RetryBudget, MaxAttempts: e.Tries}}
 	if len(c.Members) > maxMembers {
 		return c, fmt.Errorf("config: fleet.toml: server: %d are over %d", len(c.Members), maxMembers)
 	}
@@ -443,9 +443,9 @@
 			return c, err
 		}
 	}
-	check := c.Decide
+	check := c.LoadBalancer
 	check.Classes = 1 // the settings tell how many there are
-	for _, err := range []error{check.Check(), c.Attempts.Check()} {
+	for _, err := range []error{check.Validate(), c.Retries.Validate()} {
 		if err != nil {
 			return c, fmt.Errorf("config: fleet.toml: edge: %w", err)
 		}
@@ -474,12 +474,12 @@
 	}
 	ms := func(n int) micro.Time { return micro.Time(n) * micro.Millisecond }
 	c := Copies{ID: f.ID, Listen: f.Listen, Folder: f.Folder, Copies: f.Copies,
-		Decide: copies.Config{Wait: ms(f.Wait), Most: ms(f.Most), Keys: f.Keys, RepairRate: f.Rate, RepairKeys: f.AtOnce}}
+		Decide: copies.Config{AttemptTimeout: ms(f.Wait), ProposalTimeout: ms(f.Most), MaxInFlight: f.Keys, RepairRate: f.Rate, MaxRepairs: f.AtOnce}}
 	for i, m := range f.Member {
 		if err := address(fmt.Sprintf("copies.toml: member %d: address", i+1), m.Address); err != nil {
 			return c, err
 		}
-		c.Peers = append(c.Peers, copies.Peer{Member: copies.Member{ID: m.ID}, Addr: m.Address})
+		c.Peers = append(c.Peers, copies.Member{Identity: copies.Identity{ID: m.ID}, Addr: m.Address})
 	}
 	if c.ID == 0 {
 		return c, nil
@@ -500,16 +500,16 @@
 	}
 	a := AJP{
 		Listen: f.Front.Listen, Secret: f.Front.Secret, BodyTimeout: defaultBodyMS * micro.Millisecond,
-		MaxBody: defaultMaxBody, Runner: f.Runner.Address, RunnerKey: f.Runner.Secret,
-		RunnerPath: orString(f.Runner.Path, "/run"), Connections: defaultConnections, MaxConns: defaultMaxConns,
+		MaxBody: defaultMaxBody, BackendAddress: f.Runner.Address, BackendSecret: f.Runner.Secret,
+		BackendPath: orString(f.Runner.Path, "/run"), BackendConnections: defaultConnections, MaxConnections: defaultMaxConns,
 	}
 	if a.Listen != "" {
 		if err := address("ajp.toml: front.listen", a.Listen); err != nil {
 			return a, err
 		}
 	}
-	if a.Runner != "" {
-		if err := address("ajp.toml: runner.address", a.Runner); err != nil {
+	if a.BackendAddress != "" {
+		if err := address("ajp.toml: runner.address", a.BackendAddress); err != nil {
 			return a, err
 		}
 	}
@@ -529,16 +529,16 @@
 		if *n < 1 || *n > 512 {
 			return a, fmt.Errorf("config: ajp.toml: front.max_connections: %d is not within 1 to 512", *n)
 		}
-		a.MaxConns = *n
+		a.MaxConnections = *n
 	}
 	if n := f.Runner.Connections; n != nil {
 		if *n < 1 || *n > 256 {
 			return a, fmt.Errorf("config: ajp.toml: runner.connections: %d is not within 1 to 256", *n)
 		}
-		a.Connections = *n
+		a.BackendConnections = *n
 	}
-	if !strings.HasPrefix(a.RunnerPath, "/") {
-		return a, fmt.Errorf("config: ajp.toml: runner.path: %q does not start with /", a.RunnerPath)
+	if !strings.HasPrefix(a.BackendPath, "/") {
+		return a, fmt.Errorf("config: ajp.toml: runner.path: %q does not start with /", a.BackendPath)
 	}
 	return a, nil
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -20,8 +20,8 @@
 	require.NoError(t, err)
 	require.Equal(t, "n3", c.Name)
 	require.Equal(t, "127.0.0.2:4100", c.Listen, "the environment wins")
-	require.Equal(t, 3200*micro.Millisecond, c.Stop)
-	require.EqualValues(t, 192<<20, c.Memory)
+	require.Equal(t, 3200*micro.Millisecond, c.ShutdownTimeout)
+	require.EqualValues(t, 192<<20, c.MemoryLimit)
 	require.Equal(t, uint64(0x8c1f30d27a5be964), c.Settings.Seed)
 	require.Equal(t, []string{"cpu_busy"}, c.Gauges)
 	require.Equal(t, "127.0.0.1:8009", c.AJP.Listen)
@@ -73,7 +73,7 @@
 	c, err := Load(func(k string) string { return env[k] })
 	require.NoError(t, err)
 	require.Empty(t, c.AJP.Listen)
-	require.Empty(t, c.AJP.Runner)
+	require.Empty(t, c.AJP.BackendAddress)
 	require.Empty(t, c.Store.Driver)
 }
 
@@ -82,7 +82,7 @@
 	c, err := parse([]byte(good), nil, nil, []byte("[edge]\ntries = 2\n[[server]]\nname = \"n1\"\naddress = \"127.0.0.1:4101\"\n"), nil, env("", ""))
 	require.NoError(t, err)
 	require.Equal(t, []Member{{"n1", "127.0.0.1:4101"}}, c.Fleet.Members)
-	require.Equal(t, 2, c.Fleet.Attempts.Tries)
+	require.Equal(t, 2, c.Fleet.Retries.MaxAttempts)
 	for text, want := range map[string]string{
 		"[[server]]\nname = \"a b\"\naddress = \"127.0.0.1:1\"":                                                    "server 1: name",
 		"[[server]]\nname = \"a\"\naddress = \"here\"":                                                             "server 1: address",
@@ -116,13 +116,13 @@
 	with := strings.Replace(good, "{", `{"admin": "127.0.0.1:7000", `, 1)
 	c, err := parse([]byte(with), nil, nil, nil, nil, env("", ""))
 	require.NoError(t, err)
-	require.Equal(t, "127.0.0.1:7000", c.Admin)
+	require.Equal(t, "127.0.0.1:7000", c.AdminAddress)
 	c, err = parse([]byte(with), nil, nil, nil, nil, env("RELAY_ADMIN", "127.0.0.1:7001"))
 	require.NoError(t, err)
-	require.Equal(t, "127.0.0.1:7001", c.Admin)
+	require.Equal(t, "127.0.0.1:7001", c.AdminAddress)
 	c, err = parse([]byte(good), nil, nil, nil, nil, env("", ""))
 	require.NoError(t, err)
-	require.Empty(t, c.Admin)
+	require.Empty(t, c.AdminAddress)
 	_, err = parse([]byte(good), nil, nil, nil, nil, env("RELAY_ADMIN", "here"))
 	require.ErrorContains(t, err, `admin: "here"`)
 }
--- a/internal/config/reload.go
+++ b/internal/config/reload.go
@@ -26,12 +26,12 @@
 			return fmt.Errorf("%s: there twice", key("name"))
 		case k.Deadline <= 0:
 			return fmt.Errorf("%s: %v is not over 0", key("hard_limit_ms"), k.Deadline)
-		case k.Aim <= 0:
-			return fmt.Errorf("%s: %v is not over 0", key("aim_ms"), k.Aim)
-		case k.Window < 0 || k.Effect == control.Keyed && k.Window == 0:
-			return fmt.Errorf("%s: %v is not over 0", key("window_ms"), k.Window)
-		case !(k.Worth >= 0) || math.IsInf(k.Worth, 0):
-			return fmt.Errorf("%s: %v is under 0", key("worth"), k.Worth)
+		case k.LatencyObjective <= 0:
+			return fmt.Errorf("%s: %v is not over 0", key("aim_ms"), k.LatencyObjective)
+		case k.RetentionWindow < 0 || k.Idempotency == control.IdempotentByKey && k.RetentionWindow == 0:
+			return fmt.Errorf("%s: %v is not over 0", key("window_ms"), k.RetentionWindow)
+		case !(k.Weight >= 0) || math.IsInf(k.Weight, 0):
+			return fmt.Errorf("%s: %v is under 0", key("worth"), k.Weight)
 		}
 		seen[k.Name] = true
 	}
@@ -42,14 +42,14 @@
 // environment may give them.
 var free = map[string]bool{"name": true, "listen": true, "admin": true, "aim_stretch": true, "passes_deadline": true, "fleet": true}
 
-// Lacks names a key that the file in force has and this one does not; nil: none. Guards a server that serves against a file
+// RequireKeysOf names a key that the file in force has and this one does not; nil: none. Guards a server that serves against a file
 // that was cut or forgotten in part: what is missing is no wish for a default. A list's entries need what all of its entries
 // had before.
-func (c Config) Lacks(inForce Config) error {
-	if inForce.Raw == nil {
+func (c Config) RequireKeysOf(inForce Config) error {
+	if inForce.Document == nil {
 		return nil
 	}
-	if key := lacks("", inForce.Raw, c.Raw); key != "" {
+	if key := lacks("", inForce.Document, c.Document); key != "" {
 		return fmt.Errorf("config: %s: missing; the file in force has it", key)
 	}
 	return nil
--- a/internal/decide/calls/calls_test.go
+++ b/internal/decide/calls/calls_test.go
@@ -14,47 +14,47 @@
 	const again, never = true, false
 	rows := []struct {
 		outcome             Outcome
-		proof               Proof
+		proof               Effect
 		safe, keyed, unsafe bool
 		module              control.Outcome
 	}{
-		{Answered, RanOnce, never, never, never, control.OutcomeOK},
-		{TurnedAway, NeverRan, again, again, again, control.OutcomeFull},
-		{Failed, MayHaveRun, again, never, never, control.OutcomeError},
-		{OutOfTime, MayHaveRun, again, never, never, control.OutcomeTimeout},
-		{Pointless, NeverRan, again, again, again, control.OutcomeMoot},
-		{Refused, NeverRan, again, again, again, control.OutcomeUnreached},
-		{Broken, MayHaveRun, again, never, never, control.OutcomeReset},
-		{GivenUp, MayHaveRun, again, never, never, control.OutcomeTimeout},
-		{NotSent, NeverRan, again, again, again, control.OutcomeFull},
+		{Answered, Executed, never, never, never, control.OutcomeOK},
+		{Rejected, NotExecuted, again, again, again, control.OutcomeRejected},
+		{Failed, MaybeExecuted, again, never, never, control.OutcomeError},
+		{DeadlineExceeded, MaybeExecuted, again, never, never, control.OutcomeTimeout},
+		{Unwanted, NotExecuted, again, again, again, control.OutcomeAlreadyEnded},
+		{ConnectFailed, NotExecuted, again, again, again, control.OutcomeUnreachable},
+		{ConnectionLost, MaybeExecuted, again, never, never, control.OutcomeReset},
+		{Abandoned, MaybeExecuted, again, never, never, control.OutcomeTimeout},
+		{NotSent, NotExecuted, again, again, again, control.OutcomeRejected},
 	}
 	require.Len(t, rows, int(outcomeCount), "a row for each outcome")
 	for at, row := range rows {
 		require.Equal(t, Outcome(at), row.outcome, "the rows' order")
-		require.Equal(t, row.proof, row.outcome.Proves(), "proof of %d", at)
-		require.Equal(t, row.safe, MayRepeat(control.Safe, row.outcome), "safe after %d", at)
-		require.Equal(t, row.keyed, MayRepeat(control.Keyed, row.outcome), "keyed after %d", at)
-		require.Equal(t, row.unsafe, MayRepeat(control.Unsafe, row.outcome), "unsafe after %d", at)
-		require.Equal(t, row.module, row.outcome.ForModule(), "module's outcome of %d", at)
+		require.Equal(t, row.proof, row.outcome.Effect(), "proof of %d", at)
+		require.Equal(t, row.safe, MayRepeat(control.Idempotent, row.outcome), "safe after %d", at)
+		require.Equal(t, row.keyed, MayRepeat(control.IdempotentByKey, row.outcome), "keyed after %d", at)
+		require.Equal(t, row.unsafe, MayRepeat(control.NonIdempotent, row.outcome), "unsafe after %d", at)
+		require.Equal(t, row.module, row.outcome.ControlOutcome(), "module's outcome of %d", at)
 	}
 }
 
 // The module repeats a call on the strength of control.Outcome alone: what that says must be what the outcome proves.
 func TestModuleIsToldWhatIsProven(t *testing.T) {
-	proof := map[control.Outcome]Proof{
-		control.OutcomeOK:    RanOnce,
-		control.OutcomeError: MayHaveRun, control.OutcomeTimeout: MayHaveRun, control.OutcomeReset: MayHaveRun,
-		control.OutcomeFull: NeverRan, control.OutcomeUnreached: NeverRan, control.OutcomeMoot: NeverRan,
+	proof := map[control.Outcome]Effect{
+		control.OutcomeOK:    Executed,
+		control.OutcomeError: MaybeExecuted, control.OutcomeTimeout: MaybeExecuted, control.OutcomeReset: MaybeExecuted,
+		control.OutcomeRejected: NotExecuted, control.OutcomeUnreachable: NotExecuted, control.OutcomeAlreadyEnded: NotExecuted,
 	}
 	for outcome := range outcomeCount {
-		require.Contains(t, proof, outcome.ForModule(), "outcome %d", outcome)
-		require.Equal(t, outcome.Proves(), proof[outcome.ForModule()], "outcome %d", outcome)
+		require.Contains(t, proof, outcome.ControlOutcome(), "outcome %d", outcome)
+		require.Equal(t, outcome.Effect(), proof[outcome.ControlOutcome()], "outcome %d", outcome)
 	}
 }
 
 // An outcome or effect that is not known, as after a change elsewhere, proves nothing and allows nothing.
 func TestUnknownProvesNothing(t *testing.T) {
-	require.Equal(t, MayHaveRun, outcomeCount.Proves())
-	require.Equal(t, control.OutcomeError, outcomeCount.ForModule())
-	require.False(t, MayRepeat(control.Unsafe+1, Failed))
+	require.Equal(t, MaybeExecuted, outcomeCount.Effect())
+	require.Equal(t, control.OutcomeError, outcomeCount.ControlOutcome())
+	require.False(t, MayRepeat(control.NonIdempotent+1, Failed))
 }
--- a/internal/decide/calls/dispatch.go
+++ b/internal/decide/calls/dispatch.go
@@ -8,12 +8,12 @@
 
 // The bounds of a Dispatcher.
 const (
-	// MaxLinks bounds the links for new calls.
-	MaxLinks = 4
+	// MaxServingConns bounds the links for new calls.
+	MaxServingConns = 4
 	// maxRetired bounds the links that only finish what they have in hand.
 	maxRetired = 4
 	// MaxConns bounds all links, the one that is being dialled included.
-	MaxConns = MaxLinks + maxRetired + 1
+	MaxConns = MaxServingConns + maxRetired + 1
 	// callsPerLink is how many calls share a link before another one is opened.
 	callsPerLink = 32
 	// MaxCalls bounds the calls in hand over all links. One more ends at once, and is not sent.
@@ -28,13 +28,13 @@
 // Request is a call that is to be made.
 type Request struct {
 	ID         string     // of the request that it is made for
-	Wait       micro.Time // how long its reply is waited for
-	Repeatable bool       // it may be made again whatever became of it
+	Timeout    micro.Time // how long its reply is waited for
+	Idempotent bool       // it may be made again whatever became of it
 	Body       []byte
 }
 
-// LinkID names a link to its host. It is never used twice.
-type LinkID int
+// ConnID names a link to its host. It is never used twice.
+type ConnID int
 
 // Action is something that the host of a Dispatcher carries out, in the order given.
 type Action interface{ action() }
@@ -46,48 +46,48 @@
 	Redial struct{}
 	// Send makes a call on a link.
 	Send struct {
-		Link LinkID
-		ID   string
-		Wait micro.Time
-		Body []byte
+		Conn    ConnID
+		ID      string
+		Timeout micro.Time
+		Body    []byte
 	}
-	// Unask gives up a call that was made on a link.
-	Unask struct {
-		Link LinkID
+	// Abandon gives up a call that was made on a link.
+	Abandon struct {
+		Conn ConnID
 		ID   string
 	}
 	// Close closes a link; LinkEnded follows.
-	Close struct{ Link LinkID }
-	// End tells how a call ended. Only Answered has a reply.
-	End struct {
+	Close struct{ Conn ConnID }
+	// Complete tells how a call ended. Only Answered has a reply.
+	Complete struct {
 		ID      string
 		Outcome Outcome
 		Reply   []byte
 	}
-	// Suspect tells, for the log, that a link has been silent for longer than its calls usually take.
-	Suspect struct {
-		Calls  int
-		Silent micro.Time
+	// ReportSilence tells, for the log, that a link has been silent for longer than its calls usually take.
+	ReportSilence struct {
+		Calls    int
+		Duration micro.Time
 	}
 )
 
-func (Dial) action()    {}
-func (Redial) action()  {}
-func (Send) action()    {}
-func (Unask) action()   {}
-func (Close) action()   {}
-func (End) action()     {}
-func (Suspect) action() {}
+func (Dial) action()          {}
+func (Redial) action()        {}
+func (Send) action()          {}
+func (Abandon) action()       {}
+func (Close) action()         {}
+func (Complete) action()      {}
+func (ReportSilence) action() {}
 
-// Dispatcher decides over which link each call is made, and when links are opened, left and closed. It has no I/O and no clock:
+// Pool decides over which link each call is made, and when links are opened, left and closed. It has no I/O and no clock:
 // its host tells it what happens and carries out its Actions.
-type Dispatcher struct {
+type Pool struct {
 	actions   []Action
 	calls     map[string]*call // in hand, by the request's id
 	order     []*call          // the same, oldest first; those that are over are taken out by Expire
 	waiting   []*call          // for the link that is being dialled, oldest first
 	links     []*link
-	lastLink  LinkID
+	lastLink  ConnID
 	dialling  bool
 	nextDue   micro.Time
 	replyTime replyTime
@@ -102,38 +102,38 @@
 	over bool
 }
 
-// NewDispatcher returns a dispatcher without links or calls.
-func NewDispatcher() *Dispatcher {
-	return &Dispatcher{calls: map[string]*call{}, nextDue: micro.Never}
+// NewPool returns a dispatcher without links or calls.
+func NewPool() *Pool {
+	return &Pool{calls: map[string]*call{}, nextDue: micro.Never}
 }
 
 // Actions takes what is to be done since the last time.
-func (d *Dispatcher) Actions() []Action {
+func (d *Pool) Actions() []Action {
 	actions := d.actions
 	d.actions = nil
 	return actions
 }
 
-func (d *Dispatcher) do(a Action) { d.actions = append(d.actions, a) }
+func (d *Pool) do(a Action) { d.actions = append(d.actions, a) }
 
 // Counts are the links that are open, the calls in hand, and those of them that wait for a link.
-func (d *Dispatcher) Counts() (links, calls, waiting int) {
+func (d *Pool) Counts() (links, calls, waiting int) {
 	return len(d.links), len(d.calls), len(d.waiting)
 }
 
-// NextDue is when Expire has something to do, whatever happens before that.
-func (d *Dispatcher) NextDue() micro.Time { return d.nextDue }
+// NextWakeup is when Expire has something to do, whatever happens before that.
+func (d *Pool) NextWakeup() micro.Time { return d.nextDue }
 
-func (d *Dispatcher) wakeBy(due micro.Time) { d.nextDue = min(d.nextDue, due) }
+func (d *Pool) wakeBy(due micro.Time) { d.nextDue = min(d.nextDue, due) }
 
-// Ask makes a call. One that is in hand for the same request is given up.
-func (d *Dispatcher) Ask(now micro.Time, request Request) {
-	d.GiveUp(now, request.ID)
+// Call makes a call. One that is in hand for the same request is given up.
+func (d *Pool) Call(now micro.Time, request Request) {
+	d.Abandon(now, request.ID)
 	if len(d.calls) >= MaxCalls {
-		d.do(End{ID: request.ID, Outcome: NotSent})
+		d.do(Complete{ID: request.ID, Outcome: NotSent})
 		return
 	}
-	q := &call{Request: request, due: now + request.Wait}
+	q := &call{Request: request, due: now + request.Timeout}
 	d.calls[q.ID] = q
 	d.order = append(d.order, q)
 	d.wakeBy(q.due)
@@ -141,9 +141,9 @@
 }
 
 // place sends a call on a link, or has it wait for one that is being dialled.
-func (d *Dispatcher) place(now micro.Time, q *call) {
+func (d *Pool) place(now micro.Time, q *call) {
 	best, serving := d.bestLink(q.ID)
-	full := serving >= MaxLinks
+	full := serving >= MaxServingConns
 	switch {
 	case best != nil && (!best.suspect || full):
 		d.send(now, best, q)
@@ -160,7 +160,7 @@
 
 // bestLink is the link with the fewest calls of those that may carry an id, a silent one only where there is no other; nil if
 // none may. serving counts the links that take calls.
-func (d *Dispatcher) bestLink(id string) (best *link, serving int) {
+func (d *Pool) bestLink(id string) (best *link, serving int) {
 	for _, l := range d.links {
 		if l.retired {
 			continue
@@ -174,7 +174,7 @@
 }
 
 // dial opens a link, unless one is being opened. One at a time: guards the descriptors against dials that hang.
-func (d *Dispatcher) dial() {
+func (d *Pool) dial() {
 	if !d.dialling {
 		d.dialling = true
 		d.do(Dial{})
@@ -182,16 +182,16 @@
 }
 
 // send makes a call on a link.
-func (d *Dispatcher) send(now micro.Time, l *link, q *call) {
+func (d *Pool) send(now micro.Time, l *link, q *call) {
 	q.link, q.sent = l, now
 	l.calls[q.ID] = q
 	l.idleSince = now
 	d.wakeBy(now + d.replyTime.suspectAfter(l.load()))
-	d.do(Send{Link: l.id, ID: q.ID, Wait: q.due - now, Body: q.Body})
+	d.do(Send{Conn: l.id, ID: q.ID, Timeout: q.due - now, Body: q.Body})
 }
 
 // Opened takes up the link that was dialled; its calls go out on it.
-func (d *Dispatcher) Opened(now micro.Time) LinkID {
+func (d *Pool) Opened(now micro.Time) ConnID {
 	d.dialling = false
 	d.lastLink++
 	l := &link{id: d.lastLink, calls: map[string]*call{}, givenUp: map[string]bool{}, idleSince: now, heard: now}
@@ -206,18 +206,18 @@
 }
 
 // DialFailed ends the calls that wait for the link: none of them was sent.
-func (d *Dispatcher) DialFailed() {
+func (d *Pool) DialFailed() {
 	d.dialling = false
 	waiting := d.waiting
 	d.waiting = nil
 	for _, q := range waiting {
-		d.finish(q, Refused, nil)
+		d.finish(q, ConnectFailed, nil)
 	}
 }
 
-// Moved says that links are to go to another address from now on. Calls in hand end on the links that they were made on; those that
+// AddressChanged says that links are to go to another address from now on. Calls in hand end on the links that they were made on; those that
 // have not been sent go to the new address.
-func (d *Dispatcher) Moved() {
+func (d *Pool) AddressChanged() {
 	for _, l := range slices.Clone(d.links) {
 		d.retire(l)
 	}
@@ -226,10 +226,10 @@
 	}
 }
 
-// GiveUp ends the wait for the call of a request, if one is in hand. Its effect is not known.
-func (d *Dispatcher) GiveUp(now micro.Time, id string) {
+// Abandon ends the wait for the call of a request, if one is in hand. Its effect is not known.
+func (d *Pool) Abandon(now micro.Time, id string) {
 	d.actions = slices.DeleteFunc(d.actions, func(a Action) bool { // an end that nobody has heard of yet
-		end, ok := a.(End)
+		end, ok := a.(Complete)
 		return ok && end.ID == id
 	})
 	if q := d.calls[id]; q != nil {
@@ -239,7 +239,7 @@
 }
 
 // Replied takes up a reply on a link. One for no call in hand there is dropped: it has crossed the giving up, or is none of ours.
-func (d *Dispatcher) Replied(now micro.Time, id LinkID, request string, outcome Outcome, reply []byte) {
+func (d *Pool) Replied(now micro.Time, id ConnID, request string, outcome Outcome, reply []byte) {
 	l := d.link(id)
 	if l == nil || l.calls[request] == nil {
 		return
@@ -255,8 +255,8 @@
 	}
 }
 
-// LinkEnded says that a link is no more: what was in hand on it may have had its effect. It returns how many calls that were.
-func (d *Dispatcher) LinkEnded(id LinkID) (lost int) {
+// ConnClosed says that a link is no more: what was in hand on it may have had its effect. It returns how many calls that were.
+func (d *Pool) ConnClosed(id ConnID) (lost int) {
 	l := d.link(id)
 	if l == nil {
 		return 0
@@ -265,14 +265,14 @@
 	for _, q := range slices.Clone(d.order) {
 		if !q.over && q.link == l {
 			lost++
-			d.finish(q, Broken, nil)
+			d.finish(q, ConnectionLost, nil)
 		}
 	}
 	return lost
 }
 
 // Expire gives up the calls whose time is over, and goes through the links.
-func (d *Dispatcher) Expire(now micro.Time) {
+func (d *Pool) Expire(now micro.Time) {
 	if now < d.nextDue {
 		return
 	}
@@ -283,9 +283,9 @@
 		case q.due > now:
 			d.wakeBy(q.due)
 		case q.link == nil:
-			d.finish(q, Refused, nil)
+			d.finish(q, ConnectFailed, nil)
 		default:
-			d.finish(q, GivenUp, nil)
+			d.finish(q, Abandoned, nil)
 			d.unask(now, q)
 		}
 	}
@@ -295,15 +295,15 @@
 }
 
 // finish notes how a call in hand ended.
-func (d *Dispatcher) finish(q *call, outcome Outcome, reply []byte) {
+func (d *Pool) finish(q *call, outcome Outcome, reply []byte) {
 	if !q.over {
 		d.remove(q)
-		d.do(End{q.ID, outcome, reply})
+		d.do(Complete{q.ID, outcome, reply})
 	}
 }
 
 // remove takes a call out of the dispatcher's hands.
-func (d *Dispatcher) remove(q *call) {
+func (d *Pool) remove(q *call) {
 	q.over = true
 	delete(d.calls, q.ID)
 	if q.link == nil {
@@ -312,12 +312,12 @@
 }
 
 // unask tells the vault that nobody waits for a call that was sent.
-func (d *Dispatcher) unask(now micro.Time, q *call) {
+func (d *Pool) unask(now micro.Time, q *call) {
 	l := q.link
 	if l == nil || l.calls[q.ID] != q {
 		return
 	}
-	d.do(Unask{l.id, q.ID})
+	d.do(Abandon{l.id, q.ID})
 	l.givenUp[q.ID] = true
 	d.release(now, q)
 	if len(l.givenUp) >= givenUpPerLink {
@@ -326,7 +326,7 @@
 }
 
 // release takes a call off its link.
-func (d *Dispatcher) release(now micro.Time, q *call) {
+func (d *Pool) release(now micro.Time, q *call) {
 	l := q.link
 	delete(l.calls, q.ID)
 	l.idleSince = now
--- a/internal/decide/calls/links.go
+++ b/internal/decide/calls/links.go
@@ -9,7 +9,7 @@
 // link is one connection to the vault. Replies come in any order and name a request alone: an id that was given up on a link is not
 // asked for on it again, so that a reply that crosses the giving up is never taken for that of a later call.
 type link struct {
-	id        LinkID
+	id        ConnID
 	calls     map[string]*call // in hand on it
 	givenUp   map[string]bool
 	idleSince micro.Time // of the last thing that happened to a call on it
@@ -28,7 +28,7 @@
 	return l.load() < o.load()
 }
 
-func (d *Dispatcher) link(id LinkID) *link {
+func (d *Pool) link(id ConnID) *link {
 	at := slices.IndexFunc(d.links, func(l *link) bool { return l.id == id })
 	if at < 0 {
 		return nil
@@ -37,7 +37,7 @@
 }
 
 // retire has a link finish what it has in hand.
-func (d *Dispatcher) retire(l *link) {
+func (d *Pool) retire(l *link) {
 	if l.retired {
 		return
 	}
@@ -53,7 +53,7 @@
 }
 
 // retireOldest retires the oldest link that takes calls, unless too many are retired already.
-func (d *Dispatcher) retireOldest() bool {
+func (d *Pool) retireOldest() bool {
 	serves := slices.IndexFunc(d.links, func(l *link) bool { return !l.retired })
 	if serves < 0 || d.retiredLinks() >= maxRetired {
 		return false
@@ -62,7 +62,7 @@
 	return true
 }
 
-func (d *Dispatcher) retiredLinks() (count int) {
+func (d *Pool) retiredLinks() (count int) {
 	for _, l := range d.links {
 		if l.retired {
 			count++
@@ -72,7 +72,7 @@
 }
 
 // checkLink looks whether a link has been silent or idle for long; it returns when to look again.
-func (d *Dispatcher) checkLink(now micro.Time, l *link) micro.Time {
+func (d *Pool) checkLink(now micro.Time, l *link) micro.Time {
 	if l.load() > 0 {
 		return d.checkSilence(now, l)
 	}
@@ -119,8 +119,8 @@
 	return min(max(usual, suspectMin), suspectMax)
 }
 
-// Heard says that something has come on a link: it is not silent.
-func (d *Dispatcher) Heard(now micro.Time, id LinkID) {
+// Received says that something has come on a link: it is not silent.
+func (d *Pool) Received(now micro.Time, id ConnID) {
 	if l := d.link(id); l != nil {
 		l.heard, l.suspect = now, false
 	}
@@ -136,7 +136,7 @@
 }
 
 // checkSilence judges a link; it returns when to do so again.
-func (d *Dispatcher) checkSilence(now micro.Time, l *link) micro.Time {
+func (d *Pool) checkSilence(now micro.Time, l *link) micro.Time {
 	since, silent := l.silentSince()
 	if !silent {
 		return micro.Never
@@ -146,7 +146,7 @@
 	}
 	if !l.suspect {
 		l.suspect = true
-		d.do(Suspect{Calls: l.load(), Silent: now - since})
+		d.do(ReportSilence{Calls: l.load(), Duration: now - since})
 	}
 	if l.retired {
 		return micro.Never // its calls end by their time
@@ -162,14 +162,14 @@
 
 // outlived says that the vault has answered a call on another link that was sent at a time. Where this link has been silent since
 // before then, its repeatable calls end.
-func (d *Dispatcher) outlived(now micro.Time, l *link, sent micro.Time) {
+func (d *Pool) outlived(now micro.Time, l *link, sent micro.Time) {
 	since, silent := l.silentSince()
 	if !l.suspect || !silent || sent < since {
 		return
 	}
 	for _, q := range slices.Clone(d.order) {
-		if !q.over && q.link == l && q.Repeatable {
-			d.finish(q, GivenUp, nil)
+		if !q.over && q.link == l && q.Idempotent {
+			d.finish(q, Abandoned, nil)
 			d.unask(now, q)
 		}
 	}
--- a/internal/decide/copies/copies_test.go
+++ b/internal/decide/copies/copies_test.go
@@ -22,7 +22,7 @@
 // attempt. (A late request for a promise would only stand in the way, and is left out.) Servers die and come back knowing
 // nothing; a holder's disk may be lost, and it comes back as another life, or, where amnesia is on, as its old self.
 type group struct {
-	holders [3][2]Slot // by key
+	holders [3][2]Register // by key
 	lives   [3]uint64
 	servers []asker   // two for each key
 	accepts []Request // sorted by text; To is whoever it reaches
@@ -44,14 +44,14 @@
 	key      int
 	life     uint64
 	attempts int
-	op       *Op
+	op       *Proposal
 	ran      bool
 	ended    bool
 }
 
-var three = []Member{{0, 1}, {1, 1}, {2, 1}}
+var three = []Identity{{0, 1}, {1, 1}, {2, 1}}
 
-func (g *group) Key() string {
+func (g *group) Fingerprint() string {
 	b := make([]byte, 0, 256)
 	num := func(ns ...uint64) {
 		for _, n := range ns {
@@ -64,9 +64,9 @@
 		}
 		return 0
 	}
-	ballot := func(x Ballot) { num(x.N, uint64(x.By.ID), x.By.Life) }
+	ballot := func(x Ballot) { num(x.Number, uint64(x.Proposer.ID), x.Proposer.Incarnation) }
 	value := func(v Value) {
-		num(uint64(v.Kind), uint64(v.Owner), v.Life, uint64(v.At), uint64(len(v.Result)))
+		num(uint64(v.Kind), uint64(v.Owner), v.Incarnation, uint64(v.AttemptedAt), uint64(len(v.Result)))
 	}
 	for i, h := range g.holders {
 		num(g.lives[i])
@@ -79,7 +79,7 @@
 	for _, s := range g.servers {
 		num(s.life, uint64(s.attempts), yes(s.ran), yes(s.ended))
 		if o := s.op; o != nil {
-			num(uint64(o.Change.Act), yes(o.accept), yes(o.peek), yes(o.over), uint64(o.verdict), o.seen, uint64(len(o.votes)))
+			num(uint64(o.Change.Kind), yes(o.accept), yes(o.peek), yes(o.over), uint64(o.verdict), o.seen, uint64(len(o.votes)))
 			ballot(o.Ballot)
 			ballot(o.newest)
 			value(o.value)
@@ -98,12 +98,12 @@
 	return string(b)
 }
 
-func (g *group) Wrong() string {
+func (g *group) Violation() string {
 	if max(g.runs[0], g.runs[1]) > 1 {
 		return "run twice"
 	}
 	for _, s := range g.servers {
-		if s.op != nil && s.op.over && s.op.verdict == Serve && g.runs[s.key] == 0 {
+		if s.op != nil && s.op.over && s.op.verdict == OutcomeSucceeded && g.runs[s.key] == 0 {
 			return "served what never ran"
 		}
 	}
@@ -129,45 +129,45 @@
 		return
 	}
 	r := rs[0]
-	r.To = Member{}
+	r.To = Identity{}
 	g.accepts = append(g.accepts, r)
 	slices.SortFunc(g.accepts, func(a, b Request) int { return strings.Compare(fmt.Sprint(a), fmt.Sprint(b)) })
 }
 
 // reach has a request come to a holder.
 func (g *group) reach(i int, r Request) (Reply, bool) {
-	self := Member{uint32(i), 1 + g.lives[i]}
+	self := Identity{uint32(i), 1 + g.lives[i]}
 	if g.bounds.amnesia {
-		self.Life = 1
+		self.Incarnation = 1
 	}
 	r.To = three[i]
 	key := int(r.Key[0] - '0')
-	h := NewHolder(self, map[string]Slot{r.Key: g.holders[i][key]})
+	h := NewAcceptor(self, map[string]Register{r.Key: g.holders[i][key]})
 	out, _, ok := h.Handle(r)
-	g.holders[i][key] = h.Slot(r.Key)
+	g.holders[i][key] = h.Register(r.Key)
 	return out, ok
 }
 
-func (g *group) Next() (out []explore.Step) {
+func (g *group) Successors() (out []explore.Step) {
 	add := func(what string, f func(*group)) {
 		n := g.clone()
 		f(n)
-		out = append(out, explore.Step{What: what, To: n})
+		out = append(out, explore.Step{Description: what, State: n})
 	}
 	for i, s := range g.servers {
-		self, key, name := Member{uint32(10 + s.server), s.life}, fmt.Sprint(s.key), fmt.Sprintf("server %d, key %d,", s.server, s.key)
+		self, key, name := Identity{uint32(10 + s.server), s.life}, fmt.Sprint(s.key), fmt.Sprintf("server %d, key %d,", s.server, s.key)
 		switch {
 		case s.op == nil && s.attempts < g.bounds.attempts:
 			add(name+" asks", func(n *group) {
 				n.servers[i].attempts++
-				n.servers[i].op, _ = NewOp(key, 0, [][]Member{three}, Change{Self: self, At: int64(s.life), Window: window}, 1)
+				n.servers[i].op, _ = NewProposal(key, 0, [][]Identity{three}, Change{Proposer: self, AttemptedAt: int64(s.life), Retention: window}, 1)
 			})
 		case s.op != nil && !s.op.over && s.attempts < g.bounds.attempts:
 			add(name+" asks again", func(n *group) {
 				n.servers[i].attempts++
-				n.servers[i].op.Again(uint64(n.servers[i].attempts))
+				n.servers[i].op.Retry(uint64(n.servers[i].attempts))
 			})
-		case s.op != nil && s.op.over && s.op.verdict == Run && !s.ran:
+		case s.op != nil && s.op.over && s.op.verdict == OutcomeLeaseGranted && !s.ran:
 			add(name+" runs", func(n *group) {
 				n.servers[i].ran = true
 				n.runs[s.key]++
@@ -175,7 +175,7 @@
 		case s.ran && !s.ended && s.op.over:
 			add(name+" run ends", func(n *group) {
 				n.servers[i].ended = true
-				n.servers[i].op, _ = NewOp(key, 0, [][]Member{three}, Change{Act: End, Self: self, At: int64(s.life), Window: window, Passed: true, Result: "r"}, s.op.Ballot.N+1)
+				n.servers[i].op, _ = NewProposal(key, 0, [][]Identity{three}, Change{Kind: RecordResult, Proposer: self, AttemptedAt: int64(s.life), Retention: window, Succeeded: true, Result: "r"}, s.op.Ballot.Number+1)
 			})
 		}
 		if s.op != nil && g.deaths < g.bounds.deaths {
@@ -188,8 +188,8 @@
 			for h := range g.holders {
 				add(fmt.Sprintf("holder %d answers %s", h, name), func(n *group) {
 					op := n.servers[i].op
-					if r, ok := n.reach(h, Request{Key: key, Ballot: op.Ballot, Accept: op.accept, Peek: op.peek, Value: op.value}); ok {
-						n.sent(op.Heard(r))
+					if r, ok := n.reach(h, Request{Key: key, Ballot: op.Ballot, Accept: op.accept, Read: op.peek, Value: op.value}); ok {
+						n.sent(op.HandleReply(r))
 					}
 				})
 			}
@@ -204,7 +204,7 @@
 		for i := range g.holders {
 			add(fmt.Sprintf("holder %d loses its disk", i), func(n *group) {
 				n.wipes++
-				n.holders[i] = [2]Slot{}
+				n.holders[i] = [2]Register{}
 				n.lives[i]++
 			})
 		}
@@ -219,7 +219,7 @@
 			g.servers = append(g.servers, asker{server: server, key: key, life: 1})
 		}
 	}
-	r := explore.All(g, most)
+	r := explore.Explore(g, most)
 	t.Logf("%+v: %v", b, r)
 	return r
 }
@@ -231,7 +231,7 @@
 		t.Run(fmt.Sprintf("%+v", b), func(t *testing.T) {
 			t.Parallel()
 			r := visit(t, b, *statesMost)
-			require.Empty(t, r.Wrong, "%v", r)
+			require.Empty(t, r.Violation, "%v", r)
 			require.Greater(t, r.States, 1000)
 		})
 	}
@@ -243,27 +243,27 @@
 // model can find what it looks for.
 func TestAmnesiaIsFound(t *testing.T) {
 	r := visit(t, bounds{attempts: 1, wipes: 1, amnesia: true}, 1_000_000)
-	require.Equal(t, "run twice", r.Wrong)
+	require.Equal(t, "run twice", r.Violation)
 }
 
 // A group on a network that loses, doubles and delays, with servers that die and disks that are lost and replaced by members of
 // another life: played from seeds, to the end.
 func TestSeeds(t *testing.T) {
-	verdicts, blocked := map[Verdict]int{}, 0
+	verdicts, blocked := map[Outcome]int{}, 0
 	for seed := range uint64(3000) {
 		rng := rand.New(rand.NewPCG(seed, 3))
-		members := []Member{{0, 1}, {1, 1}, {2, 1}, {3, 1}, {4, 1}}
-		holders := map[uint32]*Holder{}
+		members := []Identity{{0, 1}, {1, 1}, {2, 1}, {3, 1}, {4, 1}}
+		holders := map[uint32]*Acceptor{}
 		for _, m := range members {
-			holders[m.ID] = NewHolder(m, nil)
+			holders[m.ID] = NewAcceptor(m, nil)
 		}
 		lost, runs := 0, 0
 		var result *Value
 		for try := range 6 {
-			self := Member{uint32(10 + rng.IntN(3)), uint64(1 + try)}
-			c := Change{Self: self, Try: uint64(try), At: int64(100 + try), Window: window}
+			self := Identity{uint32(10 + rng.IntN(3)), uint64(1 + try)}
+			c := Change{Proposer: self, Attempt: uint64(try), AttemptedAt: int64(100 + try), Retention: window}
 			for step := 0; step < 2; step++ {
-				op, net := NewOp("k", 0, [][]Member{members}, c, 1)
+				op, net := NewProposal("k", 0, [][]Identity{members}, c, 1)
 				var inbox []any
 				for _, r := range net {
 					inbox = append(inbox, r)
@@ -274,11 +274,11 @@
 						if _, _, done := op.Done(); done || attempts == 8 {
 							break
 						}
-						if op.Blocked() {
+						if op.Preempted() {
 							blocked++
 						}
 						attempts++
-						for _, r := range op.Again(uint64(attempts)) {
+						for _, r := range op.Retry(uint64(attempts)) {
 							inbox = append(inbox, r)
 						}
 					}
@@ -296,15 +296,15 @@
 							inbox = append(inbox, r)
 						}
 					case Reply:
-						for _, r := range op.Heard(m) {
+						for _, r := range op.HandleReply(m) {
 							inbox = append(inbox, r)
 						}
 					}
 					if lost < 2 && rng.IntN(200) == 0 {
 						i := uint32(rng.IntN(5))
-						if holders[i].Self.Life == 1 { // its place stays empty: nobody asks the new life yet
+						if holders[i].Self.Incarnation == 1 { // its place stays empty: nobody asks the new life yet
 							lost++
-							holders[i] = NewHolder(Member{i, 2}, nil)
+							holders[i] = NewAcceptor(Identity{i, 2}, nil)
 						}
 					}
 				}
@@ -313,11 +313,11 @@
 					break
 				}
 				verdicts[v]++
-				if v == Serve && result != nil {
+				if v == OutcomeSucceeded && result != nil {
 					require.Equal(t, *result, value, "seed %d", seed)
 				}
-				if v != Run || step > 0 {
-					if v == Serve {
+				if v != OutcomeLeaseGranted || step > 0 {
+					if v == OutcomeSucceeded {
 						result = &value
 					}
 					break
@@ -328,13 +328,13 @@
 				if rng.IntN(3) == 0 {
 					break // it dies before its end is agreed
 				}
-				c.Act, c.Passed, c.Result = End, true, fmt.Sprint(try)
+				c.Kind, c.Succeeded, c.Result = RecordResult, true, fmt.Sprint(try)
 			}
 		}
 	}
 	t.Logf("verdicts %v, %d attempts blocked", verdicts, blocked)
-	for v := Run; v < Stale; v++ {
-		if v != Fail {
+	for v := OutcomeLeaseGranted; v < OutcomeLeaseLost; v++ {
+		if v != OutcomeFailed {
 			require.Positive(t, verdicts[v], v)
 		}
 	}
@@ -342,14 +342,14 @@
 
 // One server more or less moves only the keys that it holds.
 func TestHolders(t *testing.T) {
-	var ms []Member
+	var ms []Identity
 	for i := range uint32(16) {
-		ms = append(ms, Member{i, 1})
+		ms = append(ms, Identity{i, 1})
 	}
 	moved, load := 0, map[uint32]int{}
 	for i := range 5000 {
 		key := fmt.Sprint("key", i)
-		before, after := Holders(key, ms, 3, xxhash.Sum64String), Holders(key, ms[:15], 3, xxhash.Sum64String)
+		before, after := Replicas(key, ms, 3, xxhash.Sum64String), Replicas(key, ms[:15], 3, xxhash.Sum64String)
 		for _, m := range before {
 			load[m.ID]++
 			if !slices.Contains(after, m) {
--- a/internal/decide/copies/node_test.go
+++ b/internal/decide/copies/node_test.go
@@ -37,8 +37,8 @@
 
 type sim struct {
 	*Node
-	disk  map[string]Slot
-	group Group
+	disk  map[string]Register
+	group Membership
 	due   micro.Time
 	hello micro.Time
 	asks  map[uint64]*call // changes under way, by id
@@ -57,7 +57,7 @@
 	at       micro.Time
 	from, to int
 	m        any
-	who      Member
+	who      Identity
 }
 
 type input struct {
@@ -67,24 +67,24 @@
 
 type output struct {
 	known   bool
-	verdict Verdict
+	verdict Outcome
 	result  string
 }
 
 // hello says which epoch a server goes by, as every frame of a link does.
 type hello uint64
 
-func peer(id int, life uint64) Peer { return Peer{Member{uint32(id), life}, fmt.Sprint("n", id)} }
+func peer(id int, life uint64) Member { return Member{Identity{uint32(id), life}, fmt.Sprint("n", id)} }
 
 // newCluster is a group of members and some servers that are not of it.
 func newCluster(t *testing.T, seed uint64, copies, size, spares int) *cluster {
 	c := &cluster{rng: rand.New(rand.NewPCG(seed, 9)), cut: map[int]bool{}, runs: map[string]int{}, lossy: true}
-	g := Group{Name: 7, Epoch: 1, Copies: copies}
+	g := Membership{ClusterID: 7, Epoch: 1, ReplicationFactor: copies}
 	for i := range size {
-		g.Now = append(g.Now, peer(i+1, 1))
+		g.Current = append(g.Current, peer(i+1, 1))
 	}
 	for i := range size + spares {
-		s := &sim{disk: map[string]Slot{}, lives: 1}
+		s := &sim{disk: map[string]Register{}, lives: 1}
 		if i < size {
 			s.group = g
 		}
@@ -98,7 +98,7 @@
 	s := c.nodes[i]
 	var err error
 	s.born++
-	s.Node, err = NewNode(Member{uint32(i + 1), s.lives}, s.born, Config{Wait: 20_000, Most: 300_000, Keys: 8, RepairRate: 300, RepairKeys: 4}, s.group, maps.Clone(s.disk), c.rng.Uint64(), xxhash.Sum64String)
+	s.Node, err = NewNode(Identity{uint32(i + 1), s.lives}, s.born, Config{AttemptTimeout: 20_000, ProposalTimeout: 300_000, MaxInFlight: 8, RepairRate: 300, MaxRepairs: 4}, s.group, maps.Clone(s.disk), c.rng.Uint64(), xxhash.Sum64String)
 	require.NoError(t, err)
 	s.asks, s.dead, s.due = map[uint64]*call{}, false, 0
 }
@@ -107,30 +107,30 @@
 func (c *cluster) flush(i int) {
 	s := c.nodes[i]
 	r := s.Ready()
-	if r.Group != nil {
-		s.group = *r.Group
+	if r.Membership != nil {
+		s.group = *r.Membership
 	}
-	for _, k := range r.Save {
-		s.disk[k.Key] = k.Slot
+	for _, k := range r.Registers {
+		s.disk[k.Key] = k.Register
 	}
 	for _, q := range r.Requests {
-		c.post(i, int(q.To.ID)-1, q, s.Process)
+		c.post(i, int(q.To.ID)-1, q, s.ProposerID)
 	}
 	for _, q := range r.Replies {
-		c.post(i, int(q.To.ID)-1, q.Reply, s.Self)
+		c.post(i, int(q.To.ID)-1, q.Reply, s.AcceptorID)
 	}
-	for _, id := range r.Tell {
-		c.post(i, int(id)-1, s.Group(), s.Self)
+	for _, id := range r.Notify {
+		c.post(i, int(id)-1, s.Membership(), s.AcceptorID)
 	}
-	for _, m := range r.Marks {
+	for _, m := range r.TransferAcks {
 		for to := range c.nodes {
-			c.post(i, to, m, s.Self)
+			c.post(i, to, m, s.AcceptorID)
 		}
 	}
 	for _, q := range r.Results {
 		a := s.asks[q.ID]
 		delete(s.asks, q.ID)
-		out := output{known: q.Known, verdict: q.Verdict, result: q.Value.Result}
+		out := output{known: q.Known, verdict: q.Outcome, result: q.Value.Result}
 		end := c.now
 		if !q.Known { // it may take effect at any time from now on
 			end = math.MaxInt64
@@ -138,14 +138,14 @@
 			c.known++
 		}
 		c.history = append(c.history, porcupine.Operation{ClientId: len(c.history), Input: input{a.key, a.change}, Output: out, Call: int64(a.began), Return: int64(end)})
-		if q.Known && q.Verdict == Run && a.change.Act == Leave {
+		if q.Known && q.Outcome == OutcomeLeaseGranted && a.change.Kind == AcquireLease {
 			c.runs[a.key]++
-			c.begin(i, a.key, Change{Act: End, Try: q.Value.Try, At: a.change.At, Window: window, Passed: true, Result: fmt.Sprintf("%s by %v", a.key, s.Process)})
+			c.begin(i, a.key, Change{Kind: RecordResult, Attempt: q.Value.Attempt, AttemptedAt: a.change.AttemptedAt, Retention: window, Succeeded: true, Result: fmt.Sprintf("%s by %v", a.key, s.ProposerID)})
 		}
 	}
 }
 
-func (c *cluster) post(from, to int, m any, who Member) {
+func (c *cluster) post(from, to int, m any, who Identity) {
 	if c.cut[from] != c.cut[to] || from != to && c.lossy && c.rng.IntN(12) == 0 {
 		return
 	}
@@ -163,12 +163,12 @@
 
 func (c *cluster) begin(i int, key string, change Change) {
 	s := c.nodes[i]
-	id, err := s.Begin(c.now, key, change)
+	id, err := s.Propose(c.now, key, change)
 	if err != nil {
 		return
 	}
-	if change.Self = s.Process; change.Act == Leave {
-		change.Try = id
+	if change.Proposer = s.ProposerID; change.Kind == AcquireLease {
+		change.Attempt = id
 	}
 	s.asks[id] = &call{key, change, c.now}
 	s.due = 0
@@ -183,7 +183,7 @@
 }
 
 // newest is the newest group that any server has on its disk.
-func (c *cluster) newest() (g Group) {
+func (c *cluster) newest() (g Membership) {
 	for _, s := range c.nodes {
 		if s.group.Epoch > g.Epoch {
 			g = s.group
@@ -195,8 +195,8 @@
 // missing counts the members whose disk was lost and whose place is not taken yet.
 func (c *cluster) missing() (n int) {
 	lost := map[uint32]bool{}
-	for _, p := range c.newest().All() {
-		if c.nodes[p.ID-1].lives != p.Life && !lost[p.ID] {
+	for _, p := range c.newest().Members() {
+		if c.nodes[p.ID-1].lives != p.Incarnation && !lost[p.ID] {
 			lost[p.ID] = true
 			n++
 		}
@@ -216,18 +216,18 @@
 		if s := c.nodes[m.to]; !s.dead && c.cut[m.from] == c.cut[m.to] {
 			switch k := m.m.(type) {
 			case Request:
-				s.Asked(m.who, k)
+				s.HandleRequest(m.who, k)
 			case Reply:
-				if k.Ballot.By == s.Process {
-					s.Heard(c.now, k)
+				if k.Ballot.Proposer == s.ProposerID {
+					s.HandleReply(c.now, k)
 				}
-			case Group:
-				require.NoError(t, s.Adopt(c.now, k))
-			case Mark:
-				s.Mark(k)
+			case Membership:
+				require.NoError(t, s.AdoptMembership(c.now, k))
+			case TransferAck:
+				s.HandleTransferAck(k)
 			case hello:
-				if uint64(k) < s.Group().Epoch {
-					c.post(m.to, m.from, s.Group(), s.Self)
+				if uint64(k) < s.Membership().Epoch {
+					c.post(m.to, m.from, s.Membership(), s.AcceptorID)
 				}
 			}
 			s.due = 0
@@ -237,8 +237,8 @@
 		if !s.dead && c.now >= s.hello {
 			s.hello = c.now + 50_000
 			to := c.rng.IntN(len(c.nodes))
-			c.post(i, to, hello(s.Group().Epoch), s.Self)
-			s.Linked(uint32(to+1), c.rng.IntN(3) > 0)
+			c.post(i, to, hello(s.Membership().Epoch), s.AcceptorID)
+			s.SetReachable(uint32(to+1), c.rng.IntN(3) > 0)
 		}
 		if !s.dead && c.now >= s.due {
 			s.due = s.Tick(c.now)
@@ -251,7 +251,7 @@
 func (c *cluster) wipe(i int) {
 	s := c.nodes[i]
 	c.wipes++
-	s.disk, s.group = map[string]Slot{}, Group{}
+	s.disk, s.group = map[string]Register{}, Membership{}
 	s.lives++
 }
 
@@ -268,7 +268,7 @@
 	case 1, 2:
 		if s := c.nodes[i]; !s.dead {
 			c.lost(i)
-			if c.missing() < g.Spare() && len(g.Next) == 0 { // the machine is lost with its disk
+			if c.missing() < g.ToleratedFailures() && len(g.Next) == 0 { // the machine is lost with its disk
 				c.wipe(i)
 			}
 		}
@@ -278,14 +278,14 @@
 		}
 	case 7: // an operator adds or removes one
 		if s := c.nodes[i]; !s.dead {
-			next := slices.Clone(s.Group().Now)
+			next := slices.Clone(s.Membership().Current)
 			who := c.rng.IntN(len(c.nodes))
-			if at := slices.IndexFunc(next, func(p Peer) bool { return int(p.ID) == who+1 }); at < 0 {
+			if at := slices.IndexFunc(next, func(p Member) bool { return int(p.ID) == who+1 }); at < 0 {
 				next = append(next, peer(who+1, c.nodes[who].lives))
-			} else if len(next) > g.Copies && c.missing() == 0 {
+			} else if len(next) > g.ReplicationFactor && c.missing() == 0 {
 				next = slices.Delete(next, at, at+1)
 			}
-			if s.Propose(c.now, next, "an operator") == nil {
+			if s.ProposeMembership(c.now, next, "an operator") == nil {
 				c.changes++
 			}
 		}
@@ -310,7 +310,7 @@
 	Step: func(state, in, out any) (bool, any) {
 		v, verdict := in.(input).change.Apply(state.(Value))
 		o := out.(output)
-		return !o.known || o.verdict == verdict && (verdict != Serve || o.result == v.Result), v
+		return !o.known || o.verdict == verdict && (verdict != OutcomeSucceeded || o.result == v.Result), v
 	},
 }
 
@@ -334,7 +334,7 @@
 						total.runs++
 					}
 					for _, o := range c.history {
-						if out := o.Output.(output); out.known && out.verdict == Serve {
+						if out := o.Output.(output); out.known && out.verdict == OutcomeSucceeded {
 							total.served++
 						}
 					}
@@ -357,8 +357,8 @@
 	load := func(n int) {
 		if c.rng.IntN(25) == 0 {
 			if i := c.rng.IntN(len(c.nodes)); !c.nodes[i].dead {
-				act := []Act{Leave, Leave, Look}[c.rng.IntN(3)]
-				c.begin(i, fmt.Sprintf("lot %d", n/300*12+c.rng.IntN(12)), Change{Act: act, At: int64(c.rng.IntN(300)), Window: window})
+				act := []ChangeKind{AcquireLease, AcquireLease, ReadValue}[c.rng.IntN(3)]
+				c.begin(i, fmt.Sprintf("lot %d", n/300*12+c.rng.IntN(12)), Change{Kind: act, AttemptedAt: int64(c.rng.IntN(300)), Retention: window})
 			}
 		}
 		c.step(t)
@@ -374,7 +374,7 @@
 	// then is lost with it.
 	for range 2 {
 		g := c.newest()
-		i := int(g.Now[c.rng.IntN(len(g.Now))].ID) - 1
+		i := int(g.Current[c.rng.IntN(len(g.Current))].ID) - 1
 		c.lost(i)
 		c.wipe(i)
 		c.boot(t, i)
@@ -415,9 +415,9 @@
 	}
 	still := func() bool {
 		g := c.newest()
-		for _, p := range g.Now {
+		for _, p := range g.Current {
 			s := c.nodes[p.ID-1]
-			if left, _ := s.Repairing(); left > 0 || s.Under() > 0 || s.Group().Epoch != g.Epoch {
+			if left, _ := s.RepairProgress(); left > 0 || s.InFlight() > 0 || s.Membership().Epoch != g.Epoch {
 				return false
 			}
 		}
@@ -438,48 +438,48 @@
 }
 
 func TestConfig(t *testing.T) {
-	good := Config{Wait: 10, Most: 100, Keys: 1, RepairRate: 1, RepairKeys: 1}
-	require.NoError(t, good.Check())
-	for _, f := range []func(*Config){func(c *Config) { c.RepairRate = 0 }, func(c *Config) { c.Wait = 0 }, func(c *Config) { c.Most = 15 }, func(c *Config) { c.Keys = 0 }} {
+	good := Config{AttemptTimeout: 10, ProposalTimeout: 100, MaxInFlight: 1, RepairRate: 1, MaxRepairs: 1}
+	require.NoError(t, good.Validate())
+	for _, f := range []func(*Config){func(c *Config) { c.RepairRate = 0 }, func(c *Config) { c.AttemptTimeout = 0 }, func(c *Config) { c.ProposalTimeout = 15 }, func(c *Config) { c.MaxInFlight = 0 }} {
 		c := good
 		f(&c)
-		require.Error(t, c.Check())
+		require.Error(t, c.Validate())
 	}
-	n, err := NewNode(Member{1, 1}, 1, good, Group{}, nil, 1, xxhash.Sum64String)
+	n, err := NewNode(Identity{1, 1}, 1, good, Membership{}, nil, 1, xxhash.Sum64String)
 	require.NoError(t, err)
-	_, err = n.Begin(0, "k", Change{Window: 1})
-	require.ErrorIs(t, err, ErrNoGroup)
-	three := []Peer{peer(1, 1), peer(2, 1), peer(3, 1)}
-	require.NoError(t, n.Found(0, Group{Name: 7, Copies: 3, Now: three}))
-	require.ErrorIs(t, n.Found(0, Group{Name: 8, Copies: 3, Now: three}), ErrMember, "there is one")
-	require.ErrorIs(t, n.Adopt(0, Group{Name: 8, Epoch: 9, Copies: 3, Now: three}), ErrGroup, "a stranger's")
-	require.Equal(t, []uint32{2, 3}, n.Ready().Tell)
-	_, err = n.Begin(0, "k", Change{Window: 1})
+	_, err = n.Propose(0, "k", Change{Retention: 1})
+	require.ErrorIs(t, err, ErrNoMembership)
+	three := []Member{peer(1, 1), peer(2, 1), peer(3, 1)}
+	require.NoError(t, n.Bootstrap(0, Membership{ClusterID: 7, ReplicationFactor: 3, Current: three}))
+	require.ErrorIs(t, n.Bootstrap(0, Membership{ClusterID: 8, ReplicationFactor: 3, Current: three}), ErrInvalidChange, "there is one")
+	require.ErrorIs(t, n.AdoptMembership(0, Membership{ClusterID: 8, Epoch: 9, ReplicationFactor: 3, Current: three}), ErrInvalidMembership, "a stranger's")
+	require.Equal(t, []uint32{2, 3}, n.Ready().Notify)
+	_, err = n.Propose(0, "k", Change{Retention: 1})
 	require.NoError(t, err)
-	_, err = n.Begin(0, "j", Change{Window: 1})
-	require.ErrorIs(t, err, ErrBusy)
+	_, err = n.Propose(0, "j", Change{Retention: 1})
+	require.ErrorIs(t, err, ErrTooManyInFlight)
 	require.Equal(t, micro.Time(10), n.Tick(0))
 	n.Tick(100)
 	require.Equal(t, []Result{{ID: 1, Key: "k"}}, n.Ready().Results, "nobody answered: it is not known")
-	require.ErrorIs(t, n.Propose(100, three[:1], ""), ErrMember, "two at once")
-	require.ErrorIs(t, n.Propose(100, three, ""), ErrMember, "none at all")
-	require.NoError(t, n.Propose(100, three[:2], ""))
-	require.ErrorIs(t, n.Propose(100, three[1:], ""), ErrChanging)
+	require.ErrorIs(t, n.ProposeMembership(100, three[:1], ""), ErrInvalidChange, "two at once")
+	require.ErrorIs(t, n.ProposeMembership(100, three, ""), ErrInvalidChange, "none at all")
+	require.NoError(t, n.ProposeMembership(100, three[:2], ""))
+	require.ErrorIs(t, n.ProposeMembership(100, three[1:], ""), ErrChangeInProgress)
 }
 
 // A group is its text.
 func TestGroupText(t *testing.T) {
-	for _, g := range []Group{
-		{Name: 1, Epoch: 2, Copies: 3, Now: []Peer{peer(1, 5), peer(2, 6)}, Why: "a \"why\" | of words\n"},
-		{Name: 1 << 63, Epoch: 1 << 40, Copies: 5, Now: []Peer{peer(1, 5)}, Next: []Peer{peer(1, 5), peer(9, 1<<63)}, Lost: 99},
+	for _, g := range []Membership{
+		{ClusterID: 1, Epoch: 2, ReplicationFactor: 3, Current: []Member{peer(1, 5), peer(2, 6)}, Reason: "a \"why\" | of words\n"},
+		{ClusterID: 1 << 63, Epoch: 1 << 40, ReplicationFactor: 5, Current: []Member{peer(1, 5)}, Next: []Member{peer(1, 5), peer(9, 1<<63)}, ForcedAt: 99},
 	} {
-		got, err := Parse(g.String())
+		got, err := ParseMembership(g.String())
 		require.NoError(t, err)
 		require.Equal(t, g, got)
 	}
 	for _, text := range []string{"", "1 2 3 0 | 1 | | \"\"", "1 2 4 0 | 1 1 a | | \"\"", "1 2 3 0 | 1 1 a 1 2 b | | \"\"", "1 2 3 0 | x 1 a | | \"\"", "1 2 3 0 | 1 1 a | | no"} {
-		_, err := Parse(text)
-		require.ErrorIs(t, err, ErrGroup, text)
+		_, err := ParseMembership(text)
+		require.ErrorIs(t, err, ErrInvalidMembership, text)
 	}
 }
 
@@ -488,7 +488,7 @@
 	c := newCluster(t, 1, 3, 3, 0)
 	c.lossy = false
 	for i := range 40 {
-		c.begin(i%3, fmt.Sprint("lot ", i), Change{At: int64(100 + i), Window: window})
+		c.begin(i%3, fmt.Sprint("lot ", i), Change{AttemptedAt: int64(100 + i), Retention: window})
 		for range 200 {
 			c.step(t)
 		}
@@ -498,19 +498,19 @@
 		c.lost(i)
 	}
 	s := c.nodes[0]
-	require.ErrorIs(t, s.Force(c.now, []uint32{2, 3}, 5000, "two lost"), ErrMember, "not without itself")
-	require.NoError(t, s.Force(c.now, []uint32{1}, 5000, "two lost"))
+	require.ErrorIs(t, s.ForceMembership(c.now, []uint32{2, 3}, 5000, "two lost"), ErrInvalidChange, "not without itself")
+	require.NoError(t, s.ForceMembership(c.now, []uint32{1}, 5000, "two lost"))
 	ask := func(key string, at int64) Result {
-		id, err := s.Begin(c.now, key, Change{At: at, Window: window})
+		id, err := s.Propose(c.now, key, Change{AttemptedAt: at, Retention: window})
 		require.NoError(t, err)
 		for {
 			s.Tick(c.now)
 			r := s.Ready()
 			for _, q := range r.Requests {
-				s.Asked(s.Process, q)
+				s.HandleRequest(s.ProposerID, q)
 			}
 			for _, q := range s.Ready().Replies {
-				s.Heard(c.now, q.Reply)
+				s.HandleReply(c.now, q.Reply)
 			}
 			for _, q := range r.Results {
 				if q.ID == id {
@@ -520,8 +520,8 @@
 			c.now += 500
 		}
 	}
-	require.Equal(t, Serve, ask("lot 3", 200).Verdict, "its copy is there")
-	require.Equal(t, Unknown, ask("new", 5999).Verdict)
-	require.Equal(t, Unknown, ask("lot 3", 4000).Verdict, "a later run of it may be lost")
-	require.Equal(t, Run, ask("new", 6000).Verdict)
+	require.Equal(t, OutcomeSucceeded, ask("lot 3", 200).Outcome, "its copy is there")
+	require.Equal(t, OutcomeIndeterminate, ask("new", 5999).Outcome)
+	require.Equal(t, OutcomeIndeterminate, ask("lot 3", 4000).Outcome, "a later run of it may be lost")
+	require.Equal(t, OutcomeLeaseGranted, ask("new", 6000).Outcome)
 }
--- a/internal/decide/explore/explore.go
+++ b/internal/decide/explore/explore.go
@@ -12,32 +12,32 @@
 // State is a state of a model. It is never changed once it was given out.
 type State interface {
 	// Key is the same for states that are the same, or that behave alike but for names: those are visited once.
-	Key() string
+	Fingerprint() string
 	// Next are the states that can follow, in an order that depends on nothing but the state.
-	Next() []Step
+	Successors() []Step
 	// Wrong says why the state is forbidden; "": it is not.
-	Wrong() string
+	Violation() string
 }
 
 // Step is what happens, and the state after it.
 type Step struct {
-	What string
-	To   State
+	Description string
+	State       State
 }
 
 // Report is what was visited.
 type Report struct {
-	States, Steps, Depth int
-	Whole                bool   // every state was visited, none is left out by the bound
-	Wrong                string // of the first forbidden state, "" for none
-	Trace                []string
+	States, Transitions, Depth int
+	Exhaustive                 bool   // every state was visited, none is left out by the bound
+	Violation                  string // of the first forbidden state, "" for none
+	Trace                      []string
 }
 
 func (r Report) String() string {
-	if r.Wrong != "" {
-		return fmt.Sprintf("%s after %d steps:\n  %s", r.Wrong, len(r.Trace), strings.Join(r.Trace, "\n  "))
+	if r.Violation != "" {
+		return fmt.Sprintf("%s after %d steps:\n  %s", r.Violation, len(r.Trace), strings.Join(r.Trace, "\n  "))
 	}
-	return fmt.Sprintf("%d states by %d steps, %d deep, all of them: %v", r.States, r.Steps, r.Depth, r.Whole)
+	return fmt.Sprintf("%d states by %d steps, %d deep, all of them: %v", r.States, r.Transitions, r.Depth, r.Exhaustive)
 }
 
 type visited struct {
@@ -47,15 +47,15 @@
 	depth int32
 }
 
-// All visits states until there are no new ones, one is forbidden, or so many were visited. States are told apart by 128 bits
+// Explore visits states until there are no new ones, one is forbidden, or so many were visited. States are told apart by 128 bits
 // of their keys.
-func All(start State, most int) (r Report) {
-	seen := map[[2]uint64]bool{hash(start.Key()): true}
+func Explore(start State, most int) (r Report) {
+	seen := map[[2]uint64]bool{hash(start.Fingerprint()): true}
 	list := []visited{{state: start, from: -1}}
 	for i := 0; i < len(list); i++ {
 		v := &list[i]
 		r.States, r.Depth = i+1, int(v.depth)
-		if r.Wrong = v.state.Wrong(); r.Wrong != "" {
+		if r.Violation = v.state.Violation(); r.Violation != "" {
 			for at := int32(i); list[at].from >= 0; at = list[at].from {
 				r.Trace = append([]string{list[at].what}, r.Trace...)
 			}
@@ -63,9 +63,9 @@
 		}
 		state, depth := v.state, v.depth
 		v.state = nil
-		for _, s := range state.Next() {
-			r.Steps++
-			k := hash(s.To.Key())
+		for _, s := range state.Successors() {
+			r.Transitions++
+			k := hash(s.State.Fingerprint())
 			if seen[k] {
 				continue
 			}
@@ -73,10 +73,10 @@
 				return r
 			}
 			seen[k] = true
-			list = append(list, visited{s.To, int32(i), s.What, depth + 1})
+			list = append(list, visited{s.State, int32(i), s.Description, depth + 1})
 		}
 	}
-	r.Whole = true
+	r.Exhaustive = true
 	return r
 }
 
--- a/internal/decide/explore/explore_test.go
+++ b/internal/decide/explore/explore_test.go
@@ -13,16 +13,16 @@
 	forbid int
 }
 
-func (j jugs) Key() string { return fmt.Sprint(j.a, j.b) }
+func (j jugs) Fingerprint() string { return fmt.Sprint(j.a, j.b) }
 
-func (j jugs) Wrong() string {
+func (j jugs) Violation() string {
 	if j.b == j.forbid {
 		return fmt.Sprintf("%d in the larger one", j.b)
 	}
 	return ""
 }
 
-func (j jugs) Next() (out []Step) {
+func (j jugs) Successors() (out []Step) {
 	add := func(what string, a, b int) { out = append(out, Step{what, jugs{a, b, j.forbid}}) }
 	add("fill a", 3, j.b)
 	add("fill b", j.a, 5)
@@ -37,24 +37,24 @@
 
 // The trace is a shortest one; without a forbidden state, all are visited; and a bound that cuts the visit short is told.
 func TestAll(t *testing.T) {
-	r := All(jugs{forbid: 4}, 100)
-	require.Equal(t, "4 in the larger one", r.Wrong)
+	r := Explore(jugs{forbid: 4}, 100)
+	require.Equal(t, "4 in the larger one", r.Violation)
 	require.Len(t, r.Trace, 6)
 	at := State(jugs{forbid: 4})
 	for _, what := range r.Trace { // it replays
 		found := false
-		for _, s := range at.Next() {
-			if s.What == what {
-				at, found = s.To, true
+		for _, s := range at.Successors() {
+			if s.Description == what {
+				at, found = s.State, true
 				break
 			}
 		}
 		require.True(t, found, what)
 	}
-	require.Equal(t, "4 in the larger one", at.Wrong())
-	r = All(jugs{forbid: 7}, 100)
-	require.Empty(t, r.Wrong)
-	require.True(t, r.Whole)
+	require.Equal(t, "4 in the larger one", at.Violation())
+	r = Explore(jugs{forbid: 7}, 100)
+	require.Empty(t, r.Violation)
+	require.True(t, r.Exhaustive)
 	require.Equal(t, 16, r.States)
-	require.False(t, All(jugs{forbid: 7}, 5).Whole)
+	require.False(t, Explore(jugs{forbid: 7}, 5).Exhaustive)
 }
--- a/internal/decide/fleet/fleet.go
+++ b/internal/decide/fleet/fleet.go
@@ -19,12 +19,12 @@
 
 // The states of a server.
 const (
-	Fresh    State = iota // nothing is known of it by our own observation
-	Up                    // it answers
-	Warming               // it has come back, and gets a growing part of the traffic
-	Suspect               // it failed lately; safe and cheap requests find out
-	Down                  // nobody listens there, or several tries in a row came to nothing
-	Draining              // it takes nothing new
+	Unobserved State = iota // nothing is known of it by our own observation
+	Up                      // it answers
+	Warming                 // it has come back, and gets a growing part of the traffic
+	Suspect                 // it failed lately; safe and cheap requests find out
+	Down                    // nobody listens there, or several tries in a row came to nothing
+	Draining                // it takes nothing new
 )
 
 var stateNames = [...]string{"fresh", "up", "warming", "suspect", "down", "draining"}
@@ -36,32 +36,32 @@
 
 // The outcomes of a try.
 const (
-	Served    Outcome = iota
-	Refused           // it never ran; After and Last may come with it
-	Failed            // the server says so; it may have run
-	TimedOut          // no answer while it was waited for; it may have run
-	Broken            // the connection ended after the request was written; it may have run
-	Unreached         // nobody took the connection: nothing was written
-	Withdrawn         // we gave it up; it tells nothing of the server
+	Succeeded      Outcome = iota
+	Rejected               // it never ran; After and Last may come with it
+	Failed                 // the server says so; it may have run
+	TimedOut               // no answer while it was waited for; it may have run
+	ConnectionLost         // the connection ended after the request was written; it may have run
+	ConnectFailed          // nobody took the connection: nothing was written
+	Cancelled              // we gave it up; it tells nothing of the server
 )
 
-// Proves says that the outcome proves that nothing ran.
-func (o Outcome) Proves() bool { return o == Refused || o == Unreached }
+// ProvesNotExecuted says that the outcome proves that nothing ran.
+func (o Outcome) ProvesNotExecuted() bool { return o == Rejected || o == ConnectFailed }
 
 // Config are the figures of the decisions. Zero values take the defaults.
 type Config struct {
-	Classes     int        // of requests, by number from 0 on
-	SuspectTry  int        // failures in a row after which a server is suspect
-	DownTry     int        // and after which it is down
-	ProbeFirst  micro.Time // after which a suspect is tried again; doubled with each failure
-	ProbeMost   micro.Time
-	Warm        micro.Time // how long a server that came back gets less than its part
-	WarmFrom    float64    // the part that it gets at first
-	EjectMost   float64    // share of the servers that may be left out for looking bad; beyond it, routing goes among all
-	LimitFirst  float64    // open requests at a server before anything is learned
-	LimitMost   float64
-	Believe     float64 // weight of hearsay from which on it counts against a server we know nothing of
-	HearsayKeep float64 // part of its weight that a fact keeps from hand to hand
+	Classes              int        // of requests, by number from 0 on
+	SuspectAfterFailures int        // failures in a row after which a server is suspect
+	DownAfterFailures    int        // and after which it is down
+	InitialProbeBackoff  micro.Time // after which a suspect is tried again; doubled with each failure
+	MaxProbeBackoff      micro.Time
+	SlowStart            micro.Time // how long a server that came back gets less than its part
+	SlowStartShare       float64    // the part that it gets at first
+	MaxEjectedShare      float64    // share of the servers that may be left out for looking bad; beyond it, routing goes among all
+	InitialConcurrency   float64    // open requests at a server before anything is learned
+	MaxConcurrency       float64
+	GossipThreshold      float64 // weight of hearsay from which on it counts against a server we know nothing of
+	GossipHopFactor      float64 // part of its weight that a fact keeps from hand to hand
 }
 
 func (c *Config) defaults() {
@@ -75,53 +75,53 @@
 			*v = d
 		}
 	}
-	if c.SuspectTry == 0 {
-		c.SuspectTry = 2
+	if c.SuspectAfterFailures == 0 {
+		c.SuspectAfterFailures = 2
 	}
-	if c.DownTry == 0 {
-		c.DownTry = 5
+	if c.DownAfterFailures == 0 {
+		c.DownAfterFailures = 5
 	}
-	setTime(&c.ProbeFirst, 250*micro.Millisecond)
-	setTime(&c.ProbeMost, 8*micro.Second)
-	setTime(&c.Warm, 15*micro.Second)
-	set(&c.WarmFrom, 0.2)
-	set(&c.EjectMost, 0.5)
-	set(&c.LimitFirst, 8)
-	set(&c.LimitMost, 256)
-	set(&c.Believe, 1)
-	set(&c.HearsayKeep, 0.5)
+	setTime(&c.InitialProbeBackoff, 250*micro.Millisecond)
+	setTime(&c.MaxProbeBackoff, 8*micro.Second)
+	setTime(&c.SlowStart, 15*micro.Second)
+	set(&c.SlowStartShare, 0.2)
+	set(&c.MaxEjectedShare, 0.5)
+	set(&c.InitialConcurrency, 8)
+	set(&c.MaxConcurrency, 256)
+	set(&c.GossipThreshold, 1)
+	set(&c.GossipHopFactor, 0.5)
 }
 
-// Check tells the first figure that makes no sense.
-func (c Config) Check() error {
+// Validate tells the first figure that makes no sense.
+func (c Config) Validate() error {
 	c.defaults()
 	switch {
 	case c.Classes < 1 || c.Classes > 64:
 		return fmt.Errorf("fleet: classes: %d is not within 1 to 64", c.Classes)
-	case c.SuspectTry < 1 || c.DownTry < c.SuspectTry:
-		return fmt.Errorf("fleet: suspect_after, down_after: %d and %d are not in order", c.SuspectTry, c.DownTry)
-	case c.ProbeFirst <= 0 || c.ProbeMost < c.ProbeFirst:
-		return fmt.Errorf("fleet: probe_first, probe_most: %v and %v are not in order", c.ProbeFirst.Duration(), c.ProbeMost.Duration())
-	case !(c.WarmFrom > 0 && c.WarmFrom <= 1):
-		return fmt.Errorf("fleet: warm_from: %v is not within 0 to 1", c.WarmFrom)
-	case !(c.EjectMost >= 0 && c.EjectMost < 1):
-		return fmt.Errorf("fleet: eject_most: %v is not within 0 to under 1", c.EjectMost)
-	case !(c.LimitFirst >= 1 && c.LimitMost >= c.LimitFirst):
-		return fmt.Errorf("fleet: limit_first, limit_most: %v and %v are not in order", c.LimitFirst, c.LimitMost)
-	case !(c.HearsayKeep > 0 && c.HearsayKeep < 1):
-		return fmt.Errorf("fleet: hearsay_keep: %v is not within 0 to 1", c.HearsayKeep)
+	case c.SuspectAfterFailures < 1 || c.DownAfterFailures < c.SuspectAfterFailures:
+		return fmt.Errorf("fleet: suspect_after, down_after: %d and %d are not in order", c.SuspectAfterFailures, c.DownAfterFailures)
+	case c.InitialProbeBackoff <= 0 || c.MaxProbeBackoff < c.InitialProbeBackoff:
+		return fmt.Errorf("fleet: probe_first, probe_most: %v and %v are not in order", c.InitialProbeBackoff.Duration(), c.MaxProbeBackoff.Duration())
+	case !(c.SlowStartShare > 0 && c.SlowStartShare <= 1):
+		return fmt.Errorf("fleet: warm_from: %v is not within 0 to 1", c.SlowStartShare)
+	case !(c.MaxEjectedShare >= 0 && c.MaxEjectedShare < 1):
+		return fmt.Errorf("fleet: eject_most: %v is not within 0 to under 1", c.MaxEjectedShare)
+	case !(c.InitialConcurrency >= 1 && c.MaxConcurrency >= c.InitialConcurrency):
+		return fmt.Errorf("fleet: limit_first, limit_most: %v and %v are not in order", c.InitialConcurrency, c.MaxConcurrency)
+	case !(c.GossipHopFactor > 0 && c.GossipHopFactor < 1):
+		return fmt.Errorf("fleet: hearsay_keep: %v is not within 0 to 1", c.GossipHopFactor)
 	}
 	return nil
 }
 
-// Fleet is what one instance knows of the servers by its own observation.
-type Fleet struct {
+// Balancer is what one instance knows of the servers by its own observation.
+type Balancer struct {
 	cfg     Config
 	rng     *rand.Rand
 	members []*member // in the order they came, so that nothing depends on a map's
 	byName  map[string]*member
 	usual   []latency // of each class, over all servers
-	told    Knowledge
+	told    GossipTable
 }
 
 // member is one server.
@@ -145,27 +145,27 @@
 }
 
 // New returns a fleet without servers.
-func New(cfg Config, seed uint64) (*Fleet, error) {
-	if err := cfg.Check(); err != nil {
+func New(cfg Config, seed uint64) (*Balancer, error) {
+	if err := cfg.Validate(); err != nil {
 		return nil, err
 	}
 	cfg.defaults()
-	return &Fleet{cfg: cfg, rng: rand.New(rand.NewPCG(seed, 0x666c6565)), byName: map[string]*member{}, usual: make([]latency, cfg.Classes),
-		told: NewKnowledge(cfg.HearsayKeep)}, nil
+	return &Balancer{cfg: cfg, rng: rand.New(rand.NewPCG(seed, 0x666c6565)), byName: map[string]*member{}, usual: make([]latency, cfg.Classes),
+		told: NewGossipTable(cfg.GossipHopFactor)}, nil
 }
 
 // Add takes a server up; one that is known already stays as it is.
-func (f *Fleet) Add(now micro.Time, name string) {
+func (f *Balancer) Add(now micro.Time, name string) {
 	if f.byName[name] != nil {
 		return
 	}
-	m := &member{name: name, since: now, born: -1, limit: limit{most: f.cfg.LimitFirst}, lat: make([]latency, f.cfg.Classes)}
+	m := &member{name: name, since: now, born: -1, limit: limit{most: f.cfg.InitialConcurrency}, lat: make([]latency, f.cfg.Classes)}
 	f.byName[name] = m
 	f.members = append(f.members, m)
 }
 
 // Remove drops a server that is no longer in the list.
-func (f *Fleet) Remove(name string) {
+func (f *Balancer) Remove(name string) {
 	m := f.byName[name]
 	if m == nil {
 		return
@@ -179,18 +179,18 @@
 	}
 }
 
-// Try is what Pick needs to know of a request.
-type Try struct {
-	Class int
-	Safe  bool     // it may run twice
-	Cheap bool     // it costs little, so that it may find out whether a server is back
-	Avoid []string // servers that were tried already
+// Request is what Pick needs to know of a request.
+type Request struct {
+	Class      int
+	Idempotent bool     // it may run twice
+	Cheap      bool     // it costs little, so that it may find out whether a server is back
+	Exclude    []string // servers that were tried already
 }
 
 // Choice is where a try goes.
 type Choice struct {
-	Server string
-	Probe  bool // it finds out whether the server is back
+	Endpoint string
+	Probe    bool // it finds out whether the server is back
 }
 
 // peakFades is after how long without an answer the peak of a server counts half.
@@ -208,9 +208,9 @@
 // tried first by a request that is safe and cheap, and never by an intake. false: none will take it now.
 //
 // Pick changes nothing but the marks of a probe; Sent must follow.
-func (f *Fleet) Pick(now micro.Time, t Try) (Choice, bool) {
+func (f *Balancer) Pick(now micro.Time, t Request) (Choice, bool) {
 	f.listen(now)
-	if t.Safe && t.Cheap {
+	if t.Idempotent && t.Cheap {
 		for _, m := range f.members {
 			if f.looksBad(now, m) && m.state != Draining && !m.probing && now >= max(m.probeAt, m.shut) && !avoided(t, m) {
 				return Choice{m.name, true}, true
@@ -221,15 +221,15 @@
 	from := good
 	// Bounded ejection: where most look bad, it is likelier that we are, or that all are slow; the last few must not be
 	// crowded. Then the limits alone hold.
-	if f.ejected(now) > f.cfg.EjectMost {
+	if f.ejected(now) > f.cfg.MaxEjectedShare {
 		from = all
 	}
 	if len(from) == 0 {
 		return Choice{}, false
 	}
 	best := f.draw(now, from)
-	if t.Safe && f.rng.IntN(explore) == 0 { // so that each server is heard of, also one that never looks best
-		return Choice{Server: best.name}, true
+	if t.Idempotent && f.rng.IntN(explore) == 0 { // so that each server is heard of, also one that never looks best
+		return Choice{Endpoint: best.name}, true
 	}
 	for range draws - 1 {
 		// One that warms can only be the first drawn, so that its part stays what its warmth says, however fast it seems.
@@ -237,11 +237,11 @@
 			best = b
 		}
 	}
-	return Choice{Server: best.name}, true
+	return Choice{Endpoint: best.name}, true
 }
 
-func avoided(t Try, m *member) bool {
-	for _, a := range t.Avoid {
+func avoided(t Request, m *member) bool {
+	for _, a := range t.Exclude {
 		if a == m.name {
 			return true
 		}
@@ -251,7 +251,7 @@
 
 // candidates lists who may take a try: those that look good, and all that are not known to take nothing. Whom the
 // request has tried already comes in only where there is nobody else.
-func (f *Fleet) candidates(now micro.Time, t Try) (good, all []*member) {
+func (f *Balancer) candidates(now micro.Time, t Request) (good, all []*member) {
 	for _, again := range []bool{false, true} {
 		for _, m := range f.members {
 			if m.state == Draining || now < m.shut || float64(m.open) >= m.limit.most*f.warmth(now, m) && m.open > 0 || avoided(t, m) != again {
@@ -269,9 +269,9 @@
 	return good, all
 }
 
-// Patience is how long a server with something open may say nothing at all before it is suspect: some times what
+// SilenceTimeout is how long a server with something open may say nothing at all before it is suspect: some times what
 // requests usually take, within bounds.
-func (f *Fleet) Patience() micro.Time {
+func (f *Balancer) SilenceTimeout() micro.Time {
 	usual := micro.Time(0)
 	for i := range f.usual {
 		usual = max(usual, f.usual[i].quantile(0.95))
@@ -288,32 +288,32 @@
 // listen makes suspects of servers that have fallen silent. Guards against a machine that is gone without a word: its
 // connections stay open, and what is sent on them waits for its whole time. Found by measuring what advice is worth:
 // the instances that should have told of a dead server had it for up, seconds after it had gone.
-func (f *Fleet) listen(now micro.Time) {
-	patience := f.Patience()
+func (f *Balancer) listen(now micro.Time) {
+	patience := f.SilenceTimeout()
 	for _, m := range f.members {
 		if m.open == 0 || m.state == Down || m.state == Suspect || m.state == Draining {
 			continue
 		}
 		if now-max(m.busy, m.heard) > patience {
-			m.failed = max(m.failed, f.cfg.SuspectTry-1)
+			m.failed = max(m.failed, f.cfg.SuspectAfterFailures-1)
 			f.failed(now, m, TimedOut)
 		}
 	}
 }
 
 // looksBad says that a server is left out unless most are.
-func (f *Fleet) looksBad(now micro.Time, m *member) bool {
+func (f *Balancer) looksBad(now micro.Time, m *member) bool {
 	switch m.state {
 	case Suspect, Down, Draining:
 		return true
-	case Fresh:
-		return f.told.Dead(now, m.name) >= f.cfg.Believe
+	case Unobserved:
+		return f.told.FailureWeight(now, m.name) >= f.cfg.GossipThreshold
 	}
 	return false
 }
 
 // ejected is the share of servers that look bad.
-func (f *Fleet) ejected(now micro.Time) float64 {
+func (f *Balancer) ejected(now micro.Time) float64 {
 	n := 0
 	for _, m := range f.members {
 		if f.looksBad(now, m) {
@@ -324,15 +324,15 @@
 }
 
 // warmth is the part of its traffic that a server gets: less than 1 while it warms.
-func (f *Fleet) warmth(now micro.Time, m *member) float64 {
+func (f *Balancer) warmth(now micro.Time, m *member) float64 {
 	if m.state != Warming {
 		return 1
 	}
-	return min(1, f.cfg.WarmFrom+(1-f.cfg.WarmFrom)*float64(now-m.since)/float64(f.cfg.Warm))
+	return min(1, f.cfg.SlowStartShare+(1-f.cfg.SlowStartShare)*float64(now-m.since)/float64(f.cfg.SlowStart))
 }
 
 // draw draws a server by its warmth.
-func (f *Fleet) draw(now micro.Time, from []*member) *member {
+func (f *Balancer) draw(now micro.Time, from []*member) *member {
 	for range 8 {
 		m := from[f.rng.IntN(len(from))]
 		if w := f.warmth(now, m); w >= 1 || f.rng.Float64() < w {
@@ -345,7 +345,7 @@
 // expected grows with when a request would be done there, in microseconds: what one takes, for itself and for each that
 // is open there already (the cost of Finagle's peak EWMA balancer). It is for comparing; Finishes does not count the
 // open ones, as they run side by side.
-func (f *Fleet) expected(now micro.Time, m *member, class int) float64 {
+func (f *Balancer) expected(now micro.Time, m *member, class int) float64 {
 	own := m.lat[class].peak
 	if m.lat[class].n == 0 {
 		own = f.usual[class].mean
@@ -364,9 +364,9 @@
 	return own * float64(1+m.open) / f.warmth(now, m)
 }
 
-// Sent says that a try went to a server.
-func (f *Fleet) Sent(now micro.Time, c Choice) {
-	m := f.byName[c.Server]
+// AttemptStarted says that a try went to a server.
+func (f *Balancer) AttemptStarted(now micro.Time, c Choice) {
+	m := f.byName[c.Endpoint]
 	if m == nil {
 		return
 	}
@@ -381,16 +381,16 @@
 
 // Result is how a try ended.
 type Result struct {
-	Class   int
-	Outcome Outcome
-	Took    micro.Time
-	After   micro.Time // Refused: how long to leave the server alone
-	Last    bool       // Refused: and no other should be tried
+	Class      int
+	Outcome    Outcome
+	Latency    micro.Time
+	RetryAfter micro.Time // Refused: how long to leave the server alone
+	NoRetry    bool       // Refused: and no other should be tried
 }
 
-// Ended says how a try at a server ended.
-func (f *Fleet) Ended(now micro.Time, c Choice, r Result) {
-	m := f.byName[c.Server]
+// AttemptEnded says how a try at a server ended.
+func (f *Balancer) AttemptEnded(now micro.Time, c Choice, r Result) {
+	m := f.byName[c.Endpoint]
 	if m == nil {
 		return
 	}
@@ -398,19 +398,19 @@
 	if c.Probe {
 		m.probing = false
 	}
-	if r.Outcome == Withdrawn {
+	if r.Outcome == Cancelled {
 		return
 	}
 	m.seen++
 	switch r.Outcome {
-	case Served, Refused:
+	case Succeeded, Rejected:
 		f.answered(now, m)
-		if r.Outcome == Served {
-			m.lat[r.Class].add(float64(r.Took))
-			f.usual[r.Class].add(float64(r.Took))
-			m.limit.served(m.lat[r.Class], m.open, f.cfg.LimitMost)
+		if r.Outcome == Succeeded {
+			m.lat[r.Class].add(float64(r.Latency))
+			f.usual[r.Class].add(float64(r.Latency))
+			m.limit.served(m.lat[r.Class], m.open, f.cfg.MaxConcurrency)
 		} else {
-			m.shut = max(m.shut, now+r.After)
+			m.shut = max(m.shut, now+r.RetryAfter)
 			m.limit.refused()
 		}
 	case Failed:
@@ -422,34 +422,34 @@
 }
 
 // answered says that a server is there.
-func (f *Fleet) answered(now micro.Time, m *member) {
+func (f *Balancer) answered(now micro.Time, m *member) {
 	m.heard, m.failed, m.wait = now, 0, 0
 	switch m.state {
-	case Fresh:
+	case Unobserved:
 		f.enter(now, m, Up)
 	case Down:
 		m.born = now // the life we knew has ended
 		m.lat = make([]latency, f.cfg.Classes)
-		m.limit = limit{most: f.cfg.LimitFirst}
+		m.limit = limit{most: f.cfg.InitialConcurrency}
 		f.enter(now, m, Warming)
 	case Suspect:
 		f.enter(now, m, Warming)
-		m.since -= f.cfg.Warm / 2 // it may only have been slow
+		m.since -= f.cfg.SlowStart / 2 // it may only have been slow
 	case Warming:
-		if now >= m.since+f.cfg.Warm {
+		if now >= m.since+f.cfg.SlowStart {
 			f.enter(now, m, Up)
 		}
 	}
 }
 
 // failed counts a try that came to nothing.
-func (f *Fleet) failed(now micro.Time, m *member, o Outcome) {
+func (f *Balancer) failed(now micro.Time, m *member, o Outcome) {
 	m.failed, m.failAt = m.failed+1, now
 	m.limit.refused()
 	switch {
-	case o == Unreached || m.failed >= f.cfg.DownTry:
+	case o == ConnectFailed || m.failed >= f.cfg.DownAfterFailures:
 		f.enter(now, m, Down)
-	case m.failed >= f.cfg.SuspectTry || m.state == Suspect || m.state == Warming:
+	case m.failed >= f.cfg.SuspectAfterFailures || m.state == Suspect || m.state == Warming:
 		if m.state != Down {
 			f.enter(now, m, Suspect)
 		}
@@ -457,62 +457,62 @@
 		return
 	}
 	// The next probe comes later each time, spread so that many instances do not come at once.
-	m.wait = min(max(2*m.wait, f.cfg.ProbeFirst), f.cfg.ProbeMost)
-	if f.told.Dead(now, m.name) >= f.cfg.Believe/2 { // others have found the same
-		m.wait = max(m.wait, f.cfg.ProbeMost/2)
+	m.wait = min(max(2*m.wait, f.cfg.InitialProbeBackoff), f.cfg.MaxProbeBackoff)
+	if f.told.FailureWeight(now, m.name) >= f.cfg.GossipThreshold/2 { // others have found the same
+		m.wait = max(m.wait, f.cfg.MaxProbeBackoff/2)
 	}
 	m.probeAt = now + m.wait/2 + micro.Time(f.rng.Int64N(int64(m.wait)))
 }
 
-func (f *Fleet) enter(now micro.Time, m *member, s State) {
+func (f *Balancer) enter(now micro.Time, m *member, s State) {
 	if m.state != s {
 		m.state, m.since = s, now
 	}
 }
 
-// Leaves says that a server has bidden farewell: it takes nothing new. Gone says that it has ended after that.
-func (f *Fleet) Leaves(now micro.Time, name string) {
+// MarkDraining says that a server has bidden farewell: it takes nothing new. Gone says that it has ended after that.
+func (f *Balancer) MarkDraining(now micro.Time, name string) {
 	if m := f.byName[name]; m != nil && m.state != Down {
 		f.enter(now, m, Draining)
 	}
 }
 
-// Gone says that a server that was leaving has closed its last connection.
-func (f *Fleet) Gone(now micro.Time, name string) {
+// MarkDrained says that a server that was leaving has closed its last connection.
+func (f *Balancer) MarkDrained(now micro.Time, name string) {
 	if m := f.byName[name]; m != nil && m.state == Draining {
 		f.enter(now, m, Down)
-		m.wait = f.cfg.ProbeFirst
+		m.wait = f.cfg.InitialProbeBackoff
 		m.probeAt = now + m.wait
 	}
 }
 
-// View is what is known of a server, for people and for other instances.
-type View struct {
-	Name    string
-	State   State
-	For     micro.Time // it has been in that state
-	Open    int
-	Limit   float64
-	P50     micro.Time // of what it served, over all classes
-	P95     micro.Time
-	Heard   micro.Time // since it last answered; -1: never
-	Back    micro.Time // since it came back; -1: not seen
-	Shut    micro.Time // it asks to be left alone for so long yet
-	Seen    int
-	Hearsay float64 // weight of what others say against it
+// EndpointStatus is what is known of a server, for people and for other instances.
+type EndpointStatus struct {
+	Name             string
+	State            State
+	InState          micro.Time // it has been in that state
+	InFlight         int
+	ConcurrencyLimit float64
+	P50              micro.Time // of what it served, over all classes
+	P95              micro.Time
+	SinceAnswer      micro.Time // since it last answered; -1: never
+	SinceRecovery    micro.Time // since it came back; -1: not seen
+	RetryAfter       micro.Time // it asks to be left alone for so long yet
+	Observed         int
+	GossipWeight     float64 // weight of what others say against it
 }
 
-// Views lists the servers in the order they came.
-func (f *Fleet) Views(now micro.Time) []View {
-	out := make([]View, 0, len(f.members))
+// Endpoints lists the servers in the order they came.
+func (f *Balancer) Endpoints(now micro.Time) []EndpointStatus {
+	out := make([]EndpointStatus, 0, len(f.members))
 	for _, m := range f.members {
-		v := View{Name: m.name, State: m.state, For: now - m.since, Open: m.open, Limit: m.limit.most, Heard: -1, Back: -1,
-			Shut: max(m.shut-now, 0), Seen: m.seen, Hearsay: f.told.Dead(now, m.name)}
+		v := EndpointStatus{Name: m.name, State: m.state, InState: now - m.since, InFlight: m.open, ConcurrencyLimit: m.limit.most, SinceAnswer: -1, SinceRecovery: -1,
+			RetryAfter: max(m.shut-now, 0), Observed: m.seen, GossipWeight: f.told.FailureWeight(now, m.name)}
 		if m.heard > 0 {
-			v.Heard = now - m.heard
+			v.SinceAnswer = now - m.heard
 		}
 		if m.born >= 0 {
-			v.Back = now - m.born
+			v.SinceRecovery = now - m.born
 		}
 		var all latency
 		for i := range m.lat {
@@ -524,19 +524,19 @@
 	return out
 }
 
-// HedgeAfter is when a second copy of a slow safe read may go out: at the quantile of what reads of its class usually
+// HedgeDelay is when a second copy of a slow safe read may go out: at the quantile of what reads of its class usually
 // take, as in J. Dean and L. Barroso, "The Tail at Scale" (2013). Never while too little is known.
-func (f *Fleet) HedgeAfter(class int, quantile float64) micro.Time {
+func (f *Balancer) HedgeDelay(class int, quantile float64) micro.Time {
 	if f.usual[class].n < 50 {
 		return micro.Never
 	}
 	return f.usual[class].quantile(quantile)
 }
 
-// Finishes tells when a try that is sent now would be done, at best; Never if no server takes it.
-func (f *Fleet) Finishes(now micro.Time, t Try) micro.Time {
+// EarliestFinish tells when a try that is sent now would be done, at best; Never if no server takes it.
+func (f *Balancer) EarliestFinish(now micro.Time, t Request) micro.Time {
 	good, all := f.candidates(now, t)
-	if f.ejected(now) > f.cfg.EjectMost {
+	if f.ejected(now) > f.cfg.MaxEjectedShare {
 		good = all
 	}
 	best := math.Inf(1)
--- a/internal/decide/fleet/fleet_test.go
+++ b/internal/decide/fleet/fleet_test.go
@@ -13,7 +13,7 @@
 
 const second = micro.Second
 
-func newFleet(t *testing.T, seed uint64, servers int) *Fleet {
+func newFleet(t *testing.T, seed uint64, servers int) *Balancer {
 	f, err := New(Config{Classes: 2}, seed)
 	require.NoError(t, err)
 	for i := range servers {
@@ -23,38 +23,38 @@
 }
 
 // try sends one to a server and has it end.
-func try(f *Fleet, now micro.Time, server string, o Outcome) {
-	c := Choice{Server: server}
-	f.Sent(now, c)
-	f.Ended(now, c, Result{Outcome: o, Took: 50 * micro.Millisecond})
+func try(f *Balancer, now micro.Time, server string, o Outcome) {
+	c := Choice{Endpoint: server}
+	f.AttemptStarted(now, c)
+	f.AttemptEnded(now, c, Result{Outcome: o, Latency: 50 * micro.Millisecond})
 }
 
-func view(f *Fleet, now micro.Time, server string) View {
-	for _, v := range f.Views(now) {
+func view(f *Balancer, now micro.Time, server string) EndpointStatus {
+	for _, v := range f.Endpoints(now) {
 		if v.Name == server {
 			return v
 		}
 	}
-	return View{}
+	return EndpointStatus{}
 }
 
 // share is the part of many picks that goes to a server; the picks are not sent.
-func share(f *Fleet, now micro.Time, server string) float64 {
+func share(f *Balancer, now micro.Time, server string) float64 {
 	n := 0
 	for range 4000 {
-		if c, ok := f.Pick(now, Try{Class: 0}); ok && c.Server == server {
+		if c, ok := f.Pick(now, Request{Class: 0}); ok && c.Endpoint == server {
 			n++
 		}
 	}
 	return float64(n) / 4000
 }
 
-var probe = Try{Safe: true, Cheap: true}
+var probe = Request{Idempotent: true, Cheap: true}
 
 func TestLifeOfAServer(t *testing.T) {
 	f, now := newFleet(t, 1, 4), 10*second
 	for i := range 4 {
-		try(f, now, fmt.Sprintf("s%d", i), Served)
+		try(f, now, fmt.Sprintf("s%d", i), Succeeded)
 	}
 	require.Equal(t, Up, view(f, now, "s0").State)
 	try(f, now, "s0", TimedOut)
@@ -65,40 +65,40 @@
 	// A probe is a safe and cheap request, one at a time, once its time has come; never an intake.
 	now += second
 	for range 50 {
-		c, ok := f.Pick(now, Try{Safe: false, Cheap: true})
+		c, ok := f.Pick(now, Request{Idempotent: false, Cheap: true})
 		require.True(t, ok)
-		require.NotEqual(t, "s0", c.Server)
+		require.NotEqual(t, "s0", c.Endpoint)
 	}
 	c, ok := f.Pick(now, probe)
 	require.True(t, ok)
 	require.Equal(t, Choice{"s0", true}, c)
-	f.Sent(now, c)
+	f.AttemptStarted(now, c)
 	c2, _ := f.Pick(now, probe)
 	require.False(t, c2.Probe)
-	f.Ended(now, c, Result{Outcome: Served, Took: 1000})
+	f.AttemptEnded(now, c, Result{Outcome: Succeeded, Latency: 1000})
 	require.Equal(t, Warming, view(f, now, "s0").State)
 	// A connection that nobody takes is proof at once.
-	try(f, now, "s1", Unreached)
+	try(f, now, "s1", ConnectFailed)
 	require.Equal(t, Down, view(f, now, "s1").State)
 	now += 20 * second
 	c, _ = f.Pick(now, probe)
 	require.Equal(t, Choice{"s1", true}, c)
-	f.Sent(now, c)
-	f.Ended(now, c, Result{Outcome: Served, Took: 1000})
+	f.AttemptStarted(now, c)
+	f.AttemptEnded(now, c, Result{Outcome: Succeeded, Latency: 1000})
 	require.Equal(t, Warming, view(f, now, "s1").State)
-	require.Zero(t, view(f, now, "s1").Back)
+	require.Zero(t, view(f, now, "s1").SinceRecovery)
 	low := share(f, now, "s1")
 	require.Less(t, low, 0.15)
 	require.Greater(t, low, 0.01)
 	now += 16 * second
-	try(f, now, "s1", Served)
+	try(f, now, "s1", Succeeded)
 	require.Equal(t, Up, view(f, now, "s1").State)
 	// A farewell ends its part; once it has closed, it is down until it answers again.
-	f.Leaves(now, "s2")
+	f.MarkDraining(now, "s2")
 	require.Zero(t, share(f, now, "s2"))
 	c, ok = f.Pick(now, probe)
-	require.True(t, ok && c.Server != "s2")
-	f.Gone(now, "s2")
+	require.True(t, ok && c.Endpoint != "s2")
+	f.MarkDrained(now, "s2")
 	require.Equal(t, Down, view(f, now, "s2").State)
 }
 
@@ -107,14 +107,14 @@
 	f, now := newFleet(t, 1, 3), 10*second
 	var gaps []micro.Time
 	last := now
-	try(f, now, "s0", Unreached)
+	try(f, now, "s0", ConnectFailed)
 	for len(gaps) < 12 {
 		now += 5 * micro.Millisecond
 		if c, ok := f.Pick(now, probe); ok && c.Probe {
 			gaps = append(gaps, now-last)
 			last = now
-			f.Sent(now, c)
-			f.Ended(now, c, Result{Outcome: Unreached})
+			f.AttemptStarted(now, c)
+			f.AttemptEnded(now, c, Result{Outcome: ConnectFailed})
 		}
 	}
 	require.Less(t, gaps[0], 400*micro.Millisecond)
@@ -127,9 +127,9 @@
 // A refusal with advice has the server left alone for so long, and no longer.
 func TestRefusalIsHeeded(t *testing.T) {
 	f, now := newFleet(t, 1, 2), 10*second
-	c := Choice{Server: "s0"}
-	f.Sent(now, c)
-	f.Ended(now, c, Result{Outcome: Refused, After: 700 * micro.Millisecond})
+	c := Choice{Endpoint: "s0"}
+	f.AttemptStarted(now, c)
+	f.AttemptEnded(now, c, Result{Outcome: Rejected, RetryAfter: 700 * micro.Millisecond})
 	require.Zero(t, share(f, now+699*micro.Millisecond, "s0"))
 	require.Positive(t, share(f, now+700*micro.Millisecond, "s0"))
 	require.Equal(t, Up, view(f, now, "s0").State, "who refuses is there")
@@ -139,14 +139,14 @@
 func TestAllRefuseAtOnce(t *testing.T) {
 	f, now := newFleet(t, 1, 12), 10*second
 	for i := range 12 {
-		c := Choice{Server: fmt.Sprintf("s%d", i)}
-		f.Sent(now, c)
-		f.Ended(now, c, Result{Outcome: Refused, After: second})
+		c := Choice{Endpoint: fmt.Sprintf("s%d", i)}
+		f.AttemptStarted(now, c)
+		f.AttemptEnded(now, c, Result{Outcome: Rejected, RetryAfter: second})
 	}
-	_, ok := f.Pick(now, Try{})
+	_, ok := f.Pick(now, Request{})
 	require.False(t, ok)
-	require.Equal(t, micro.Never, f.Finishes(now, Try{}))
-	_, ok = f.Pick(now+second, Try{})
+	require.Equal(t, micro.Never, f.EarliestFinish(now, Request{}))
+	_, ok = f.Pick(now+second, Request{})
 	require.True(t, ok)
 }
 
@@ -154,14 +154,14 @@
 func TestAllButOneDieAtOnce(t *testing.T) {
 	f, now := newFleet(t, 1, 12), 10*second
 	for i := range 12 {
-		try(f, now, fmt.Sprintf("s%d", i), Served)
+		try(f, now, fmt.Sprintf("s%d", i), Succeeded)
 	}
 	for i := range 11 {
-		try(f, now, fmt.Sprintf("s%d", i), Unreached)
+		try(f, now, fmt.Sprintf("s%d", i), ConnectFailed)
 	}
 	require.Less(t, share(f, now, "s11"), 0.5, "routing goes on among all")
 	for i := range 6 { // half are back
-		try(f, now+second, fmt.Sprintf("s%d", i), Served)
+		try(f, now+second, fmt.Sprintf("s%d", i), Succeeded)
 	}
 	require.Zero(t, share(f, now+second, "s8"), "and among the good ones once they are enough")
 }
@@ -171,8 +171,8 @@
 	f, now := newFleet(t, 1, 6), 10*second
 	for i := range 6 {
 		name := fmt.Sprintf("s%d", i)
-		try(f, now, name, Unreached)
-		try(f, now+second, name, Served)
+		try(f, now, name, ConnectFailed)
+		try(f, now+second, name, Succeeded)
 		require.Equal(t, Warming, view(f, now+second, name).State)
 	}
 	for i := range 6 {
@@ -185,20 +185,20 @@
 	f, now := newFleet(t, 1, 2), 10*second
 	for i := range 200 {
 		for name, took := range map[string]micro.Time{"s0": 20 * micro.Millisecond, "s1": 20*micro.Millisecond + micro.Time(i)*5*micro.Millisecond} {
-			c := Choice{Server: name}
+			c := Choice{Endpoint: name}
 			for range 6 { // others are open meanwhile, so that the limit is in use
-				f.Sent(now, c)
+				f.AttemptStarted(now, c)
 			}
-			f.Ended(now, c, Result{Outcome: Served, Took: took})
+			f.AttemptEnded(now, c, Result{Outcome: Succeeded, Latency: took})
 			for range 5 {
-				f.Ended(now, c, Result{Outcome: Withdrawn})
+				f.AttemptEnded(now, c, Result{Outcome: Cancelled})
 			}
 		}
 		now += 10 * micro.Millisecond
 	}
 	require.Less(t, share(f, now, "s1"), 0.3)
-	require.Less(t, view(f, now, "s1").Limit, view(f, now, "s0").Limit/1.5)
-	require.Zero(t, view(f, now, "s0").Open)
+	require.Less(t, view(f, now, "s1").ConcurrencyLimit, view(f, now, "s0").ConcurrencyLimit/1.5)
+	require.Zero(t, view(f, now, "s0").InFlight)
 }
 
 func TestQuantiles(t *testing.T) {
@@ -216,22 +216,22 @@
 
 func TestHedgeNeedsKnowledge(t *testing.T) {
 	f, now := newFleet(t, 1, 2), 10*second
-	require.Equal(t, micro.Never, f.HedgeAfter(0, 0.95))
+	require.Equal(t, micro.Never, f.HedgeDelay(0, 0.95))
 	for range 60 {
-		try(f, now, "s0", Served)
+		try(f, now, "s0", Succeeded)
 	}
-	require.InEpsilon(t, float64(50*micro.Millisecond), float64(f.HedgeAfter(0, 0.95)), 0.25)
+	require.InEpsilon(t, float64(50*micro.Millisecond), float64(f.HedgeDelay(0, 0.95)), 0.25)
 }
 
-func tell(server string, kind FactKind, age micro.Time, source string, hops int) Fact {
-	return Fact{Server: server, Kind: kind, Evidence: 10, Age: age, Source: source, Hops: hops, Value: 1000}
+func tell(server string, kind ObservationKind, age micro.Time, source string, hops int) Observation {
+	return Observation{Endpoint: server, Kind: kind, Evidence: 10, Age: age, Source: source, Hops: hops, Value: 1000}
 }
 
 // A fresh instance leaves a server alone that a running one knows dead, and tries it again once that news is stale.
 func TestAdviceOfADeadServer(t *testing.T) {
 	f, now := newFleet(t, 1, 4), 100*second
-	a := f.Heed(now, "me", Adviser{"old", 1000 * second}, []Fact{tell("s0", Dead, second, "old", 1)})
-	require.Equal(t, Advice{Taken: 1}, a)
+	a := f.ApplyGossip(now, "me", GossipSender{"old", 1000 * second}, []Observation{tell("s0", Unreachable, second, "old", 1)})
+	require.Equal(t, GossipResult{Accepted: 1}, a)
 	require.Zero(t, share(f, now, "s0"))
 	require.Positive(t, share(f, now+60*second, "s0"), "its news is stale")
 	c, ok := f.Pick(now, probe)
@@ -241,36 +241,36 @@
 	c, ok = f.Pick(now, probe)
 	require.True(t, ok)
 	require.Equal(t, Choice{"s0", true}, c, "a safe, cheap request finds out")
-	f.Sent(now, c)
-	f.Ended(now, c, Result{Outcome: Served, Took: 1000})
+	f.AttemptStarted(now, c)
+	f.AttemptEnded(now, c, Result{Outcome: Succeeded, Latency: 1000})
 	require.Positive(t, share(f, now, "s0"), "own observation overrides")
 }
 
 // An adviser that has just restarted has seen little, whatever it says.
 func TestAdviserThatHasJustRestarted(t *testing.T) {
 	f, now := newFleet(t, 1, 4), 100*second
-	f.Heed(now, "me", Adviser{"young", second / 2}, []Fact{tell("s0", Dead, second/4, "young", 1), tell("s1", Dead, second/4, "other", 2)})
-	require.Less(t, f.told.Dead(now, "s0"), 0.5)
+	f.ApplyGossip(now, "me", GossipSender{"young", second / 2}, []Observation{tell("s0", Unreachable, second/4, "young", 1), tell("s1", Unreachable, second/4, "other", 2)})
+	require.Less(t, f.told.FailureWeight(now, "s0"), 0.5)
 	require.Positive(t, share(f, now, "s0"))
 	require.Positive(t, share(f, now, "s1"), "nor does its hearsay weigh more")
-	a := f.Heed(now, "me", Adviser{"young", second}, []Fact{tell("s2", Dead, 30*second, "young", 1)})
-	require.Equal(t, 1, a.Faulty, "it cannot have seen what was before its start")
+	a := f.ApplyGossip(now, "me", GossipSender{"young", second}, []Observation{tell("s2", Unreachable, 30*second, "young", 1)})
+	require.Equal(t, 1, a.Invalid, "it cannot have seen what was before its start")
 	require.ErrorContains(t, a.Err, "30s")
 }
 
 // Two instances that repeat each other's hearsay do not make it stronger, nor younger.
 func TestHearsayDoesNotGrow(t *testing.T) {
 	a, b, now := newFleet(t, 1, 2), newFleet(t, 2, 2), 100*second
-	a.Heed(now, "a", Adviser{"old", 1000 * second}, []Fact{tell("s0", Dead, 0, "old", 1)})
-	first := a.told.Dead(now, "s0")
+	a.ApplyGossip(now, "a", GossipSender{"old", 1000 * second}, []Observation{tell("s0", Unreachable, 0, "old", 1)})
+	first := a.told.FailureWeight(now, "s0")
 	last := first
 	for range 30 {
 		now += second / 2
-		b.Heed(now, "b", Adviser{"a", 500 * second}, a.Tell(now, "a", 100))
-		a.Heed(now, "a", Adviser{"b", 500 * second}, b.Tell(now, "b", 100))
-		require.LessOrEqual(t, a.told.Dead(now, "s0"), last)
-		require.Less(t, b.told.Dead(now, "s0"), a.told.Dead(now, "s0"))
-		last = a.told.Dead(now, "s0")
+		b.ApplyGossip(now, "b", GossipSender{"a", 500 * second}, a.ComposeGossip(now, "a", 100))
+		a.ApplyGossip(now, "a", GossipSender{"b", 500 * second}, b.ComposeGossip(now, "b", 100))
+		require.LessOrEqual(t, a.told.FailureWeight(now, "s0"), last)
+		require.Less(t, b.told.FailureWeight(now, "s0"), a.told.FailureWeight(now, "s0"))
+		last = a.told.FailureWeight(now, "s0")
 	}
 	require.InEpsilon(t, first*math.Exp2(-1.5), last, 0.01, "it fades as if it had been told once")
 	require.Equal(t, 1, a.told.Len())
@@ -280,85 +280,85 @@
 func TestNewsOlderThanTheReturn(t *testing.T) {
 	for _, backFirst := range []bool{true, false} {
 		f, now := newFleet(t, 1, 3), 100*second
-		facts := []Fact{tell("s0", Back, 2*second, "x", 1), tell("s0", Dead, 5*second, "y", 1)}
+		facts := []Observation{tell("s0", Recovered, 2*second, "x", 1), tell("s0", Unreachable, 5*second, "y", 1)}
 		if !backFirst {
 			facts[0], facts[1] = facts[1], facts[0]
 		}
-		f.Heed(now, "me", Adviser{"x", 1000 * second}, facts)
-		require.Zero(t, f.told.Dead(now, "s0"))
-		f.Heed(now, "me", Adviser{"x", 1000 * second}, []Fact{tell("s0", Dead, second, "y", 1)})
-		require.Positive(t, f.told.Dead(now, "s0"), "it has died again since")
+		f.ApplyGossip(now, "me", GossipSender{"x", 1000 * second}, facts)
+		require.Zero(t, f.told.FailureWeight(now, "s0"))
+		f.ApplyGossip(now, "me", GossipSender{"x", 1000 * second}, []Observation{tell("s0", Unreachable, second, "y", 1)})
+		require.Positive(t, f.told.FailureWeight(now, "s0"), "it has died again since")
 	}
 	f, now := newFleet(t, 1, 3), 100*second // our own sight of it
-	try(f, now-10*second, "s0", Unreached)
-	try(f, now-3*second, "s0", Served)
-	a := f.Heed(now, "me", Adviser{"x", 1000 * second}, []Fact{tell("s0", Dead, 5*second, "x", 1)})
-	require.Equal(t, Advice{Stale: 1}, a)
+	try(f, now-10*second, "s0", ConnectFailed)
+	try(f, now-3*second, "s0", Succeeded)
+	a := f.ApplyGossip(now, "me", GossipSender{"x", 1000 * second}, []Observation{tell("s0", Unreachable, 5*second, "x", 1)})
+	require.Equal(t, GossipResult{Stale: 1}, a)
 }
 
 // A server that is bad for one instance only stays in use by those that see it themselves.
 func TestBadLinkOfOneInstance(t *testing.T) {
 	f, now := newFleet(t, 1, 4), 100*second
 	for i := range 4 {
-		try(f, now, fmt.Sprintf("s%d", i), Served)
+		try(f, now, fmt.Sprintf("s%d", i), Succeeded)
 	}
-	f.Heed(now, "me", Adviser{"x", 1000 * second}, []Fact{tell("s0", Dead, 0, "x", 1), tell("s0", Slow, 0, "x", 1)})
+	f.ApplyGossip(now, "me", GossipSender{"x", 1000 * second}, []Observation{tell("s0", Unreachable, 0, "x", 1), tell("s0", TypicalLatency, 0, "x", 1)})
 	require.InDelta(t, 0.25, share(f, now, "s0"), 0.05)
 	// And a fresh one weighs it against those that see it well.
 	g := newFleet(t, 2, 4)
-	g.Heed(now, "me", Adviser{"x", 1000 * second}, []Fact{tell("s0", Dead, 0, "x", 1)})
-	g.Heed(now, "me", Adviser{"y", 1000 * second}, f.Tell(now, "y", 100))
-	try(f, now, "s0", Served)
-	g.Heed(now, "me", Adviser{"z", 1000 * second}, []Fact{tell("s0", Alive, 0, "z", 1)})
+	g.ApplyGossip(now, "me", GossipSender{"x", 1000 * second}, []Observation{tell("s0", Unreachable, 0, "x", 1)})
+	g.ApplyGossip(now, "me", GossipSender{"y", 1000 * second}, f.ComposeGossip(now, "y", 100))
+	try(f, now, "s0", Succeeded)
+	g.ApplyGossip(now, "me", GossipSender{"z", 1000 * second}, []Observation{tell("s0", Reachable, 0, "z", 1)})
 	require.Positive(t, share(g, now, "s0"))
 }
 
 // What lies out of bounds is refused, and nothing grows.
 func TestFaultyAdvice(t *testing.T) {
 	f, now := newFleet(t, 1, 4), 100*second
-	good := tell("s0", Dead, second, "x", 1)
-	for name, spoil := range map[string]func(*Fact){
-		"age": func(x *Fact) { x.Age = -1 }, "old": func(x *Fact) { x.Age = MaxAge + 1 }, "kind": func(x *Fact) { x.Kind = 99 },
-		"no kind": func(x *Fact) { x.Kind = 0 }, "hops": func(x *Fact) { x.Hops = 99 }, "below": func(x *Fact) { x.Hops = -1 },
-		"evidence": func(x *Fact) { x.Evidence = math.NaN() }, "endless": func(x *Fact) { x.Evidence = math.Inf(1) }, "none": func(x *Fact) { x.Evidence = 0 },
-		"name": func(x *Fact) { x.Server = "" }, "long": func(x *Fact) { x.Source = string(make([]byte, 65)) },
-		"value": func(x *Fact) { x.Kind, x.Value = Slow, math.Inf(1) }, "own at one hand": func(x *Fact) { x.Hops = 0 },
+	good := tell("s0", Unreachable, second, "x", 1)
+	for name, spoil := range map[string]func(*Observation){
+		"age": func(x *Observation) { x.Age = -1 }, "old": func(x *Observation) { x.Age = MaxAge + 1 }, "kind": func(x *Observation) { x.Kind = 99 },
+		"no kind": func(x *Observation) { x.Kind = 0 }, "hops": func(x *Observation) { x.Hops = 99 }, "below": func(x *Observation) { x.Hops = -1 },
+		"evidence": func(x *Observation) { x.Evidence = math.NaN() }, "endless": func(x *Observation) { x.Evidence = math.Inf(1) }, "none": func(x *Observation) { x.Evidence = 0 },
+		"name": func(x *Observation) { x.Endpoint = "" }, "long": func(x *Observation) { x.Source = string(make([]byte, 65)) },
+		"value": func(x *Observation) { x.Kind, x.Value = TypicalLatency, math.Inf(1) }, "own at one hand": func(x *Observation) { x.Hops = 0 },
 	} {
 		x := good
 		spoil(&x)
-		a := f.Heed(now, "me", Adviser{"x", 1000 * second}, []Fact{x})
-		require.Equal(t, 1, a.Faulty, name)
+		a := f.ApplyGossip(now, "me", GossipSender{"x", 1000 * second}, []Observation{x})
+		require.Equal(t, 1, a.Invalid, name)
 		require.Error(t, a.Err, name)
 	}
-	require.Equal(t, 1, f.Heed(now, "me", Adviser{"x", -1}, []Fact{good}).Faulty)
-	var many []Fact
+	require.Equal(t, 1, f.ApplyGossip(now, "me", GossipSender{"x", -1}, []Observation{good}).Invalid)
+	var many []Observation
 	for i := range 100_000 {
-		many = append(many, tell(fmt.Sprintf("s%d", i%1000), Dead, second, fmt.Sprintf("z%d", i), 2))
+		many = append(many, tell(fmt.Sprintf("s%d", i%1000), Unreachable, second, fmt.Sprintf("z%d", i), 2))
 	}
-	a := f.Heed(now, "me", Adviser{"x", 1000 * second}, many)
+	a := f.ApplyGossip(now, "me", GossipSender{"x", 1000 * second}, many)
 	require.Equal(t, 100_000-400, a.Ignored)
 	require.LessOrEqual(t, f.told.Len(), 4*sourcesMost)
 	f.Remove("s0")
-	f.Sweep(now)
-	require.Empty(t, f.told.of("s0", Dead))
-	f.Sweep(now + 2*MaxAge)
+	f.ExpireGossip(now)
+	require.Empty(t, f.told.of("s0", Unreachable))
+	f.ExpireGossip(now + 2*MaxAge)
 	require.Zero(t, f.told.Len())
 }
 
 // A snapshot stays as it is while the loop goes on.
 func TestSnapshotStays(t *testing.T) {
 	f, now := newFleet(t, 1, 2), 100*second
-	f.Heed(now, "me", Adviser{"x", 1000 * second}, []Fact{tell("s0", Dead, 0, "x", 1)})
-	before := f.Told()
-	f.Heed(now, "me", Adviser{"x", 1000 * second}, []Fact{tell("s1", Dead, 0, "x", 1)})
-	require.Equal(t, []int{1, 2}, []int{before.Len(), f.Told().Len()})
+	f.ApplyGossip(now, "me", GossipSender{"x", 1000 * second}, []Observation{tell("s0", Unreachable, 0, "x", 1)})
+	before := f.GossipSnapshot()
+	f.ApplyGossip(now, "me", GossipSender{"x", 1000 * second}, []Observation{tell("s1", Unreachable, 0, "x", 1)})
+	require.Equal(t, []int{1, 2}, []int{before.Len(), f.GossipSnapshot().Len()})
 }
 
 func TestConfigIsChecked(t *testing.T) {
-	for name, c := range map[string]Config{"classes": {}, "suspect_after": {Classes: 1, SuspectTry: 9}, "probe_first": {Classes: 1, ProbeFirst: -1},
-		"warm_from": {Classes: 1, WarmFrom: 2}, "eject_most": {Classes: 1, EjectMost: 1}, "limit_first": {Classes: 1, LimitFirst: 999},
-		"hearsay_keep": {Classes: 1, HearsayKeep: 1}} {
-		require.ErrorContains(t, c.Check(), name)
+	for name, c := range map[string]Config{"classes": {}, "suspect_after": {Classes: 1, SuspectAfterFailures: 9}, "probe_first": {Classes: 1, InitialProbeBackoff: -1},
+		"warm_from": {Classes: 1, SlowStartShare: 2}, "eject_most": {Classes: 1, MaxEjectedShare: 1}, "limit_first": {Classes: 1, InitialConcurrency: 999},
+		"hearsay_keep": {Classes: 1, GossipHopFactor: 1}} {
+		require.ErrorContains(t, c.Validate(), name)
 	}
 }
 
@@ -379,39 +379,39 @@
 			now += micro.Time(rapid.IntRange(0, 500_000).Draw(t, "wait"))
 			switch rapid.IntRange(0, 4).Draw(t, "what") {
 			case 0, 1:
-				q := Try{Safe: rapid.Bool().Draw(t, "safe"), Cheap: true}
+				q := Request{Idempotent: rapid.Bool().Draw(t, "safe"), Cheap: true}
 				c, ok := a.Pick(now, q)
 				d, ok2 := b.Pick(now, q)
 				require.Equal(t, []any{c, ok}, []any{d, ok2})
 				if !ok {
 					continue
 				}
-				v := view(a, now, c.Server)
+				v := view(a, now, c.Endpoint)
 				require.NotEqual(t, Draining, v.State)
-				require.False(t, c.Probe && !q.Safe)
-				require.Zero(t, v.Shut*micro.Time(len(c.Server)))
-				require.True(t, c.Probe || open[c.Server] == 0 || float64(open[c.Server]) < v.Limit)
-				a.Sent(now, c)
-				b.Sent(now, c)
-				open[c.Server]++
+				require.False(t, c.Probe && !q.Idempotent)
+				require.Zero(t, v.RetryAfter*micro.Time(len(c.Endpoint)))
+				require.True(t, c.Probe || open[c.Endpoint] == 0 || float64(open[c.Endpoint]) < v.ConcurrencyLimit)
+				a.AttemptStarted(now, c)
+				b.AttemptStarted(now, c)
+				open[c.Endpoint]++
 				out = append(out, c)
 			case 2, 3:
 				if len(out) == 0 {
 					continue
 				}
 				i := rapid.IntRange(0, len(out)-1).Draw(t, "which")
-				r := Result{Outcome: Outcome(rapid.IntRange(0, int(Withdrawn)).Draw(t, "outcome")), Took: 1000, After: 200_000}
-				a.Ended(now, out[i], r)
-				b.Ended(now, out[i], r)
-				open[out[i].Server]--
+				r := Result{Outcome: Outcome(rapid.IntRange(0, int(Cancelled)).Draw(t, "outcome")), Latency: 1000, RetryAfter: 200_000}
+				a.AttemptEnded(now, out[i], r)
+				b.AttemptEnded(now, out[i], r)
+				open[out[i].Endpoint]--
 				out = append(out[:i], out[i+1:]...)
 			default:
 				name := fmt.Sprint(rapid.IntRange(0, 3).Draw(t, "server"))
-				a.Leaves(now, name)
-				b.Leaves(now, name)
+				a.MarkDraining(now, name)
+				b.MarkDraining(now, name)
 			}
 			for name, n := range open {
-				require.Equal(t, n, view(a, now, name).Open)
+				require.Equal(t, n, view(a, now, name).InFlight)
 			}
 		}
 	})
@@ -422,43 +422,43 @@
 func TestSilenceIsNoticed(t *testing.T) {
 	f, now := newFleet(t, 1, 4), 10*second
 	for i := range 200 {
-		try(f, now, fmt.Sprintf("s%d", i%4), Served)
+		try(f, now, fmt.Sprintf("s%d", i%4), Succeeded)
 	}
-	patience := f.Patience()
+	patience := f.SilenceTimeout()
 	require.Equal(t, 300*micro.Millisecond, patience)
-	f.Sent(now, Choice{Server: "s0"})
-	f.Sent(now, Choice{Server: "s1"})
+	f.AttemptStarted(now, Choice{Endpoint: "s0"})
+	f.AttemptStarted(now, Choice{Endpoint: "s1"})
 	now += patience - 1
-	f.Ended(now, Choice{Server: "s1"}, Result{Outcome: Served, Took: patience})
-	f.Sent(now, Choice{Server: "s1"})
+	f.AttemptEnded(now, Choice{Endpoint: "s1"}, Result{Outcome: Succeeded, Latency: patience})
+	f.AttemptStarted(now, Choice{Endpoint: "s1"})
 	require.Positive(t, share(f, now, "s0"))
 	now += 2
-	f.Pick(now, Try{})
+	f.Pick(now, Request{})
 	require.Equal(t, Suspect, view(f, now, "s0").State)
 	require.Equal(t, Up, view(f, now, "s1").State)
 	now += second
 	c, ok := f.Pick(now, probe)
-	require.True(t, ok && c.Probe && c.Server == "s0", "its stuck try is no bar to a probe")
+	require.True(t, ok && c.Probe && c.Endpoint == "s0", "its stuck try is no bar to a probe")
 }
 
 // One slow answer does not keep a server out for good.
 func TestPeaksFade(t *testing.T) {
 	f, now := newFleet(t, 1, 4), 10*second
 	for i := range 200 {
-		try(f, now, fmt.Sprintf("s%d", i%4), Served)
+		try(f, now, fmt.Sprintf("s%d", i%4), Succeeded)
 	}
-	f.Sent(now, Choice{Server: "s0"})
-	f.Ended(now, Choice{Server: "s0"}, Result{Outcome: Served, Took: 2 * second})
+	f.AttemptStarted(now, Choice{Endpoint: "s0"})
+	f.AttemptEnded(now, Choice{Endpoint: "s0"}, Result{Outcome: Succeeded, Latency: 2 * second})
 	require.Less(t, share(f, now, "s0"), 0.02)
 	n := 0
 	for range 4000 {
-		if c, ok := f.Pick(now, Try{Safe: true}); ok && c.Server == "s0" {
+		if c, ok := f.Pick(now, Request{Idempotent: true}); ok && c.Endpoint == "s0" {
 			n++
 		}
 	}
 	require.Greater(t, n, 12, "a safe request now and then finds out")
 	for i := 1; i < 4; i++ {
-		try(f, now+20*second, fmt.Sprintf("s%d", i), Served)
+		try(f, now+20*second, fmt.Sprintf("s%d", i), Succeeded)
 	}
 	require.Less(t, f.expected(now+30*second, f.byName["s0"], 0), f.expected(now, f.byName["s0"], 0)/5)
 }
