--- a/internal/decide/fleet/knowledge.go
+++ b/internal/decide/fleet/knowledge.go
@@ -11,26 +11,26 @@
 	"pewterline/internal/micro"
 )
 
-// FactKind is what a fact is about.
-type FactKind uint8
+// ObservationKind is what a fact is about.
+type ObservationKind uint8
 
 // The kinds of fact.
 const (
-	Dead  FactKind = iota + 1 // tries there came to nothing
-	Alive                     // it answered
-	Slow                      // Value: microseconds that a request takes there
-	Back                      // it came back: what is older is of a life that has ended
+	Unreachable    ObservationKind = iota + 1 // tries there came to nothing
+	Reachable                                 // it answered
+	TypicalLatency                            // Value: microseconds that a request takes there
+	Recovered                                 // it came back: what is older is of a life that has ended
 	kindsEnd
 )
 
 // halfLife is after how long a fact of each kind weighs half.
-var halfLife = [kindsEnd]micro.Time{Dead: 10 * micro.Second, Alive: 10 * micro.Second, Slow: 20 * micro.Second, Back: 120 * micro.Second}
+var halfLife = [kindsEnd]micro.Time{Unreachable: 10 * micro.Second, Reachable: 10 * micro.Second, TypicalLatency: 20 * micro.Second, Recovered: 120 * micro.Second}
 
-// Fact is what somebody has seen of a server. It goes from instance to instance with its age, never with a time:
+// Observation is what somebody has seen of a server. It goes from instance to instance with its age, never with a time:
 // clocks disagree.
-type Fact struct {
-	Server   string
-	Kind     FactKind
+type Observation struct {
+	Endpoint string
+	Kind     ObservationKind
 	Value    float64
 	Evidence float64    // observations behind it
 	Age      micro.Time // since it was observed
@@ -38,8 +38,8 @@
 	Hops     int        // hands that it went through since
 }
 
-// Adviser is who tells facts.
-type Adviser struct {
+// GossipSender is who tells facts.
+type GossipSender struct {
 	Name   string
 	Uptime micro.Time // what it says cannot rest on more than it can have seen
 }
@@ -60,9 +60,9 @@
 	suspectEvidence = 4
 )
 
-// Knowledge is what others have told. It is a value: a copy is a snapshot that stays as it is, while the loop goes on
+// GossipTable is what others have told. It is a value: a copy is a snapshot that stays as it is, while the loop goes on
 // with its own (the map below is persistent).
-type Knowledge struct {
+type GossipTable struct {
 	keep  float64
 	facts *immutable.SortedMap[factKey, held]
 }
@@ -71,7 +71,7 @@
 // hands stays one observation.
 type factKey struct {
 	server string
-	kind   FactKind
+	kind   ObservationKind
 	source string
 }
 
@@ -83,23 +83,23 @@
 
 // held is a fact with the time, on our own clock, of its observation.
 type held struct {
-	fact Fact
+	fact Observation
 	at   micro.Time
 }
 
-// NewKnowledge returns an empty one; keep is the part of its weight that a fact keeps from hand to hand.
-func NewKnowledge(keep float64) Knowledge {
-	return Knowledge{keep: keep, facts: immutable.NewSortedMap[factKey, held](keyOrder{})}
+// NewGossipTable returns an empty one; keep is the part of its weight that a fact keeps from hand to hand.
+func NewGossipTable(keep float64) GossipTable {
+	return GossipTable{keep: keep, facts: immutable.NewSortedMap[factKey, held](keyOrder{})}
 }
 
 // Len counts the facts.
-func (k Knowledge) Len() int { return k.facts.Len() }
+func (k GossipTable) Len() int { return k.facts.Len() }
 
-// CheckFact tells why a fact cannot be taken; nil if it can.
-func CheckFact(f Fact) error {
+// ValidateObservation tells why a fact cannot be taken; nil if it can.
+func ValidateObservation(f Observation) error {
 	switch {
-	case f.Server == "" || len(f.Server) > nameMost:
-		return fmt.Errorf("fleet: fact: server: a name of %d bytes", len(f.Server))
+	case f.Endpoint == "" || len(f.Endpoint) > nameMost:
+		return fmt.Errorf("fleet: fact: server: a name of %d bytes", len(f.Endpoint))
 	case f.Source == "" || len(f.Source) > nameMost:
 		return fmt.Errorf("fleet: fact: source: a name of %d bytes", len(f.Source))
 	case f.Kind == 0 || f.Kind >= kindsEnd:
@@ -110,19 +110,19 @@
 		return fmt.Errorf("fleet: fact: hops: %d is not within 0 to %d", f.Hops, MaxHops)
 	case !(f.Evidence > 0) || math.IsInf(f.Evidence, 0):
 		return fmt.Errorf("fleet: fact: evidence: %v is not over 0", f.Evidence)
-	case f.Kind == Slow && !(f.Value > 0 && f.Value <= slowMost):
+	case f.Kind == TypicalLatency && !(f.Value > 0 && f.Value <= slowMost):
 		return fmt.Errorf("fleet: fact: value: %v is not within 0 to %v", f.Value, slowMost)
 	}
 	return nil
 }
 
 // weight is what a fact counts now: its evidence, halved with each half-life of its kind, and discounted by hearsay.
-func (k Knowledge) weight(now micro.Time, h held) float64 {
+func (k GossipTable) weight(now micro.Time, h held) float64 {
 	return h.fact.Evidence * math.Exp2(-float64(now-h.at)/float64(halfLife[h.fact.Kind])) * math.Pow(k.keep, float64(h.fact.Hops))
 }
 
 // of lists the facts of a kind about a server.
-func (k Knowledge) of(server string, kind FactKind) (out []held) {
+func (k GossipTable) of(server string, kind ObservationKind) (out []held) {
 	it := k.facts.Iterator()
 	it.Seek(factKey{server: server, kind: kind})
 	for !it.Done() {
@@ -135,17 +135,17 @@
 	return out
 }
 
-// Dead is the weight of what speaks against a server, less what has spoken for it since; never below 0.
-func (k Knowledge) Dead(now micro.Time, server string) float64 {
+// FailureWeight is the weight of what speaks against a server, less what has spoken for it since; never below 0.
+func (k GossipTable) FailureWeight(now micro.Time, server string) float64 {
 	sum, last := 0.0, micro.Time(-1)
-	for _, h := range k.of(server, Dead) {
+	for _, h := range k.of(server, Unreachable) {
 		sum += k.weight(now, h)
 		last = max(last, h.at)
 	}
 	if sum == 0 {
 		return 0
 	}
-	for _, h := range k.of(server, Alive) {
+	for _, h := range k.of(server, Reachable) {
 		if h.at > last-together { // who heard it well before it died does not know better
 			sum -= k.weight(now, h)
 		}
@@ -154,9 +154,9 @@
 }
 
 // Latency is what requests are said to take at a server, in microseconds: the mean of the sources by their weight.
-func (k Knowledge) Latency(now micro.Time, server string) (float64, bool) {
+func (k GossipTable) Latency(now micro.Time, server string) (float64, bool) {
 	sum, weights := 0.0, 0.0
-	for _, h := range k.of(server, Slow) {
+	for _, h := range k.of(server, TypicalLatency) {
 		w := k.weight(now, h)
 		sum += w * h.fact.Value
 		weights += w
@@ -165,9 +165,9 @@
 }
 
 // backAt is when a server last came back, as far as anybody has told; -1: never.
-func (k Knowledge) backAt(server string) micro.Time {
+func (k GossipTable) backAt(server string) micro.Time {
 	at := micro.Time(-1)
-	for _, h := range k.of(server, Back) {
+	for _, h := range k.of(server, Recovered) {
 		at = max(at, h.at)
 	}
 	return at
@@ -175,59 +175,59 @@
 
 // take adds a fact that has passed its checks, or leaves it where something newer is known. It returns the new
 // knowledge.
-func (k Knowledge) take(now micro.Time, f Fact) (Knowledge, bool) {
+func (k GossipTable) take(now micro.Time, f Observation) (GossipTable, bool) {
 	h := held{f, now - f.Age}
 	// News about an earlier life of a server is none: what was seen before it came back has ended with that life.
-	if f.Kind != Back && h.at < k.backAt(f.Server) {
+	if f.Kind != Recovered && h.at < k.backAt(f.Endpoint) {
 		return k, false
 	}
-	key := factKey{f.Server, f.Kind, f.Source}
+	key := factKey{f.Endpoint, f.Kind, f.Source}
 	if old, ok := k.facts.Get(key); ok && (old.at > h.at || old.at == h.at && old.fact.Hops <= f.Hops) {
 		return k, false
 	}
 	k.facts = k.facts.Set(key, h)
-	if f.Kind == Back {
-		for _, kind := range []FactKind{Dead, Alive, Slow} {
-			for _, o := range k.of(f.Server, kind) {
+	if f.Kind == Recovered {
+		for _, kind := range []ObservationKind{Unreachable, Reachable, TypicalLatency} {
+			for _, o := range k.of(f.Endpoint, kind) {
 				if o.at < h.at {
-					k.facts = k.facts.Delete(factKey{f.Server, kind, o.fact.Source})
+					k.facts = k.facts.Delete(factKey{f.Endpoint, kind, o.fact.Source})
 				}
 			}
 		}
 	}
 	// The lightest goes where a server has too many.
-	if all := k.of(f.Server, f.Kind); len(all) > sourcesMost {
+	if all := k.of(f.Endpoint, f.Kind); len(all) > sourcesMost {
 		least := slices.MinFunc(all, func(a, b held) int { return cmp.Compare(k.weight(now, a), k.weight(now, b)) })
-		k.facts = k.facts.Delete(factKey{f.Server, f.Kind, least.fact.Source})
+		k.facts = k.facts.Delete(factKey{f.Endpoint, f.Kind, least.fact.Source})
 	}
 	return k, true
 }
 
 // forget drops what about nothing can be told any more, and what is about a server that is not there.
-func (k Knowledge) forget(now micro.Time, known func(string) bool) Knowledge {
+func (k GossipTable) forget(now micro.Time, known func(string) bool) GossipTable {
 	for it := k.facts.Iterator(); !it.Done(); {
 		key, h, _ := it.Next()
-		if now-h.at > MaxAge || !known(key.server) || k.weight(now, h) < 0.001 && key.kind != Back {
+		if now-h.at > MaxAge || !known(key.server) || k.weight(now, h) < 0.001 && key.kind != Recovered {
 			k.facts = k.facts.Delete(key)
 		}
 	}
 	return k
 }
 
-// Advice is the outcome of Heed.
-type Advice struct {
-	Taken   int
-	Stale   int // older than what is known, or of an earlier life
-	Ignored int // about servers that are not in our list, or our own words
-	Faulty  int
-	Err     error // the first fault
+// GossipResult is the outcome of Heed.
+type GossipResult struct {
+	Accepted int
+	Stale    int // older than what is known, or of an earlier life
+	Ignored  int // about servers that are not in our list, or our own words
+	Invalid  int
+	Err      error // the first fault
 }
 
-// Heed takes what another instance tells. Own observation goes before it everywhere: what is told counts only for
+// ApplyGossip takes what another instance tells. Own observation goes before it everywhere: what is told counts only for
 // servers that this instance has not tried itself. self is our own name, whose words come back to us.
-func (f *Fleet) Heed(now micro.Time, self string, from Adviser, facts []Fact) (a Advice) {
+func (f *Balancer) ApplyGossip(now micro.Time, self string, from GossipSender, facts []Observation) (a GossipResult) {
 	fault := func(err error) {
-		a.Faulty++
+		a.Invalid++
 		if a.Err == nil {
 			a.Err = err
 		}
@@ -239,7 +239,7 @@
 	// An adviser that has just started has seen little, whatever it says, and its hearsay rests on no more.
 	most := min(maxEvidence, evidencePerSecond*from.Uptime.Duration().Seconds())
 	for _, x := range facts {
-		switch err := CheckFact(x); {
+		switch err := ValidateObservation(x); {
 		case err != nil:
 			fault(err)
 			continue
@@ -247,13 +247,13 @@
 			fault(fmt.Errorf("fleet: fact: %s tells of %v ago and is up for %v", from.Name, x.Age.Duration(), from.Uptime.Duration()))
 			continue
 		}
-		m := f.byName[x.Server]
+		m := f.byName[x.Endpoint]
 		if m == nil || x.Source == self {
 			a.Ignored++
 			continue
 		}
 		// Our own sight of its return goes before older news.
-		if x.Kind != Back && m.born >= 0 && now-x.Age < m.born {
+		if x.Kind != Recovered && m.born >= 0 && now-x.Age < m.born {
 			a.Stale++
 			continue
 		}
@@ -267,42 +267,42 @@
 			continue
 		}
 		f.told = next
-		a.Taken++
+		a.Accepted++
 		// Whoever told will find out when it is back; we look ourselves after a while, each instance at a time of its own.
-		if x.Kind == Dead && m.state == Fresh && m.probeAt <= now {
-			m.probeAt = now + f.cfg.ProbeMost/2 + micro.Time(f.rng.Int64N(int64(f.cfg.ProbeMost)))
+		if x.Kind == Unreachable && m.state == Unobserved && m.probeAt <= now {
+			m.probeAt = now + f.cfg.MaxProbeBackoff/2 + micro.Time(f.rng.Int64N(int64(f.cfg.MaxProbeBackoff)))
 		}
 	}
 	return a
 }
 
-// Tell is what this instance tells another: what it has seen itself, then what it was told, one hand further. The
+// ComposeGossip is what this instance tells another: what it has seen itself, then what it was told, one hand further. The
 // strongest facts come first where most bounds them.
-func (f *Fleet) Tell(now micro.Time, self string, most int) []Fact {
-	var own []Fact
+func (f *Balancer) ComposeGossip(now micro.Time, self string, most int) []Observation {
+	var own []Observation
 	for _, m := range f.members {
-		add := func(kind FactKind, value, evidence float64, at micro.Time) {
+		add := func(kind ObservationKind, value, evidence float64, at micro.Time) {
 			if evidence > 0 && now-at <= MaxAge {
-				own = append(own, Fact{Server: m.name, Kind: kind, Value: value, Evidence: min(evidence, maxEvidence), Age: now - at, Source: self, Hops: 1})
+				own = append(own, Observation{Endpoint: m.name, Kind: kind, Value: value, Evidence: min(evidence, maxEvidence), Age: now - at, Source: self, Hops: 1})
 			}
 		}
 		switch m.state {
 		case Down:
-			add(Dead, 0, max(deadEvidence, float64(m.failed)), m.failAt)
+			add(Unreachable, 0, max(deadEvidence, float64(m.failed)), m.failAt)
 		case Suspect:
-			add(Dead, 0, max(suspectEvidence, float64(m.failed)), m.failAt)
+			add(Unreachable, 0, max(suspectEvidence, float64(m.failed)), m.failAt)
 		case Up, Warming:
-			add(Alive, 0, float64(min(m.seen, 10)), m.heard)
+			add(Reachable, 0, float64(min(m.seen, 10)), m.heard)
 		}
 		if m.born >= 0 {
-			add(Back, 0, 1, m.born)
+			add(Recovered, 0, 1, m.born)
 		}
 		var all latency
 		for i := range m.lat {
 			all.merge(m.lat[i])
 		}
 		if all.n >= 5 && m.heard > 0 {
-			add(Slow, float64(all.quantile(0.5)), float64(min(all.n, 20))/2, m.heard)
+			add(TypicalLatency, float64(all.quantile(0.5)), float64(min(all.n, 20))/2, m.heard)
 		}
 	}
 	var others []held
@@ -321,10 +321,10 @@
 	return own[:min(len(own), most)]
 }
 
-// Told is a snapshot of what others have told.
-func (f *Fleet) Told() Knowledge { return f.told }
+// GossipSnapshot is a snapshot of what others have told.
+func (f *Balancer) GossipSnapshot() GossipTable { return f.told }
 
-// Sweep forgets what has lost its weight; it is called now and then.
-func (f *Fleet) Sweep(now micro.Time) {
+// ExpireGossip forgets what has lost its weight; it is called now and then.
+func (f *Balancer) ExpireGossip(now micro.Time) {
 	f.told = f.told.forget(now, func(server string) bool { return f.byName[server] != nil })
 }
--- a/internal/decide/fleet/peers.go
+++ b/internal/decide/fleet/peers.go
@@ -8,30 +8,30 @@
 	"pewterline/internal/micro"
 )
 
-// PeersConfig are the figures of the exchange between instances. Zero values take the defaults.
-type PeersConfig struct {
-	Every     micro.Time // an instance exchanges with one other about so often
-	Patience  micro.Time // for an answer
-	FirstMost int        // peers that a fresh instance asks at once
-	FirstWait micro.Time // it serves without advice after that
-	GoneTry   int        // exchanges in a row that fail, after which a peer is taken for gone
-	Most      int        // peers that are remembered
+// PeerSchedulerConfig are the figures of the exchange between instances. Zero values take the defaults.
+type PeerSchedulerConfig struct {
+	Interval          micro.Time // an instance exchanges with one other about so often
+	Patience          micro.Time // for an answer
+	InitialPeers      int        // peers that a fresh instance asks at once
+	StartupTimeout    micro.Time // it serves without advice after that
+	DeadAfterFailures int        // exchanges in a row that fail, after which a peer is taken for gone
+	MaxPeers          int        // peers that are remembered
 }
 
-func (c *PeersConfig) defaults() {
-	c.Every = cmp.Or(c.Every, micro.Second)
+func (c *PeerSchedulerConfig) defaults() {
+	c.Interval = cmp.Or(c.Interval, micro.Second)
 	c.Patience = cmp.Or(c.Patience, 500*micro.Millisecond)
-	c.FirstMost = cmp.Or(c.FirstMost, 3)
-	c.FirstWait = cmp.Or(c.FirstWait, 200*micro.Millisecond)
-	c.GoneTry = cmp.Or(c.GoneTry, 3)
-	c.Most = cmp.Or(c.Most, 64)
+	c.InitialPeers = cmp.Or(c.InitialPeers, 3)
+	c.StartupTimeout = cmp.Or(c.StartupTimeout, 200*micro.Millisecond)
+	c.DeadAfterFailures = cmp.Or(c.DeadAfterFailures, 3)
+	c.MaxPeers = cmp.Or(c.MaxPeers, 64)
 }
 
-// Peers decides which other instances this one exchanges with, and when. Each exchange is a sign of life in both
+// PeerScheduler decides which other instances this one exchanges with, and when. Each exchange is a sign of life in both
 // directions; one that fails several times in a row is asked less and less often, and forgotten in the end unless it
 // is a seed.
-type Peers struct {
-	cfg   PeersConfig
+type PeerScheduler struct {
+	cfg   PeerSchedulerConfig
 	rng   *rand.Rand
 	list  []*peer
 	start micro.Time
@@ -50,10 +50,10 @@
 	out           bool       // an exchange is under way
 }
 
-// NewPeers returns the decisions of an instance that starts now, with the addresses of its seeds.
-func NewPeers(now micro.Time, cfg PeersConfig, seeds []string, seed uint64) *Peers {
+// NewPeerScheduler returns the decisions of an instance that starts now, with the addresses of its seeds.
+func NewPeerScheduler(now micro.Time, cfg PeerSchedulerConfig, seeds []string, seed uint64) *PeerScheduler {
 	cfg.defaults()
-	p := &Peers{cfg: cfg, rng: rand.New(rand.NewPCG(seed, 0x70656572)), start: now, next: now, ready: len(seeds) == 0}
+	p := &PeerScheduler{cfg: cfg, rng: rand.New(rand.NewPCG(seed, 0x70656572)), start: now, next: now, ready: len(seeds) == 0}
 	for _, a := range seeds {
 		p.list = append(p.list, &peer{address: a, seed: true})
 	}
@@ -62,8 +62,8 @@
 
 // Ready says that requests may be served: the first answer has come, all that were asked have failed, or it has taken
 // too long. Once ready, it stays so.
-func (p *Peers) Ready(now micro.Time) bool {
-	if p.ready || now >= p.start+p.cfg.FirstWait {
+func (p *PeerScheduler) Ready(now micro.Time) bool {
+	if p.ready || now >= p.start+p.cfg.StartupTimeout {
 		p.ready = true
 	}
 	if !p.ready && p.asked {
@@ -78,25 +78,25 @@
 	return p.ready
 }
 
-// Due is when Ask has something to tell, or Ready may change.
-func (p *Peers) Due() micro.Time {
+// NextCheck is when Ask has something to tell, or Ready may change.
+func (p *PeerScheduler) NextCheck() micro.Time {
 	if !p.ready {
-		return min(p.next, p.start+p.cfg.FirstWait)
+		return min(p.next, p.start+p.cfg.StartupTimeout)
 	}
 	return p.next
 }
 
-// Ask lists the addresses to exchange with now: up to three at first, then one now and then.
-func (p *Peers) Ask(now micro.Time) (addresses []string) {
+// NextPeers lists the addresses to exchange with now: up to three at first, then one now and then.
+func (p *PeerScheduler) NextPeers(now micro.Time) (addresses []string) {
 	p.Ready(now) // it may have waited long enough
 	if now < p.next {
 		return nil
 	}
 	// Spread, so that instances that were started together do not go on in step.
-	p.next = now + p.cfg.Every*3/4 + micro.Time(p.rng.Int64N(int64(p.cfg.Every)/2))
+	p.next = now + p.cfg.Interval*3/4 + micro.Time(p.rng.Int64N(int64(p.cfg.Interval)/2))
 	most := 1
 	if !p.asked {
-		most, p.asked = p.cfg.FirstMost, true
+		most, p.asked = p.cfg.InitialPeers, true
 	}
 	var can []*peer
 	for _, x := range p.list {
@@ -113,7 +113,7 @@
 	return addresses
 }
 
-func (p *Peers) at(address string) *peer {
+func (p *PeerScheduler) at(address string) *peer {
 	for _, x := range p.list {
 		if x.address == address {
 			return x
@@ -122,51 +122,51 @@
 	return nil
 }
 
-// Answered says that the peer at an address has told what it knows.
-func (p *Peers) Answered(now micro.Time, address, name string) {
+// ExchangeSucceeded says that the peer at an address has told what it knows.
+func (p *PeerScheduler) ExchangeSucceeded(now micro.Time, address, name string) {
 	p.ready = true
 	if x := p.at(address); x != nil {
 		x.out, x.failed, x.wait, x.not, x.heard, x.name = false, 0, 0, 0, now, name
 	}
 }
 
-// Failed says that an exchange with an address came to nothing.
-func (p *Peers) Failed(now micro.Time, address string) {
+// ExchangeFailed says that an exchange with an address came to nothing.
+func (p *PeerScheduler) ExchangeFailed(now micro.Time, address string) {
 	x := p.at(address)
 	if x == nil {
 		return
 	}
 	x.out = false
 	x.failed++
-	x.wait = min(max(2*x.wait, p.cfg.Every), 30*p.cfg.Every)
+	x.wait = min(max(2*x.wait, p.cfg.Interval), 30*p.cfg.Interval)
 	x.not = now + x.wait/2 + micro.Time(p.rng.Int64N(int64(x.wait)))
-	if x.failed >= 3*p.cfg.GoneTry && !x.seed {
+	if x.failed >= 3*p.cfg.DeadAfterFailures && !x.seed {
 		p.list = slices.DeleteFunc(p.list, func(o *peer) bool { return o == x })
 	}
 }
 
-// Heard takes up an instance that another has told of. Beyond the bound nobody is taken up.
-func (p *Peers) Heard(address, name string) {
-	if address == "" || p.at(address) != nil || len(p.list) >= p.cfg.Most {
+// AddPeer takes up an instance that another has told of. Beyond the bound nobody is taken up.
+func (p *PeerScheduler) AddPeer(address, name string) {
+	if address == "" || p.at(address) != nil || len(p.list) >= p.cfg.MaxPeers {
 		return
 	}
 	p.list = append(p.list, &peer{address: address, name: name})
 }
 
-// PeerView is one other instance, for people and for telling others of it.
-type PeerView struct {
+// PeerStatus is one other instance, for people and for telling others of it.
+type PeerStatus struct {
 	Name, Address string
 	Alive         bool
-	Heard         micro.Time // since; -1: never
+	SinceAnswer   micro.Time // since; -1: never
 }
 
-// Views lists the other instances.
-func (p *Peers) Views(now micro.Time) []PeerView {
-	var out []PeerView
+// Peers lists the other instances.
+func (p *PeerScheduler) Peers(now micro.Time) []PeerStatus {
+	var out []PeerStatus
 	for _, x := range p.list {
-		v := PeerView{Name: x.name, Address: x.address, Alive: x.heard > 0 && x.failed < p.cfg.GoneTry, Heard: -1}
+		v := PeerStatus{Name: x.name, Address: x.address, Alive: x.heard > 0 && x.failed < p.cfg.DeadAfterFailures, SinceAnswer: -1}
 		if x.heard > 0 {
-			v.Heard = now - x.heard
+			v.SinceAnswer = now - x.heard
 		}
 		out = append(out, v)
 	}
--- a/internal/decide/handover/handover.go
+++ b/internal/decide/handover/handover.go
@@ -13,7 +13,7 @@
 const (
 	Alone Role = iota // there is no other process
 	Owner
-	Asker
+	Requester
 )
 
 // State is what a process knows of a key.
@@ -21,13 +21,13 @@
 
 // The states of a key.
 const (
-	Free  State = iota // nothing
-	Asked              // tries wait here until the owner answers
-	Here               // this process holds or runs it
-	Done               // a run has ended, here or there: tries get its end
-	Away               // the other process holds or runs it: tries wait here
-	Doubt              // the other process did and is gone: it may have run
-	States
+	Free          State = iota // nothing
+	Requested                  // tries wait here until the owner answers
+	Local                      // this process holds or runs it
+	Done                       // a run has ended, here or there: tries get its end
+	Remote                     // the other process holds or runs it: tries wait here
+	Indeterminate              // the other process did and is gone: it may have run
+	StateCount
 )
 
 // Event is what happens to a key.
@@ -35,149 +35,149 @@
 
 // The events.
 const (
-	Try       Event = iota // a try is read here
-	Granted                // the owner lets this process run it
-	Began                  // the other process holds or runs it
-	Ended                  // a run of the other's has ended, well or not
-	Freed                  // the other process holds it no more, and it has not run there
-	Claimed                // the other process asks for it
-	HereEnded              // a run here has ended
-	HereFreed              // nothing is held here any more, and it has not run
-	TakeOver               // this process becomes the owner
-	HandOver               // the other process becomes the owner
-	Lost                   // the other process is gone, or cannot be reached any more
-	Events
+	Attempt         Event = iota // a try is read here
+	PeerGranted                  // the owner lets this process run it
+	PeerStarted                  // the other process holds or runs it
+	PeerFinished                 // a run of the other's has ended, well or not
+	PeerReleased                 // the other process holds it no more, and it has not run there
+	PeerClaimed                  // the other process asks for it
+	LocalFinished                // a run here has ended
+	LocalReleased                // nothing is held here any more, and it has not run
+	OwnershipTaken               // this process becomes the owner
+	OwnershipPassed              // the other process becomes the owner
+	PeerLost                     // the other process is gone, or cannot be reached any more
+	EventCount
 )
 
-// Do is what is to be done.
-type Do uint8
+// Action is what is to be done.
+type Action uint8
 
 // The actions. Park and Admit are about the try of the event, the others about the tries that wait.
 const (
-	Park Do = iota
+	Queue Action = iota
 	Admit
-	Release   // the waiting tries go to the module
-	Serve     // the waiting tries get the end of the run
-	Fail      // whether it ran is not known: so are the waiting tries answered, or the try of the event
-	Claim     // ask the owner
-	Grant     // let the other run it
-	TellBegan // tell the other that it is held or run here
-	TellEnded
-	TellFreed
+	Release       // the waiting tries go to the module
+	Serve         // the waiting tries get the end of the run
+	Fail          // whether it ran is not known: so are the waiting tries answered, or the try of the event
+	Claim         // ask the owner
+	Grant         // let the other run it
+	NotifyStarted // tell the other that it is held or run here
+	NotifyFinished
+	NotifyReleased
 )
 
 // Key is the state of one key in one process.
 type Key struct {
-	State  State
-	Wanted bool // the other process waits for its end
+	State       State
+	PeerWaiting bool // the other process waits for its end
 }
 
 // Step moves a key on. waiting says that tries of it wait here. It returns what is to be done, in that order.
-func (k *Key) Step(r Role, e Event, waiting bool) []Do {
+func (k *Key) Step(r Role, e Event, waiting bool) []Action {
 	switch e {
-	case Try:
+	case Attempt:
 		return k.try(r)
-	case Granted: // in Away: it was held there, and dropped
-		if k.State == Asked || k.State == Away {
+	case PeerGranted: // in Away: it was held there, and dropped
+		if k.State == Requested || k.State == Remote {
 			return k.admit(waiting, true)
 		}
-	case TakeOver:
-		if k.State == Asked {
+	case OwnershipTaken:
+		if k.State == Requested {
 			return k.admit(waiting, false)
 		}
-	case Began:
-		if k.State != Here && k.State != Done {
-			k.State = Away
+	case PeerStarted:
+		if k.State != Local && k.State != Done {
+			k.State = Remote
 		}
-	case Ended:
-		if k.State != Here && k.State != Done {
+	case PeerFinished:
+		if k.State != Local && k.State != Done {
 			k.State = Done
-			return []Do{Serve}
+			return []Action{Serve}
 		}
-	case Freed:
-		if k.State == Away && waiting {
-			if r == Asker {
-				k.State = Asked
-				return []Do{Claim}
+	case PeerReleased:
+		if k.State == Remote && waiting {
+			if r == Requester {
+				k.State = Requested
+				return []Action{Claim}
 			}
 			return k.admit(waiting, false)
-		} else if k.State == Away {
+		} else if k.State == Remote {
 			k.State = Free
 		}
-	case Claimed:
+	case PeerClaimed:
 		return k.claimed(r)
-	case HereEnded:
-		k.State, k.Wanted = Done, false
-		return []Do{TellEnded}
-	case HereFreed:
-		if k.Wanted {
-			k.State, k.Wanted = Away, false
-			return []Do{Grant}
+	case LocalFinished:
+		k.State, k.PeerWaiting = Done, false
+		return []Action{NotifyFinished}
+	case LocalReleased:
+		if k.PeerWaiting {
+			k.State, k.PeerWaiting = Remote, false
+			return []Action{Grant}
 		}
 		k.State = Free
-		return []Do{TellFreed}
-	case HandOver:
-		if k.State == Here {
-			return []Do{TellBegan}
+		return []Action{NotifyReleased}
+	case OwnershipPassed:
+		if k.State == Local {
+			return []Action{NotifyStarted}
 		}
-	case Lost:
+	case PeerLost:
 		return k.lost(waiting)
 	}
 	return nil
 }
 
 // admit lets the waiting tries go; without any, a key that was granted is given back.
-func (k *Key) admit(waiting, granted bool) []Do {
+func (k *Key) admit(waiting, granted bool) []Action {
 	if waiting {
-		k.State = Here
-		return []Do{Release}
+		k.State = Local
+		return []Action{Release}
 	}
 	k.State = Free
 	if granted {
-		return []Do{TellFreed}
+		return []Action{NotifyReleased}
 	}
 	return nil
 }
 
-func (k *Key) try(r Role) []Do {
+func (k *Key) try(r Role) []Action {
 	switch k.State {
 	case Free:
-		if r == Asker {
-			k.State = Asked
-			return []Do{Park, Claim}
+		if r == Requester {
+			k.State = Requested
+			return []Action{Queue, Claim}
 		}
-		k.State = Here
-		return []Do{Admit}
-	case Asked, Away:
-		return []Do{Park}
-	case Doubt:
-		return []Do{Fail}
+		k.State = Local
+		return []Action{Admit}
+	case Requested, Remote:
+		return []Action{Queue}
+	case Indeterminate:
+		return []Action{Fail}
 	}
-	return []Do{Admit}
+	return []Action{Admit}
 }
 
-func (k *Key) claimed(r Role) []Do {
+func (k *Key) claimed(r Role) []Action {
 	if r != Owner {
 		return nil // asked before it knew that it is the owner itself
 	}
 	switch k.State {
-	case Here:
-		k.Wanted = true
-		return []Do{TellBegan}
-	case Done, Doubt:
-		return []Do{TellEnded}
+	case Local:
+		k.PeerWaiting = true
+		return []Action{NotifyStarted}
+	case Done, Indeterminate:
+		return []Action{NotifyFinished}
 	}
-	k.State = Away
-	return []Do{Grant}
+	k.State = Remote
+	return []Action{Grant}
 }
 
-func (k *Key) lost(waiting bool) []Do {
-	k.Wanted = false
+func (k *Key) lost(waiting bool) []Action {
+	k.PeerWaiting = false
 	switch k.State {
-	case Away:
-		k.State = Doubt
-		return []Do{Fail}
-	case Asked: // an owner tells of a run before it begins: none has
+	case Remote:
+		k.State = Indeterminate
+		return []Action{Fail}
+	case Requested: // an owner tells of a run before it begins: none has
 		return k.admit(waiting, false)
 	}
 	return nil
--- a/internal/decide/handover/handover_test.go
+++ b/internal/decide/handover/handover_test.go
@@ -73,7 +73,7 @@
 			}
 		}
 		switch d {
-		case Park:
+		case Queue:
 			p.waiting = true
 		case Release, Serve:
 			p.waiting = false
@@ -83,15 +83,15 @@
 			say(claim)
 		case Grant:
 			say(grant)
-		case TellBegan:
+		case NotifyStarted:
 			say(began)
-		case TellEnded:
+		case NotifyFinished:
 			say(ended)
-		case TellFreed:
+		case NotifyReleased:
 			say(freed)
 		}
 	}
-	if p.key.State == Done && before == Free && e == Try {
+	if p.key.State == Done && before == Free && e == Attempt {
 		return "a try made up an end"
 	}
 	return ""
@@ -112,9 +112,9 @@
 			continue
 		}
 		if p.tries < triesMost {
-			add(who+" reads a try", func(n *world) { n.p[i].tries++; n.step(i, Try) })
+			add(who+" reads a try", func(n *world) { n.p[i].tries++; n.step(i, Attempt) })
 		}
-		if p.key.State == Here && !p.running {
+		if p.key.State == Local && !p.running {
 			add(who+" runs", func(n *world) {
 				q := &n.p[i]
 				if q.role == Owner && !n.send(1-i, began) { // told before it runs
@@ -123,16 +123,16 @@
 				q.running = true
 				n.runs = min(n.runs+1, runsAgain)
 			})
-			add(who+" drops", func(n *world) { n.step(i, HereFreed) })
+			add(who+" drops", func(n *world) { n.step(i, LocalReleased) })
 		}
 		if p.running {
-			add(who+"'s run ends", func(n *world) { n.p[i].running = false; n.step(i, HereEnded) })
+			add(who+"'s run ends", func(n *world) { n.p[i].running = false; n.step(i, LocalFinished) })
 		}
 		if i == oldP && !w.moved && p.role == Owner {
 			add("old hands over", func(n *world) {
 				n.moved = true
-				n.step(i, HandOver)
-				n.p[i].role = Asker
+				n.step(i, OwnershipPassed)
+				n.p[i].role = Requester
 				n.send(newP, yours)
 			})
 		}
@@ -157,20 +157,20 @@
 	p.n--
 	switch m {
 	case claim:
-		w.step(i, Claimed)
+		w.step(i, PeerClaimed)
 	case grant:
-		w.step(i, Granted)
+		w.step(i, PeerGranted)
 	case began:
-		w.step(i, Began)
+		w.step(i, PeerStarted)
 	case ended:
-		w.step(i, Ended)
+		w.step(i, PeerFinished)
 	case freed:
-		w.step(i, Freed)
+		w.step(i, PeerReleased)
 	case yours:
 		p.role = Owner
-		w.step(i, TakeOver)
+		w.step(i, OwnershipTaken)
 	case gone:
-		w.step(i, Lost)
+		w.step(i, PeerLost)
 		p.role = Alone
 	}
 }
@@ -181,14 +181,14 @@
 	switch {
 	case w.runs > 1:
 		return "run twice"
-	case !a.dead && !b.dead && a.key.State == Here && b.key.State == Here:
+	case !a.dead && !b.dead && a.key.State == Local && b.key.State == Local:
 		return "held or run by both"
-	case a.running && a.key.State != Here || b.running && b.key.State != Here:
+	case a.running && a.key.State != Local || b.running && b.key.State != Local:
 		return "run without being held"
 	case w.runs > 0 && a.n+b.n == 0 && (!a.dead && a.key.State == Free && !b.running || !b.dead && b.key.State == Free && !a.running):
 		return "an owner that knows nothing of a run"
 	}
-	if a.n+b.n == 0 && !a.running && !b.running && a.key.State != Here && b.key.State != Here && (a.waiting || b.waiting) {
+	if a.n+b.n == 0 && !a.running && !b.running && a.key.State != Local && b.key.State != Local && (a.waiting || b.waiting) {
 		return "a try that waits for nothing"
 	}
 	return ""
@@ -197,7 +197,7 @@
 // Guards the once-only rule and the answers across an upgrade: no order of events in two processes, with the death of either
 // at any moment, leads to a forbidden state.
 func TestAllOrders(t *testing.T) {
-	start := world{p: [2]proc{{role: Owner}, {role: Asker}}}
+	start := world{p: [2]proc{{role: Owner}, {role: Requester}}}
 	type step struct {
 		from world
 		what string
@@ -231,14 +231,14 @@
 // Every state takes every event in every role, and ends in a state.
 func TestEveryEventAtEveryState(t *testing.T) {
 	n := 0
-	for s := range States {
-		for e := range Events {
+	for s := range StateCount {
+		for e := range EventCount {
 			for i := range 12 {
-				k := Key{State: s, Wanted: i&1 != 0}
+				k := Key{State: s, PeerWaiting: i&1 != 0}
 				for _, d := range k.Step(Role(i>>1%3), e, i >= 6) {
-					require.LessOrEqual(t, d, TellFreed)
+					require.LessOrEqual(t, d, NotifyReleased)
 				}
-				require.Less(t, k.State, States)
+				require.Less(t, k.State, StateCount)
 				n++
 			}
 		}
--- a/internal/decide/ledger/ledger.go
+++ b/internal/decide/ledger/ledger.go
@@ -11,15 +11,15 @@
 
 // The states.
 const (
-	Idle      State = iota // nothing is under way
-	Asking                 // for the leave to run
-	Running                // it was handed to the worker pool, or is about to be
-	Copying                // its end is on its way to the holders
-	Uncopied               // its end is known here alone: no majority took it in time. It is tried again
-	Copied                 // a majority holds its end
-	Elsewhere              // another process has the leave; it is looked at again until somebody is owed an answer
-	Looking                // that look is under way
-	Voiding                // a leave that came to nothing is taken back
+	StateIdle        State = iota // nothing is under way
+	StateAcquiring                // for the leave to run
+	StateRunning                  // it was handed to the worker pool, or is about to be
+	StateRecording                // its end is on its way to the holders
+	StateUnrecorded               // its end is known here alone: no majority took it in time. It is tried again
+	StateRecorded                 // a majority holds its end
+	StateHeldByOther              // another process has the leave; it is looked at again until somebody is owed an answer
+	StatePolling                  // that look is under way
+	StateReleasing                // a leave that came to nothing is taken back
 	States
 )
 
@@ -28,159 +28,159 @@
 
 // The events. The first five are what a change of the register has come to.
 const (
-	Granted  Event = iota // the leave is here
-	Found                 // a run's result is agreed on
-	FoundBad              // so is it that a run has failed
-	Other                 // another process has the leave, or had it when it died
-	NoAnswer              // no majority answered in time, or too much is under way here
-	Nothing               // looked, and nothing is agreed on, or not any more
-	Lost                  // the register has moved on: this process' run is of a window that is over
-	Try                   // a try is to run
-	Late                  // the leave came when nobody waited any more
-	Passed                // the run has ended well
-	Failed                // it has ended, and not well
-	Unbegun               // it was never begun: the worker pool did not take it
-	Again                 // the time to look again
-	Due                   // whoever waits is owed an answer now
+	EventLeaseGranted    Event = iota // the leave is here
+	EventResultFound                  // a run's result is agreed on
+	EventFailureFound                 // so is it that a run has failed
+	EventHeldByOther                  // another process has the leave, or had it when it died
+	EventUnavailable                  // no majority answered in time, or too much is under way here
+	EventVacant                       // looked, and nothing is agreed on, or not any more
+	EventLeaseLost                    // the register has moved on: this process' run is of a window that is over
+	EventAttemptArrived               // a try is to run
+	EventLeaseTooLate                 // the leave came when nobody waited any more
+	EventRunSucceeded                 // the run has ended well
+	EventRunFailed                    // it has ended, and not well
+	EventRunNotStarted                // it was never begun: the worker pool did not take it
+	EventRetryDue                     // the time to look again
+	EventDeadlineReached              // whoever waits is owed an answer now
 	Events
 )
 
-// Do is what is to be done.
-type Do uint8
+// Action is what is to be done.
+type Action uint8
 
 // The actions.
 const (
-	Ask         Do = iota + 1 // the register, for the leave to run
-	Start                     // the run
-	Copy                      // the run's end to the holders
-	Look                      // at the register, now
-	Later                     // at the register after a while; of Uncopied: copy again
-	TakeBack                  // the leave
-	Serve                     // the agreed result
-	SayFailed                 // the run has failed
-	SayUnknown                // whether it ran is not known before its window is over
-	SayUncopied               // it ran, and its result is not held by a majority: a repeat tries again to have it held
-	Refuse                    // it has not run, and does not: it cannot be put on record in time
-	SayUnneeded               // it was not begun
+	ActionAcquireLease        Action = iota + 1 // the register, for the leave to run
+	ActionStart                                 // the run
+	ActionRecord                                // the run's end to the holders
+	ActionPoll                                  // at the register, now
+	ActionRetryLater                            // at the register after a while; of Uncopied: copy again
+	ActionReleaseLease                          // the leave
+	ActionServe                                 // the agreed result
+	ActionReportFailed                          // the run has failed
+	ActionReportIndeterminate                   // whether it ran is not known before its window is over
+	ActionReportUnrecorded                      // it ran, and its result is not held by a majority: a repeat tries again to have it held
+	ActionReject                                // it has not run, and does not: it cannot be put on record in time
+	ActionReportCancelled                       // it was not begun
 )
 
-// Key is the state of an intake in one process.
-type Key struct {
-	State State
-	Begun bool // a run of it was begun in this process: no leave is asked for as if none had been had before
+// Lifecycle is the state of an intake in one process.
+type Lifecycle struct {
+	State   State
+	Started bool // a run of it was begun in this process: no leave is asked for as if none had been had before
 }
 
 // Step moves an intake on; it returns what is to be done. An event that a state cannot have changes nothing: it is of a change that
 // was given up.
-func (k *Key) Step(e Event) []Do {
-	to := func(s State, does ...Do) []Do {
+func (k *Lifecycle) Step(e Event) []Action {
+	to := func(s State, does ...Action) []Action {
 		k.State = s
 		return does
 	}
 	switch k.State {
-	case Idle:
+	case StateIdle:
 		switch e {
-		case Try:
-			return to(Asking, Ask)
-		case Granted: // too late: whoever asked was told that it does not run
-			return to(Voiding, TakeBack)
+		case EventAttemptArrived:
+			return to(StateAcquiring, ActionAcquireLease)
+		case EventLeaseGranted: // too late: whoever asked was told that it does not run
+			return to(StateReleasing, ActionReleaseLease)
 		}
-	case Asking:
+	case StateAcquiring:
 		switch e {
-		case Granted:
-			k.Begun = true
-			return to(Running, Start)
-		case Late:
-			return to(Voiding, TakeBack, SayUnneeded)
-		case Found:
-			return to(Idle, Serve)
-		case FoundBad:
-			return to(Idle, SayFailed)
-		case Other:
-			return to(Elsewhere, Later)
-		case NoAnswer, Due:
+		case EventLeaseGranted:
+			k.Started = true
+			return to(StateRunning, ActionStart)
+		case EventLeaseTooLate:
+			return to(StateReleasing, ActionReleaseLease, ActionReportCancelled)
+		case EventResultFound:
+			return to(StateIdle, ActionServe)
+		case EventFailureFound:
+			return to(StateIdle, ActionReportFailed)
+		case EventHeldByOther:
+			return to(StateHeldByOther, ActionRetryLater)
+		case EventUnavailable, EventDeadlineReached:
 			// The leave may have been agreed on all the same, or may be yet: it is taken back, so that others need not wait for a
 			// run that there is none of. Where that comes to nothing too, this process' next leave takes its place.
-			return to(Voiding, Refuse, TakeBack)
+			return to(StateReleasing, ActionReject, ActionReleaseLease)
 		}
-	case Elsewhere:
+	case StateHeldByOther:
 		switch e {
-		case Again:
-			return to(Looking, Look)
-		case Due:
-			return to(Idle, SayUnknown)
+		case EventRetryDue:
+			return to(StatePolling, ActionPoll)
+		case EventDeadlineReached:
+			return to(StateIdle, ActionReportIndeterminate)
 		}
-	case Looking:
+	case StatePolling:
 		switch e {
-		case Found:
-			return to(Idle, Serve)
-		case FoundBad:
-			return to(Idle, SayFailed)
-		case Other, NoAnswer:
-			return to(Elsewhere, Later)
-		case Nothing: // the other has taken its leave back
-			return to(Asking, Ask)
-		case Due:
-			return to(Idle, SayUnknown)
+		case EventResultFound:
+			return to(StateIdle, ActionServe)
+		case EventFailureFound:
+			return to(StateIdle, ActionReportFailed)
+		case EventHeldByOther, EventUnavailable:
+			return to(StateHeldByOther, ActionRetryLater)
+		case EventVacant: // the other has taken its leave back
+			return to(StateAcquiring, ActionAcquireLease)
+		case EventDeadlineReached:
+			return to(StateIdle, ActionReportIndeterminate)
 		}
-	case Running:
+	case StateRunning:
 		switch e {
-		case Passed, Failed:
-			return to(Copying, Copy)
-		case Unbegun:
-			k.Begun = false
-			return to(Voiding, TakeBack)
+		case EventRunSucceeded, EventRunFailed:
+			return to(StateRecording, ActionRecord)
+		case EventRunNotStarted:
+			k.Started = false
+			return to(StateReleasing, ActionReleaseLease)
 		}
-	case Copying:
+	case StateRecording:
 		switch e {
-		case Found:
-			return to(Copied, Serve)
-		case FoundBad:
-			return to(Copied, SayFailed)
-		case NoAnswer:
-			return to(Uncopied, SayUncopied, Later)
-		case Lost: // its window is over, and somebody else has run it in another
-			return to(Idle, SayUncopied)
+		case EventResultFound:
+			return to(StateRecorded, ActionServe)
+		case EventFailureFound:
+			return to(StateRecorded, ActionReportFailed)
+		case EventUnavailable:
+			return to(StateUnrecorded, ActionReportUnrecorded, ActionRetryLater)
+		case EventLeaseLost: // its window is over, and somebody else has run it in another
+			return to(StateIdle, ActionReportUnrecorded)
 		}
-	case Copied:
+	case StateRecorded:
 		switch e {
-		case Passed: // a repeat, whose core has not heard of it
-			return to(Copied, Serve)
-		case Try:
-			return to(Asking, Ask)
+		case EventRunSucceeded: // a repeat, whose core has not heard of it
+			return to(StateRecorded, ActionServe)
+		case EventAttemptArrived:
+			return to(StateAcquiring, ActionAcquireLease)
 		}
-	case Uncopied:
+	case StateUnrecorded:
 		switch e {
-		case Again, Passed:
-			return to(Copying, Copy)
+		case EventRetryDue, EventRunSucceeded:
+			return to(StateRecording, ActionRecord)
 		}
-	case Voiding:
+	case StateReleasing:
 		switch e {
-		case Nothing, NoAnswer, Lost:
-			return to(Idle)
-		case Try: // behind the leave that is being taken back
-			return to(Asking, Ask)
+		case EventVacant, EventUnavailable, EventLeaseLost:
+			return to(StateIdle)
+		case EventAttemptArrived: // behind the leave that is being taken back
+			return to(StateAcquiring, ActionAcquireLease)
 		}
 	}
 	return nil
 }
 
-// Of is the event of what a change has come to; known is false where nobody can say.
-func Of(v copies.Verdict, known bool) Event {
+// EventOf is the event of what a change has come to; known is false where nobody can say.
+func EventOf(v copies.Outcome, known bool) Event {
 	if !known {
-		return NoAnswer
+		return EventUnavailable
 	}
 	switch v {
-	case copies.Run:
-		return Granted
-	case copies.Serve:
-		return Found
-	case copies.Fail:
-		return FoundBad
-	case copies.Free:
-		return Nothing
-	case copies.Stale:
-		return Lost
+	case copies.OutcomeLeaseGranted:
+		return EventLeaseGranted
+	case copies.OutcomeSucceeded:
+		return EventResultFound
+	case copies.OutcomeFailed:
+		return EventFailureFound
+	case copies.OutcomeVacant:
+		return EventVacant
+	case copies.OutcomeLeaseLost:
+		return EventLeaseLost
 	}
-	return Other
+	return EventHeldByOther
 }
--- a/internal/decide/ledger/ledger_test.go
+++ b/internal/decide/ledger/ledger_test.go
@@ -42,7 +42,7 @@
 
 // intake is a key in one process.
 type intake struct {
-	Key
+	Lifecycle
 	tries   int
 	try     uint64
 	op      *change
@@ -53,7 +53,7 @@
 type change struct {
 	key int
 	copies.Change
-	verdict copies.Verdict // 0: it has not taken effect
+	verdict copies.Outcome // 0: it has not taken effect
 	value   copies.Value
 }
 
@@ -72,13 +72,13 @@
 	return &n
 }
 
-func (m *model) Key() string {
+func (m *model) Fingerprint() string {
 	var b strings.Builder
 	fmt.Fprint(&b, m.values, m.ran, m.deaths)
 	for _, s := range m.servers {
 		fmt.Fprint(&b, ";", s.life, s.lost)
 		for _, k := range s.keys {
-			fmt.Fprint(&b, k.Key, k.tries, k.try, k.running, k.passed)
+			fmt.Fprint(&b, k.Lifecycle, k.tries, k.try, k.running, k.passed)
 			if k.op != nil {
 				fmt.Fprint(&b, *k.op)
 			}
@@ -93,7 +93,7 @@
 	return b.String()
 }
 
-func (m *model) Wrong() string {
+func (m *model) Violation() string {
 	for key, n := range m.ran {
 		if n > 1 {
 			return fmt.Sprintf("key %d is run twice", key)
@@ -110,24 +110,24 @@
 		if k.op != nil && k.op.verdict == 0 {
 			m.floats = append(m.floats, *k.op)
 		}
-		c.Self, c.At, c.Window = copies.Member{ID: uint32(i + 1), Life: s.life}, 1, window
+		c.Proposer, c.AttemptedAt, c.Retention = copies.Identity{ID: uint32(i + 1), Incarnation: s.life}, 1, window
 		k.op = &change{key: j, Change: c}
 	}
 	for _, d := range k.Step(ev) {
 		switch d {
-		case Ask:
+		case ActionAcquireLease:
 			k.try++
-			ask(copies.Change{Act: copies.Leave, Try: k.try, Fresh: !k.Begun})
-		case Look:
-			ask(copies.Change{Act: copies.Look})
-		case Copy:
-			ask(copies.Change{Act: copies.End, Try: k.try, Passed: k.passed, Result: "r"})
-		case TakeBack:
-			ask(copies.Change{Act: copies.Void, Try: k.try})
-		case Start:
+			ask(copies.Change{Kind: copies.AcquireLease, Attempt: k.try, NeverStarted: !k.Started})
+		case ActionPoll:
+			ask(copies.Change{Kind: copies.ReadValue})
+		case ActionRecord:
+			ask(copies.Change{Kind: copies.RecordResult, Attempt: k.try, Succeeded: k.passed, Result: "r"})
+		case ActionReleaseLease:
+			ask(copies.Change{Kind: copies.ReleaseLease, Attempt: k.try})
+		case ActionStart:
 			k.running = true
 			m.ran[j]++
-		case Serve:
+		case ActionServe:
 			if m.ran[j] == 0 {
 				m.wrong = "served what never ran"
 			}
@@ -135,19 +135,19 @@
 	}
 }
 
-func (m *model) Next() (out []explore.Step) {
+func (m *model) Successors() (out []explore.Step) {
 	add := func(what string, f func(*model)) {
 		n := m.clone()
 		f(n)
-		out = append(out, explore.Step{What: what, To: n})
+		out = append(out, explore.Step{Description: what, State: n})
 	}
 	for i, s := range m.servers {
 		for j, k := range s.keys {
 			name := fmt.Sprintf("server %d, key %d", i+1, j)
-			if k.tries < m.bounds.tries && (k.State == Idle || k.State == Voiding || k.State == Copied) {
+			if k.tries < m.bounds.tries && (k.State == StateIdle || k.State == StateReleasing || k.State == StateRecorded) {
 				add(name+": a try", func(n *model) {
 					n.servers[i].keys[j].tries++
-					n.move(i, j, Try)
+					n.move(i, j, EventAttemptArrived)
 				})
 			}
 			if k.op != nil && k.op.verdict == 0 {
@@ -157,7 +157,7 @@
 				add(name+": it hears so", func(n *model) {
 					v := n.servers[i].keys[j].op.verdict
 					n.servers[i].keys[j].op = nil
-					n.move(i, j, Of(v, true))
+					n.move(i, j, EventOf(v, true))
 				})
 			}
 			if k.op != nil && s.lost < m.bounds.lost {
@@ -168,24 +168,24 @@
 					}
 					k.op = nil
 					n.servers[i].lost++
-					n.move(i, j, NoAnswer)
+					n.move(i, j, EventUnavailable)
 				})
 			}
 			switch {
-			case k.State == Elsewhere, k.State == Uncopied && k.op == nil:
-				add(name+": again", func(n *model) { n.move(i, j, Again) })
+			case k.State == StateHeldByOther, k.State == StateUnrecorded && k.op == nil:
+				add(name+": again", func(n *model) { n.move(i, j, EventRetryDue) })
 			}
-			if k.State == Elsewhere || k.State == Looking || k.State == Asking {
-				add(name+": due", func(n *model) { n.move(i, j, Due) })
+			if k.State == StateHeldByOther || k.State == StatePolling || k.State == StateAcquiring {
+				add(name+": due", func(n *model) { n.move(i, j, EventDeadlineReached) })
 			}
 			if k.running {
 				add(name+": its run ends well", func(n *model) {
 					n.servers[i].keys[j].running, n.servers[i].keys[j].passed = false, true
-					n.move(i, j, Passed)
+					n.move(i, j, EventRunSucceeded)
 				})
 				add(name+": its run fails", func(n *model) {
 					n.servers[i].keys[j].running = false
-					n.move(i, j, Failed)
+					n.move(i, j, EventRunFailed)
 				})
 			}
 		}
@@ -210,8 +210,8 @@
 			c := n.floats[f]
 			n.floats = slices.Delete(n.floats, f, f+1)
 			// A leave that comes when nobody wants it any more is taken back, if its process still lives.
-			if n.effect(&c) == copies.Run && n.servers[c.Self.ID-1].life == c.Self.Life {
-				c.Act = copies.Void
+			if n.effect(&c) == copies.OutcomeLeaseGranted && n.servers[c.Proposer.ID-1].life == c.Proposer.Incarnation {
+				c.Kind = copies.ReleaseLease
 				n.floats = append(n.floats, c)
 			}
 		})
@@ -219,7 +219,7 @@
 	return out
 }
 
-func (m *model) effect(c *change) copies.Verdict {
+func (m *model) effect(c *change) copies.Outcome {
 	v, verdict := c.Apply(m.values[c.key])
 	m.values[c.key] = v
 	return verdict
@@ -232,7 +232,7 @@
 	for i := range m.servers {
 		m.servers[i] = process{life: 1, keys: make([]intake, b.keys)}
 	}
-	return explore.All(m, most)
+	return explore.Explore(m, most)
 }
 
 // Guards the life of an intake: whatever crosses whatever, it is run once by one server, and served with what ran.
@@ -243,7 +243,7 @@
 			t.Parallel()
 			r := visit(b, *statesMost)
 			t.Logf("%+v: %v", b, r)
-			require.Empty(t, r.Wrong, "%v", r)
+			require.Empty(t, r.Violation, "%v", r)
 			require.Greater(t, r.States, 500)
 		})
 	}
@@ -254,15 +254,15 @@
 func TestSameLifeIsFound(t *testing.T) {
 	r := visit(bounds{keys: 1, tries: 2, deaths: 1, sameLife: true}, 300_000)
 	t.Log(r)
-	require.Equal(t, "key 0 is run twice", r.Wrong)
+	require.Equal(t, "key 0 is run twice", r.Violation)
 }
 
 // Every event at every state: what a state does not expect changes nothing, and whoever waits is told one thing at most.
 func TestEveryEventAtEveryState(t *testing.T) {
-	final := map[Do]bool{Serve: true, SayFailed: true, SayUnknown: true, SayUncopied: true, Refuse: true, SayUnneeded: true}
+	final := map[Action]bool{ActionServe: true, ActionReportFailed: true, ActionReportIndeterminate: true, ActionReportUnrecorded: true, ActionReject: true, ActionReportCancelled: true}
 	for s := State(0); s < States; s++ {
 		for e := Event(0); e < Events; e++ {
-			k := Key{State: s}
+			k := Lifecycle{State: s}
 			does := k.Step(e)
 			told := 0
 			for _, d := range does {
@@ -272,11 +272,11 @@
 			}
 			require.LessOrEqual(t, told, 1, "state %d, event %d", s, e)
 			if len(does) == 0 && k.State != s {
-				require.Contains(t, []State{Idle}, k.State, "state %d, event %d: a silent move", s, e)
+				require.Contains(t, []State{StateIdle}, k.State, "state %d, event %d: a silent move", s, e)
 			}
 			// Whoever is told something is not told again by what may still come, but for a result that is copied late.
-			if told == 1 && k.State != Uncopied && k.State != Copied {
-				require.Contains(t, []State{Idle, Voiding}, k.State, "state %d, event %d", s, e)
+			if told == 1 && k.State != StateUnrecorded && k.State != StateRecorded {
+				require.Contains(t, []State{StateIdle, StateReleasing}, k.State, "state %d, event %d", s, e)
 			}
 		}
 	}
@@ -284,9 +284,9 @@
 
 // Whoever has asked for leave and was told to wait is told something once it is due.
 func TestDueEndsEachWait(t *testing.T) {
-	for _, s := range []State{Asking, Elsewhere, Looking} {
-		k := Key{State: s}
-		require.NotEmpty(t, k.Step(Due))
-		require.Contains(t, []State{Idle, Voiding}, k.State)
+	for _, s := range []State{StateAcquiring, StateHeldByOther, StatePolling} {
+		k := Lifecycle{State: s}
+		require.NotEmpty(t, k.Step(EventDeadlineReached))
+		require.Contains(t, []State{StateIdle, StateReleasing}, k.State)
 	}
 }
--- a/internal/decide/retune/retune.go
+++ b/internal/decide/retune/retune.go
@@ -8,13 +8,13 @@
 	"pewterline/control"
 )
 
-// Most is how many places a table may have: a bound on reloads that change everything each time.
-const Most = 256
+// MaxSlots is how many places a table may have: a bound on reloads that change everything each time.
+const MaxSlots = 256
 
-// Classes places the classes of new settings in a table. An unchanged class keeps its place, which may have been retired; a
+// PlaceClasses places the classes of new settings in a table. An unchanged class keeps its place, which may have been retired; a
 // new or changed one takes the first retired place that is free, or one at the end. All others are retired. free says that
 // nothing holds on to a place.
-func Classes(table, next []control.Class, free func(place int) bool) ([]control.Class, error) {
+func PlaceClasses(table, next []control.Class, free func(place int) bool) ([]control.Class, error) {
 	out := append([]control.Class(nil), table...)
 	for i := range out {
 		out[i].Retired = true
@@ -41,8 +41,8 @@
 			}
 		}
 		if at < 0 {
-			if at = len(out); at == Most {
-				return nil, fmt.Errorf("settings.classes: %d classes, those of open requests and kept keys included, are too many", Most+1)
+			if at = len(out); at == MaxSlots {
+				return nil, fmt.Errorf("settings.classes: %d classes, those of open requests and kept keys included, are too many", MaxSlots+1)
 			}
 			out = append(out, k)
 		}
@@ -51,8 +51,8 @@
 	return out, nil
 }
 
-// Tenants places the tenants of new settings in a table, by their names. Those that are gone keep their place and share.
-func Tenants(table, next []control.Tenant) ([]control.Tenant, error) {
+// PlaceTenants places the tenants of new settings in a table, by their names. Those that are gone keep their place and share.
+func PlaceTenants(table, next []control.Tenant) ([]control.Tenant, error) {
 	out := append([]control.Tenant(nil), table...)
 	for _, t := range next {
 		at := -1
@@ -63,7 +63,7 @@
 		}
 		if at >= 0 {
 			out[at] = t
-		} else if out = append(out, t); len(out) > Most {
+		} else if out = append(out, t); len(out) > MaxSlots {
 			return nil, fmt.Errorf("settings.tenants: %d tenants, those that are gone included, are too many", len(out))
 		}
 	}
--- a/internal/decide/retune/retune_test.go
+++ b/internal/decide/retune/retune_test.go
@@ -14,7 +14,7 @@
 
 func drawn(t *rapid.T) (out []control.Class) {
 	for _, name := range rapid.SliceOfNDistinct(rapid.SampledFrom([]string{"a", "b", "c", "d", "e"}), 1, 5, rapid.ID).Draw(t, "names") {
-		out = append(out, control.Class{Name: name, Aim: time.Second, Deadline: time.Duration(rapid.IntRange(1, 3).Draw(t, "s")) * time.Second})
+		out = append(out, control.Class{Name: name, LatencyObjective: time.Second, Deadline: time.Duration(rapid.IntRange(1, 3).Draw(t, "s")) * time.Second})
 	}
 	return out
 }
@@ -34,7 +34,7 @@
 					n++
 				}
 			}
-			got, err := Classes(table, next, func(i int) bool { return !held[i] })
+			got, err := PlaceClasses(table, next, func(i int) bool { return !held[i] })
 			require.NoError(t, err)
 			for i, k := range table {
 				if held[i] {
@@ -51,9 +51,9 @@
 }
 
 func TestBound(t *testing.T) {
-	table := make([]control.Class, Most)
-	_, err := Classes(table, []control.Class{{Name: "more"}}, func(int) bool { return false })
+	table := make([]control.Class, MaxSlots)
+	_, err := PlaceClasses(table, []control.Class{{Name: "more"}}, func(int) bool { return false })
 	require.ErrorContains(t, err, "too many")
-	_, err = Tenants(make([]control.Tenant, Most), []control.Tenant{{Name: "more"}})
+	_, err = PlaceTenants(make([]control.Tenant, MaxSlots), []control.Tenant{{Name: "more"}})
 	require.ErrorContains(t, err, "too many")
 }
--- a/internal/edge/admin_test.go
+++ b/internal/edge/admin_test.go
@@ -108,10 +108,10 @@
 	l.turn()
 	l.tell("finished 3 00000000000000a4 PASS 5 2\r\nok\r\n")
 	require.NoError(t, l.srv.Reload(l.srv.cfg))
-	l.srv.FileRefused()
+	l.srv.ReloadRejected()
 	require.Equal(t, operators.Counters{
-		Passed: map[string]int{"block-view": 1, "lot-update": 0, "lot-intake": 0}, Dropped: map[string]int{"block-view": 0, "lot-update": 0, "lot-intake": 0},
-		BadGateway: map[string]int{"block-view": 0, "lot-update": 0, "lot-intake": 2}, Tries: 3, Loads: 1, LoadErrors: 1,
+		Succeeded: map[string]int{"block-view": 1, "lot-update": 0, "lot-intake": 0}, Rejected: map[string]int{"block-view": 0, "lot-update": 0, "lot-intake": 0},
+		Failed: map[string]int{"block-view": 0, "lot-update": 0, "lot-intake": 2}, Attempts: 3, Reloads: 1, ReloadErrors: 1,
 	}, l.counters())
 }
 
@@ -121,7 +121,7 @@
 	clock := micro.NewClock()
 	srv, err := New(testConfig(t, "127.0.0.1:1"), clock, t.Logf)
 	require.NoError(t, err)
-	loop, err := sockets.Start(sockets.Options{Options: transport.Options{MaxConns: 2, Logf: t.Logf, Apart: map[int]int{AdminListener: 3}},
+	loop, err := sockets.Start(sockets.Options{Options: transport.Options{MaxConns: 2, Logf: t.Logf, DedicatedLimits: map[int]int{AdminListener: 3}},
 		Listen: []string{"127.0.0.1:0", "", "", "127.0.0.2:0"}, Clock: clock}, srv, func(l *transport.Loop) { srv.Attach(l) })
 	require.NoError(t, err)
 	defer func() {
--- a/internal/edge/bench_test.go
+++ b/internal/edge/bench_test.go
@@ -42,9 +42,9 @@
 	go serveVault(vaultListener)
 	clock := micro.NewClock()
 	cfg := benchConfig(b, ln.Addr().String())
-	cfg.Vault, cfg.Settings.Below = vaultListener.Addr().String(), control.BelowTier
+	cfg.VaultAddress, cfg.Settings.Dependency = vaultListener.Addr().String(), control.DependencyTier
 	for i := range cfg.Settings.Classes {
-		cfg.Settings.Classes[i].Calls = cfg.Settings.Classes[i].Name == callingClass
+		cfg.Settings.Classes[i].MakesCalls = cfg.Settings.Classes[i].Name == callingClass
 	}
 	srv, err := New(cfg, clock, func(string, ...any) {})
 	require.NoError(b, err)
@@ -173,7 +173,7 @@
 }
 
 func benchConfig(b *testing.B, pool string) config.Config {
-	set, gauges, err := wire.ParseSettings([]byte(settings), 7)
+	set, gauges, err := wire.Parse([]byte(settings), 7)
 	require.NoError(b, err)
-	return config.Config{Name: "n0", Pool: pool, Stop: 3200 * micro.Millisecond, Settings: set, Gauges: gauges}
+	return config.Config{Name: "n0", PoolAddress: pool, ShutdownTimeout: 3200 * micro.Millisecond, Settings: set, Gauges: gauges}
 }
--- a/internal/edge/calls_test.go
+++ b/internal/edge/calls_test.go
@@ -43,13 +43,13 @@
 	t.Cleanup(workers.Close)
 	h := &callHouse{workers: workers, vault: newVault(t)}
 	h.house = newHouse(t, func(cfg *config.Config) {
-		cfg.Pool, cfg.Vault = workers.Addr(), h.vault.Addr()
-		cfg.Settings.Below = control.BelowTier
+		cfg.PoolAddress, cfg.VaultAddress = workers.Addr(), h.vault.Addr()
+		cfg.Settings.Dependency = control.DependencyTier
 		for i := range cfg.Settings.Classes {
 			class := &cfg.Settings.Classes[i]
-			class.Calls, class.Aim, class.Deadline = true, longDeadline, longDeadline
+			class.MakesCalls, class.LatencyObjective, class.Deadline = true, longDeadline, longDeadline
 			if class.Name == singleClass {
-				class.Effect = control.Unsafe
+				class.Idempotency = control.NonIdempotent
 			}
 			workers.Calling(class.Name, 1)
 		}
@@ -99,25 +99,25 @@
 			return r
 		}
 		r := heard(h.proxy)
-		if r.Kind == thrift.Farewell {
+		if r.Kind == thrift.ReplyFarewell {
 			continue
 		}
-		require.NotContains(h.t, h.heard, r.Seq, "answered twice")
-		h.heard[r.Seq] = r
+		require.NotContains(h.t, h.heard, r.SequenceID, "answered twice")
+		h.heard[r.SequenceID] = r
 	}
 }
 
 func (h *callHouse) served(id, reply string) {
 	h.t.Helper()
 	r := h.answer(id)
-	require.Equal(h.t, thrift.Answered, r.Kind)
+	require.Equal(h.t, thrift.ReplyAnswer, r.Kind)
 	require.Equal(h.t, "did lot got "+reply, string(r.Body))
 }
 
 // failed asks that a request fails. The worker pool knows by then that it is over.
 func (h *callHouse) failed(id string) {
 	h.t.Helper()
-	require.Equal(h.t, thrift.Broken, h.answer(id).Kind)
+	require.Equal(h.t, thrift.ReplyBroken, h.answer(id).Kind)
 	h.workers.Over(id)
 }
 
@@ -251,7 +251,7 @@
 	}
 	h.do(func() {
 		next := h.srv.cfg
-		next.Vault = moved.Addr()
+		next.VaultAddress = moved.Addr()
 		require.NoError(t, h.srv.Reload(next))
 	})
 	after := h.request(keyedClass)
@@ -277,7 +277,7 @@
 	waiting := h.request(safeClass)
 	h.called(waiting).Reply(vault.NotNow, "")
 	h.do(func() { h.srv.Drain(h.Now()) })
-	h.later(h.srv.cfg.Stop - stopLead - micro.Millisecond)
+	h.later(h.srv.cfg.ShutdownTimeout - stopLead - micro.Millisecond)
 	h.failed(inHand)
 	h.failed(waiting)
 	h.givenUp(inHand)
@@ -372,7 +372,7 @@
 			h.vault.Break()
 			refused := h.request(class)
 			for reached := true; reached; {
-				h.do(func() { reached = h.srv.vault.Status().Reached })
+				h.do(func() { reached = h.srv.vault.Status().Reachable })
 			}
 			require.NoError(t, h.vault.Accept())
 			h.called(refused)
@@ -389,7 +389,7 @@
 func TestReplyThatCrossesTheEndOfItsCall(t *testing.T) {
 	h := newCallHouse(t, func(cfg *config.Config) { // of a shared dependency only, the module gives up calls before their request is due
 		set := &cfg.Settings
-		set.Below, set.CallsShare, set.CallsOver = control.BelowShared, 2, time.Second
+		set.Dependency, set.CallConcurrencyShare, set.CallConcurrencyWindow = control.DependencyShared, 2, time.Second
 	})
 	h.vault.Hold()
 	stop := h.run()
--- a/internal/edge/clients_test.go
+++ b/internal/edge/clients_test.go
@@ -74,7 +74,7 @@
 		}
 		require.Contains(t, l.ask(view, "block-view", ""), "spawn "+view, name)
 		l.tell("finished 1 " + view + " PASS 80 2\r\nok\r\n")
-		require.Equal(t, map[int32]thrift.ReplyKind{1: thrift.Answered}, l.replies(), name)
+		require.Equal(t, map[int32]thrift.ReplyKind{1: thrift.ReplyAnswer}, l.replies(), name)
 		for _, b := range bad {
 			if b.session != nil {
 				b.closed = true
@@ -83,7 +83,7 @@
 			}
 		}
 		l.advance(l.now + 6*micro.Second)
-		require.Zero(t, l.srv.core.Open(), name)
+		require.Zero(t, l.srv.core.OpenRequests(), name)
 		require.LessOrEqual(t, l.srv.thrift.Len(), 1, name+": the good one alone, if it is still open")
 	}
 }
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -38,21 +38,21 @@
 // ExchangeListener is the index of the listener for other instances.
 const ExchangeListener = 2
 
-// Loop is what the server needs of the event loop.
-type Loop interface {
+// EventLoop is what the server needs of the event loop.
+type EventLoop interface {
 	Now() micro.Time
-	Dial(addr string, open func(transport.Link) transport.Session) (drop func())
-	Try(addr string, open func(transport.Link) transport.Session, failed func()) (drop func())
-	Datagrams(addr string) error
-	Send([]byte)
+	Dial(addr string, open func(transport.Conn) transport.Session) (drop func())
+	DialOnce(addr string, open func(transport.Conn) transport.Session, failed func()) (drop func())
+	SetDatagramPeer(addr string) error
+	SendDatagram([]byte)
 	Execute(func()) error
 	Rand() uint64 // need not be secret
 	CloseListener(listener int, done func())
 	Shutdown(by micro.Time)
 }
 
-// Wall converts between the wall clock, in Unix milliseconds, and the program's time.
-type Wall interface {
+// WallClock converts between the wall clock, in Unix milliseconds, and the program's time.
+type WallClock interface {
 	FromUnixMilli(ms int64) micro.Time
 	UnixMilli(t micro.Time) int64
 }
@@ -61,22 +61,22 @@
 type Server struct {
 	cfg       config.Config
 	core      *routing.Core
-	loop      Loop
+	loop      EventLoop
 	logf      func(string, ...any)
-	wall      Wall
+	wall      WallClock
 	classes   map[string]int
 	tenants   map[string]int
 	settings  control.Settings   // as the file has them; cfg's have the places that classes got over time
 	late      map[int]micro.Time // classes that are gone are taken until then, by place
-	pool      *workerpool.Runner
-	vault     *vaultlink.Client   // where runs call
-	backends  *ajprunner.Runner   // nil: no AJP server does the work
-	servers   *fleetrunner.Runner // nil: no log servers do the work
-	held      *holdings.Holdings  // copies, with a group of servers; nil: none
-	thrift    *thriftfront.Front
-	ajp       *ajpfront.Front
+	pool      *workerpool.Backend
+	vault     *vaultlink.Client    // where runs call
+	backends  *ajprunner.Backend   // nil: no AJP server does the work
+	servers   *fleetrunner.Backend // nil: no log servers do the work
+	held      *holdings.Replica    // copies, with a group of servers; nil: none
+	thrift    *thriftfront.Frontend
+	ajp       *ajpfront.Frontend
 	operators *operators.Handler
-	host      Host
+	host      ProcessHost
 	peer      *peerProcess // the other process, in an upgrade
 	handed    bool         // it has taken over from this one
 	handedAt  micro.Time
@@ -93,27 +93,27 @@
 }
 
 // New builds a server. Attach must follow, on its loop.
-func New(cfg config.Config, wall Wall, logf func(string, ...any)) (*Server, error) {
+func New(cfg config.Config, wall WallClock, logf func(string, ...any)) (*Server, error) {
 	s := &Server{
 		cfg: cfg, logf: logf, wall: wall, classes: map[string]int{}, tenants: map[string]int{}, reported: true,
 		settings: cfg.Settings, late: map[int]micro.Time{},
 	}
-	s.thrift, s.ajp = thriftfront.New(frontServer{s}), ajpfront.New(frontServer{s}, cfg.AJP)
+	s.thrift, s.ajp = thriftfront.New(frontendServer{s}), ajpfront.New(frontendServer{s}, cfg.AJP)
 	s.operators = operators.New(operatorServer{s}, logf)
 	s.name()
-	var runner routing.Runner
+	var runner routing.Backend
 	if len(cfg.Fleet.Members) > 0 {
 		var err error
 		if s.servers, err = fleetrunner.New(fleetrunner.Config{Fleet: cfg.Fleet, Name: cfg.Name, Settings: cfg.Settings}, wall, logf); err != nil {
 			return nil, fmt.Errorf("edge: %w", err)
 		}
 		runner = s.servers
-	} else if cfg.AJP.Runner != "" {
+	} else if cfg.AJP.BackendAddress != "" {
 		s.backends = ajprunner.New(ajprunner.Config{AJP: cfg.AJP, RunTimeout: longestAnswer(cfg.Settings.Classes)}, logf)
 		runner = s.backends
 	} else {
-		s.pool = workerpool.New(workerpool.Config{Address: cfg.Pool, Gauges: cfg.Gauges}, logf)
-		s.vault = vaultlink.New(cfg.Vault, logf)
+		s.pool = workerpool.New(workerpool.Config{Address: cfg.PoolAddress, Gauges: cfg.Gauges}, logf)
+		s.vault = vaultlink.New(cfg.VaultAddress, logf)
 		runner = s.pool
 	}
 	var err error
@@ -121,7 +121,7 @@
 		return nil, fmt.Errorf("edge: %w", err)
 	}
 	if s.vault != nil {
-		s.core.UseCallee(s.vault)
+		s.core.UseDownstream(s.vault)
 	}
 	return s, nil
 }
@@ -129,13 +129,13 @@
 // longestAnswer is how long any answer could be wanted.
 func longestAnswer(classes []control.Class) (longest micro.Time) {
 	for _, c := range classes {
-		longest = max(longest, micro.Of(c.Deadline), micro.Of(c.Window))
+		longest = max(longest, micro.FromDuration(c.Deadline), micro.FromDuration(c.RetentionWindow))
 	}
 	return longest
 }
 
 // Attach starts the server on its loop; it is called there.
-func (s *Server) Attach(l Loop) {
+func (s *Server) Attach(l EventLoop) {
 	s.loop = l
 	if s.held != nil {
 		s.held.Attach(l)
@@ -150,7 +150,7 @@
 		s.vault.Attach(l, s.core.CallEnded)
 		s.pool.Attach(s.core, l)
 	} else {
-		s.core.Begin(l.Now(), 0, false)
+		s.core.Start(l.Now(), 0, false)
 	}
 }
 
@@ -167,65 +167,65 @@
 }
 
 func (s *Server) reload(next config.Config) error {
-	if err := next.Lacks(s.cfg); err != nil {
+	if err := next.RequireKeysOf(s.cfg); err != nil {
 		return err
 	}
 	if s.draining { // whoever sent the notice counts by the settings of that moment, as stopAt does
 		next.Settings.DrainGrace = s.cfg.Settings.DrainGrace
 	}
-	if next.Control != s.cfg.Control {
-		if err := s.loop.Datagrams(next.Control); err != nil {
+	if next.ControlAddress != s.cfg.ControlAddress {
+		if err := s.loop.SetDatagramPeer(next.ControlAddress); err != nil {
 			return fmt.Errorf("control: %w", err)
 		}
 	}
 	if err := s.retune(next); err != nil {
-		if next.Control != s.cfg.Control { // all or nothing
-			err = errors.Join(err, s.loop.Datagrams(s.cfg.Control))
+		if next.ControlAddress != s.cfg.ControlAddress { // all or nothing
+			err = errors.Join(err, s.loop.SetDatagramPeer(s.cfg.ControlAddress))
 		}
 		return err
 	}
-	if next.Control != s.cfg.Control {
-		s.cfg.Control, s.nextReport = next.Control, 0 // the new address hears of us at once
+	if next.ControlAddress != s.cfg.ControlAddress {
+		s.cfg.ControlAddress, s.nextReport = next.ControlAddress, 0 // the new address hears of us at once
 	}
 	if s.held != nil {
-		s.held.Window(s.Window())
+		s.held.ExtendRetention(s.LongestRetention())
 	}
 	if s.pool != nil {
-		s.cfg.Pool, s.cfg.Vault = next.Pool, next.Vault
-		s.pool.Move(next.Pool)
-		s.vault.Move(next.Vault)
+		s.cfg.PoolAddress, s.cfg.VaultAddress = next.PoolAddress, next.VaultAddress
+		s.pool.SetAddress(next.PoolAddress)
+		s.vault.SetAddress(next.VaultAddress)
 	}
 	if s.servers != nil && len(next.Fleet.Members) > 0 && !slices.Equal(next.Fleet.Members, s.cfg.Fleet.Members) {
 		s.cfg.Fleet.Members = next.Fleet.Members
-		s.servers.Reload(next.Fleet.Members)
+		s.servers.UpdateEndpoints(next.Fleet.Members)
 		s.logf("edge: configuration read anew: %d log servers", len(next.Fleet.Members))
 	}
-	s.cfg.Stop = next.Stop
-	s.cfg.Raw = next.Raw
+	s.cfg.ShutdownTimeout = next.ShutdownTimeout
+	s.cfg.Document = next.Document
 	for _, k := range []struct {
 		key     string
 		changed bool
 	}{
-		{"name", next.Name != s.cfg.Name}, {"listen", next.Listen != s.cfg.Listen}, {"admin", next.Admin != s.cfg.Admin},
-		{"fleet.toml: server", (len(next.Fleet.Members) > 0) != (s.servers != nil)}, {"limits.memory_mb", next.Memory != s.cfg.Memory}, {"limits.sockets", next.Sockets != s.cfg.Sockets},
+		{"name", next.Name != s.cfg.Name}, {"listen", next.Listen != s.cfg.Listen}, {"admin", next.AdminAddress != s.cfg.AdminAddress},
+		{"fleet.toml: server", (len(next.Fleet.Members) > 0) != (s.servers != nil)}, {"limits.memory_mb", next.MemoryLimit != s.cfg.MemoryLimit}, {"limits.sockets", next.SocketLimit != s.cfg.SocketLimit},
 	} {
 		if k.changed {
 			s.logf("edge: configuration read anew: %s holds until a restart", k.key)
 		}
 	}
-	s.logf("edge: configuration read anew: pool %s, vault %q, control %s, classes %s", s.cfg.Pool, s.cfg.Vault, s.cfg.Control, strings.Join(s.inUse(), " "))
+	s.logf("edge: configuration read anew: pool %s, vault %q, control %s, classes %s", s.cfg.PoolAddress, s.cfg.VaultAddress, s.cfg.ControlAddress, strings.Join(s.inUse(), " "))
 	return nil
 }
 
 // Accept gives a connection its session. The first listener is the platform's, the second AJP's, the third
 // that of the exchange between instances.
-func (s *Server) Accept(listener int, c transport.Link) transport.Session {
+func (s *Server) Accept(listener int, c transport.Conn) transport.Session {
 	switch {
 	case listener == 1:
 		return s.ajp.Accept(c)
-	case listener == HandoverListener:
+	case listener == HandoffListener:
 		return s.acceptHandover(c)
-	case listener == CopiesListener && s.held != nil:
+	case listener == ReplicationListener && s.held != nil:
 		return s.acceptCopies(c)
 	case listener == AdminListener:
 		return s.operators.Accept(c)
@@ -249,9 +249,9 @@
 	}
 	if now >= s.nextSweep {
 		s.nextSweep = now + sweepEvery
-		s.thrift.CloseIdle(now, s.core.IdleAfter())
+		s.thrift.CloseIdle(now, s.core.IdleTimeout())
 	}
-	next := min(s.core.NextDue(), s.nextSweep)
+	next := min(s.core.NextWakeup(), s.nextSweep)
 	if !s.handed {
 		next = min(next, s.nextReport)
 	}
@@ -264,7 +264,7 @@
 	if len(s.late) > 0 {
 		next = min(next, s.forgetLate(now))
 	}
-	next = min(next, s.ajp.Check(now))
+	next = min(next, s.ajp.ExpireTimeouts(now))
 	if s.pool != nil {
 		next = min(next, s.pool.Check(now), s.vault.NextDue())
 	}
@@ -272,28 +272,28 @@
 		next = min(next, s.servers.Check(now))
 	}
 	if s.backends != nil {
-		next = min(next, s.backends.Check(now))
+		next = min(next, s.backends.ExpireTimeouts(now))
 	}
 	if s.draining {
 		next = min(next, s.drain(now))
 	}
 	if s.held != nil { // last: all of this turn's requests go out together
-		next = min(next, s.held.Turn(now))
+		next = min(next, s.held.Tick(now))
 	}
 	return max(next, now)
 }
 
 func (s *Server) report(now micro.Time) {
 	s.reported, s.nextReport = s.listed(), now+reportEvery
-	s.loop.Send(lease.Append(nil, s.cfg.Name, s.reported))
+	s.loop.SendDatagram(lease.Append(nil, s.cfg.Name, s.reported))
 }
 
-// Wasted counts the tries that came to nothing for want of a server, where this is an edge.
-func (s *Server) Wasted() int {
+// WastedAttempts counts the tries that came to nothing for want of a server, where this is an edge.
+func (s *Server) WastedAttempts() int {
 	if s.servers == nil {
 		return 0
 	}
-	return s.servers.Wasted()
+	return s.servers.WastedAttempts()
 }
 
 // Drain is the notice to leave, which came at a time up to now: whoever sent it counts from then, however long the program took
@@ -304,7 +304,7 @@
 	}
 	now := s.loop.Now()
 	s.draining, s.drainAt = true, at
-	s.stopWithin(at, s.cfg.Stop)
+	s.stopWithin(at, s.cfg.ShutdownTimeout)
 	s.core.Drain(now, at, s.stopAt)
 	s.logf("edge: draining, to stop within %v", (s.stopAt - now).Duration())
 }
@@ -335,7 +335,7 @@
 // then nobody is accepted any more and farewell is bid, and the end waits for the peers to have closed, so that no request is
 // cut off unread.
 func (s *Server) drain(now micro.Time) micro.Time {
-	quiet := min(s.drainAt+micro.Of(s.cfg.Settings.DrainGrace), s.stopAt-front.LingerTimeout/4)
+	quiet := min(s.drainAt+micro.FromDuration(s.cfg.Settings.DrainGrace), s.stopAt-front.LingerTimeout/4)
 	if now >= quiet && !s.farewell {
 		s.farewell = true
 		s.closeListeners()
@@ -343,7 +343,7 @@
 	}
 	done := s.farewell && (s.listening == 0 && s.core.Drained() && s.connections() == 0 || planted.Bug(planted.LeaveOpen))
 	if (done || now >= s.stopAt) && !s.stopped {
-		s.logf("edge: drained after %d requests, %d are open", s.requests, s.core.Open())
+		s.logf("edge: drained after %d requests, %d are open", s.requests, s.core.OpenRequests())
 		s.shutdown(now)
 	}
 	if s.stopped {
--- a/internal/edge/end_test.go
+++ b/internal/edge/end_test.go
@@ -63,7 +63,7 @@
 // pass moves the clock; what is due by it is done from the next turn on.
 func (h *house) pass(by micro.Time) { h.now.Add(int64(by)) }
 
-func (h *house) proxy() *peer { return dial(h.t, h.loop.Addr(0).String(), thrift.Split) }
+func (h *house) proxy() *peer { return dial(h.t, h.loop.Addr(0).String(), thrift.SplitFrame) }
 
 // known is a proxy that has been served once.
 func (h *house) known() *peer {
@@ -116,7 +116,7 @@
 	h.do(func() { h.srv.Drain(h.Now()) })
 	for h.fronts() > 0 { // its close may not have been read yet
 	}
-	h.pass(micro.Of(h.srv.cfg.Settings.DrainGrace) + micro.Millisecond)
+	h.pass(micro.FromDuration(h.srv.cfg.Settings.DrainGrace) + micro.Millisecond)
 	var late []*peer
 	h.do(func() {
 		for range 5 {
@@ -126,8 +126,8 @@
 		}
 	})
 	for _, p := range late {
-		require.Equal(t, thrift.Farewell, heard(p).Kind)
-		require.Equal(t, thrift.Throttled, heard(p).Kind, "a request that came at the end never ran")
+		require.Equal(t, thrift.ReplyFarewell, heard(p).Kind)
+		require.Equal(t, thrift.ReplyThrottled, heard(p).Kind, "a request that came at the end never ran")
 		require.NoError(t, p.c.Close())
 	}
 	h.ends()
@@ -148,12 +148,12 @@
 	id := h.ask(p, "lot-update", "")
 	require.Equal(t, id, <-h.pool.started)
 	h.do(func() { h.srv.Drain(h.Now()) })
-	h.pass(h.srv.cfg.Stop)
+	h.pass(h.srv.cfg.ShutdownTimeout)
 	h.do(func() { // the last turn: the run is not over, and the proxy asks for more
 		h.ask(p, "lot-update", "")
 	})
-	require.Equal(t, thrift.Broken, heard(p).Kind)
-	require.Equal(t, thrift.Farewell, heard(p).Kind)
+	require.Equal(t, thrift.ReplyBroken, heard(p).Kind)
+	require.Equal(t, thrift.ReplyFarewell, heard(p).Kind)
 	isOver(p)
 	require.NoError(t, p.c.Close())
 	h.ends()
@@ -164,13 +164,13 @@
 func TestNoticeCountsFromWhenItCame(t *testing.T) {
 	h := newHouse(t, nil)
 	at := h.Now()
-	h.pass(micro.Of(h.srv.cfg.Settings.DrainGrace) + micro.Millisecond)
+	h.pass(micro.FromDuration(h.srv.cfg.Settings.DrainGrace) + micro.Millisecond)
 	p := h.proxy()
 	h.do(func() {
 		h.srv.Drain(at)
 		h.ask(p, "lot-update", "")
 	})
-	require.ElementsMatch(t, []thrift.ReplyKind{thrift.Farewell, thrift.Throttled}, []thrift.ReplyKind{heard(p).Kind, heard(p).Kind})
+	require.ElementsMatch(t, []thrift.ReplyKind{thrift.ReplyFarewell, thrift.ReplyThrottled}, []thrift.ReplyKind{heard(p).Kind, heard(p).Kind})
 	require.NoError(t, p.c.Close())
 	h.ends()
 	require.Empty(t, h.pool.started)
@@ -184,12 +184,12 @@
 		h.srv.Drain(h.Now())
 		next := h.srv.cfg
 		next.Settings.DrainGrace *= 10
-		next.Pool = h.pool.ln.Addr().String()
+		next.PoolAddress = h.pool.ln.Addr().String()
 		require.NoError(t, h.srv.Reload(next))
 	})
-	h.pass(micro.Of(2500*time.Millisecond) + micro.Millisecond)
+	h.pass(micro.FromDuration(2500*time.Millisecond) + micro.Millisecond)
 	h.do(func() { h.ask(p, "lot-update", "") })
-	require.ElementsMatch(t, []thrift.ReplyKind{thrift.Farewell, thrift.Throttled}, []thrift.ReplyKind{heard(p).Kind, heard(p).Kind})
+	require.ElementsMatch(t, []thrift.ReplyKind{thrift.ReplyFarewell, thrift.ReplyThrottled}, []thrift.ReplyKind{heard(p).Kind, heard(p).Kind})
 	require.NoError(t, p.c.Close())
 	h.ends()
 	require.Empty(t, h.pool.started)
@@ -201,7 +201,7 @@
 	h := newHouse(t, func(cfg *config.Config) {
 		for i, c := range cfg.Settings.Classes {
 			if c.Name == "lot-update" {
-				cfg.Settings.Classes[i].Effect = control.Unsafe
+				cfg.Settings.Classes[i].Idempotency = control.NonIdempotent
 			}
 		}
 	})
@@ -235,7 +235,7 @@
 	h.t.Cleanup(func() { ln.Close() })
 	h.do(func() {
 		next := h.srv.cfg
-		next.Pool = ln.Addr().String()
+		next.PoolAddress = ln.Addr().String()
 		require.NoError(h.t, h.srv.Reload(next))
 	})
 	return &moved{t: h.t, ln: ln}
@@ -317,7 +317,7 @@
 	h.pool.mu.Unlock()
 	for lost := false; !lost; {
 		h.do(func() {
-			if lost = !h.srv.pool.Status().Moving; lost {
+			if lost = !h.srv.pool.Status().Migrating; lost {
 				require.False(t, h.srv.pool.Status().Dialling, "a link is dialled though one waits to be bound")
 			}
 		})
@@ -336,7 +336,7 @@
 	h := newHouse(t, func(cfg *config.Config) {
 		for i, c := range cfg.Settings.Classes {
 			if c.Name == "lot-intake" {
-				cfg.Settings.Classes[i].Window = 500 * time.Millisecond
+				cfg.Settings.Classes[i].RetentionWindow = 500 * time.Millisecond
 			}
 		}
 	})
--- a/internal/edge/fleet_test.go
+++ b/internal/edge/fleet_test.go
@@ -33,7 +33,7 @@
 		addresses[i], _, _ = serveLoopback(t, testConfig(t, pools[i].ln.Addr().String()), "")
 	}
 	desk, office := serveEdge(t, addresses...)
-	a, b := dial(t, desk, thrift.Split), dial(t, office, splitContainer)
+	a, b := dial(t, desk, thrift.SplitFrame), dial(t, office, splitContainer)
 	sendIntake(a, "k1")
 	var at *socketPool
 	var id string
@@ -49,7 +49,7 @@
 	at.finish(id, "lot 7 recorded")
 	p, err := thrift.DecodeReply(a.read())
 	require.NoError(t, err)
-	require.Equal(t, thrift.Answered, p.Kind)
+	require.Equal(t, thrift.ReplyAnswer, p.Kind)
 	require.Equal(t, "lot 7 recorded", string(p.Body))
 	require.Equal(t, "lot 7 recorded", readOK(b))
 	for _, p := range pools {
@@ -79,12 +79,12 @@
 			pool.finish(id, "done")
 		}
 	}()
-	a := dial(t, desk, thrift.Split)
+	a := dial(t, desk, thrift.SplitFrame)
 	for i := range 20 {
 		sendIntake(a, fmt.Sprintf("k%d", i))
 		p, err := thrift.DecodeReply(a.read())
 		require.NoError(t, err)
-		require.Equal(t, thrift.Answered, p.Kind, i)
+		require.Equal(t, thrift.ReplyAnswer, p.Kind, i)
 	}
 }
 
@@ -92,18 +92,18 @@
 func TestLoopbackEdgeWithoutServers(t *testing.T) {
 	dead := deadAddress(t)
 	desk, _ := serveEdge(t, dead)
-	a := dial(t, desk, thrift.Split)
+	a := dial(t, desk, thrift.SplitFrame)
 	sendIntake(a, "k1")
 	p, err := thrift.DecodeReply(a.read())
 	require.NoError(t, err)
-	require.Equal(t, thrift.Throttled, p.Kind)
+	require.Equal(t, thrift.ReplyThrottled, p.Kind)
 	require.NotEmpty(t, p.Fields["after"])
 }
 
 // Guards the decision to be left with the door: an edge with faulty figures does not start.
 func TestEdgeChecksItsFigures(t *testing.T) {
 	cfg := testConfig(t, "")
-	cfg.Fleet = config.Fleet{Members: []config.Member{{Name: "n1", Address: "127.0.0.1:1"}}, Decide: fleet.Config{WarmFrom: 7}}
+	cfg.Fleet = config.Fleet{Members: []config.Member{{Name: "n1", Address: "127.0.0.1:1"}}, LoadBalancer: fleet.Config{SlowStartShare: 7}}
 	_, err := New(cfg, micro.NewClock(), t.Logf)
 	require.ErrorContains(t, err, "warm_from")
 }
@@ -147,9 +147,9 @@
 	ask(3, "lot-intake", "k1")
 	require.Empty(t, n2.out, "it may have run on n1")
 	require.Equal(t, "a1", s.dials[0].addr)
-	known, removed := s.srv.servers.Knows("n1")
+	known, removed := s.srv.servers.Lookup("n1")
 	require.True(t, known && removed)
-	s.srv.servers.ForgetRemoved(s.now + fleetrunner.RemovedKept + micro.Second)
-	known, _ = s.srv.servers.Knows("n1")
+	s.srv.servers.ExpireRemoved(s.now + fleetrunner.RemovedEndpointRetention + micro.Second)
+	known, _ = s.srv.servers.Lookup("n1")
 	require.True(t, known, "something is open there")
 }
--- a/internal/edge/handover.go
+++ b/internal/edge/handover.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	// HandoverListener is the index of the listener for a successor.
-	HandoverListener = 4
-	// HandoverConns are the connections of successors that may be open at once.
-	HandoverConns = 4
+	// HandoffListener is the index of the listener for a successor.
+	HandoffListener = 4
+	// MaxHandoffConns are the connections of successors that may be open at once.
+	MaxHandoffConns = 4
 	// The platform's figures: an old process has the longest deadline, three seconds at most, and this until it is killed.
 	handMost  = 3 * micro.Second
 	handAfter = 700 * micro.Millisecond
@@ -25,27 +25,27 @@
 	hearMost = 6 * micro.Second
 )
 
-// Host is what a hand-over needs of the process. Its methods are called on the loop.
-type Host interface {
+// ProcessHost is what a hand-over needs of the process. Its methods are called on the loop.
+type ProcessHost interface {
 	// Steer has new connections go to the process that listened at that place: 0 for the old one, 1 for its successor.
-	Steer(place int)
+	SteerListeners(place int)
 	// Share has this process keep to what the limits leave beside the other process with so many connections; negative: it
 	// is alone.
-	Share(others int)
+	ShareLimits(others int)
 	// Orphaned says that the predecessor is out of reach and has not handed over.
 	Orphaned()
 }
 
-// UseHost lets the server hand over to a successor, and take over.
-func (s *Server) UseHost(h Host) { s.host = h }
+// UseProcessHost lets the server hand over to a successor, and take over.
+func (s *Server) UseProcessHost(h ProcessHost) { s.host = h }
 
 // peerProcess is the link between an old process and its successor.
 type peerProcess struct {
 	s         *Server
-	conn      transport.Link
+	conn      transport.Conn
 	successor bool // the other one is the successor
 	greeted   bool
-	keys      []routing.KeyName // to be told yet
+	keys      []routing.IdempotencyKey // to be told yet
 	synced    bool
 	yours     bool // ownership has passed
 	told      int  // connections, last
@@ -54,14 +54,14 @@
 	out       []byte
 }
 
-func (s *Server) acceptHandover(c transport.Link) transport.Session {
+func (s *Server) acceptHandover(c transport.Conn) transport.Session {
 	return &peerProcess{s: s, conn: c, successor: true}
 }
 
 // Inherit takes up what a predecessor has told before the loop runs. It comes before Attach.
 func (s *Server) Inherit(told []upgrade.Message) error {
 	s.peer = &peerProcess{s: s, greeted: true, synced: true}
-	s.core.Join(s.peer, handover.Asker)
+	s.core.JoinPeer(s.peer, handover.Requester)
 	for _, m := range told {
 		if err := s.peer.take(m); err != nil {
 			return err
@@ -71,8 +71,8 @@
 	return nil
 }
 
-// Predecessor is the session of the link to the predecessor.
-func (s *Server) Predecessor(c transport.Link) transport.Session {
+// AcceptPredecessor is the session of the link to the predecessor.
+func (s *Server) AcceptPredecessor(c transport.Conn) transport.Session {
 	s.peer.conn = c
 	return s.peer
 }
@@ -111,8 +111,8 @@
 	}
 	s.peer = nil
 	s.logf("edge: the %s is gone, hand-over done: %v", k.who(), k.yours)
-	s.core.LostOther()
-	s.host.Share(-1)
+	s.core.PeerLost()
+	s.host.ShareLimits(-1)
 	if !k.successor && !k.yours {
 		s.host.Orphaned()
 	}
@@ -140,7 +140,7 @@
 		}
 		return k.greet(m)
 	}
-	in := routing.Intake{Once: m.Once, At: s.wall.FromUnixMilli(m.AtMS), Result: m.Result}
+	in := routing.KeyedRequest{IdempotencyKey: m.IdempotencyKey, ArrivedAt: s.wall.FromUnixMilli(m.ArrivedAtMilli), Result: m.Result}
 	if m.Kind >= upgrade.Claim {
 		var class, tenant bool
 		in.Class, class = s.classes[m.Class]
@@ -151,33 +151,33 @@
 	}
 	switch m.Kind {
 	case upgrade.Welcome:
-		s.out = m.Out
+		s.out = m.OutOfService
 		if m.Learned != nil {
-			s.core.Learn(*m.Learned)
+			s.core.RestoreLearned(*m.Learned)
 		}
-	case upgrade.More:
+	case upgrade.NextChunk:
 		k.more()
-	case upgrade.Yours:
+	case upgrade.OwnershipTransferred:
 		k.yours = true
 		s.logf("edge: the predecessor has handed over")
-		s.core.TakeOver()
-	case upgrade.Service:
-		s.out = m.Out
-		s.logf("edge: in service: %v, as the %s was told", !m.Out, k.who())
-	case upgrade.Conns:
-		s.host.Share(m.Conns)
+		s.core.TakeOwnership()
+	case upgrade.ServiceChanged:
+		s.out = m.OutOfService
+		s.logf("edge: in service: %v, as the %s was told", !m.OutOfService, k.who())
+	case upgrade.ConnectionCount:
+		s.host.ShareLimits(m.Connections)
 	case upgrade.Claim:
-		s.core.Claimed(in)
+		s.core.PeerClaimed(in)
 	case upgrade.Grant:
-		s.core.Granted(in)
-	case upgrade.Began:
-		s.core.BeganThere(in)
-	case upgrade.Passed:
-		s.core.EndedThere(in, routing.Passed)
+		s.core.PeerGranted(in)
+	case upgrade.Started:
+		s.core.PeerStarted(in)
+	case upgrade.Succeeded:
+		s.core.PeerFinished(in, routing.RunSucceeded)
 	case upgrade.Failed:
-		s.core.EndedThere(in, routing.Errored)
-	case upgrade.Freed:
-		s.core.FreedThere(in)
+		s.core.PeerFinished(in, routing.RunFailed)
+	case upgrade.Released:
+		s.core.PeerReleased(in)
 	}
 	return nil
 }
@@ -194,20 +194,20 @@
 	case s.peer != nil:
 		why = "an upgrade is under way"
 	}
-	k.conn.Vouch()
+	k.conn.MarkIdentified()
 	if why != "" {
 		s.logf("edge: a successor is refused: %s", why)
-		k.send(upgrade.Message{Kind: upgrade.Refuse, Text: why})
+		k.send(upgrade.Message{Kind: upgrade.Reject, Reason: why})
 		k.conn.Close()
 		return nil
 	}
 	s.peer, k.since = k, s.loop.Now()
 	s.logf("edge: a successor has come")
-	s.host.Steer(0)
-	s.host.Share(0) // it gets no connections yet
-	s.core.Join(k, handover.Owner)
-	learned := s.core.Learned()
-	k.send(upgrade.Message{Kind: upgrade.Welcome, Out: s.out, Learned: &learned})
+	s.host.SteerListeners(0)
+	s.host.ShareLimits(0) // it gets no connections yet
+	s.core.JoinPeer(k, handover.Owner)
+	learned := s.core.LearnedState()
+	k.send(upgrade.Message{Kind: upgrade.Welcome, OutOfService: s.out, Learned: &learned})
 	k.conns()
 	k.keys = s.core.Keys()
 	k.more()
@@ -219,13 +219,13 @@
 	if k.synced {
 		return
 	}
-	n := min(len(k.keys), upgrade.Chunk)
+	n := min(len(k.keys), upgrade.ChunkKeys)
 	for _, name := range k.keys[:n] {
-		k.s.core.TellKey(name)
+		k.s.core.AnnounceKey(name)
 	}
 	k.keys = k.keys[n:]
 	if n > 0 {
-		k.send(upgrade.Message{Kind: upgrade.More})
+		k.send(upgrade.Message{Kind: upgrade.NextChunk})
 		return
 	}
 	k.synced = true
@@ -252,45 +252,45 @@
 	n := k.s.connections()
 	if k.told != n {
 		k.told = n
-		k.send(upgrade.Message{Kind: upgrade.Conns, Conns: n})
+		k.send(upgrade.Message{Kind: upgrade.ConnectionCount, Connections: n})
 	}
 }
 
-func (k *peerProcess) key(kind upgrade.Kind, in routing.Intake) {
-	m := upgrade.Message{Kind: kind, Class: k.s.cfg.Settings.Classes[in.Class].Name, Once: in.Once, AtMS: k.s.wall.UnixMilli(in.At)}
+func (k *peerProcess) key(kind upgrade.Kind, in routing.KeyedRequest) {
+	m := upgrade.Message{Kind: kind, Class: k.s.cfg.Settings.Classes[in.Class].Name, IdempotencyKey: in.IdempotencyKey, ArrivedAtMilli: k.s.wall.UnixMilli(in.ArrivedAt)}
 	if in.Tenant < len(k.s.cfg.Settings.Tenants) {
 		m.Tenant = k.s.cfg.Settings.Tenants[in.Tenant].Name
 	}
-	if kind == upgrade.Passed {
+	if kind == upgrade.Succeeded {
 		m.Result = in.Result
 	}
 	k.send(m)
 }
 
 // Claim is part of routing.Other.
-func (k *peerProcess) Claim(in routing.Intake) { k.key(upgrade.Claim, in) }
+func (k *peerProcess) Claim(in routing.KeyedRequest) { k.key(upgrade.Claim, in) }
 
 // Grant is part of routing.Other.
-func (k *peerProcess) Grant(in routing.Intake) { k.key(upgrade.Grant, in) }
+func (k *peerProcess) Grant(in routing.KeyedRequest) { k.key(upgrade.Grant, in) }
 
-// Began is part of routing.Other.
-func (k *peerProcess) Began(in routing.Intake) { k.key(upgrade.Began, in) }
+// NotifyStarted is part of routing.Other.
+func (k *peerProcess) NotifyStarted(in routing.KeyedRequest) { k.key(upgrade.Started, in) }
 
-// Freed is part of routing.Other.
-func (k *peerProcess) Freed(in routing.Intake) { k.key(upgrade.Freed, in) }
+// NotifyReleased is part of routing.Other.
+func (k *peerProcess) NotifyReleased(in routing.KeyedRequest) { k.key(upgrade.Released, in) }
 
-// Ended is part of routing.Other.
-func (k *peerProcess) Ended(in routing.Intake, end routing.End) {
+// NotifyFinished is part of routing.Other.
+func (k *peerProcess) NotifyFinished(in routing.KeyedRequest, end routing.RunOutcome) {
 	// A result that no message holds has run all the same: the other process must not run it, and can't serve it.
-	if end == routing.Passed && len(in.Result) <= upgrade.MaxResult {
-		k.key(upgrade.Passed, in)
+	if end == routing.RunSucceeded && len(in.Result) <= upgrade.MaxResult {
+		k.key(upgrade.Succeeded, in)
 		return
 	}
 	k.key(upgrade.Failed, in)
 }
 
-// Leave is SIGTERM, which came at a time up to now: a hand-over where a successor stands ready, else the notice to drain.
-func (s *Server) Leave(at micro.Time) {
+// Shutdown is SIGTERM, which came at a time up to now: a hand-over where a successor stands ready, else the notice to drain.
+func (s *Server) Shutdown(at micro.Time) {
 	if s.peer == nil || !s.peer.successor || !s.peer.synced || s.draining || s.handed {
 		s.Drain(at)
 		return
@@ -298,18 +298,18 @@
 	now := s.loop.Now()
 	longest := micro.Time(0)
 	for _, c := range s.cfg.Settings.Classes {
-		longest = max(longest, micro.Of(c.Deadline))
+		longest = max(longest, micro.FromDuration(c.Deadline))
 	}
-	stop := min(s.cfg.Stop, min(longest, handMost)+handAfter)
+	stop := min(s.cfg.ShutdownTimeout, min(longest, handMost)+handAfter)
 	s.handed, s.farewell, s.handedAt = true, true, now
 	s.stopWithin(at, stop)
-	s.host.Steer(1)
+	s.host.SteerListeners(1)
 	s.closeListeners()
-	s.core.HandOver()
+	s.core.PassOwnership()
 	s.peer.yours = true
-	s.peer.send(upgrade.Message{Kind: upgrade.Yours})
+	s.peer.send(upgrade.Message{Kind: upgrade.OwnershipTransferred})
 	s.sayFarewell(now)
-	s.logf("edge: handed over with %d requests and %d connections open, to stop within %v", s.core.Open(), s.connections(), (s.stopAt - now).Duration())
+	s.logf("edge: handed over with %d requests and %d connections open, to stop within %v", s.core.OpenRequests(), s.connections(), (s.stopAt - now).Duration())
 }
 
 // leaveHanded ends an old process once all that it read is answered and its keyed runs have ended. Its peers have closed by
@@ -319,11 +319,11 @@
 		return micro.Never
 	}
 	if now >= s.stopAt-stopLead/2 {
-		s.core.EndAll()
+		s.core.FailAll()
 	}
-	quiet := s.listening == 0 && s.core.Open() == 0 && s.core.KeyedRuns() == 0 && s.connections() == 0
+	quiet := s.listening == 0 && s.core.OpenRequests() == 0 && s.core.KeyedRuns() == 0 && s.connections() == 0
 	if now >= s.handedAt+handLinger && quiet || now >= s.stopAt {
-		s.logf("edge: gone after %d requests, %d are open", s.requests, s.core.Open())
+		s.logf("edge: gone after %d requests, %d are open", s.requests, s.core.OpenRequests())
 		s.shutdown(now)
 		return micro.Never
 	}
--- a/internal/edge/handover_test.go
+++ b/internal/edge/handover_test.go
@@ -17,9 +17,9 @@
 	orphaned        bool
 }
 
-func (h *told) Steer(place int)  { h.steered = append(h.steered, place) }
-func (h *told) Share(others int) { h.shared = append(h.shared, others) }
-func (h *told) Orphaned()        { h.orphaned = true }
+func (h *told) SteerListeners(place int) { h.steered = append(h.steered, place) }
+func (h *told) ShareLimits(others int)   { h.shared = append(h.shared, others) }
+func (h *told) Orphaned()                { h.orphaned = true }
 
 // say has the other process say something; it returns what it hears in that turn.
 func (l *linked) say(k *fakeLink, ms ...upgrade.Message) (out []upgrade.Message) {
@@ -44,8 +44,8 @@
 
 // successor has one come; it returns what it is told first.
 func (l *linked) successor(h *told) (*fakeLink, []upgrade.Message) {
-	l.srv.UseHost(h)
-	k := l.connect("next", HandoverListener)
+	l.srv.UseProcessHost(h)
+	k := l.connect("next", HandoffListener)
 	l.deliver(k, upgrade.Preamble[:])
 	require.Equal(l.t, string(upgrade.Preamble[:]), string(k.out))
 	return k, l.say(k, upgrade.Message{Kind: upgrade.Hello, Name: "n0"})
@@ -62,7 +62,7 @@
 // hand-over it asks, and what the successor has run is served from its result.
 func TestOldProcess(t *testing.T) {
 	l, h := newLinked(t), &told{}
-	for i := range upgrade.Chunk + 1 {
+	for i := range upgrade.ChunkKeys + 1 {
 		l.ask(fmt.Sprintf("%016x", i+1), "lot-intake", fmt.Sprintf("k%02d", i))
 		l.tell(fmt.Sprintf("finished %d %016x PASS 5 3\r\nlot\r\n", i+1, i+1))
 	}
@@ -70,22 +70,22 @@
 	require.Equal(t, []int{0}, h.steered, "no connection goes astray before the hand-over")
 	require.Equal(t, upgrade.Welcome, first[0].Kind)
 	passed := 0
-	for _, m := range append(first, l.say(k, upgrade.Message{Kind: upgrade.More})...) {
-		if m.Kind == upgrade.Passed {
+	for _, m := range append(first, l.say(k, upgrade.Message{Kind: upgrade.NextChunk})...) {
+		if m.Kind == upgrade.Succeeded {
 			passed++
 			require.Equal(t, "lot", string(m.Result))
 		}
 	}
-	require.Equal(t, upgrade.Chunk+1, passed)
-	require.Equal(t, []upgrade.Kind{upgrade.Synced}, kinds(l.say(k, upgrade.Message{Kind: upgrade.More})))
+	require.Equal(t, upgrade.ChunkKeys+1, passed)
+	require.Equal(t, []upgrade.Kind{upgrade.Synced}, kinds(l.say(k, upgrade.Message{Kind: upgrade.NextChunk})))
 
 	k.out = nil
 	require.Contains(t, l.ask("00000000000000f1", "lot-intake", "new"), "spawn")
-	require.Equal(t, []upgrade.Kind{upgrade.Began}, kinds(l.heard(k)))
-	l.srv.Leave(l.now)
+	require.Equal(t, []upgrade.Kind{upgrade.Started}, kinds(l.heard(k)))
+	l.srv.Shutdown(l.now)
 	l.turn()
 	heard := l.heard(k)
-	require.Equal(t, upgrade.Yours, heard[len(heard)-1].Kind)
+	require.Equal(t, upgrade.OwnershipTransferred, heard[len(heard)-1].Kind)
 	require.Equal(t, []int{0, 1}, h.steered)
 	reports := len(l.reports)
 	k.out = nil
@@ -93,7 +93,7 @@
 	asked := l.heard(k)
 	require.Equal(t, []upgrade.Kind{upgrade.Claim}, kinds(asked))
 	l.caller.out = nil
-	asked[0].Kind, asked[0].Result = upgrade.Passed, []byte("theirs")
+	asked[0].Kind, asked[0].Result = upgrade.Succeeded, []byte("theirs")
 	l.say(k, asked[0])
 	require.Contains(t, string(l.caller.out), "theirs")
 	l.ask("00000000000000f3", "lot-intake", "granted")
@@ -109,7 +109,7 @@
 	l.advance(l.now + 4*micro.Second)
 	require.True(t, l.stopped)
 	for range 2 {
-		payload, n, err := thrift.Split(l.caller.out)
+		payload, n, err := thrift.SplitFrame(l.caller.out)
 		require.NoError(t, err)
 		require.NotNil(t, payload)
 		l.caller.out = l.caller.out[n:]
@@ -123,20 +123,20 @@
 	l.ask("00000000000000a1", "lot-intake", "k1")
 	l.tell("finished 1 00000000000000a1 PASS 5 3\r\nlot\r\n")
 	k, _ := l.successor(h)
-	other := l.connect("third", HandoverListener)
+	other := l.connect("third", HandoffListener)
 	l.deliver(other, upgrade.Preamble[:])
 	other.out = nil
-	require.Equal(t, "an upgrade is under way", l.say(other, upgrade.Message{Kind: upgrade.Hello, Name: "n0"})[0].Text)
+	require.Equal(t, "an upgrade is under way", l.say(other, upgrade.Message{Kind: upgrade.Hello, Name: "n0"})[0].Reason)
 	require.True(t, other.closed)
 	l.advance(l.now + hearMost + micro.Second)
 	require.True(t, k.closed, "it has hung")
 	require.Equal(t, -1, h.shared[len(h.shared)-1], "all places are its own again")
-	stranger := l.connect("stranger", HandoverListener)
+	stranger := l.connect("stranger", HandoffListener)
 	l.deliver(stranger, upgrade.Preamble[:])
 	stranger.out = nil
-	require.Equal(t, "this is n0", l.say(stranger, upgrade.Message{Kind: upgrade.Hello, Name: "n1"})[0].Text)
-	rude := l.connect("rude", HandoverListener)
-	l.deliver(rude, upgrade.Append(upgrade.Preamble[:], upgrade.Message{Kind: upgrade.Yours}))
+	require.Equal(t, "this is n0", l.say(stranger, upgrade.Message{Kind: upgrade.Hello, Name: "n1"})[0].Reason)
+	rude := l.connect("rude", HandoffListener)
+	l.deliver(rude, upgrade.Append(upgrade.Preamble[:], upgrade.Message{Kind: upgrade.OwnershipTransferred}))
 	require.True(t, rude.closed)
 	l.turn()
 	next, _ := l.successor(h)
@@ -147,15 +147,15 @@
 // may have run that has died.
 func TestNewProcess(t *testing.T) {
 	l, h := newLinked(t), &told{}
-	l.srv.UseHost(h)
+	l.srv.UseProcessHost(h)
 	at := unixZero{}.UnixMilli(l.now)
 	key := func(kind upgrade.Kind, once string) upgrade.Message {
-		return upgrade.Message{Kind: kind, Class: "lot-intake", Tenant: "hill-estate", Once: once, AtMS: at, Result: []byte("old")}
+		return upgrade.Message{Kind: kind, Class: "lot-intake", Tenant: "hill-estate", IdempotencyKey: once, ArrivedAtMilli: at, Result: []byte("old")}
 	}
-	require.NoError(t, l.srv.Inherit([]upgrade.Message{{Kind: upgrade.Welcome, Out: true}, key(upgrade.Passed, "done"), key(upgrade.Began, "runs")}))
+	require.NoError(t, l.srv.Inherit([]upgrade.Message{{Kind: upgrade.Welcome, OutOfService: true}, key(upgrade.Succeeded, "done"), key(upgrade.Started, "runs")}))
 	require.False(t, l.probed(), "out of service goes along")
 	k := &fakeLink{name: "old"}
-	k.session = l.srv.Predecessor(k)
+	k.session = l.srv.AcceptPredecessor(k)
 	l.adopt(k)
 	served := func(id, once, want string) {
 		l.caller.out = nil
@@ -167,7 +167,7 @@
 	require.Empty(t, l.ask("00000000000000a3", "lot-intake", "mine"))
 	require.Equal(t, []upgrade.Kind{upgrade.Claim}, kinds(l.heard(k)))
 	l.pool.out = nil
-	l.say(k, upgrade.Message{Kind: upgrade.Yours})
+	l.say(k, upgrade.Message{Kind: upgrade.OwnershipTransferred})
 	require.Contains(t, string(l.pool.out), "spawn 00000000000000a3", "it owns the keys")
 	l.tell("finished 1 00000000000000a3 PASS 5 3\r\nnew\r\n")
 	l.caller.out = nil
@@ -179,7 +179,7 @@
 	l.caller.out = nil
 	require.Empty(t, l.ask("00000000000000a4", "lot-intake", "runs"))
 	require.NotEmpty(t, l.caller.out)
-	require.Equal(t, 2, l.counters().BadGateway["lot-intake"])
+	require.Equal(t, 2, l.counters().Failed["lot-intake"])
 	l.advance(l.now + 14*micro.Second)
 	l.caller = l.connect("c2", 0)
 	require.Contains(t, l.ask("00000000000000a5", "lot-intake", "runs"), "spawn", "its window is over")
--- a/internal/edge/link_test.go
+++ b/internal/edge/link_test.go
@@ -66,12 +66,12 @@
 func (l *linked) replies() map[int32]thrift.ReplyKind {
 	out := map[int32]thrift.ReplyKind{}
 	for in := l.caller.out; len(in) > 0; {
-		payload, n, err := thrift.Split(in)
+		payload, n, err := thrift.SplitFrame(in)
 		require.NoError(l.t, err)
 		p, err := thrift.DecodeReply(payload)
 		require.NoError(l.t, err)
-		if p.Kind != thrift.Farewell {
-			out[p.Seq] = p.Kind
+		if p.Kind != thrift.ReplyFarewell {
+			out[p.SequenceID] = p.Kind
 		}
 		in = in[n:]
 	}
@@ -95,7 +95,7 @@
 	require.NotContains(t, again, intake)
 	require.Contains(t, again, "spawn "+view)
 	l.tell("finished 1 " + intake + " PASS 80 2\r\nok\r\nfinished 2 " + view + " PASS 80 2\r\nok\r\n")
-	require.Equal(t, map[int32]thrift.ReplyKind{1: thrift.Answered, 2: thrift.Answered}, l.replies())
+	require.Equal(t, map[int32]thrift.ReplyKind{1: thrift.ReplyAnswer, 2: thrift.ReplyAnswer}, l.replies())
 }
 
 // An intake that was asked for while there was no link was never sent, and is sent on the new one.
@@ -117,7 +117,7 @@
 		if name == "notice" {
 			l.ask("00000000000000c3", "block-view", "")
 		}
-		l.srv.pool.Poll()
+		l.srv.pool.RequestGauges()
 		l.tell(proof)
 		l.ask("00000000000000d4", "block-view", "")
 		l.broken()
@@ -135,11 +135,11 @@
 	l.broken()
 	l.link("bound LOADED 100\r\n")
 	l.advance(l.now + 5*micro.Second)
-	require.Equal(t, map[int32]thrift.ReplyKind{1: thrift.Broken}, l.replies())
+	require.Equal(t, map[int32]thrift.ReplyKind{1: thrift.ReplyBroken}, l.replies())
 	l.caller, l.seq = l.stage.connect("c2", 0), 0
 	require.NotContains(t, l.ask("00000000000000a2", "lot-intake", "k1"), "spawn")
 	l.advance(l.now + 5*micro.Second)
-	require.Equal(t, map[int32]thrift.ReplyKind{1: thrift.Broken}, l.replies())
+	require.Equal(t, map[int32]thrift.ReplyKind{1: thrift.ReplyBroken}, l.replies())
 	require.Equal(t, 1, l.srv.pool.Status().Runs)
 	l.advance(l.now + 10*micro.Second) // past the window
 	require.Zero(t, l.srv.pool.Status().Runs)
@@ -182,7 +182,7 @@
 		require.Contains(t, string(l.caller.out), "c3", name)
 		require.NotContains(t, string(l.caller.out), "bad", name)
 		require.NotContains(t, string(l.caller.out), "else", name)
-		require.Equal(t, map[int32]thrift.ReplyKind{1: thrift.Answered, 2: thrift.Answered}, l.replies(), name)
+		require.Equal(t, map[int32]thrift.ReplyKind{1: thrift.ReplyAnswer, 2: thrift.ReplyAnswer}, l.replies(), name)
 		require.Zero(t, l.srv.pool.Status().Runs, name)
 		require.NotNil(t, l.pool.session, name)
 	}
@@ -197,11 +197,11 @@
 		l.tell(spoilt)
 		require.NotContains(t, l.link("bound LOADED 100\r\n"), "spawn")
 		l.advance(l.now + 5*micro.Second)
-		require.Equal(t, map[int32]thrift.ReplyKind{1: thrift.Broken}, l.replies())
+		require.Equal(t, map[int32]thrift.ReplyKind{1: thrift.ReplyBroken}, l.replies())
 		l.caller, l.seq = l.stage.connect("c2", 0), 0
 		require.NotContains(t, l.ask("00000000000000a2", "lot-intake", "k1"), "spawn")
 		l.tell("finished 1 " + intake + " PASS 8 2\r\nok\r\n") // it comes after all
-		require.Equal(t, map[int32]thrift.ReplyKind{1: thrift.Answered}, l.replies())
+		require.Equal(t, map[int32]thrift.ReplyKind{1: thrift.ReplyAnswer}, l.replies())
 	}
 }
 
@@ -216,7 +216,7 @@
 	require.Empty(t, l.replies())
 	require.Contains(t, l.tell("polled sync"+strconv.Itoa(l.links)+" 0 0 0 0\r\n"), "spawn "+view)
 	l.tell("finished 2 " + view + " PASS 8 2\r\nok\r\n")
-	require.Equal(t, map[int32]thrift.ReplyKind{1: thrift.Answered}, l.replies())
+	require.Equal(t, map[int32]thrift.ReplyKind{1: thrift.ReplyAnswer}, l.replies())
 }
 
 // A pool that keeps too few notices has lost some for good: the second link that begins with the gap goes on behind it,
@@ -231,7 +231,7 @@
 	require.Nil(t, l.pool.session)
 	require.Contains(t, l.link("bound LOADED 100\r\nfinished 4002 00000000000000c4 PASS 8 2\r\nc4\r\n"), "spawn "+view)
 	l.tell("finished 4003 " + view + " PASS 8 2\r\nok\r\n")
-	require.Equal(t, map[int32]thrift.ReplyKind{1: thrift.Answered}, l.replies())
+	require.Equal(t, map[int32]thrift.ReplyKind{1: thrift.ReplyAnswer}, l.replies())
 	require.Contains(t, strings.Join(l.logged, "\n"), "notices 1 to 4001 are lost")
 }
 
@@ -244,7 +244,7 @@
 		l.ask("00000000000000c3", "block-view", "")
 		l.tell("chatter 1 all is well\r\nchatter 2 all is well\r\nchatter 2 once more\r\nchatter 900 too high\r\n")
 		l.tell("finished " + numbers[0] + " " + view + " PASS 8 2\r\nok\r\nfinished " + numbers[1] + " 00000000000000c3 PASS 8 2\r\nok\r\n")
-		require.Equal(t, map[int32]thrift.ReplyKind{1: thrift.Answered, 2: thrift.Answered}, l.replies())
+		require.Equal(t, map[int32]thrift.ReplyKind{1: thrift.ReplyAnswer, 2: thrift.ReplyAnswer}, l.replies())
 		require.NotNil(t, l.pool.session)
 		l.tell("finished 6 00000000000000dd PASS 8 2\r\nok\r\n")
 		require.Nil(t, l.pool.session)
@@ -274,5 +274,5 @@
 	require.Equal(t, 1, strings.Count(sent, "spawn "+intake))
 	require.NotContains(t, sent, view)
 	l.tell("finished 1 " + intake + " PASS 8 2\r\nok\r\n")
-	require.Equal(t, map[int32]thrift.ReplyKind{1: thrift.Answered}, l.replies())
+	require.Equal(t, map[int32]thrift.ReplyKind{1: thrift.ReplyAnswer}, l.replies())
 }
--- a/internal/edge/listed_test.go
+++ b/internal/edge/listed_test.go
@@ -15,7 +15,7 @@
 func TestListThatIgnoresHealth(t *testing.T) {
 	for _, ignores := range []bool{false, true} {
 		l := newLinked(t)
-		l.srv.cfg.Settings.ListIgnoresHealth = ignores
+		l.srv.cfg.Settings.EndpointListIgnoresHealth = ignores
 		for n := range 8 {
 			id := fmt.Sprintf("%016x", n+1)
 			require.Contains(t, l.ask(id, "block-view", ""), "spawn "+id)
--- a/internal/edge/loopback_test.go
+++ b/internal/edge/loopback_test.go
@@ -170,9 +170,9 @@
 
 // forwardIntake sends one by AJP.
 func forwardIntake(p *peer, once string) {
-	out := ajp.AppendForward(nil, ajp.Request{Method: "POST", URI: "/lot-intake", Headers: []ajp.Header{
+	out := ajp.AppendForwardRequest(nil, ajp.Request{Method: "POST", URI: "/lot-intake", Headers: []ajp.Header{
 		{Name: "content-length", Value: "3"}, {Name: "X-Relay-Tenant", Value: "lake-vines"}, {Name: "X-Relay-Once", Value: once}}})
-	out, _ = ajp.AppendBody(out, []byte("lot"))
+	out, _ = ajp.AppendBodyChunk(out, []byte("lot"))
 	p.write(out)
 }
 
@@ -186,19 +186,19 @@
 	}
 	require.Equal(p.t, 200, parts[0].Status)
 	require.True(p.t, parts[2].Reuse)
-	return string(parts[1].Chunk)
+	return string(parts[1].BodyChunk)
 }
 
-func splitContainer(in []byte) ([]byte, int, error) { return ajp.Split(in, ajp.FromContainer) }
+func splitContainer(in []byte) ([]byte, int, error) { return ajp.SplitPacket(in, ajp.FromContainer) }
 
 // The whole program on real sockets: an intake that comes by both protocols runs once, whichever is first, and
 // whether the first is still running; a broken connection harms no other.
 func TestLoopbackOnce(t *testing.T) {
 	pool := newSocketPool(t)
 	thriftAddr, ajpAddr, _ := serveLoopback(t, testConfig(t, pool.ln.Addr().String()), "")
-	desk := dial(t, thriftAddr, thrift.Split)
+	desk := dial(t, thriftAddr, thrift.SplitFrame)
 	office := dial(t, ajpAddr, splitContainer)
-	broken := dial(t, thriftAddr, thrift.Split)
+	broken := dial(t, thriftAddr, thrift.SplitFrame)
 	broken.write([]byte("GET / HTTP/1.1\r\n\r\n"))
 	_, err := broken.c.Read(make([]byte, 1))
 	require.ErrorIs(t, err, io.EOF)
@@ -247,7 +247,7 @@
 	file := filepath.Join(t.TempDir(), "intakes.db")
 	pool := newSocketPool(t)
 	thriftAddr, _, stop := serveLoopback(t, testConfig(t, pool.ln.Addr().String()), file)
-	desk := dial(t, thriftAddr, thrift.Split)
+	desk := dial(t, thriftAddr, thrift.SplitFrame)
 	sendIntake(desk, "k1")
 	pool.finish(<-pool.started, "weighed")
 	require.Contains(t, string(desk.read()), "weighed")
@@ -257,7 +257,7 @@
 	office := dial(t, ajpAddr, splitContainer)
 	forwardIntake(office, "k1")
 	require.Equal(t, "weighed", readOK(office))
-	desk = dial(t, thriftAddr, thrift.Split)
+	desk = dial(t, thriftAddr, thrift.SplitFrame)
 	sendIntake(desk, "k1")
 	require.Contains(t, string(desk.read()), "weighed")
 	require.Empty(t, pool.started)
--- a/internal/edge/overload_test.go
+++ b/internal/edge/overload_test.go
@@ -85,7 +85,7 @@
 	c.poolIn = bufio.NewReader(c.pool)
 	c.command() // bind
 	c.await(func() bool { return c.srv.pool.Status().Bound || c.poolMark() })
-	c.desk = dial(t, c.loop.Addr(0).String(), thrift.Split)
+	c.desk = dial(t, c.loop.Addr(0).String(), thrift.SplitFrame)
 	go c.readDesk()
 	return c
 }
@@ -152,7 +152,7 @@
 func (c *crowd) work() {
 	c.marks++
 	mark := fmt.Sprintf("mark%d", c.marks)
-	c.onLoop(func() { c.srv.pool.PollAs(mark) })
+	c.onLoop(func() { c.srv.pool.PollTagged(mark) })
 	for c.command() != mark {
 	}
 	for _, id := range slices.Sorted(maps.Keys(c.ends)) {
@@ -199,12 +199,12 @@
 		case err != nil:
 			c.t.Errorf("AJP: %v", err)
 			return
-		case r.Code == ajp.CodeHeaders:
+		case r.Code == ajp.CodeSendHeaders:
 			status = r.Status
 			if wait := slices.ContainsFunc(r.Headers, func(h ajp.Header) bool { return h.Name == "Retry-After" }); wait != (status == 503) {
 				c.t.Errorf("AJP: status %d with Retry-After %v", status, wait)
 			}
-		case r.Code == ajp.CodeEnd:
+		case r.Code == ajp.CodeEndResponse:
 			c.idle <- p
 			c.answers <- answered{"ajp", id, status}
 			return
@@ -227,10 +227,10 @@
 		default:
 			p = dial(c.t, c.loop.Addr(1).String(), splitContainer)
 		}
-		out := ajp.AppendForward(nil, ajp.Request{Method: "POST", URI: "/" + class, Headers: []ajp.Header{
+		out := ajp.AppendForwardRequest(nil, ajp.Request{Method: "POST", URI: "/" + class, Headers: []ajp.Header{
 			{Name: "content-length", Value: strconv.Itoa(len(body))}, {Name: "X-Relay-Id", Value: id}, {Name: "X-Relay-From", Value: "1"},
 			{Name: "X-Relay-Tenant", Value: "hill-estate"}, {Name: "X-Relay-Rank", Value: "0.5"}, {Name: "X-Relay-Once", Value: once}}})
-		out, _ = ajp.AppendBody(out, []byte(body))
+		out, _ = ajp.AppendBodyChunk(out, []byte(body))
 		p.write(out)
 		go c.readOffice(p, c.asked)
 	}
@@ -276,7 +276,7 @@
 }
 
 func (c *crowd) open() (n int) {
-	c.onLoop(func() { n = c.srv.core.Open() })
+	c.onLoop(func() { n = c.srv.core.OpenRequests() })
 	return n
 }
 
--- a/internal/edge/play_test.go
+++ b/internal/edge/play_test.go
@@ -54,7 +54,7 @@
 // fakeDial is a link that the program wants.
 type fakeDial struct {
 	addr    string
-	open    func(transport.Link) transport.Session
+	open    func(transport.Conn) transport.Session
 	dropped bool
 }
 
@@ -74,10 +74,10 @@
 		l.out = append(l.out, p...)
 	}
 }
-func (l *fakeLink) Close()         { l.closed = true }
-func (l *fakeLink) Resume()        { l.resume = true }
-func (l *fakeLink) Vouch()         { l.vouched = true }
-func (l *fakeLink) Remote() string { return l.name }
+func (l *fakeLink) Close()          { l.closed = true }
+func (l *fakeLink) Resume()         { l.resume = true }
+func (l *fakeLink) MarkIdentified() { l.vouched = true }
+func (l *fakeLink) Remote() string  { return l.name }
 
 // unixZero is a wall clock whose time is the stage's.
 type unixZero struct{}
@@ -93,30 +93,30 @@
 func (s *stage) Rand() uint64                     { return 7 }
 func (s *stage) Shutdown(micro.Time)              { s.stopped = true }
 func (s *stage) CloseListener(_ int, done func()) { done() }
-func (s *stage) Send(p []byte) {
+func (s *stage) SendDatagram(p []byte) {
 	if text := string(p); text != s.report {
 		s.report, s.reports = text, append(s.reports, text)
 	}
 }
-func (s *stage) Dial(addr string, open func(transport.Link) transport.Session) func() {
+func (s *stage) Dial(addr string, open func(transport.Conn) transport.Session) func() {
 	d := &fakeDial{addr: addr, open: open}
 	s.dials = append(s.dials, d)
 	return func() { d.dropped = true }
 }
-func (s *stage) Try(addr string, open func(transport.Link) transport.Session, _ func()) func() {
+func (s *stage) DialOnce(addr string, open func(transport.Conn) transport.Session, _ func()) func() {
 	return s.Dial(addr, open)
 }
-func (s *stage) Datagrams(addr string) error {
+func (s *stage) SetDatagramPeer(addr string) error {
 	s.control, s.report = addr, ""
 	return nil
 }
 
 // testConfig is a configuration with the AJP front on.
 func testConfig(t *testing.T, pool string) config.Config {
-	set, gauges, err := wire.ParseSettings([]byte(settings), 7)
+	set, gauges, err := wire.Parse([]byte(settings), 7)
 	require.NoError(t, err)
-	return config.Config{Name: "n0", Pool: pool, Stop: 3200 * micro.Millisecond, Settings: set, Gauges: gauges,
-		AJP: config.AJP{BodyTimeout: 10 * micro.Second, MaxBody: 100, MaxConns: 900}}
+	return config.Config{Name: "n0", PoolAddress: pool, ShutdownTimeout: 3200 * micro.Millisecond, Settings: set, Gauges: gauges,
+		AJP: config.AJP{BodyTimeout: 10 * micro.Second, MaxBody: 100, MaxConnections: 900}}
 }
 
 func newStage(t *testing.T, ajp config.AJP) *stage {
@@ -228,7 +228,7 @@
 			s.advance(micro.Time(ms) * micro.Millisecond)
 		case words[0] == "reload":
 			cfg := s.srv.cfg
-			cfg.Pool, cfg.Control = words[1], words[2]
+			cfg.PoolAddress, cfg.ControlAddress = words[1], words[2]
 			require.NoError(s.t, s.srv.Reload(cfg))
 		case line == "dials":
 			s.dials = slices.DeleteFunc(s.dials, func(d *fakeDial) bool { return d.dropped })
@@ -258,7 +258,7 @@
 	f.Add([]byte("\x12\x34\x00\x01\x0a\x12\x34\x00\x04\x02\x04\x00\x99"))
 	f.Add([]byte("bound LOADED 0\r\npolled sync1\r\nfinished 1 a PASS 1 0\r\n\r\n"))
 	f.Fuzz(func(t *testing.T, in []byte) {
-		s := newStage(t, config.AJP{BodyTimeout: micro.Second, MaxBody: 100, MaxConns: 99})
+		s := newStage(t, config.AJP{BodyTimeout: micro.Second, MaxBody: 100, MaxConnections: 99})
 		for i, l := range []*fakeLink{s.connect("pool", -1), s.connect("c1", 0), s.connect("a1", 1)} {
 			s.deliver(l, in)
 			s.turn()
@@ -283,10 +283,10 @@
 			require.NoError(t, err)
 			var ajp config.AJP
 			if strings.Contains(file, "ajp") {
-				ajp = config.AJP{Secret: "vine", BodyTimeout: 500 * micro.Millisecond, MaxBody: 100, MaxConns: 99, Connections: 2, RunnerPath: "/run"}
+				ajp = config.AJP{Secret: "vine", BodyTimeout: 500 * micro.Millisecond, MaxBody: 100, MaxConnections: 99, BackendConnections: 2, BackendPath: "/run"}
 			}
 			if strings.Contains(file, "runner") {
-				ajp.Runner = "backend"
+				ajp.BackendAddress = "backend"
 			}
 			got := newStage(t, ajp).played(strings.Split(strings.TrimSuffix(string(text), "\n"), "\n"))
 			if *update {
@@ -309,7 +309,7 @@
 	probe := "\x00\x00\x00\x16\x80\x01\x00\x01\x00\x00\x00\x05probe\x00\x00\x00\x01\x02\x00\x01\x00\x00"
 	giveUp := "\x00\x00\x00\x1a\x80\x01\x00\x04\x00\x00\x00\x06giveUp\x00\x00\x00\x02\x08\x00\x01\x00\x00\x00\x07\x00"
 	head := func(secret string) string {
-		return string(ajp.AppendForward(nil, ajp.Request{Method: "POST", URI: "/block-view", RemoteAddr: "127.0.0.1", Secret: secret,
+		return string(ajp.AppendForwardRequest(nil, ajp.Request{Method: "POST", URI: "/block-view", RemoteAddr: "127.0.0.1", Secret: secret,
 			Headers: []ajp.Header{{Name: "content-length", Value: "40"}}}))
 	}
 	for _, c := range []struct {
@@ -321,7 +321,7 @@
 		{0, probe, true}, {0, giveUp, false}, {0, "\x00\x00\x00\x02hi", false},
 		{1, head("vine"), true}, {1, head("wine"), false}, {1, "\x12\x34\x00\x01\x0a", true}, {1, "\x12\x34\x00", false},
 	} {
-		s := newStage(t, config.AJP{Secret: "vine", BodyTimeout: micro.Second, MaxBody: 100, MaxConns: 9})
+		s := newStage(t, config.AJP{Secret: "vine", BodyTimeout: micro.Second, MaxBody: 100, MaxConnections: 9})
 		l := s.connect("c", c.listener)
 		s.deliver(l, []byte(c.sent))
 		require.Equal(t, c.vouched, l.vouched, "%d %q", c.listener, c.sent)
--- a/internal/edge/record.go
+++ b/internal/edge/record.go
@@ -9,8 +9,8 @@
 	"pewterline/internal/store"
 )
 
-// Records is a store of record: what store.Store does.
-type Records interface {
+// RecordStore is a store of record: what store.Store does.
+type RecordStore interface {
 	// Load reads the intakes since a time in Unix milliseconds, oldest first.
 	Load(sinceMilli int64) ([]store.Record, error)
 	// Record writes r. done is called once, from anywhere but never before Record returns, when r is durable or an
@@ -20,10 +20,10 @@
 
 // UseStore takes up what an earlier life of this server has recorded, and records from then on. It comes before
 // Attach, and may wait for the database.
-func (s *Server) UseStore(st Records, now micro.Time) error {
+func (s *Server) UseStore(st RecordStore, now micro.Time) error {
 	window := micro.Time(0)
 	for _, c := range s.cfg.Settings.Classes {
-		window = max(window, micro.Of(c.Window))
+		window = max(window, micro.FromDuration(c.RetentionWindow))
 	}
 	records, err := st.Load(s.wall.UnixMilli(now - window))
 	if err != nil {
@@ -35,15 +35,15 @@
 		if !known {
 			continue // of settings that have changed since
 		}
-		in := routing.Intake{Class: class, Tenant: s.tenants[r.Tenant], Once: r.Once, At: s.wall.FromUnixMilli(r.AtMilli), Result: r.Result}
+		in := routing.KeyedRequest{Class: class, Tenant: s.tenants[r.Tenant], IdempotencyKey: r.IdempotencyKey, ArrivedAt: s.wall.FromUnixMilli(r.ArrivedAtMilli), Result: r.Result}
 		if r.Intent {
 			open++
-			s.core.RestoreIntent(in)
+			s.core.RestoreLease(in)
 		} else {
 			s.core.Restore(in)
 		}
 	}
-	s.core.UseRecorder(&recorder{s, st, map[recordName]*ledger.Key{}})
+	s.core.UseExecutionStore(&recorder{s, st, map[recordName]*ledger.Lifecycle{}})
 	s.logf("edge: %d intakes restored, of %d it is not known whether they ran", len(records), open)
 	return nil
 }
@@ -54,13 +54,13 @@
 // recorder is the core's way to the store, which works off the loop. The store is the one holder of what the ledger decides.
 type recorder struct {
 	s    *Server
-	st   Records
-	keys map[recordName]*ledger.Key // of what has not come to an end, by tenant and once-key
+	st   RecordStore
+	keys map[recordName]*ledger.Lifecycle // of what has not come to an end, by tenant and once-key
 }
 
-func (r *recorder) record(in routing.Intake) store.Record {
-	rec := store.Record{Class: r.s.cfg.Settings.Classes[in.Class].Name, Once: in.Once,
-		AtMilli: r.s.wall.UnixMilli(in.At), Result: in.Result}
+func (r *recorder) record(in routing.KeyedRequest) store.Record {
+	rec := store.Record{Class: r.s.cfg.Settings.Classes[in.Class].Name, IdempotencyKey: in.IdempotencyKey,
+		ArrivedAtMilli: r.s.wall.UnixMilli(in.ArrivedAt), Result: in.Result}
 	if in.Tenant < len(r.s.cfg.Settings.Tenants) {
 		rec.Tenant = r.s.cfg.Settings.Tenants[in.Tenant].Name
 	}
@@ -68,12 +68,12 @@
 }
 
 // move takes an intake a step on, and carries out what the ledger says of the store. told hears what is said to whoever asked.
-func (r *recorder) move(in routing.Intake, ev ledger.Event, told func(ledger.Do, error)) {
+func (r *recorder) move(in routing.KeyedRequest, ev ledger.Event, told func(ledger.Action, error)) {
 	rec := r.record(in)
-	name := recordName{rec.Tenant, rec.Once}
+	name := recordName{rec.Tenant, rec.IdempotencyKey}
 	k := r.keys[name]
 	if k == nil {
-		k = &ledger.Key{}
+		k = &ledger.Lifecycle{}
 		r.keys[name] = k
 	}
 	var err error
@@ -83,7 +83,7 @@
 			// Once the loop has ended there is nobody left to answer.
 			_ = r.s.loop.Execute(func() {
 				if err = failed; failed != nil {
-					then = ledger.NoAnswer
+					then = ledger.EventUnavailable
 				}
 				step(then)
 			})
@@ -92,58 +92,58 @@
 	step = func(ev ledger.Event) {
 		for _, d := range k.Step(ev) {
 			switch d {
-			case ledger.Ask:
+			case ledger.ActionAcquireLease:
 				intent := rec
 				intent.Intent, intent.Result = true, nil
-				write(intent, ledger.Granted)
-			case ledger.Copy:
-				if ev == ledger.Failed { // a life to come takes the intent for one whose end is not known
-					step(ledger.FoundBad)
+				write(intent, ledger.EventLeaseGranted)
+			case ledger.ActionRecord:
+				if ev == ledger.EventRunFailed { // a life to come takes the intent for one whose end is not known
+					step(ledger.EventFailureFound)
 				} else {
-					write(rec, ledger.Found)
+					write(rec, ledger.EventResultFound)
 				}
-			case ledger.TakeBack:
-				write(rec.Void(), ledger.Nothing)
-			case ledger.Later: // a repeat tries again
+			case ledger.ActionReleaseLease:
+				write(rec.Cancelled(), ledger.EventVacant)
+			case ledger.ActionRetryLater: // a repeat tries again
 			default:
 				told(d, err)
 			}
 		}
-		if (k.State == ledger.Idle || k.State == ledger.Copied) && r.keys[name] == k {
+		if (k.State == ledger.StateIdle || k.State == ledger.StateRecorded) && r.keys[name] == k {
 			delete(r.keys, name) // the core keeps what has come to an end
 		}
-		if ev == ledger.NoAnswer && k.State == ledger.Idle {
-			r.s.logf("edge: an intent of %q that came to nothing stays on record: %v", in.Once, err)
+		if ev == ledger.EventUnavailable && k.State == ledger.StateIdle {
+			r.s.logf("edge: an intent of %q that came to nothing stays on record: %v", in.IdempotencyKey, err)
 		}
 	}
 	step(ev)
 }
 
-// Find is part of routing.Recorder: nobody else writes to this store.
-func (r *recorder) Find(routing.Intake, func(routing.Leave)) bool { return false }
+// Lookup is part of routing.Recorder: nobody else writes to this store.
+func (r *recorder) Lookup(routing.KeyedRequest, func(routing.LeaseResult)) bool { return false }
 
-// Intend is part of routing.Recorder.
-func (r *recorder) Intend(in routing.Intake, done func(routing.Leave)) {
-	r.move(in, ledger.Try, func(d ledger.Do, err error) {
-		if d == ledger.Start {
-			done(routing.Leave{})
+// Acquire is part of routing.Recorder.
+func (r *recorder) Acquire(in routing.KeyedRequest, done func(routing.LeaseResult)) {
+	r.move(in, ledger.EventAttemptArrived, func(d ledger.Action, err error) {
+		if d == ledger.ActionStart {
+			done(routing.LeaseResult{})
 			return
 		}
-		done(routing.Leave{Word: routing.NoRecord, Err: err})
+		done(routing.LeaseResult{Verdict: routing.VerdictUnavailable, Err: err})
 	})
 }
 
-// Void is part of routing.Recorder. Where it is lost, a repeat after a restart fails for no reason but that nobody knows.
-func (r *recorder) Void(in routing.Intake) {
-	r.move(in, ledger.Unbegun, func(ledger.Do, error) {})
+// Release is part of routing.Recorder. Where it is lost, a repeat after a restart fails for no reason but that nobody knows.
+func (r *recorder) Release(in routing.KeyedRequest) {
+	r.move(in, ledger.EventRunNotStarted, func(ledger.Action, error) {})
 }
 
-// Fail is part of routing.Recorder.
-func (r *recorder) Fail(in routing.Intake) {
-	r.move(in, ledger.Failed, func(ledger.Do, error) {})
+// RecordFailure is part of routing.Recorder.
+func (r *recorder) RecordFailure(in routing.KeyedRequest) {
+	r.move(in, ledger.EventRunFailed, func(ledger.Action, error) {})
 }
 
-// Record is part of routing.Recorder.
-func (r *recorder) Record(in routing.Intake, done func(error)) {
-	r.move(in, ledger.Passed, func(d ledger.Do, err error) { done(err) })
+// RecordResult is part of routing.Recorder.
+func (r *recorder) RecordResult(in routing.KeyedRequest, done func(error)) {
+	r.move(in, ledger.EventRunSucceeded, func(d ledger.Action, err error) { done(err) })
 }
--- a/internal/edge/retune.go
+++ b/internal/edge/retune.go
@@ -42,7 +42,7 @@
 // retune takes up new settings, or changes nothing.
 func (s *Server) retune(next config.Config) error {
 	set := next.Settings
-	set.Seed, set.Cold = s.cfg.Settings.Seed, s.cfg.Settings.Cold
+	set.Seed, set.ColdStart = s.cfg.Settings.Seed, s.cfg.Settings.ColdStart
 	if reflect.DeepEqual(set, s.settings) {
 		return nil
 	}
@@ -52,7 +52,7 @@
 	now := s.loop.Now()
 	s.forgetLate(now)
 	before := s.cfg.Settings.Classes
-	placed, err := s.core.Retune(set, func(class int) bool {
+	placed, err := s.core.Reload(set, func(class int) bool {
 		_, late := s.late[class]
 		return late
 	})
@@ -66,7 +66,7 @@
 		case !c.Retired:
 			delete(s.late, i)
 		case i < len(before) && !before[i].Retired:
-			s.late[i] = now + max(micro.Of(c.Window), lateMost)
+			s.late[i] = now + max(micro.FromDuration(c.RetentionWindow), lateMost)
 		}
 	}
 	s.name()
--- a/internal/edge/retune_test.go
+++ b/internal/edge/retune_test.go
@@ -21,11 +21,11 @@
 	cfg := s.srv.cfg
 	text := change(settings)
 	var err error
-	cfg.Settings, cfg.Gauges, err = wire.ParseSettings([]byte(text), 7)
+	cfg.Settings, cfg.Gauges, err = wire.Parse([]byte(text), 7)
 	require.NoError(s.t, err)
 	var set any
 	require.NoError(s.t, json.Unmarshal([]byte(text), &set))
-	cfg.Raw = map[string]any{"settings": set}
+	cfg.Document = map[string]any{"settings": set}
 	return cfg
 }
 
@@ -82,7 +82,7 @@
 	l.caller = l.connect("c2", 0)
 	l.ask("00000000000000a6", "lot-intake", "k9")
 	require.Contains(t, string(l.caller.out), `class: unknown "lot-intake"`)
-	require.Equal(t, 3, l.counters().Passed["lot-intake"], "a class that is gone keeps its figures")
+	require.Equal(t, 3, l.counters().Succeeded["lot-intake"], "a class that is gone keeps its figures")
 
 	// Back again, twice in a row, and in a drain: it is served as at first.
 	require.NoError(t, l.srv.Reload(l.with(asIs)))
@@ -92,7 +92,7 @@
 	require.Contains(t, l.ask("00000000000000a7", "lot-intake", "k10"), "spawn 00000000000000a7 lot-intake")
 	l.tell("finished 5 00000000000000a7 PASS 5 3\r\nnew\r\n")
 	require.Contains(t, string(l.caller.out), "new")
-	require.Equal(t, 5, l.counters().Loads+l.counters().LoadErrors+1)
+	require.Equal(t, 5, l.counters().Reloads+l.counters().ReloadErrors+1)
 }
 
 // Guards the table of classes against reloads without end: places that nothing holds on to are used again.
@@ -113,7 +113,7 @@
 func TestFaultySettingsChangeNothing(t *testing.T) {
 	l := newLinked(t)
 	cfg := l.with(asIs)
-	cfg.Control = "control"
+	cfg.ControlAddress = "control"
 	require.NoError(t, l.srv.Reload(cfg))
 	before := l.srv.cfg
 	for _, c := range []struct{ old, new, want string }{
@@ -129,12 +129,12 @@
 			require.Contains(t, text, c.old)
 			return strings.Replace(text, c.old, c.new, 1)
 		})
-		cfg.Control = "elsewhere"
+		cfg.ControlAddress = "elsewhere"
 		require.ErrorContains(t, l.srv.Reload(cfg), c.want)
 		require.Equal(t, before, l.srv.cfg, c.want)
 		require.Equal(t, "control", l.control)
 	}
-	require.Equal(t, 7, l.counters().LoadErrors)
+	require.Equal(t, 7, l.counters().ReloadErrors)
 	require.Contains(t, l.ask("00000000000000a1", "lot-intake", "k1"), "spawn")
 }
 
@@ -143,13 +143,13 @@
 func TestUnknownClassHarmsNoOther(t *testing.T) {
 	l := newLinked(t)
 	l.ask("00000000000000a1", "block-view", "")
-	for i := range 3 * thriftfront.MaxFaults {
+	for i := range 3 * thriftfront.MaxConsecutiveErrors {
 		l.ask(fmt.Sprintf("%016x", 100+i), "no-such", "")
 	}
 	require.False(t, l.caller.closed)
-	require.Equal(t, 3*thriftfront.MaxFaults, bytes.Count(l.caller.out, []byte(`class: unknown`)))
+	require.Equal(t, 3*thriftfront.MaxConsecutiveErrors, bytes.Count(l.caller.out, []byte(`class: unknown`)))
 	l.tell("finished 1 00000000000000a1 PASS 5 2\r\nok\r\n")
-	payload, _, err := thrift.Split(l.caller.out[bytes.LastIndex(l.caller.out, []byte("process"))-12:])
+	payload, _, err := thrift.SplitFrame(l.caller.out[bytes.LastIndex(l.caller.out, []byte("process"))-12:])
 	require.NoError(t, err)
 	require.NotNil(t, payload)
 }
--- a/internal/edge/runner_test.go
+++ b/internal/edge/runner_test.go
@@ -37,7 +37,7 @@
 }
 
 func serveBackend(c net.Conn, ran chan<- string) error {
-	p := &peer{c: c, split: func(in []byte) ([]byte, int, error) { return ajp.Split(in, ajp.FromServer) }}
+	p := &peer{c: c, split: func(in []byte) ([]byte, int, error) { return ajp.SplitPacket(in, ajp.FromServer) }}
 	for {
 		payload, err := p.next()
 		if err != nil {
@@ -49,7 +49,7 @@
 			}
 			continue
 		}
-		req, err := ajp.ParseForward(payload)
+		req, err := ajp.ParseForwardRequest(payload)
 		if err != nil {
 			return err
 		}
@@ -57,16 +57,16 @@
 			return errors.New("no secret")
 		}
 		var body []byte
-		for int64(len(body)) < req.Length {
+		for int64(len(body)) < req.ContentLength {
 			if len(body) > 0 {
-				if _, err := c.Write(ajp.AppendGetBody(nil, int(req.Length)-len(body))); err != nil {
+				if _, err := c.Write(ajp.AppendGetBodyChunk(nil, int(req.ContentLength)-len(body))); err != nil {
 					return err
 				}
 			}
 			if payload, err = p.next(); err != nil {
 				return err
 			}
-			chunk, err := ajp.ParseBody(payload)
+			chunk, err := ajp.ParseBodyChunk(payload)
 			if err != nil {
 				return err
 			}
@@ -74,8 +74,8 @@
 		}
 		ran <- req.URI
 		result := append([]byte(req.URI+" "), body...)
-		out := ajp.AppendHeaders(nil, 200, "OK", []ajp.Header{{Name: "Content-Length", Value: strconv.Itoa(len(result))}})
-		if _, err := c.Write(ajp.AppendEnd(ajp.AppendChunks(out, result), true)); err != nil {
+		out := ajp.AppendSendHeaders(nil, 200, "OK", []ajp.Header{{Name: "Content-Length", Value: strconv.Itoa(len(result))}})
+		if _, err := c.Write(ajp.AppendEndResponse(ajp.AppendResponseBody(out, result), true)); err != nil {
 			return err
 		}
 	}
@@ -86,9 +86,9 @@
 func TestLoopbackRunner(t *testing.T) {
 	ran := make(chan string, 100)
 	cfg := testConfig(t, "")
-	cfg.AJP.Runner, cfg.AJP.RunnerKey, cfg.AJP.RunnerPath, cfg.AJP.Connections = ajpBackendStandIn(t, ran), "vine", "/run", 2
+	cfg.AJP.BackendAddress, cfg.AJP.BackendSecret, cfg.AJP.BackendPath, cfg.AJP.BackendConnections = ajpBackendStandIn(t, ran), "vine", "/run", 2
 	thriftAddr, ajpAddr, _ := serveLoopback(t, cfg, "")
-	desk, office := dial(t, thriftAddr, thrift.Split), dial(t, ajpAddr, splitContainer)
+	desk, office := dial(t, thriftAddr, thrift.SplitFrame), dial(t, ajpAddr, splitContainer)
 	sendIntake(desk, "k1")
 	require.Contains(t, string(desk.read()), "/run/lot-intake lot")
 	forwardIntake(office, "k1")
--- a/internal/faults/faults.go
+++ b/internal/faults/faults.go
@@ -433,7 +433,7 @@
 
 func duration(text string) (micro.Time, error) {
 	d, err := time.ParseDuration(text)
-	return micro.Of(d), err
+	return micro.FromDuration(d), err
 }
 
 // Sort puts the faults in order of time.
--- a/internal/front/ajpfront/front.go
+++ b/internal/front/ajpfront/front.go
@@ -19,20 +19,20 @@
 	Classes() []control.Class
 }
 
-// Front holds the sessions of all web servers' connections. Its methods are called on the loop.
-type Front struct {
+// Frontend holds the sessions of all web servers' connections. Its methods are called on the loop.
+type Frontend struct {
 	server   Server
 	config   config.AJP
 	sessions ordered.Set[*session]
 }
 
 // New returns a front without connections.
-func New(server Server, cfg config.AJP) *Front { return &Front{server: server, config: cfg} }
+func New(server Server, cfg config.AJP) *Frontend { return &Frontend{server: server, config: cfg} }
 
 // Accept gives a connection its session. One connection too many is closed.
-func (f *Front) Accept(conn transport.Link) transport.Session {
+func (f *Frontend) Accept(conn transport.Conn) transport.Session {
 	s := &session{front: f, conn: conn, due: f.server.Now() + idleTimeout}
-	if f.sessions.Len() >= f.config.MaxConns {
+	if f.sessions.Len() >= f.config.MaxConnections {
 		f.server.Logf("ajp: %s turned away: %d connections are open", conn.Remote(), f.sessions.Len())
 		s.phase = awaitClose
 		conn.Close()
@@ -42,10 +42,10 @@
 }
 
 // Len returns the number of connections.
-func (f *Front) Len() int { return f.sessions.Len() }
+func (f *Frontend) Len() int { return f.sessions.Len() }
 
-// Check ends the waits whose time is over; it returns when the next one's is.
-func (f *Front) Check(now micro.Time) micro.Time {
+// ExpireTimeouts ends the waits whose time is over; it returns when the next one's is.
+func (f *Frontend) ExpireTimeouts(now micro.Time) micro.Time {
 	next := micro.Never
 	for _, s := range f.sessions.Items() {
 		next = min(next, s.check(now))
@@ -53,8 +53,8 @@
 	return next
 }
 
-// Leave closes all connections that have no request in hand. The others end with their answers, as the server is leaving.
-func (f *Front) Leave() {
+// Drain closes all connections that have no request in hand. The others end with their answers, as the server is leaving.
+func (f *Frontend) Drain() {
 	for _, s := range f.sessions.Items() {
 		s.leave()
 	}
@@ -64,7 +64,7 @@
 func middleRank(classes []control.Class, class int) float64 {
 	below, own := 0, classes[class]
 	for i, c := range classes {
-		if c.Worth < own.Worth || c.Worth == own.Worth && i < class {
+		if c.Weight < own.Weight || c.Weight == own.Weight && i < class {
 			below++
 		}
 	}
--- a/internal/front/ajpfront/session.go
+++ b/internal/front/ajpfront/session.go
@@ -45,14 +45,14 @@
 // session is one connection. It has one request at a time.
 type session struct {
 	ordered.Position
-	front   *Front
-	conn    transport.Link
+	front   *Frontend
+	conn    transport.Conn
 	phase   phase
 	request ajp.Request
 	body    []byte
 	readAt  micro.Time // of the head of the request in hand
 	due     micro.Time // for a body, for the peer's close, or for the end of idleness
-	id      control.ID
+	id      control.RequestID
 	closed  bool
 	scratch []byte
 }
@@ -69,7 +69,7 @@
 	s.closed = true
 	s.front.sessions.Remove(s)
 	if s.phase == awaitAnswer {
-		s.front.server.GiveUp(s.id)
+		s.front.server.Cancel(s.id)
 	}
 	s.body = nil
 }
@@ -86,11 +86,11 @@
 			return len(in), nil
 		case awaitAnswer:
 			if len(in)-n > maxPipelined {
-				return n, fmt.Errorf("%w: %d bytes behind a request in hand", ajp.ErrPacket, len(in)-n)
+				return n, fmt.Errorf("%w: %d bytes behind a request in hand", ajp.ErrInvalidPacket, len(in)-n)
 			}
 			return n, nil
 		}
-		payload, size, err := ajp.Split(in[n:], ajp.FromServer)
+		payload, size, err := ajp.SplitPacket(in[n:], ajp.FromServer)
 		if err != nil || payload == nil {
 			return n, err
 		}
@@ -108,20 +108,20 @@
 
 func (s *session) takePacket(payload []byte) error {
 	if len(payload) == 0 {
-		return fmt.Errorf("%w: empty where a request was due", ajp.ErrPacket)
+		return fmt.Errorf("%w: empty where a request was due", ajp.ErrInvalidPacket)
 	}
 	s.due = s.front.server.Now() + idleTimeout
 	switch payload[0] {
 	case ajp.CodeCPing:
-		s.conn.Vouch()
+		s.conn.MarkIdentified()
 		s.write(ajp.AppendCPong(s.scratch[:0]))
 	case ajp.CodeShutdown: // anyone who reaches the port could stop the server
 		s.front.server.Logf("ajp: %s: shutdown is not obeyed", s.conn.Remote())
 	case ajp.CodePing:
-	case ajp.CodeForward:
+	case ajp.CodeForwardRequest:
 		s.takeRequest(payload)
 	default:
-		return fmt.Errorf("%w: unknown code %d", ajp.ErrPacket, payload[0])
+		return fmt.Errorf("%w: unknown code %d", ajp.ErrInvalidPacket, payload[0])
 	}
 	return nil
 }
@@ -129,7 +129,7 @@
 func (s *session) takeRequest(payload []byte) {
 	s.readAt, s.body = s.front.server.Now(), nil
 	var err error
-	s.request, err = ajp.ParseForward(payload)
+	s.request, err = ajp.ParseForwardRequest(payload)
 	cfg := s.front.config
 	switch {
 	case err != nil:
@@ -138,41 +138,41 @@
 	case subtle.ConstantTimeCompare([]byte(s.request.Secret), []byte(cfg.Secret)) != 1 && cfg.Secret != "":
 		s.refuse(403, "the secret is not ours")
 	case s.request.URI == healthPath:
-		s.conn.Vouch()
+		s.conn.MarkIdentified()
 		s.answerHealth()
 	case s.request.Method != "POST" && s.request.Method != "PUT" && s.request.Method != "GET":
 		s.refuse(405, s.request.Method+" is not offered")
-	case s.request.Length > int64(cfg.MaxBody):
-		s.refuse(413, fmt.Sprintf("a body of %d bytes is over %d", s.request.Length, cfg.MaxBody))
-	case s.request.Length > 0:
-		s.conn.Vouch() // from here on the time for the body guards the connection
+	case s.request.ContentLength > int64(cfg.MaxBody):
+		s.refuse(413, fmt.Sprintf("a body of %d bytes is over %d", s.request.ContentLength, cfg.MaxBody))
+	case s.request.ContentLength > 0:
+		s.conn.MarkIdentified() // from here on the time for the body guards the connection
 		// The first packet of the body comes unasked.
 		s.phase, s.due = awaitBody, s.readAt+cfg.BodyTimeout
-	case s.request.Chunked():
-		s.conn.Vouch()
+	case s.request.IsChunked():
+		s.conn.MarkIdentified()
 		s.phase, s.due = awaitBody, s.readAt+cfg.BodyTimeout
-		s.write(ajp.AppendGetBody(s.scratch[:0], cfg.MaxBody+1))
+		s.write(ajp.AppendGetBodyChunk(s.scratch[:0], cfg.MaxBody+1))
 	default:
 		s.submit()
 	}
 }
 
 func (s *session) takeBody(payload []byte) error {
-	chunk, err := ajp.ParseBody(payload)
+	chunk, err := ajp.ParseBodyChunk(payload)
 	if err != nil {
 		return err
 	}
 	s.body = append(s.body, chunk...)
-	have, want, most := int64(len(s.body)), s.request.Length, int64(s.front.config.MaxBody)
+	have, want, most := int64(len(s.body)), s.request.ContentLength, int64(s.front.config.MaxBody)
 	switch {
 	case have > most:
 		s.refuse(413, fmt.Sprintf("the body is over %d bytes", most))
 	case want >= 0 && have > want, want >= 0 && len(chunk) == 0 && have < want:
 		s.refuse(400, fmt.Sprintf("a body of %d bytes was told to have %d", have, want))
 	case want < 0 && len(chunk) > 0:
-		s.write(ajp.AppendGetBody(s.scratch[:0], int(most-have)+1))
+		s.write(ajp.AppendGetBodyChunk(s.scratch[:0], int(most-have)+1))
 	case have < want:
-		s.write(ajp.AppendGetBody(s.scratch[:0], int(want-have)))
+		s.write(ajp.AppendGetBodyChunk(s.scratch[:0], int(want-have)))
 	default:
 		s.submit()
 	}
@@ -206,7 +206,7 @@
 	if err == nil {
 		s.phase = awaitAnswer
 		if s.id, err = s.front.server.Submit(request); err == nil {
-			s.conn.Vouch()
+			s.conn.MarkIdentified()
 			s.body = nil // the core has it
 			return
 		}
@@ -221,7 +221,7 @@
 	server := s.front.server
 	now := server.Now()
 	r, err := front.ReadRequest(server, func(field string) string {
-		if value := strings.TrimSpace(s.request.Get(front.HeaderPrefix + field)); value != "" {
+		if value := strings.TrimSpace(s.request.Header(front.HeaderPrefix + field)); value != "" {
 			return value
 		}
 		return s.defaultField(field)
@@ -229,16 +229,16 @@
 	if err != nil {
 		return r, err
 	}
-	if s.request.Get(front.HeaderPrefix+"at") == "" {
-		r.At = s.readAt
+	if s.request.Header(front.HeaderPrefix+"at") == "" {
+		r.ArrivedAt = s.readAt
 	}
 	// What is far in the past could only be a front end's wrong clock, and would be refused unseen.
 	classes := server.Classes()
-	r.At = max(r.At, now-micro.Of(classes[r.Class].Deadline))
-	if s.request.Get(front.HeaderPrefix+"rank") == "" {
+	r.ArrivedAt = max(r.ArrivedAt, now-micro.FromDuration(classes[r.Class].Deadline))
+	if s.request.Header(front.HeaderPrefix+"rank") == "" {
 		r.Rank = middleRank(classes, r.Class)
 	}
-	r.Body, r.Reply = s.body, s
+	r.Body, r.Responder = s.body, s
 	return r, nil
 }
 
@@ -257,18 +257,18 @@
 	return ""
 }
 
-// Reply is part of routing.Replier.
-func (s *session) Reply(answer routing.Answer) {
+// Respond is part of routing.Replier.
+func (s *session) Respond(answer routing.Response) {
 	if s.closed || s.phase != awaitAnswer {
 		return
 	}
 	s.phase = awaitRequest
 	switch answer.Status {
-	case routing.Served:
+	case routing.StatusSucceeded:
 		s.respond(200, []ajp.Header{{Name: "Content-Type", Value: "application/octet-stream"}}, answer.Result, true)
-	case routing.Refused:
+	case routing.StatusRejected:
 		s.respond(503, adviceHeaders(answer), []byte("turned away; it never ran\n"), true)
-	case routing.Expired:
+	case routing.StatusExpired:
 		s.respond(504, nil, []byte(answer.Reason+"\n"), true)
 	default:
 		s.respond(502, nil, []byte(answer.Reason+"\n"), true)
@@ -278,20 +278,20 @@
 
 // adviceHeaders tell when to come back, and whether another server should be tried. A front end that knows no more than HTTP must
 // not come back at once, so there is always a time.
-func adviceHeaders(answer routing.Answer) []ajp.Header {
-	wait := max(front.WholeMilliseconds(answer.After), 1)
+func adviceHeaders(answer routing.Response) []ajp.Header {
+	wait := max(front.CeilMilliseconds(answer.RetryAfter), 1)
 	headers := []ajp.Header{
 		{Name: "Retry-After", Value: strconv.FormatInt((wait+999)/1000, 10)},
 		{Name: headerAfter, Value: strconv.FormatInt(wait, 10)},
 	}
-	if answer.Last {
+	if answer.NoRetry {
 		headers = append(headers, ajp.Header{Name: headerLast, Value: "1"})
 	}
 	return headers
 }
 
 func (s *session) answerHealth() {
-	if s.request.Length > 0 || s.request.Chunked() {
+	if s.request.ContentLength > 0 || s.request.IsChunked() {
 		s.refuse(400, "a health check has no body")
 	} else if s.front.server.Healthy() {
 		s.respond(200, nil, []byte("good\n"), true)
@@ -314,13 +314,13 @@
 // input unread would throw the response away.
 func (s *session) respond(status int, headers []ajp.Header, body []byte, keep bool) {
 	server := s.front.server
-	if text, known := front.FreeValueText(server); known {
+	if text, known := front.AdmissionLevelText(server); known {
 		headers = append(headers, ajp.Header{Name: headerFreeValue, Value: text})
 	}
 	headers = append(headers, ajp.Header{Name: "Content-Length", Value: strconv.Itoa(len(body))})
-	keep = keep && !server.Leaving()
-	out := ajp.AppendHeaders(s.scratch[:0], status, statusText[status], headers)
-	s.write(ajp.AppendEnd(ajp.AppendChunks(out, body), keep))
+	keep = keep && !server.Draining()
+	out := ajp.AppendSendHeaders(s.scratch[:0], status, statusText[status], headers)
+	s.write(ajp.AppendEndResponse(ajp.AppendResponseBody(out, body), keep))
 	s.phase, s.due = awaitRequest, server.Now()+idleTimeout
 	if !keep {
 		s.phase, s.due = awaitClose, server.Now()+front.LingerTimeout
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -34,33 +34,33 @@
 
 	// Submit hands a request to the core, which calls its Reply at most once, and never before Submit has returned. After an
 	// error the core knows nothing of the request.
-	Submit(request routing.Request) (control.ID, error)
+	Submit(request routing.Request) (control.RequestID, error)
 	// GiveUp says that nobody waits for a request any more.
-	GiveUp(id control.ID)
+	Cancel(id control.RequestID)
 
 	// Healthy is the answer to health checks.
 	Healthy() bool
 	// Verify tells done whether work gets done: at once where that is known, else within a second.
-	Verify(done func(good bool))
+	CheckBackend(done func(good bool))
 	// FreeValue is the number that goes with every answer; known is false while there is none.
-	FreeValue() (value float64, known bool)
+	AdmissionLevel() (value float64, known bool)
 	// Leaving says that connections are to end, as the process does.
-	Leaving() bool
+	Draining() bool
 
 	// Logf writes a line to the log.
 	Logf(format string, args ...any)
 }
 
-// FreeValueText is the text of the number that goes with every answer; known is false while there is none.
-func FreeValueText(server Server) (text string, known bool) {
-	value, known := server.FreeValue()
+// AdmissionLevelText is the text of the number that goes with every answer; known is false while there is none.
+func AdmissionLevelText(server Server) (text string, known bool) {
+	value, known := server.AdmissionLevel()
 	if !known {
 		return "", false
 	}
 	return strconv.FormatFloat(value, 'f', 4, 64), true
 }
 
-// WholeMilliseconds rounds up, so that advice to wait is never cut to none.
-func WholeMilliseconds(t micro.Time) int64 {
+// CeilMilliseconds rounds up, so that advice to wait is never cut to none.
+func CeilMilliseconds(t micro.Time) int64 {
 	return int64((t + micro.Millisecond - 1) / micro.Millisecond)
 }
--- a/internal/front/request.go
+++ b/internal/front/request.go
@@ -12,11 +12,11 @@
 
 // The bounds of a request's fields.
 const (
-	maxAhead = 10 * micro.Second  // that a request's own time may be ahead of ours
-	maxPast  = 600 * micro.Second // beyond any deadline and window; what came before that came then
-	idDigits = 16
-	maxOnce  = 128                             // characters of a once-key
-	maxCost  = micro.Time(3600) * micro.Second // of the work that a request may be said to take; more is taken for it
+	maxClockLead            = 10 * micro.Second  // that a request's own time may be ahead of ours
+	maxAge                  = 600 * micro.Second // beyond any deadline and window; what came before that came then
+	attemptIDDigits         = 16
+	maxIdempotencyKeyLength = 128                             // characters of a once-key
+	maxCost                 = micro.Time(3600) * micro.Second // of the work that a request may be said to take; more is taken for it
 )
 
 // ReadRequest reads the fields that all fronts share; get returns "" for one that is absent. The error names the field.
@@ -24,13 +24,13 @@
 	if err = readOwner(&r, server, get); err != nil {
 		return r, err
 	}
-	if err = readTry(&r, server, get); err != nil {
+	if err = readAttempt(&r, server, get); err != nil {
 		return r, err
 	}
 	if err = readSize(&r, get); err != nil {
 		return r, err
 	}
-	return r, readKeys(&r, get)
+	return r, readIdempotencyKey(&r, get)
 }
 
 // readOwner reads the class and the tenant.
@@ -45,36 +45,36 @@
 	return nil
 }
 
-// readTry reads what names the try, when it was sent and by whom.
-func readTry(r *routing.Request, server Server, get func(string) string) error {
-	if r.RunID = get("id"); !isHex(r.RunID, idDigits) {
-		return fmt.Errorf("id: %q is not %d hex digits", r.RunID, idDigits)
+// readAttempt reads what names the try, when it was sent and by whom.
+func readAttempt(r *routing.Request, server Server, get func(string) string) error {
+	if r.RunID = get("id"); !isHex(r.RunID, attemptIDDigits) {
+		return fmt.Errorf("id: %q is not %d hex digits", r.RunID, attemptIDDigits)
 	}
 	at, err := strconv.ParseUint(get("at"), 10, 50) // no sign; and its microseconds can be counted
 	if err != nil {
 		return fmt.Errorf("at: %q is not a time in milliseconds", get("at"))
 	}
 	now := server.Now()
-	if r.At = server.FromUnixMilli(int64(at)); r.At > now+maxAhead {
-		return fmt.Errorf("at: %d is over %v ahead", at, maxAhead.Duration())
+	if r.ArrivedAt = server.FromUnixMilli(int64(at)); r.ArrivedAt > now+maxClockLead {
+		return fmt.Errorf("at: %d is over %v ahead", at, maxClockLead.Duration())
 	}
-	r.At, r.AtMilli = min(max(r.At, now-maxPast), now), int64(at)
+	r.ArrivedAt, r.ArrivedAtUnixMilli = min(max(r.ArrivedAt, now-maxAge), now), int64(at)
 	from, err := strconv.ParseUint(get("from"), 10, 32)
 	if err != nil {
 		return fmt.Errorf("from: %q is not a number", get("from"))
 	}
-	r.Caller = uint32(from)
+	r.CallerID = uint32(from)
 	r.Retry = get("retry") == "1"
 	return nil
 }
 
 // readSize reads the memory and the work to expect, and the rank.
 func readSize(r *routing.Request, get func(string) string) (err error) {
-	if r.HeldKB, err = parseDecimal(get("kb")); err != nil {
+	if r.QueuedKB, err = parseDecimal(get("kb")); err != nil {
 		return fmt.Errorf("kb: %q is not a number", get("kb"))
 	}
 	if cost := get("cost"); cost != "" {
-		if r.Hint, err = parseCost(cost); err != nil {
+		if r.CostHint, err = parseCost(cost); err != nil {
 			return err
 		}
 	}
@@ -88,15 +88,15 @@
 	return nil
 }
 
-// readKeys reads what the request is about and its once-key.
-func readKeys(r *routing.Request, get func(string) string) (err error) {
+// readIdempotencyKey reads what the request is about and its once-key.
+func readIdempotencyKey(r *routing.Request, get func(string) string) (err error) {
 	if key := get("key"); key != "" {
-		if r.Key, err = strconv.ParseUint(key, 16, 64); err != nil {
+		if r.SubjectKey, err = strconv.ParseUint(key, 16, 64); err != nil {
 			return fmt.Errorf("key: %q is not a hex number", key)
 		}
 	}
-	if r.Once = get("once"); len(r.Once) > maxOnce {
-		return fmt.Errorf("once: %d characters are too many", len(r.Once))
+	if r.IdempotencyKey = get("once"); len(r.IdempotencyKey) > maxIdempotencyKeyLength {
+		return fmt.Errorf("once: %d characters are too many", len(r.IdempotencyKey))
 	}
 	return nil
 }
--- a/internal/front/request_test.go
+++ b/internal/front/request_test.go
@@ -22,7 +22,7 @@
 	fields := map[string]string{"class": "block-view", "id": "00000000000000a1", "at": "1000", "from": "4", "kb": "24.5", "rank": "0.25"}
 	fields[field] = value
 	r, err := ReadRequest(testServer{}, func(name string) string { return fields[name] })
-	return map[string]any{"class": r.Class, "at": r.At, "cost": r.Hint, "rank": r.Rank, "key": r.Key, "once": len(r.Once), "retry": r.Retry}[field], err
+	return map[string]any{"class": r.Class, "at": r.ArrivedAt, "cost": r.CostHint, "rank": r.Rank, "key": r.SubjectKey, "once": len(r.IdempotencyKey), "retry": r.Retry}[field], err
 }
 
 func TestReadRequest(t *testing.T) {
@@ -33,7 +33,7 @@
 		{"class", "block-view", 3}, {"at", "900", 900 * micro.Millisecond}, {"at", "11000", micro.Second}, // ahead: it came now
 		{"at", "0", micro.Time(0)}, {"cost", "", micro.Time(0)}, {"cost", "12.5", micro.Time(12500)},
 		{"cost", "99999999999", maxCost}, {"rank", "1", 0.9999999999999999}, {"key", "ff", uint64(255)},
-		{"once", strings.Repeat("k", maxOnce), maxOnce}, {"retry", "1", true}, {"retry", "yes", false},
+		{"once", strings.Repeat("k", maxIdempotencyKeyLength), maxIdempotencyKeyLength}, {"retry", "1", true}, {"retry", "yes", false},
 	} {
 		got, err := readWith(c.field, c.value)
 		require.NoError(t, err, "%s %q", c.field, c.value)
@@ -45,7 +45,7 @@
 	for field, values := range map[string][]string{
 		"class": {"", "no-such"}, "id": {"", "00000000000000zz", "00000000000000a", "00000000000000a11"}, "at": {"", "-1", "1e3", "11001", "9999999999999999"},
 		"from": {"", "-1", "4294967296"}, "kb": {"", "+1", "1e1", "NaN", "1.2.3"}, "rank": {"", "-0.1", "Inf"}, "cost": {"-1", "0x1", "."},
-		"key": {"xyz", "10000000000000000"}, "once": {strings.Repeat("k", maxOnce+1)},
+		"key": {"xyz", "10000000000000000"}, "once": {strings.Repeat("k", maxIdempotencyKeyLength+1)},
 	} {
 		for _, value := range values {
 			_, err := readWith(field, value)
--- a/internal/front/thriftfront/front.go
+++ b/internal/front/thriftfront/front.go
@@ -9,30 +9,30 @@
 	"pewterline/internal/transport"
 )
 
-// Front holds the sessions of all proxies' connections. Its methods are called on the loop.
-type Front struct {
+// Frontend holds the sessions of all proxies' connections. Its methods are called on the loop.
+type Frontend struct {
 	server   front.Server
 	sessions ordered.Set[*session]
 }
 
 // New returns a front without connections.
-func New(server front.Server) *Front { return &Front{server: server} }
+func New(server front.Server) *Frontend { return &Frontend{server: server} }
 
 // Accept gives a connection its session.
-func (f *Front) Accept(conn transport.Link) transport.Session {
-	s := &session{front: f, conn: conn, open: map[int32]control.ID{}, lastActive: f.server.Now()}
+func (f *Frontend) Accept(conn transport.Conn) transport.Session {
+	s := &session{front: f, conn: conn, open: map[int32]control.RequestID{}, lastActive: f.server.Now()}
 	f.sessions.Add(s)
-	if f.server.Leaving() {
+	if f.server.Draining() {
 		s.sendFarewell(s.lastActive)
 	}
 	return s
 }
 
 // Len returns the number of connections.
-func (f *Front) Len() int { return f.sessions.Len() }
+func (f *Frontend) Len() int { return f.sessions.Len() }
 
-// Farewell tells all peers to send nothing new and to close.
-func (f *Front) Farewell(now micro.Time) {
+// Drain tells all peers to send nothing new and to close.
+func (f *Frontend) Drain(now micro.Time) {
 	for _, s := range f.sessions.Items() {
 		s.sendFarewell(now)
 	}
@@ -40,7 +40,7 @@
 
 // CloseIdle tells the peers of connections that have been idle for that long to close them, so that no request crosses the close;
 // 0 keeps them. One that does not close is closed after front.LingerTimeout.
-func (f *Front) CloseIdle(now, after micro.Time) {
+func (f *Frontend) CloseIdle(now, after micro.Time) {
 	for _, s := range f.sessions.Items() {
 		if !s.Idle() {
 			continue
--- a/internal/front/thriftfront/session.go
+++ b/internal/front/thriftfront/session.go
@@ -18,10 +18,10 @@
 )
 
 const (
-	// MaxOpen bounds the open requests of a connection: what the platform allows.
-	MaxOpen = 32
-	// MaxFaults bounds the messages in a row that make no sense before a connection is given up.
-	MaxFaults = 16
+	// MaxInFlight bounds the open requests of a connection: what the platform allows.
+	MaxInFlight = 32
+	// MaxConsecutiveErrors bounds the messages in a row that make no sense before a connection is given up.
+	MaxConsecutiveErrors = 16
 	// MaxMessagesPerTurn bounds the messages of a connection that a turn takes: all that a proxy may have open, and as many giveUps.
 	MaxMessagesPerTurn = 64
 	// maxBody is the protocol's bound on a request's body.
@@ -29,18 +29,18 @@
 )
 
 var (
-	errFaults        = fmt.Errorf("%w: %d messages in a row make no sense", thrift.ErrFrame, MaxFaults)
-	errReusedNumber  = fmt.Errorf("%w: two requests under one number", thrift.ErrFrame)
+	errFaults        = fmt.Errorf("%w: %d messages in a row make no sense", thrift.ErrInvalidFrame, MaxConsecutiveErrors)
+	errReusedNumber  = fmt.Errorf("%w: two requests under one number", thrift.ErrInvalidFrame)
 	errUnknownMethod = errors.New("no such method")
 )
 
 // session is one connection.
 type session struct {
 	ordered.Position
-	front        *Front
-	conn         transport.Link
-	open         map[int32]control.ID // by sequence number
-	checks       int                  // deep health checks that wait for their answer
+	front        *Frontend
+	conn         transport.Conn
+	open         map[int32]control.RequestID // by sequence number
+	checks       int                         // deep health checks that wait for their answer
 	highestSeq   int32
 	faults       int        // messages that made no sense since the last that did
 	lastActive   micro.Time // of the last request or answer
@@ -68,7 +68,7 @@
 	n := 0
 	// Guards the others' share of the core against whoever sends without end.
 	for range MaxMessagesPerTurn {
-		payload, size, err := thrift.Split(in[n:])
+		payload, size, err := thrift.SplitFrame(in[n:])
 		if err != nil || payload == nil {
 			return n, err
 		}
@@ -83,14 +83,14 @@
 
 // receiveFrame carries out the message in a frame. An error means that the connection is past help.
 func (s *session) receiveFrame(payload []byte) error {
-	m, answerable, err := thrift.Decode(payload)
+	m, answerable, err := thrift.DecodeCall(payload)
 	if err == nil {
 		err = s.handle(m)
 	} else if answerable {
-		s.sendException(m, thrift.ProtocolError, err)
+		s.sendException(m, thrift.ExceptionProtocolError, err)
 		err = nil
 	}
-	if err == nil && s.faults > MaxFaults {
+	if err == nil && s.faults > MaxConsecutiveErrors {
 		return errFaults
 	}
 	return err
@@ -104,32 +104,32 @@
 	s.closed = true
 	s.front.sessions.Remove(s)
 	for _, seq := range slices.Sorted(maps.Keys(s.open)) {
-		s.front.server.GiveUp(s.open[seq])
+		s.front.server.Cancel(s.open[seq])
 	}
 	clear(s.open)
 }
 
-func (s *session) sendException(m thrift.Message, code uint32, err error) {
+func (s *session) sendException(m thrift.Call, code uint32, err error) {
 	s.faults++
-	s.front.server.Logf("thrift: %s: %s %d: %v", s.conn.Remote(), m.Name, m.Seq, err)
+	s.front.server.Logf("thrift: %s: %s %d: %v", s.conn.Remote(), m.MethodName, m.SequenceID, err)
 	if !m.Oneway {
-		s.write(thrift.AppendException(s.scratch[:0], m.Name, m.Seq, code, err.Error()))
+		s.write(thrift.AppendException(s.scratch[:0], m.MethodName, m.SequenceID, code, err.Error()))
 	}
 }
 
 // handle carries out a message. An error means that the connection is past help.
-func (s *session) handle(m thrift.Message) error {
+func (s *session) handle(m thrift.Call) error {
 	s.lastActive = s.front.server.Now()
 	switch m.Method {
-	case thrift.Process:
+	case thrift.MethodProcess:
 		return s.process(m)
-	case thrift.GiveUp:
-		s.giveUp(m.GaveUp)
-	case thrift.Probe:
+	case thrift.MethodGiveUp:
+		s.giveUp(m.CancelledID)
+	case thrift.MethodProbe:
 		s.vouch()
 		s.probe(m)
 	default:
-		s.sendException(m, thrift.UnknownMethod, errUnknownMethod)
+		s.sendException(m, thrift.ExceptionUnknownMethod, errUnknownMethod)
 	}
 	return nil
 }
@@ -137,10 +137,10 @@
 func (s *session) giveUp(seq int32) {
 	if id, ok := s.open[seq]; ok {
 		delete(s.open, seq)
-		s.front.server.GiveUp(id)
+		s.front.server.Cancel(id)
 	} else if planted.Bug(planted.GiveUpOther) {
 		for _, other := range slices.Sorted(maps.Keys(s.open)) {
-			s.front.server.GiveUp(s.open[other])
+			s.front.server.Cancel(s.open[other])
 			delete(s.open, other)
 			break
 		}
@@ -148,14 +148,14 @@
 }
 
 // probe answers a health check. A deep one waits for the runner's word, within a second.
-func (s *session) probe(m thrift.Message) {
+func (s *session) probe(m thrift.Call) {
 	server := s.front.server
 	if !m.Deep || !server.Healthy() {
 		s.answerProbe(m, server.Healthy())
 		return
 	}
 	s.checks++
-	server.Verify(func(good bool) {
+	server.CheckBackend(func(good bool) {
 		s.checks--
 		if s.closed {
 			return
@@ -165,28 +165,28 @@
 	})
 }
 
-func (s *session) answerProbe(m thrift.Message, good bool) {
-	s.write(thrift.AppendAnswer(s.scratch[:0], m.Name, m.Seq, nil, s.answerFields(), good))
+func (s *session) answerProbe(m thrift.Call, good bool) {
+	s.write(thrift.AppendAnswer(s.scratch[:0], m.MethodName, m.SequenceID, nil, s.answerFields(), good))
 }
 
 // vouch notes that the peer has sent something valid.
 func (s *session) vouch() {
 	s.faults = 0
-	s.conn.Vouch()
+	s.conn.MarkIdentified()
 }
 
 // process takes a request. An error means that the connection is past help.
-func (s *session) process(m thrift.Message) error {
-	if m.Seq <= s.highestSeq && !m.Oneway {
+func (s *session) process(m thrift.Call) error {
+	if m.SequenceID <= s.highestSeq && !m.Oneway {
 		return s.rejectReused(m)
 	}
-	s.highestSeq = max(s.highestSeq, m.Seq)
+	s.highestSeq = max(s.highestSeq, m.SequenceID)
 	err := s.submit(m)
 	if err == nil {
 		s.vouch()
 		return nil
 	}
-	s.sendException(m, thrift.ProtocolError, err)
+	s.sendException(m, thrift.ExceptionProtocolError, err)
 	// Guards what else is open on the connection: an unknown class is not the peer's fault.
 	if errors.Is(err, front.ErrUnknownClass) {
 		s.faults--
@@ -197,19 +197,19 @@
 // rejectReused ends a connection on which a number comes again. Numbers go up, so whoever sends it is no proxy; and an
 // answer under that number would be taken for either request's. Neither is served: one that is open is given up,
 // and the number gets one error.
-func (s *session) rejectReused(m thrift.Message) error {
-	if id, ok := s.open[m.Seq]; ok {
-		delete(s.open, m.Seq)
-		s.front.server.GiveUp(id)
+func (s *session) rejectReused(m thrift.Call) error {
+	if id, ok := s.open[m.SequenceID]; ok {
+		delete(s.open, m.SequenceID)
+		s.front.server.Cancel(id)
 	}
-	s.sendException(m, thrift.ProtocolError, errReusedNumber)
+	s.sendException(m, thrift.ExceptionProtocolError, errReusedNumber)
 	return errReusedNumber
 }
 
-func (s *session) submit(m thrift.Message) error {
+func (s *session) submit(m thrift.Call) error {
 	if m.Oneway {
 		return fmt.Errorf("a request must be a call")
-	} else if len(s.open) >= MaxOpen {
+	} else if len(s.open) >= MaxInFlight {
 		return fmt.Errorf("%d requests are open already", len(s.open))
 	} else if len(m.Body) > maxBody {
 		return fmt.Errorf("body of %d bytes is over %d", len(m.Body), maxBody)
@@ -219,18 +219,18 @@
 		return err
 	}
 	request.Body = append([]byte(nil), m.Body...)
-	request.Reply = &replier{s, m.Seq}
+	request.Responder = &replier{s, m.SequenceID}
 	id, err := s.front.server.Submit(request)
 	if err != nil {
 		return err
 	}
-	s.open[m.Seq] = id
+	s.open[m.SequenceID] = id
 	return nil
 }
 
 // answerFields are the fields that go with every answer.
 func (s *session) answerFields() (fields []thrift.Field) {
-	if text, known := front.FreeValueText(s.front.server); known {
+	if text, known := front.AdmissionLevelText(s.front.server); known {
 		fields = append(fields, thrift.Field{Name: "say", Value: text})
 	}
 	return fields
@@ -242,8 +242,8 @@
 	seq     int32
 }
 
-// Reply is part of routing.Replier.
-func (r *replier) Reply(answer routing.Answer) {
+// Respond is part of routing.Replier.
+func (r *replier) Respond(answer routing.Response) {
 	s := r.session
 	if s.closed {
 		return
@@ -252,9 +252,9 @@
 	s.lastActive = s.front.server.Now()
 	fields := s.answerFields()
 	switch answer.Status {
-	case routing.Served:
+	case routing.StatusSucceeded:
 		s.write(thrift.AppendAnswer(s.scratch[:0], "process", r.seq, answer.Result, fields, true))
-	case routing.Refused:
+	case routing.StatusRejected:
 		s.write(thrift.AppendThrottled(s.scratch[:0], r.seq, appendAdvice(fields, answer)))
 	default:
 		s.write(thrift.AppendBroken(s.scratch[:0], r.seq, fields))
@@ -262,12 +262,12 @@
 }
 
 // appendAdvice adds when to come back, and whether another server should be tried.
-func appendAdvice(fields []thrift.Field, answer routing.Answer) []thrift.Field {
-	if answer.After > 0 {
-		after := strconv.FormatInt(front.WholeMilliseconds(answer.After), 10)
+func appendAdvice(fields []thrift.Field, answer routing.Response) []thrift.Field {
+	if answer.RetryAfter > 0 {
+		after := strconv.FormatInt(front.CeilMilliseconds(answer.RetryAfter), 10)
 		fields = append(fields, thrift.Field{Name: "after", Value: after})
 	}
-	if answer.Last {
+	if answer.NoRetry {
 		fields = append(fields, thrift.Field{Name: "last", Value: "1"})
 	}
 	return fields
--- a/internal/holdings/disk.go
+++ b/internal/holdings/disk.go
@@ -23,8 +23,8 @@
 	folder string
 	log    *wal.Committer
 	life   uint64
-	group  copies.Group
-	slots  map[string]copies.Slot
+	group  copies.Membership
+	slots  map[string]copies.Register
 	bytes  int // of records since the last snapshot
 	least  int // of them, before there is one
 
@@ -56,7 +56,7 @@
 			err = errors.Join(err, log.Close())
 		}
 	}()
-	d = &disk{folder: folder, slots: map[string]copies.Slot{}, least: snapshotLeast}
+	d = &disk{folder: folder, slots: map[string]copies.Register{}, least: snapshotLeast}
 	for at := 0; at < len(rec.Snapshot); {
 		n := int(binary.BigEndian.Uint32(rec.Snapshot[at:]))
 		if err := d.read(rec.Snapshot[at+4 : at+4+n]); err != nil {
@@ -74,7 +74,7 @@
 		if d.life, err = random(); err != nil {
 			return nil, fmt.Errorf("holdings: %w", err)
 		}
-		out, err := copylink.AppendRecord(nil, copylink.Record{Life: d.life})
+		out, err := copylink.AppendRecord(nil, copylink.Record{Incarnation: d.life})
 		if err != nil {
 			return nil, err
 		}
@@ -85,7 +85,7 @@
 			return nil, fmt.Errorf("holdings: %w", err)
 		}
 	}
-	d.log = wal.NewCommitter(log, wal.CommitOptions{Queue: 4096})
+	d.log = wal.NewCommitter(log, wal.CommitOptions{QueueSize: 4096})
 	return d, nil
 }
 
@@ -99,18 +99,18 @@
 }
 
 func (d *disk) apply(r copylink.Record) {
-	if r.Life != 0 {
-		d.life = r.Life
+	if r.Incarnation != 0 {
+		d.life = r.Incarnation
 	}
-	if r.Group != nil {
-		d.group = *r.Group
+	if r.Membership != nil {
+		d.group = *r.Membership
 	}
 	for _, s := range r.Slots {
-		d.slots[s.Key] = s.Slot
+		d.slots[s.Key] = s.Register
 	}
-	if r.Forget != 0 {
-		h := copies.NewHolder(copies.Member{}, d.slots)
-		h.Forget(r.Forget)
+	if r.ForgetBefore != 0 {
+		h := copies.NewAcceptor(copies.Identity{}, d.slots)
+		h.Expire(r.ForgetBefore)
 	}
 }
 
@@ -183,9 +183,9 @@
 		binary.BigEndian.PutUint32(out[at:], uint32(len(out)-at-4))
 		return nil
 	}
-	first := copylink.Record{Life: d.life}
+	first := copylink.Record{Incarnation: d.life}
 	if d.group.Epoch > 0 {
-		first.Group = &d.group
+		first.Membership = &d.group
 	}
 	if err := add(first); err != nil {
 		return err
@@ -198,7 +198,7 @@
 	for chunk := range slices.Chunk(keys, 200) {
 		var r copylink.Record
 		for _, key := range chunk {
-			r.Slots = append(r.Slots, copies.Saved{Key: key, Slot: d.slots[key]})
+			r.Slots = append(r.Slots, copies.SavedRegister{Key: key, Register: d.slots[key]})
 		}
 		if err := add(r); err != nil {
 			return err
--- a/internal/holdings/holdings.go
+++ b/internal/holdings/holdings.go
@@ -26,7 +26,7 @@
 	Folder string
 	Copies int // of a group that is founded here
 	Decide copies.Config
-	Peers  []copies.Peer // of the group to be, or where members of it are reached from here
+	Peers  []copies.Member // of the group to be, or where members of it are reached from here
 }
 
 const (
@@ -42,45 +42,45 @@
 
 // Outcome is what became of what was asked for.
 type Outcome struct {
-	Do    ledger.Do // Start, Serve, SayFailed, SayUnknown, SayUncopied, SayUnneeded or Refuse
-	Value copies.Value
-	Until int64 // SayUnknown: Unix milliseconds by which a repeat may run; 0: that is not known either
+	Action       ledger.Action // Start, Serve, SayFailed, SayUnknown, SayUncopied, SayUnneeded or Refuse
+	Value        copies.Value
+	RetryAtMilli int64 // SayUnknown: Unix milliseconds by which a repeat may run; 0: that is not known either
 }
 
 // Loop is what the holdings need of the event loop.
 type Loop interface {
-	peers.Loop
+	peers.EventLoop
 	Execute(func()) error
 }
 
 // Counters tell what is at risk, since the process started, but for the gauges in the present tense.
 type Counters struct {
-	Asked       int    `json:"leaves_asked"`
-	Granted     int    `json:"leaves_granted"`
-	Found       int    `json:"results_found"`   // that other servers' runs, or earlier ones, had made
-	Copied      int    `json:"results_copied"`  // to a majority
-	Uncopied    int    `json:"results_at_risk"` // ran, and no majority took the result in time
-	Unknown     int    `json:"outcomes_unknown"`
-	Refused     int    `json:"refused_uncopied"` // before they ran: no majority in time
-	DiskFailed  int    `json:"disk_failures"`
-	Syncs       int64  `json:"disk_syncs"` // since the log was opened
-	Bytes       int64  `json:"disk_bytes"`
-	Repaired    uint64 `json:"keys_repaired"`
-	Repairing   int    `json:"keys_to_repair"`
-	Owed        int    `json:"keys_owed"` // of those to repair: a change of members waits for them
-	Held        int    `json:"keys_held"`
-	Under       int    `json:"changes_under_way"`
-	Unreachable int    `json:"members_unreachable"`
+	LeasesRequested      int    `json:"leaves_asked"`
+	LeasesGranted        int    `json:"leaves_granted"`
+	ResultsFound         int    `json:"results_found"`   // that other servers' runs, or earlier ones, had made
+	ResultsReplicated    int    `json:"results_copied"`  // to a majority
+	ResultsAtRisk        int    `json:"results_at_risk"` // ran, and no majority took the result in time
+	OutcomesUnknown      int    `json:"outcomes_unknown"`
+	RejectedUnreplicated int    `json:"refused_uncopied"` // before they ran: no majority in time
+	DiskFailures         int    `json:"disk_failures"`
+	DiskSyncs            int64  `json:"disk_syncs"` // since the log was opened
+	DiskBytes            int64  `json:"disk_bytes"`
+	KeysRepaired         uint64 `json:"keys_repaired"`
+	KeysToRepair         int    `json:"keys_to_repair"`
+	KeysPendingTransfer  int    `json:"keys_owed"` // of those to repair: a change of members waits for them
+	KeysHeld             int    `json:"keys_held"`
+	ProposalsInFlight    int    `json:"changes_under_way"`
+	MembersUnreachable   int    `json:"members_unreachable"`
 }
 
-// Holdings are what one server holds, and its way to what others do.
-type Holdings struct {
+// Replica are what one server holds, and its way to what others do.
+type Replica struct {
 	cfg    Config
 	logf   func(string, ...any)
 	wall   func(micro.Time) int64
 	window int64 // milliseconds, the longest that any key has
 	loop   Loop
-	peers  *peers.Peers
+	peers  *peers.Links
 	node   *copies.Node
 	disk   *disk
 	broken bool // the disk has failed: this server does not vote
@@ -96,7 +96,7 @@
 
 // entry is an intake on this server.
 type entry struct {
-	ledger.Key
+	ledger.Lifecycle
 	name    string
 	number  uint64
 	looks   bool  // it is only looked at, and has no place among the keys
@@ -115,8 +115,8 @@
 }
 
 // Open reads what this server holds. wall converts the loop's time to Unix milliseconds; window is the longest of any key.
-func Open(cfg Config, wall func(micro.Time) int64, window micro.Time, logf func(string, ...any)) (*Holdings, error) {
-	h := &Holdings{cfg: cfg, logf: logf, wall: wall, window: int64(window / micro.Millisecond), keys: map[string]*entry{}, active: map[*entry]struct{}{}, ops: map[uint64]*entry{}}
+func Open(cfg Config, wall func(micro.Time) int64, window micro.Time, logf func(string, ...any)) (*Replica, error) {
+	h := &Replica{cfg: cfg, logf: logf, wall: wall, window: int64(window / micro.Millisecond), keys: map[string]*entry{}, active: map[*entry]struct{}{}, ops: map[uint64]*entry{}}
 	var err error
 	if h.disk, err = openDisk(cfg.Folder); err != nil {
 		return nil, err
@@ -125,16 +125,16 @@
 	if err != nil {
 		return nil, err
 	}
-	self := copies.Member{ID: cfg.ID, Life: h.disk.life}
+	self := copies.Identity{ID: cfg.ID, Incarnation: h.disk.life}
 	if h.node, err = copies.NewNode(self, process, cfg.Decide, h.disk.group, clone(h.disk.slots), process, xxhash.Sum64String); err != nil {
 		return nil, errors.Join(fmt.Errorf("holdings: %w", err), h.disk.log.Close())
 	}
-	logf("holdings: server %d, life %x, process %x, group %v, %d keys held", cfg.ID, self.Life, process, h.disk.group, h.node.Held())
+	logf("holdings: server %d, life %x, process %x, group %v, %d keys held", cfg.ID, self.Incarnation, process, h.disk.group, h.node.KeyCount())
 	return h, nil
 }
 
-func clone(in map[string]copies.Slot) map[string]copies.Slot {
-	out := make(map[string]copies.Slot, len(in))
+func clone(in map[string]copies.Register) map[string]copies.Register {
+	out := make(map[string]copies.Register, len(in))
 	for k, v := range in {
 		out[k] = v
 	}
@@ -142,68 +142,68 @@
 }
 
 // Attach opens the links to the others. It is called on the loop.
-func (h *Holdings) Attach(l Loop) {
+func (h *Replica) Attach(l Loop) {
 	h.loop = l
 	h.peers = peers.New(l, h, h.logf)
 	h.link()
 }
 
 // Close ends the log on disk. It comes after the loop's end.
-func (h *Holdings) Close() error { return h.disk.log.Close() }
+func (h *Replica) Close() error { return h.disk.log.Close() }
 
 // Accept is the session of another server's connection.
-func (h *Holdings) Accept(c transport.Link) transport.Session { return h.peers.Accept(c) }
+func (h *Replica) Accept(c transport.Conn) transport.Session { return h.peers.Accept(c) }
 
 // link has links to all that are of the group or in the file. The file says where they are reached from here.
-func (h *Holdings) link() {
+func (h *Replica) link() {
 	addrs := map[uint32]string{}
-	for _, set := range [][]copies.Peer{h.node.Group().All(), h.cfg.Peers} {
+	for _, set := range [][]copies.Member{h.node.Membership().Members(), h.cfg.Peers} {
 		for _, p := range set {
 			if p.ID != h.cfg.ID {
 				addrs[p.ID] = p.Addr
 			}
 		}
 	}
-	h.peers.Set(addrs)
+	h.peers.SetPeers(addrs)
 }
 
 // Hello is part of peers.Host.
-func (h *Holdings) Hello() copylink.Hello {
-	return copylink.Hello{ID: h.cfg.ID, Life: h.node.Self.Life, Process: h.node.Process.Life, Group: h.node.Group().Name}
+func (h *Replica) Hello() copylink.Hello {
+	return copylink.Hello{ID: h.cfg.ID, Incarnation: h.node.AcceptorID.Incarnation, ProcessIncarnation: h.node.ProposerID.Incarnation, ClusterID: h.node.Membership().ClusterID}
 }
 
 // Group is part of peers.Host.
-func (h *Holdings) Group() copies.Group { return h.node.Group() }
+func (h *Replica) Group() copies.Membership { return h.node.Membership() }
 
-// Linked is part of peers.Host.
-func (h *Holdings) Linked(id uint32, up bool) {
+// PeerStateChanged is part of peers.Host.
+func (h *Replica) PeerStateChanged(id uint32, up bool) {
 	h.logf("holdings: server %d can be reached: %v", id, up)
-	h.node.Linked(id, up)
+	h.node.SetReachable(id, up)
 }
 
-// Take is part of peers.Host.
-func (h *Holdings) Take(from copylink.Hello, m copylink.Message) {
+// HandleMessage is part of peers.Host.
+func (h *Replica) HandleMessage(from copylink.Hello, m copylink.Message) {
 	now := h.loop.Now()
-	if m.Group != nil {
-		if err := h.node.Adopt(now, *m.Group); err != nil {
+	if m.Membership != nil {
+		if err := h.node.AdoptMembership(now, *m.Membership); err != nil {
 			h.logf("holdings: server %d tells of a group: %v", from.ID, err)
 		}
 	}
-	for _, k := range m.Marks {
-		h.node.Mark(k)
+	for _, k := range m.TransferAcks {
+		h.node.HandleTransferAck(k)
 	}
 	if !h.broken { // what can't be made durable is no vote
 		for _, r := range m.Requests {
-			h.node.Asked(copies.Member{ID: from.ID, Life: from.Process}, r)
+			h.node.HandleRequest(copies.Identity{ID: from.ID, Incarnation: from.ProcessIncarnation}, r)
 		}
 	}
 	for _, r := range m.Replies {
-		h.node.Heard(now, r)
+		h.node.HandleReply(now, r)
 	}
 }
 
-// Turn does what is due, and what has come up in this turn. It returns when it is due again.
-func (h *Holdings) Turn(now micro.Time) micro.Time {
+// Tick does what is due, and what has come up in this turn. It returns when it is due again.
+func (h *Replica) Tick(now micro.Time) micro.Time {
 	if h.broken && now >= h.reopen {
 		h.mend(now)
 	}
@@ -213,10 +213,10 @@
 	}
 	next := h.forget
 	for _, e := range h.due(now) {
-		if now >= e.due && e.State != ledger.Uncopied {
-			h.move(e, ledger.Due, copies.Value{})
+		if now >= e.due && e.State != ledger.StateUnrecorded {
+			h.move(e, ledger.EventDeadlineReached, copies.Value{})
 		} else {
-			h.move(e, ledger.Again, copies.Value{})
+			h.move(e, ledger.EventRetryDue, copies.Value{})
 		}
 	}
 	next = min(next, h.node.Tick(now))
@@ -227,22 +227,22 @@
 	if h.broken {
 		next = min(next, h.reopen)
 	}
-	return min(next, h.peers.Turn(now))
+	return min(next, h.peers.Check(now))
 }
 
 // next is when something is due for an entry that is under way.
 func (e *entry) next() micro.Time {
 	switch e.State {
-	case ledger.Elsewhere:
+	case ledger.StateHeldByOther:
 		return min(e.again, e.due)
-	case ledger.Uncopied: // nobody may be waiting: it is a promise to those who come
+	case ledger.StateUnrecorded: // nobody may be waiting: it is a promise to those who come
 		return e.again
 	}
 	return e.due
 }
 
 // due are the entries that something is due for, in an order that depends on nothing else.
-func (h *Holdings) due(now micro.Time) (out []*entry) {
+func (h *Replica) due(now micro.Time) (out []*entry) {
 	for e := range h.active {
 		if now >= e.next() {
 			out = append(out, e)
@@ -253,7 +253,7 @@
 }
 
 // flush carries out what the node is ready for, until there is nothing left.
-func (h *Holdings) flush(now micro.Time) {
+func (h *Replica) flush(now micro.Time) {
 	if h.busy {
 		return // a result has led to another change; the loop below goes on with it
 	}
@@ -261,11 +261,11 @@
 	defer func() { h.busy = false }()
 	for range 64 { // a bound on a turn; what is left comes with the next
 		r := h.node.Ready()
-		if r.Group == nil && len(r.Save)+len(r.Requests)+len(r.Replies)+len(r.Tell)+len(r.Marks)+len(r.Results) == 0 {
+		if r.Membership == nil && len(r.Registers)+len(r.Requests)+len(r.Replies)+len(r.Notify)+len(r.TransferAcks)+len(r.Results) == 0 {
 			return
 		}
-		if r.Group != nil {
-			h.logf("holdings: group %v", r.Group)
+		if r.Membership != nil {
+			h.logf("holdings: group %v", r.Membership)
 			h.link()
 		}
 		h.save(now, r)
@@ -273,7 +273,7 @@
 			e := h.ops[q.ID]
 			if delete(h.ops, q.ID); e != nil && e.op == q.ID {
 				e.op = 0
-				h.move(e, ledger.Of(q.Verdict, q.Known), q.Value)
+				h.move(e, ledger.EventOf(q.Outcome, q.Known), q.Value)
 			}
 		}
 	}
@@ -281,35 +281,35 @@
 
 // save makes durable what has to be, before what was made ready with it goes out. Requests alone may go at once: a vote of this
 // server's is a reply.
-func (h *Holdings) save(now micro.Time, r copies.Ready) {
+func (h *Replica) save(now micro.Time, r copies.Ready) {
 	send := func() {
 		for _, a := range r.Replies {
-			if a.To == h.node.Process {
-				h.node.Heard(h.loop.Now(), a.Reply)
+			if a.To == h.node.ProposerID {
+				h.node.HandleReply(h.loop.Now(), a.Reply)
 			} else {
-				h.peers.Answer(a.To, a.Reply)
+				h.peers.SendReply(a.To, a.Reply)
 			}
 		}
-		for _, id := range r.Tell {
-			h.peers.Tell(id)
+		for _, id := range r.Notify {
+			h.peers.QueueMembership(id)
 		}
-		for _, k := range r.Marks {
-			h.peers.Mark(k)
+		for _, k := range r.TransferAcks {
+			h.peers.BroadcastAck(k)
 		}
 	}
 	ask := func() {
 		for _, q := range r.Requests {
 			if q.To.ID != h.cfg.ID {
-				h.peers.Ask(q)
+				h.peers.SendRequest(q)
 			} else if !h.broken {
-				h.node.Asked(h.node.Process, q)
+				h.node.HandleRequest(h.node.ProposerID, q)
 			}
 		}
 	}
-	if r.Group == nil {
+	if r.Membership == nil {
 		ask()
 	}
-	if r.Group == nil && len(r.Save) == 0 {
+	if r.Membership == nil && len(r.Registers) == 0 {
 		send()
 		return
 	}
@@ -317,12 +317,12 @@
 		return
 	}
 	var parts []copylink.Record
-	part, size := copylink.Record{Group: r.Group}, 0
-	for _, s := range r.Save {
+	part, size := copylink.Record{Membership: r.Membership}, 0
+	for _, s := range r.Registers {
 		if part.Slots = append(part.Slots, s); size > recordBytes {
 			parts, part, size = append(parts, part), copylink.Record{}, 0
 		}
-		size += 100 + len(s.Key) + len(s.Slot.Value.Result)
+		size += 100 + len(s.Key) + len(s.Register.Value.Result)
 	}
 	parts = append(parts, part)
 	d := h.disk
@@ -333,7 +333,7 @@
 				if d != h.disk || h.broken {
 					return // of a log that has failed since: it was read anew
 				}
-				if r.Group != nil {
+				if r.Membership != nil {
 					ask()
 				}
 				send()
@@ -345,17 +345,17 @@
 
 // failed takes note that the disk has failed: what this server has not made durable it does not vouch for, and it does not vote
 // until the log was opened anew and read. Guards against a vote that a restart would not know of.
-func (h *Holdings) failed(d *disk, err error) {
+func (h *Replica) failed(d *disk, err error) {
 	if d != h.disk || h.broken {
 		return
 	}
 	h.logf("holdings: the disk has failed: %v; this server does not vote until its log is opened anew", err)
 	h.broken, h.reopen = true, h.loop.Now()+reopenEvery
-	h.count.DiskFailed++
+	h.count.DiskFailures++
 }
 
 // mend opens the log anew, and goes by what is in it.
-func (h *Holdings) mend(now micro.Time) {
+func (h *Replica) mend(now micro.Time) {
 	h.reopen = now + reopenEvery
 	_ = h.disk.log.Close() // it has failed
 	d, err := openDisk(h.cfg.Folder)
@@ -363,21 +363,21 @@
 		h.logf("holdings: %v", err)
 		return
 	}
-	if d.life != h.node.Self.Life {
+	if d.life != h.node.AcceptorID.Incarnation {
 		h.logf("holdings: %s holds another life; this server does not vote until it is started anew", h.cfg.Folder)
 		_ = d.log.Close()
 		return
 	}
 	h.disk, h.broken = d, false
 	h.node.Restore(clone(d.slots))
-	h.logf("holdings: the log is opened anew, with %d keys", h.node.Held())
+	h.logf("holdings: the log is opened anew, with %d keys", h.node.KeyCount())
 }
 
 // sweep forgets what is past its window, here and on disk.
-func (h *Holdings) sweep(now micro.Time) {
+func (h *Replica) sweep(now micro.Time) {
 	before := h.wall(now) - h.window - forgetSlack
 	for name, e := range h.keys {
-		if e.touched < before && (e.State == ledger.Idle || e.State == ledger.Uncopied || e.State == ledger.Copied) {
+		if e.touched < before && (e.State == ledger.StateIdle || e.State == ledger.StateUnrecorded || e.State == ledger.StateRecorded) {
 			delete(h.keys, name)
 			delete(h.active, e)
 		}
@@ -385,16 +385,16 @@
 	if !h.broken {
 		d := h.disk
 		failed := func(err error) { h.failed(d, err) }
-		if h.node.Forget(before) > 0 {
-			d.write(copylink.Record{Forget: max(before, 1)}, h.loop.Execute, func() {}, failed)
+		if h.node.Expire(before) > 0 {
+			d.write(copylink.Record{ForgetBefore: max(before, 1)}, h.loop.Execute, func() {}, failed)
 		}
 		d.tidy(h.loop.Execute, failed)
 	}
 }
 
-// Leave asks whether a try of a key, which came at a time, may run; the window is in milliseconds. done is called once, on the
+// AcquireLease asks whether a try of a key, which came at a time, may run; the window is in milliseconds. done is called once, on the
 // loop, by due or soon after.
-func (h *Holdings) Leave(key string, at, window int64, due micro.Time, done func(Outcome)) {
+func (h *Replica) AcquireLease(key string, at, window int64, due micro.Time, done func(Outcome)) {
 	e := h.keys[key]
 	if e == nil {
 		h.last++
@@ -402,112 +402,112 @@
 		h.keys[key] = e
 	}
 	e.at, e.window, e.due, e.done, e.touched = at, window, due, done, max(at, e.touched)
-	if e.State != ledger.Idle && e.State != ledger.Voiding && e.State != ledger.Copied { // the core has one run of a key at a time
+	if e.State != ledger.StateIdle && e.State != ledger.StateReleasing && e.State != ledger.StateRecorded { // the core has one run of a key at a time
 		h.logf("holdings: %q is asked for while it is in state %d", key, e.State)
-		h.say(e, ledger.SayUnknown, copies.Value{})
+		h.say(e, ledger.ActionReportIndeterminate, copies.Value{})
 		return
 	}
-	h.move(e, ledger.Try, copies.Value{})
+	h.move(e, ledger.EventAttemptArrived, copies.Value{})
 }
 
-// Taken says whether a leave that was given leads to a run. One that does not is taken back.
-func (h *Holdings) Taken(key string, begun bool) {
+// ReleaseLease says whether a leave that was given leads to a run. One that does not is taken back.
+func (h *Replica) ReleaseLease(key string, begun bool) {
 	if e := h.keys[key]; e != nil && !begun {
-		h.move(e, ledger.Unbegun, copies.Value{})
+		h.move(e, ledger.EventRunNotStarted, copies.Value{})
 	}
 }
 
-// End puts the end of a run on record. done is called once, on the loop: with Serve, SayFailed or SayUncopied.
-func (h *Holdings) End(key string, passed bool, result []byte, done func(Outcome)) {
+// Complete puts the end of a run on record. done is called once, on the loop: with Serve, SayFailed or SayUncopied.
+func (h *Replica) Complete(key string, passed bool, result []byte, done func(Outcome)) {
 	e := h.keys[key]
-	if e == nil || e.State != ledger.Running && e.State != ledger.Uncopied && e.State != ledger.Copied && e.State != ledger.Copying {
+	if e == nil || e.State != ledger.StateRunning && e.State != ledger.StateUnrecorded && e.State != ledger.StateRecorded && e.State != ledger.StateRecording {
 		h.logf("holdings: a run of %q ends that had no leave", key)
-		done(Outcome{Do: ledger.SayUncopied})
+		done(Outcome{Action: ledger.ActionReportUnrecorded})
 		return
 	}
 	e.passed, e.result, e.done = passed, string(result), done
-	if e.State == ledger.Uncopied {
-		h.move(e, ledger.Again, copies.Value{})
+	if e.State == ledger.StateUnrecorded {
+		h.move(e, ledger.EventRetryDue, copies.Value{})
 	} else if passed {
-		h.move(e, ledger.Passed, copies.Value{})
+		h.move(e, ledger.EventRunSucceeded, copies.Value{})
 	} else {
-		h.move(e, ledger.Failed, copies.Value{})
+		h.move(e, ledger.EventRunFailed, copies.Value{})
 	}
 }
 
-// Look asks what is agreed on a key, without a wish to run it. done is called once, on the loop: with Start where nothing stands in
+// Lookup asks what is agreed on a key, without a wish to run it. done is called once, on the loop: with Start where nothing stands in
 // a run's way, Serve, SayFailed, or SayUnknown.
-func (h *Holdings) Look(key string, at, window int64, due micro.Time, done func(Outcome)) {
+func (h *Replica) Lookup(key string, at, window int64, due micro.Time, done func(Outcome)) {
 	h.last++
-	h.move(&entry{name: key, number: h.last, looks: true, wait: lookEvery, at: at, window: window, due: due, done: done, Key: ledger.Key{State: ledger.Elsewhere}}, ledger.Again, copies.Value{})
+	h.move(&entry{name: key, number: h.last, looks: true, wait: lookEvery, at: at, window: window, due: due, done: done, Lifecycle: ledger.Lifecycle{State: ledger.StateHeldByOther}}, ledger.EventRetryDue, copies.Value{})
 }
 
-// Holds says that this server holds something of a key that a try of that time has to hear of.
-func (h *Holdings) Holds(key string, at, window int64) bool {
-	v := h.node.Slot(key).Value
-	return v.Kind != copies.None && at < v.At+window
+// HasRecord says that this server holds something of a key that a try of that time has to hear of.
+func (h *Replica) HasRecord(key string, at, window int64) bool {
+	v := h.node.Register(key).Value
+	return v.Kind != copies.KindNone && at < v.AttemptedAt+window
 }
 
 // move takes an intake a step on.
-func (h *Holdings) move(e *entry, ev ledger.Event, v copies.Value) {
+func (h *Replica) move(e *entry, ev ledger.Event, v copies.Value) {
 	was := e.State
-	if v.Kind == copies.Intent {
-		e.theirs = v.At
+	if v.Kind == copies.KindLeased {
+		e.theirs = v.AttemptedAt
 	}
-	if e.looks && was == ledger.Looking && ev == ledger.Nothing {
+	if e.looks && was == ledger.StatePolling && ev == ledger.EventVacant {
 		delete(h.active, e)
-		h.say(e, ledger.Start, v)
+		h.say(e, ledger.ActionStart, v)
 		return
 	}
 	does := e.Step(ev)
 	switch e.State {
-	case ledger.Elsewhere, ledger.Asking, ledger.Looking, ledger.Uncopied:
+	case ledger.StateHeldByOther, ledger.StateAcquiring, ledger.StatePolling, ledger.StateUnrecorded:
 		h.active[e] = struct{}{}
 	default:
 		delete(h.active, e)
 	}
-	if e.State == ledger.Idle && !e.Begun && h.keys[e.name] == e {
+	if e.State == ledger.StateIdle && !e.Started && h.keys[e.name] == e {
 		delete(h.keys, e.name) // nothing of it is known here that the register does not know
 	}
 	for _, d := range does {
 		switch d {
-		case ledger.Ask:
-			h.count.Asked++
-			h.begin(e, copies.Change{Act: copies.Leave, At: e.at, Window: e.window, Fresh: !e.Begun})
-		case ledger.Look:
-			h.begin(e, copies.Change{Act: copies.Look, At: e.at, Window: e.window})
-		case ledger.Later:
+		case ledger.ActionAcquireLease:
+			h.count.LeasesRequested++
+			h.begin(e, copies.Change{Kind: copies.AcquireLease, AttemptedAt: e.at, Retention: e.window, NeverStarted: !e.Started})
+		case ledger.ActionPoll:
+			h.begin(e, copies.Change{Kind: copies.ReadValue, AttemptedAt: e.at, Retention: e.window})
+		case ledger.ActionRetryLater:
 			e.again = h.loop.Now() + e.wait
 			e.wait = min(2*e.wait, lookMost)
-		case ledger.Copy:
-			h.begin(e, copies.Change{Act: copies.End, Try: e.try, At: e.at, Window: e.window, Passed: e.passed, Result: e.result})
-		case ledger.TakeBack:
-			h.begin(e, copies.Change{Act: copies.Void, Try: e.try, At: e.at, Window: e.window})
+		case ledger.ActionRecord:
+			h.begin(e, copies.Change{Kind: copies.RecordResult, Attempt: e.try, AttemptedAt: e.at, Retention: e.window, Succeeded: e.passed, Result: e.result})
+		case ledger.ActionReleaseLease:
+			h.begin(e, copies.Change{Kind: copies.ReleaseLease, Attempt: e.try, AttemptedAt: e.at, Retention: e.window})
 		default:
 			switch {
-			case d == ledger.Start:
-				h.count.Granted++
-			case d == ledger.Serve && was == ledger.Copying:
-				h.count.Copied++
-			case d == ledger.Serve:
-				h.count.Found++
+			case d == ledger.ActionStart:
+				h.count.LeasesGranted++
+			case d == ledger.ActionServe && was == ledger.StateRecording:
+				h.count.ResultsReplicated++
+			case d == ledger.ActionServe:
+				h.count.ResultsFound++
 			}
 			h.say(e, d, v)
 		}
 	}
 }
 
-func (h *Holdings) say(e *entry, d ledger.Do, v copies.Value) {
-	o := Outcome{Do: d, Value: v}
+func (h *Replica) say(e *entry, d ledger.Action, v copies.Value) {
+	o := Outcome{Action: d, Value: v}
 	switch d {
-	case ledger.SayUnknown:
-		if h.count.Unknown++; e.theirs != 0 {
-			o.Until = e.theirs + e.window
+	case ledger.ActionReportIndeterminate:
+		if h.count.OutcomesUnknown++; e.theirs != 0 {
+			o.RetryAtMilli = e.theirs + e.window
 		}
-	case ledger.SayUncopied:
-		h.count.Uncopied++
-	case ledger.Refuse:
-		h.count.Refused++
+	case ledger.ActionReportUnrecorded:
+		h.count.ResultsAtRisk++
+	case ledger.ActionReject:
+		h.count.RejectedUnreplicated++
 	}
 	if done := e.done; done != nil {
 		e.done = nil
@@ -516,30 +516,30 @@
 }
 
 // begin starts a change for an intake. One that can't be started has come to nothing.
-func (h *Holdings) begin(e *entry, c copies.Change) {
+func (h *Replica) begin(e *entry, c copies.Change) {
 	now := h.loop.Now()
-	id, err := h.node.Begin(now, e.name, c)
+	id, err := h.node.Propose(now, e.name, c)
 	if err != nil {
-		h.move(e, ledger.NoAnswer, copies.Value{})
+		h.move(e, ledger.EventUnavailable, copies.Value{})
 		return
 	}
-	if e.op = id; c.Act == copies.Leave {
+	if e.op = id; c.Kind == copies.AcquireLease {
 		e.try = id
 	}
 	h.ops[id] = e
 	h.flush(now)
 }
 
-// Count returns the figures as they are now.
-func (h *Holdings) Count() Counters {
+// Counters returns the figures as they are now.
+func (h *Replica) Counters() Counters {
 	c := h.count
-	c.Repairing, c.Repaired = h.node.Repairing()
-	c.Owed = h.node.Owed()
-	c.Syncs, c.Bytes = h.disk.log.Written()
-	c.Held, c.Under = h.node.Held(), h.node.Under()
-	for _, p := range h.node.Group().All() {
-		if p.ID != h.cfg.ID && !h.peers.Up(p.ID) {
-			c.Unreachable++
+	c.KeysToRepair, c.KeysRepaired = h.node.RepairProgress()
+	c.KeysPendingTransfer = h.node.PendingTransfers()
+	c.DiskSyncs, c.DiskBytes = h.disk.log.Written()
+	c.KeysHeld, c.ProposalsInFlight = h.node.KeyCount(), h.node.InFlight()
+	for _, p := range h.node.Membership().Members() {
+		if p.ID != h.cfg.ID && !h.peers.Connected(p.ID) {
+			c.MembersUnreachable++
 		}
 	}
 	return c
--- a/internal/lab/figures_test.go
+++ b/internal/lab/figures_test.go
@@ -36,15 +36,15 @@
 							t.Fatalf("%s: %s of %s: %d counted, %d seen, %d may be either\n%s", s.name, what, class, counted, saw, slack, script.String())
 						}
 					}
-					within("passed", c.Passed[class], k.Served, k.Loose)
-					within("dropped", c.Dropped[class], k.Refused, k.Loose)
-					within("bad_gateway", c.BadGateway[class], k.Failed, k.Loose+strays)
-					within("all", c.Passed[class]+c.Dropped[class]+c.BadGateway[class], k.Served+k.Refused+k.Failed, k.Loose+strays)
+					within("passed", c.Succeeded[class], k.Served, k.Loose)
+					within("dropped", c.Rejected[class], k.Refused, k.Loose)
+					within("bad_gateway", c.Failed[class], k.Failed, k.Loose+strays)
+					within("all", c.Succeeded[class]+c.Rejected[class]+c.Failed[class], k.Served+k.Refused+k.Failed, k.Loose+strays)
 					runs += k.Runs
 					answers += k.Served + k.Refused + k.Failed
 				}
 				require.Zero(t, c.InProgress, "all is answered by then")
-				require.GreaterOrEqual(t, c.Tries, runs)
+				require.GreaterOrEqual(t, c.Attempts, runs)
 				checked++
 			}
 		}})
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -94,7 +94,7 @@
 		return out, err
 	}
 	deployment := deploymentOf(script)
-	set, gauges, err := wire.ParseSettings([]byte(deployment.settings), 0)
+	set, gauges, err := wire.Parse([]byte(deployment.settings), 0)
 	if err != nil {
 		return out, fmt.Errorf("lab: %w", err)
 	}
@@ -128,11 +128,11 @@
 	l.net.Tap = l.obs.Tap
 	l.w.After = l.obs.Check
 	l.st = standin.NewStage(l.net, set, deployment.traffic, script.Seed)
-	l.base = config.Config{Stop: l.stop, Memory: memory, Sockets: sockets, Settings: set, Gauges: gauges,
-		AJP: config.AJP{Listen: "on", BodyTimeout: 2 * micro.Second, MaxBody: 2 << 10, MaxConns: officeMax}}
+	l.base = config.Config{ShutdownTimeout: l.stop, MemoryLimit: memory, SocketLimit: sockets, Settings: set, Gauges: gauges,
+		AJP: config.AJP{Listen: "on", BodyTimeout: 2 * micro.Second, MaxBody: 2 << 10, MaxConnections: officeMax}}
 	if script.Vault {
 		l.vault = standin.NewVault(l.st, script.Seed)
-		l.base.Vault = "v0/a"
+		l.base.VaultAddress = "v0/a"
 	}
 	l.build()
 	if opts.begin != nil {
@@ -210,7 +210,7 @@
 	for i := range l.script.Servers {
 		s := &server{l: l, name: fmt.Sprintf("s%d", i)}
 		s.cfg = l.base
-		s.cfg.Name, s.cfg.Control = s.name, "control/a"
+		s.cfg.Name, s.cfg.ControlAddress = s.name, "control/a"
 		if l.script.Store {
 			s.store = standin.NewStore(l.w)
 		}
@@ -221,14 +221,14 @@
 	for i := range l.script.Edges {
 		s := &server{l: l, name: fmt.Sprintf("e%d", i), edge: true}
 		s.cfg = l.base
-		s.cfg.Name, s.cfg.Control, s.cfg.Fleet.From = s.name, "control/a", uint32(1000+i)
+		s.cfg.Name, s.cfg.ControlAddress, s.cfg.Fleet.CallerID = s.name, "control/a", uint32(1000+i)
 		for _, name := range list {
 			s.cfg.Fleet.Members = append(s.cfg.Fleet.Members, config.Member{Name: name, Address: name + "/thrift"})
 		}
-		if s.cfg.Fleet.Exchange = s.name + "/exchange"; l.script.Advice {
+		if s.cfg.Fleet.GossipListen = s.name + "/exchange"; l.script.Advice {
 			for j := range l.script.Edges {
 				if j != i {
-					s.cfg.Fleet.Peers = append(s.cfg.Fleet.Peers, fmt.Sprintf("e%d/exchange", j))
+					s.cfg.Fleet.GossipPeers = append(s.cfg.Fleet.GossipPeers, fmt.Sprintf("e%d/exchange", j))
 				}
 			}
 		}
@@ -276,7 +276,7 @@
 	s.leaving = false
 	if !s.edge {
 		s.pool = standin.NewPool(l.st, s.name, l.script.Seed, cold)
-		s.cfg.Pool = s.pool.Addr()
+		s.cfg.PoolAddress = s.pool.Addr()
 	}
 	rng := l.w.Fork(l.script.Seed, fmt.Sprintf("%s/%d", s.name, node.Life))
 	s.cfg.Settings.Seed = rng.Uint64()
@@ -290,16 +290,16 @@
 		panic(err) // the settings are our own
 	}
 	l.obs.Boots(s.name, node.Life)
-	l.obs.CallsAt(s.name, s.cfg.Vault)
+	l.obs.CallsAt(s.name, s.cfg.VaultAddress)
 	srv := s.srv
-	s.host = virtual.NewHost(node, transport.Options{MaxConns: sockets - 40, Buffers: memory / 8, Logf: logf}, srv, rng,
+	s.host = virtual.NewHost(node, transport.Options{MaxConns: sockets - 40, MaxBuffered: memory / 8, Logf: logf}, srv, rng,
 		virtual.Cost{Turn: 40, KB: 15}, func(t *transport.Loop) {
 			if s.store != nil {
 				if err := srv.UseStore(life{s.store, node, node.Life}, l.w.Now()); err != nil {
 					panic(err) // the stand-in loads what it has
 				}
 			}
-			if err := t.Datagrams(s.cfg.Control); err != nil {
+			if err := t.SetDatagramPeer(s.cfg.ControlAddress); err != nil {
 				panic(err) // a virtual host takes any
 			}
 			srv.Attach(t)
@@ -388,9 +388,9 @@
 	s.moves++
 	at := string(rune('a' + s.moves%2))
 	next := s.cfg
-	next.Pool, next.Control = s.pool.Addr(), "control/"+at
+	next.PoolAddress, next.ControlAddress = s.pool.Addr(), "control/"+at
 	if s.l.vault != nil {
-		next.Vault = "v0/" + at
+		next.VaultAddress = "v0/" + at
 	}
 	s.cfg = next
 	srv := s.srv
@@ -398,7 +398,7 @@
 		if err := srv.Reload(next); err != nil {
 			s.l.log("%s: %v", s.name, err)
 		} else {
-			s.l.obs.CallsAt(s.name, next.Vault)
+			s.l.obs.CallsAt(s.name, next.VaultAddress)
 		}
 	})
 }
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -194,12 +194,12 @@
 func (t *teller) Data(_ *virtual.End, p []byte) {
 	t.in = append(t.in, p...)
 	for {
-		payload, n, err := thrift.Split(t.in)
+		payload, n, err := thrift.SplitFrame(t.in)
 		if err != nil || payload == nil {
 			return
 		}
 		t.in = t.in[n:]
-		if p, err := thrift.DecodeReply(payload); err == nil && p.Kind == thrift.Exception {
+		if p, err := thrift.DecodeReply(payload); err == nil && p.Kind == thrift.ReplyException {
 			*t.errors++
 		}
 	}
--- a/internal/lab/learn.go
+++ b/internal/lab/learn.go
@@ -72,9 +72,9 @@
 			}
 		}
 		l.w.At(fresh, func() { worth[0], wanted[0] = l.st.Worth, l.st.Wanted })
-		l.w.At(fresh+2*micro.Second, func() { r.Early = l.edges[0].srv.Wasted() })
+		l.w.At(fresh+2*micro.Second, func() { r.Early = l.edges[0].srv.WastedAttempts() })
 		l.w.At(fresh+learnYoung, func() {
-			r.Wasted = l.edges[0].srv.Wasted()
+			r.Wasted = l.edges[0].srv.WastedAttempts()
 			worth[1], wanted[1] = l.st.Worth, l.st.Wanted
 		})
 	}})
