--- a/internal/lab/routes.go
+++ b/internal/lab/routes.go
@@ -64,8 +64,8 @@
 	rng     *rand.Rand
 	servers []*routeServer
 	policy  string
-	fleet   *fleet.Fleet
-	att     *fleet.Attempts
+	fleet   *fleet.Balancer
+	att     *fleet.RetryPolicy
 	open    map[string]int
 	turn    int
 	hist    *hdrhistogram.Histogram
@@ -95,7 +95,7 @@
 	if l.fleet, err = fleet.New(fleet.Config{Classes: 1}, o.Seed); err != nil {
 		return RouteResult{}, err
 	}
-	if l.att, err = fleet.NewAttempts(fleet.AttemptsConfig{}); err != nil {
+	if l.att, err = fleet.NewRetryPolicy(fleet.RetryConfig{}); err != nil {
 		return RouteResult{}, err
 	}
 	for i := range o.Servers {
@@ -137,8 +137,8 @@
 		return fmt.Errorf("lab: trouble: unknown %q; there are %v", l.o.Trouble, Troubles)
 	}
 	if l.o.Advised && (s.silent || s.refused) {
-		l.fleet.Heed(l.w.Now(), "new", fleet.Adviser{Name: "old", Uptime: 600 * micro.Second},
-			[]fleet.Fact{{Server: s.name, Kind: fleet.Dead, Evidence: 10, Age: micro.Second, Source: "old", Hops: 1}})
+		l.fleet.ApplyGossip(l.w.Now(), "new", fleet.GossipSender{Name: "old", Uptime: 600 * micro.Second},
+			[]fleet.Observation{{Endpoint: s.name, Kind: fleet.Unreachable, Evidence: 10, Age: micro.Second, Source: "old", Hops: 1}})
 	}
 	return nil
 }
@@ -158,7 +158,7 @@
 	if l.early(q) {
 		l.first[0]++
 	}
-	l.att.First(l.w.Now(), 1)
+	l.att.RecordFirstAttempt(l.w.Now(), 1)
 	l.send(q)
 }
 
@@ -169,12 +169,12 @@
 	n := len(l.servers)
 	switch l.policy {
 	case "fleet":
-		return l.fleet.Pick(l.w.Now(), fleet.Try{Safe: true, Cheap: true, Avoid: q.avoid})
+		return l.fleet.Pick(l.w.Now(), fleet.Request{Idempotent: true, Cheap: true, Exclude: q.avoid})
 	case "round robin":
 		l.turn++
-		return fleet.Choice{Server: l.servers[l.turn%n].name}, true
+		return fleet.Choice{Endpoint: l.servers[l.turn%n].name}, true
 	case "random":
-		return fleet.Choice{Server: l.servers[l.w.Rand().IntN(n)].name}, true
+		return fleet.Choice{Endpoint: l.servers[l.w.Rand().IntN(n)].name}, true
 	}
 	best, at := "", 0
 	for i := range n {
@@ -184,7 +184,7 @@
 		}
 	}
 	l.turn++
-	return fleet.Choice{Server: best}, true
+	return fleet.Choice{Endpoint: best}, true
 }
 
 func (l *routeWorld) send(q *asking) {
@@ -194,7 +194,7 @@
 	}
 	var s *routeServer
 	for _, o := range l.servers {
-		if o.name == c.Server {
+		if o.name == c.Endpoint {
 			s = o
 		}
 	}
@@ -202,7 +202,7 @@
 	l.tries++
 	q.avoid = append(q.avoid, s.name)
 	l.open[s.name]++
-	l.fleet.Sent(l.w.Now(), c)
+	l.fleet.AttemptStarted(l.w.Now(), c)
 	sent, done := l.w.Now(), false
 	end := func(r fleet.Result) {
 		if done {
@@ -210,15 +210,15 @@
 		}
 		done = true
 		l.open[s.name]--
-		r.Took = l.w.Now() - sent
-		l.fleet.Ended(l.w.Now(), c, r)
+		r.Latency = l.w.Now() - sent
+		l.fleet.AttemptEnded(l.w.Now(), c, r)
 		l.ended(q, r)
 	}
 	if s.silent || s.refused {
 		l.wasted++
 	}
 	if s.refused {
-		l.w.In(micro.Millisecond, func() { end(fleet.Result{Outcome: fleet.Unreached}) })
+		l.w.In(micro.Millisecond, func() { end(fleet.Result{Outcome: fleet.ConnectFailed}) })
 		return
 	}
 	l.w.At(max(min(q.born+routeDue, sent+routeConnTO), sent), func() {
@@ -230,7 +230,7 @@
 		return
 	}
 	if len(s.queue) >= routeQueue {
-		l.w.In(micro.Millisecond, func() { end(fleet.Result{Outcome: fleet.Refused, After: 200 * micro.Millisecond}) })
+		l.w.In(micro.Millisecond, func() { end(fleet.Result{Outcome: fleet.Rejected, RetryAfter: 200 * micro.Millisecond}) })
 		return
 	}
 	s.queue = append(s.queue, func() {
@@ -244,7 +244,7 @@
 				return
 			}
 			s.busy--
-			end(fleet.Result{Outcome: fleet.Served})
+			end(fleet.Result{Outcome: fleet.Succeeded})
 			s.next()
 		})
 	})
@@ -264,9 +264,9 @@
 	if q.over {
 		return
 	}
-	if r.Outcome == fleet.Served {
+	if r.Outcome == fleet.Succeeded {
 		q.over = true
-		l.att.Succeeded(now, 1)
+		l.att.RecordSuccess(now, 1)
 		_ = l.hist.RecordValue(int64(now - q.born)) // within the histogram's range, as the run ends before
 		if now <= q.born+routeAim {
 			l.inTime++
@@ -276,8 +276,8 @@
 		}
 		return
 	}
-	v := l.att.After(now, fleet.Ask{Caller: 1, Safe: true, Tries: q.tries, Outcome: r.Outcome, Finishes: now + routeWork, Due: q.born + routeDue})
-	if v == fleet.AgainElsewhere {
+	v := l.att.Decide(now, fleet.FailedAttempt{Caller: 1, Idempotent: true, Attempts: q.tries, Outcome: r.Outcome, EarliestFinish: now + routeWork, Deadline: q.born + routeDue})
+	if v == fleet.RetryElsewhere {
 		l.send(q)
 	} else {
 		q.over = true
--- a/internal/lab/sabotage_test.go
+++ b/internal/lab/sabotage_test.go
@@ -93,7 +93,7 @@
 		}
 		var out []byte
 		for _, c := range commands(p, pool.ParseCommand) {
-			if c.command.Order != pool.Supply {
+			if c.command.Verb != pool.Supply {
 				out = append(out, c.raw...)
 				continue
 			}
--- a/internal/lab/tables_test.go
+++ b/internal/lab/tables_test.go
@@ -82,7 +82,7 @@
 			faults.Fault{At: at + 36*micro.Second, Kind: faults.Slow, Node: "w0", For: 5 * micro.Second, Amount: 4})
 	}
 	flat(t, s, 30_000, "control.Controller.keys", "control.Controller.live", "control.Controller.heard", "control.class.lat",
-		"routing.keyTable.byName", "routing.keyTable.byID", "routing.Core.wakes", "workerpool.Runner.runs", "transport.room.conns", "transport.Conn.buf")
+		"routing.keyTable.byName", "routing.keyTable.byID", "routing.Core.wakes", "workerpool.Backend.runs", "transport.room.conns", "transport.Connection.buf")
 }
 
 // The same over 30 minutes of calls that are given up, cut off, silent, and moved.
@@ -102,7 +102,7 @@
 			faults.Fault{At: at + 38*micro.Second, Kind: faults.Cut, Node: "w0", Peer: "s0", Amount: 200},
 			faults.Fault{At: at + 42*micro.Second, Kind: faults.Stall, Node: "s0", Peer: "w0", For: 2 * micro.Second})
 	}
-	flat(t, s, 20_000, "calls.Dispatcher.calls", "calls.link.givenUp", "vaultlink.Client.links", "workerpool.Runner.runs")
+	flat(t, s, 20_000, "calls.Pool.calls", "calls.link.givenUp", "vaultlink.Client.links", "workerpool.Backend.runs")
 }
 
 // flat plays a script and judges that no table's peak of the last third is above that of the first, but for a little.
--- a/internal/micro/micro.go
+++ b/internal/micro/micro.go
@@ -18,8 +18,8 @@
 // Duration converts to the unit of the decision module and of the standard library.
 func (t Time) Duration() time.Duration { return time.Duration(t) * time.Microsecond }
 
-// Of converts a duration, cutting what is below a microsecond.
-func Of(d time.Duration) Time { return Time(d / time.Microsecond) }
+// FromDuration converts a duration, cutting what is below a microsecond.
+func FromDuration(d time.Duration) Time { return Time(d / time.Microsecond) }
 
 // Clock tells the time since its origin and converts the system's wall clock to it.
 type Clock struct {
@@ -30,16 +30,16 @@
 func NewClock() Clock { return Clock{origin: time.Now().Add(-time.Hour)} }
 
 // Now reads the monotonic clock.
-func (c Clock) Now() Time { return Of(time.Since(c.origin)) }
+func (c Clock) Now() Time { return FromDuration(time.Since(c.origin)) }
 
 // FromUnixMilli is the instant of a wall clock time; the wall clock's offset is read at that moment.
 func (c Clock) FromUnixMilli(ms int64) Time {
 	now := time.Now()
-	return Of(now.Sub(c.origin)) - Time(now.UnixMicro()-ms*1000)
+	return FromDuration(now.Sub(c.origin)) - Time(now.UnixMicro()-ms*1000)
 }
 
 // UnixMilli is the wall clock time of an instant, to the nearest Unix millisecond.
 func (c Clock) UnixMilli(t Time) int64 {
 	now := time.Now()
-	return int64((Time(now.UnixMicro()) - Of(now.Sub(c.origin)) + t + Millisecond/2) / Millisecond)
+	return int64((Time(now.UnixMicro()) - FromDuration(now.Sub(c.origin)) + t + Millisecond/2) / Millisecond)
 }
--- a/internal/micro/micro_test.go
+++ b/internal/micro/micro_test.go
@@ -9,7 +9,7 @@
 
 func TestTime(t *testing.T) {
 	require.Equal(t, 1500*time.Microsecond, Time(1500).Duration())
-	require.Equal(t, Time(1), Of(1999*time.Nanosecond))
+	require.Equal(t, Time(1), FromDuration(1999*time.Nanosecond))
 }
 
 // Guards the one conversion between the two clocks: there and back again, also for what lies before the process.
--- a/internal/operators/copies.go
+++ b/internal/operators/copies.go
@@ -19,18 +19,18 @@
 
 // groupState is what a server tells of the group that holds copies with it.
 type groupState struct {
-	ID       uint32            `json:"id"`
-	Life     string            `json:"life"`
-	Group    string            `json:"group"`
-	Epoch    uint64            `json:"epoch"`
-	Copies   int               `json:"copies"`
-	Changing bool              `json:"changing"`
-	Marked   int               `json:"changing_marked"` // members that have brought on what they hold
-	Why      string            `json:"why"`
-	Lost     int64             `json:"lost_ms"`
-	Voting   bool              `json:"voting"`
-	Members  []holdings.Member `json:"members"`
-	Counters holdings.Counters `json:"counters"`
+	ID       uint32                  `json:"id"`
+	Life     string                  `json:"life"`
+	Group    string                  `json:"group"`
+	Epoch    uint64                  `json:"epoch"`
+	Copies   int                     `json:"copies"`
+	Changing bool                    `json:"changing"`
+	Marked   int                     `json:"changing_marked"` // members that have brought on what they hold
+	Why      string                  `json:"why"`
+	Lost     int64                   `json:"lost_ms"`
+	Voting   bool                    `json:"voting"`
+	Members  []holdings.MemberStatus `json:"members"`
+	Counters holdings.Counters       `json:"counters"`
 }
 
 // groupCalls are known where there is a group.
@@ -46,15 +46,15 @@
 }
 
 func (h *Handler) groupState(url.Values) (any, error) {
-	group, view := h.held.Group(), h.held.View()
-	return groupState{ID: view.Self.ID, Life: fmt.Sprintf("%x", view.Self.Life), Group: fmt.Sprintf("%x", group.Name), Epoch: group.Epoch,
-		Copies: group.Copies, Changing: len(group.Next) > 0, Marked: view.Marked, Why: group.Why, Lost: group.Lost, Voting: view.Voting,
-		Members: view.Members, Counters: h.held.Count()}, nil
+	group, view := h.held.Group(), h.held.Status()
+	return groupState{ID: view.Self.ID, Life: fmt.Sprintf("%x", view.Self.Incarnation), Group: fmt.Sprintf("%x", group.ClusterID), Epoch: group.Epoch,
+		Copies: group.ReplicationFactor, Changing: len(group.Next) > 0, Marked: view.MembersTransferred, Why: group.Reason, Lost: group.ForcedAt, Voting: view.Voting,
+		Members: view.Members, Counters: h.held.Counters()}, nil
 }
 
-func (h *Handler) found(url.Values) (any, error) { return h.changed(h.held.Found()) }
+func (h *Handler) found(url.Values) (any, error) { return h.changed(h.held.Bootstrap()) }
 
-func (h *Handler) giveUp(url.Values) (any, error) { return h.changed(h.held.GiveUp()) }
+func (h *Handler) giveUp(url.Values) (any, error) { return h.changed(h.held.AbandonChange()) }
 
 func (h *Handler) repair(url.Values) (any, error) {
 	h.held.Repair()
@@ -66,7 +66,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return h.changed(h.held.Add(id, query.Get("address"), query.Get("why")))
+	return h.changed(h.held.AddMember(id, query.Get("address"), query.Get("why")))
 }
 
 func (h *Handler) removeMember(query url.Values) (any, error) {
@@ -74,7 +74,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return h.changed(h.held.Remove(id, query.Get("why")))
+	return h.changed(h.held.RemoveMember(id, query.Get("why")))
 }
 
 func (h *Handler) forceMembers(query url.Values) (any, error) {
@@ -86,7 +86,7 @@
 		}
 		keep = append(keep, id)
 	}
-	return h.changed(h.held.Force(slices.Compact(keep), query.Get("why")))
+	return h.changed(h.held.ForceMembership(slices.Compact(keep), query.Get("why")))
 }
 
 func (h *Handler) export(query url.Values) (any, error) {
@@ -107,7 +107,7 @@
 	switch {
 	case err == nil:
 		return h.groupState(nil)
-	case errors.Is(err, copies.ErrChanging), errors.Is(err, copies.ErrMember), errors.Is(err, copies.ErrNoGroup):
+	case errors.Is(err, copies.ErrChangeInProgress), errors.Is(err, copies.ErrInvalidChange), errors.Is(err, copies.ErrNoMembership):
 		return nil, &admin.Error{Status: http.StatusConflict, Text: err.Error()}
 	}
 	return nil, &admin.Error{Status: http.StatusBadRequest, Text: err.Error()}
--- a/internal/operators/operators.go
+++ b/internal/operators/operators.go
@@ -21,31 +21,31 @@
 	Counters() Counters
 }
 
-// ErrLeaving says that a server that has been told to leave cannot be taken in service again.
-var ErrLeaving = errors.New("leaving: the notice to leave has come, and there is no way back from it")
+// ErrDraining says that a server that has been told to leave cannot be taken in service again.
+var ErrDraining = errors.New("leaving: the notice to leave has come, and there is no way back from it")
 
 // State is what a server tells of itself.
 type State struct {
 	Ready     bool `json:"ready"`
 	InService bool `json:"in_service"`
-	Leaving   bool `json:"leaving"`
+	Draining  bool `json:"leaving"`
 }
 
 // Counters are the figures, from the start of the process. A class that is gone keeps its own.
 type Counters struct {
-	Passed     map[string]int `json:"passed"`
-	Dropped    map[string]int `json:"dropped"`
-	BadGateway map[string]int `json:"bad_gateway"`
-	Tries      int            `json:"upstream_tries"` // runs handed to the worker pool
-	InProgress int            `json:"in_progress"`
-	Loads      int            `json:"loads"`
-	LoadErrors int            `json:"load_errors"`
+	Succeeded    map[string]int `json:"passed"`
+	Rejected     map[string]int `json:"dropped"`
+	Failed       map[string]int `json:"bad_gateway"`
+	Attempts     int            `json:"upstream_tries"` // runs handed to the worker pool
+	InProgress   int            `json:"in_progress"`
+	Reloads      int            `json:"loads"`
+	ReloadErrors int            `json:"load_errors"`
 }
 
 // Handler carries out calls.
 type Handler struct {
 	server Server
-	held   *holdings.Holdings // copies, with a group of servers; nil: none
+	held   *holdings.Replica // copies, with a group of servers; nil: none
 	logf   func(format string, args ...any)
 }
 
@@ -54,11 +54,11 @@
 	return &Handler{server: server, logf: logf}
 }
 
-// UseCopies has the handler take calls about the group that holds copies.
-func (h *Handler) UseCopies(held *holdings.Holdings) { h.held = held }
+// UseReplication has the handler take calls about the group that holds copies.
+func (h *Handler) UseReplication(held *holdings.Replica) { h.held = held }
 
 // Accept gives an operator's connection its session.
-func (h *Handler) Accept(conn transport.Link) transport.Session {
+func (h *Handler) Accept(conn transport.Conn) transport.Session {
 	return &session{handler: h, conn: conn}
 }
 
@@ -76,7 +76,7 @@
 }
 
 // obey carries out a call; it returns the whole answer. An error is of type *admin.Error.
-func (h *Handler) obey(asked admin.Call) ([]byte, error) {
+func (h *Handler) obey(asked admin.Request) ([]byte, error) {
 	if c, ok := groupCalls[asked.Path]; ok && h.held != nil {
 		return h.answer(c, asked)
 	}
@@ -92,10 +92,10 @@
 	if err != nil {
 		return nil, err
 	}
-	return admin.Headless(out), nil
+	return admin.WithoutBody(out), nil
 }
 
-func (h *Handler) answer(c call, asked admin.Call) ([]byte, error) {
+func (h *Handler) answer(c call, asked admin.Request) ([]byte, error) {
 	if asked.Method != c.method {
 		text := fmt.Sprintf("%s takes %s, not %s", asked.Path, c.method, asked.Method)
 		return nil, &admin.Error{Status: http.StatusMethodNotAllowed, Text: text, Allow: c.method}
@@ -104,13 +104,13 @@
 	if err != nil {
 		return nil, err
 	}
-	return admin.Append(nil, http.StatusOK, "", body), nil
+	return admin.AppendResponse(nil, http.StatusOK, "", body), nil
 }
 
 // ready says whether this process takes clients, in service or out: out of service, it takes whoever comes still.
 func (h *Handler) ready(url.Values) (any, error) {
 	state := h.server.State()
-	if state.Leaving {
+	if state.Draining {
 		return nil, &admin.Error{Status: http.StatusServiceUnavailable, Text: "leaving: the notice to leave has come"}
 	}
 	return state, nil
@@ -132,7 +132,7 @@
 // session is an operator's connection, with one call on it.
 type session struct {
 	handler *Handler
-	conn    transport.Link
+	conn    transport.Conn
 	done    bool
 }
 
--- a/internal/operators/operators_test.go
+++ b/internal/operators/operators_test.go
@@ -17,13 +17,13 @@
 	status := func(method, path, query string) int {
 		values, err := url.ParseQuery(query)
 		require.NoError(t, err)
-		_, err = h.obey(admin.Call{Method: method, Path: path, Query: values})
+		_, err = h.obey(admin.Request{Method: method, Path: path, Query: values})
 		wrong := (*admin.Error)(nil)
 		require.ErrorAs(t, err, &wrong)
 		return wrong.Status
 	}
 	require.Equal(t, 404, status("GET", "/control/copies", ""))
-	h.UseCopies(&holdings.Holdings{})
+	h.UseReplication(&holdings.Replica{})
 	for _, c := range []struct {
 		method, path, query string
 		want                int
--- a/internal/peers/exchange.go
+++ b/internal/peers/exchange.go
@@ -15,10 +15,10 @@
 	exchangeConns    = 64 // that are accepted at once
 )
 
-// ExchangeLoop is what an exchange needs of the event loop.
-type ExchangeLoop interface {
+// ExchangeEventLoop is what an exchange needs of the event loop.
+type ExchangeEventLoop interface {
 	Now() micro.Time
-	Try(addr string, open func(transport.Link) transport.Session, failed func()) (drop func())
+	DialOnce(addr string, open func(transport.Conn) transport.Session, failed func()) (drop func())
 }
 
 // ExchangeConfig says who an instance is to the others.
@@ -32,9 +32,9 @@
 // Exchange has this instance and others tell each other what they know of the log servers.
 type Exchange struct {
 	cfg     ExchangeConfig
-	loop    ExchangeLoop
-	fleet   *fleet.Fleet
-	peers   *fleet.Peers
+	loop    ExchangeEventLoop
+	fleet   *fleet.Balancer
+	peers   *fleet.PeerScheduler
 	logf    func(string, ...any)
 	started micro.Time
 	links   []*exchangeLink
@@ -47,7 +47,7 @@
 type exchangeLink struct {
 	at      int // its place among the links
 	x       *Exchange
-	conn    transport.Link // nil while it is being opened
+	conn    transport.Conn // nil while it is being opened
 	drop    func()
 	address string // that we dialled; "" where it came to us
 	due     micro.Time
@@ -55,9 +55,9 @@
 }
 
 // NewExchange returns an exchange of what f knows.
-func NewExchange(cfg ExchangeConfig, loop ExchangeLoop, f *fleet.Fleet, logf func(string, ...any)) *Exchange {
+func NewExchange(cfg ExchangeConfig, loop ExchangeEventLoop, f *fleet.Balancer, logf func(string, ...any)) *Exchange {
 	now := loop.Now()
-	return &Exchange{cfg: cfg, loop: loop, fleet: f, logf: logf, started: now, peers: fleet.NewPeers(now, fleet.PeersConfig{}, cfg.Peers, cfg.Seed)}
+	return &Exchange{cfg: cfg, loop: loop, fleet: f, logf: logf, started: now, peers: fleet.NewPeerScheduler(now, fleet.PeerSchedulerConfig{}, cfg.Peers, cfg.Seed)}
 }
 
 // Ready says that a fresh instance has heard first advice, or has waited long enough for it.
@@ -79,10 +79,10 @@
 
 // Check does what is due; it returns when to look again.
 func (x *Exchange) Check(now micro.Time) micro.Time {
-	for _, address := range x.peers.Ask(now) {
+	for _, address := range x.peers.NextPeers(now) {
 		x.ask(now, address)
 	}
-	next := x.peers.Due()
+	next := x.peers.NextCheck()
 	for i := len(x.links) - 1; i >= 0; i-- {
 		l := x.links[i]
 		switch {
@@ -106,7 +106,7 @@
 	l := &exchangeLink{x: x, address: address}
 	x.add(l)
 	l.begin(now)
-	l.drop = x.loop.Try(address, func(c transport.Link) transport.Session {
+	l.drop = x.loop.DialOnce(address, func(c transport.Conn) transport.Session {
 		l.conn = c
 		l.write(true)
 		return l
@@ -138,15 +138,15 @@
 		l.x.taken--
 	} else if l.asking {
 		l.asking = false
-		l.x.peers.Failed(now, l.address)
+		l.x.peers.ExchangeFailed(now, l.address)
 	}
 }
 
 // write tells what we know.
 func (l *exchangeLink) write(asking bool) {
 	x, now := l.x, l.x.loop.Now()
-	m := gossip.Message{Name: x.cfg.Name, Uptime: now - x.started, Asking: asking, Facts: x.fleet.Tell(now, x.cfg.Name, gossip.MaxFacts)}
-	for _, p := range x.peers.Views(now) {
+	m := gossip.Message{Name: x.cfg.Name, Uptime: now - x.started, WantsReply: asking, Observations: x.fleet.ComposeGossip(now, x.cfg.Name, gossip.MaxObservations)}
+	for _, p := range x.peers.Peers(now) {
 		if p.Alive {
 			m.Peers = append(m.Peers, gossip.Peer{Name: p.Name, Address: p.Address})
 		}
@@ -161,7 +161,7 @@
 }
 
 // Accept is the session of a connection that another instance has opened.
-func (x *Exchange) Accept(c transport.Link) transport.Session {
+func (x *Exchange) Accept(c transport.Conn) transport.Session {
 	l := &exchangeLink{x: x, conn: c}
 	x.add(l)
 	if x.taken++; x.taken > exchangeConns {
@@ -188,25 +188,25 @@
 
 func (l *exchangeLink) take(m gossip.Message) error {
 	x, now := l.x, l.x.loop.Now()
-	if l.address == "" && !m.Asking || l.address != "" && !l.asking {
-		return fmt.Errorf("%w: an answer that nobody asked for", gossip.ErrFrame)
+	if l.address == "" && !m.WantsReply || l.address != "" && !l.asking {
+		return fmt.Errorf("%w: an answer that nobody asked for", gossip.ErrMalformedFrame)
 	}
-	a := x.fleet.Heed(now, x.cfg.Name, fleet.Adviser{Name: m.Name, Uptime: m.Uptime}, m.Facts)
+	a := x.fleet.ApplyGossip(now, x.cfg.Name, fleet.GossipSender{Name: m.Name, Uptime: m.Uptime}, m.Observations)
 	if a.Err != nil {
-		x.logf("exchange: %s: %d of %d facts are faulty, the first: %v", l.conn.Remote(), a.Faulty, len(m.Facts), a.Err)
+		x.logf("exchange: %s: %d of %d facts are faulty, the first: %v", l.conn.Remote(), a.Invalid, len(m.Observations), a.Err)
 	}
 	for _, p := range m.Peers {
 		if p.Address != x.cfg.Address { // our own
-			x.peers.Heard(p.Address, p.Name)
+			x.peers.AddPeer(p.Address, p.Name)
 		}
 	}
 	if l.address == "" {
-		l.conn.Vouch()
+		l.conn.MarkIdentified()
 		l.write(false)
 		return nil
 	}
 	l.asking = false
-	x.peers.Answered(now, l.address, m.Name)
+	x.peers.ExchangeSucceeded(now, l.address, m.Name)
 	return nil
 }
 
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -21,32 +21,32 @@
 	// Bytes of a frame, about, and items: far below the bounds, so that a vote does not wait behind a large one.
 	frameBytes = 64 << 10
 	frameItems = 256
-	// Conns are the connections of other servers that may be open at once: each has one, and for a while an old one too.
-	Conns = 64
+	// MaxConns are the connections of other servers that may be open at once: each has one, and for a while an old one too.
+	MaxConns = 64
 )
 
-// Loop is what the links need of the event loop.
-type Loop interface {
+// EventLoop is what the links need of the event loop.
+type EventLoop interface {
 	Now() micro.Time
-	Dial(addr string, open func(transport.Link) transport.Session) (drop func())
+	Dial(addr string, open func(transport.Conn) transport.Session) (drop func())
 }
 
-// Host is whoever the messages are for. Its methods are called on the loop.
-type Host interface {
+// Handler is whoever the messages are for. Its methods are called on the loop.
+type Handler interface {
 	// Hello says who this server is.
 	Hello() copylink.Hello
 	// Take takes a message; who sent it has said hello.
-	Take(from copylink.Hello, m copylink.Message)
+	HandleMessage(from copylink.Hello, m copylink.Message)
 	// Linked says whether a server can be reached.
-	Linked(id uint32, up bool)
+	PeerStateChanged(id uint32, up bool)
 	// Group is the newest that is known; epoch 0: none.
-	Group() copies.Group
+	Group() copies.Membership
 }
 
-// Peers are all links of a server.
-type Peers struct {
-	loop  Loop
-	host  Host
+// Links are all links of a server.
+type Links struct {
+	loop  EventLoop
+	host  Handler
 	logf  func(string, ...any)
 	outs  []*out
 	ins   []*in
@@ -54,16 +54,16 @@
 }
 
 // New returns links to nobody.
-func New(loop Loop, host Host, logf func(string, ...any)) *Peers {
-	return &Peers{loop: loop, host: host, logf: logf, known: map[uint32]copylink.Hello{}}
+func New(loop EventLoop, host Handler, logf func(string, ...any)) *Links {
+	return &Links{loop: loop, host: host, logf: logf, known: map[uint32]copylink.Hello{}}
 }
 
 // out is the link that this server opens.
 type out struct {
-	p        *Peers
+	p        *Links
 	id       uint32
 	addr     string
-	conn     transport.Link // nil while it is being opened
+	conn     transport.Conn // nil while it is being opened
 	drop     func()
 	up       bool
 	gone     bool // nobody wants it any more
@@ -73,14 +73,14 @@
 	told     uint64     // the epoch that was told last
 	toldAt   micro.Time
 	requests []copies.Request
-	marks    []copies.Mark
+	marks    []copies.TransferAck
 	group    bool
 }
 
 // in is a link that another server has opened.
 type in struct {
-	p       *Peers
-	conn    transport.Link
+	p       *Links
+	conn    transport.Conn
 	from    copylink.Hello
 	greeted bool
 	replies []copies.Reply
@@ -90,8 +90,8 @@
 	group   bool
 }
 
-// Set has links to those servers and no others.
-func (p *Peers) Set(addrs map[uint32]string) {
+// SetPeers has links to those servers and no others.
+func (p *Links) SetPeers(addrs map[uint32]string) {
 	for _, o := range slices.Clone(p.outs) {
 		if addr, ok := addrs[o.id]; !ok || addr != o.addr {
 			o.end()
@@ -114,19 +114,19 @@
 	return ids
 }
 
-// Known is what a server last said of itself.
-func (p *Peers) Known(id uint32) (copylink.Hello, bool) {
+// LastHello is what a server last said of itself.
+func (p *Links) LastHello(id uint32) (copylink.Hello, bool) {
 	h, ok := p.known[id]
 	return h, ok
 }
 
-// Up says that a server can be reached.
-func (p *Peers) Up(id uint32) bool {
+// Connected says that a server can be reached.
+func (p *Links) Connected(id uint32) bool {
 	return slices.ContainsFunc(p.outs, func(o *out) bool { return o.id == id && o.up })
 }
 
-// Ask sends a request, if its server can be reached: whoever asks, asks again in time.
-func (p *Peers) Ask(r copies.Request) {
+// SendRequest sends a request, if its server can be reached: whoever asks, asks again in time.
+func (p *Links) SendRequest(r copies.Request) {
 	for _, o := range p.outs {
 		if o.id == r.To.ID && o.up {
 			o.requests = append(o.requests, r)
@@ -134,25 +134,25 @@
 	}
 }
 
-// Answer sends a reply to whoever asked, if it can be reached still.
-func (p *Peers) Answer(to copies.Member, r copies.Reply) {
+// SendReply sends a reply to whoever asked, if it can be reached still.
+func (p *Links) SendReply(to copies.Identity, r copies.Reply) {
 	for i := len(p.ins) - 1; i >= 0; i-- { // the newest first
-		if l := p.ins[i]; l.greeted && l.from.ID == to.ID && l.from.Process == to.Life {
+		if l := p.ins[i]; l.greeted && l.from.ID == to.ID && l.from.ProcessIncarnation == to.Incarnation {
 			l.replies = append(l.replies, r)
 			return
 		}
 	}
 }
 
-// Mark sends a mark to all servers.
-func (p *Peers) Mark(k copies.Mark) {
+// BroadcastAck sends a mark to all servers.
+func (p *Links) BroadcastAck(k copies.TransferAck) {
 	for _, o := range p.outs {
 		o.marks = append(o.marks, k)
 	}
 }
 
-// Tell has a server hear of the group.
-func (p *Peers) Tell(id uint32) {
+// QueueMembership has a server hear of the group.
+func (p *Links) QueueMembership(id uint32) {
 	for _, o := range p.outs {
 		if o.id == id {
 			o.group = true
@@ -165,8 +165,8 @@
 	}
 }
 
-// Turn sends what was to be said, opens links anew, and drops those that are deaf. It returns when it is due again.
-func (p *Peers) Turn(now micro.Time) micro.Time {
+// Check sends what was to be said, opens links anew, and drops those that are deaf. It returns when it is due again.
+func (p *Links) Check(now micro.Time) micro.Time {
 	next := micro.Never
 	for _, o := range slices.Clone(p.outs) {
 		switch {
@@ -189,7 +189,7 @@
 }
 
 func (o *out) open() {
-	o.drop = o.p.loop.Dial(o.addr, func(c transport.Link) transport.Session {
+	o.drop = o.p.loop.Dial(o.addr, func(c transport.Conn) transport.Session {
 		now := o.p.loop.Now()
 		o.conn, o.heard, o.pinged = c, now, now
 		h := o.p.host.Hello()
@@ -212,14 +212,14 @@
 func (o *out) down() {
 	if o.up {
 		o.up = false
-		o.p.host.Linked(o.id, false)
+		o.p.host.PeerStateChanged(o.id, false)
 	}
 	o.requests, o.marks, o.group = nil, nil, false
 }
 
 func (o *out) write(m copylink.Message) { send(o.p, o.conn, m) }
 
-func send(p *Peers, c transport.Link, m copylink.Message) {
+func send(p *Links, c transport.Conn, m copylink.Message) {
 	b, err := copylink.Append(nil, m)
 	if err != nil {
 		p.logf("peers: %v", err)
@@ -229,7 +229,7 @@
 }
 
 // group is what a peer that goes by an earlier epoch is told, once in a while.
-func (p *Peers) group(wanted *bool, told *uint64, at *micro.Time, now micro.Time) *copies.Group {
+func (p *Links) group(wanted *bool, told *uint64, at *micro.Time, now micro.Time) *copies.Membership {
 	g := p.host.Group()
 	if !*wanted || g.Epoch == 0 || *told == g.Epoch && now < *at+tellAgain {
 		*wanted = false
@@ -245,7 +245,7 @@
 	}
 	epoch := o.p.host.Group().Epoch
 	if g := o.p.group(&o.group, &o.told, &o.toldAt, now); g != nil || len(o.marks) > 0 {
-		o.write(copylink.Message{Epoch: epoch, Group: g, Marks: o.marks})
+		o.write(copylink.Message{Epoch: epoch, Membership: g, TransferAcks: o.marks})
 		o.marks = nil
 	}
 	for len(o.requests) > 0 {
@@ -271,7 +271,7 @@
 	}
 	epoch := l.p.host.Group().Epoch
 	if g := l.p.group(&l.group, &l.told, &l.toldAt, now); g != nil || l.pong {
-		send(l.p, l.conn, copylink.Message{Epoch: epoch, Group: g})
+		send(l.p, l.conn, copylink.Message{Epoch: epoch, Membership: g})
 		l.pong = false
 	}
 	for len(l.replies) > 0 {
@@ -295,7 +295,7 @@
 			}
 			if o.p.known[o.id] = *m.Hello; !o.up {
 				o.up = true
-				o.p.host.Linked(o.id, true)
+				o.p.host.PeerStateChanged(o.id, true)
 			}
 		} else if !o.up {
 			return errors.New("peers: a message before any hello")
@@ -303,7 +303,7 @@
 		if m.Epoch < o.p.host.Group().Epoch {
 			o.group = true
 		}
-		o.p.host.Take(o.p.known[o.id], m)
+		o.p.host.HandleMessage(o.p.known[o.id], m)
 		return nil
 	})
 }
@@ -321,7 +321,7 @@
 }
 
 // Accept is the session of a connection that another server has opened.
-func (p *Peers) Accept(c transport.Link) transport.Session {
+func (p *Links) Accept(c transport.Conn) transport.Session {
 	l := &in{p: p, conn: c}
 	p.ins = append(p.ins, l)
 	return l
@@ -333,7 +333,7 @@
 		if m.Hello != nil {
 			l.from, l.greeted = *m.Hello, true
 			l.p.known[l.from.ID] = l.from
-			l.conn.Vouch()
+			l.conn.MarkIdentified()
 			h := l.p.host.Hello()
 			send(l.p, l.conn, copylink.Message{Hello: &h, Epoch: l.p.host.Group().Epoch})
 		} else if !l.greeted {
@@ -342,7 +342,7 @@
 		if l.pong = l.pong || len(m.Requests) == 0; m.Epoch < l.p.host.Group().Epoch {
 			l.group = true
 		}
-		l.p.host.Take(l.from, m)
+		l.p.host.HandleMessage(l.from, m)
 		return nil
 	})
 }
--- a/internal/procs/caller.go
+++ b/internal/procs/caller.go
@@ -45,7 +45,7 @@
 	more := make([]byte, 16<<10)
 	defer k.end()
 	for {
-		payload, n, err := thrift.Split(buf)
+		payload, n, err := thrift.SplitFrame(buf)
 		if err != nil {
 			return
 		}
@@ -63,10 +63,10 @@
 		}
 		buf = buf[n:]
 		k.mu.Lock()
-		if p.Kind == thrift.Farewell {
+		if p.Kind == thrift.ReplyFarewell {
 			k.bidden = true
-		} else if w := k.waiting[p.Seq]; w != nil {
-			delete(k.waiting, p.Seq)
+		} else if w := k.waiting[p.SequenceID]; w != nil {
+			delete(k.waiting, p.SequenceID)
 			w <- p
 		}
 		leave := k.bidden && len(k.waiting) == 0
--- a/internal/procs/group_test.go
+++ b/internal/procs/group_test.go
@@ -63,7 +63,7 @@
 	return told
 }
 
-var served = func(key string) Told { return Told{thrift.Answered, "did " + key} }
+var served = func(key string) Told { return Told{thrift.ReplyAnswer, "did " + key} }
 
 // What one server has served is found at any other, by a repeat, also once that server is lost with its disk; and it ran once.
 func TestLostAfterAnswer(t *testing.T) {
@@ -87,7 +87,7 @@
 func (g *Group) unknown(t *testing.T, id int, key string) {
 	t.Helper()
 	told := g.intake(t, id, key, true)
-	require.Equal(t, thrift.Broken, told.Kind, "%s at server %d", key, id)
+	require.Equal(t, thrift.ReplyBroken, told.Kind, "%s at server %d", key, id)
 }
 
 // lose has a machine lost with its disk.
@@ -283,7 +283,7 @@
 	g := group(t, 3, 3)
 	g.Mute(1)
 	told := g.intake(t, 1, "lot", false)
-	require.Equal(t, thrift.Throttled, told.Kind, "before it runs")
+	require.Equal(t, thrift.ReplyThrottled, told.Kind, "before it runs")
 	require.Empty(t, g.Ledger.Runs("lot"))
 	keys := g.fill(t, 10, 2, 3)
 	g.Ways(1, (*Relay).Heal)
@@ -343,7 +343,7 @@
 	g.lose(t, 2)
 	g.lose(t, 3)
 	told := g.intake(t, 1, "new", false)
-	require.Equal(t, thrift.Throttled, told.Kind)
+	require.Equal(t, thrift.ReplyThrottled, told.Kind)
 	c, err := Dial(g.Servers[0].Listen)
 	require.NoError(t, err)
 	t.Cleanup(c.Close)
@@ -351,7 +351,7 @@
 	require.NoError(t, err)
 	r, err := a.Answer()
 	require.NoError(t, err)
-	require.Equal(t, thrift.Answered, r.Kind, "reads do not suffer")
+	require.Equal(t, thrift.ReplyAnswer, r.Kind, "reads do not suffer")
 	require.Error(t, g.Put(1, "force?keep=2"), "only with itself")
 	require.NoError(t, g.Put(1, "force?keep=1&why=two+burnt"))
 	g.found(t, 1, keys)
--- a/internal/procs/hunt/hunt.go
+++ b/internal/procs/hunt/hunt.go
@@ -65,9 +65,9 @@
 	Step: func(state, _, out any) (bool, any) {
 		ran, o := state.(string), out.(procs.Told)
 		switch o.Kind {
-		case thrift.Answered:
+		case thrift.ReplyAnswer:
 			return ran == "" || ran == o.Result, o.Result
-		case thrift.Throttled:
+		case thrift.ReplyThrottled:
 			return ran == "", ran
 		}
 		return true, ran
@@ -279,7 +279,7 @@
 	for j := 0; !p.closing.Load(); j++ {
 		key := fmt.Sprintf("lot %d/%d", i, j)
 		for tries := 0; tries < triesMost && !p.closing.Load(); tries++ {
-			if p.try(i, 1+rng.IntN(len(p.g.Servers)), key, tries > 0) == thrift.Answered {
+			if p.try(i, 1+rng.IntN(len(p.g.Servers)), key, tries > 0) == thrift.ReplyAnswer {
 				time.Sleep(time.Duration(5+rng.IntN(20)) * time.Millisecond)
 				break
 			}
@@ -303,10 +303,10 @@
 		switch {
 		case err != nil:
 			o.Unheard++
-		case told.Kind == thrift.Answered:
+		case told.Kind == thrift.ReplyAnswer:
 			o.Answered++
 			o.Served++
-		case told.Kind == thrift.Throttled:
+		case told.Kind == thrift.ReplyThrottled:
 			o.Answered++
 			o.Refused++
 		default:
@@ -322,14 +322,14 @@
 	p.mu.Lock()
 	var keys []string
 	for _, o := range p.history {
-		if k := o.Input.(string); o.Output.(procs.Told).Kind == thrift.Answered && !slices.Contains(keys, k) {
+		if k := o.Input.(string); o.Output.(procs.Told).Kind == thrift.ReplyAnswer && !slices.Contains(keys, k) {
 			keys = append(keys, k)
 		}
 	}
 	p.mu.Unlock()
 	for i, key := range keys {
 		id := 1 + i%len(p.g.Servers)
-		if kind := p.try(-1, id, key, true); kind != thrift.Answered {
+		if kind := p.try(-1, id, key, true); kind != thrift.ReplyAnswer {
 			p.broken("lost: %s was served, and server %d answers %d", key, id, kind)
 		}
 	}
--- a/internal/procs/measure/measure.go
+++ b/internal/procs/measure/measure.go
@@ -72,7 +72,7 @@
 				if err == nil {
 					p, err = a.Answer()
 				}
-				if err != nil || p.Kind != thrift.Answered {
+				if err != nil || p.Kind != thrift.ReplyAnswer {
 					missed.Add(1)
 					continue
 				}
@@ -208,9 +208,9 @@
 			switch {
 			case err != nil:
 				s.Unheard++
-			case told.Kind == thrift.Answered:
+			case told.Kind == thrift.ReplyAnswer:
 				s.Served++
-			case told.Kind == thrift.Throttled:
+			case told.Kind == thrift.ReplyThrottled:
 				s.Refused++
 			default:
 				s.Unknown++
--- a/internal/procs/play.go
+++ b/internal/procs/play.go
@@ -348,14 +348,14 @@
 				continue
 			}
 			p.count(func(o *Outcome) { o.Answered++ })
-			if r.Kind == thrift.Answered {
+			if r.Kind == thrift.ReplyAnswer {
 				p.count(func(o *Outcome) { o.Served++ })
 				if got := string(r.Body); got != p.resultOf(body) {
 					p.broken("result: %s was answered %q", body, got)
 				}
 				break
 			}
-			if r.Kind == thrift.Throttled {
+			if r.Kind == thrift.ReplyThrottled {
 				p.count(func(o *Outcome) { o.Refused++ })
 				if runs := p.srv.Ledger.before(body, sent); len(runs) > 0 && p.knows(runs) {
 					p.broken("refused: %s, though it had run by then: %v", body, runs)
--- a/internal/procs/pool.go
+++ b/internal/procs/pool.go
@@ -24,7 +24,7 @@
 	notices  [][]byte
 	hold     bool
 	frozen   bool
-	checkEnd pool.End // of deep health checks; 0: they get no answer
+	checkEnd pool.Outcome // of deep health checks; 0: they get no answer
 	checks   int
 	calls    map[string]int      // that a run makes, by class
 	runs     map[string]*poolRun // that have not ended, by ID
@@ -100,7 +100,7 @@
 }
 
 // Checked sets how deep health checks end from now on; 0: they get no answer.
-func (p *Pool) Checked(end pool.End) {
+func (p *Pool) Checked(end pool.Outcome) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.checkEnd = end
--- a/internal/procs/poolruns.go
+++ b/internal/procs/poolruns.go
@@ -40,7 +40,7 @@
 
 func (p *Pool) nextNotice() uint64 { return uint64(len(p.notices)) + 1 }
 
-func (p *Pool) end(r *poolRun, end pool.End) {
+func (p *Pool) end(r *poolRun, end pool.Outcome) {
 	delete(p.runs, r.id)
 	result := ""
 	if end == pool.Pass {
@@ -119,7 +119,7 @@
 
 // obey carries out a command that came on a link.
 func (p *Pool) obey(c net.Conn, k pool.Command) {
-	if k.Order == pool.Bind {
+	if k.Verb == pool.Bind {
 		select {
 		case p.binds <- k.Notice:
 		default: // nobody waits for so many
@@ -134,7 +134,7 @@
 	if c != p.link {
 		return
 	}
-	switch k.Order {
+	switch k.Verb {
 	case pool.Poll:
 		_, _ = fmt.Fprintf(c, "polled %s 0.1 0 0.1 1\r\n", k.Tag)
 	case pool.Verify:
--- a/internal/procs/relay.go
+++ b/internal/procs/relay.go
@@ -239,7 +239,7 @@
 		if rng.IntN(2) == 0 {
 			f.Node, f.Peer = peer, node
 		}
-		f.At, f.For = micro.Of(time.Duration(rng.Int64N(int64(within)))), micro.Of(time.Duration(rng.Int64N(int64(within/4))))
+		f.At, f.For = micro.FromDuration(time.Duration(rng.Int64N(int64(within)))), micro.FromDuration(time.Duration(rng.Int64N(int64(within/4))))
 		switch f.Kind {
 		case faults.Lag:
 			f.Amount = float64(1 + rng.IntN(300))
--- a/internal/protocol/admin/admin.go
+++ b/internal/protocol/admin/admin.go
@@ -15,12 +15,12 @@
 
 // The bounds on a call, in bytes.
 const (
-	MaxHead = 4 << 10
-	MaxBody = 4 << 10
+	MaxHeadBytes = 4 << 10
+	MaxBodyBytes = 4 << 10
 )
 
-// Call is one call whose head and body are whole.
-type Call struct {
+// Request is one call whose head and body are whole.
+type Request struct {
 	Method, Path string
 	Query        url.Values
 }
@@ -36,11 +36,11 @@
 
 // Parse reads a call from the front of in. size is 0 while more is to come; an error is of type *Error and comes as soon
 // as the bounds are passed or the head makes no sense, however much is missing.
-func Parse(in []byte) (c Call, size int, err error) {
+func Parse(in []byte) (c Request, size int, err error) {
 	end := headEnd(in)
-	if end < 0 || end > MaxHead {
-		if len(in) > MaxHead {
-			return c, 0, &Error{Status: http.StatusRequestHeaderFieldsTooLarge, Text: fmt.Sprintf("the head is over %d bytes", MaxHead)}
+	if end < 0 || end > MaxHeadBytes {
+		if len(in) > MaxHeadBytes {
+			return c, 0, &Error{Status: http.StatusRequestHeaderFieldsTooLarge, Text: fmt.Sprintf("the head is over %d bytes", MaxHeadBytes)}
 		}
 		return c, 0, nil
 	}
@@ -50,14 +50,14 @@
 		return c, 0, &Error{Status: http.StatusBadRequest, Text: "no HTTP request: " + err.Error()}
 	case len(r.TransferEncoding) > 0:
 		return c, 0, &Error{Status: http.StatusLengthRequired, Text: "Transfer-Encoding is not taken; calls need no body"}
-	case r.ContentLength > MaxBody:
-		return c, 0, &Error{Status: http.StatusRequestEntityTooLarge, Text: fmt.Sprintf("a body of %d bytes is over %d", r.ContentLength, MaxBody)}
+	case r.ContentLength > MaxBodyBytes:
+		return c, 0, &Error{Status: http.StatusRequestEntityTooLarge, Text: fmt.Sprintf("a body of %d bytes is over %d", r.ContentLength, MaxBodyBytes)}
 	}
 	size = end + int(max(r.ContentLength, 0))
 	if len(in) < size && r.Header.Get("Expect") == "" { // whoever waits for leave to send a body needs none here
 		return c, 0, nil
 	}
-	return Call{Method: r.Method, Path: r.URL.Path, Query: r.URL.Query()}, min(size, len(in)), nil
+	return Request{Method: r.Method, Path: r.URL.Path, Query: r.URL.Query()}, min(size, len(in)), nil
 }
 
 // headEnd is where the body begins; -1: not yet. Lines may end in LF alone, as net/http takes them too.
@@ -75,8 +75,8 @@
 	}
 }
 
-// Append writes the answer with body as JSON; the connection ends with it.
-func Append(out []byte, status int, allow string, body any) []byte {
+// AppendResponse writes the answer with body as JSON; the connection ends with it.
+func AppendResponse(out []byte, status int, allow string, body any) []byte {
 	text, err := json.Marshal(body)
 	if err != nil { // bodies are the program's own
 		panic(fmt.Sprintf("admin: %v", err))
@@ -92,13 +92,13 @@
 
 // AppendError writes the answer to a call that cannot be carried out.
 func AppendError(out []byte, e *Error) []byte {
-	return Append(out, e.Status, e.Allow, struct {
+	return AppendResponse(out, e.Status, e.Allow, struct {
 		Error string `json:"error"`
 	}{e.Text})
 }
 
-// Headless is an answer without its body, as HEAD asks for it.
-func Headless(answer []byte) []byte {
+// WithoutBody is an answer without its body, as HEAD asks for it.
+func WithoutBody(answer []byte) []byte {
 	head, _, _ := bytes.Cut(answer, []byte("\r\n\r\n"))
 	return append(head[:len(head):len(head)], "\r\n\r\n"...)
 }
--- a/internal/protocol/admin/admin_test.go
+++ b/internal/protocol/admin/admin_test.go
@@ -20,12 +20,12 @@
 	c, size, err := Parse([]byte(call + "GET"))
 	require.NoError(t, err)
 	require.Equal(t, len(call), size)
-	require.Equal(t, Call{"PUT", "/control/in-service", url.Values{"x": {"1"}}}, c)
+	require.Equal(t, Request{"PUT", "/control/in-service", url.Values{"x": {"1"}}}, c)
 }
 
 // Guards the program against what is no call, or too much of one: each gets an error that says what is wrong.
 func TestErrorsNameWhatIsWrong(t *testing.T) {
-	long := strings.Repeat("a", MaxHead)
+	long := strings.Repeat("a", MaxHeadBytes)
 	for _, c := range []struct {
 		in, text string
 		status   int
@@ -53,6 +53,6 @@
 	f.Fuzz(func(t *testing.T, in []byte) {
 		_, size, err := Parse(in)
 		require.LessOrEqual(t, size, len(in))
-		require.False(t, err == nil && size == 0 && len(in) > MaxHead+MaxBody, "it would wait for ever")
+		require.False(t, err == nil && size == 0 && len(in) > MaxHeadBytes+MaxBodyBytes, "it would wait for ever")
 	})
 }
--- a/internal/protocol/ajp/ajp.go
+++ b/internal/protocol/ajp/ajp.go
@@ -14,38 +14,38 @@
 const (
 	MaxPacket = 8192
 	header    = 4
-	// MaxChunk is the most body that fits one packet, in either direction.
-	MaxChunk   = MaxPacket - header - 4
-	maxHeaders = 128
-	maxStored  = 64 // characters of a stored method
+	// MaxBodyChunk is the most body that fits one packet, in either direction.
+	MaxBodyChunk = MaxPacket - header - 4
+	maxHeaders   = 128
+	maxStored    = 64 // characters of a stored method
 )
 
-// ErrPacket is wrapped by every error after which the connection's next packet cannot be found.
-var ErrPacket = errors.New("ajp: broken packet")
+// ErrInvalidPacket is wrapped by every error after which the connection's next packet cannot be found.
+var ErrInvalidPacket = errors.New("ajp: broken packet")
 
-// ErrRequest is wrapped by errors of a request inside a sound packet: it can be answered 400.
-var ErrRequest = errors.New("ajp: malformed request")
+// ErrMalformedRequest is wrapped by errors of a request inside a sound packet: it can be answered 400.
+var ErrMalformedRequest = errors.New("ajp: malformed request")
 
 // The packets' type codes.
 const (
-	CodeForward  = 2
-	CodeChunk    = 3
-	CodeHeaders  = 4
-	CodeEnd      = 5
-	CodeGetBody  = 6
-	CodeShutdown = 7
-	CodePing     = 8
-	CodeCPong    = 9
-	CodeCPing    = 10
+	CodeForwardRequest = 2
+	CodeSendBodyChunk  = 3
+	CodeSendHeaders    = 4
+	CodeEndResponse    = 5
+	CodeGetBodyChunk   = 6
+	CodeShutdown       = 7
+	CodePing           = 8
+	CodeCPong          = 9
+	CodeCPing          = 10
 )
 
-// Side says who sends a packet.
-type Side uint16
+// Sender says who sends a packet.
+type Sender uint16
 
 // The two sides' magic numbers.
 const (
-	FromServer    Side = 0x1234
-	FromContainer Side = 0x4142 // "AB"
+	FromServer    Sender = 0x1234
+	FromContainer Sender = 0x4142 // "AB"
 )
 
 var methods = [...]string{1: "OPTIONS", 2: "GET", 3: "HEAD", 4: "POST", 5: "PUT", 6: "DELETE", 7: "TRACE",
@@ -79,16 +79,16 @@
 
 // Request is a forwarded request without its body.
 type Request struct {
-	Method     string
-	URI, Query string
-	RemoteAddr string
-	Headers    []Header
-	Secret     string
-	Length     int64 // of the body; -1 where it is not told
+	Method        string
+	URI, Query    string
+	RemoteAddr    string
+	Headers       []Header
+	Secret        string
+	ContentLength int64 // of the body; -1 where it is not told
 }
 
-// Get is the first header of that name, in any case; "" if there is none.
-func (r *Request) Get(name string) string {
+// Header is the first header of that name, in any case; "" if there is none.
+func (r *Request) Header(name string) string {
 	for _, h := range r.Headers {
 		if strings.EqualFold(h.Name, name) {
 			return h.Value
@@ -97,23 +97,23 @@
 	return ""
 }
 
-// Chunked says that the body's length is not told, so that it must be asked for until it ends.
-func (r *Request) Chunked() bool {
-	return r.Length < 0 && strings.Contains(strings.ToLower(r.Get("transfer-encoding")), "chunked")
+// IsChunked says that the body's length is not told, so that it must be asked for until it ends.
+func (r *Request) IsChunked() bool {
+	return r.ContentLength < 0 && strings.Contains(strings.ToLower(r.Header("transfer-encoding")), "chunked")
 }
 
-// Split cuts the first whole packet off in. A nil payload with no error means that more bytes are needed; an
+// SplitPacket cuts the first whole packet off in. A nil payload with no error means that more bytes are needed; an
 // empty packet has an empty payload that is not nil.
-func Split(in []byte, from Side) (payload []byte, n int, err error) {
-	if len(in) >= 2 && Side(binary.BigEndian.Uint16(in)) != from {
-		return nil, 0, fmt.Errorf("%w: starts with %02x%02x", ErrPacket, in[0], in[1])
+func SplitPacket(in []byte, from Sender) (payload []byte, n int, err error) {
+	if len(in) >= 2 && Sender(binary.BigEndian.Uint16(in)) != from {
+		return nil, 0, fmt.Errorf("%w: starts with %02x%02x", ErrInvalidPacket, in[0], in[1])
 	}
 	if len(in) < header {
 		return nil, 0, nil
 	}
 	size := int(binary.BigEndian.Uint16(in[2:]))
 	if size > MaxPacket-header {
-		return nil, 0, fmt.Errorf("%w: length %d is over %d", ErrPacket, size, MaxPacket-header)
+		return nil, 0, fmt.Errorf("%w: length %d is over %d", ErrInvalidPacket, size, MaxPacket-header)
 	}
 	if len(in) < header+size {
 		return nil, 0, nil
@@ -129,7 +129,7 @@
 
 func (r *reader) fail(what string) {
 	if r.err == nil {
-		r.err = fmt.Errorf("%w: %s", ErrRequest, what)
+		r.err = fmt.Errorf("%w: %s", ErrMalformedRequest, what)
 	}
 	r.in = nil
 }
@@ -197,11 +197,11 @@
 	return out
 }
 
-// ParseForward reads the payload of a forwarded request, its type code included.
-func ParseForward(payload []byte) (Request, error) {
+// ParseForwardRequest reads the payload of a forwarded request, its type code included.
+func ParseForwardRequest(payload []byte) (Request, error) {
 	r := &reader{in: payload}
-	req := Request{Length: -1}
-	if r.u8() != CodeForward {
+	req := Request{ContentLength: -1}
+	if r.u8() != CodeForwardRequest {
 		r.fail("not a forwarded request")
 	}
 	method := r.u8()
@@ -241,39 +241,39 @@
 	if r.err == nil && req.Method == "" {
 		r.fail("unknown method")
 	}
-	if text := req.Get("content-length"); r.err == nil && text != "" {
+	if text := req.Header("content-length"); r.err == nil && text != "" {
 		n, err := strconv.ParseUint(strings.TrimSpace(text), 10, 62)
 		if err != nil {
 			r.fail("content-length is no number")
 		}
-		req.Length = int64(n)
+		req.ContentLength = int64(n)
 	}
 	return req, r.err
 }
 
-// ParseBody reads a packet of the body; an empty one ends it.
-func ParseBody(payload []byte) ([]byte, error) {
+// ParseBodyChunk reads a packet of the body; an empty one ends it.
+func ParseBodyChunk(payload []byte) ([]byte, error) {
 	if len(payload) == 0 {
 		return nil, nil
 	}
 	if len(payload) < 2 {
-		return nil, fmt.Errorf("%w: body packet of one byte", ErrPacket)
+		return nil, fmt.Errorf("%w: body packet of one byte", ErrInvalidPacket)
 	}
 	n := int(binary.BigEndian.Uint16(payload))
 	if n > len(payload)-2 {
-		return nil, fmt.Errorf("%w: body of %d bytes in a packet of %d", ErrPacket, n, len(payload))
+		return nil, fmt.Errorf("%w: body of %d bytes in a packet of %d", ErrInvalidPacket, n, len(payload))
 	}
 	return payload[2 : 2+n], nil
 }
 
 // Response is one packet of a container; which fields are set depends on its code.
 type Response struct {
-	Code    byte
-	Status  int
-	Headers []Header
-	Chunk   []byte
-	Reuse   bool
-	Wanted  int
+	Code            byte
+	Status          int
+	Headers         []Header
+	BodyChunk       []byte
+	Reuse           bool
+	RequestedLength int
 }
 
 // ParseResponse reads the payload of a container's packet.
@@ -281,33 +281,33 @@
 	r := &reader{in: payload}
 	p := Response{Code: r.u8()}
 	switch p.Code {
-	case CodeHeaders:
+	case CodeSendHeaders:
 		p.Status = int(r.u16())
 		_ = r.string()
 		p.Headers = r.headers(responseHeaders[:])
-	case CodeChunk:
+	case CodeSendBodyChunk:
 		n := int(r.u16())
 		if n > len(r.in) {
 			r.fail("body chunk runs past its packet")
 		} else {
-			p.Chunk = r.in[:n]
+			p.BodyChunk = r.in[:n]
 		}
-	case CodeEnd:
+	case CodeEndResponse:
 		p.Reuse = r.u8() != 0
-	case CodeGetBody:
-		p.Wanted = int(r.u16())
+	case CodeGetBodyChunk:
+		p.RequestedLength = int(r.u16())
 	case CodeCPong:
 	default:
 		r.fail(fmt.Sprintf("unknown code %d", p.Code))
 	}
 	if r.err != nil {
-		return p, fmt.Errorf("%w: %w", ErrPacket, r.err)
+		return p, fmt.Errorf("%w: %w", ErrInvalidPacket, r.err)
 	}
 	return p, nil
 }
 
 // packet appends a packet whose payload body writes.
-func packet(out []byte, from Side, body func([]byte) []byte) []byte {
+func packet(out []byte, from Sender, body func([]byte) []byte) []byte {
 	start := len(out)
 	out = binary.BigEndian.AppendUint16(out, uint16(from))
 	out = body(append(out, 0, 0))
@@ -339,20 +339,20 @@
 	return out
 }
 
-// AppendHeaders writes the head of a response.
-func AppendHeaders(out []byte, status int, text string, headers []Header) []byte {
+// AppendSendHeaders writes the head of a response.
+func AppendSendHeaders(out []byte, status int, text string, headers []Header) []byte {
 	return packet(out, FromContainer, func(b []byte) []byte {
-		b = binary.BigEndian.AppendUint16(append(b, CodeHeaders), uint16(status))
+		b = binary.BigEndian.AppendUint16(append(b, CodeSendHeaders), uint16(status))
 		return appendHeaders(appendString(b, text), headers, responseHeaders[:])
 	})
 }
 
-// AppendChunks writes a response's body, in as many packets as it needs.
-func AppendChunks(out, body []byte) []byte {
+// AppendResponseBody writes a response's body, in as many packets as it needs.
+func AppendResponseBody(out, body []byte) []byte {
 	for len(body) > 0 {
-		n := min(len(body), MaxChunk)
+		n := min(len(body), MaxBodyChunk)
 		out = packet(out, FromContainer, func(b []byte) []byte {
-			b = binary.BigEndian.AppendUint16(append(b, CodeChunk), uint16(n))
+			b = binary.BigEndian.AppendUint16(append(b, CodeSendBodyChunk), uint16(n))
 			return append(append(b, body[:n]...), 0)
 		})
 		body = body[n:]
@@ -360,20 +360,20 @@
 	return out
 }
 
-// AppendEnd ends a response; reuse says that the connection stays open.
-func AppendEnd(out []byte, reuse bool) []byte {
+// AppendEndResponse ends a response; reuse says that the connection stays open.
+func AppendEndResponse(out []byte, reuse bool) []byte {
 	return packet(out, FromContainer, func(b []byte) []byte {
 		if reuse {
-			return append(b, CodeEnd, 1)
+			return append(b, CodeEndResponse, 1)
 		}
-		return append(b, CodeEnd, 0)
+		return append(b, CodeEndResponse, 0)
 	})
 }
 
-// AppendGetBody asks for up to n more bytes of the body.
-func AppendGetBody(out []byte, n int) []byte {
+// AppendGetBodyChunk asks for up to n more bytes of the body.
+func AppendGetBodyChunk(out []byte, n int) []byte {
 	return packet(out, FromContainer, func(b []byte) []byte {
-		return binary.BigEndian.AppendUint16(append(b, CodeGetBody), uint16(min(n, MaxChunk)))
+		return binary.BigEndian.AppendUint16(append(b, CodeGetBodyChunk), uint16(min(n, MaxBodyChunk)))
 	})
 }
 
@@ -387,8 +387,8 @@
 	return packet(out, FromServer, func(b []byte) []byte { return append(b, CodeCPing) })
 }
 
-// AppendForward writes a request's head.
-func AppendForward(out []byte, r Request) []byte {
+// AppendForwardRequest writes a request's head.
+func AppendForwardRequest(out []byte, r Request) []byte {
 	return packet(out, FromServer, func(b []byte) []byte {
 		method := byte(storedMethod)
 		for i, m := range methods {
@@ -396,7 +396,7 @@
 				method = byte(i)
 			}
 		}
-		b = appendString(append(b, CodeForward, method), "HTTP/1.1")
+		b = appendString(append(b, CodeForwardRequest, method), "HTTP/1.1")
 		b = appendString(appendString(b, r.URI), r.RemoteAddr)
 		b = appendString(appendString(b, r.RemoteAddr), "localhost")
 		b = append(b, 0, 80, 0)
@@ -414,10 +414,10 @@
 	})
 }
 
-// AppendBody writes one packet of a request's body: what fits of it, or the end of the body if there is none.
+// AppendBodyChunk writes one packet of a request's body: what fits of it, or the end of the body if there is none.
 // It returns what is left.
-func AppendBody(out, body []byte) (written, left []byte) {
-	n := min(len(body), MaxChunk)
+func AppendBodyChunk(out, body []byte) (written, left []byte) {
+	n := min(len(body), MaxBodyChunk)
 	return packet(out, FromServer, func(b []byte) []byte {
 		if n == 0 {
 			return b
--- a/internal/protocol/ajp/ajp_test.go
+++ b/internal/protocol/ajp/ajp_test.go
@@ -8,25 +8,25 @@
 
 // Guards both sides' parsers against whatever bytes come.
 func FuzzPackets(f *testing.F) {
-	f.Add(AppendForward(nil, Request{Method: "POST", URI: "/lot-intake", Secret: "s", Query: "a=b",
+	f.Add(AppendForwardRequest(nil, Request{Method: "POST", URI: "/lot-intake", Secret: "s", Query: "a=b",
 		Headers: []Header{{"content-length", "4"}, {"X-Relay-Once", "k"}}}))
-	f.Add(AppendForward(nil, Request{Method: "BREW", URI: "/"}))
-	f.Add(AppendHeaders(nil, 200, "OK", []Header{{"Content-Type", "text/plain"}, {"X", "y"}}))
-	f.Add(AppendChunks(nil, []byte("result")))
-	f.Add(AppendGetBody(nil, 100))
+	f.Add(AppendForwardRequest(nil, Request{Method: "BREW", URI: "/"}))
+	f.Add(AppendSendHeaders(nil, 200, "OK", []Header{{"Content-Type", "text/plain"}, {"X", "y"}}))
+	f.Add(AppendResponseBody(nil, []byte("result")))
+	f.Add(AppendGetBodyChunk(nil, 100))
 	f.Add([]byte{0x12, 0x34, 0, 4, 0, 2, 'a', 'b'})
 	f.Fuzz(func(t *testing.T, in []byte) {
-		for _, from := range []Side{FromServer, FromContainer} {
-			payload, n, err := Split(in, from)
+		for _, from := range []Sender{FromServer, FromContainer} {
+			payload, n, err := SplitPacket(in, from)
 			if err != nil || payload == nil {
 				continue
 			}
 			require.LessOrEqual(t, n, len(in))
-			if r, err := ParseForward(payload); err == nil {
+			if r, err := ParseForwardRequest(payload); err == nil {
 				require.NotEmpty(t, r.Method)
-				require.GreaterOrEqual(t, r.Length, int64(-1))
+				require.GreaterOrEqual(t, r.ContentLength, int64(-1))
 			}
-			if b, err := ParseBody(payload); err == nil {
+			if b, err := ParseBodyChunk(payload); err == nil {
 				require.LessOrEqual(t, len(b), len(payload))
 			}
 			_, _ = ParseResponse(payload)
@@ -37,10 +37,10 @@
 // What one side writes, the other reads: known header names travel as codes, others as text.
 func TestRoundTrip(t *testing.T) {
 	want := Request{Method: "POST", URI: "/lot-intake", Query: "x=1", RemoteAddr: "127.0.0.1", Secret: "vine",
-		Headers: []Header{{"content-length", "9000"}, {"X-Relay-Class", "lot-intake"}}, Length: 9000}
-	payload, _, err := Split(AppendForward(nil, want), FromServer)
+		Headers: []Header{{"content-length", "9000"}, {"X-Relay-Class", "lot-intake"}}, ContentLength: 9000}
+	payload, _, err := SplitPacket(AppendForwardRequest(nil, want), FromServer)
 	require.NoError(t, err)
-	got, err := ParseForward(payload)
+	got, err := ParseForwardRequest(payload)
 	require.NoError(t, err)
 	require.Equal(t, want, got)
 
@@ -49,23 +49,23 @@
 	var back []byte
 	for left := body; len(back) < len(body); {
 		var out []byte
-		out, left = AppendBody(nil, left)
+		out, left = AppendBodyChunk(nil, left)
 		require.LessOrEqual(t, len(out), MaxPacket)
-		payload, _, err := Split(out, FromServer)
+		payload, _, err := SplitPacket(out, FromServer)
 		require.NoError(t, err)
-		chunk, err := ParseBody(payload)
+		chunk, err := ParseBodyChunk(payload)
 		require.NoError(t, err)
 		back = append(back, chunk...)
 	}
 	require.Equal(t, body, back)
 
-	out, back := AppendChunks(AppendHeaders(nil, 503, "Service Unavailable", []Header{{"Retry-After", "1"}}), body), nil
+	out, back := AppendResponseBody(AppendSendHeaders(nil, 503, "Service Unavailable", []Header{{"Retry-After", "1"}}), body), nil
 	for len(out) > 0 {
-		payload, n, err := Split(out, FromContainer)
+		payload, n, err := SplitPacket(out, FromContainer)
 		require.NoError(t, err)
 		p, err := ParseResponse(payload)
 		require.NoError(t, err)
-		back = append(back, p.Chunk...)
+		back = append(back, p.BodyChunk...)
 		out = out[n:]
 	}
 	require.Equal(t, body, back)
--- a/internal/protocol/copylink/copylink.go
+++ b/internal/protocol/copylink/copylink.go
@@ -29,26 +29,26 @@
 // The errors; every error wraps one of them. After ErrFrame the connection is past help: bytes of it were lost, or it is of
 // something else.
 var (
-	ErrFrame = errors.New("copylink: broken frame")
-	ErrSize  = errors.New("copylink: too large")
+	ErrFrame    = errors.New("copylink: broken frame")
+	ErrTooLarge = errors.New("copylink: too large")
 )
 
 // Hello says who is at an end of a link. It comes first.
 type Hello struct {
-	ID      uint32 `cbor:"1,keyasint"`
-	Life    uint64 `cbor:"2,keyasint"` // as a holder
-	Process uint64 `cbor:"3,keyasint"`
-	Group   uint64 `cbor:"4,keyasint,omitempty"` // its name; 0: none is known
+	ID                 uint32 `cbor:"1,keyasint"`
+	Incarnation        uint64 `cbor:"2,keyasint"` // as a holder
+	ProcessIncarnation uint64 `cbor:"3,keyasint"`
+	ClusterID          uint64 `cbor:"4,keyasint,omitempty"` // its name; 0: none is known
 }
 
 // Message is all that servers say.
 type Message struct {
-	Hello    *Hello
-	Epoch    uint64 // that the sender goes by
-	Requests []copies.Request
-	Replies  []copies.Reply
-	Group    *copies.Group
-	Marks    []copies.Mark
+	Hello        *Hello
+	Epoch        uint64 // that the sender goes by
+	Requests     []copies.Request
+	Replies      []copies.Reply
+	Membership   *copies.Membership
+	TransferAcks []copies.TransferAck
 }
 
 type ballot struct {
@@ -121,10 +121,12 @@
 	return m
 }()
 
-func toBallot(b copies.Ballot) ballot { return ballot{N: b.N, ID: b.By.ID, Life: b.By.Life} }
+func toBallot(b copies.Ballot) ballot {
+	return ballot{N: b.Number, ID: b.Proposer.ID, Life: b.Proposer.Incarnation}
+}
 
 func (b ballot) ballot() copies.Ballot {
-	return copies.Ballot{N: b.N, By: copies.Member{ID: b.ID, Life: b.Life}}
+	return copies.Ballot{Number: b.N, Proposer: copies.Identity{ID: b.ID, Incarnation: b.Life}}
 }
 
 func someBallot(b copies.Ballot) *ballot {
@@ -142,30 +144,30 @@
 	return out
 }
 
-func toMember(m copies.Member) member  { return member{ID: m.ID, Life: m.Life} }
-func (m member) member() copies.Member { return copies.Member{ID: m.ID, Life: m.Life} }
+func toMember(m copies.Identity) member  { return member{ID: m.ID, Life: m.Incarnation} }
+func (m member) member() copies.Identity { return copies.Identity{ID: m.ID, Incarnation: m.Life} }
 
 func toValue(v copies.Value) *value {
 	if v == (copies.Value{}) {
 		return nil
 	}
-	return &value{uint8(v.Kind), v.Owner, v.Life, v.Try, v.At, []byte(v.Result)}
+	return &value{uint8(v.Kind), v.Owner, v.Incarnation, v.Attempt, v.AttemptedAt, []byte(v.Result)}
 }
 
 func (v *value) value() copies.Value {
 	if v == nil {
 		return copies.Value{}
 	}
-	return copies.Value{Kind: copies.Kind(v.Kind), Owner: v.Owner, Life: v.Life, Try: v.Try, At: v.At, Result: string(v.Result)}
+	return copies.Value{Kind: copies.ValueKind(v.Kind), Owner: v.Owner, Incarnation: v.Life, Attempt: v.Try, AttemptedAt: v.At, Result: string(v.Result)}
 }
 
 func bounds(key int, v *value) error {
 	switch {
 	case key > MaxKey:
-		return fmt.Errorf("%w: a key of %d bytes is over %d", ErrSize, key, MaxKey)
+		return fmt.Errorf("%w: a key of %d bytes is over %d", ErrTooLarge, key, MaxKey)
 	case v != nil && len(v.Result) > MaxValue:
-		return fmt.Errorf("%w: a value of %d bytes is over %d", ErrSize, len(v.Result), MaxValue)
-	case v != nil && v.Kind > uint8(copies.Chosen):
+		return fmt.Errorf("%w: a value of %d bytes is over %d", ErrTooLarge, len(v.Result), MaxValue)
+	case v != nil && v.Kind > uint8(copies.KindMembership):
 		return fmt.Errorf("%w: a value of kind %d", ErrFrame, v.Kind)
 	}
 	return nil
@@ -174,27 +176,27 @@
 // Append writes a message.
 func Append(out []byte, m Message) ([]byte, error) {
 	w := message{Version: Version, Hello: m.Hello, Epoch: m.Epoch}
-	if len(m.Requests) > MaxItems || len(m.Replies) > MaxItems || len(m.Marks) > MaxItems {
-		return out, fmt.Errorf("%w: over %d items", ErrSize, MaxItems)
+	if len(m.Requests) > MaxItems || len(m.Replies) > MaxItems || len(m.TransferAcks) > MaxItems {
+		return out, fmt.Errorf("%w: over %d items", ErrTooLarge, MaxItems)
 	}
 	for _, r := range m.Requests {
-		w.Requests = append(w.Requests, request{toMember(r.To), []byte(r.Key), r.Epoch, r.At, toBallot(r.Ballot), r.Accept, toValue(r.Value), r.Peek})
+		w.Requests = append(w.Requests, request{toMember(r.To), []byte(r.Key), r.Epoch, r.AttemptedAt, toBallot(r.Ballot), r.Accept, toValue(r.Value), r.Read})
 	}
 	for _, r := range m.Replies {
-		w.Replies = append(w.Replies, reply{toMember(r.From), []byte(r.Key), r.Epoch, toBallot(r.Ballot), r.Accept, r.OK, someBallot(r.Promised), someBallot(r.Accepted), toValue(r.Value), r.Peek})
+		w.Replies = append(w.Replies, reply{toMember(r.From), []byte(r.Key), r.Epoch, toBallot(r.Ballot), r.Accept, r.OK, someBallot(r.Promised), someBallot(r.Accepted), toValue(r.Value), r.Read})
 	}
-	if m.Group != nil {
-		w.Group = m.Group.String()
+	if m.Membership != nil {
+		w.Group = m.Membership.String()
 	}
-	for _, k := range m.Marks {
-		w.Marks = append(w.Marks, mark{Epoch: k.Epoch, Of: toMember(k.Of)})
+	for _, k := range m.TransferAcks {
+		w.Marks = append(w.Marks, mark{Epoch: k.Epoch, Of: toMember(k.From)})
 	}
 	body, err := cbor.Marshal(w)
 	if err != nil {
 		return out, fmt.Errorf("copylink: %w", err)
 	}
 	if len(body) > MaxFrame {
-		return out, fmt.Errorf("%w: a message of %d bytes is over %d", ErrSize, len(body), MaxFrame)
+		return out, fmt.Errorf("%w: a message of %d bytes is over %d", ErrTooLarge, len(body), MaxFrame)
 	}
 	out = binary.BigEndian.AppendUint32(out, uint32(len(body)))
 	out = binary.BigEndian.AppendUint64(out, xxhash.Sum64(body))
@@ -233,24 +235,24 @@
 		if err := bounds(len(r.Key), r.Value); err != nil {
 			return m, 0, err
 		}
-		m.Requests = append(m.Requests, copies.Request{To: r.To.member(), Key: string(r.Key), Epoch: r.Epoch, At: r.At, Ballot: r.Ballot.ballot(), Accept: r.Accept, Peek: r.Peek, Value: r.Value.value()})
+		m.Requests = append(m.Requests, copies.Request{To: r.To.member(), Key: string(r.Key), Epoch: r.Epoch, AttemptedAt: r.At, Ballot: r.Ballot.ballot(), Accept: r.Accept, Read: r.Peek, Value: r.Value.value()})
 	}
 	for _, r := range w.Replies {
 		if err := bounds(len(r.Key), r.Value); err != nil {
 			return m, 0, err
 		}
-		m.Replies = append(m.Replies, copies.Reply{From: r.From.member(), Key: string(r.Key), Epoch: r.Epoch, Ballot: r.Ballot.ballot(), Accept: r.Accept, Peek: r.Peek, OK: r.OK,
+		m.Replies = append(m.Replies, copies.Reply{From: r.From.member(), Key: string(r.Key), Epoch: r.Epoch, Ballot: r.Ballot.ballot(), Accept: r.Accept, Read: r.Peek, OK: r.OK,
 			Promised: r.Promised.orNone(), Accepted: r.Accepted.orNone(), Value: r.Value.value()})
 	}
 	if w.Group != "" {
-		g, err := copies.Parse(w.Group)
+		g, err := copies.ParseMembership(w.Group)
 		if err != nil {
 			return m, 0, fmt.Errorf("%w: %w", ErrFrame, err)
 		}
-		m.Group = &g
+		m.Membership = &g
 	}
 	for _, k := range w.Marks {
-		m.Marks = append(m.Marks, copies.Mark{Epoch: k.Epoch, Of: k.Of.member()})
+		m.TransferAcks = append(m.TransferAcks, copies.TransferAck{Epoch: k.Epoch, From: k.Of.member()})
 	}
 	return m, n, nil
 }
@@ -258,10 +260,10 @@
 // Record is what a holder keeps on disk: who it is, which group it goes by, slots, and that all keys before a time are forgotten.
 // Fields that are zero say nothing.
 type Record struct {
-	Life   uint64
-	Group  *copies.Group
-	Slots  []copies.Saved
-	Forget int64
+	Incarnation  uint64
+	Membership   *copies.Membership
+	Slots        []copies.SavedRegister
+	ForgetBefore int64
 }
 
 type slot struct {
@@ -283,12 +285,12 @@
 
 // AppendRecord writes a record, whose end is the end of the slice.
 func AppendRecord(out []byte, r Record) ([]byte, error) {
-	w := record{Version: Version, Life: r.Life, Forget: r.Forget}
-	if r.Group != nil {
-		w.Group = r.Group.String()
+	w := record{Version: Version, Life: r.Incarnation, Forget: r.ForgetBefore}
+	if r.Membership != nil {
+		w.Group = r.Membership.String()
 	}
 	for _, s := range r.Slots {
-		w.Slots = append(w.Slots, slot{[]byte(s.Key), toBallot(s.Slot.Promised), someBallot(s.Slot.Accepted), toValue(s.Slot.Value), s.Slot.At, s.Slot.Moved})
+		w.Slots = append(w.Slots, slot{[]byte(s.Key), toBallot(s.Register.Promised), someBallot(s.Register.Accepted), toValue(s.Register.Value), s.Register.LastAttemptAt, s.Register.TransferredEpoch})
 	}
 	body, err := cbor.Marshal(w)
 	if err != nil {
@@ -306,16 +308,16 @@
 	if w.Version != Version {
 		return r, fmt.Errorf("%w: a record of version %d, ours is %d", ErrFrame, w.Version, Version)
 	}
-	r = Record{Life: w.Life, Forget: w.Forget}
+	r = Record{Incarnation: w.Life, ForgetBefore: w.Forget}
 	if w.Group != "" {
-		g, err := copies.Parse(w.Group)
+		g, err := copies.ParseMembership(w.Group)
 		if err != nil {
 			return r, fmt.Errorf("%w: a record: %w", ErrFrame, err)
 		}
-		r.Group = &g
+		r.Membership = &g
 	}
 	for _, s := range w.Slots {
-		r.Slots = append(r.Slots, copies.Saved{Key: string(s.Key), Slot: copies.Slot{Promised: s.Promised.ballot(), Accepted: s.Accepted.orNone(), Value: s.Value.value(), At: s.At, Moved: s.Moved}})
+		r.Slots = append(r.Slots, copies.SavedRegister{Key: string(s.Key), Register: copies.Register{Promised: s.Promised.ballot(), Accepted: s.Accepted.orNone(), Value: s.Value.value(), LastAttemptAt: s.At, TransferredEpoch: s.Moved}})
 	}
 	return r, nil
 }
--- a/internal/protocol/copylink/copylink_test.go
+++ b/internal/protocol/copylink/copylink_test.go
@@ -13,14 +13,14 @@
 )
 
 func sample() Message {
-	m := copies.Member{ID: 3, Life: 1 << 63}
-	b := copies.Ballot{N: 9, By: m}
-	v := copies.Value{Kind: copies.Passed, Owner: 3, Life: 4, Try: 5, At: 1764547200000, Result: "did \xff it"}
-	g := copies.Group{Name: 7, Epoch: 2, Copies: 3, Now: []copies.Peer{{Member: m, Addr: "127.0.0.1:1"}}, Why: "be\"cause"}
+	m := copies.Identity{ID: 3, Incarnation: 1 << 63}
+	b := copies.Ballot{Number: 9, Proposer: m}
+	v := copies.Value{Kind: copies.KindSucceeded, Owner: 3, Incarnation: 4, Attempt: 5, AttemptedAt: 1764547200000, Result: "did \xff it"}
+	g := copies.Membership{ClusterID: 7, Epoch: 2, ReplicationFactor: 3, Current: []copies.Member{{Identity: m, Addr: "127.0.0.1:1"}}, Reason: "be\"cause"}
 	return Message{Hello: &Hello{3, 4, 5, 6}, Epoch: 2,
-		Requests: []copies.Request{{To: m, Key: "t\x00\xffk", Epoch: 2, At: 8, Ballot: b, Peek: true}, {To: m, Key: "k", Epoch: 2, At: 8, Ballot: b, Accept: true, Value: v}},
-		Replies:  []copies.Reply{{From: m, Key: "k", Epoch: 2, Ballot: b, Promised: b, Peek: true}, {From: m, Key: "k", Epoch: 2, Ballot: b, Accept: true, OK: true, Accepted: b, Value: v}},
-		Group:    &g, Marks: []copies.Mark{{Epoch: 2, Of: m}}}
+		Requests:   []copies.Request{{To: m, Key: "t\x00\xffk", Epoch: 2, AttemptedAt: 8, Ballot: b, Read: true}, {To: m, Key: "k", Epoch: 2, AttemptedAt: 8, Ballot: b, Accept: true, Value: v}},
+		Replies:    []copies.Reply{{From: m, Key: "k", Epoch: 2, Ballot: b, Promised: b, Read: true}, {From: m, Key: "k", Epoch: 2, Ballot: b, Accept: true, OK: true, Accepted: b, Value: v}},
+		Membership: &g, TransferAcks: []copies.TransferAck{{Epoch: 2, From: m}}}
 }
 
 // What is written is read, cut anywhere: half a message is no message. A byte that is not what was sent ends the link.
@@ -55,23 +55,23 @@
 // Guards memory against what is too large, in either direction.
 func TestBounds(t *testing.T) {
 	_, err := Append(nil, Message{Requests: make([]copies.Request, MaxItems+1)})
-	require.ErrorIs(t, err, ErrSize)
-	_, err = Append(nil, Message{Requests: []copies.Request{{Value: copies.Value{Kind: copies.Passed, Result: strings.Repeat("x", MaxFrame)}}}})
-	require.ErrorIs(t, err, ErrSize)
+	require.ErrorIs(t, err, ErrTooLarge)
+	_, err = Append(nil, Message{Requests: []copies.Request{{Value: copies.Value{Kind: copies.KindSucceeded, Result: strings.Repeat("x", MaxFrame)}}}})
+	require.ErrorIs(t, err, ErrTooLarge)
 	out, err := Append(nil, Message{Requests: []copies.Request{{Key: strings.Repeat("k", MaxKey+1)}}})
 	require.NoError(t, err)
 	_, _, err = Parse(out)
-	require.ErrorIs(t, err, ErrSize)
+	require.ErrorIs(t, err, ErrTooLarge)
 	_, _, err = Parse([]byte{0xff, 0, 0, 0})
 	require.ErrorIs(t, err, ErrFrame)
 }
 
 // A record is read as it was written.
 func TestRecords(t *testing.T) {
-	g := sample().Group
-	b := copies.Ballot{N: 9, By: copies.Member{ID: 1, Life: 2}}
-	for _, want := range []Record{{Life: 1 << 62}, {Group: g}, {Forget: 99},
-		{Slots: []copies.Saved{{Key: "k", Slot: copies.Slot{Promised: b, At: 5}}, {Key: "\xff", Slot: copies.Slot{Promised: b, Accepted: b, Value: copies.Value{Kind: copies.Intent, At: 5}, At: 6, Moved: 7}}}}} {
+	g := sample().Membership
+	b := copies.Ballot{Number: 9, Proposer: copies.Identity{ID: 1, Incarnation: 2}}
+	for _, want := range []Record{{Incarnation: 1 << 62}, {Membership: g}, {ForgetBefore: 99},
+		{Slots: []copies.SavedRegister{{Key: "k", Register: copies.Register{Promised: b, LastAttemptAt: 5}}, {Key: "\xff", Register: copies.Register{Promised: b, Accepted: b, Value: copies.Value{Kind: copies.KindLeased, AttemptedAt: 5}, LastAttemptAt: 6, TransferredEpoch: 7}}}}} {
 		out, err := AppendRecord(nil, want)
 		require.NoError(t, err)
 		got, err := ParseRecord(out)
@@ -96,7 +96,7 @@
 		if err != nil || n == 0 {
 			return
 		}
-		if _, err := Append(nil, m); err != nil && !errors.Is(err, ErrSize) {
+		if _, err := Append(nil, m); err != nil && !errors.Is(err, ErrTooLarge) {
 			t.Fatalf("%v: %+v", err, m)
 		}
 		if r, err := ParseRecord(body); err == nil {
--- a/internal/protocol/gossip/gossip.go
+++ b/internal/protocol/gossip/gossip.go
@@ -19,21 +19,21 @@
 
 // The bounds of a message.
 const (
-	MaxFrame = 192 << 10 // below what transport lets wait in a buffer
-	MaxFacts = 2000
-	MaxPeers = 64
+	MaxFrameBytes   = 192 << 10 // below what transport lets wait in a buffer
+	MaxObservations = 2000
+	MaxPeers        = 64
 )
 
-// ErrFrame is wrapped by every error: the connection is past help.
-var ErrFrame = errors.New("gossip: broken frame")
+// ErrMalformedFrame is wrapped by every error: the connection is past help.
+var ErrMalformedFrame = errors.New("gossip: broken frame")
 
 // Message is all that instances say: who they are, and what they know. Asking marks one that wants an answer.
 type Message struct {
-	Name   string
-	Uptime micro.Time
-	Asking bool
-	Facts  []fleet.Fact
-	Peers  []Peer
+	Name         string
+	Uptime       micro.Time
+	WantsReply   bool
+	Observations []fleet.Observation
+	Peers        []Peer
 }
 
 // Peer is another instance and where it listens.
@@ -62,7 +62,7 @@
 }
 
 var reader = func() cbor.DecMode {
-	m, err := cbor.DecOptions{MaxArrayElements: 4 * MaxFacts, MaxMapPairs: 64, MaxNestedLevels: 8, DupMapKey: cbor.DupMapKeyEnforcedAPF}.DecMode()
+	m, err := cbor.DecOptions{MaxArrayElements: 4 * MaxObservations, MaxMapPairs: 64, MaxNestedLevels: 8, DupMapKey: cbor.DupMapKeyEnforcedAPF}.DecMode()
 	if err != nil {
 		panic(err) // the options are constants
 	}
@@ -71,17 +71,17 @@
 
 // Append writes a message. What goes beyond the bounds is left out, the last first.
 func Append(out []byte, m Message) ([]byte, error) {
-	w := wireMessage{Version: Version, Name: m.Name, UptimeMS: int64(m.Uptime / micro.Millisecond), Asking: m.Asking,
+	w := wireMessage{Version: Version, Name: m.Name, UptimeMS: int64(m.Uptime / micro.Millisecond), Asking: m.WantsReply,
 		Peers: m.Peers[:min(len(m.Peers), MaxPeers)]}
-	for _, f := range m.Facts[:min(len(m.Facts), MaxFacts)] {
-		w.Facts = append(w.Facts, wireFact{f.Server, uint8(f.Kind), f.Value, f.Evidence, int64(f.Age / micro.Millisecond), f.Source, f.Hops})
+	for _, f := range m.Observations[:min(len(m.Observations), MaxObservations)] {
+		w.Facts = append(w.Facts, wireFact{f.Endpoint, uint8(f.Kind), f.Value, f.Evidence, int64(f.Age / micro.Millisecond), f.Source, f.Hops})
 	}
 	body, err := cbor.Marshal(w)
 	if err != nil {
 		return out, fmt.Errorf("gossip: %w", err)
 	}
-	if len(body) > MaxFrame {
-		return out, fmt.Errorf("gossip: a message of %d bytes is over %d", len(body), MaxFrame)
+	if len(body) > MaxFrameBytes {
+		return out, fmt.Errorf("gossip: a message of %d bytes is over %d", len(body), MaxFrameBytes)
 	}
 	return append(binary.BigEndian.AppendUint32(out, uint32(len(body))), body...), nil
 }
@@ -92,29 +92,29 @@
 		return m, 0, nil
 	}
 	size := binary.BigEndian.Uint32(in)
-	if size == 0 || size > MaxFrame {
-		return m, 0, fmt.Errorf("%w: length %d is not within 1 to %d", ErrFrame, size, MaxFrame)
+	if size == 0 || size > MaxFrameBytes {
+		return m, 0, fmt.Errorf("%w: length %d is not within 1 to %d", ErrMalformedFrame, size, MaxFrameBytes)
 	}
 	if len(in) < 4+int(size) {
 		return m, 0, nil
 	}
 	var w wireMessage
 	if err := reader.Unmarshal(in[4:4+size], &w); err != nil {
-		return m, 0, fmt.Errorf("%w: %w", ErrFrame, err)
+		return m, 0, fmt.Errorf("%w: %w", ErrMalformedFrame, err)
 	}
 	switch {
 	case w.Version != Version:
-		return m, 0, fmt.Errorf("%w: version %d, ours is %d", ErrFrame, w.Version, Version)
-	case len(w.Facts) > MaxFacts:
-		return m, 0, fmt.Errorf("%w: %d facts are over %d", ErrFrame, len(w.Facts), MaxFacts)
+		return m, 0, fmt.Errorf("%w: version %d, ours is %d", ErrMalformedFrame, w.Version, Version)
+	case len(w.Facts) > MaxObservations:
+		return m, 0, fmt.Errorf("%w: %d facts are over %d", ErrMalformedFrame, len(w.Facts), MaxObservations)
 	case len(w.Peers) > MaxPeers:
-		return m, 0, fmt.Errorf("%w: %d peers are over %d", ErrFrame, len(w.Peers), MaxPeers)
+		return m, 0, fmt.Errorf("%w: %d peers are over %d", ErrMalformedFrame, len(w.Peers), MaxPeers)
 	}
 	const most = 1 << 40 // milliseconds; what is beyond would not fit in microseconds, and is refused as out of bounds
 	ms := func(v int64) micro.Time { return micro.Time(min(max(v, -1), most)) * micro.Millisecond }
-	m = Message{Name: w.Name, Uptime: ms(w.UptimeMS), Asking: w.Asking, Peers: w.Peers}
+	m = Message{Name: w.Name, Uptime: ms(w.UptimeMS), WantsReply: w.Asking, Peers: w.Peers}
 	for _, f := range w.Facts {
-		m.Facts = append(m.Facts, fleet.Fact{Server: f.Server, Kind: fleet.FactKind(f.Kind), Value: f.Value, Evidence: f.Evidence, Age: ms(f.AgeMS),
+		m.Observations = append(m.Observations, fleet.Observation{Endpoint: f.Server, Kind: fleet.ObservationKind(f.Kind), Value: f.Value, Evidence: f.Evidence, Age: ms(f.AgeMS),
 			Source: f.Source, Hops: f.Hops})
 	}
 	return m, 4 + int(size), nil
--- a/internal/protocol/gossip/gossip_test.go
+++ b/internal/protocol/gossip/gossip_test.go
@@ -13,9 +13,9 @@
 )
 
 func message(facts int) Message {
-	m := Message{Name: "e1", Uptime: 5 * micro.Second, Asking: true, Peers: []Peer{{"e2", "127.0.0.1:7000"}}}
+	m := Message{Name: "e1", Uptime: 5 * micro.Second, WantsReply: true, Peers: []Peer{{"e2", "127.0.0.1:7000"}}}
 	for i := range facts {
-		m.Facts = append(m.Facts, fleet.Fact{Server: fmt.Sprintf("s%d", i), Kind: fleet.Slow, Value: 1234.5, Evidence: 3,
+		m.Observations = append(m.Observations, fleet.Observation{Endpoint: fmt.Sprintf("s%d", i), Kind: fleet.TypicalLatency, Value: 1234.5, Evidence: 3,
 			Age: micro.Time(i) * micro.Millisecond, Source: "e1", Hops: 1})
 	}
 	return m
@@ -51,14 +51,14 @@
 	m, _, err := Parse(frame(t, map[int]any{1: Version, 2: "e9", 3: 10, 99: map[string]any{"later": []int{1, 2}}}))
 	require.NoError(t, err)
 	require.Equal(t, Message{Name: "e9", Uptime: 10 * micro.Millisecond}, m)
-	many := make([]map[int]any, MaxFacts+1)
+	many := make([]map[int]any, MaxObservations+1)
 	for i := range many {
 		many[i] = map[int]any{1: "s", 2: 1, 4: 1.0, 5: 1, 6: "x", 7: 1}
 	}
 	for name, bad := range map[string][]byte{
 		"version":        frame(t, map[int]any{1: 2, 2: "e9"}),
 		"facts":          frame(t, map[int]any{1: Version, 5: many}),
-		"elements":       frame(t, map[int]any{1: Version, 5: make([]int, 4*MaxFacts+1)}),
+		"elements":       frame(t, map[int]any{1: Version, 5: make([]int, 4*MaxObservations+1)}),
 		"peers":          frame(t, map[int]any{1: Version, 6: make([]Peer, MaxPeers+1)}),
 		"twice":          {0, 0, 0, 5, 0xa2, 1, 1, 1, 1},
 		"no map":         frame(t, "hello"),
@@ -67,18 +67,18 @@
 		"cut":            {0, 0, 0, 2, 0xa1, 1},
 	} {
 		_, n, err := Parse(bad)
-		require.ErrorIs(t, err, ErrFrame, name)
+		require.ErrorIs(t, err, ErrMalformedFrame, name)
 		require.Zero(t, n)
 	}
 	m, _, err = Parse(frame(t, map[int]any{1: Version, 3: int64(1) << 62, 5: []map[int]any{{1: "s", 2: 1, 4: 1.0, 5: -77, 6: "x", 7: 1}}}))
 	require.NoError(t, err)
 	require.Positive(t, m.Uptime)
-	require.Error(t, fleet.CheckFact(m.Facts[0]), "the age stays out of bounds")
-	p, err := Append(nil, message(MaxFacts+500))
+	require.Error(t, fleet.ValidateObservation(m.Observations[0]), "the age stays out of bounds")
+	p, err := Append(nil, message(MaxObservations+500))
 	require.NoError(t, err)
 	m, _, err = Parse(p)
 	require.NoError(t, err)
-	require.Len(t, m.Facts, MaxFacts)
+	require.Len(t, m.Observations, MaxObservations)
 }
 
 func FuzzParse(f *testing.F) {
--- a/internal/protocol/pool/command.go
+++ b/internal/protocol/pool/command.go
@@ -6,12 +6,12 @@
 	"strconv"
 )
 
-// Order is the first word of a log server's command.
-type Order uint8
+// Verb is the first word of a log server's command.
+type Verb uint8
 
 // The commands of a log server.
 const (
-	Bind Order = iota + 1
+	Bind Verb = iota + 1
 	Spawn
 	Suspend
 	Poll
@@ -21,7 +21,7 @@
 
 // Command is one command of a log server, as the worker pool reads it. Body shares the input's memory.
 type Command struct {
-	Order  Order
+	Verb   Verb
 	Notice uint64 // Bind
 	ID     string // Spawn, Suspend, Supply
 	Class  string // Spawn
@@ -43,12 +43,12 @@
 	words := bytes.Split(line, []byte(" "))
 	switch word := string(words[0]); {
 	case word == "bind" && len(words) == 2:
-		c.Order = Bind
+		c.Verb = Bind
 		if c.Notice, err = strconv.ParseUint(string(words[1]), 10, 63); err != nil {
 			return Command{}, 0, broken(line, "no whole number")
 		}
 	case word == "spawn" && len(words) == 4:
-		c.Order, c.ID, c.Class = Spawn, string(words[1]), string(words[2])
+		c.Verb, c.ID, c.Class = Spawn, string(words[1]), string(words[2])
 		size, err := strconv.ParseUint(string(words[3]), 10, 31)
 		if err != nil || size > maxResult {
 			return Command{}, 0, broken(line, "no length")
@@ -57,7 +57,7 @@
 			return Command{}, 0, err
 		}
 	case word == "supply" && len(words) == 3:
-		c.Order, c.ID = Supply, string(words[1])
+		c.Verb, c.ID = Supply, string(words[1])
 		size, err := strconv.ParseUint(string(words[2]), 10, 31)
 		if err != nil || size > maxCall {
 			return Command{}, 0, broken(line, "no length")
@@ -66,21 +66,21 @@
 			return Command{}, 0, err
 		}
 	case word == "suspend" && len(words) == 2:
-		c.Order, c.ID = Suspend, string(words[1])
+		c.Verb, c.ID = Suspend, string(words[1])
 	case word == "poll" && len(words) == 2:
-		c.Order, c.Tag = Poll, string(words[1])
+		c.Verb, c.Tag = Poll, string(words[1])
 	case word == "verify" && len(words) == 2:
-		c.Order, c.Tag = Verify, string(words[1])
+		c.Verb, c.Tag = Verify, string(words[1])
 	default:
 		return Command{}, 0, broken(line, "unknown command")
 	}
 	return c, n, nil
 }
 
-var endWords = map[End]string{Pass: "PASS", Fail: "FAIL", Killed: "KILLED", Noop: "NOOP"}
+var endWords = map[Outcome]string{Pass: "PASS", Fail: "FAIL", Killed: "KILLED", Noop: "NOOP"}
 
 // AppendFinished writes the notice of a run's end.
-func AppendFinished(out []byte, notice uint64, id string, end End, ms int, result []byte) []byte {
+func AppendFinished(out []byte, notice uint64, id string, end Outcome, ms int, result []byte) []byte {
 	out = fmt.Appendf(out, "finished %d %s %s %d %d\r\n", notice, id, endWords[end], ms, len(result))
 	return append(append(out, result...), '\r', '\n')
 }
@@ -92,6 +92,6 @@
 }
 
 // AppendVerified writes the answer to a deep health check.
-func AppendVerified(out []byte, tag string, end End) []byte {
+func AppendVerified(out []byte, tag string, end Outcome) []byte {
 	return fmt.Appendf(out, "verified %s %s\r\n", tag, endWords[end])
 }
--- a/internal/protocol/pool/pool.go
+++ b/internal/protocol/pool/pool.go
@@ -18,8 +18,8 @@
 	unknownGauge = -1
 )
 
-// ErrLine is wrapped by every error of Parse: the link's stream can no longer be trusted.
-var ErrLine = errors.New("pool: broken line")
+// ErrMalformed is wrapped by every error of Parse: the link's stream can no longer be trusted.
+var ErrMalformed = errors.New("pool: broken line")
 
 // Kind is the first word of a message.
 type Kind uint8
@@ -35,44 +35,44 @@
 	Verified
 )
 
-// End says how a run ended.
-type End uint8
+// Outcome says how a run ended.
+type Outcome uint8
 
 // The ends of a run.
 const (
-	Pass End = iota + 1
+	Pass Outcome = iota + 1
 	Fail
 	Killed
 	Noop
 )
 
-var ends = map[string]End{"PASS": Pass, "FAIL": Fail, "KILLED": Killed, "NOOP": Noop}
+var ends = map[string]Outcome{"PASS": Pass, "FAIL": Fail, "KILLED": Killed, "NOOP": Noop}
 
 // Message is one message of the worker pool; which fields are set depends on its kind. Result shares the
 // input's memory.
 type Message struct {
-	Kind    Kind
-	Loaded  bool      // Bound: LOADED rather than EMPTY
-	MS      float64   // Bound: age of the pool; Finished: length of the run
-	Notice  uint64    // Finished, Chatter, Blocked
-	ID      string    // Finished, Unknown, Blocked
-	End     End       // Finished; Verified: Pass or Fail
-	Result  []byte    // Finished
-	Call    []byte    // Blocked: the body of the call that the run waits for
-	Tag     string    // Polled, Verified
-	Gauges  []float64 // Polled; -1 where the pool told no finite number
-	Command string    // Unknown
+	Kind         Kind
+	Loaded       bool      // Bound: LOADED rather than EMPTY
+	Milliseconds float64   // Bound: age of the pool; Finished: length of the run
+	Notice       uint64    // Finished, Chatter, Blocked
+	ID           string    // Finished, Unknown, Blocked
+	Outcome      Outcome   // Finished; Verified: Pass or Fail
+	Result       []byte    // Finished
+	Call         []byte    // Blocked: the body of the call that the run waits for
+	Tag          string    // Polled, Verified
+	Gauges       []float64 // Polled; -1 where the pool told no finite number
+	Command      string    // Unknown
 }
 
 // isFinite guards the means that a number is counted into: one that is not finite would stay in them for good.
 func isFinite(v float64) bool { return !math.IsNaN(v) && !math.IsInf(v, 0) }
 
 func broken(line []byte, why string) error {
-	return fmt.Errorf("%w: %s in %q", ErrLine, why, line[:min(len(line), 80)])
+	return fmt.Errorf("%w: %s in %q", ErrMalformed, why, line[:min(len(line), 80)])
 }
 
-// Parse takes the first message off in. n is 0 while it is not whole.
-func Parse(in []byte) (m Message, n int, err error) {
+// ParseMessage takes the first message off in. n is 0 while it is not whole.
+func ParseMessage(in []byte) (m Message, n int, err error) {
 	end := bytes.Index(in[:min(len(in), maxLine)], []byte("\r\n"))
 	if end < 0 {
 		if len(in) >= maxLine {
@@ -106,7 +106,7 @@
 	}
 	switch word := string(words[0]); {
 	case word == "bound" && len(words) == 3:
-		m.Kind, m.MS = Bound, span(2)
+		m.Kind, m.Milliseconds = Bound, span(2)
 		switch string(words[1]) {
 		case "LOADED":
 			m.Loaded = true
@@ -115,10 +115,10 @@
 			return Message{}, 0, broken(line, "unknown state")
 		}
 	case word == "finished" && len(words) == 6:
-		m.Kind, m.Notice, m.ID, m.MS = Finished, whole(1), string(words[2]), span(4)
-		m.End = ends[string(words[3])]
+		m.Kind, m.Notice, m.ID, m.Milliseconds = Finished, whole(1), string(words[2]), span(4)
+		m.Outcome = ends[string(words[3])]
 		size := whole(5)
-		if m.End == 0 || size > maxResult {
+		if m.Outcome == 0 || size > maxResult {
 			return Message{}, 0, broken(line, "unknown end or length")
 		}
 		var bodyErr error
@@ -136,8 +136,8 @@
 			return Message{}, 0, errors.Join(err, bodyErr)
 		}
 	case word == "verified" && len(words) == 3:
-		m.Kind, m.Tag, m.End = Verified, string(words[1]), ends[string(words[2])]
-		if m.End != Pass && m.End != Fail {
+		m.Kind, m.Tag, m.Outcome = Verified, string(words[1]), ends[string(words[2])]
+		if m.Outcome != Pass && m.Outcome != Fail {
 			return Message{}, 0, broken(line, "unknown end")
 		}
 	case word == "polled" && len(words) >= 2:
--- a/internal/protocol/pool/pool_test.go
+++ b/internal/protocol/pool/pool_test.go
@@ -16,10 +16,10 @@
 	f.Add([]byte("blocked 4 00ff 65537\r\n"))
 	f.Add([]byte("polled g NaN -Inf 0x1p-2\r\nverified v NOOP\r\n"))
 	f.Fuzz(func(t *testing.T, in []byte) {
-		m, n, err := Parse(in)
+		m, n, err := ParseMessage(in)
 		require.LessOrEqual(t, n, len(in))
 		if err != nil {
-			require.ErrorIs(t, err, ErrLine)
+			require.ErrorIs(t, err, ErrMalformed)
 			require.Zero(t, n)
 		} else if n > 0 {
 			require.NotZero(t, m.Kind)
@@ -30,11 +30,11 @@
 // A line without an end must not be waited for until memory runs out, and neither must a result of a made-up
 // length.
 func TestBounds(t *testing.T) {
-	_, _, err := Parse(bytes.Repeat([]byte("x"), maxLine))
-	require.ErrorIs(t, err, ErrLine)
-	_, _, err = Parse([]byte("finished 1 a PASS 1 99999999\r\n"))
-	require.ErrorIs(t, err, ErrLine)
-	_, n, err := Parse([]byte("finished 1 a PASS 1 4\r\nabcd\r"))
+	_, _, err := ParseMessage(bytes.Repeat([]byte("x"), maxLine))
+	require.ErrorIs(t, err, ErrMalformed)
+	_, _, err = ParseMessage([]byte("finished 1 a PASS 1 99999999\r\n"))
+	require.ErrorIs(t, err, ErrMalformed)
+	_, n, err := ParseMessage([]byte("finished 1 a PASS 1 4\r\nabcd\r"))
 	require.NoError(t, err)
 	require.Zero(t, n)
 }
@@ -42,8 +42,8 @@
 // What a log server writes, the worker pool reads back, whole and in pieces; what is no command is an error.
 func TestCommandsReadBack(t *testing.T) {
 	text := AppendPoll(AppendSuspend(AppendSpawn(AppendBind(nil, 7), "a1", "lot-intake", []byte("b\r\nody")), "a1"), "g")
-	want := []Command{{Order: Bind, Notice: 7}, {Order: Spawn, ID: "a1", Class: "lot-intake", Body: []byte("b\r\nody")},
-		{Order: Suspend, ID: "a1"}, {Order: Poll, Tag: "g"}}
+	want := []Command{{Verb: Bind, Notice: 7}, {Verb: Spawn, ID: "a1", Class: "lot-intake", Body: []byte("b\r\nody")},
+		{Verb: Suspend, ID: "a1"}, {Verb: Poll, Tag: "g"}}
 	var got []Command
 	from := 0
 	for to := range len(text) + 1 {
@@ -56,11 +56,11 @@
 	require.Equal(t, want, got)
 	for _, bad := range []string{"bind x\r\n", "spawn a b\r\n", "spawn a b -1\r\n", "spawn a b 99999999\r\n", "spawn a b 1\r\nxyz", "dance\r\n", string(make([]byte, 2000))} {
 		_, _, err := ParseCommand([]byte(bad))
-		require.ErrorIs(t, err, ErrLine, bad)
+		require.ErrorIs(t, err, ErrMalformed, bad)
 	}
-	m, n, err := Parse(AppendFinished(nil, 3, "a1", Killed, 20, []byte("x")))
+	m, n, err := ParseMessage(AppendFinished(nil, 3, "a1", Killed, 20, []byte("x")))
 	require.NoError(t, err)
-	require.Equal(t, Message{Kind: Finished, Notice: 3, ID: "a1", End: Killed, MS: 20, Result: []byte("x")}, m)
+	require.Equal(t, Message{Kind: Finished, Notice: 3, ID: "a1", Outcome: Killed, Milliseconds: 20, Result: []byte("x")}, m)
 	require.Positive(t, n)
 }
 
@@ -71,11 +71,11 @@
 	text := AppendBlocked(AppendVerified(AppendBlocked(AppendBlocked(nil, 1, "a1", lines), 2, "a2", nil), "v", Pass), 3, "a3", longest)
 	text = AppendVerified(text, "v", Fail)
 	require.Equal(t, []Message{{Kind: Blocked, Notice: 1, ID: "a1", Call: lines}, {Kind: Blocked, Notice: 2, ID: "a2", Call: []byte{}},
-		{Kind: Verified, Tag: "v", End: Pass}, {Kind: Blocked, Notice: 3, ID: "a3", Call: longest}, {Kind: Verified, Tag: "v", End: Fail}},
-		readInPieces(t, text, Parse))
+		{Kind: Verified, Tag: "v", Outcome: Pass}, {Kind: Blocked, Notice: 3, ID: "a3", Call: longest}, {Kind: Verified, Tag: "v", Outcome: Fail}},
+		readInPieces(t, text, ParseMessage))
 	text = AppendSupply(AppendVerify(AppendSupply(AppendSupply(nil, "a1", lines), "a2", nil), "v"), "a3", longest)
-	require.Equal(t, []Command{{Order: Supply, ID: "a1", Body: lines}, {Order: Supply, ID: "a2", Body: []byte{}},
-		{Order: Verify, Tag: "v"}, {Order: Supply, ID: "a3", Body: longest}}, readInPieces(t, text, ParseCommand))
+	require.Equal(t, []Command{{Verb: Supply, ID: "a1", Body: lines}, {Verb: Supply, ID: "a2", Body: []byte{}},
+		{Verb: Verify, Tag: "v"}, {Verb: Supply, ID: "a3", Body: longest}}, readInPieces(t, text, ParseCommand))
 	require.Equal(t, "supply a1 3\r\nabc\r\nverify v\r\n", string(AppendVerify(AppendSupply(nil, "a1", []byte("abc")), "v")))
 	require.Equal(t, "blocked 7 a1 3\r\nabc\r\nverified v FAIL\r\n", string(AppendVerified(AppendBlocked(nil, 7, "a1", []byte("abc")), "v", Fail)))
 }
@@ -104,19 +104,19 @@
 	for _, bad := range []string{"blocked 1 a\r\n", "blocked x a 1\r\nb\r\n", "blocked x a 9\r\n", "blocked -1 a 0\r\n\r\n", "blocked 1 a -1\r\n",
 		"blocked 1 a 65537\r\n", "blocked 1 a 1\r\nbcd", "blocked 1 a 0\r\n\n\r", "blocked 1 a 1 1\r\nb\r\n", "verified v\r\n", "verified v KILLED\r\n",
 		"verified v NOOP\r\n", "verified v pass\r\n", "verified v PASS 1\r\n"} {
-		m, n, err := Parse([]byte(bad))
-		require.ErrorIs(t, err, ErrLine, bad)
+		m, n, err := ParseMessage([]byte(bad))
+		require.ErrorIs(t, err, ErrMalformed, bad)
 		require.Zero(t, n, bad)
 		require.Zero(t, m, bad)
 	}
 	for _, bad := range []string{"supply a\r\n", "supply a x\r\n", "supply a 65537\r\n", "supply a 1\r\nbcd", "supply a 1 1\r\n", "verify\r\n", "verify v w\r\n"} {
 		c, n, err := ParseCommand([]byte(bad))
-		require.ErrorIs(t, err, ErrLine, bad)
+		require.ErrorIs(t, err, ErrMalformed, bad)
 		require.Zero(t, n, bad)
 		require.Zero(t, c, bad)
 	}
 	for _, short := range []string{"blocked 1 a 65536\r\nb", "blocked 1 a 1\r\nb\r", "verified v PASS\r"} {
-		_, n, err := Parse([]byte(short))
+		_, n, err := ParseMessage([]byte(short))
 		require.NoError(t, err)
 		require.Zero(t, n)
 	}
@@ -126,10 +126,10 @@
 // that is no reason to give the link up.
 func TestNumbersAreFinite(t *testing.T) {
 	for _, bad := range []string{"bound EMPTY NaN\r\n", "bound EMPTY Inf\r\n", "finished 1 a PASS nan 0\r\n\r\n", "finished 1 a PASS -inf 0\r\n\r\n", "polled g 1e999\r\n"} {
-		_, _, err := Parse([]byte(bad))
-		require.ErrorIs(t, err, ErrLine, bad)
+		_, _, err := ParseMessage([]byte(bad))
+		require.ErrorIs(t, err, ErrMalformed, bad)
 	}
-	m, _, err := Parse([]byte("polled g 0.5 NaN -Inf 2\r\n"))
+	m, _, err := ParseMessage([]byte("polled g 0.5 NaN -Inf 2\r\n"))
 	require.NoError(t, err)
 	require.Equal(t, []float64{0.5, unknownGauge, unknownGauge, 2}, m.Gauges)
 }
--- a/internal/protocol/thrift/reply.go
+++ b/internal/protocol/thrift/reply.go
@@ -7,36 +7,36 @@
 
 // The server's messages.
 const (
-	Answered  ReplyKind = iota + 1 // process or probe returned an Answer
-	Throttled                      // this try never ran
-	Broken                         // failed
-	Exception                      // an application exception: failed, or not understood
-	Farewell                       // no new request shall come on this connection
+	ReplyAnswer    ReplyKind = iota + 1 // process or probe returned an Answer
+	ReplyThrottled                      // this try never ran
+	ReplyBroken                         // failed
+	ReplyException                      // an application exception: failed, or not understood
+	ReplyFarewell                       // no new request shall come on this connection
 )
 
 // Reply is one message from a server to its caller. Body shares the payload's memory.
 type Reply struct {
-	Kind   ReplyKind
-	Method string
-	Seq    int32
-	Body   []byte
-	Fields map[string]string
-	Good   bool
-	Text   string // of an exception
+	Kind       ReplyKind
+	MethodName string
+	SequenceID int32
+	Body       []byte
+	Fields     map[string]string
+	Good       bool
+	Text       string // of an exception
 }
 
 // DecodeReply reads the payload of a server's message: what a caller, or whoever looks on, needs.
 func DecodeReply(payload []byte) (p Reply, err error) {
 	r := &reader{in: payload}
 	head := r.u32()
-	p.Method = string(r.bytes())
-	p.Seq = int32(r.u32())
+	p.MethodName = string(r.bytes())
+	p.SequenceID = int32(r.u32())
 	switch {
 	case r.err != nil:
 	case head&versionMask != version1:
 		r.fail("not the strict binary protocol")
 	case head&0xff == kindException:
-		p.Kind = Exception
+		p.Kind = ReplyException
 		r.fields(func(kind byte, id uint16) bool {
 			if id != 1 || kind != typeString {
 				return false
@@ -44,14 +44,14 @@
 			p.Text = string(r.bytes())
 			return true
 		})
-	case head&0xff == kindOneway && p.Method == "farewell":
-		p.Kind = Farewell
+	case head&0xff == kindOneway && p.MethodName == "farewell":
+		p.Kind = ReplyFarewell
 	case head&0xff == kindReply:
 		r.fields(func(kind byte, id uint16) bool {
 			if kind != typeStruct || id > 2 {
 				return false
 			}
-			p.Kind = [...]ReplyKind{Answered, Throttled, Broken}[id]
+			p.Kind = [...]ReplyKind{ReplyAnswer, ReplyThrottled, ReplyBroken}[id]
 			r.fields(func(kind byte, at uint16) bool { return p.field(r, id, kind, at) })
 			return true
 		})
@@ -62,7 +62,7 @@
 		r.fail("no message of a server's")
 	}
 	if r.err != nil {
-		return p, fmt.Errorf("%w: %w", ErrFrame, r.err)
+		return p, fmt.Errorf("%w: %w", ErrInvalidFrame, r.err)
 	}
 	return p, nil
 }
--- a/internal/protocol/thrift/wire.go
+++ b/internal/protocol/thrift/wire.go
@@ -41,24 +41,24 @@
 	typeList   = 15
 )
 
-// ErrFrame is wrapped by every error that leaves a connection without a next message to look for.
-var ErrFrame = errors.New("thrift: broken frame")
+// ErrInvalidFrame is wrapped by every error that leaves a connection without a next message to look for.
+var ErrInvalidFrame = errors.New("thrift: broken frame")
 
 // Exception codes of TApplicationException.
 const (
-	UnknownMethod = 1
-	InternalError = 6
-	ProtocolError = 7
+	ExceptionUnknownMethod = 1
+	ExceptionInternalError = 6
+	ExceptionProtocolError = 7
 )
 
-// Split cuts the first whole frame off in. A nil payload with no error means that more bytes are needed.
-func Split(in []byte) (payload []byte, n int, err error) {
+// SplitFrame cuts the first whole frame off in. A nil payload with no error means that more bytes are needed.
+func SplitFrame(in []byte) (payload []byte, n int, err error) {
 	if len(in) < 4 {
 		return nil, 0, nil
 	}
 	size := binary.BigEndian.Uint32(in)
 	if size == 0 || size > MaxFrame {
-		return nil, 0, fmt.Errorf("%w: length %d is not within 1 to %d", ErrFrame, size, MaxFrame)
+		return nil, 0, fmt.Errorf("%w: length %d is not within 1 to %d", ErrInvalidFrame, size, MaxFrame)
 	}
 	if len(in) < 4+int(size) {
 		return nil, 0, nil
@@ -186,45 +186,45 @@
 
 // The methods of the service; Unknown is any other call, which is owed an exception.
 const (
-	Unknown Method = iota
-	Process
-	GiveUp
-	Probe
+	MethodUnknown Method = iota
+	MethodProcess
+	MethodGiveUp
+	MethodProbe
 )
 
-// Message is one decoded call. Body shares the payload's memory.
-type Message struct {
-	Method Method
-	Name   string
-	Seq    int32
-	Oneway bool
-	Fields map[string]string
-	Body   []byte
-	GaveUp int32
-	Deep   bool
+// Call is one decoded call. Body shares the payload's memory.
+type Call struct {
+	Method      Method
+	MethodName  string
+	SequenceID  int32
+	Oneway      bool
+	Fields      map[string]string
+	Body        []byte
+	CancelledID int32
+	Deep        bool
 }
 
-// Decode reads the call in a payload. On an error with a known sequence number, answerable is true and an
+// DecodeCall reads the call in a payload. On an error with a known sequence number, answerable is true and an
 // exception can be sent; otherwise the connection is past help.
-func Decode(payload []byte) (m Message, answerable bool, err error) {
+func DecodeCall(payload []byte) (m Call, answerable bool, err error) {
 	r := &reader{in: payload}
 	head := r.u32()
 	if r.err == nil && head&versionMask != version1 {
-		return m, false, fmt.Errorf("%w: not the strict binary protocol", ErrFrame)
+		return m, false, fmt.Errorf("%w: not the strict binary protocol", ErrInvalidFrame)
 	}
 	kind := byte(head)
-	m.Name = string(r.bytes())
-	m.Seq = int32(r.u32())
+	m.MethodName = string(r.bytes())
+	m.SequenceID = int32(r.u32())
 	if r.err != nil {
-		return m, false, fmt.Errorf("%w: %w", ErrFrame, r.err)
+		return m, false, fmt.Errorf("%w: %w", ErrInvalidFrame, r.err)
 	}
 	if kind != kindCall && kind != kindOneway {
-		return m, false, fmt.Errorf("%w: message of kind %d is not a call", ErrFrame, kind)
+		return m, false, fmt.Errorf("%w: message of kind %d is not a call", ErrInvalidFrame, kind)
 	}
 	m.Oneway = kind == kindOneway
-	switch m.Name {
+	switch m.MethodName {
 	case "process":
-		m.Method = Process
+		m.Method = MethodProcess
 		r.fields(func(kind byte, id uint16) bool {
 			switch {
 			case id == 1 && kind == typeMap:
@@ -237,16 +237,16 @@
 			return true
 		})
 	case "giveUp":
-		m.Method = GiveUp
+		m.Method = MethodGiveUp
 		r.fields(func(kind byte, id uint16) bool {
 			if id != 1 || kind != typeI32 {
 				return false
 			}
-			m.GaveUp = int32(r.u32())
+			m.CancelledID = int32(r.u32())
 			return true
 		})
 	case "probe":
-		m.Method = Probe
+		m.Method = MethodProbe
 		r.fields(func(kind byte, id uint16) bool {
 			if id != 1 || kind != typeBool {
 				return false
--- a/internal/protocol/thrift/wire_test.go
+++ b/internal/protocol/thrift/wire_test.go
@@ -11,17 +11,17 @@
 func FuzzDecode(f *testing.F) {
 	f.Add(AppendCall(nil, 7, []Field{{"class", "block-view"}}, []byte("body")))
 	f.Add(AppendFarewell(nil))
-	f.Add(AppendException(nil, "x", 1, UnknownMethod, "text"))
+	f.Add(AppendException(nil, "x", 1, ExceptionUnknownMethod, "text"))
 	f.Add([]byte{0, 0, 0, 1, 0x80})
 	f.Add([]byte("\x00\x00\x00\x1f\x80\x01\x00\x01\x00\x00\x00\x05prune\x00\x00\x00\x04\x0f\x00\x01\x0f\x7f\xff\xff\xff\x0f\x00"))
 	f.Fuzz(func(t *testing.T, in []byte) {
-		payload, n, err := Split(in)
+		payload, n, err := SplitFrame(in)
 		if err != nil || payload == nil {
 			require.Zero(t, n)
 			return
 		}
 		require.LessOrEqual(t, n, len(in))
-		m, _, err := Decode(payload)
+		m, _, err := DecodeCall(payload)
 		if err == nil {
 			require.LessOrEqual(t, len(m.Body), len(payload))
 		}
@@ -37,7 +37,7 @@
 	}
 	wide := append([]byte("\x80\x01\x00\x01\x00\x00\x00\x05probe\x00\x00\x00\x01"), typeList, 0, 9, typeStop, 0x7f, 0xff, 0xff, 0xff)
 	for _, in := range [][]byte{append([]byte("\x80\x01\x00\x01\x00\x00\x00\x05probe\x00\x00\x00\x01"), deep[13:]...), wide} {
-		_, answerable, err := Decode(in)
+		_, answerable, err := DecodeCall(in)
 		require.Error(t, err)
 		require.True(t, answerable)
 	}
@@ -50,30 +50,30 @@
 		frame []byte
 		want  Reply
 	}{
-		{AppendAnswer(nil, "process", 7, []byte("result"), fields, true), Reply{Kind: Answered, Method: "process", Seq: 7, Body: []byte("result"),
+		{AppendAnswer(nil, "process", 7, []byte("result"), fields, true), Reply{Kind: ReplyAnswer, MethodName: "process", SequenceID: 7, Body: []byte("result"),
 			Fields: map[string]string{"after": "250", "last": "1"}, Good: true}},
-		{AppendThrottled(nil, 8, fields), Reply{Kind: Throttled, Method: "process", Seq: 8, Fields: map[string]string{"after": "250", "last": "1"}}},
-		{AppendBroken(nil, 9, nil), Reply{Kind: Broken, Method: "process", Seq: 9, Fields: map[string]string{}}},
-		{AppendException(nil, "process", 10, ProtocolError, "what?"), Reply{Kind: Exception, Method: "process", Seq: 10, Text: "what?"}},
-		{AppendFarewell(nil), Reply{Kind: Farewell, Method: "farewell"}},
+		{AppendThrottled(nil, 8, fields), Reply{Kind: ReplyThrottled, MethodName: "process", SequenceID: 8, Fields: map[string]string{"after": "250", "last": "1"}}},
+		{AppendBroken(nil, 9, nil), Reply{Kind: ReplyBroken, MethodName: "process", SequenceID: 9, Fields: map[string]string{}}},
+		{AppendException(nil, "process", 10, ExceptionProtocolError, "what?"), Reply{Kind: ReplyException, MethodName: "process", SequenceID: 10, Text: "what?"}},
+		{AppendFarewell(nil), Reply{Kind: ReplyFarewell, MethodName: "farewell"}},
 	} {
 		got, err := DecodeReply(c.frame[4:])
 		require.NoError(t, err)
 		require.Equal(t, c.want, got)
-		if c.want.Kind == Farewell {
+		if c.want.Kind == ReplyFarewell {
 			continue
 		}
 		for n := range len(c.frame) - 5 {
 			_, err := DecodeReply(c.frame[4 : 4+n])
-			require.ErrorIs(t, err, ErrFrame, "%v cut to %d", c.want.Kind, n)
+			require.ErrorIs(t, err, ErrInvalidFrame, "%v cut to %d", c.want.Kind, n)
 		}
 	}
 	_, err := DecodeReply(AppendGiveUp(nil, 3)[4:])
-	require.ErrorIs(t, err, ErrFrame)
-	m, _, err := Decode(AppendGiveUp(nil, 3)[4:])
+	require.ErrorIs(t, err, ErrInvalidFrame)
+	m, _, err := DecodeCall(AppendGiveUp(nil, 3)[4:])
 	require.NoError(t, err)
-	require.Equal(t, Message{Method: GiveUp, Name: "giveUp", Oneway: true, GaveUp: 3}, m)
-	m, _, err = Decode(AppendProbe(nil, 4, true)[4:])
+	require.Equal(t, Call{Method: MethodGiveUp, MethodName: "giveUp", Oneway: true, CancelledID: 3}, m)
+	m, _, err = DecodeCall(AppendProbe(nil, 4, true)[4:])
 	require.NoError(t, err)
-	require.Equal(t, Message{Method: Probe, Name: "probe", Seq: 4, Deep: true}, m)
+	require.Equal(t, Call{Method: MethodProbe, MethodName: "probe", SequenceID: 4, Deep: true}, m)
 }
--- a/internal/protocol/upgrade/upgrade.go
+++ b/internal/protocol/upgrade/upgrade.go
@@ -24,9 +24,9 @@
 	MaxResult = MaxFrame - 4<<10
 )
 
-// Chunk is how many keys are told before the successor has to ask for more. With the platform's largest results they stay
+// ChunkKeys is how many keys are told before the successor has to ask for more. With the platform's largest results they stay
 // below what a connection may leave unread.
-const Chunk = 32
+const ChunkKeys = 32
 
 // The errors; both say that the connection is past help.
 var (
@@ -39,36 +39,36 @@
 
 // The kinds of messages. Those of keys go both ways.
 const (
-	Hello   Kind = iota + 1 // successor: its Name
-	Welcome                 // old: what it has Learned, and whether it is Out of service
-	Refuse                  // old: Text says why; the connection ends
-	More                    // successor: asks for the next keys
-	Synced                  // old: all keys were told; from now on each change
-	Yours                   // old: the successor owns the keys, and gets new connections
-	Service                 // an operator has taken the log server out of service or in: Out
-	Conns                   // old: how many connections it has open
-	Claim                   // of a key: may it run here?
+	Hello                Kind = iota + 1 // successor: its Name
+	Welcome                              // old: what it has Learned, and whether it is Out of service
+	Reject                               // old: Text says why; the connection ends
+	NextChunk                            // successor: asks for the next keys
+	Synced                               // old: all keys were told; from now on each change
+	OwnershipTransferred                 // old: the successor owns the keys, and gets new connections
+	ServiceChanged                       // an operator has taken the log server out of service or in: Out
+	ConnectionCount                      // old: how many connections it has open
+	Claim                                // of a key: may it run here?
 	Grant
-	Began
-	Passed // with Result
+	Started
+	Succeeded // with Result
 	Failed
-	Freed
+	Released
 	kinds
 )
 
 // Message is one message.
 type Message struct {
-	Kind    Kind             `cbor:"1,keyasint"`
-	Name    string           `cbor:"2,keyasint,omitempty"`
-	Class   string           `cbor:"3,keyasint,omitempty"`
-	Tenant  string           `cbor:"4,keyasint,omitempty"`
-	Once    string           `cbor:"5,keyasint,omitempty"`
-	AtMS    int64            `cbor:"6,keyasint,omitempty"` // Unix milliseconds
-	Result  []byte           `cbor:"7,keyasint,omitempty"`
-	Out     bool             `cbor:"8,keyasint,omitempty"`
-	Conns   int              `cbor:"9,keyasint,omitempty"`
-	Text    string           `cbor:"10,keyasint,omitempty"`
-	Learned *control.Learned `cbor:"11,keyasint,omitempty"`
+	Kind           Kind
+	Name           string
+	Class          string
+	Tenant         string
+	IdempotencyKey string
+	ArrivedAtMilli int64 // Unix milliseconds
+	Result         []byte
+	OutOfService   bool
+	Connections    int
+	Reason         string
+	Learned        *control.LearnedState
 }
 
 var reader = func() cbor.DecMode {
@@ -81,7 +81,8 @@
 
 // Append writes a message.
 func Append(out []byte, m Message) []byte {
-	body, err := cbor.Marshal(m)
+	body, err := cbor.Marshal(wireMessage{m.Kind, m.Name, m.Class, m.Tenant, m.IdempotencyKey, m.ArrivedAtMilli, m.Result,
+		m.OutOfService, m.Connections, m.Reason, toWire(m.Learned)})
 	if err != nil {
 		panic(fmt.Sprintf("upgrade: %v", err)) // of the struct above alone
 	}
@@ -100,9 +101,12 @@
 
 // Decode reads the body of a message.
 func Decode(body []byte) (m Message, err error) {
-	if err := reader.Unmarshal(body, &m); err != nil {
+	var w wireMessage
+	if err := reader.Unmarshal(body, &w); err != nil {
 		return m, fmt.Errorf("%w: %w", ErrFrame, err)
 	}
+	m = Message{w.Kind, w.Name, w.Class, w.Tenant, w.IdempotencyKey, w.ArrivedAtMilli, w.Result, w.OutOfService, w.Connections,
+		w.Reason, w.Learned.fromWire()}
 	if m.Kind == 0 || m.Kind >= kinds {
 		return m, fmt.Errorf("%w: a message of kind %d", ErrFrame, m.Kind)
 	}
--- a/internal/protocol/upgrade/upgrade_test.go
+++ b/internal/protocol/upgrade/upgrade_test.go
@@ -10,8 +10,8 @@
 
 func TestReadBack(t *testing.T) {
 	all := []Message{
-		{Kind: Hello, Name: "n0"}, {Kind: Welcome, Out: true, Learned: &control.Learned{Limit: 2, Classes: []control.LearnedClass{{Name: "a", Slot: control.Mean{N: 3, V: 0.1}}}}},
-		{Kind: Passed, Class: "lot-intake", Tenant: "t", Once: "k", AtMS: 1764576000123, Result: make([]byte, MaxResult)}, {Kind: Conns, Conns: 7},
+		{Kind: Hello, Name: "n0"}, {Kind: Welcome, OutOfService: true, Learned: &control.LearnedState{Limit: 2, Classes: []control.LearnedClassState{{Name: "a", Slot: control.MeanEstimate{N: 3, V: 0.1}}}}},
+		{Kind: Succeeded, Class: "lot-intake", Tenant: "t", IdempotencyKey: "k", ArrivedAtMilli: 1764576000123, Result: make([]byte, MaxResult)}, {Kind: ConnectionCount, Connections: 7},
 	}
 	var out []byte
 	for _, m := range all {
@@ -52,7 +52,7 @@
 
 // Guards against any bytes from a socket in a shared folder.
 func FuzzParse(f *testing.F) {
-	f.Add(Append(nil, Message{Kind: Began, Once: "k"}))
+	f.Add(Append(nil, Message{Kind: Started, IdempotencyKey: "k"}))
 	f.Fuzz(func(t *testing.T, in []byte) {
 		_, size, _ := Parse(in)
 		require.LessOrEqual(t, size, len(in))
--- a/internal/protocol/vault/vault.go
+++ b/internal/protocol/vault/vault.go
@@ -13,13 +13,13 @@
 	// MaxBody bounds the body of a call and of a reply. The protocol states no bound; a call's body comes from the worker pool,
 	// and both are well under this. A longer length is taken for a broken one, as everything behind it would wait for its end.
 	MaxBody = 64 << 10
-	// MaxWait is the longest wait, in milliseconds, that a call may state: an hour, beyond any deadline.
-	MaxWait  = 3600_000
-	idDigits = 16
+	// MaxWaitMS is the longest wait, in milliseconds, that a call may state: an hour, beyond any deadline.
+	MaxWaitMS = 3600_000
+	idDigits  = 16
 )
 
-// ErrLine is wrapped by every error of the parsers: the stream can no longer be trusted.
-var ErrLine = errors.New("vault: broken line")
+// ErrMalformed is wrapped by every error of the parsers: the stream can no longer be trusted.
+var ErrMalformed = errors.New("vault: broken line")
 
 // Status is the vault's answer to a call.
 type Status uint8
@@ -129,7 +129,7 @@
 		return Command{}, 0, broken(in, "unknown command")
 	}
 	wait, err := strconv.ParseUint(string(words[2]), 10, 31)
-	if err != nil || wait == 0 || wait > MaxWait {
+	if err != nil || wait == 0 || wait > MaxWaitMS {
 		return Command{}, 0, broken(in, "no wait")
 	}
 	body, size, err := splitBody(in, n, words[3])
@@ -182,5 +182,5 @@
 }
 
 func broken(line []byte, why string) error {
-	return fmt.Errorf("%w: %s in %q", ErrLine, why, line[:min(len(line), 80)])
+	return fmt.Errorf("%w: %s in %q", ErrMalformed, why, line[:min(len(line), 80)])
 }
--- a/internal/protocol/vault/vault_test.go
+++ b/internal/protocol/vault/vault_test.go
@@ -46,8 +46,8 @@
 	want := []Command{{Verb: Ask, ID: id, WaitMS: 250, Body: lines}, {Verb: Unask, ID: id},
 		{Verb: Ask, ID: "00000000000000AF", WaitMS: 1, Body: []byte{}}}
 	require.Equal(t, want, readInPieces(t, stream, ParseCommand))
-	stream = AppendAsk(stream, id, MaxWait, longest)
-	want = append(want, Command{Verb: Ask, ID: id, WaitMS: MaxWait, Body: longest})
+	stream = AppendAsk(stream, id, MaxWaitMS, longest)
+	want = append(want, Command{Verb: Ask, ID: id, WaitMS: MaxWaitMS, Body: longest})
 	require.Equal(t, want, readWhole(t, stream, ParseCommand))
 }
 
@@ -87,7 +87,7 @@
 		id[1:] + " notnow\r\n", id + "0 notnow\r\n", id[1:] + "g notnow\r\n", id[1:] + "@ notnow\r\n", id[1:] + "\x01 notnow\r\n",
 	} {
 		_, n, err := ParseReply([]byte(bad))
-		require.ErrorIs(t, err, ErrLine, "%.60q", bad)
+		require.ErrorIs(t, err, ErrMalformed, "%.60q", bad)
 		require.Zero(t, n, "%.60q", bad)
 	}
 	for _, bad := range []string{
@@ -97,7 +97,7 @@
 		"ask " + id + " 250 65537\r\n", "ask " + id + " 250 1\r\nabc", "ASK " + id + " 250 0\r\n\r\n",
 	} {
 		_, n, err := ParseCommand([]byte(bad))
-		require.ErrorIs(t, err, ErrLine, "%.60q", bad)
+		require.ErrorIs(t, err, ErrMalformed, "%.60q", bad)
 		require.Zero(t, n, "%.60q", bad)
 	}
 	// The longest line that may still be whole is waited for.
@@ -119,7 +119,7 @@
 		if err != nil || n == 0 {
 			require.Zero(t, reply)
 			require.Zero(t, n)
-			require.True(t, err == nil || errors.Is(err, ErrLine))
+			require.True(t, err == nil || errors.Is(err, ErrMalformed))
 			require.True(t, err != nil || len(in) <= maxLine+MaxBody+1, "waits without bound")
 			return
 		}
@@ -140,7 +140,7 @@
 		if err != nil || n == 0 {
 			require.Zero(t, command)
 			require.Zero(t, n)
-			require.True(t, err == nil || errors.Is(err, ErrLine))
+			require.True(t, err == nil || errors.Is(err, ErrMalformed))
 			require.True(t, err != nil || len(in) <= maxLine+MaxBody+1, "waits without bound")
 			return
 		}
--- a/internal/routing/calls.go
+++ b/internal/routing/calls.go
@@ -8,20 +8,20 @@
 	"pewterline/internal/micro"
 )
 
-// Callee carries out the calls that runs wait for. Each Ask is followed by one Core.CallEnded with its id, unless GiveUp or
+// Downstream carries out the calls that runs wait for. Each Ask is followed by one Core.CallEnded with its id, unless GiveUp or
 // another Ask with that id comes first; none of them is called before Ask or GiveUp returns.
-type Callee interface {
+type Downstream interface {
 	// Ask makes a call. Its body is not changed.
-	Ask(calls.Request)
+	Call(calls.Request)
 	// GiveUp ends the wait for a call; its effect is not known.
-	GiveUp(id string)
+	Abandon(id string)
 }
 
-// CallingRunner is a Runner whose runs may wait for calls: it tells so by Core.Blocked.
-type CallingRunner interface {
-	Runner
+// CallingBackend is a Runner whose runs may wait for calls: it tells so by Core.Blocked.
+type CallingBackend interface {
+	Backend
 	// Supply hands a run the reply that it waits for. reply is not changed.
-	Supply(id string, reply []byte)
+	DeliverReply(id string, reply []byte)
 }
 
 // call is what a run waits for.
@@ -35,28 +35,28 @@
 
 // ended notes an end of the call; what one end has left open, no later one proves.
 func (k *call) ended(outcome calls.Outcome) {
-	if !k.made || k.last.Proves() == calls.NeverRan {
+	if !k.made || k.last.Effect() == calls.NotExecuted {
 		k.last = outcome
 	}
 	k.made = true
 }
 
 // checkCalls turns down settings whose calls this runner cannot carry out.
-func checkCalls(s control.Settings, runner Runner) error {
-	if s.Below == control.BelowNone {
+func checkCalls(s control.Settings, runner Backend) error {
+	if s.Dependency == control.DependencyNone {
 		return nil
 	}
-	if _, ok := runner.(CallingRunner); !ok {
+	if _, ok := runner.(CallingBackend); !ok {
 		return fmt.Errorf("routing: settings.extra.downstream: calls need a worker pool to do the work")
 	}
 	return nil
 }
 
-// UseCallee has runs call by way of e.
-func (c *Core) UseCallee(e Callee) { c.callee = e }
+// UseDownstream has runs call by way of e.
+func (c *Core) UseDownstream(e Downstream) { c.callee = e }
 
-// Blocked says that the run of id waits for a call with this body. The core keeps body.
-func (c *Core) Blocked(id string, body []byte) {
+// RunBlocked says that the run of id waits for a call with this body. The core keeps body.
+func (c *Core) RunBlocked(id string, body []byte) {
 	r := c.runs[id]
 	if r == nil || !r.state.started() {
 		return
@@ -72,7 +72,7 @@
 	case running:
 		c.events = append(c.events, control.CallNeeded{ID: r.id})
 	case calling:
-		c.events = append(c.events, control.CallDone{ID: r.id, Outcome: calls.Broken.ForModule()})
+		c.events = append(c.events, control.CallFinished{ID: r.id, Outcome: calls.ConnectionLost.ControlOutcome()})
 	}
 }
 
@@ -83,18 +83,18 @@
 		return
 	}
 	class := c.settings.Classes[r.Class]
-	if r.call.made && !calls.MayRepeat(class.Effect, r.call.last) {
+	if r.call.made && !calls.MayRepeat(class.Idempotency, r.call.last) {
 		c.logf("routing: call of %s withheld: the one before may have run", r.RunID)
-		c.answer(r, Answer{Status: Failed, Reason: "whether its call ran is not known"})
-		c.events = append(c.events, control.Gone{ID: r.id}) // the module takes the call for made
+		c.answer(r, Response{Status: StatusFailed, Reason: "whether its call ran is not known"})
+		c.events = append(c.events, control.RequestCancelled{ID: r.id}) // the module takes the call for made
 		return
 	}
 	if wait <= 0 {
-		wait = micro.Of(class.Deadline)
+		wait = micro.FromDuration(class.Deadline)
 	}
 	r.state, r.call.asked = calling, c.now
-	repeatable := calls.MayRepeat(class.Effect, calls.GivenUp)
-	c.callee.Ask(calls.Request{ID: r.RunID, Wait: wait, Repeatable: repeatable, Body: r.call.body})
+	repeatable := calls.MayRepeat(class.Idempotency, calls.Abandoned)
+	c.callee.Call(calls.Request{ID: r.RunID, Timeout: wait, Idempotent: repeatable, Body: r.call.body})
 }
 
 // skipCall lets a run go on without its call. The worker pool has no word for it: an empty reply has the run go on.
@@ -112,7 +112,7 @@
 		return
 	}
 	took := max(now-r.call.asked, 0)
-	c.events = append(c.events, control.CallDone{ID: r.id, Outcome: outcome.ForModule(), Took: took.Duration()})
+	c.events = append(c.events, control.CallFinished{ID: r.id, Outcome: outcome.ControlOutcome(), Took: took.Duration()})
 	if outcome == calls.Answered {
 		c.resume(r, reply)
 		return
@@ -124,8 +124,8 @@
 // resume hands a run the reply to its call.
 func (c *Core) resume(r *request, reply []byte) {
 	r.state, r.call = running, nil
-	if runner, ok := c.runner.(CallingRunner); ok {
-		runner.Supply(r.RunID, reply)
+	if runner, ok := c.runner.(CallingBackend); ok {
+		runner.DeliverReply(r.RunID, reply)
 	}
 }
 
@@ -135,6 +135,6 @@
 		return
 	}
 	r.state = blocked
-	r.call.ended(calls.GivenUp)
-	c.callee.GiveUp(r.RunID)
+	r.call.ended(calls.Abandoned)
+	c.callee.Abandon(r.RunID)
 }
--- a/internal/routing/calls_test.go
+++ b/internal/routing/calls_test.go
@@ -18,19 +18,19 @@
 	did []string // what the core had the vault and the runner do
 }
 
-func (c *caller) Ask(k calls.Request) {
-	c.did = append(c.did, fmt.Sprintf("ask %s %s %v", k.ID, k.Body, k.Repeatable))
+func (c *caller) Call(k calls.Request) {
+	c.did = append(c.did, fmt.Sprintf("ask %s %s %v", k.ID, k.Body, k.Idempotent))
 }
-func (c *caller) GiveUp(id string) { c.did = append(c.did, "give up "+id) }
-func (c *caller) Supply(id string, r []byte) {
+func (c *caller) Abandon(id string) { c.did = append(c.did, "give up "+id) }
+func (c *caller) DeliverReply(id string, r []byte) {
 	c.did = append(c.did, fmt.Sprintf("supply %s %s", id, r))
 }
 
 func callingSettings() control.Settings {
-	s := control.Settings{Cores: 2, Below: control.BelowTier, Classes: []control.Class{
-		{Name: "view", Aim: time.Second, Deadline: 4 * time.Second, Worth: 1, Calls: true},
-		{Name: "intake", Aim: time.Second, Deadline: 4 * time.Second, Worth: 10, Effect: control.Keyed, Window: 13 * time.Second, Calls: true},
-		{Name: "order", Aim: time.Second, Deadline: 4 * time.Second, Worth: 10, Effect: control.Unsafe, Calls: true},
+	s := control.Settings{Cores: 2, Dependency: control.DependencyTier, Classes: []control.Class{
+		{Name: "view", LatencyObjective: time.Second, Deadline: 4 * time.Second, Weight: 1, MakesCalls: true},
+		{Name: "intake", LatencyObjective: time.Second, Deadline: 4 * time.Second, Weight: 10, Idempotency: control.IdempotentByKey, RetentionWindow: 13 * time.Second, MakesCalls: true},
+		{Name: "order", LatencyObjective: time.Second, Deadline: 4 * time.Second, Weight: 10, Idempotency: control.NonIdempotent, MakesCalls: true},
 	}}
 	return s
 }
@@ -40,18 +40,18 @@
 	var err error
 	c.core, err = New(callingSettings(), c, t.Logf)
 	require.NoError(t, err)
-	c.core.UseCallee(c)
+	c.core.UseDownstream(c)
 	return c
 }
 
 // blocked has a request of a class run and come to its call.
-func (c *caller) blocked(class int) (*reply, string, control.ID) {
+func (c *caller) blocked(class int) (*reply, string, control.RequestID) {
 	c.n++
 	r, id := &reply{}, string(rune('a'+c.n))
-	key, err := c.core.Submit(c.now, Request{RunID: id, Class: class, Once: id, At: c.now, HeldKB: 1, Reply: r})
+	key, err := c.core.Submit(c.now, Request{RunID: id, Class: class, IdempotencyKey: id, ArrivedAt: c.now, QueuedKB: 1, Responder: r})
 	require.NoError(c.t, err)
 	c.step()
-	c.core.Blocked(id, []byte("call"))
+	c.core.RunBlocked(id, []byte("call"))
 	c.step()
 	return r, id, key
 }
@@ -77,18 +77,18 @@
 	c.core.CallEnded(c.now, id, calls.Answered, []byte("twice"))
 	c.core.CallEnded(c.now, "zz", calls.Answered, []byte("nobody's"))
 	require.Equal(t, []string{"supply " + id + " reply"}, c.does())
-	c.core.Finished(id, Passed, []byte("done"))
-	require.Equal(t, []Answer{{Status: Served, Result: []byte("done")}}, got.got)
+	c.core.RunFinished(id, RunSucceeded, []byte("done"))
+	require.Equal(t, []Response{{Status: StatusSucceeded, Result: []byte("done")}}, got.got)
 }
 
 // A call in hand is given up as soon as its request is over, however it ends; a late reply is dropped, and the run's own end is
 // the end.
 func TestCallOfARequestThatIsOver(t *testing.T) {
-	for name, over := range map[string]func(c *caller, key control.ID){
-		"caller left":  func(c *caller, key control.ID) { c.core.GiveUp(key) },
-		"due":          func(c *caller, _ control.ID) { c.now += 4 * micro.Second },
-		"process ends": func(c *caller, _ control.ID) { c.core.EndAll() },
-		"drain": func(c *caller, _ control.ID) {
+	for name, over := range map[string]func(c *caller, key control.RequestID){
+		"caller left":  func(c *caller, key control.RequestID) { c.core.Abandon(key) },
+		"due":          func(c *caller, _ control.RequestID) { c.now += 4 * micro.Second },
+		"process ends": func(c *caller, _ control.RequestID) { c.core.FailAll() },
+		"drain": func(c *caller, _ control.RequestID) {
 			c.core.Drain(c.now, c.now, c.now+micro.Second)
 			c.now += micro.Second
 		},
@@ -102,9 +102,9 @@
 			require.Equal(t, []string{"give up " + id}, c.does())
 			c.core.CallEnded(c.now, id, calls.Answered, []byte("late"))
 			c.step()
-			c.core.Finished(id, Stopped, nil)
+			c.core.RunFinished(id, RunCancelled, nil)
 			require.Empty(t, c.does())
-			require.Zero(t, c.core.Open())
+			require.Zero(t, c.core.OpenRequests())
 			require.Empty(t, c.core.runs)
 		})
 	}
@@ -114,19 +114,19 @@
 // request that may run once, though the module asks for it.
 func TestCoreWithholdsACallThatMayHaveRun(t *testing.T) {
 	for class, repeatable := range []bool{true, false, false} {
-		for outcome := calls.TurnedAway; outcome <= calls.NotSent; outcome++ {
+		for outcome := calls.Rejected; outcome <= calls.NotSent; outcome++ {
 			c := newCaller(t)
 			got, id, key := c.blocked(class)
 			c.core.CallEnded(c.now, id, outcome, nil)
-			c.core.Blocked(id, []byte("call")) // told again, with no reply between
+			c.core.RunBlocked(id, []byte("call")) // told again, with no reply between
 			c.does()
 			c.core.makeCall(c.core.live[key], micro.Second)
-			if repeatable || outcome.Proves() == calls.NeverRan {
+			if repeatable || outcome.Effect() == calls.NotExecuted {
 				require.Equal(t, []string{fmt.Sprintf("ask %s call %v", id, repeatable)}, c.does(), "class %d, outcome %d", class, outcome)
 				continue
 			}
 			require.Empty(t, c.does(), "class %d, outcome %d", class, outcome)
-			require.Equal(t, Failed, got.got[0].Status)
+			require.Equal(t, StatusFailed, got.got[0].Status)
 		}
 	}
 }
@@ -135,30 +135,30 @@
 func TestBlockedWhileCalling(t *testing.T) {
 	c := newCaller(t)
 	got, id, _ := c.blocked(2)
-	c.core.Blocked(id, []byte("other"))
+	c.core.RunBlocked(id, []byte("other"))
 	c.step()
 	require.Equal(t, []string{"ask " + id + " call false", "give up " + id}, c.does())
-	require.Equal(t, Failed, got.got[0].Status)
+	require.Equal(t, StatusFailed, got.got[0].Status)
 }
 
 // A free value is not told under another meaning than it was set for, nor one that was never set.
 func TestFreeValueKeepsItsMeaning(t *testing.T) {
 	c := newCaller(t)
 	allowance := callingSettings()
-	allowance.Signal = control.SignalAllowance
-	c.core.Learn(control.Learned{})
-	c.core.Begin(c.now, 0, false)
+	allowance.LoadSignal = control.LoadSignalAllowance
+	c.core.RestoreLearned(control.LearnedState{})
+	c.core.Start(c.now, 0, false)
 	c.core.say, c.core.saying = 0.35, true
-	_, err := c.core.Retune(allowance, func(int) bool { return false })
+	_, err := c.core.Reload(allowance, func(int) bool { return false })
 	require.NoError(t, err)
-	_, says := c.core.Say()
+	_, says := c.core.AdvertisedValue()
 	require.False(t, says)
 
 	next, err := New(allowance, c, t.Logf)
 	require.NoError(t, err)
-	next.Learn(control.Learned{})
-	next.Begin(c.now, 0, false)
-	_, says = next.Say()
+	next.RestoreLearned(control.LearnedState{})
+	next.Start(c.now, 0, false)
+	_, says = next.AdvertisedValue()
 	require.False(t, says, "0 would have callers send nothing")
 }
 
@@ -167,36 +167,36 @@
 	const held, memory = 100, 1000 // KB
 	c := &caller{bench: &bench{t: t, now: 100 * micro.Second}}
 	s := callingSettings()
-	s.MemoryKB, s.RunFactor = memory, 8
+	s.MemoryKB, s.RunningMemoryFactor = memory, 8
 	var err error
 	c.core, err = New(s, c, t.Logf)
 	require.NoError(t, err)
-	c.core.UseCallee(c)
+	c.core.UseDownstream(c)
 	submit := func(id string) *reply {
 		r := &reply{}
-		_, err := c.core.Submit(c.now, Request{RunID: id, Class: 2, At: c.now, HeldKB: held, Reply: r})
+		_, err := c.core.Submit(c.now, Request{RunID: id, Class: 2, ArrivedAt: c.now, QueuedKB: held, Responder: r})
 		require.NoError(t, err)
 		return r
 	}
 	first := submit("first") // 800 KB while it runs
 	c.step()
-	c.core.Blocked("first", []byte("call"))
+	c.core.RunBlocked("first", []byte("call"))
 	c.step()
 	var refused int
 	for n := range 5 {
 		r := submit(fmt.Sprint(n))
 		c.step()
 		if len(r.got) > 0 {
-			require.Equal(t, Refused, r.got[0].Status)
+			require.Equal(t, StatusRejected, r.got[0].Status)
 			refused++
 		}
 	}
 	require.Positive(t, refused)
 	require.Equal(t, []string{"first"}, c.started)
 	c.core.CallEnded(c.now, "first", calls.Answered, []byte("reply"))
-	c.core.Finished("first", Passed, nil)
+	c.core.RunFinished("first", RunSucceeded, nil)
 	require.Equal(t, []string{"ask first call false", "supply first reply"}, c.does())
-	require.Equal(t, Served, first.got[0].Status)
+	require.Equal(t, StatusSucceeded, first.got[0].Status)
 }
 
 // Settings that drop the class, and all calls, while a call is in hand change nothing for its request.
@@ -204,12 +204,12 @@
 	c := newCaller(t)
 	got, id, _ := c.blocked(2)
 	next := callingSettings()
-	next.Below, next.Classes = control.BelowNone, next.Classes[:1]
-	_, err := c.core.Retune(next, func(int) bool { return false })
+	next.Dependency, next.Classes = control.DependencyNone, next.Classes[:1]
+	_, err := c.core.Reload(next, func(int) bool { return false })
 	require.NoError(t, err)
 	c.step()
 	c.core.CallEnded(c.now, id, calls.Answered, []byte("reply"))
-	c.core.Finished(id, Passed, []byte("done"))
+	c.core.RunFinished(id, RunSucceeded, []byte("done"))
 	require.Equal(t, []string{"ask " + id + " call false", "supply " + id + " reply"}, c.does())
-	require.Equal(t, []Answer{{Status: Served, Result: []byte("done")}}, got.got)
+	require.Equal(t, []Response{{Status: StatusSucceeded, Result: []byte("done")}}, got.got)
 }
--- a/internal/routing/handover.go
+++ b/internal/routing/handover.go
@@ -9,18 +9,18 @@
 	"pewterline/internal/micro"
 )
 
-// Other is the other process of this log server, while an old one and its successor live side by side. Its messages come
+// PeerProcess is the other process of this log server, while an old one and its successor live side by side. Its messages come
 // in the order of the calls.
-type Other interface {
-	Claim(Intake)      // asks whether a key may be run here
-	Grant(Intake)      // lets the other run it
-	Began(Intake)      // it is held or run here
-	Ended(Intake, End) // a run of it has ended here
-	Freed(Intake)      // it is held here no more, and has not run
+type PeerProcess interface {
+	Claim(KeyedRequest)                      // asks whether a key may be run here
+	Grant(KeyedRequest)                      // lets the other run it
+	NotifyStarted(KeyedRequest)              // it is held or run here
+	NotifyFinished(KeyedRequest, RunOutcome) // a run of it has ended here
+	NotifyReleased(KeyedRequest)             // it is held here no more, and has not run
 }
 
-// KeyName names a once-key in all classes.
-type KeyName = onceKey
+// IdempotencyKey names a once-key in all classes.
+type IdempotencyKey = idempotencyKey
 
 // answerLead is how long before it is due a try that waits for the other process is answered.
 const answerLead = 10 * micro.Millisecond
@@ -28,17 +28,17 @@
 // due is a request's answer that goes out with the next step.
 type due struct {
 	r *request
-	a Answer
+	a Response
 }
 
-// Join has the core decide about keys together with another process from now on.
-func (c *Core) Join(o Other, role handover.Role) { c.other, c.role = o, role }
+// JoinPeer has the core decide about keys together with another process from now on.
+func (c *Core) JoinPeer(o PeerProcess, role handover.Role) { c.other, c.role = o, role }
 
 // Role is what this process is to the other one.
 func (c *Core) Role() handover.Role { return c.role }
 
 // state is what is known of a key, as the state machine of the hand-over sees it.
-func (e *onceEntry) state() handover.State {
+func (e *keyEntry) state() handover.State {
 	switch {
 	case e == nil:
 		return handover.Free
@@ -47,39 +47,41 @@
 	case e.over:
 		return handover.Done
 	}
-	return handover.Here
+	return handover.Local
 }
 
-func (c *Core) window(class int) micro.Time { return micro.Of(c.settings.Classes[class].Window) }
+func (c *Core) window(class int) micro.Time {
+	return micro.FromDuration(c.settings.Classes[class].RetentionWindow)
+}
 
-func (e *onceEntry) intake() Intake {
-	return Intake{Class: e.class, Tenant: e.name.tenant, Once: e.name.once, At: e.at, AtMilli: e.atMilli, Result: e.result}
+func (e *keyEntry) intake() KeyedRequest {
+	return KeyedRequest{Class: e.class, Tenant: e.name.tenant, IdempotencyKey: e.name.once, ArrivedAt: e.at, ArrivedAtUnixMilli: e.atMilli, Result: e.result}
 }
 
 // apart decides on a try whose key the other process may have something to say about. It returns false where the try is to
 // go to the module.
 func (c *Core) apart(q *request) bool {
-	e := c.keys.current(onceKey{q.Tenant, q.Once}, q.At)
+	e := c.keys.current(idempotencyKey{q.Tenant, q.IdempotencyKey}, q.ArrivedAt)
 	if c.other == nil && (e == nil || e.side == handover.Free) {
 		return false
 	}
 	k := handover.Key{State: e.state()}
 	if e != nil {
-		k.Wanted = e.wanted
+		k.PeerWaiting = e.wanted
 	}
-	does := k.Step(c.role, handover.Try, false)
+	does := k.Step(c.role, handover.Attempt, false)
 	if does[0] == handover.Admit {
 		return false
 	}
 	q.state = joined
-	in := Intake{Class: q.Class, Tenant: q.Tenant, Once: q.Once, At: q.At}
+	in := KeyedRequest{Class: q.Class, Tenant: q.Tenant, IdempotencyKey: q.IdempotencyKey, ArrivedAt: q.ArrivedAt}
 	if e == nil {
 		e = c.aside(in, k.State)
 	}
 	q.key = e
 	for _, d := range does {
 		switch d {
-		case handover.Park:
+		case handover.Queue:
 			c.parked = append(c.parked, q)
 		case handover.Fail:
 			c.ready = append(c.ready, due{q, notKnown})
@@ -90,25 +92,25 @@
 	return true
 }
 
-var notKnown = Answer{Status: Failed, Reason: "whether it ran is not known"}
+var notKnown = Response{Status: StatusFailed, Reason: "whether it ran is not known"}
 
 // aside makes the entry of a key that the other process has a say in.
-func (c *Core) aside(in Intake, s handover.State) *onceEntry {
-	e := &onceEntry{name: onceKey{in.Tenant, in.Once}, class: in.Class, kept: true, restored: true, at: in.At, expires: in.At + c.window(in.Class), side: s}
+func (c *Core) aside(in KeyedRequest, s handover.State) *keyEntry {
+	e := &keyEntry{name: idempotencyKey{in.Tenant, in.IdempotencyKey}, class: in.Class, kept: true, restored: true, at: in.ArrivedAt, expires: in.ArrivedAt + c.window(in.Class), side: s}
 	c.keys.byName[e.name] = e
 	return e
 }
 
 // hear takes up what the other process says of a key.
-func (c *Core) hear(ev handover.Event, in Intake, end End) {
+func (c *Core) hear(ev handover.Event, in KeyedRequest, end RunOutcome) {
 	if in.Class < 0 || in.Class >= len(c.settings.Classes) {
 		return
 	}
-	c.move(c.keys.current(onceKey{in.Tenant, in.Once}, in.At), ev, in, end)
+	c.move(c.keys.current(idempotencyKey{in.Tenant, in.IdempotencyKey}, in.ArrivedAt), ev, in, end)
 }
 
 // move takes a key a step on; e is what is known of it, nil for nothing.
-func (c *Core) move(e *onceEntry, ev handover.Event, in Intake, end End) {
+func (c *Core) move(e *keyEntry, ev handover.Event, in KeyedRequest, end RunOutcome) {
 	var waiting []*request
 	for _, r := range c.parked {
 		if e != nil && r.key == e {
@@ -117,24 +119,24 @@
 	}
 	k := handover.Key{State: e.state()}
 	if e != nil {
-		k.Wanted = e.wanted
+		k.PeerWaiting = e.wanted
 	}
 	was := k.State
 	does := k.Step(c.role, ev, len(waiting) > 0)
 	if k.State != was {
 		switch k.State {
-		case handover.Asked, handover.Away, handover.Doubt:
+		case handover.Requested, handover.Remote, handover.Indeterminate:
 			if e == nil || e.side == handover.Free {
 				e = c.aside(in, k.State)
 			}
 			e.side = k.State
 		case handover.Done:
-			if ev == handover.Ended {
+			if ev == handover.PeerFinished {
 				if e == nil {
 					e = c.aside(in, handover.Free)
 				}
 				e.side, e.ran, e.over, e.end, e.result = handover.Free, true, true, end, in.Result
-				e.at, e.expires = in.At, in.At+c.window(in.Class)
+				e.at, e.expires = in.ArrivedAt, in.ArrivedAt+c.window(in.Class)
 			}
 		default: // Here by the tries that waited, or Free
 			if e != nil && e.side != handover.Free {
@@ -143,14 +145,14 @@
 		}
 	}
 	if e != nil {
-		e.wanted = k.Wanted
+		e.wanted = k.PeerWaiting
 	}
 	for _, d := range does {
 		c.do(d, e, in, waiting)
 	}
 }
 
-func (c *Core) do(d handover.Do, e *onceEntry, in Intake, waiting []*request) {
+func (c *Core) do(d handover.Action, e *keyEntry, in KeyedRequest, waiting []*request) {
 	switch d {
 	case handover.Release:
 		for _, r := range waiting {
@@ -177,25 +179,25 @@
 		c.other.Claim(in)
 	case handover.Grant:
 		c.other.Grant(in)
-	case handover.TellBegan:
-		c.other.Began(in)
-	case handover.TellEnded:
+	case handover.NotifyStarted:
+		c.other.NotifyStarted(in)
+	case handover.NotifyFinished:
 		if e != nil && e.over {
-			c.other.Ended(e.intake(), e.end)
+			c.other.NotifyFinished(e.intake(), e.end)
 		} else {
-			c.other.Ended(in, Errored) // it may have run
+			c.other.NotifyFinished(in, RunFailed) // it may have run
 		}
-	case handover.TellFreed:
-		c.other.Freed(in)
+	case handover.NotifyReleased:
+		c.other.NotifyReleased(in)
 	}
 }
 
 // answer is what a try gets from a run that has ended.
-func (e *onceEntry) answer() Answer {
-	if e.end == Passed {
-		return Answer{Status: Served, Result: e.result}
+func (e *keyEntry) answer() Response {
+	if e.end == RunSucceeded {
+		return Response{Status: StatusSucceeded, Result: e.result}
 	}
-	return Answer{Status: Failed, Reason: "the run failed"}
+	return Response{Status: StatusFailed, Reason: "the run failed"}
 }
 
 func (c *Core) unpark(r *request) {
@@ -203,10 +205,10 @@
 }
 
 // tellEnded tells the other process that the run of a key has ended here.
-func (c *Core) tellEnded(k *onceEntry) {
+func (c *Core) tellEnded(k *keyEntry) {
 	if c.other != nil {
 		k.wanted = false
-		c.other.Ended(k.intake(), k.end)
+		c.other.NotifyFinished(k.intake(), k.end)
 	}
 }
 
@@ -218,10 +220,10 @@
 	for _, e := range freed {
 		if c.other != nil && c.keys.byName[e.name] == nil {
 			in := e.intake()
-			k := handover.Key{State: handover.Here, Wanted: e.wanted}
-			for _, d := range k.Step(c.role, handover.HereFreed, false) {
+			k := handover.Key{State: handover.Local, PeerWaiting: e.wanted}
+			for _, d := range k.Step(c.role, handover.LocalReleased, false) {
 				if d == handover.Grant {
-					c.aside(in, handover.Away)
+					c.aside(in, handover.Remote)
 				}
 				c.do(d, nil, in, nil)
 			}
@@ -230,73 +232,73 @@
 }
 
 // names are all keys, in an order that depends on nothing but themselves.
-func (c *Core) names() []KeyName {
-	out := make([]KeyName, 0, len(c.keys.byName))
+func (c *Core) names() []IdempotencyKey {
+	out := make([]IdempotencyKey, 0, len(c.keys.byName))
 	for name := range c.keys.byName {
 		out = append(out, name)
 	}
-	slices.SortFunc(out, func(a, b KeyName) int {
+	slices.SortFunc(out, func(a, b IdempotencyKey) int {
 		return cmp.Or(cmp.Compare(a.tenant, b.tenant), cmp.Compare(a.once, b.once))
 	})
 	return out
 }
 
 // Keys are the names of all that is known, for TellKey.
-func (c *Core) Keys() []KeyName { return c.names() }
+func (c *Core) Keys() []IdempotencyKey { return c.names() }
 
-// TellKey tells the other process what is known of a key, if it has run here or may have.
-func (c *Core) TellKey(name KeyName) {
+// AnnounceKey tells the other process what is known of a key, if it has run here or may have.
+func (c *Core) AnnounceKey(name IdempotencyKey) {
 	e := c.keys.byName[name]
 	switch {
 	case e == nil || c.other == nil || c.now >= e.expires && (e.over || !e.ran):
 	case e.state() == handover.Done:
-		c.other.Ended(e.intake(), e.end)
-	case e.state() == handover.Doubt:
-		c.other.Ended(e.intake(), Errored)
+		c.other.NotifyFinished(e.intake(), e.end)
+	case e.state() == handover.Indeterminate:
+		c.other.NotifyFinished(e.intake(), RunFailed)
 	case e.ran:
-		c.other.Began(e.intake())
+		c.other.NotifyStarted(e.intake())
 	}
 }
 
-// Claimed is the other's question whether it may run a key.
-func (c *Core) Claimed(in Intake) { c.hear(handover.Claimed, in, 0) }
+// PeerClaimed is the other's question whether it may run a key.
+func (c *Core) PeerClaimed(in KeyedRequest) { c.hear(handover.PeerClaimed, in, 0) }
 
-// Granted lets the tries of a key go that wait here.
-func (c *Core) Granted(in Intake) { c.hear(handover.Granted, in, 0) }
+// PeerGranted lets the tries of a key go that wait here.
+func (c *Core) PeerGranted(in KeyedRequest) { c.hear(handover.PeerGranted, in, 0) }
 
-// BeganThere says that the other process holds or runs a key.
-func (c *Core) BeganThere(in Intake) { c.hear(handover.Began, in, 0) }
+// PeerStarted says that the other process holds or runs a key.
+func (c *Core) PeerStarted(in KeyedRequest) { c.hear(handover.PeerStarted, in, 0) }
 
-// EndedThere says how a run of the other's ended. The core keeps its result.
-func (c *Core) EndedThere(in Intake, end End) { c.hear(handover.Ended, in, end) }
+// PeerFinished says how a run of the other's ended. The core keeps its result.
+func (c *Core) PeerFinished(in KeyedRequest, end RunOutcome) { c.hear(handover.PeerFinished, in, end) }
 
-// FreedThere says that the other holds a key no more and has not run it.
-func (c *Core) FreedThere(in Intake) { c.hear(handover.Freed, in, 0) }
+// PeerReleased says that the other holds a key no more and has not run it.
+func (c *Core) PeerReleased(in KeyedRequest) { c.hear(handover.PeerReleased, in, 0) }
 
-// HandOver makes the other process the owner of all keys; what is held or run here it hears of.
-func (c *Core) HandOver() {
+// PassOwnership makes the other process the owner of all keys; what is held or run here it hears of.
+func (c *Core) PassOwnership() {
 	for _, name := range c.names() {
 		e := c.keys.byName[name]
-		c.move(e, handover.HandOver, e.intake(), 0)
+		c.move(e, handover.OwnershipPassed, e.intake(), 0)
 	}
-	c.role = handover.Asker
+	c.role = handover.Requester
 }
 
-// TakeOver makes this process the owner of all keys.
-func (c *Core) TakeOver() {
+// TakeOwnership makes this process the owner of all keys.
+func (c *Core) TakeOwnership() {
 	c.role = handover.Owner
 	for _, name := range c.names() {
 		e := c.keys.byName[name]
-		c.move(e, handover.TakeOver, e.intake(), 0)
+		c.move(e, handover.OwnershipTaken, e.intake(), 0)
 	}
 }
 
-// LostOther says that the other process is gone: what it held may have run.
-func (c *Core) LostOther() {
+// PeerLost says that the other process is gone: what it held may have run.
+func (c *Core) PeerLost() {
 	c.other = nil
 	for _, name := range c.names() {
 		e := c.keys.byName[name]
-		c.move(e, handover.Lost, e.intake(), 0)
+		c.move(e, handover.PeerLost, e.intake(), 0)
 	}
 	c.role = handover.Alone
 }
@@ -305,14 +307,14 @@
 func (c *Core) expireParked(now micro.Time) {
 	for _, r := range slices.Clone(c.parked) {
 		if now >= c.parkedDue(r) {
-			c.answer(r, Answer{Status: Expired, Reason: "past its deadline"})
+			c.answer(r, Response{Status: StatusExpired, Reason: "past its deadline"})
 			c.forget(r)
 		}
 	}
 }
 
 func (c *Core) parkedDue(r *request) micro.Time {
-	return r.At + micro.Of(c.settings.Classes[r.Class].Deadline) - answerLead
+	return r.ArrivedAt + micro.FromDuration(c.settings.Classes[r.Class].Deadline) - answerLead
 }
 
 // KeyedRuns counts the runs of keys that have not ended.
@@ -325,30 +327,30 @@
 	return n
 }
 
-// EndAll fails all that is owed an answer: the process ends now.
-func (c *Core) EndAll() {
-	ids := make([]control.ID, 0, len(c.live))
+// FailAll fails all that is owed an answer: the process ends now.
+func (c *Core) FailAll() {
+	ids := make([]control.RequestID, 0, len(c.live))
 	for id := range c.live {
 		ids = append(ids, id)
 	}
 	slices.Sort(ids)
 	for _, id := range ids {
 		r := c.live[id]
-		c.answer(r, Answer{Status: Failed, Reason: "the process ends"})
-		c.events = append(c.events, control.Gone{ID: id})
+		c.answer(r, Response{Status: StatusFailed, Reason: "the process ends"})
+		c.events = append(c.events, control.RequestCancelled{ID: id})
 		if !r.state.started() {
 			c.forget(r)
 		}
 	}
 }
 
-// Learned is what the module has found out about its machine.
-func (c *Core) Learned() control.Learned {
+// LearnedState is what the module has found out about its machine.
+func (c *Core) LearnedState() control.LearnedState {
 	if !c.begun {
-		return control.Learned{}
+		return control.LearnedState{}
 	}
-	return c.ctl.Learned()
+	return c.ctl.LearnedState()
 }
 
-// Learn has the module begin with what a predecessor has found out.
-func (c *Core) Learn(l control.Learned) { c.learned = &l }
+// RestoreLearned has the module begin with what a predecessor has found out.
+func (c *Core) RestoreLearned(l control.LearnedState) { c.learned = &l }
--- a/internal/routing/keys.go
+++ b/internal/routing/keys.go
@@ -15,27 +15,27 @@
 // be read, or waited for, that much later.
 const lateRead = 10 * micro.Second
 
-// onceKey names a request over all its tries. The same text from another tenant is another request.
-type onceKey struct {
+// idempotencyKey names a request over all its tries. The same text from another tenant is another request.
+type idempotencyKey struct {
 	tenant int
 	once   string
 }
 
-// onceEntry is what is known of one keyed request.
-type onceEntry struct {
-	name    onceKey
+// keyEntry is what is known of one keyed request.
+type keyEntry struct {
+	name    idempotencyKey
 	class   int
-	sum     uint64     // of the body; all tries have the same
-	holder  control.ID // the try that the module knows as the original
-	expires micro.Time // of the module's Keep
-	kept    bool       // false: only seen in this turn
+	sum     uint64            // of the body; all tries have the same
+	holder  control.RequestID // the try that the module knows as the original
+	expires micro.Time        // of the module's Keep
+	kept    bool              // false: only seen in this turn
 
 	ran     bool
-	runner  control.ID // the try that ran
-	at      micro.Time // when that try came
-	atMilli int64      // the same by its caller
-	over    bool       // that run has ended, in end with result
-	end     End
+	runner  control.RequestID // the try that ran
+	at      micro.Time        // when that try came
+	atMilli int64             // the same by its caller
+	over    bool              // that run has ended, in end with result
+	end     RunOutcome
 	result  []byte
 	waiters []*request
 
@@ -48,37 +48,37 @@
 }
 
 // claim marks the key as run by r, unless another try has run.
-func (e *onceEntry) claim(r *request) bool {
+func (e *keyEntry) claim(r *request) bool {
 	if e.ran && e.runner != r.id {
 		return false
 	}
-	e.ran, e.runner, e.at, e.atMilli = true, r.id, r.At, r.AtMilli
+	e.ran, e.runner, e.at, e.atMilli = true, r.id, r.ArrivedAt, r.ArrivedAtUnixMilli
 	return true
 }
 
 // keyTable is the one table of once-keys, whatever front a try came by.
 type keyTable struct {
-	byName map[onceKey]*onceEntry
-	byID   map[control.ID]*onceEntry // by holder
-	fresh  []*onceEntry              // seen in this turn and not yet kept
+	byName map[idempotencyKey]*keyEntry
+	byID   map[control.RequestID]*keyEntry // by holder
+	fresh  []*keyEntry                     // seen in this turn and not yet kept
 	seed   maphash.Seed
 	swept  micro.Time
-	freed  []*onceEntry // held no more, without a run, since the last step
+	freed  []*keyEntry // held no more, without a run, since the last step
 	// Intakes that a runner lost sight of: they may have run, until then. Their repeats go to the runner again, but
 	// none is told that it was turned away.
-	doubts map[onceKey]micro.Time
+	doubts map[idempotencyKey]micro.Time
 }
 
 func newKeyTable() keyTable {
-	return keyTable{byName: map[onceKey]*onceEntry{}, byID: map[control.ID]*onceEntry{}, doubts: map[onceKey]micro.Time{}, seed: maphash.MakeSeed()}
+	return keyTable{byName: map[idempotencyKey]*keyEntry{}, byID: map[control.RequestID]*keyEntry{}, doubts: map[idempotencyKey]micro.Time{}, seed: maphash.MakeSeed()}
 }
 
 // check refuses a request whose key is another request's. Guards against an answer with the result of what was
 // never asked for: all tries of one request have its class and body. An entry of an earlier life has no sum.
 func (t *keyTable) check(r *Request, classes []control.Class) error {
-	e := t.byName[onceKey{r.Tenant, r.Once}]
+	e := t.byName[idempotencyKey{r.Tenant, r.IdempotencyKey}]
 	switch {
-	case e == nil || r.Once == "":
+	case e == nil || r.IdempotencyKey == "":
 		return nil
 	case classes[e.class].Name != classes[r.Class].Name: // its figures may have changed since
 		return fmt.Errorf("once: the key is of a request of another class")
@@ -90,24 +90,24 @@
 
 // arrive finds the entry of a request, or makes one that lasts for this turn unless the module keeps it. The
 // ID is that of the try it repeats, 0 for none. What counts is when the repeat arrived, not when it is read.
-func (t *keyTable) arrive(r *request) (*onceEntry, control.ID) {
-	name := onceKey{r.Tenant, r.Once}
-	if e := t.current(name, r.At); e != nil {
+func (t *keyTable) arrive(r *request) (*keyEntry, control.RequestID) {
+	name := idempotencyKey{r.Tenant, r.IdempotencyKey}
+	if e := t.current(name, r.ArrivedAt); e != nil {
 		if !(planted.Bug(planted.KeyTwice) && e.ran && !e.over) {
 			return e, e.holder
 		}
 		t.remove(e)
 	}
-	e := &onceEntry{name: name, class: r.Class, at: r.At, atMilli: r.AtMilli, sum: maphash.Bytes(t.seed, r.Body), holder: r.id}
+	e := &keyEntry{name: name, class: r.Class, at: r.ArrivedAt, atMilli: r.ArrivedAtUnixMilli, sum: maphash.Bytes(t.seed, r.Body), holder: r.id}
 	t.byName[name], t.byID[r.id] = e, e
 	t.fresh = append(t.fresh, e)
 	return e, 0
 }
 
 // current is the entry that counts for a try that arrived at a time; one whose window is over is removed.
-func (t *keyTable) current(name onceKey, at micro.Time) *onceEntry {
+func (t *keyTable) current(name idempotencyKey, at micro.Time) *keyEntry {
 	e := t.byName[name]
-	if e == nil || !e.kept || at < e.expires || e.ran && !e.over || e.side == handover.Asked || e.side == handover.Away {
+	if e == nil || !e.kept || at < e.expires || e.ran && !e.over || e.side == handover.Requested || e.side == handover.Remote {
 		return e
 	}
 	t.remove(e)
@@ -129,7 +129,7 @@
 }
 
 // drop ends the entry that id holds, unless a try of it has run.
-func (t *keyTable) drop(id control.ID) {
+func (t *keyTable) drop(id control.RequestID) {
 	if e := t.byID[id]; e != nil && !e.ran {
 		t.remove(e)
 		t.freed = append(t.freed, e)
@@ -137,24 +137,24 @@
 }
 
 // doubt forgets a run whose outcome the runner does not know, but for that it may have been one.
-func (t *keyTable) doubt(e *onceEntry, until micro.Time) {
+func (t *keyTable) doubt(e *keyEntry, until micro.Time) {
 	t.doubts[e.name] = max(t.doubts[e.name], until)
 	t.unrun(e)
 }
 
 // doubtful says that an intake may have run, and nobody here knows.
 func (t *keyTable) doubtful(r *request, now micro.Time) bool {
-	return now < t.doubts[onceKey{r.Tenant, r.Once}]
+	return now < t.doubts[idempotencyKey{r.Tenant, r.IdempotencyKey}]
 }
 
 // unrun forgets that a try has run: proof came that nothing was started.
-func (t *keyTable) unrun(e *onceEntry) {
+func (t *keyTable) unrun(e *keyEntry) {
 	e.ran = false
 	t.remove(e)
 	t.freed = append(t.freed, e)
 }
 
-func (t *keyTable) remove(e *onceEntry) {
+func (t *keyTable) remove(e *keyEntry) {
 	if t.byName[e.name] == e {
 		delete(t.byName, e.name)
 	}
@@ -180,7 +180,7 @@
 		return
 	}
 	t.swept = now
-	maps.DeleteFunc(t.doubts, func(_ onceKey, until micro.Time) bool { return now >= until })
+	maps.DeleteFunc(t.doubts, func(_ idempotencyKey, until micro.Time) bool { return now >= until })
 	for _, e := range t.byName { // in any order: each goes or stays by itself
 		if now > e.expires+lateRead && (e.over || !e.ran || e.unsaved) && !e.saving {
 			t.remove(e)
--- a/internal/routing/retune.go
+++ b/internal/routing/retune.go
@@ -10,10 +10,10 @@
 // namesMost bounds the counts that are kept of classes that are gone.
 const namesMost = 1000
 
-// Retune takes up other settings while serving. What is open, and the results that are kept, keep their class; what was
+// Reload takes up other settings while serving. What is open, and the results that are kept, keep their class; what was
 // learned of classes that stay is kept. busy says that a place is held on to outside of the core. It returns the settings
 // as they are now, with the places of all classes and tenants; an error says that nothing has changed.
-func (c *Core) Retune(next control.Settings, busy func(class int) bool) (control.Settings, error) {
+func (c *Core) Reload(next control.Settings, busy func(class int) bool) (control.Settings, error) {
 	held := make([]bool, len(c.settings.Classes))
 	for _, r := range c.live {
 		held[r.Class] = true
@@ -24,10 +24,10 @@
 	var err error
 	now := c.settings
 	placed := next
-	if placed.Classes, err = retune.Classes(now.Classes, next.Classes, func(i int) bool { return !held[i] && !busy(i) }); err != nil {
+	if placed.Classes, err = retune.PlaceClasses(now.Classes, next.Classes, func(i int) bool { return !held[i] && !busy(i) }); err != nil {
 		return now, fmt.Errorf("routing: %w", err)
 	}
-	if placed.Tenants, err = retune.Tenants(now.Tenants, next.Tenants); err != nil {
+	if placed.Tenants, err = retune.PlaceTenants(now.Tenants, next.Tenants); err != nil {
 		return now, fmt.Errorf("routing: %w", err)
 	}
 	if len(c.byName)+len(next.Classes) > namesMost {
@@ -37,17 +37,17 @@
 		return now, err
 	}
 	if c.begun {
-		err = c.ctl.Retune(placed)
+		err = c.ctl.Reconfigure(placed)
 	} else {
 		_, err = control.New(placed)
 	}
 	if err != nil {
 		return now, fmt.Errorf("routing: settings: %w", err)
 	}
-	if placed.Signal != now.Signal { // the value in force had another meaning
+	if placed.LoadSignal != now.LoadSignal { // the value in force had another meaning
 		c.say, c.saying = 0, false
 	}
-	placed.Seed, placed.Cold = now.Seed, now.Cold
+	placed.Seed, placed.ColdStart = now.Seed, now.ColdStart
 	c.settings = placed
 	c.tally()
 	return placed, nil
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -20,75 +20,75 @@
 
 // The kinds of answer.
 const (
-	Served  Status = iota // Result holds what the run made
-	Refused               // this try never ran
-	Failed                // an error, with no promise
-	Expired               // failed because its due time has come
+	StatusSucceeded Status = iota // Result holds what the run made
+	StatusRejected                // this try never ran
+	StatusFailed                  // an error, with no promise
+	StatusExpired                 // failed because its due time has come
 )
 
-// Answer is the one final answer to a request.
-type Answer struct {
-	Status Status
-	Result []byte
-	After  micro.Time // Refused: how long to stay away; 0 = no advice
-	Last   bool       // Refused: no other server should be tried
-	Reason string     // Failed, Expired
+// Response is the one final answer to a request.
+type Response struct {
+	Status     Status
+	Result     []byte
+	RetryAfter micro.Time // Refused: how long to stay away; 0 = no advice
+	NoRetry    bool       // Refused: no other server should be tried
+	Reason     string     // Failed, Expired
 }
 
-// Replier gives a request's answer to its caller. It is called at most once.
-type Replier interface {
-	Reply(Answer)
+// Responder gives a request's answer to its caller. It is called at most once.
+type Responder interface {
+	Respond(Response)
 }
 
 // Request is one try of a request, as a front read it. The core keeps Body until the try is over.
 type Request struct {
-	RunID  string // names the try for the runner; unlike that of any other open try
-	Class  int
-	Tenant int
-	Once   string // keyed classes: the same for all tries of one request
-	Key    uint64 // its subject; 0 = none
-	At     micro.Time
+	RunID          string // names the try for the runner; unlike that of any other open try
+	Class          int
+	Tenant         int
+	IdempotencyKey string // keyed classes: the same for all tries of one request
+	SubjectKey     uint64 // its subject; 0 = none
+	ArrivedAt      micro.Time
 	// AtMilli is At as the caller gave it, in Unix milliseconds; 0: it gave none. Servers whose clocks differ agree on it.
-	AtMilli int64
-	Hint    micro.Time // the work to expect, on one core; rough; 0 = not told
-	HeldKB  float64
-	Rank    float64
-	Retry   bool
-	Caller  uint32
-	Body    []byte
-	Reply   Replier
+	ArrivedAtUnixMilli int64
+	CostHint           micro.Time // the work to expect, on one core; rough; 0 = not told
+	QueuedKB           float64
+	Rank               float64
+	Retry              bool
+	CallerID           uint32
+	Body               []byte
+	Responder          Responder
 }
 
 // Run is what a runner needs to start a try.
 type Run struct {
-	ID    string
-	Class string
-	Body  []byte
-	Once  bool       // it must not be run twice: of a keyed class, or of one whose requests run once
-	Due   micro.Time // by then nobody waits for its end any more
+	ID         string
+	Class      string
+	Body       []byte
+	AtMostOnce bool       // it must not be run twice: of a keyed class, or of one whose requests run once
+	Deadline   micro.Time // by then nobody waits for its end any more
 	// Request is what it came from, for runners that pass it on. It is not to be changed.
 	Request *Request
 }
 
-// Runner does the work. Each Start is followed by one Core.Finished, whatever happens to the runner's links.
-type Runner interface {
+// Backend does the work. Each Start is followed by one Core.Finished, whatever happens to the runner's links.
+type Backend interface {
 	Start(Run)
-	Stop(id string) // of a run whose answer is no longer wanted
-	Poll()          // asks for the gauges, which come by Core.SetGauges
+	Cancel(id string) // of a run whose answer is no longer wanted
+	RequestGauges()   // asks for the gauges, which come by Core.SetGauges
 }
 
-// End says how a run ended.
-type End uint8
+// RunOutcome says how a run ended.
+type RunOutcome uint8
 
 // The ends of a run.
 const (
-	Passed   End = iota
-	Errored      // failed, possibly after taking effect
-	Stopped      // stopped, its work is lost
-	Unneeded     // nothing was started: its caller had left already
-	Rejected     // nothing was started: the runner does not take it
-	Refusal      // nothing was started: it was turned away; see Declined
-	Doubtful     // whether it ran is not known; the runner sees to it that it does not run twice
+	RunSucceeded     RunOutcome = iota
+	RunFailed                   // failed, possibly after taking effect
+	RunCancelled                // stopped, its work is lost
+	RunNotStarted               // nothing was started: its caller had left already
+	RunUnsupported              // nothing was started: the runner does not take it
+	RunRejected                 // nothing was started: it was turned away; see Declined
+	RunIndeterminate            // whether it ran is not known; the runner sees to it that it does not run twice
 )
 
 type state uint8
@@ -106,14 +106,14 @@
 
 type request struct {
 	Request
-	id       control.ID
+	id       control.RequestID
 	read     micro.Time
 	after    micro.Time // of a runner's refusal
 	last     bool
 	state    state
 	answered bool // its caller has the answer, or has left
 	saving   bool // its run has ended, and the result is on its way to the store of record
-	key      *onceEntry
+	key      *keyEntry
 	call     *call // while blocked or calling
 }
 
@@ -121,28 +121,28 @@
 type Core struct {
 	settings control.Settings
 	ctl      *control.Controller
-	runner   Runner
-	callee   Callee   // nil: runs make no calls
-	recorder Recorder // nil: results are kept in memory only
+	runner   Backend
+	callee   Downstream     // nil: runs make no calls
+	recorder ExecutionStore // nil: results are kept in memory only
 	logf     func(format string, args ...any)
 	begun    bool
-	learned  *control.Learned // by a predecessor; nil: there was none
+	learned  *control.LearnedState // by a predecessor; nil: there was none
 	now      micro.Time
 
-	lastID  control.ID
-	live    map[control.ID]*request
+	lastID  control.RequestID
+	live    map[control.RequestID]*request
 	runs    map[string]*request // by RunID, until the try is over
 	keys    keyTable
 	open    int // requests that are owed an answer
 	events  []control.Event
-	ready   []due // to be answered in the next step, without the module
-	other   Other // nil: this process is alone
+	ready   []due       // to be answered in the next step, without the module
+	other   PeerProcess // nil: this process is alone
 	role    handover.Role
 	parked  []*request // wait for the other process, oldest first
 	wakes   []wake
 	gauges  control.Gauges
-	figures []*Figures // by class; those of one name are the same
-	byName  map[string]*Figures
+	figures []*Counters // by class; those of one name are the same
+	byName  map[string]*Counters
 	drained bool
 	drainAt micro.Time
 
@@ -159,7 +159,7 @@
 }
 
 // New returns a core around a fresh decision module.
-func New(s control.Settings, runner Runner, logf func(string, ...any)) (*Core, error) {
+func New(s control.Settings, runner Backend, logf func(string, ...any)) (*Core, error) {
 	if err := checkCalls(s, runner); err != nil {
 		return nil, err
 	}
@@ -169,31 +169,31 @@
 	}
 	c := &Core{
 		settings: s, runner: runner, logf: logf, good: true,
-		live: map[control.ID]*request{}, runs: map[string]*request{}, keys: newKeyTable(),
-		gauges: control.Gauges{Busy: -1, Runnable: -1, Memory: -1, Connections: -1},
-		byName: map[string]*Figures{},
+		live: map[control.RequestID]*request{}, runs: map[string]*request{}, keys: newKeyTable(),
+		gauges: control.Gauges{CPUUtilization: -1, Runnable: -1, Memory: -1, Connections: -1},
+		byName: map[string]*Counters{},
 	}
 	c.tally()
 	return c, nil
 }
 
-// Begin starts the decision module, whose machine has been up for age; cold says that it started cold. Only
+// Start starts the decision module, whose machine has been up for age; cold says that it started cold. Only
 // the first call counts. The module dates the machine's start by its first step, so that step is dated back.
-func (c *Core) Begin(now, age micro.Time, cold bool) {
+func (c *Core) Start(now, age micro.Time, cold bool) {
 	if c.begun {
 		return
 	}
 	s := c.settings
-	s.Cold = s.Cold || cold
+	s.ColdStart = s.ColdStart || cold
 	ctl, err := control.New(s)
 	if err != nil { // New has tried the same settings
 		panic(fmt.Sprintf("routing: settings: %v", err))
 	}
 	c.begun, c.ctl = true, ctl
 	if c.learned != nil {
-		ctl.Learn(*c.learned)
+		ctl.RestoreLearned(*c.learned)
 		// A predecessor that has said nothing yet has learned 0, which an allowance would take for "send nothing".
-		c.say, c.saying = c.learned.Said, s.Signal != control.SignalNone && c.learned.Said > 0
+		c.say, c.saying = c.learned.Said, s.LoadSignal != control.LoadSignalNone && c.learned.Said > 0
 	}
 	born := max(now-age, 0)
 	c.carryOut(now, c.ctl.Step(born.Duration(), nil))
@@ -205,43 +205,43 @@
 // doubtMost is how long the module may take its machine for sick before callers hear of it.
 const doubtMost = 250 * micro.Millisecond
 
-// Health is the answer to health checks and reports. Guards the server list against a doubt of a moment: callers
+// Healthy is the answer to health checks and reports. Guards the server list against a doubt of a moment: callers
 // see a change a second or two late, and would stay away for as long. The notice to leave is told at once.
-func (c *Core) Health() bool { return c.good || !c.drained && c.now < c.badSince+doubtMost }
+func (c *Core) Healthy() bool { return c.good || !c.drained && c.now < c.badSince+doubtMost }
 
-// Say is the free value; false while none was set.
-func (c *Core) Say() (float64, bool) { return c.say, c.saying }
+// AdvertisedValue is the free value; false while none was set.
+func (c *Core) AdvertisedValue() (float64, bool) { return c.say, c.saying }
 
-// IdleAfter is how long an idle connection may stay; 0 = no wish.
-func (c *Core) IdleAfter() micro.Time { return c.idleAfter }
+// IdleTimeout is how long an idle connection may stay; 0 = no wish.
+func (c *Core) IdleTimeout() micro.Time { return c.idleAfter }
 
-// Open counts the requests that are owed an answer.
-func (c *Core) Open() int { return c.open }
+// OpenRequests counts the requests that are owed an answer.
+func (c *Core) OpenRequests() int { return c.open }
 
 // SetGauges notes the runner's latest readings.
 func (c *Core) SetGauges(g control.Gauges) { c.gauges = g }
 
 // Submit takes a request that a front has read. The returned ID is for GiveUp; the answer comes by Reply,
 // never before Submit returns.
-func (c *Core) Submit(now micro.Time, r Request) (control.ID, error) {
+func (c *Core) Submit(now micro.Time, r Request) (control.RequestID, error) {
 	switch {
 	case r.Class < 0 || r.Class >= len(c.settings.Classes):
 		return 0, fmt.Errorf("class: none of that number")
 	case c.runs[r.RunID] != nil:
 		return 0, fmt.Errorf("id: %q is open already", r.RunID)
-	case !(r.HeldKB > 0 && r.HeldKB < 2000): // also false for what is no number
-		return 0, fmt.Errorf("kb: %v is not within 0 to 2000", r.HeldKB)
+	case !(r.QueuedKB > 0 && r.QueuedKB < 2000): // also false for what is no number
+		return 0, fmt.Errorf("kb: %v is not within 0 to 2000", r.QueuedKB)
 	case !(r.Rank >= 0 && r.Rank < 1):
 		return 0, fmt.Errorf("rank: %v is not within 0 to 1", r.Rank)
 	}
-	keyed := c.settings.Classes[r.Class].Effect == control.Keyed
-	if keyed && r.Once == "" {
+	keyed := c.settings.Classes[r.Class].Idempotency == control.IdempotentByKey
+	if keyed && r.IdempotencyKey == "" {
 		return 0, fmt.Errorf("once: missing in a keyed class")
 	}
 	if err := c.keys.check(&r, c.settings.Classes); err != nil {
 		return 0, err
 	}
-	c.Begin(now, 0, false)
+	c.Start(now, 0, false)
 	c.lastID++
 	q := &request{Request: r, id: c.lastID, read: now}
 	c.live[q.id], c.runs[r.RunID] = q, q
@@ -254,11 +254,11 @@
 
 // arrive hands a request to the module.
 func (c *Core) arrive(q *request) {
-	e := control.Arrive{
-		ID: q.id, Class: q.Class, Tenant: q.Tenant, Key: q.Key, Age: max(c.now-q.At, q.read-q.At, 0).Duration(), Hint: q.Hint.Duration(),
-		HeldKB: q.HeldKB, Rank: q.Rank, Retry: q.Retry, Caller: q.Caller,
+	e := control.RequestArrived{
+		ID: q.id, Class: q.Class, Tenant: q.Tenant, Key: q.SubjectKey, Age: max(c.now-q.ArrivedAt, q.read-q.ArrivedAt, 0).Duration(), CostHint: q.CostHint.Duration(),
+		QueuedKB: q.QueuedKB, Rank: q.Rank, Retry: q.Retry, Caller: q.CallerID,
 	}
-	if c.settings.Classes[q.Class].Effect == control.Keyed {
+	if c.settings.Classes[q.Class].Idempotency == control.IdempotentByKey {
 		q.key, e.Original = c.keys.arrive(q)
 		e.Key = 0
 		if q.key.restored { // the module has not seen the run
@@ -270,14 +270,14 @@
 	c.events = append(c.events, e)
 }
 
-// GiveUp says that the caller of a request has left: no answer is owed.
-func (c *Core) GiveUp(id control.ID) {
+// Abandon says that the caller of a request has left: no answer is owed.
+func (c *Core) Abandon(id control.RequestID) {
 	r := c.live[id]
 	if r == nil || r.answered {
 		return
 	}
 	c.settle(r)
-	c.events = append(c.events, control.Gone{ID: id})
+	c.events = append(c.events, control.RequestCancelled{ID: id})
 	if !r.state.started() {
 		c.forget(r)
 	}
@@ -288,15 +288,15 @@
 	if c.drained {
 		return
 	}
-	c.Begin(now, 0, false)
+	c.Start(now, 0, false)
 	c.drained, c.drainAt = true, at
 	if !planted.Bug(planted.LateStart) {
-		c.events = append(c.events, control.Drain{Stop: stop.Duration(), Ago: (now - at).Duration()})
+		c.events = append(c.events, control.DrainRequested{StopAt: stop.Duration(), Age: (now - at).Duration()})
 	}
 }
 
-// NextDue is when Step has something to do, whatever arrives before that.
-func (c *Core) NextDue() micro.Time {
+// NextWakeup is when Step has something to do, whatever arrives before that.
+func (c *Core) NextWakeup() micro.Time {
 	if len(c.events)+len(c.ready) > 0 {
 		return c.now
 	}
@@ -328,7 +328,7 @@
 		if w.at > now {
 			return false
 		}
-		c.events = append(c.events, control.Tick{Mark: w.mark, Gauges: c.gauges})
+		c.events = append(c.events, control.Tick{Token: w.mark, Gauges: c.gauges})
 		ticked = true
 		return true
 	})
@@ -340,7 +340,7 @@
 	c.carryOut(now, c.ctl.Step(now.Duration(), events))
 	c.tellFreed()
 	if ticked {
-		c.runner.Poll()
+		c.runner.RequestGauges()
 		c.keys.sweep(now)
 	}
 }
@@ -348,37 +348,37 @@
 func (c *Core) carryOut(now micro.Time, actions []control.Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
-		case control.Run:
+		case control.Start:
 			c.run(c.live[a.ID])
-		case control.Refuse:
+		case control.Reject:
 			c.refuse(c.live[a.ID], a)
 		case control.Fail:
 			c.fail(now, c.live[a.ID])
-		case control.Pause:
+		case control.Preempt:
 			c.pause(c.live[a.ID])
 		case control.Call:
-			c.makeCall(c.live[a.ID], micro.Of(a.Timeout))
+			c.makeCall(c.live[a.ID], micro.FromDuration(a.Timeout))
 		case control.SkipCall:
 			c.skipCall(c.live[a.ID])
-		case control.Keep:
+		case control.RetainKey:
 			if r := c.live[a.ID]; r != nil && r.key != nil {
-				c.keys.keep(r, now+micro.Of(a.For))
+				c.keys.keep(r, now+micro.FromDuration(a.TTL))
 			}
-		case control.Forget:
+		case control.ReleaseKey:
 			c.keys.drop(a.ID)
-		case control.Reuse:
+		case control.ReplayResult:
 			c.reuse(c.live[a.ID])
-		case control.Health:
-			if c.good && !a.Good {
+		case control.SetHealth:
+			if c.good && !a.Healthy {
 				c.badSince = now
 			}
-			c.good = a.Good
-		case control.Signal:
+			c.good = a.Healthy
+		case control.SetLoadSignal:
 			c.say, c.saying = a.Value, true
-		case control.CloseIdle:
-			c.idleAfter = micro.Of(a.After)
-		case control.Wake:
-			c.wakes = append(c.wakes, wake{now + micro.Of(a.After), a.Mark})
+		case control.CloseIdleConnections:
+			c.idleAfter = micro.FromDuration(a.IdleTimeout)
+		case control.ScheduleTick:
+			c.wakes = append(c.wakes, wake{now + micro.FromDuration(a.After), a.Token})
 		case control.Log:
 			c.logf("control: %s", a.Text)
 		default:
@@ -400,7 +400,7 @@
 	}
 	r.state = running
 	if r.key != nil && c.other != nil && c.role == handover.Owner {
-		c.other.Began(r.key.intake()) // before it begins: what the other knows outlives this process
+		c.other.NotifyStarted(r.key.intake()) // before it begins: what the other knows outlives this process
 	}
 	c.launch(r)
 }
@@ -408,21 +408,21 @@
 // start hands a try to the runner. Its end is of use as long as a repeat could come for it.
 func (c *Core) start(r *request) {
 	k := c.settings.Classes[r.Class]
-	c.figures[r.Class].Tries++
-	c.runner.Start(Run{ID: r.RunID, Class: k.Name, Body: r.Body, Once: k.Effect != control.Safe,
-		Due: r.At + micro.Of(max(k.Deadline, k.Window)), Request: &r.Request})
+	c.figures[r.Class].Attempts++
+	c.runner.Start(Run{ID: r.RunID, Class: k.Name, Body: r.Body, AtMostOnce: k.Idempotency != control.Idempotent,
+		Deadline: r.ArrivedAt + micro.FromDuration(max(k.Deadline, k.RetentionWindow)), Request: &r.Request})
 }
 
-func (c *Core) refuse(r *request, a control.Refuse) {
+func (c *Core) refuse(r *request, a control.Reject) {
 	if r == nil || r.state.started() {
 		return // having run, a request is not turned away
 	}
 	if r.key != nil && c.keys.doubtful(r, c.now) { // guards an intake that may have run: it is not refused
-		c.answer(r, Answer{Status: Failed, Reason: "whether it ran is not known"})
+		c.answer(r, Response{Status: StatusFailed, Reason: "whether it ran is not known"})
 		c.forget(r)
 		return
 	}
-	c.answer(r, Answer{Status: Refused, After: micro.Of(a.StayAway), Last: a.Last})
+	c.answer(r, Response{Status: StatusRejected, RetryAfter: micro.FromDuration(a.RetryAfter), NoRetry: a.NoRetry})
 	c.forget(r)
 }
 
@@ -434,12 +434,12 @@
 	if r == nil {
 		return
 	}
-	a := Answer{Status: Failed, Reason: "given up"}
-	if now >= r.At+micro.Of(c.settings.Classes[r.Class].Deadline)-lateBy {
-		a = Answer{Status: Expired, Reason: "past its deadline"}
+	a := Response{Status: StatusFailed, Reason: "given up"}
+	if now >= r.ArrivedAt+micro.FromDuration(c.settings.Classes[r.Class].Deadline)-lateBy {
+		a = Response{Status: StatusExpired, Reason: "past its deadline"}
 	}
 	if planted.Bug(planted.RefuseRun) && r.state.started() {
-		a = Answer{Status: Refused, After: micro.Second}
+		a = Response{Status: StatusRejected, RetryAfter: micro.Second}
 	}
 	c.answer(r, a)
 	if !r.state.started() {
@@ -453,7 +453,7 @@
 		return
 	}
 	c.giveUpCall(r)
-	c.runner.Stop(r.RunID)
+	c.runner.Cancel(r.RunID)
 }
 
 // reuse answers r from the result of its key, or lets it wait for the run.
@@ -464,7 +464,7 @@
 	r.state = joined
 	switch {
 	case r.key == nil || !r.key.ran:
-		c.finish(r, Errored, nil)
+		c.finish(r, RunFailed, nil)
 	case r.key.over:
 		c.finish(r, r.key.end, r.key.result)
 	default:
@@ -475,8 +475,8 @@
 	}
 }
 
-// Finished tells how the run of id ended. The core keeps result.
-func (c *Core) Finished(id string, end End, result []byte) {
+// RunFinished tells how the run of id ended. The core keeps result.
+func (c *Core) RunFinished(id string, end RunOutcome, result []byte) {
 	r := c.runs[id]
 	if r == nil || !r.state.started() || r.saving {
 		return
@@ -487,44 +487,44 @@
 	switch {
 	case k == nil || k.runner != r.id:
 		c.finish(r, end, result)
-	case end == Doubtful:
+	case end == RunIndeterminate:
 		// A repeat is passed to the runner again, which alone knows where it may have run and can ask there.
-		c.keys.doubt(k, r.At+micro.Of(c.settings.Classes[r.Class].Window))
+		c.keys.doubt(k, r.ArrivedAt+micro.FromDuration(c.settings.Classes[r.Class].RetentionWindow))
 		c.conclude(k, r, end, nil)
-	case end == Unneeded || end == Rejected || end == Refusal:
+	case end == RunNotStarted || end == RunUnsupported || end == RunRejected:
 		if !c.passOn(r, end) {
 			c.keys.unrun(k) // nothing ran: a later try may
 			if c.recorder != nil {
-				c.recorder.Void(k.intake())
+				c.recorder.Release(k.intake())
 			}
 			c.conclude(k, r, end, nil)
 		}
-	case end == Passed && c.recorder != nil:
+	case end == RunSucceeded && c.recorder != nil:
 		k.result, k.unsaved, r.saving = result, true, true
 		c.save(k, r)
 	default:
 		k.over, k.end, k.result = true, end, result
 		if c.recorder != nil {
-			c.recorder.Fail(k.intake())
+			c.recorder.RecordFailure(k.intake())
 		}
 		c.tellEnded(k)
 		c.conclude(k, r, end, result)
 	}
 }
 
-// Declined says that a run was turned away and never started anywhere: it ends as a refusal, with advice when to come
+// RunDeclined says that a run was turned away and never started anywhere: it ends as a refusal, with advice when to come
 // back, cut to what the settings allow.
-func (c *Core) Declined(id string, after micro.Time, last bool) {
+func (c *Core) RunDeclined(id string, after micro.Time, last bool) {
 	r := c.runs[id]
 	if r == nil {
 		return
 	}
-	r.after, r.last = min(after, micro.Of(c.settings.MaxRetryAfter)), last
-	c.Finished(id, Refusal, nil)
+	r.after, r.last = min(after, micro.FromDuration(c.settings.MaxRetryAfter)), last
+	c.RunFinished(id, RunRejected, nil)
 }
 
 // conclude ends the run of a key, and the waits for it. r is nil where the run itself has ended before.
-func (c *Core) conclude(k *onceEntry, r *request, end End, result []byte) {
+func (c *Core) conclude(k *keyEntry, r *request, end RunOutcome, result []byte) {
 	waiters := k.waiters
 	k.waiters = nil
 	if r != nil {
@@ -537,7 +537,7 @@
 
 // passOn lets a waiting try run in the place of one that was not started, as its caller had left or as the runner
 // does not take it: nothing has run, and the module counts one run for both.
-func (c *Core) passOn(r *request, end End) bool {
+func (c *Core) passOn(r *request, end RunOutcome) bool {
 	if len(r.key.waiters) > 0 && r.key.waiters[0].RunID == r.RunID {
 		c.finish(r.key.waiters[0], end, nil) // it was passed on to this one before, and not started either
 	}
@@ -548,15 +548,15 @@
 		return false
 	}
 	if c.recorder != nil { // the leave was for the try that was not started; the other one asks for its own
-		c.recorder.Void(r.key.intake())
+		c.recorder.Release(r.key.intake())
 	}
 	w := r.key.waiters[i]
 	r.key.waiters[0], r.key.waiters[i] = w, r.key.waiters[0]
-	r.key.expires += max(w.At-r.At, 0) // the window counts from the try that runs
-	if w.At > r.key.at {
-		r.key.at, r.key.atMilli = w.At, w.AtMilli
+	r.key.expires += max(w.ArrivedAt-r.ArrivedAt, 0) // the window counts from the try that runs
+	if w.ArrivedAt > r.key.at {
+		r.key.at, r.key.atMilli = w.ArrivedAt, w.ArrivedAtUnixMilli
 	}
-	c.answer(r, Answer{Status: Failed, Reason: "the run was not started"})
+	c.answer(r, Response{Status: StatusFailed, Reason: "the run was not started"})
 	delete(c.runs, r.RunID)
 	r.RunID, r.Body = w.RunID, w.Body
 	// The waiter stays joined and is answered with the run; its RunID now leads to the run.
@@ -567,53 +567,53 @@
 
 // mayStart says that r may still be run, as far as the notice to leave goes.
 func (c *Core) mayStart(r *request) bool {
-	return !c.drained || r.read <= c.drainAt+micro.Of(c.settings.DrainGrace) || planted.Bug(planted.PassLate)
+	return !c.drained || r.read <= c.drainAt+micro.FromDuration(c.settings.DrainGrace) || planted.Bug(planted.PassLate)
 }
 
 // finish ends a run or a wait: the answer goes out and the module hears of it.
-func (c *Core) finish(r *request, end End, result []byte) {
+func (c *Core) finish(r *request, end RunOutcome, result []byte) {
 	outcome := control.OutcomeError
 	switch end {
-	case Passed:
+	case RunSucceeded:
 		outcome = control.OutcomeOK
-		c.answer(r, Answer{Status: Served, Result: result})
-	case Errored:
-		c.answer(r, Answer{Status: Failed, Reason: "the run failed"})
-	case Rejected:
+		c.answer(r, Response{Status: StatusSucceeded, Result: result})
+	case RunFailed:
+		c.answer(r, Response{Status: StatusFailed, Reason: "the run failed"})
+	case RunUnsupported:
 		// No sign of a machine that fails, nor of what is asked of it: guards the health and the shares against
 		// callers that make requests up.
-		outcome = control.OutcomeFull
-		c.answer(r, Answer{Status: Failed, Reason: "the runner does not take it"})
-	case Refusal:
-		outcome = control.OutcomeFull
-		a := Answer{Status: Refused, After: r.after, Last: r.last}
+		outcome = control.OutcomeRejected
+		c.answer(r, Response{Status: StatusFailed, Reason: "the runner does not take it"})
+	case RunRejected:
+		outcome = control.OutcomeRejected
+		a := Response{Status: StatusRejected, RetryAfter: r.after, NoRetry: r.last}
 		if r.key != nil && c.keys.doubtful(r, c.now) {
-			a = Answer{Status: Failed, Reason: "whether it ran is not known"}
+			a = Response{Status: StatusFailed, Reason: "whether it ran is not known"}
 		}
 		c.answer(r, a)
-	case Doubtful:
+	case RunIndeterminate:
 		outcome = control.OutcomeTimeout
-		c.answer(r, Answer{Status: Failed, Reason: "whether it ran is not known"})
-	case Stopped:
+		c.answer(r, Response{Status: StatusFailed, Reason: "whether it ran is not known"})
+	case RunCancelled:
 		outcome = control.OutcomeCancelled
-		c.answer(r, Answer{Status: Failed, Reason: "the run was stopped"})
-	case Unneeded:
+		c.answer(r, Response{Status: StatusFailed, Reason: "the run was stopped"})
+	case RunNotStarted:
 		// The module takes no notice of a moot run, and would count it as running for ever; a cancelled one is
 		// the end. A caller that has left is not hurt by the answer, and one that has not is owed it.
 		outcome = control.OutcomeCancelled
-		c.answer(r, Answer{Status: Failed, Reason: "the run was not started"})
+		c.answer(r, Response{Status: StatusFailed, Reason: "the run was not started"})
 	}
-	c.events = append(c.events, control.Done{ID: r.id, Outcome: outcome})
+	c.events = append(c.events, control.RequestFinished{ID: r.id, Outcome: outcome})
 	c.forget(r)
 }
 
-func (c *Core) answer(r *request, a Answer) {
+func (c *Core) answer(r *request, a Response) {
 	if r.answered && !planted.Bug(planted.AnswerTwice) {
 		return
 	}
 	c.settle(r)
 	c.count(r.Class, a.Status)
-	r.Reply.Reply(a)
+	r.Responder.Respond(a)
 }
 
 // settle notes that no answer is owed any more.
--- a/internal/rules/deep_check.go
+++ b/internal/rules/deep_check.go
@@ -16,16 +16,16 @@
 }
 
 // checked takes a deep health check as it reaches the server.
-func (o *Observer) checked(c *conn, m thrift.Message) {
+func (o *Observer) checked(c *conn, m thrift.Call) {
 	if m.Deep && !c.s.ended {
-		c.s.checks = append(c.s.checks, check{c, m.Seq, o.w.Now()})
+		c.s.checks = append(c.s.checks, check{c, m.SequenceID, o.w.Now()})
 	}
 }
 
 // checkAnswered takes the answer to a health check, as the server writes it.
 func (o *Observer) checkAnswered(c *conn, p thrift.Reply) {
 	for i, k := range c.s.checks {
-		if k.conn == c && k.seq == p.Seq {
+		if k.conn == c && k.seq == p.SequenceID {
 			c.s.checks = append(c.s.checks[:i], c.s.checks[i+1:]...)
 			if p.Good {
 				o.reach(c.s, "deep check good")
--- a/internal/rules/duplicate.go
+++ b/internal/rules/duplicate.go
@@ -17,7 +17,7 @@
 }
 
 func (o *Observer) window(r *request) micro.Time {
-	return micro.Of(o.Rules.Settings.Classes[r.class].Window)
+	return micro.FromDuration(o.Rules.Settings.Classes[r.class].RetentionWindow)
 }
 
 // judgeRefusal judges that nothing is refused that has run.
--- a/internal/rules/office.go
+++ b/internal/rules/office.go
@@ -6,30 +6,30 @@
 
 func (o *Observer) packetUp(c *conn, payload []byte) {
 	if c.hand == nil && c.head.URI == "" {
-		if len(payload) == 0 || payload[0] != ajp.CodeForward {
+		if len(payload) == 0 || payload[0] != ajp.CodeForwardRequest {
 			return
 		}
-		head, err := ajp.ParseForward(payload)
+		head, err := ajp.ParseForwardRequest(payload)
 		if err != nil {
 			c.broken = true
 			return
 		}
-		if c.head = head; head.Length > 0 {
+		if c.head = head; head.ContentLength > 0 {
 			c.body = nil
 			return
 		}
 	} else if c.hand == nil {
-		chunk, err := ajp.ParseBody(payload)
+		chunk, err := ajp.ParseBodyChunk(payload)
 		if err != nil {
 			c.broken = true
 			return
 		}
-		if c.body = append(c.body, chunk...); int64(len(c.body)) < c.head.Length {
+		if c.body = append(c.body, chunk...); int64(len(c.body)) < c.head.ContentLength {
 			return
 		}
 	}
 	head := c.head
-	c.hand = o.request(c, func(name string) string { return head.Get("X-Relay-" + name) }, c.body)
+	c.hand = o.request(c, func(name string) string { return head.Header("X-Relay-" + name) }, c.body)
 }
 
 func (o *Observer) packetDown(c *conn, payload []byte) {
@@ -40,11 +40,11 @@
 		return
 	}
 	switch p.Code {
-	case ajp.CodeHeaders:
+	case ajp.CodeSendHeaders:
 		c.status, c.result = p.Status, nil
-	case ajp.CodeChunk:
-		c.result = append(c.result, p.Chunk...)
-	case ajp.CodeEnd:
+	case ajp.CodeSendBodyChunk:
+		c.result = append(c.result, p.BodyChunk...)
+	case ajp.CodeEndResponse:
 		r := c.hand
 		c.hand, c.head = nil, ajp.Request{}
 		if r != nil {
--- a/internal/rules/requests.go
+++ b/internal/rules/requests.go
@@ -23,18 +23,18 @@
 	return sum
 }
 
-func (o *Observer) called(c *conn, m thrift.Message) {
+func (o *Observer) called(c *conn, m thrift.Call) {
 	switch m.Method {
-	case thrift.Probe:
+	case thrift.MethodProbe:
 		o.checked(c, m)
-	case thrift.GiveUp:
-		r := c.open[m.GaveUp]
+	case thrift.MethodGiveUp:
+		r := c.open[m.CancelledID]
 		if r != nil && r.answers > 0 {
 			o.reach(c.s, "give-up after the answer")
 			return
 		}
 		if r == nil {
-			if m.GaveUp <= c.lastGiven {
+			if m.CancelledID <= c.lastGiven {
 				o.reach(c.s, "give-up after the end")
 			} else {
 				o.reach(c.s, "give-up for a number never used")
@@ -51,18 +51,18 @@
 				o.reach(c.s, "give-up between the run's end and the answer")
 			}
 		}
-	case thrift.Process:
-		if c.open[m.Seq] != nil || m.Seq <= c.lastGiven {
+	case thrift.MethodProcess:
+		if c.open[m.SequenceID] != nil || m.SequenceID <= c.lastGiven {
 			c.broken = true // two requests under one number: no proxy does so
 			for _, r := range c.open {
 				r.over = true
 			}
 			return
 		}
-		c.lastGiven = m.Seq
+		c.lastGiven = m.SequenceID
 		if r := o.request(c, func(name string) string { return m.Fields[name] }, m.Body); r != nil {
-			r.seq = m.Seq
-			c.open[m.Seq] = r
+			r.seq = m.SequenceID
+			c.open[m.SequenceID] = r
 		}
 	}
 }
@@ -78,7 +78,7 @@
 	}
 	r := &request{s: s, c: c, id: get("id"), class: class, at: o.wall.FromUnixMilli(ms), arrived: now, kb: kb, body: xxhash.Sum64(body)}
 	cl := o.Rules.Settings.Classes[class]
-	if cl.Effect == control.Keyed {
+	if cl.Idempotency == control.IdempotentByKey {
 		r.once = get("tenant") + "/" + get("once")
 		k := s.keys[r.once]
 		if k == nil {
@@ -111,27 +111,27 @@
 
 // due is when an answer must have come: never earlier than the request was read.
 func (o *Observer) due(r *request) micro.Time {
-	return max(r.at+micro.Of(o.Rules.Settings.Classes[r.class].Deadline), r.arrived)
+	return max(r.at+micro.FromDuration(o.Rules.Settings.Classes[r.class].Deadline), r.arrived)
 }
 
 func (o *Observer) replied(c *conn, p thrift.Reply) {
-	if p.Kind == thrift.Farewell {
+	if p.Kind == thrift.ReplyFarewell {
 		o.reach(c.s, "farewell")
 		return
 	}
-	if p.Method == "probe" {
+	if p.MethodName == "probe" {
 		o.checkAnswered(c, p)
 		return
 	}
-	r := c.open[p.Seq]
+	r := c.open[p.SequenceID]
 	if r == nil {
-		if p.Kind != thrift.Exception {
-			o.report("duplicate", c.s, nil, "answer to nothing: number %d", p.Seq)
+		if p.Kind != thrift.ReplyException {
+			o.report("duplicate", c.s, nil, "answer to nothing: number %d", p.SequenceID)
 		}
 		c.s.strays++
 		return
 	}
-	kind := map[thrift.ReplyKind]string{thrift.Answered: "served", thrift.Throttled: "refused", thrift.Broken: "failed", thrift.Exception: "failed"}[p.Kind]
+	kind := map[thrift.ReplyKind]string{thrift.ReplyAnswer: "served", thrift.ReplyThrottled: "refused", thrift.ReplyBroken: "failed", thrift.ReplyException: "failed"}[p.Kind]
 	o.answered(r, kind, p.Body)
 }
 
--- a/internal/rules/rules_test.go
+++ b/internal/rules/rules_test.go
@@ -29,7 +29,7 @@
 func newScene(t *testing.T) *scene {
 	s := &scene{t: t, w: virtual.NewWorld(1)}
 	s.o = New(s.w, Rules{Settings: control.Settings{Classes: []control.Class{
-		{Name: "block-view", Deadline: 4 * time.Second}, {Name: "lot-intake", Deadline: 4 * time.Second, Effect: control.Keyed, Window: 10 * time.Second}}},
+		{Name: "block-view", Deadline: 4 * time.Second}, {Name: "lot-intake", Deadline: 4 * time.Second, Idempotency: control.IdempotentByKey, RetentionWindow: 10 * time.Second}}},
 		Grace: 100 * micro.Millisecond, DrainMost: 2500 * micro.Millisecond, Cores: 2, Fall: 4, FallOver: micro.Second, MemoryKB: 2000,
 		RunFactor: 8, ColdFrom: 0.25, Ramp: 10 * micro.Second, Store: true})
 	s.w.After = s.o.Check
@@ -78,7 +78,7 @@
 }
 
 // finish has the run of id end, and its notice reach the server; it returns the result.
-func (s *scene) finish(id string, end pool.End) []byte {
+func (s *scene) finish(id string, end pool.Outcome) []byte {
 	s.made++
 	var result []byte
 	if end == pool.Pass {
@@ -311,7 +311,7 @@
 	for _, f := range s.fields(id, "lot-intake", "k", 0) {
 		req.Headers = append(req.Headers, ajp.Header{Name: "X-Relay-" + f.Name, Value: f.Value})
 	}
-	p, _ := ajp.AppendBody(ajp.AppendForward(nil, req), []byte("body"))
+	p, _ := ajp.AppendBodyChunk(ajp.AppendForwardRequest(nil, req), []byte("body"))
 	for i := range p { // in pieces
 		s.event(3, virtual.Arrived, "s0", "o0", false, p[i:i+1])
 	}
@@ -320,7 +320,7 @@
 	}
 	n, err := strconv.Atoi(status)
 	require.NoError(s.t, err)
-	out := ajp.AppendEnd(ajp.AppendChunks(ajp.AppendHeaders(nil, n, "x", nil), result), true)
+	out := ajp.AppendEndResponse(ajp.AppendResponseBody(ajp.AppendSendHeaders(nil, n, "x", nil), result), true)
 	s.event(3, virtual.Written, "s0", "o0", false, out)
 	return result
 }
--- a/internal/rules/state.go
+++ b/internal/rules/state.go
@@ -71,7 +71,7 @@
 	at     micro.Time // of the try
 	ended  bool
 	made   bool // it is a run: not declined, nor found needless
-	end    pool.End
+	end    pool.Outcome
 	result []byte
 	before *run // of the same ID, which a safe class may have
 	points []*point
--- a/internal/rules/wire.go
+++ b/internal/rules/wire.go
@@ -164,7 +164,7 @@
 		}
 		return n
 	case c.kind == link:
-		m, n, err := pool.Parse(in)
+		m, n, err := pool.ParseMessage(in)
 		c.broken = err != nil
 		if n > 0 {
 			o.told(c.s, m)
@@ -173,12 +173,12 @@
 	case c.kind == vaultLink:
 		return o.vaultMessage(c, in, up)
 	case c.kind == front:
-		payload, n, err := thrift.Split(in)
+		payload, n, err := thrift.SplitFrame(in)
 		if c.broken = err != nil; payload == nil {
 			return 0
 		}
 		if up {
-			m, _, err := thrift.Decode(payload)
+			m, _, err := thrift.DecodeCall(payload)
 			if c.broken = err != nil; !c.broken {
 				o.called(c, m)
 			}
@@ -194,7 +194,7 @@
 		if !up {
 			side = ajp.FromContainer
 		}
-		payload, n, err := ajp.Split(in, side)
+		payload, n, err := ajp.SplitPacket(in, side)
 		if c.broken = err != nil; payload == nil {
 			return 0
 		}
@@ -212,7 +212,7 @@
 	c.got = append(c.got, p...)
 	n := 0
 	for {
-		m, size, err := pool.Parse(c.got[n:])
+		m, size, err := pool.ParseMessage(c.got[n:])
 		if size == 0 || err != nil {
 			break
 		}
--- a/internal/rules/workers.go
+++ b/internal/rules/workers.go
@@ -11,7 +11,7 @@
 
 // command takes what a log server tells its worker pool, as it arrives there.
 func (o *Observer) command(s *server, m pool.Command) {
-	switch m.Order {
+	switch m.Verb {
 	case pool.Bind:
 		o.judgeBind(s, m)
 		if m.Notice > 0 {
@@ -37,7 +37,7 @@
 	case u != nil && !u.ended:
 		o.reach(s, "command again for a run under way")
 		return // it runs already
-	case u != nil && u.made && o.Rules.Settings.Classes[r.class].Effect != control.Safe:
+	case u != nil && u.made && o.Rules.Settings.Classes[r.class].Idempotency != control.Idempotent:
 		o.report("duplicate", s, r, "run twice: %s, its run had ended", m.ID)
 	case xxhash.Sum64(m.Body) != r.body:
 		o.report("result", s, r, "body changed: request %s", m.ID)
@@ -67,16 +67,16 @@
 			return // the same again
 		}
 		o.unblock(s, u)
-		u.ended, u.end, u.result = true, m.End, append([]byte(nil), m.Result...)
-		u.made = m.End != pool.Noop
-		if m.End == pool.Pass {
+		u.ended, u.end, u.result = true, m.Outcome, append([]byte(nil), m.Result...)
+		u.made = m.Outcome != pool.Noop
+		if m.Outcome == pool.Pass {
 			o.made[string(u.result)] = true
 		}
 		o.crowded(s, -1)
 		if r := s.reqs[m.ID]; r != nil {
 			r.running = false
-			o.note(r, "run ended: %d", m.End)
-			o.reach(s, fmt.Sprintf("ended %d answered%v gaveup%v left%v", m.End, r.answers > 0, r.gaveUp, r.c.left))
+			o.note(r, "run ended: %d", m.Outcome)
+			o.reach(s, fmt.Sprintf("ended %d answered%v gaveup%v left%v", m.Outcome, r.answers > 0, r.gaveUp, r.c.left))
 		}
 	case pool.Unknown:
 		if u != nil && m.Command == "spawn" && !u.ended {
--- a/internal/runner/ajprunner/link.go
+++ b/internal/runner/ajprunner/link.go
@@ -19,8 +19,8 @@
 // link is one connection to the server that does the work. It has one run at a time.
 type link struct {
 	ordered.Position
-	runner  *Runner
-	conn    transport.Link
+	runner  *Backend
+	conn    transport.Conn
 	run     *run
 	due     micro.Time // the run is to have ended
 	used    bool       // it has carried a run, so it may have been closed meanwhile
@@ -52,19 +52,19 @@
 func (l *link) send() {
 	l.used, l.sent = true, true
 	cfg, q := l.runner.config, l.run
-	out := ajp.AppendForward(l.scratch[:0], ajp.Request{
-		Method: "POST", URI: cfg.RunnerPath + "/" + q.Class, RemoteAddr: "127.0.0.1", Secret: cfg.RunnerKey,
+	out := ajp.AppendForwardRequest(l.scratch[:0], ajp.Request{
+		Method: "POST", URI: cfg.BackendPath + "/" + q.Class, RemoteAddr: "127.0.0.1", Secret: cfg.BackendSecret,
 		Headers: []ajp.Header{{Name: "content-length", Value: strconv.Itoa(len(q.Body))},
 			{Name: front.HeaderPrefix + "Class", Value: q.Class}, {Name: front.HeaderPrefix + "Id", Value: q.ID}},
 	})
 	if l.unsent = q.Body; len(q.Body) > 0 {
-		out, l.unsent = ajp.AppendBody(out, q.Body)
+		out, l.unsent = ajp.AppendBodyChunk(out, q.Body)
 	}
 	l.write(out)
 }
 
 // end tells the core of the run's end.
-func (l *link) end(end routing.End, result []byte) {
+func (l *link) end(end routing.RunOutcome, result []byte) {
 	q := l.run
 	l.run, l.unsent, l.result = nil, nil, nil
 	l.runner.finish(q, end, result)
@@ -74,7 +74,7 @@
 func (l *link) Receive(in []byte) (int, error) {
 	n := 0
 	for {
-		payload, size, err := ajp.Split(in[n:], ajp.FromContainer)
+		payload, size, err := ajp.SplitPacket(in[n:], ajp.FromContainer)
 		if err != nil || payload == nil {
 			return n, err
 		}
@@ -84,7 +84,7 @@
 			return n, err
 		}
 		if l.run == nil {
-			return n, fmt.Errorf("%w: code %d with no request in hand", ajp.ErrPacket, response.Code)
+			return n, fmt.Errorf("%w: code %d with no request in hand", ajp.ErrInvalidPacket, response.Code)
 		}
 		if err := l.take(response); err != nil {
 			return n, err
@@ -98,18 +98,18 @@
 		if !l.sent {
 			l.send()
 		}
-	case ajp.CodeGetBody:
+	case ajp.CodeGetBodyChunk:
 		var out []byte
-		out, l.unsent = ajp.AppendBody(l.scratch[:0], l.unsent)
+		out, l.unsent = ajp.AppendBodyChunk(l.scratch[:0], l.unsent)
 		l.write(out)
-	case ajp.CodeHeaders:
+	case ajp.CodeSendHeaders:
 		l.status = response.Status
-	case ajp.CodeChunk:
-		if len(l.result)+len(response.Chunk) > maxResult {
-			return fmt.Errorf("%w: a result of over %d bytes", ajp.ErrPacket, maxResult)
+	case ajp.CodeSendBodyChunk:
+		if len(l.result)+len(response.BodyChunk) > maxResult {
+			return fmt.Errorf("%w: a result of over %d bytes", ajp.ErrInvalidPacket, maxResult)
 		}
-		l.result = append(l.result, response.Chunk...)
-	case ajp.CodeEnd:
+		l.result = append(l.result, response.BodyChunk...)
+	case ajp.CodeEndResponse:
 		l.ended(response.Reuse)
 	}
 	return nil
@@ -118,9 +118,9 @@
 // ended says that the response is whole. The connection is kept if the server offers it again.
 func (l *link) ended(reuse bool) {
 	if l.status >= 200 && l.status < 300 {
-		l.end(routing.Passed, l.result)
+		l.end(routing.RunSucceeded, l.result)
 	} else {
-		l.end(routing.Errored, nil)
+		l.end(routing.RunFailed, nil)
 	}
 	if !reuse {
 		l.conn.Close()
@@ -142,7 +142,7 @@
 	}
 	if q := l.run; q != nil {
 		if l.sent { // it may have run: never sent again
-			l.end(routing.Errored, nil)
+			l.end(routing.RunFailed, nil)
 		} else {
 			l.run, q.link = nil, nil
 			r.queue = slices.Insert(r.queue, 0, q)
--- a/internal/runner/ajprunner/runner.go
+++ b/internal/runner/ajprunner/runner.go
@@ -13,13 +13,13 @@
 
 // Core is told how runs end.
 type Core interface {
-	Finished(id string, end routing.End, result []byte)
+	RunFinished(id string, end routing.RunOutcome, result []byte)
 }
 
 // Loop is what the runner needs of the event loop.
 type Loop interface {
 	Now() micro.Time
-	Dial(addr string, open func(transport.Link) transport.Session) (drop func())
+	Dial(addr string, open func(transport.Conn) transport.Session) (drop func())
 }
 
 // Config says where the server is, and how long a run may take: longer than any answer could be wanted.
@@ -28,8 +28,8 @@
 	RunTimeout micro.Time
 }
 
-// Runner hands runs to the server. All its methods are called on the loop.
-type Runner struct {
+// Backend hands runs to the server. All its methods are called on the loop.
+type Backend struct {
 	config  Config
 	core    Core
 	loop    Loop
@@ -48,59 +48,59 @@
 }
 
 // New returns a runner without a connection: the first run opens one. Attach must follow.
-func New(cfg Config, logf func(format string, args ...any)) *Runner {
-	return &Runner{config: cfg, logf: logf, runs: map[string]*run{}}
+func New(cfg Config, logf func(format string, args ...any)) *Backend {
+	return &Backend{config: cfg, logf: logf, runs: map[string]*run{}}
 }
 
 // Attach ties the runner to its core and its loop.
-func (r *Runner) Attach(core Core, loop Loop) { r.core, r.loop = core, loop }
+func (r *Backend) Attach(core Core, loop Loop) { r.core, r.loop = core, loop }
 
 // Start is part of routing.Runner.
-func (r *Runner) Start(started routing.Run) {
+func (r *Backend) Start(started routing.Run) {
 	q := &run{Run: started}
 	r.runs[q.ID] = q
 	r.queue = append(r.queue, q)
 	r.feed()
 }
 
-// Stop is part of routing.Runner. AJP has no word for it: the connection is closed.
-func (r *Runner) Stop(id string) {
+// Cancel is part of routing.Runner. AJP has no word for it: the connection is closed.
+func (r *Backend) Cancel(id string) {
 	q := r.runs[id]
 	switch {
 	case q == nil:
 	case q.link != nil:
 		q.link.conn.Close()
-		q.link.end(routing.Stopped, nil)
+		q.link.end(routing.RunCancelled, nil)
 	default:
 		if i := slices.Index(r.queue, q); i >= 0 {
 			r.queue = slices.Delete(r.queue, i, i+1)
 		}
-		r.finish(q, routing.Stopped, nil)
+		r.finish(q, routing.RunCancelled, nil)
 	}
 }
 
-// Poll is part of routing.Runner.
-func (r *Runner) Poll() {}
+// RequestGauges is part of routing.Runner.
+func (r *Backend) RequestGauges() {}
 
-func (r *Runner) finish(q *run, end routing.End, result []byte) {
+func (r *Backend) finish(q *run, end routing.RunOutcome, result []byte) {
 	delete(r.runs, q.ID)
-	r.core.Finished(q.ID, end, result)
+	r.core.RunFinished(q.ID, end, result)
 }
 
 // feed gives queued runs to idle connections, and opens more where those do not suffice.
-func (r *Runner) feed() {
+func (r *Backend) feed() {
 	for len(r.queue) > 0 && len(r.idle) > 0 {
 		l, q := r.idle[len(r.idle)-1], r.queue[0]
 		r.idle, r.queue = r.idle[:len(r.idle)-1], r.queue[1:]
 		l.start(q)
 	}
-	for r.dialing < len(r.queue) && r.links.Len()+r.dialing < r.config.Connections {
+	for r.dialing < len(r.queue) && r.links.Len()+r.dialing < r.config.BackendConnections {
 		r.dialing++
-		r.loop.Dial(r.config.Runner, func(conn transport.Link) transport.Session { return r.opened(conn) })
+		r.loop.Dial(r.config.BackendAddress, func(conn transport.Conn) transport.Session { return r.opened(conn) })
 	}
 }
 
-func (r *Runner) opened(conn transport.Link) *link {
+func (r *Backend) opened(conn transport.Conn) *link {
 	l := &link{runner: r, conn: conn}
 	r.dialing--
 	r.links.Add(l)
@@ -109,8 +109,8 @@
 	return l
 }
 
-// Check ends runs whose time is over; it returns when to look again.
-func (r *Runner) Check(now micro.Time) micro.Time {
+// ExpireTimeouts ends runs whose time is over; it returns when to look again.
+func (r *Backend) ExpireTimeouts(now micro.Time) micro.Time {
 	next := micro.Never
 	for _, l := range r.links.Items() {
 		if l.run == nil {
@@ -121,7 +121,7 @@
 		}
 		r.logf("ajp: runner %s: %s did not end in time", l.conn.Remote(), l.run.ID)
 		l.conn.Close()
-		l.end(routing.Errored, nil)
+		l.end(routing.RunFailed, nil)
 	}
 	return next
 }
