--- a/internal/runner/fleetrunner/link.go
+++ b/internal/runner/fleetrunner/link.go
@@ -23,9 +23,9 @@
 
 // link is one connection to a server, or one that is being opened.
 type link struct {
-	runner  *Runner
+	runner  *Backend
 	member  *member
-	conn    transport.Link // nil while it is being opened
+	conn    transport.Conn // nil while it is being opened
 	drop    func()
 	waiting []*try
 	open    map[int32]*try
@@ -36,7 +36,7 @@
 	idle    micro.Time
 }
 
-func (l *link) opened(c transport.Link) transport.Session {
+func (l *link) opened(c transport.Conn) transport.Session {
 	l.conn = c
 	waiting := l.waiting
 	l.waiting = nil
@@ -52,7 +52,7 @@
 	waiting := l.waiting
 	l.waiting = nil
 	for _, t := range waiting {
-		l.runner.ended(t, fleet.Result{Outcome: fleet.Unreached}, nil)
+		l.runner.ended(t, fleet.Result{Outcome: fleet.ConnectFailed}, nil)
 	}
 }
 
@@ -78,33 +78,33 @@
 	t.seq, t.written = l.seq, true
 	l.open[t.seq] = t
 	if q.keyed {
-		r.attempts.Leave(r.now(), q.key, l.member.Name, micro.Of(q.class.Window))
+		r.attempts.RecordSent(r.now(), q.key, l.member.Name, micro.FromDuration(q.class.RetentionWindow))
 	}
 	r.scratch = thrift.AppendCall(r.scratch[:0], t.seq, r.fields(t), q.Body)
 	l.conn.Write(r.scratch)
 }
 
 // fields are a try's request, as this instance's own.
-func (r *Runner) fields(t *try) []thrift.Field {
+func (r *Backend) fields(t *try) []thrift.Field {
 	q := t.run
 	req := q.req
 	fields := []thrift.Field{{Name: "class", Value: q.class.Name}, {Name: "id", Value: t.id},
-		{Name: "at", Value: strconv.FormatInt(r.wall.UnixMilli(req.At), 10)}, {Name: "from", Value: strconv.FormatUint(uint64(r.config.From), 10)},
-		{Name: "kb", Value: strconv.FormatFloat(req.HeldKB, 'f', -1, 64)}, {Name: "rank", Value: strconv.FormatFloat(req.Rank, 'f', 4, 64)}}
+		{Name: "at", Value: strconv.FormatInt(r.wall.UnixMilli(req.ArrivedAt), 10)}, {Name: "from", Value: strconv.FormatUint(uint64(r.config.CallerID), 10)},
+		{Name: "kb", Value: strconv.FormatFloat(req.QueuedKB, 'f', -1, 64)}, {Name: "rank", Value: strconv.FormatFloat(req.Rank, 'f', 4, 64)}}
 	if tenants := r.config.Settings.Tenants; req.Tenant < len(tenants) {
 		fields = append(fields, thrift.Field{Name: "tenant", Value: tenants[req.Tenant].Name})
 	}
 	if q.count > 1 || req.Retry {
 		fields = append(fields, thrift.Field{Name: "retry", Value: "1"})
 	}
-	if req.Once != "" {
-		fields = append(fields, thrift.Field{Name: "once", Value: req.Once})
+	if req.IdempotencyKey != "" {
+		fields = append(fields, thrift.Field{Name: "once", Value: req.IdempotencyKey})
 	}
-	if req.Hint > 0 {
-		fields = append(fields, thrift.Field{Name: "cost", Value: strconv.FormatFloat(float64(req.Hint)/float64(micro.Millisecond), 'f', 3, 64)})
+	if req.CostHint > 0 {
+		fields = append(fields, thrift.Field{Name: "cost", Value: strconv.FormatFloat(float64(req.CostHint)/float64(micro.Millisecond), 'f', 3, 64)})
 	}
-	if req.Key != 0 {
-		fields = append(fields, thrift.Field{Name: "key", Value: strconv.FormatUint(req.Key, 16)})
+	if req.SubjectKey != 0 {
+		fields = append(fields, thrift.Field{Name: "key", Value: strconv.FormatUint(req.SubjectKey, 16)})
 	}
 	return fields
 }
@@ -136,7 +136,7 @@
 	l.heard = l.runner.now()
 	n := 0
 	for range maxMessagesPerTurn {
-		payload, size, err := thrift.Split(in[n:])
+		payload, size, err := thrift.SplitFrame(in[n:])
 		if err != nil || payload == nil {
 			return n, err
 		}
@@ -152,25 +152,25 @@
 }
 
 func (l *link) take(p thrift.Reply) {
-	if p.Kind == thrift.Farewell {
+	if p.Kind == thrift.ReplyFarewell {
 		l.closing = true
 		l.closeAnswered()
 		return
 	}
-	t := l.open[p.Seq]
+	t := l.open[p.SequenceID]
 	if t == nil {
 		return // it crossed a give-up
 	}
-	delete(l.open, p.Seq)
+	delete(l.open, p.SequenceID)
 	l.idle = l.runner.now()
 	res := fleet.Result{Outcome: fleet.Failed}
 	var result []byte
 	switch p.Kind {
-	case thrift.Answered:
-		res.Outcome, result = fleet.Served, append([]byte(nil), p.Body...)
-	case thrift.Throttled:
+	case thrift.ReplyAnswer:
+		res.Outcome, result = fleet.Succeeded, append([]byte(nil), p.Body...)
+	case thrift.ReplyThrottled:
 		ms, _ := strconv.ParseUint(p.Fields["after"], 10, 20) // absent or out of bounds: no advice
-		res = fleet.Result{Outcome: fleet.Refused, After: micro.Time(ms) * micro.Millisecond, Last: p.Fields["last"] == "1"}
+		res = fleet.Result{Outcome: fleet.Rejected, RetryAfter: micro.Time(ms) * micro.Millisecond, NoRetry: p.Fields["last"] == "1"}
 	}
 	l.runner.ended(t, res, result)
 	l.closeAnswered()
@@ -185,6 +185,6 @@
 	open := l.open
 	l.open = map[int32]*try{}
 	for _, seq := range slices.SortedFunc(maps.Keys(open), cmp.Compare[int32]) {
-		l.runner.ended(open[seq], fleet.Result{Outcome: fleet.Broken}, nil)
+		l.runner.ended(open[seq], fleet.Result{Outcome: fleet.ConnectionLost}, nil)
 	}
 }
--- a/internal/runner/fleetrunner/runner.go
+++ b/internal/runner/fleetrunner/runner.go
@@ -15,9 +15,9 @@
 )
 
 const (
-	// RemovedKept is how long a server that was taken out of the list is still known: past any window, as an intake that may
+	// RemovedEndpointRetention is how long a server that was taken out of the list is still known: past any window, as an intake that may
 	// have run there goes nowhere else.
-	RemovedKept = 600 * micro.Second
+	RemovedEndpointRetention = 600 * micro.Second
 	// sweepEvery is how often idle connections and servers that were taken out are looked for.
 	sweepEvery = 5 * micro.Second
 	// declineAfter is the least time after which the caller of a run that no server takes is told to come back.
@@ -26,18 +26,18 @@
 
 // Core is told how runs end.
 type Core interface {
-	Finished(id string, end routing.End, result []byte)
-	Declined(id string, after micro.Time, last bool)
+	RunFinished(id string, end routing.RunOutcome, result []byte)
+	RunDeclined(id string, after micro.Time, last bool)
 }
 
-// Loop is what the runner needs of the event loop.
-type Loop interface {
-	peers.ExchangeLoop
+// EventLoop is what the runner needs of the event loop.
+type EventLoop interface {
+	peers.ExchangeEventLoop
 	Rand() uint64 // need not be secret
 }
 
-// Wall converts to the wall clock, in Unix milliseconds.
-type Wall interface {
+// WallClock converts to the wall clock, in Unix milliseconds.
+type WallClock interface {
 	UnixMilli(t micro.Time) int64
 }
 
@@ -48,15 +48,15 @@
 	Settings control.Settings
 }
 
-// Runner hands runs to the log servers. All its methods are called on the loop.
-type Runner struct {
+// Backend hands runs to the log servers. All its methods are called on the loop.
+type Backend struct {
 	config    Config
 	core      Core
-	loop      Loop
-	wall      Wall
+	loop      EventLoop
+	wall      WallClock
 	logf      func(format string, args ...any)
-	fleet     *fleet.Fleet
-	attempts  *fleet.Attempts
+	fleet     *fleet.Balancer
+	attempts  *fleet.RetryPolicy
 	members   []*member
 	byName    map[string]*member
 	runs      map[string]*run
@@ -83,7 +83,7 @@
 	req      *routing.Request
 	class    control.Class
 	due      micro.Time
-	key      fleet.Key
+	key      fleet.IdempotencyKey
 	keyed    bool
 	tries    []*try // that are out
 	count    int    // so far
@@ -97,25 +97,25 @@
 }
 
 // unlessDoubtful is how a run ends without a result: as given, unless it is an intake that may have run.
-func (q *run) unlessDoubtful(end routing.End) routing.End {
+func (q *run) unlessDoubtful(end routing.RunOutcome) routing.RunOutcome {
 	if q.keyed && q.unproven > 0 {
-		return routing.Doubtful
+		return routing.RunIndeterminate
 	}
 	return end
 }
 
 // New returns a runner without connections. Attach must follow. The error names a faulty figure of the decisions.
-func New(cfg Config, wall Wall, logf func(format string, args ...any)) (*Runner, error) {
-	cfg.Decide.Classes = len(cfg.Settings.Classes)
-	servers, err := fleet.New(cfg.Decide, cfg.Settings.Seed)
+func New(cfg Config, wall WallClock, logf func(format string, args ...any)) (*Backend, error) {
+	cfg.LoadBalancer.Classes = len(cfg.Settings.Classes)
+	servers, err := fleet.New(cfg.LoadBalancer, cfg.Settings.Seed)
 	if err != nil {
 		return nil, err
 	}
-	attempts, err := fleet.NewAttempts(cfg.Attempts)
+	attempts, err := fleet.NewRetryPolicy(cfg.Retries)
 	if err != nil {
 		return nil, err
 	}
-	r := &Runner{config: cfg, wall: wall, logf: logf, fleet: servers, attempts: attempts, byName: map[string]*member{}, runs: map[string]*run{}}
+	r := &Backend{config: cfg, wall: wall, logf: logf, fleet: servers, attempts: attempts, byName: map[string]*member{}, runs: map[string]*run{}}
 	for _, m := range cfg.Members {
 		r.add(0, m)
 	}
@@ -123,51 +123,51 @@
 }
 
 // Attach ties the runner to its core and its loop.
-func (r *Runner) Attach(core Core, loop Loop) {
+func (r *Backend) Attach(core Core, loop EventLoop) {
 	r.core, r.loop = core, loop
-	if len(r.config.Peers) > 0 {
-		own := peers.ExchangeConfig{Name: r.config.Name, Address: r.config.Exchange, Peers: r.config.Peers, Seed: r.config.Settings.Seed}
+	if len(r.config.GossipPeers) > 0 {
+		own := peers.ExchangeConfig{Name: r.config.Name, Address: r.config.GossipListen, Peers: r.config.GossipPeers, Seed: r.config.Settings.Seed}
 		r.exchange = peers.NewExchange(own, loop, r.fleet, r.logf)
 	}
 }
 
 // Exchange is where this instance and others tell each other of the log servers; nil: there are no others.
-func (r *Runner) Exchange() *peers.Exchange { return r.exchange }
+func (r *Backend) Exchange() *peers.Exchange { return r.exchange }
 
-// Wasted counts the tries that came to nothing for want of a server.
-func (r *Runner) Wasted() int { return r.wasted }
+// WastedAttempts counts the tries that came to nothing for want of a server.
+func (r *Backend) WastedAttempts() int { return r.wasted }
 
-// Knows tells whether a server is known, and whether it was taken out of the list.
-func (r *Runner) Knows(name string) (known, removed bool) {
+// Lookup tells whether a server is known, and whether it was taken out of the list.
+func (r *Backend) Lookup(name string) (known, removed bool) {
 	m := r.byName[name]
 	return m != nil, m != nil && m.removed > 0
 }
 
 // add takes up a server that is not known yet.
-func (r *Runner) add(now micro.Time, listed config.Member) {
+func (r *Backend) add(now micro.Time, listed config.Member) {
 	m := &member{Member: listed}
 	r.members = append(r.members, m)
 	r.byName[m.Name] = m
 	r.fleet.Add(now, m.Name)
 }
 
-func (r *Runner) now() micro.Time { return r.loop.Now() }
+func (r *Backend) now() micro.Time { return r.loop.Now() }
 
 // Start is part of routing.Runner.
-func (r *Runner) Start(started routing.Run) {
+func (r *Backend) Start(started routing.Run) {
 	class := r.config.Settings.Classes[started.Request.Class]
 	q := &run{Run: started, req: started.Request, class: class, hedge: micro.Never, again: micro.Never}
-	q.due = q.req.At + micro.Of(q.class.Deadline)
-	q.keyed, q.key = q.class.Effect == control.Keyed, fleet.Key{Tenant: q.req.Tenant, Once: q.req.Once}
+	q.due = q.req.ArrivedAt + micro.FromDuration(q.class.Deadline)
+	q.keyed, q.key = q.class.Idempotency == control.IdempotentByKey, fleet.IdempotencyKey{Tenant: q.req.Tenant, Value: q.req.IdempotencyKey}
 	r.runs[q.ID] = q
 	r.work.Add(q)
-	r.attempts.First(r.now(), q.req.Caller)
+	r.attempts.RecordFirstAttempt(r.now(), q.req.CallerID)
 	r.route(q)
 }
 
-// Reload takes up a list of servers that was read anew. What is out stays out until it has ended; a server that was taken
+// UpdateEndpoints takes up a list of servers that was read anew. What is out stays out until it has ended; a server that was taken
 // out gets nothing new but repeats of intakes that it may have run.
-func (r *Runner) Reload(members []config.Member) {
+func (r *Backend) UpdateEndpoints(members []config.Member) {
 	now := r.now()
 	in := map[string]bool{}
 	for _, m := range members {
@@ -188,7 +188,7 @@
 
 // list takes up a server that is known and on the list. What is open at an address that it has left ends; new connections go to
 // the new one.
-func (r *Runner) list(now micro.Time, m *member, address string) {
+func (r *Backend) list(now micro.Time, m *member, address string) {
 	if m.Address != address {
 		m.Address = address
 		for _, l := range m.links {
@@ -200,10 +200,10 @@
 	r.fleet.Add(now, m.Name)
 }
 
-// ForgetRemoved drops servers that were taken out long ago.
-func (r *Runner) ForgetRemoved(now micro.Time) {
+// ExpireRemoved drops servers that were taken out long ago.
+func (r *Backend) ExpireRemoved(now micro.Time) {
 	r.members = slices.DeleteFunc(r.members, func(m *member) bool {
-		drop := m.removed > 0 && now > m.removed+RemovedKept && len(m.links) == 0
+		drop := m.removed > 0 && now > m.removed+RemovedEndpointRetention && len(m.links) == 0
 		if drop {
 			delete(r.byName, m.Name)
 		}
@@ -211,29 +211,29 @@
 	})
 }
 
-// Stop is part of routing.Runner: the tries that are out are given up.
-func (r *Runner) Stop(id string) {
+// Cancel is part of routing.Runner: the tries that are out are given up.
+func (r *Backend) Cancel(id string) {
 	if q := r.runs[id]; q != nil {
-		r.withdraw(q, fleet.Withdrawn)
-		r.finish(q, q.unlessDoubtful(routing.Stopped), nil)
+		r.withdraw(q, fleet.Cancelled)
+		r.finish(q, q.unlessDoubtful(routing.RunCancelled), nil)
 	}
 }
 
-// Poll is part of routing.Runner. The servers' gauges are their own.
-func (r *Runner) Poll() {}
+// RequestGauges is part of routing.Runner. The servers' gauges are their own.
+func (r *Backend) RequestGauges() {}
 
-func (r *Runner) drop(q *run) {
+func (r *Backend) drop(q *run) {
 	delete(r.runs, q.ID)
 	r.work.Remove(q)
 }
 
-func (r *Runner) finish(q *run, end routing.End, result []byte) {
+func (r *Backend) finish(q *run, end routing.RunOutcome, result []byte) {
 	r.drop(q)
-	r.core.Finished(q.ID, end, result)
+	r.core.RunFinished(q.ID, end, result)
 }
 
 // Check does what is due by the clock; it returns when to look again.
-func (r *Runner) Check(now micro.Time) micro.Time {
+func (r *Backend) Check(now micro.Time) micro.Time {
 	pending := r.pending
 	r.pending = nil
 	for _, q := range pending {
@@ -244,9 +244,9 @@
 	next := micro.Never
 	if now >= r.sweepAt {
 		r.sweepAt = now + sweepEvery
-		r.fleet.Sweep(now)
+		r.fleet.ExpireGossip(now)
 		r.closeIdle(now)
-		r.ForgetRemoved(now)
+		r.ExpireRemoved(now)
 	}
 	if r.exchange != nil {
 		next = r.exchange.Check(now)
@@ -265,7 +265,7 @@
 }
 
 // routeUnadvised sends the runs that waited for the first advice.
-func (r *Runner) routeUnadvised() {
+func (r *Backend) routeUnadvised() {
 	unadvised := r.unadvised
 	r.unadvised = nil
 	for _, q := range unadvised {
@@ -275,7 +275,7 @@
 	}
 }
 
-func (r *Runner) checkRuns(now micro.Time) micro.Time {
+func (r *Backend) checkRuns(now micro.Time) micro.Time {
 	next := micro.Never
 	for i := r.work.Len() - 1; i >= 0; i-- { // from the end, as one that ends gives its place to the last
 		if i >= r.work.Len() {
@@ -284,7 +284,7 @@
 		switch q := r.work.Items()[i]; {
 		case now >= q.due:
 			r.withdraw(q, fleet.TimedOut)
-			r.finish(q, q.unlessDoubtful(routing.Errored), nil)
+			r.finish(q, q.unlessDoubtful(routing.RunFailed), nil)
 			continue
 		case now >= q.again:
 			r.route(q)
@@ -300,7 +300,7 @@
 }
 
 // closeIdle ends connections that have had nothing open for a while.
-func (r *Runner) closeIdle(now micro.Time) {
+func (r *Backend) closeIdle(now micro.Time) {
 	for _, m := range r.members {
 		for _, l := range slices.Clone(m.links) {
 			if l.conn != nil && len(l.open) == 0 && now > l.idle+idleTimeout {
--- a/internal/runner/fleetrunner/tries.go
+++ b/internal/runner/fleetrunner/tries.go
@@ -30,7 +30,7 @@
 
 // route sends a run to the server that may have run it, or to the one chosen. Where none takes it, that is told later
 // in the turn.
-func (r *Runner) route(q *run) {
+func (r *Backend) route(q *run) {
 	now := r.now()
 	q.again = micro.Never
 	if r.exchange != nil && !r.exchange.Ready(now) { // a fresh instance waits for the first advice, for a bounded time
@@ -39,15 +39,15 @@
 	}
 	var c fleet.Choice
 	if q.keyed {
-		server, ok := r.attempts.Stick(now, q.key)
+		server, ok := r.attempts.StickyEndpoint(now, q.key)
 		if !ok {
 			q.declined = true
 			r.pending = append(r.pending, q)
 			return
 		}
-		c.Server = server
+		c.Endpoint = server
 	}
-	if c.Server == "" {
+	if c.Endpoint == "" {
 		var ok bool
 		if c, ok = r.fleet.Pick(now, r.wanted(q)); !ok {
 			q.declined = true
@@ -59,30 +59,30 @@
 }
 
 // wanted is what a run asks of a server.
-func (r *Runner) wanted(q *run) fleet.Try {
-	safe := q.class.Effect == control.Safe
-	return fleet.Try{Class: q.req.Class, Safe: safe, Cheap: safe, Avoid: q.avoid}
+func (r *Backend) wanted(q *run) fleet.Request {
+	safe := q.class.Idempotency == control.Idempotent
+	return fleet.Request{Class: q.req.Class, Idempotent: safe, Cheap: safe, Exclude: q.avoid}
 }
 
 // send gives a try to a connection with room, or to one that is opened for it.
-func (r *Runner) send(q *run, c fleet.Choice) {
-	m := r.byName[c.Server]
+func (r *Backend) send(q *run, c fleet.Choice) {
+	m := r.byName[c.Endpoint]
 	t := &try{run: q, choice: c, id: q.ID, at: r.now()}
 	if q.count > 0 {
 		t.id = fmt.Sprintf("%016x", r.loop.Rand())
 	}
 	q.count++
 	q.tries = append(q.tries, t)
-	q.avoid = append(q.avoid, c.Server)
-	r.fleet.Sent(r.now(), c)
-	if q.hedge = micro.Never; q.class.Effect == control.Safe && len(q.tries) == 1 {
-		if d := r.fleet.HedgeAfter(q.req.Class, hedgeAt); d != micro.Never {
+	q.avoid = append(q.avoid, c.Endpoint)
+	r.fleet.AttemptStarted(r.now(), c)
+	if q.hedge = micro.Never; q.class.Idempotency == control.Idempotent && len(q.tries) == 1 {
+		if d := r.fleet.HedgeDelay(q.req.Class, hedgeAt); d != micro.Never {
 			q.hedge = r.now() + d
 		}
 	}
 	for _, l := range m.links {
 		// One that has fallen silent takes nothing new: what would tell that the server is back must not wait behind it.
-		silent := len(l.open)+len(l.waiting) > 0 && r.now()-max(l.heard, l.busy) > r.fleet.Patience()
+		silent := len(l.open)+len(l.waiting) > 0 && r.now()-max(l.heard, l.busy) > r.fleet.SilenceTimeout()
 		if !l.closing && !silent && len(l.open)+len(l.waiting) < maxOpen {
 			l.give(t)
 			return
@@ -90,89 +90,89 @@
 	}
 	l := &link{runner: r, member: m, open: map[int32]*try{}, waiting: []*try{t}, idle: r.now(), busy: r.now()}
 	m.links = append(m.links, l)
-	l.drop = r.loop.Try(m.Address, func(k transport.Link) transport.Session { return l.opened(k) }, l.failed)
+	l.drop = r.loop.DialOnce(m.Address, func(k transport.Conn) transport.Session { return l.opened(k) }, l.failed)
 }
 
 // withdraw gives up all tries of a run that are out.
-func (r *Runner) withdraw(q *run, o fleet.Outcome) {
+func (r *Backend) withdraw(q *run, o fleet.Outcome) {
 	for _, t := range q.tries {
-		for _, l := range r.byName[t.choice.Server].links {
+		for _, l := range r.byName[t.choice.Endpoint].links {
 			l.giveUp(t)
 		}
-		r.returned(q, t, fleet.Result{Class: q.req.Class, Outcome: o, Took: r.now() - t.at})
+		r.returned(q, t, fleet.Result{Class: q.req.Class, Outcome: o, Latency: r.now() - t.at})
 	}
 	q.tries = nil
 }
 
 // returned tells the decisions how a try has ended.
-func (r *Runner) returned(q *run, t *try, res fleet.Result) {
+func (r *Backend) returned(q *run, t *try, res fleet.Result) {
 	now := r.now()
-	r.fleet.Ended(now, t.choice, res)
-	if o := res.Outcome; o == fleet.Unreached || o == fleet.Broken || o == fleet.TimedOut {
+	r.fleet.AttemptEnded(now, t.choice, res)
+	if o := res.Outcome; o == fleet.ConnectFailed || o == fleet.ConnectionLost || o == fleet.TimedOut {
 		r.wasted++
 	}
 	if !t.written {
 		return
 	}
-	if !res.Outcome.Proves() && res.Outcome != fleet.Served {
+	if !res.Outcome.ProvesNotExecuted() && res.Outcome != fleet.Succeeded {
 		q.unproven++
 	}
 	if q.keyed {
 		o := res.Outcome
-		if o == fleet.Withdrawn {
+		if o == fleet.Cancelled {
 			o = fleet.TimedOut // it may have run, and nobody waits to hear
 		}
-		r.attempts.Returned(now, q.key, o)
+		r.attempts.RecordOutcome(now, q.key, o)
 	}
 }
 
 // ended goes on after a try has ended.
-func (r *Runner) ended(t *try, res fleet.Result, result []byte) {
+func (r *Backend) ended(t *try, res fleet.Result, result []byte) {
 	q := t.run
 	if i := slices.Index(q.tries, t); i >= 0 {
 		q.tries = slices.Delete(q.tries, i, i+1)
 	}
 	now := r.now()
-	res.Class, res.Took = q.req.Class, now-t.at
+	res.Class, res.Latency = q.req.Class, now-t.at
 	r.returned(q, t, res)
-	if res.Outcome == fleet.Served {
-		r.attempts.Succeeded(now, q.req.Caller)
-		r.withdraw(q, fleet.Withdrawn)
-		r.finish(q, routing.Passed, result)
+	if res.Outcome == fleet.Succeeded {
+		r.attempts.RecordSuccess(now, q.req.CallerID)
+		r.withdraw(q, fleet.Cancelled)
+		r.finish(q, routing.RunSucceeded, result)
 		return
 	}
-	q.after, q.last = res.After, res.Last
+	q.after, q.last = res.RetryAfter, res.NoRetry
 	if len(q.tries) > 0 {
 		return // its other copy is still out
 	}
-	ask := fleet.Ask{Caller: q.req.Caller, Keyed: q.keyed, Safe: q.class.Effect == control.Safe, Key: q.key, Tries: q.count, Outcome: res.Outcome,
-		Last: res.Last, Finishes: r.fleet.Finishes(now, r.wanted(q)), Due: q.due}
-	switch r.attempts.After(now, ask) {
-	case fleet.AgainElsewhere:
+	ask := fleet.FailedAttempt{Caller: q.req.CallerID, Keyed: q.keyed, Idempotent: q.class.Idempotency == control.Idempotent, Key: q.key, Attempts: q.count, Outcome: res.Outcome,
+		NoRetry: res.NoRetry, EarliestFinish: r.fleet.EarliestFinish(now, r.wanted(q)), Deadline: q.due}
+	switch r.attempts.Decide(now, ask) {
+	case fleet.RetryElsewhere:
 		r.route(q)
-	case fleet.AgainThere:
+	case fleet.RetrySameEndpoint:
 		q.again = now + askAgainAfter
-	case fleet.SayRefused:
+	case fleet.ReportRejected:
 		r.decline(q)
-	case fleet.SayUnknown:
-		r.logf("fleet: %s: whether it ran at %s is not known", q.ID, t.choice.Server)
-		r.finish(q, routing.Doubtful, nil)
+	case fleet.ReportIndeterminate:
+		r.logf("fleet: %s: whether it ran at %s is not known", q.ID, t.choice.Endpoint)
+		r.finish(q, routing.RunIndeterminate, nil)
 	default:
-		r.finish(q, routing.Errored, nil)
+		r.finish(q, routing.RunFailed, nil)
 	}
 }
 
 // decline says that nothing ran, and when it could.
-func (r *Runner) decline(q *run) {
+func (r *Backend) decline(q *run) {
 	r.drop(q)
-	r.core.Declined(q.ID, max(q.after, declineAfter), q.last)
+	r.core.RunDeclined(q.ID, max(q.after, declineAfter), q.last)
 }
 
 // sendHedge sends a second copy of a slow read, if the budget has room and another server is likely to be sooner.
-func (r *Runner) sendHedge(q *run) {
+func (r *Backend) sendHedge(q *run) {
 	q.hedge = micro.Never
 	c, ok := r.fleet.Pick(r.now(), r.wanted(q))
-	if !ok || c.Probe || c.Server == q.tries[0].choice.Server || !r.attempts.Spend(r.now(), q.req.Caller) {
+	if !ok || c.Probe || c.Endpoint == q.tries[0].choice.Endpoint || !r.attempts.SpendToken(r.now(), q.req.CallerID) {
 		return
 	}
 	r.send(q, c)
--- a/internal/standin/allowance.go
+++ b/internal/standin/allowance.go
@@ -20,8 +20,8 @@
 // hears takes the free value on an answer of a server.
 func (c *Caller) hears(server, say string) {
 	requests, err := strconv.ParseFloat(say, 64)
-	if err == nil && c.st.Settings.Signal == control.SignalAllowance && c.number%deafCallers != 0 {
-		c.heard[server] = allowance{requests, c.st.W.Now() + micro.Of(c.st.Settings.SignalHeeded)}
+	if err == nil && c.st.Settings.LoadSignal == control.LoadSignalAllowance && c.number%deafCallers != 0 {
+		c.heard[server] = allowance{requests, c.st.W.Now() + micro.FromDuration(c.st.Settings.LoadSignalTTL)}
 	}
 }
 
--- a/internal/standin/caller.go
+++ b/internal/standin/caller.go
@@ -242,19 +242,19 @@
 
 // worth is what a job is worth if it is served within its aim.
 func (c *Caller) worth(j *job) float64 {
-	worth := c.st.Settings.Classes[j.class].Worth
-	if c.st.Settings.WorthByWork {
+	worth := c.st.Settings.Classes[j.class].Weight
+	if c.st.Settings.WeightPerWork {
 		worth *= j.size
 	}
 	return worth
 }
 
 func (c *Caller) keyed(j *job) bool {
-	return c.st.Settings.Classes[j.class].Effect == control.Keyed
+	return c.st.Settings.Classes[j.class].Idempotency == control.IdempotentByKey
 }
 
 func (c *Caller) deadline(j *job) micro.Time {
-	return micro.Of(c.st.Settings.Classes[j.class].Deadline)
+	return micro.FromDuration(c.st.Settings.Classes[j.class].Deadline)
 }
 
 // dispatch sends a job to the server that may have run it, or to one of the list.
@@ -403,7 +403,7 @@
 		for _, f := range fields {
 			req.Headers = append(req.Headers, ajp.Header{Name: "X-Relay-" + f.Name, Value: f.Value})
 		}
-		out, _ := ajp.AppendBody(ajp.AppendForward(nil, req), j.body)
+		out, _ := ajp.AppendBodyChunk(ajp.AppendForwardRequest(nil, req), j.body)
 		k.e.Write(out)
 	} else {
 		k.e.Write(thrift.AppendCall(nil, t.seq, fields, j.body))
@@ -447,7 +447,7 @@
 // failed goes on after a try that may have run.
 func (c *Caller) failed(t *try, server string) {
 	j := t.j
-	if c.st.Settings.Classes[j.class].Effect == control.Unsafe { // it may have run
+	if c.st.Settings.Classes[j.class].Idempotency == control.NonIdempotent { // it may have run
 		c.Lost++
 		return
 	}
@@ -513,9 +513,9 @@
 		var n int
 		var err error
 		if k.c.ajp {
-			payload, n, err = ajp.Split(k.in, ajp.FromContainer)
+			payload, n, err = ajp.SplitPacket(k.in, ajp.FromContainer)
 		} else {
-			payload, n, err = thrift.Split(k.in)
+			payload, n, err = thrift.SplitFrame(k.in)
 		}
 		if err == nil && payload != nil {
 			if k.c.ajp {
@@ -541,12 +541,12 @@
 	if err != nil {
 		return err
 	}
-	if p.Kind == thrift.Farewell {
+	if p.Kind == thrift.ReplyFarewell {
 		k.bidden = true
 		k.rest()
 		return nil
 	}
-	i := slices.IndexFunc(k.open, func(t *try) bool { return t.seq == p.Seq })
+	i := slices.IndexFunc(k.open, func(t *try) bool { return t.seq == p.SequenceID })
 	if i < 0 {
 		return nil // it crossed a give-up
 	}
@@ -558,7 +558,7 @@
 		k.e.Write(thrift.AppendGiveUp(nil, t.seq+1000))
 	}
 	after, _ := strconv.ParseInt(p.Fields["after"], 10, 64)
-	k.over(t, map[thrift.ReplyKind]int{thrift.Answered: 200, thrift.Throttled: 503}[p.Kind], micro.Time(after)*micro.Millisecond, p.Fields["last"] == "1")
+	k.over(t, map[thrift.ReplyKind]int{thrift.ReplyAnswer: 200, thrift.ReplyThrottled: 503}[p.Kind], micro.Time(after)*micro.Millisecond, p.Fields["last"] == "1")
 	k.rest()
 	return nil
 }
@@ -569,7 +569,7 @@
 		return err
 	}
 	switch p.Code {
-	case ajp.CodeHeaders:
+	case ajp.CodeSendHeaders:
 		k.status, k.after, k.last = p.Status, 0, false
 		for _, h := range p.Headers {
 			switch h.Name {
@@ -580,7 +580,7 @@
 				k.last = h.Value == "1"
 			}
 		}
-	case ajp.CodeEnd:
+	case ajp.CodeEndResponse:
 		if len(k.open) == 0 {
 			return nil
 		}
@@ -605,10 +605,10 @@
 	switch status {
 	case 200:
 		c.st.Served[class.Name]++
-		if now <= j.born+micro.Of(class.Aim) {
+		if now <= j.born+micro.FromDuration(class.LatencyObjective) {
 			c.st.Worth += c.worth(j)
 		} else if now <= j.born+c.deadline(j) {
-			c.st.Worth += c.worth(j) * class.LateWorth
+			c.st.Worth += c.worth(j) * class.LateWeightShare
 		}
 	case 503: // it never ran
 		j.avoid = k.server
--- a/internal/standin/pool.go
+++ b/internal/standin/pool.go
@@ -197,7 +197,7 @@
 }
 
 // notice tells the end of a run.
-func (p *Pool) notice(r *work, end pool.End, result []byte) {
+func (p *Pool) notice(r *work, end pool.Outcome, result []byte) {
 	r.over, r.blocked = true, false
 	if p.rng.IntN(50) == 0 { // a remark takes a number of its own, and is told again like the others
 		p.tell(func(n uint64) []byte { return fmt.Appendf(nil, "chatter %d all is well\r\n", n) })
@@ -263,7 +263,7 @@
 
 func (l *poolLink) do(c pool.Command) {
 	p := l.p
-	if c.Order == pool.Bind {
+	if c.Verb == pool.Bind {
 		if p.link != nil && p.link != l { // a new link replaces the one before it
 			p.link.e.Close()
 		}
@@ -281,7 +281,7 @@
 	if p.link != l {
 		return
 	}
-	switch c.Order {
+	switch c.Verb {
 	case pool.Spawn:
 		l.spawn(c)
 	case pool.Suspend:
--- a/internal/standin/store.go
+++ b/internal/standin/store.go
@@ -37,13 +37,13 @@
 	var out []store.Record
 	for _, r := range s.rows {
 		settled := r.Intent && slices.ContainsFunc(s.rows, func(o store.Record) bool {
-			return !o.Intent && o.Class == r.Class && o.Tenant == r.Tenant && o.Once == r.Once && o.AtMilli >= r.AtMilli
+			return !o.Intent && o.Class == r.Class && o.Tenant == r.Tenant && o.IdempotencyKey == r.IdempotencyKey && o.ArrivedAtMilli >= r.ArrivedAtMilli
 		})
-		if r.AtMilli >= sinceMilli && !settled {
+		if r.ArrivedAtMilli >= sinceMilli && !settled {
 			out = append(out, r)
 		}
 	}
-	slices.SortStableFunc(out, func(a, b store.Record) int { return cmp.Compare(a.AtMilli, b.AtMilli) })
+	slices.SortStableFunc(out, func(a, b store.Record) int { return cmp.Compare(a.ArrivedAtMilli, b.ArrivedAtMilli) })
 	return out, nil
 }
 
@@ -71,7 +71,7 @@
 
 func (s *Store) put(r store.Record) {
 	for i, o := range s.rows {
-		if o.Intent == r.Intent && o.Class == r.Class && o.Tenant == r.Tenant && o.Once == r.Once {
+		if o.Intent == r.Intent && o.Class == r.Class && o.Tenant == r.Tenant && o.IdempotencyKey == r.IdempotencyKey {
 			s.rows[i] = r
 			return
 		}
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -27,23 +27,23 @@
 	batchMax = 64  // that go into one transaction
 )
 
-// ErrFull says that too many intakes wait to be written.
-var ErrFull = errors.New("store: the queue is full")
+// ErrQueueFull says that too many intakes wait to be written.
+var ErrQueueFull = errors.New("store: the queue is full")
 
 // ErrClosed says that the store has been closed.
 var ErrClosed = errors.New("store: closed")
 
 // Record is one intake that ran, or is about to.
 type Record struct {
-	Class, Tenant, Once string
-	AtMilli             int64 // when the try that ran came, in Unix milliseconds
-	Result              []byte
-	Intent              bool // it may run from now on; there is no result yet
+	Class, Tenant, IdempotencyKey string
+	ArrivedAtMilli                int64 // when the try that ran came, in Unix milliseconds
+	Result                        []byte
+	Intent                        bool // it may run from now on; there is no result yet
 }
 
-// Void is an intent that came to nothing: it never ran.
-func (r Record) Void() Record {
-	r.Intent, r.AtMilli = true, 0 // before any window
+// Cancelled is an intent that came to nothing: it never ran.
+func (r Record) Cancelled() Record {
+	r.Intent, r.ArrivedAtMilli = true, 0 // before any window
 	return r
 }
 
@@ -135,15 +135,15 @@
 	type name struct{ class, tenant, once string }
 	settled := map[name]int64{}
 	for _, r := range out {
-		settled[name{r.Class, r.Tenant, r.Once}] = r.AtMilli
+		settled[name{r.Class, r.Tenant, r.IdempotencyKey}] = r.ArrivedAtMilli
 	}
 	open, err := s.query(ctx, s.open, sinceMilli, true)
 	for _, r := range open {
-		if at, ok := settled[name{r.Class, r.Tenant, r.Once}]; !ok || at < r.AtMilli {
+		if at, ok := settled[name{r.Class, r.Tenant, r.IdempotencyKey}]; !ok || at < r.ArrivedAtMilli {
 			out = append(out, r)
 		}
 	}
-	slices.SortStableFunc(out, func(a, b Record) int { return cmp.Compare(a.AtMilli, b.AtMilli) })
+	slices.SortStableFunc(out, func(a, b Record) int { return cmp.Compare(a.ArrivedAtMilli, b.ArrivedAtMilli) })
 	return out, err
 }
 
@@ -156,7 +156,7 @@
 	var out []Record
 	for rows.Next() {
 		r := Record{Intent: intent}
-		to := []any{&r.Class, &r.Tenant, &r.Once, &r.AtMilli}
+		to := []any{&r.Class, &r.Tenant, &r.IdempotencyKey, &r.ArrivedAtMilli}
 		if !intent {
 			to = append(to, &r.Result)
 		}
@@ -184,7 +184,7 @@
 		select {
 		case s.queue <- job{r, done}:
 		default:
-			go done(ErrFull)
+			go done(ErrQueueFull)
 		}
 	}
 }
@@ -248,7 +248,7 @@
 		if r.Result == nil {
 			r.Result = []byte{}
 		}
-		text, args := s.insert, []any{s.server, r.Class, r.Tenant, r.Once, r.AtMilli, r.Result}
+		text, args := s.insert, []any{s.server, r.Class, r.Tenant, r.IdempotencyKey, r.ArrivedAtMilli, r.Result}
 		if r.Intent {
 			text, args = s.intend, args[:5]
 		}
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -34,7 +34,7 @@
 	intent := func(once string, at int64) Record { return Record{"lot-intake", "hill-estate", once, at, nil, true} }
 	open, younger, void := intent("k2", 5500), intent("k3", 7000), intent("k4", 5600)
 	for _, r := range []Record{old, intent("k1", 5000), first, intent("k0", 6000), again, open, {"lot-intake", "hill-estate", "k3", 5100, []byte("three"), false},
-		younger, void, void.Void()} {
+		younger, void, void.Cancelled()} {
 		require.NoError(t, record(t, s, r))
 	}
 	require.NoError(t, s.Close())
--- a/internal/transport/sockets/linger_test.go
+++ b/internal/transport/sockets/linger_test.go
@@ -57,7 +57,7 @@
 	}{
 		"by its session":   {"v", func(_ *handClock, _ *Loop, s *echoSession) { s.link.Close() }},
 		"as the loop ends": {"v", func(c *handClock, l *Loop, _ *echoSession) { l.Shutdown(c.Now() + micro.Second) }},
-		"to make room":     {"vi", func(_ *handClock, l *Loop, _ *echoSession) { l.Bound(0, 0) }},
+		"to make room":     {"vi", func(_ *handClock, l *Loop, _ *echoSession) { l.SetLimits(0, 0) }},
 		"as a stranger":    {"i", func(*handClock, *Loop, *echoSession) {}}, // by the end of the turn, whose time is past its own
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -70,7 +70,7 @@
 			_, err = io.ReadFull(c, first)
 			require.NoError(t, err)
 			s := <-e.dials
-			clock.now.Add(int64(transport.StrangerMax)) // also past BusyLately
+			clock.now.Add(int64(transport.IdentificationTimeout)) // also past BusyLately
 			require.NoError(t, l.Execute(func() {
 				_, err := c.Write([]byte(late))
 				require.NoError(t, err)
@@ -99,7 +99,7 @@
 // tells passes on each session.
 type tells struct{ *echo }
 
-func (e tells) Accept(i int, l transport.Link) transport.Session {
+func (e tells) Accept(i int, l transport.Conn) transport.Session {
 	s := e.echo.Accept(i, l).(*echoSession)
 	e.dials <- s
 	return s
@@ -136,11 +136,11 @@
 type fussy struct {
 	answer []byte
 	wait   func()
-	link   transport.Link
+	link   transport.Conn
 	taken  int
 }
 
-func (f *fussy) Accept(_ int, l transport.Link) transport.Session {
+func (f *fussy) Accept(_ int, l transport.Conn) transport.Session {
 	f.link = l
 	return f
 }
@@ -173,13 +173,13 @@
 		require.LessOrEqual(t, open(), most+over)
 		require.Equal(t, min(i+1, most+over), open(), "those that were shut are left to their peers while there is room")
 	}
-	clock.move(t, l, transport.LingerMost)
+	clock.move(t, l, transport.LingerTimeout)
 	clock.move(t, l, 0)
 	require.Equal(t, most, open())
 	// Without end.
 	last, shut := all[len(all)-1], all[len(all)-2]
 	works(t, last, e.answer)
-	require.NoError(t, l.Execute(func() { l.Bound(1, 0) }))
+	require.NoError(t, l.Execute(func() { l.SetLimits(1, 0) }))
 	works(t, last, e.answer)
 	for {
 		if _, err := shut.Write(make([]byte, 64<<10)); err != nil {
--- a/internal/transport/sockets/sockets.go
+++ b/internal/transport/sockets/sockets.go
@@ -36,9 +36,9 @@
 // Options say what a Loop serves.
 type Options struct {
 	transport.Options
-	Listen    []string // addresses, in the order of Handler.Accept's index; an empty one has no listener
-	Datagrams string   // the peer of Send; empty: none
-	Clock     Clock
+	Listen       []string // addresses, in the order of Handler.Accept's index; an empty one has no listener
+	DatagramPeer string   // the peer of Send; empty: none
+	Clock        Clock
 }
 
 // Loop is transport's loop on real sockets.
@@ -69,11 +69,11 @@
 	d.loop = transport.New(opts.Options, d, h, begin)
 	d.timer = time.AfterFunc(time.Hour, func() {
 		if !d.ended.Load() {
-			_ = d.Queue(d.loop.Wake)
+			_ = d.Queue(d.loop.TimerFired)
 		}
 	})
 	d.timer.Stop()
-	if err := d.Datagrams(opts.Datagrams); err != nil {
+	if err := d.SetDatagramPeer(opts.DatagramPeer); err != nil {
 		return nil, err
 	}
 	var addrs []string
@@ -159,8 +159,8 @@
 // Rand is part of transport.Driver.
 func (d *driver) Rand() uint64 { return rand.Uint64() }
 
-// Wake is part of transport.Driver.
-func (d *driver) Wake(at micro.Time) {
+// SetTimer is part of transport.Driver.
+func (d *driver) SetTimer(at micro.Time) {
 	if at == micro.Never {
 		d.timer.Stop()
 	} else {
@@ -231,7 +231,7 @@
 type socket struct {
 	d    *driver
 	gc   gnet.Conn
-	conn *transport.Conn
+	conn *transport.Connection
 	dial *transport.Dial // while it is being opened; nil: it came to a listener
 	to   int             // that listener
 	shut bool
@@ -337,7 +337,7 @@
 func (d *driver) Dial(k *transport.Dial) {
 	go func() {
 		if d.dial(k) != nil {
-			_ = d.Queue(func() { d.loop.Failed(k) })
+			_ = d.Queue(func() { d.loop.DialFailed(k) })
 		}
 	}()
 }
@@ -351,8 +351,8 @@
 }
 
 // Adopt takes up a connection that was opened off the loop; open gives its session.
-func (l *Loop) Adopt(nc net.Conn, open func(transport.Link) transport.Session) error {
-	return l.d.register(nc, &socket{d: l.d, dial: l.Taken(open)})
+func (l *Loop) Adopt(nc net.Conn, open func(transport.Conn) transport.Session) error {
+	return l.d.register(nc, &socket{d: l.d, dial: l.Adopted(open)})
 }
 
 // Serve accepts on a listener of another kind than gnet's, as the one of that index, until it is closed. gnet has no Unix
@@ -503,8 +503,8 @@
 	return 0, errors.New("the listener's descriptor is not found")
 }
 
-// Datagrams is part of transport.Driver.
-func (d *driver) Datagrams(addr string) error {
+// SetDatagramPeer is part of transport.Driver.
+func (d *driver) SetDatagramPeer(addr string) error {
 	var c net.Conn
 	if addr != "" {
 		var err error
@@ -519,8 +519,8 @@
 	return nil
 }
 
-// Send is part of transport.Driver.
-func (d *driver) Send(p []byte) {
+// SendDatagram is part of transport.Driver.
+func (d *driver) SendDatagram(p []byte) {
 	if d.udp == nil {
 		return
 	}
--- a/internal/transport/sockets/sockets_test.go
+++ b/internal/transport/sockets/sockets_test.go
@@ -25,11 +25,11 @@
 
 type echoSession struct {
 	e    *echo
-	link transport.Link
+	link transport.Conn
 	idle bool
 }
 
-func (e *echo) Accept(_ int, l transport.Link) transport.Session { return &echoSession{e: e, link: l} }
+func (e *echo) Accept(_ int, l transport.Conn) transport.Session { return &echoSession{e: e, link: l} }
 func (e *echo) Turn(micro.Time) micro.Time                       { return micro.Never }
 func (s *echoSession) Closed()                                   { s.e.closed <- s.link.Remote() }
 func (s *echoSession) Idle() bool                                { return s.idle }
@@ -37,7 +37,7 @@
 	for i, b := range in {
 		switch b {
 		case 'v':
-			s.link.Vouch()
+			s.link.MarkIdentified()
 		case 'i':
 			s.idle = true
 		case 'h': // half a message: it waits for the rest
@@ -157,7 +157,7 @@
 	begun, early bool
 }
 
-func (e *eager) Accept(i int, l transport.Link) transport.Session {
+func (e *eager) Accept(i int, l transport.Conn) transport.Session {
 	e.early = e.early || !e.begun
 	return e.echo.Accept(i, l)
 }
@@ -206,15 +206,15 @@
 	l := startWith(t, e, Options{Options: transport.Options{MaxConns: 9}, Clock: clock})
 	proxy, silent := connect(t, l), connect(t, l)
 	says(t, proxy, "v", e.answer)
-	clock.move(t, l, transport.StrangerMax/2)
+	clock.move(t, l, transport.IdentificationTimeout/2)
 	half := connect(t, l)
 	says(t, half, "h", e.answer)
-	clock.move(t, l, transport.StrangerMax/2)
+	clock.move(t, l, transport.IdentificationTimeout/2)
 	require.Equal(t, silent.LocalAddr().String(), <-e.closed)
 	says(t, half, "h", e.answer) // trickles on
-	clock.move(t, l, transport.StrangerMax/2)
+	clock.move(t, l, transport.IdentificationTimeout/2)
 	require.Equal(t, half.LocalAddr().String(), <-e.closed)
-	clock.move(t, l, 100*transport.StrangerMax)
+	clock.move(t, l, 100*transport.IdentificationTimeout)
 	works(t, proxy, e.answer)
 }
 
@@ -227,9 +227,9 @@
 	says(t, busy, "v", e.answer)
 	says(t, idle, "vi", []byte("rr"))
 	says(t, stranger, "x", e.answer)
-	clock.move(t, l, transport.BusyLately)
+	clock.move(t, l, transport.EvictionGrace)
 	says(t, kept, "vi", []byte("rr"))
-	clock.move(t, l, transport.BusyLately)
+	clock.move(t, l, transport.EvictionGrace)
 	for _, next := range []net.Conn{stranger, idle, kept} {
 		c := connect(t, l)
 		says(t, c, "v", e.answer)
@@ -243,7 +243,7 @@
 // goes first, and the others are served.
 func TestBuffersAreBoundedTogether(t *testing.T) {
 	e := &echo{answer: []byte("r")}
-	l := startWith(t, e, Options{Options: transport.Options{MaxConns: 99, Buffers: 128 << 10}, Clock: &handClock{}})
+	l := startWith(t, e, Options{Options: transport.Options{MaxConns: 99, MaxBuffered: 128 << 10}, Clock: &handClock{}})
 	other := connect(t, l)
 	works(t, other, e.answer)
 	hoards := map[string]bool{}
@@ -282,7 +282,7 @@
 	require.NoError(t, unix.Bind(fd, &unix.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}))
 	addr := localAddr(fd).String()
 	require.NoError(t, l.Execute(func() {
-		l.Dial(addr, func(k transport.Link) transport.Session {
+		l.Dial(addr, func(k transport.Conn) transport.Session {
 			s := &echoSession{e: e, link: k}
 			e.dials <- s
 			return s
@@ -315,7 +315,7 @@
 	var peer net.Conn
 	opened := make(chan struct{}, 1)
 	require.NoError(t, l.Execute(func() {
-		drop := l.Dial(ln.Addr().String(), func(k transport.Link) transport.Session {
+		drop := l.Dial(ln.Addr().String(), func(k transport.Conn) transport.Session {
 			opened <- struct{}{}
 			return &echoSession{e: e, link: k}
 		})
@@ -343,9 +343,9 @@
 		defer peers[i].Close()
 		failed := make(chan error, 2)
 		require.NoError(t, l.Execute(func() {
-			failed <- l.Datagrams(peers[i].LocalAddr().String())
-			failed <- l.Datagrams("nowhere")
-			l.Send([]byte{byte(i)})
+			failed <- l.SetDatagramPeer(peers[i].LocalAddr().String())
+			failed <- l.SetDatagramPeer("nowhere")
+			l.SendDatagram([]byte{byte(i)})
 		}))
 		require.NoError(t, <-failed)
 		require.Error(t, <-failed)
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -25,10 +25,10 @@
 
 // The bounds on time that others may want to know.
 const (
-	StrangerMax = 1500 * micro.Millisecond // until something valid must have come
-	BusyLately  = 200 * micro.Millisecond  // not closed to make room: a request may be on its way
-	DialTimeout = time.Second              // of one attempt; what a Driver keeps to
-	LingerMost  = micro.Second             // for the peer of a connection that has been shut to close it
+	IdentificationTimeout = 1500 * micro.Millisecond // until something valid must have come
+	EvictionGrace         = 200 * micro.Millisecond  // not closed to make room: a request may be on its way
+	DialTimeout           = time.Second              // of one attempt; what a Driver keeps to
+	LingerTimeout         = micro.Second             // for the peer of a connection that has been shut to close it
 )
 
 const (
@@ -48,19 +48,19 @@
 	Idle() bool
 }
 
-// Link is what a session may do with its connection.
-type Link interface {
-	Write(p []byte) // sends p at the end of the turn
-	Close()         // ends the connection at the end of the turn, after what was written; the peer gets all of it
-	Resume()        // has Receive called again with what it left, in a turn to come
-	Vouch()         // the peer has sent something valid: it is no stranger any more
-	Remote() string // names the peer
+// Conn is what a session may do with its connection.
+type Conn interface {
+	Write(p []byte)  // sends p at the end of the turn
+	Close()          // ends the connection at the end of the turn, after what was written; the peer gets all of it
+	Resume()         // has Receive called again with what it left, in a turn to come
+	MarkIdentified() // the peer has sent something valid: it is no stranger any more
+	Remote() string  // names the peer
 }
 
 // Handler is the program behind the loop. Its methods run on the loop.
 type Handler interface {
 	// Accept returns the session of a new connection to the listener of that index.
-	Accept(listener int, c Link) Session
+	Accept(listener int, c Conn) Session
 	// Turn ends a turn, in which all that was ready has been received. It returns when the next one is due.
 	Turn(now micro.Time) micro.Time
 }
@@ -75,13 +75,13 @@
 	// the loop has ended and that f will never run.
 	Queue(f func()) error
 	// Wake has Loop.Wake called at a time, or soon after it; a later call replaces the one before. Never: not at all.
-	Wake(at micro.Time)
+	SetTimer(at micro.Time)
 	// Dial tries once to open a connection to d's address, for DialTimeout at most. Connected or Failed follows.
 	Dial(d *Dial)
 	// Datagrams sets the peer of Send; empty: none. On an error the one before stays.
-	Datagrams(addr string) error
+	SetDatagramPeer(addr string) error
 	// Send sends one datagram; it may be lost, as any may.
-	Send(p []byte)
+	SendDatagram(p []byte)
 	// Rand is a random number. It need not be secret.
 	Rand() uint64
 	// CloseListener takes up the connections that wait at the listener of that index, and then ends it and calls done on the loop:
@@ -91,8 +91,8 @@
 	Stop()
 }
 
-// Wire is one connection of a Driver.
-type Wire interface {
+// RawConn is one connection of a Driver.
+type RawConn interface {
 	// Write sends p, or keeps what the peer does not take yet. It may call Ended before it returns an error.
 	Write(p []byte) error
 	// Unsent counts the bytes that are kept.
@@ -112,9 +112,9 @@
 	MaxConns int // accepted connections beyond this must be made room for
 	// Apart are the most connections of the listeners, by their index, that have places of their own: they take none of
 	// MaxConns, and MaxConns none of theirs.
-	Apart   map[int]int
-	Buffers int // bytes that all connections together may have waiting; 0: no bound
-	Logf    func(format string, args ...any)
+	DedicatedLimits map[int]int
+	MaxBuffered     int // bytes that all connections together may have waiting; 0: no bound
+	Logf            func(format string, args ...any)
 }
 
 // Loop is the event loop.
@@ -126,23 +126,23 @@
 	begun   bool
 	now     micro.Time // of this turn
 	pending bool       // the end of this turn is queued
-	dirty   []*Conn
+	dirty   []*Connection
 	armed   micro.Time
 	hall    room          // of most listeners
 	apart   map[int]*room // of those that have places of their own
 	// Accepted connections that had sent nothing valid when they were last looked at, oldest first.
-	strangers    []*Conn
-	waiting      int     // bytes in the buffers of all connections
-	failed       []*Dial // to be dialled again
-	lingering    []*Conn // shut, until their peers close them; oldest first
-	shuttingDown bool    // nothing is accepted, and the loop stops with the last that parts
+	strangers    []*Connection
+	waiting      int           // bytes in the buffers of all connections
+	failed       []*Dial       // to be dialled again
+	lingering    []*Connection // shut, until their peers close them; oldest first
+	shuttingDown bool          // nothing is accepted, and the loop stops with the last that parts
 	shutdownBy   micro.Time
 }
 
-// Conn is one connection, accepted or dialled. It has one buffer for what is read and not yet taken.
-type Conn struct {
+// Connection is one connection, accepted or dialled. It has one buffer for what is read and not yet taken.
+type Connection struct {
 	loop    *Loop
-	wire    Wire
+	wire    RawConn
 	session Session
 	buf     []byte
 	out     []byte
@@ -162,7 +162,7 @@
 // room holds accepted connections; each knows its place. One that has been shut keeps its place while it can, as it holds a
 // descriptor.
 type room struct {
-	conns     []*Conn
+	conns     []*Connection
 	most      int
 	lingering int // of them
 }
@@ -171,16 +171,16 @@
 // session.
 func New(opts Options, d Driver, h Handler, begin func(*Loop)) *Loop {
 	l := &Loop{opts: opts, driver: d, handler: h, begin: begin, armed: micro.Never, hall: room{most: opts.MaxConns}, apart: map[int]*room{}}
-	for listener, most := range opts.Apart {
+	for listener, most := range opts.DedicatedLimits {
 		l.apart[listener] = &room{most: most}
 	}
 	return l
 }
 
-// Bound sets anew how many connections are accepted without making room, and how much may wait in all buffers. Strangers and
+// SetLimits sets anew how many connections are accepted without making room, and how much may wait in all buffers. Strangers and
 // idle connections beyond that are closed now; what is in use stays.
-func (l *Loop) Bound(conns, buffers int) {
-	l.hall.most, l.opts.Buffers = conns, buffers
+func (l *Loop) SetLimits(conns, buffers int) {
+	l.hall.most, l.opts.MaxBuffered = conns, buffers
 	for len(l.hall.conns)-l.hall.lingering > conns && l.makeRoom(&l.hall) {
 	}
 }
@@ -234,8 +234,8 @@
 	})
 }
 
-// Wake begins a turn that is due by the clock.
-func (l *Loop) Wake() { l.touch() }
+// TimerFired begins a turn that is due by the clock.
+func (l *Loop) TimerFired() { l.touch() }
 
 // touch begins a turn, if none is under way: the clock is read, and the end is queued.
 func (l *Loop) touch() {
@@ -268,12 +268,12 @@
 	}
 	if next != l.armed || next <= l.now {
 		l.armed = next
-		l.driver.Wake(next)
+		l.driver.SetTimer(next)
 	}
 }
 
 // Accept takes up a connection to the listener of that index. It returns nil where the driver is to close it.
-func (l *Loop) Accept(w Wire, listener int) *Conn {
+func (l *Loop) Accept(w RawConn, listener int) *Connection {
 	l.touch()
 	// Guards against running out of descriptors, upon which the driver may have to give up listening altogether.
 	// A listener with places of its own guards both sides: no number of silent operators costs a proxy its place, and no
@@ -292,7 +292,7 @@
 	if len(r.conns) >= r.most+lingerConns {
 		l.closeOldestLingering(r)
 	}
-	c := &Conn{loop: l, wire: w, room: r, place: len(r.conns), since: l.now, active: l.now}
+	c := &Connection{loop: l, wire: w, room: r, place: len(r.conns), since: l.now, active: l.now}
 	r.conns = append(r.conns, c)
 	l.strangers = append(l.strangers, c)
 	c.session = l.handler.Accept(listener, c)
@@ -301,7 +301,7 @@
 
 // Received hands what was read to the session; false: the driver is to close the connection. in is only lent. What comes once
 // the connection is to be closed is passed over: whoever sent it gets no answer on it.
-func (c *Conn) Received(in []byte) bool {
+func (c *Connection) Received(in []byte) bool {
 	l := c.loop
 	l.touch()
 	if c.closing {
@@ -323,7 +323,7 @@
 }
 
 // deliver hands the session what waits; false: the connection has ended by that.
-func (c *Conn) deliver() bool {
+func (c *Connection) deliver() bool {
 	n, err := c.session.Receive(c.buf)
 	if err != nil {
 		c.loop.opts.Logf("transport: %s closed: %v", c.Remote(), err)
@@ -336,7 +336,7 @@
 }
 
 // Resume is part of Link. Where there is nothing left, there is nothing to do.
-func (c *Conn) Resume() {
+func (c *Connection) Resume() {
 	if len(c.buf) == 0 {
 		return
 	}
@@ -349,7 +349,7 @@
 }
 
 // compact moves what is left to the front of the buffer; one that has grown large is let go once it is empty.
-func (c *Conn) compact(n int) {
+func (c *Connection) compact(n int) {
 	left := copy(c.buf, c.buf[n:])
 	c.buf = c.buf[:left]
 	if left == 0 && cap(c.buf) > keepBuffer {
@@ -358,7 +358,7 @@
 }
 
 // Ended says that the connection is no more; the session hears of it, unless it has. Calls after the first do nothing.
-func (c *Conn) Ended() {
+func (c *Connection) Ended() {
 	if c.gone {
 		return
 	}
@@ -377,7 +377,7 @@
 }
 
 // end is the end of the connection for its session.
-func (c *Conn) end() {
+func (c *Connection) end() {
 	told := c.closed
 	c.closed, c.closing, c.buf, c.out = true, true, nil, nil
 	c.count()
@@ -389,7 +389,7 @@
 // linger ends the connection from this side: the session is told, and the peer gets what was written and hears that nothing
 // follows. Guards what it has not read yet: a close with something unread would reset the connection, and a request that
 // crosses it has to find that nobody takes it. The peer closes it, or it is closed after a while.
-func (c *Conn) linger() {
+func (c *Connection) linger() {
 	l := c.loop
 	c.end()
 	if c.gone {
@@ -398,7 +398,7 @@
 	if c.room != nil {
 		c.room.lingering++
 	}
-	c.until = l.now + LingerMost
+	c.until = l.now + LingerTimeout
 	l.lingering = append(l.lingering, c)
 	c.wire.CloseWrite()
 }
@@ -440,7 +440,7 @@
 }
 
 // Write is part of Link.
-func (c *Conn) Write(p []byte) {
+func (c *Connection) Write(p []byte) {
 	if c.closed || c.closing {
 		return
 	}
@@ -456,7 +456,7 @@
 }
 
 // Close is part of Link.
-func (c *Conn) Close() {
+func (c *Connection) Close() {
 	if c.closed || c.closing {
 		return
 	}
@@ -464,14 +464,14 @@
 	c.closing = true
 }
 
-func (c *Conn) mark() {
+func (c *Connection) mark() {
 	if len(c.out) == 0 && !c.closing {
 		c.loop.dirty = append(c.loop.dirty, c)
 		c.loop.touch()
 	}
 }
 
-func (c *Conn) flush() {
+func (c *Connection) flush() {
 	if c.closed {
 		return
 	}
@@ -497,8 +497,8 @@
 	}
 }
 
-// Vouch is part of Link.
-func (c *Conn) Vouch() { c.vouched = true }
+// MarkIdentified is part of Link.
+func (c *Connection) MarkIdentified() { c.vouched = true }
 
 // dismiss closes the strangers whose time is up; it returns when that of the next one is. Guards the places of the
 // proxies against whoever connects and says nothing, or nothing that makes sense, or half of it.
@@ -506,8 +506,8 @@
 	for len(l.strangers) > 0 {
 		c := l.strangers[0]
 		if !c.closed && (!c.vouched || planted.Bug(planted.StrangerVouched)) {
-			if l.now < c.since+StrangerMax {
-				return c.since + StrangerMax
+			if l.now < c.since+IdentificationTimeout {
+				return c.since + IdentificationTimeout
 			}
 			l.opts.Logf("transport: %s closed: nothing valid has come", c.Remote())
 			c.Close()
@@ -520,7 +520,7 @@
 
 // makeRoom closes one connection of a room: the oldest stranger, or else the one that has been idle the longest.
 func (l *Loop) makeRoom(r *room) bool {
-	var last *Conn
+	var last *Connection
 	for _, c := range l.strangers {
 		if !c.closing && !c.vouched && c.room == r {
 			last = c
@@ -529,7 +529,7 @@
 	}
 	if last == nil {
 		for _, c := range r.conns {
-			if !c.closing && (c.session.Idle() || planted.Bug(planted.RoomOpen)) && c.active+BusyLately <= l.now && (last == nil || c.active < last.active) {
+			if !c.closing && (c.session.Idle() || planted.Bug(planted.RoomOpen)) && c.active+EvictionGrace <= l.now && (last == nil || c.active < last.active) {
 				last = c
 			}
 		}
@@ -545,14 +545,14 @@
 
 // count keeps the sum of what waits in all buffers. Guards the memory of a small machine, which many connections
 // could exhaust with little each: whoever has the most waiting goes first.
-func (c *Conn) count() {
+func (c *Connection) count() {
 	l, n := c.loop, cap(c.buf)+cap(c.out)
 	if !c.gone {
 		n += c.wire.Unsent()
 	}
 	l.waiting += n - c.counted
 	c.counted = n
-	if l.opts.Buffers == 0 || l.waiting <= l.opts.Buffers || c.closed {
+	if l.opts.MaxBuffered == 0 || l.waiting <= l.opts.MaxBuffered || c.closed {
 		return
 	}
 	for _, p := range l.lingering { // what nobody may read any more goes first
@@ -560,7 +560,7 @@
 			p.wire.Close()
 		}
 	}
-	if l.waiting <= l.opts.Buffers {
+	if l.waiting <= l.opts.MaxBuffered {
 		return
 	}
 	most := c
@@ -577,13 +577,13 @@
 }
 
 // Remote is part of Link.
-func (c *Conn) Remote() string { return c.wire.Remote() }
+func (c *Connection) Remote() string { return c.wire.Remote() }
 
 // Dial is a link that the program wants, until it is open.
 type Dial struct {
 	loop    *Loop
 	addr    string
-	open    func(Link) Session
+	open    func(Conn) Session
 	failed  func() // nil: it is tried again until it opens
 	wait    micro.Time
 	again   micro.Time // when it is to be tried again
@@ -596,36 +596,36 @@
 // Dial opens a connection to addr on the loop; open gives its session. A link that cannot be opened is tried
 // again after a while, longer each time, until it can, or until drop is called on the loop: open is not called
 // after that.
-func (l *Loop) Dial(addr string, open func(Link) Session) (drop func()) {
+func (l *Loop) Dial(addr string, open func(Conn) Session) (drop func()) {
 	d := &Dial{loop: l, addr: addr, open: open, wait: redialFirst}
 	l.driver.Dial(d)
 	return func() { d.dropped = true }
 }
 
-// Try opens a connection to addr once: open gives its session, or failed says that it came to nothing. Neither is
+// DialOnce opens a connection to addr once: open gives its session, or failed says that it came to nothing. Neither is
 // called after drop.
-func (l *Loop) Try(addr string, open func(Link) Session, failed func()) (drop func()) {
+func (l *Loop) DialOnce(addr string, open func(Conn) Session, failed func()) (drop func()) {
 	d := &Dial{loop: l, addr: addr, open: open, failed: failed}
 	l.driver.Dial(d)
 	return func() { d.dropped = true }
 }
 
-// Taken is a link that a driver has opened by itself, for Connected.
-func (l *Loop) Taken(open func(Link) Session) *Dial { return &Dial{loop: l, open: open} }
+// Adopted is a link that a driver has opened by itself, for Connected.
+func (l *Loop) Adopted(open func(Conn) Session) *Dial { return &Dial{loop: l, open: open} }
 
 // Connected takes up a link that has opened. It returns nil where the driver is to close it.
-func (l *Loop) Connected(d *Dial, w Wire) *Conn {
+func (l *Loop) Connected(d *Dial, w RawConn) *Connection {
 	l.touch()
 	if d.dropped {
 		return nil // it opened after it was given up
 	}
-	c := &Conn{loop: l, wire: w, active: l.now}
+	c := &Connection{loop: l, wire: w, active: l.now}
 	c.session = d.open(c)
 	return c
 }
 
-// Failed says that an attempt to dial came to nothing. There is another after a while.
-func (l *Loop) Failed(d *Dial) {
+// DialFailed says that an attempt to dial came to nothing. There is another after a while.
+func (l *Loop) DialFailed(d *Dial) {
 	l.touch()
 	if d.dropped || planted.Bug(planted.NoRedial) && d.wait > redialFirst {
 		return
@@ -656,8 +656,8 @@
 	return next
 }
 
-// Datagrams sets the peer of Send; empty: none. On an error the one before stays.
-func (l *Loop) Datagrams(addr string) error { return l.driver.Datagrams(addr) }
+// SetDatagramPeer sets the peer of Send; empty: none. On an error the one before stays.
+func (l *Loop) SetDatagramPeer(addr string) error { return l.driver.SetDatagramPeer(addr) }
 
-// Send sends one datagram; it may be lost, as any may.
-func (l *Loop) Send(p []byte) { l.driver.Send(p) }
+// SendDatagram sends one datagram; it may be lost, as any may.
+func (l *Loop) SendDatagram(p []byte) { l.driver.SendDatagram(p) }
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -8,7 +8,7 @@
 
 // What a session leaves in its buffer stays there, compacted, until it is whole.
 func TestCompact(t *testing.T) {
-	c := &Conn{buf: []byte("abcdef")}
+	c := &Connection{buf: []byte("abcdef")}
 	c.compact(2)
 	require.Equal(t, "cdef", string(c.buf))
 	c.compact(4)
--- a/internal/vaultlink/client.go
+++ b/internal/vaultlink/client.go
@@ -14,58 +14,58 @@
 type Loop interface {
 	Now() micro.Time
 	// Try opens a connection once: open gives its session, or failed says that it came to nothing.
-	Try(addr string, open func(transport.Link) transport.Session, failed func()) (drop func())
+	DialOnce(addr string, open func(transport.Conn) transport.Session, failed func()) (drop func())
 }
 
-// Ended tells how a call ended. reply is the caller's to keep; only calls.Answered has one.
-type Ended func(now micro.Time, id string, outcome calls.Outcome, reply []byte)
+// CallEnded tells how a call ended. reply is the caller's to keep; only calls.Answered has one.
+type CallEnded func(now micro.Time, id string, outcome calls.Outcome, reply []byte)
 
 // Client makes calls. All its methods are called on the loop. Ended is only called by Check.
 type Client struct {
 	address  string
 	loop     Loop
-	ended    Ended
+	ended    CallEnded
 	logf     func(format string, args ...any)
-	dispatch *calls.Dispatcher
-	links    map[calls.LinkID]*link
+	dispatch *calls.Pool
+	links    map[calls.ConnID]*link
 	drop     func() // gives up the link that is being dialled
-	results  []calls.End
+	results  []calls.Complete
 	reached  bool // the last attempt to open a link did not fail
 }
 
 // New returns a client without a link: one is opened for the first call. Attach must follow.
 func New(address string, logf func(format string, args ...any)) *Client {
-	return &Client{address: address, logf: logf, dispatch: calls.NewDispatcher(), links: map[calls.LinkID]*link{}, reached: true}
+	return &Client{address: address, logf: logf, dispatch: calls.NewPool(), links: map[calls.ConnID]*link{}, reached: true}
 }
 
 // Attach ties the client to its loop and to whoever makes the calls.
-func (c *Client) Attach(loop Loop, ended Ended) { c.loop, c.ended = loop, ended }
+func (c *Client) Attach(loop Loop, ended CallEnded) { c.loop, c.ended = loop, ended }
 
 // Status is what operators may know of the client.
 type Status struct {
-	Reached bool // the last attempt to open a link did not fail
-	Links   int
-	Calls   int // in hand
-	Waiting int // of these, for a link
+	Reachable bool // the last attempt to open a link did not fail
+	Links     int
+	InFlight  int // in hand
+	Waiting   int // of these, for a link
 }
 
 // Status tells how the client stands.
 func (c *Client) Status() Status {
 	links, inHand, waiting := c.dispatch.Counts()
-	return Status{Reached: c.reached, Links: links, Calls: inHand, Waiting: waiting}
+	return Status{Reachable: c.reached, Links: links, InFlight: inHand, Waiting: waiting}
 }
 
-// Ask is part of routing.Callee.
-func (c *Client) Ask(request calls.Request) {
+// Call is part of routing.Callee.
+func (c *Client) Call(request calls.Request) {
 	c.forgetResult(request.ID)
-	c.dispatch.Ask(c.loop.Now(), request)
+	c.dispatch.Call(c.loop.Now(), request)
 	c.carryOut()
 }
 
-// GiveUp is part of routing.Callee.
-func (c *Client) GiveUp(id string) {
+// Abandon is part of routing.Callee.
+func (c *Client) Abandon(id string) {
 	c.forgetResult(id)
-	c.dispatch.GiveUp(c.loop.Now(), id)
+	c.dispatch.Abandon(c.loop.Now(), id)
 	c.carryOut()
 }
 
@@ -80,13 +80,13 @@
 	c.results = left
 }
 
-// Move has new calls go to another address. Those in hand end on the links that they were made on.
-func (c *Client) Move(address string) {
+// SetAddress has new calls go to another address. Those in hand end on the links that they were made on.
+func (c *Client) SetAddress(address string) {
 	if address == c.address {
 		return
 	}
 	c.address, c.reached = address, true
-	c.dispatch.Moved()
+	c.dispatch.AddressChanged()
 	c.carryOut()
 }
 
@@ -106,7 +106,7 @@
 	if len(c.results) > 0 {
 		return c.loop.Now()
 	}
-	return c.dispatch.NextDue()
+	return c.dispatch.NextWakeup()
 }
 
 // carryOut does what the dispatcher has decided.
@@ -119,22 +119,22 @@
 			c.drop()
 			c.dial()
 		case calls.Send:
-			c.links[a.Link].ask(a)
-		case calls.Unask:
-			c.links[a.Link].unask(a.ID)
+			c.links[a.Conn].ask(a)
+		case calls.Abandon:
+			c.links[a.Conn].unask(a.ID)
 		case calls.Close:
-			c.links[a.Link].conn.Close()
-		case calls.End:
+			c.links[a.Conn].conn.Close()
+		case calls.Complete:
 			c.results = append(c.results, a)
-		case calls.Suspect:
-			c.logf("vault: a link with %d calls has been silent for %v", a.Calls, a.Silent.Duration())
+		case calls.ReportSilence:
+			c.logf("vault: a link with %d calls has been silent for %v", a.Calls, a.Duration.Duration())
 		}
 	}
 }
 
-func (c *Client) dial() { c.drop = c.loop.Try(c.address, c.opened, c.failed) }
+func (c *Client) dial() { c.drop = c.loop.DialOnce(c.address, c.opened, c.failed) }
 
-func (c *Client) opened(conn transport.Link) transport.Session {
+func (c *Client) opened(conn transport.Conn) transport.Session {
 	if !c.reached {
 		c.logf("vault: %s is reached again", c.address)
 	}
--- a/internal/vaultlink/client_test.go
+++ b/internal/vaultlink/client_test.go
@@ -24,7 +24,7 @@
 
 type dial struct {
 	address string
-	open    func(transport.Link) transport.Session
+	open    func(transport.Conn) transport.Session
 	failed  func()
 	dropped bool
 }
@@ -35,15 +35,15 @@
 	closed  bool
 }
 
-func (c *conn) Write(p []byte) { c.out += string(p) }
-func (c *conn) Close()         { c.closed = true }
-func (c *conn) Resume()        {}
-func (c *conn) Vouch()         {}
-func (c *conn) Remote() string { return "vault" }
+func (c *conn) Write(p []byte)  { c.out += string(p) }
+func (c *conn) Close()          { c.closed = true }
+func (c *conn) Resume()         {}
+func (c *conn) MarkIdentified() {}
+func (c *conn) Remote() string  { return "vault" }
 
 func (b *bench) Now() micro.Time { return b.now }
 
-func (b *bench) Try(address string, open func(transport.Link) transport.Session, failed func()) func() {
+func (b *bench) DialOnce(address string, open func(transport.Conn) transport.Session, failed func()) func() {
 	b.dials = append(b.dials, dial{address: address, open: open, failed: failed})
 	at := len(b.dials) - 1
 	return func() { b.dials[at].dropped = true }
@@ -60,7 +60,7 @@
 func id(n int) string { return fmt.Sprintf("%016d", n) }
 
 func (b *bench) ask(n int, wait micro.Time, repeatable bool) {
-	b.client.Ask(calls.Request{ID: id(n), Wait: wait, Repeatable: repeatable, Body: []byte("b")})
+	b.client.Call(calls.Request{ID: id(n), Timeout: wait, Idempotent: repeatable, Body: []byte("b")})
 }
 
 // opens opens the link that is being dialled.
@@ -103,7 +103,7 @@
 	require.Equal(t, "ask "+id(1)+" 1000 1\r\nb\r\nask "+id(2)+" 1000 1\r\nb\r\n", c.out)
 	b.tells(c, string(vault.AppendReply(nil, id(2), vault.Yes, []byte("r\r\n2"))))
 	b.tells(c, id(7)+" failed\r\n"+id(1)+" notnow\r\n"+id(1)+" failed\r\n")
-	require.Equal(t, []string{ended(2, calls.Answered, "r\r\n2"), ended(1, calls.TurnedAway, "")}, b.after(0))
+	require.Equal(t, []string{ended(2, calls.Answered, "r\r\n2"), ended(1, calls.Rejected, "")}, b.after(0))
 	require.Len(t, b.dials, 1)
 }
 
@@ -113,14 +113,14 @@
 	b := newBench(t)
 	b.ask(1, second, false)
 	b.dials[0].failed()
-	require.Equal(t, []string{ended(1, calls.Refused, "")}, b.after(0))
+	require.Equal(t, []string{ended(1, calls.ConnectFailed, "")}, b.after(0))
 	b.ask(2, second, false)
-	require.Equal(t, []string{ended(2, calls.Refused, "")}, b.after(second), "a dial that hangs")
+	require.Equal(t, []string{ended(2, calls.ConnectFailed, "")}, b.after(second), "a dial that hangs")
 	b.ask(3, second, false)
 	c := b.opens()
 	require.NotContains(t, c.out, id(2), "its time was over before the link opened")
 	c.session.Closed()
-	require.Equal(t, []string{ended(3, calls.Broken, "")}, b.after(0))
+	require.Equal(t, []string{ended(3, calls.ConnectionLost, "")}, b.after(0))
 	b.ask(4, second, false)
 	require.Len(t, b.dials, 3)
 }
@@ -132,16 +132,16 @@
 	b.ask(2, second, false)
 	c := b.opens()
 	c.out = ""
-	b.client.GiveUp(id(2))
-	b.client.GiveUp(id(2))
+	b.client.Abandon(id(2))
+	b.client.Abandon(id(2))
 	require.Equal(t, "unask "+id(2)+"\r\n", c.out)
-	require.Equal(t, []string{ended(1, calls.GivenUp, "")}, b.after(100*micro.Millisecond))
+	require.Equal(t, []string{ended(1, calls.Abandoned, "")}, b.after(100*micro.Millisecond))
 	require.Equal(t, "unask "+id(2)+"\r\nunask "+id(1)+"\r\n", c.out)
 	b.tells(c, id(1)+" yes 1\r\nx\r\n"+id(2)+" yes 1\r\nx\r\n")
 	require.Empty(t, b.after(0), "replies that cross")
 	b.ask(3, second, false)
 	b.tells(c, id(3)+" yes 1\r\nx\r\n")
-	b.client.GiveUp(id(3))
+	b.client.Abandon(id(3))
 	require.Empty(t, b.after(0), "an end that was not told yet")
 }
 
@@ -149,7 +149,7 @@
 func TestCrossingReplyIsNotOfTheNextCall(t *testing.T) {
 	b := newBench(t)
 	var conns []*conn
-	for again := range 3 * calls.MaxLinks {
+	for again := range 3 * calls.MaxServingConns {
 		b.ask(1, second, true) // gives up the one before
 		conns = append(conns, b.opens())
 		require.Len(t, b.dials, again+1, "a link of its own")
@@ -174,11 +174,11 @@
 	b := newBench(t)
 	b.ask(1, second, false)
 	old := b.opens()
-	b.client.Move("v2")
+	b.client.SetAddress("v2")
 	require.False(t, old.closed)
 	b.ask(2, second, false)
 	require.Equal(t, "v2", b.dials[1].address)
-	b.client.Move("v3")
+	b.client.SetAddress("v3")
 	require.True(t, b.dials[1].dropped)
 	require.Equal(t, "v3", b.dials[2].address)
 	require.Contains(t, b.opens().out, "ask "+id(2))
@@ -199,7 +199,7 @@
 	require.NotContains(t, silent.out, id(3))
 	other := b.opens()
 	b.tells(other, id(3)+" yes 1\r\nx\r\n")
-	require.Equal(t, []string{ended(3, calls.Answered, "x"), ended(1, calls.GivenUp, "")}, b.after(0))
+	require.Equal(t, []string{ended(3, calls.Answered, "x"), ended(1, calls.Abandoned, "")}, b.after(0))
 	b.ask(4, second, true)
 	require.Contains(t, other.out, id(4))
 	b.tells(other, id(4)+" yes 1\r\nx\r\n")
@@ -219,7 +219,7 @@
 		require.Empty(t, b.after(20*micro.Millisecond))
 		require.LessOrEqual(t, b.client.Status().Links, MaxConns)
 	}
-	require.Equal(t, 400, b.client.Status().Calls)
+	require.Equal(t, 400, b.client.Status().InFlight)
 	require.Len(t, conns, MaxConns-1)
 	for _, c := range conns {
 		require.False(t, c.closed)
--- a/internal/vaultlink/link.go
+++ b/internal/vaultlink/link.go
@@ -10,14 +10,14 @@
 // link is the session of one connection to the vault.
 type link struct {
 	client *Client
-	conn   transport.Link
-	id     calls.LinkID
+	conn   transport.Conn
+	id     calls.ConnID
 	out    []byte // scratch
 }
 
 var outcomes = map[vault.Status]calls.Outcome{
-	vault.Yes: calls.Answered, vault.NotNow: calls.TurnedAway, vault.Failed: calls.Failed, vault.Overdue: calls.OutOfTime,
-	vault.Pointless: calls.Pointless,
+	vault.Yes: calls.Answered, vault.NotNow: calls.Rejected, vault.Failed: calls.Failed, vault.Overdue: calls.DeadlineExceeded,
+	vault.Pointless: calls.Unwanted,
 }
 
 func (l *link) write(p []byte) {
@@ -27,8 +27,8 @@
 
 // ask writes a call. Its wait is told in whole milliseconds, and is at least one.
 func (l *link) ask(a calls.Send) {
-	wait := (a.Wait + micro.Millisecond - 1) / micro.Millisecond
-	l.write(vault.AppendAsk(l.out[:0], a.ID, int(min(max(wait, 1), vault.MaxWait)), a.Body))
+	wait := (a.Timeout + micro.Millisecond - 1) / micro.Millisecond
+	l.write(vault.AppendAsk(l.out[:0], a.ID, int(min(max(wait, 1), vault.MaxWaitMS)), a.Body))
 }
 
 func (l *link) unask(id string) { l.write(vault.AppendUnask(l.out[:0], id)) }
@@ -36,7 +36,7 @@
 // Receive is part of transport.Session.
 func (l *link) Receive(in []byte) (int, error) {
 	c, now := l.client, l.client.loop.Now()
-	c.dispatch.Heard(now, l.id)
+	c.dispatch.Received(now, l.id)
 	defer c.carryOut()
 	n := 0
 	for {
@@ -60,7 +60,7 @@
 func (l *link) Closed() {
 	c := l.client
 	delete(c.links, l.id)
-	if lost := c.dispatch.LinkEnded(l.id); lost > 0 {
+	if lost := c.dispatch.ConnClosed(l.id); lost > 0 {
 		c.logf("vault: link lost with %d calls in hand", lost)
 	}
 	c.carryOut()
--- a/internal/virtual/host.go
+++ b/internal/virtual/host.go
@@ -49,7 +49,7 @@
 type hostConn struct {
 	h      *Host
 	e      *End
-	conn   *transport.Conn
+	conn   *transport.Connection
 	queued bool
 }
 
@@ -269,12 +269,12 @@
 	return nil
 }
 
-// Wake is part of transport.Driver.
-func (h *Host) Wake(at micro.Time) {
+// SetTimer is part of transport.Driver.
+func (h *Host) SetTimer(at micro.Time) {
 	h.woken.Stop()
 	h.woken = nil
 	if at != micro.Never && !h.Ended {
-		h.woken = h.node.net.w.At(at, func() { _ = h.Queue(h.loop.Wake) })
+		h.woken = h.node.net.w.At(at, func() { _ = h.Queue(h.loop.TimerFired) })
 	}
 }
 
@@ -285,7 +285,7 @@
 	}
 	h.node.Dial(d.Addr(), func(e *End, err error) {
 		if err != nil {
-			_ = h.Queue(func() { h.loop.Failed(d) })
+			_ = h.Queue(func() { h.loop.DialFailed(d) })
 			return
 		}
 		c := &hostConn{h: h, e: e}
@@ -297,14 +297,14 @@
 	})
 }
 
-// Datagrams is part of transport.Driver.
-func (h *Host) Datagrams(addr string) error {
+// SetDatagramPeer is part of transport.Driver.
+func (h *Host) SetDatagramPeer(addr string) error {
 	h.peer = addr
 	return nil
 }
 
-// Send is part of transport.Driver.
-func (h *Host) Send(p []byte) {
+// SendDatagram is part of transport.Driver.
+func (h *Host) SendDatagram(p []byte) {
 	if h.peer != "" && h.op() {
 		h.node.Send(h.peer, p)
 	}
--- a/internal/virtual/host_test.go
+++ b/internal/virtual/host_test.go
@@ -21,11 +21,11 @@
 
 type session struct {
 	p    *program
-	link transport.Link
+	link transport.Conn
 	idle bool
 }
 
-func (p *program) Accept(_ int, l transport.Link) transport.Session { return &session{p: p, link: l} }
+func (p *program) Accept(_ int, l transport.Conn) transport.Session { return &session{p: p, link: l} }
 func (p *program) Turn(now micro.Time) micro.Time {
 	if p.turn != nil {
 		p.turn(now)
@@ -38,7 +38,7 @@
 	for i, b := range in {
 		switch b {
 		case 'v':
-			s.link.Vouch()
+			s.link.MarkIdentified()
 		case 'i':
 			s.idle = true
 		case 'h':
@@ -112,10 +112,10 @@
 	known, silent, half := r.connect(), r.connect(), r.connect()
 	r.says(known, "v")
 	r.says(half, "h")
-	r.after(transport.StrangerMax)
+	r.after(transport.IdentificationTimeout)
 	require.True(t, silent.ended)
 	require.True(t, half.ended)
-	r.after(100 * transport.StrangerMax)
+	r.after(100 * transport.IdentificationTimeout)
 	require.False(t, known.ended)
 }
 
@@ -124,7 +124,7 @@
 	busy, idle, stranger := r.connect(), r.connect(), r.connect()
 	r.says(busy, "v")
 	r.says(idle, "vi")
-	r.after(transport.BusyLately)
+	r.after(transport.EvictionGrace)
 	for _, next := range []*peer{stranger, idle} {
 		r.says(r.connect(), "v")
 		require.True(t, next.ended)
@@ -163,7 +163,7 @@
 	opened := 0
 	var drop func()
 	require.NoError(t, r.host.Loop().Execute(func() {
-		drop = r.host.Loop().Dial("w0/x", func(l transport.Link) transport.Session {
+		drop = r.host.Loop().Dial("w0/x", func(l transport.Conn) transport.Session {
 			opened++
 			return &session{p: r.p, link: l}
 		})
--- a/internal/wal/commit.go
+++ b/internal/wal/commit.go
@@ -9,15 +9,15 @@
 
 // The errors of a Committer.
 var (
-	ErrFull   = errors.New("wal: too many records wait to be made durable")
-	ErrClosed = errors.New("wal: closed")
+	ErrQueueFull = errors.New("wal: too many records wait to be made durable")
+	ErrClosed    = errors.New("wal: closed")
 )
 
 // CommitOptions say how records are gathered.
 type CommitOptions struct {
-	Queue int           // records that may wait; 0: 1024. More are refused at once
-	Batch int           // most of one sync; 0: 256
-	Wait  time.Duration // for more, once there is one; 0: a batch is what came while the last sync was under way
+	QueueSize  int           // records that may wait; 0: 1024. More are refused at once
+	MaxBatch   int           // most of one sync; 0: 256
+	BatchDelay time.Duration // for more, once there is one; 0: a batch is what came while the last sync was under way
 }
 
 // Committer makes records durable for many callers, with one sync for as many as have come. It owns its log.
@@ -45,13 +45,13 @@
 
 // NewCommitter starts a Committer on an open log.
 func NewCommitter(l *Log, o CommitOptions) *Committer {
-	if o.Queue == 0 {
-		o.Queue = 1024
+	if o.QueueSize == 0 {
+		o.QueueSize = 1024
 	}
-	if o.Batch == 0 {
-		o.Batch = 256
+	if o.MaxBatch == 0 {
+		o.MaxBatch = 256
 	}
-	c := &Committer{log: l, opts: o, queue: make(chan entry, o.Queue), done: make(chan struct{})}
+	c := &Committer{log: l, opts: o, queue: make(chan entry, o.QueueSize), done: make(chan struct{})}
 	go c.run()
 	return c
 }
@@ -80,7 +80,7 @@
 		c.mu.Unlock()
 	default:
 		c.mu.Unlock()
-		e.told(0, ErrFull)
+		e.told(0, ErrQueueFull)
 	}
 }
 
@@ -108,12 +108,12 @@
 func (c *Committer) gather(first entry) []entry {
 	batch := []entry{first}
 	var late <-chan time.Time
-	if c.opts.Wait > 0 {
-		t := time.NewTimer(c.opts.Wait)
+	if c.opts.BatchDelay > 0 {
+		t := time.NewTimer(c.opts.BatchDelay)
 		defer t.Stop()
 		late = t.C
 	}
-	for len(batch) < c.opts.Batch && batch[len(batch)-1].do == nil {
+	for len(batch) < c.opts.MaxBatch && batch[len(batch)-1].do == nil {
 		if late == nil {
 			select {
 			case e, ok := <-c.queue:
--- a/internal/wal/commit_test.go
+++ b/internal/wal/commit_test.go
@@ -60,7 +60,7 @@
 	d := newDisk(3)
 	l, _, err := Open(d, Options{})
 	require.NoError(t, err)
-	c := NewCommitter(l, CommitOptions{Queue: 2, Batch: 1})
+	c := NewCommitter(l, CommitOptions{QueueSize: 2, MaxBatch: 1})
 	submit := func(data string) error {
 		done := make(chan error, 1)
 		c.Submit([]byte(data), func(_ uint64, err error) { done <- err })
@@ -76,7 +76,7 @@
 	full := 0
 	for range 5 {
 		c.Submit([]byte("x"), func(_ uint64, err error) {
-			if err == ErrFull {
+			if err == ErrQueueFull {
 				full++
 			}
 		})
--- a/internal/wal/wal.go
+++ b/internal/wal/wal.go
@@ -35,7 +35,7 @@
 
 // The bounds and defaults of Options.
 const (
-	MaxRecord      = 1 << 20
+	MaxRecordBytes = 1 << 20
 	defaultSegment = 4 << 20
 )
 
@@ -46,19 +46,19 @@
 
 // The errors. Corrupt names the file and the offset.
 var (
-	ErrBroken = errors.New("wal: the log is broken by an earlier failure, and has to be opened anew")
-	ErrSize   = errors.New("wal: a record of that size is not taken")
+	ErrBroken   = errors.New("wal: the log is broken by an earlier failure, and has to be opened anew")
+	ErrTooLarge = errors.New("wal: a record of that size is not taken")
 )
 
-// Corrupt says that a file is spoilt where no crash can have spoilt it.
-type Corrupt struct {
+// CorruptError says that a file is spoilt where no crash can have spoilt it.
+type CorruptError struct {
 	File   string
 	Offset int64
-	Why    string
+	Reason string
 }
 
-func (c *Corrupt) Error() string {
-	return fmt.Sprintf("wal: %s is spoilt at offset %d: %s", c.File, c.Offset, c.Why)
+func (c *CorruptError) Error() string {
+	return fmt.Sprintf("wal: %s is spoilt at offset %d: %s", c.File, c.Offset, c.Reason)
 }
 
 // Options say how a log is kept.
@@ -81,11 +81,11 @@
 	broken   error
 }
 
-// Recovered is what Open has found.
-type Recovered struct {
-	Snapshot []byte // nil: there is none
-	Records  []Record
-	Cut      int // bytes of a torn tail that were left out
+// Recovery is what Open has found.
+type Recovery struct {
+	Snapshot       []byte // nil: there is none
+	Records        []Record
+	TruncatedBytes int // bytes of a torn tail that were left out
 }
 
 // Record is one record.
@@ -95,7 +95,7 @@
 }
 
 // Open opens a log, or begins one in an empty folder, and reads all that it holds.
-func Open(fs FS, opts Options) (_ *Log, rec Recovered, err error) {
+func Open(fs FS, opts Options) (_ *Log, rec Recovery, err error) {
 	if opts.SegmentBytes == 0 {
 		opts.SegmentBytes = defaultSegment
 	}
@@ -170,11 +170,11 @@
 	}
 	switch v := binary.BigEndian.Uint16(in[6:]); {
 	case [6]byte(in) != magic:
-		return false, &Corrupt{name, 0, "no log of this program"}
+		return false, &CorruptError{name, 0, "no log of this program"}
 	case v != Version:
-		return false, &Corrupt{name, 6, fmt.Sprintf("version %d, and this program knows %d", v, Version)}
+		return false, &CorruptError{name, 6, fmt.Sprintf("version %d, and this program knows %d", v, Version)}
 	case binary.BigEndian.Uint64(in[8:]) != index:
-		return false, &Corrupt{name, 8, "it is of another index than its name"}
+		return false, &CorruptError{name, 8, "it is of another index than its name"}
 	}
 	return false, nil
 }
@@ -197,7 +197,7 @@
 		return r, 0, false
 	}
 	n := int(binary.BigEndian.Uint32(in))
-	if n > MaxRecord || len(in) < recordHead+n {
+	if n > MaxRecordBytes || len(in) < recordHead+n {
 		return r, 0, false
 	}
 	data := in[recordHead : recordHead+n]
@@ -215,20 +215,20 @@
 	}
 	torn, err := checkHead(name, l.snapshot, in)
 	if err == nil && torn {
-		err = &Corrupt{name, 0, "its head is not sound"}
+		err = &CorruptError{name, 0, "its head is not sound"}
 	}
 	if err != nil {
 		return nil, err
 	}
 	body := in[headSize:]
 	if len(body) < 12 || uint64(len(body)-12) != binary.BigEndian.Uint64(body) || crc32.Checksum(body[12:], castag) != binary.BigEndian.Uint32(body[8:]) {
-		return nil, &Corrupt{name, headSize, "its length or its checksum is wrong"}
+		return nil, &CorruptError{name, headSize, "its length or its checksum is wrong"}
 	}
 	return body[12:], nil
 }
 
 // readSegments reads all records after the snapshot, in order.
-func (l *Log) readSegments(rec *Recovered) error {
+func (l *Log) readSegments(rec *Recovery) error {
 	for i, first := range l.segments {
 		last := i == len(l.segments)-1
 		name := fileName(first, segmentKind)
@@ -243,13 +243,13 @@
 		if torn {
 			// A segment is synced with its head before a record is appended to it: without one, it held none.
 			if !last || after(in, 0, first) >= 0 {
-				return &Corrupt{name, 0, "its head is not sound"}
+				return &CorruptError{name, 0, "its head is not sound"}
 			}
-			rec.Cut += len(in)
+			rec.TruncatedBytes += len(in)
 			continue
 		}
 		if first > l.next { // it was begun once all before it was durable
-			return &Corrupt{name, 8, fmt.Sprintf("it begins with record %d, and %d is missing", first, l.next)}
+			return &CorruptError{name, 8, fmt.Sprintf("it begins with record %d, and %d is missing", first, l.next)}
 		}
 		at, index := headSize, first
 		for at < len(in) {
@@ -270,12 +270,12 @@
 		// were written at once it may spoil any. A sound record behind the spoilt one that was written once that one was
 		// durable says that this is no crash's work. Of what was synced last nobody can say that: it is cut, as a torn write.
 		if !last {
-			return &Corrupt{name, int64(at), fmt.Sprintf("record %d, and more segments follow", index)}
+			return &CorruptError{name, int64(at), fmt.Sprintf("record %d, and more segments follow", index)}
 		}
 		if later := after(in, at+1, index); later >= 0 {
-			return &Corrupt{name, int64(at), fmt.Sprintf("record %d, which had been durable when the one at %d was written", index, later)}
+			return &CorruptError{name, int64(at), fmt.Sprintf("record %d, which had been durable when the one at %d was written", index, later)}
 		}
-		rec.Cut += len(in) - at
+		rec.TruncatedBytes += len(in) - at
 	}
 	return nil
 }
@@ -376,8 +376,8 @@
 	if l.broken != nil {
 		return 0, l.broken
 	}
-	if len(data) > MaxRecord {
-		return 0, fmt.Errorf("%w: %d bytes are over %d", ErrSize, len(data), MaxRecord)
+	if len(data) > MaxRecordBytes {
+		return 0, fmt.Errorf("%w: %d bytes are over %d", ErrTooLarge, len(data), MaxRecordBytes)
 	}
 	index := l.next
 	l.buf = appendRecord(l.buf, index, l.synced, data)
@@ -423,7 +423,7 @@
 	case len(l.buf) > 0:
 		return errors.New("wal: a snapshot is of what is synced")
 	case uint64(len(state)) > math.MaxInt32:
-		return fmt.Errorf("%w: a snapshot of %d bytes", ErrSize, len(state))
+		return fmt.Errorf("%w: a snapshot of %d bytes", ErrTooLarge, len(state))
 	case l.synced == l.snapshot:
 		return nil
 	}
--- a/internal/wal/wal_test.go
+++ b/internal/wal/wal_test.go
@@ -24,7 +24,7 @@
 
 func (b *bench) open() {
 	b.t.Helper()
-	var rec Recovered
+	var rec Recovery
 	var err error
 	b.log, rec, err = Open(b.disk, Options{SegmentBytes: 2000})
 	if err != nil {
@@ -159,7 +159,7 @@
 		spoilt[c.offset] ^= 4
 		require.NoError(t, os.WriteFile(c.file, spoilt, 0o600))
 		_, _, err = Open(Dir(dir), Options{})
-		var corrupt *Corrupt
+		var corrupt *CorruptError
 		require.True(t, errors.As(err, &corrupt), "%s at %d: %v", c.file, c.offset, err)
 		require.Equal(t, filepath.Base(c.file), corrupt.File)
 		require.LessOrEqual(t, corrupt.Offset, int64(c.offset))
@@ -177,8 +177,8 @@
 	require.NoError(t, err)
 	_, _, err = Open(Dir(dir), Options{})
 	require.ErrorIs(t, err, ErrLocked)
-	_, err = l.Append(make([]byte, MaxRecord+1))
-	require.ErrorIs(t, err, ErrSize)
+	_, err = l.Append(make([]byte, MaxRecordBytes+1))
+	require.ErrorIs(t, err, ErrTooLarge)
 	for range 3 {
 		_, err = l.Append(make([]byte, 200))
 		require.NoError(t, err)
--- a/internal/wire/host.go
+++ b/internal/wire/host.go
@@ -41,7 +41,7 @@
 		if err != nil {
 			return fmt.Errorf("frame %d: %w", n, err)
 		}
-		if _, err := out.Write(h.Answer(b).Frame(b.Number)); err != nil {
+		if _, err := out.Write(h.HandleBatch(b).Encode(b.Number)); err != nil {
 			return err
 		}
 		if err := out.Flush(); err != nil {
@@ -73,16 +73,16 @@
 	return append(head, rest...), nil
 }
 
-// Answer hands each instance its events, in their order, and gathers what it does.
-func (h *Host) Answer(b Batch) *Reply {
+// HandleBatch hands each instance its events, in their order, and gathers what it does.
+func (h *Host) HandleBatch(b Batch) *Reply {
 	reply := &Reply{}
 	var order []uint32
 	for _, rec := range b.Records {
 		switch ev := rec.Event.(type) {
-		case Killed:
+		case InstanceKilled:
 			// What the old life had not yet been told dies with it.
 			delete(h.instances, rec.Instance)
-		case Start:
+		case InstanceStarted:
 			h.start(rec.Instance, ev, reply)
 			order = append(order, rec.Instance)
 		default:
@@ -91,7 +91,7 @@
 				continue // an event of a life that is over
 			}
 			if t, ok := ev.(control.Tick); ok {
-				t.Gauges = ReadGauges(in.gauges, rec.Load)
+				t.Gauges = ReadGauges(in.gauges, rec.GaugeValues)
 				in.events = append(in.events, t)
 			} else {
 				in.events = append(in.events, ev.(control.Event))
@@ -107,16 +107,16 @@
 	return reply
 }
 
-func (h *Host) start(id uint32, ev Start, reply *Reply) {
+func (h *Host) start(id uint32, ev InstanceStarted, reply *Reply) {
 	delete(h.instances, id)
-	s, gauges, err := ParseSettings(ev.Settings, ev.Seed)
+	s, gauges, err := Parse(ev.Settings, ev.Seed)
 	if err != nil {
-		reply.Internal(id, err.Error())
+		reply.ReportFailure(id, err.Error())
 		return
 	}
 	ctl, err := control.New(s)
 	if err != nil {
-		reply.Internal(id, err.Error())
+		reply.ReportFailure(id, err.Error())
 		return
 	}
 	h.instances[id] = &instance{ctl: ctl, gauges: gauges}
@@ -131,12 +131,12 @@
 	defer func() {
 		if p := recover(); p != nil {
 			delete(h.instances, id)
-			reply.Internal(id, fmt.Sprintf("panic: %v", p))
+			reply.ReportFailure(id, fmt.Sprintf("panic: %v", p))
 		}
 	}()
 	events := in.events
 	in.events = nil
 	for _, a := range in.ctl.Step(now, events) {
-		reply.Add(id, a)
+		reply.Append(id, a)
 	}
 }
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -74,35 +74,35 @@
 	return v, nil
 }
 
-// ParseSettings reads an instance's start-up text; unknown keys are skipped. It also returns the names of the
+// Parse reads an instance's start-up text; unknown keys are skipped. It also returns the names of the
 // gauges that come with each tick, in their order.
-func ParseSettings(text []byte, seed uint64) (control.Settings, []string, error) {
+func Parse(text []byte, seed uint64) (control.Settings, []string, error) {
 	var t startText
 	if err := json.Unmarshal(text, &t); err != nil {
 		return control.Settings{}, nil, fmt.Errorf("settings: %w", err)
 	}
 	x := t.Extra
 	s := control.Settings{
-		Seed: seed, Cores: x.Cores, Peers: t.Peers, Callers: x.Callers, Cold: x.Cold,
-		MemoryKB: x.MemoryKB, KeyKB: x.KeyKB, RunFactor: x.RunFactor,
-		CrowdPerCore: t.Rules.FallMultiple, CrowdOver: millis(t.Rules.FallMS), ColdFrom: t.Rules.ColdFrom,
-		Ramp: millis(t.Rules.RampMS), CallsShare: x.CallsOut, CallsOver: millis(x.CallsOverMS),
-		CallLinger: millis(x.LingerMS), AnswerSlack: millis(t.Rules.SlackMS), DrainGrace: millis(t.Rules.GraceMS),
-		HasDeadline: x.Deadline, MarksRetries: t.Clients.MarksRetry, WorthByWork: t.WorthBy == "work",
-		OverShare: t.OverShare, SignalHeeded: millis(x.HeededMS), KeepAliveMax: millis(x.KeepAliveMS),
-		Fresh: millis(x.FreshMS), ListIgnoresHealth: x.Readiness != nil && !*x.Readiness,
+		Seed: seed, Cores: x.Cores, Peers: t.Peers, Callers: x.Callers, ColdStart: x.Cold,
+		MemoryKB: x.MemoryKB, KeyKB: x.KeyKB, RunningMemoryFactor: x.RunFactor,
+		MaxConcurrencyPerCore: t.Rules.FallMultiple, MaxConcurrencyWindow: millis(t.Rules.FallMS), WarmUpMinSpeed: t.Rules.ColdFrom,
+		WarmUpTime: millis(t.Rules.RampMS), CallConcurrencyShare: x.CallsOut, CallConcurrencyWindow: millis(x.CallsOverMS),
+		AbandonedCallTime: millis(x.LingerMS), AnswerGrace: millis(t.Rules.SlackMS), DrainGrace: millis(t.Rules.GraceMS),
+		DeadlinePropagated: x.Deadline, RetriesMarked: t.Clients.MarksRetry, WeightPerWork: t.WorthBy == "work",
+		OverQuotaWeightShare: t.OverShare, LoadSignalTTL: millis(x.HeededMS), MaxKeepAlive: millis(x.KeepAliveMS),
+		ResultFreshness: millis(x.FreshMS), EndpointListIgnoresHealth: x.Readiness != nil && !*x.Readiness,
 	}
 	if t.Limits.RetryAfter {
 		s.MaxRetryAfter = millis(t.Limits.MaxRetryAfterMS)
 	}
 	var errs [3]error
-	s.Stop, errs[0] = word("stop_mode", x.StopMode, map[string]control.StopMode{
-		"": control.StopNever, "none": control.StopNever, "discard": control.StopDiscard, "freeze": control.StopPause})
-	s.Signal, errs[1] = word("say", x.Say, map[string]control.SignalKind{
-		"": control.SignalNone, "none": control.SignalNone, "floor": control.SignalFloor,
-		"allowance": control.SignalAllowance, "weight": control.SignalWeight})
-	s.Below, errs[2] = word("downstream", x.Downstream, map[string]control.Below{
-		"": control.BelowNone, "none": control.BelowNone, "one_for_all": control.BelowShared, "tier": control.BelowTier})
+	s.Preemption, errs[0] = word("stop_mode", x.StopMode, map[string]control.PreemptionMode{
+		"": control.PreemptNever, "none": control.PreemptNever, "discard": control.PreemptDiscard, "freeze": control.PreemptSuspend})
+	s.LoadSignal, errs[1] = word("say", x.Say, map[string]control.LoadSignalKind{
+		"": control.LoadSignalNone, "none": control.LoadSignalNone, "floor": control.LoadSignalThreshold,
+		"allowance": control.LoadSignalAllowance, "weight": control.LoadSignalWeight})
+	s.Dependency, errs[2] = word("downstream", x.Downstream, map[string]control.Dependency{
+		"": control.DependencyNone, "none": control.DependencyNone, "one_for_all": control.DependencyShared, "tier": control.DependencyTier})
 	for _, err := range errs {
 		if err != nil {
 			return s, nil, err
@@ -113,9 +113,9 @@
 		if err != nil {
 			return s, nil, err
 		}
-		k.Calls = i < len(x.ClassCalls) && x.ClassCalls[i]
+		k.MakesCalls = i < len(x.ClassCalls) && x.ClassCalls[i]
 		if i < len(x.Without) {
-			k.SkipWorth = x.Without[i]
+			k.SkippedCallWeightShare = x.Without[i]
 		}
 		s.Classes = append(s.Classes, k)
 	}
@@ -126,18 +126,18 @@
 }
 
 func class(c startClass) (control.Class, error) {
-	effect, err := word("effect", c.Effect, map[string]control.Effect{
-		"": control.Safe, "free": control.Safe, "guarded": control.Keyed, "single_shot": control.Unsafe})
+	effect, err := word("effect", c.Effect, map[string]control.Idempotency{
+		"": control.Idempotent, "free": control.Idempotent, "guarded": control.IdempotentByKey, "single_shot": control.NonIdempotent})
 	return control.Class{
-		Name: c.Name, Aim: millis(c.AimMS), AimStretch: c.AimStretch, Deadline: millis(c.HardMS),
-		Window: millis(c.WindowMS), Worth: c.Worth, LateWorth: c.LateWorth, Effect: effect,
+		Name: c.Name, LatencyObjective: millis(c.AimMS), ObjectiveStretch: c.AimStretch, Deadline: millis(c.HardMS),
+		RetentionWindow: millis(c.WindowMS), Weight: c.Worth, LateWeightShare: c.LateWorth, Idempotency: effect,
 	}, err
 }
 
 // ReadGauges sorts a tick's values by the names given at the start.
 func ReadGauges(names []string, load []float64) control.Gauges {
-	g := control.Gauges{Busy: -1, Runnable: -1, Memory: -1, Connections: -1}
-	to := map[string]*float64{"cpu_busy": &g.Busy, "runnable": &g.Runnable, "mem_used": &g.Memory, "sockets": &g.Connections}
+	g := control.Gauges{CPUUtilization: -1, Runnable: -1, Memory: -1, Connections: -1}
+	to := map[string]*float64{"cpu_busy": &g.CPUUtilization, "runnable": &g.Runnable, "mem_used": &g.Memory, "sockets": &g.Connections}
 	for i, name := range names {
 		if p := to[name]; p != nil && i < len(load) {
 			*p = load[i]
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -50,22 +50,22 @@
 	acInternal  = 15
 )
 
-// Start and Killed are the events of an instance's life, which the host handles itself.
+// InstanceStarted and Killed are the events of an instance's life, which the host handles itself.
 type (
-	// Start begins the life of an instance; Settings is its start-up text.
-	Start struct {
+	// InstanceStarted begins the life of an instance; Settings is its start-up text.
+	InstanceStarted struct {
 		Seed     uint64
 		Settings []byte
 	}
-	// Killed ends it at once.
-	Killed struct{}
+	// InstanceKilled ends it at once.
+	InstanceKilled struct{}
 )
 
 // Record is one event for one instance: a control.Event, a Start or a Killed. Load is set on ticks only.
 type Record struct {
-	Instance uint32
-	Event    any
-	Load     []float64
+	Instance    uint32
+	Event       any
+	GaugeValues []float64
 }
 
 // Batch is one decoded frame.
@@ -99,8 +99,8 @@
 func (r rec) u64(at int) uint64  { return binary.LittleEndian.Uint64(r[at:]) }
 func (r rec) f32(at int) float64 { return float64(math.Float32frombits(r.u32(at))) }
 func (r rec) f64(at int) float64 { return math.Float64frombits(r.u64(at)) }
-func (r rec) id(at int) control.ID {
-	return control.ID(r.u32(at))
+func (r rec) id(at int) control.RequestID {
+	return control.RequestID(r.u32(at))
 }
 func (r rec) ms(at int) time.Duration { return millis(r.f64(at)) }
 
@@ -141,49 +141,49 @@
 		if err != nil {
 			return out, err
 		}
-		out.Event = Start{Seed: r.u64(6), Settings: text}
+		out.Event = InstanceStarted{Seed: r.u64(6), Settings: text}
 	case evKilled:
-		out.Event = Killed{}
+		out.Event = InstanceKilled{}
 	case evJobIn:
 		out.Event = decodeJob(r)
 	case evCompleted:
 		o, err := outcome(r.u8(10))
-		out.Event = control.Done{ID: r.id(6), Outcome: o, Took: r.ms(11)}
+		out.Event = control.RequestFinished{ID: r.id(6), Outcome: o, Took: r.ms(11)}
 		return out, err
 	case evCallEnded:
 		o, err := outcome(r.u8(18))
-		out.Event = control.CallDone{ID: r.id(6), Outcome: o, Took: r.ms(10)}
+		out.Event = control.CallFinished{ID: r.id(6), Outcome: o, Took: r.ms(10)}
 		return out, err
 	case evAtCall:
 		out.Event = control.CallNeeded{ID: r.id(6)}
 	case evAborted:
-		out.Event = control.Gone{ID: r.id(6)}
+		out.Event = control.RequestCancelled{ID: r.id(6)}
 	case evWindDown:
-		out.Event = control.Drain{Stop: r.ms(6)}
+		out.Event = control.DrainRequested{StopAt: r.ms(6)}
 	case evFired:
 		n := int(r.u8(14))
 		if 15+4*n > len(r) {
 			return out, fmt.Errorf("%d gauges do not fit a record", n)
 		}
 		for i := range n {
-			out.Load = append(out.Load, r.f32(15+4*i))
+			out.GaugeValues = append(out.GaugeValues, r.f32(15+4*i))
 		}
-		out.Event = control.Tick{Mark: r.u64(6)}
+		out.Event = control.Tick{Token: r.u64(6)}
 	default:
 		return out, fmt.Errorf("unknown event code %d", code)
 	}
 	return out, nil
 }
 
-func decodeJob(r rec) control.Arrive {
+func decodeJob(r rec) control.RequestArrived {
 	marks := r.u8(48)
-	a := control.Arrive{
-		ID: r.id(6), Class: int(r.u16(10)), Tenant: int(r.u32(12)), Key: r.u64(16), Due: r.ms(24),
-		HeldKB: r.f32(40), Rank: r.f32(44), Retry: marks&2 != 0, Caller: r.u32(49), Age: r.ms(53),
+	a := control.RequestArrived{
+		ID: r.id(6), Class: int(r.u16(10)), Tenant: int(r.u32(12)), Key: r.u64(16), Deadline: r.ms(24),
+		QueuedKB: r.f32(40), Rank: r.f32(44), Retry: marks&2 != 0, Caller: r.u32(49), Age: r.ms(53),
 		Original: r.id(61),
 	}
 	if marks&1 != 0 {
-		a.Hint = r.ms(32)
+		a.CostHint = r.ms(32)
 	}
 	return a
 }
@@ -223,7 +223,7 @@
 
 func putMS(r rec, at int, d time.Duration) { putF64(r, at, toMillis(d)) }
 
-func (w *Reply) withID(code uint16, inst uint32, id control.ID) rec {
+func (w *Reply) withID(code uint16, inst uint32, id control.RequestID) rec {
 	r := w.add(code, inst)
 	binary.LittleEndian.PutUint32(r[6:], uint32(id))
 	return r
@@ -243,50 +243,50 @@
 	return 0
 }
 
-// Internal reports that the code of an instance has failed.
-func (w *Reply) Internal(inst uint32, text string) { w.withText(acInternal, inst, text) }
+// ReportFailure reports that the code of an instance has failed.
+func (w *Reply) ReportFailure(inst uint32, text string) { w.withText(acInternal, inst, text) }
 
-// Add appends one action of an instance.
-func (w *Reply) Add(inst uint32, a control.Action) {
+// Append appends one action of an instance.
+func (w *Reply) Append(inst uint32, a control.Action) {
 	switch a := a.(type) {
-	case control.Run:
+	case control.Start:
 		w.withID(acLaunch, inst, a.ID)
-	case control.Refuse:
+	case control.Reject:
 		r := w.withID(acBusy, inst, a.ID)
-		r[10] = flag(a.Last)
-		putMS(r, 11, a.StayAway)
+		r[10] = flag(a.NoRetry)
+		putMS(r, 11, a.RetryAfter)
 	case control.Fail:
 		w.withID(acDrop, inst, a.ID)
-	case control.Pause:
+	case control.Preempt:
 		w.withID(acInterrupt, inst, a.ID)
 	case control.Call:
 		putMS(w.withID(acCall, inst, a.ID), 10, a.Timeout)
 	case control.SkipCall:
 		w.withID(acBypass, inst, a.ID)
-	case control.Keep:
-		putMS(w.withID(acRemember, inst, a.ID), 10, a.For)
-	case control.Forget:
+	case control.RetainKey:
+		putMS(w.withID(acRemember, inst, a.ID), 10, a.TTL)
+	case control.ReleaseKey:
 		w.withID(acRelease, inst, a.ID)
-	case control.Reuse:
+	case control.ReplayResult:
 		w.withID(acReuse, inst, a.ID)
-	case control.Health:
+	case control.SetHealth:
 		r := w.add(acReadiness, inst)
-		r[6], r[7] = flag(a.Good), flag(a.Stored)
-	case control.Signal:
+		r[6], r[7] = flag(a.Healthy), flag(a.Cached)
+	case control.SetLoadSignal:
 		binary.LittleEndian.PutUint32(w.add(acSignal, inst)[6:], math.Float32bits(float32(a.Value)))
-	case control.CloseIdle:
-		putMS(w.add(acCloseIdle, inst), 6, a.After)
-	case control.Wake:
+	case control.CloseIdleConnections:
+		putMS(w.add(acCloseIdle, inst), 6, a.IdleTimeout)
+	case control.ScheduleTick:
 		r := w.add(acWake, inst)
 		putMS(r, 6, a.After)
-		binary.LittleEndian.PutUint64(r[14:], a.Mark)
+		binary.LittleEndian.PutUint64(r[14:], a.Token)
 	case control.Log:
 		w.withText(acLog, inst, a.Text)
 	}
 }
 
-// Frame is the whole reply to the batch of that number.
-func (w *Reply) Frame(number uint32) []byte {
+// Encode is the whole reply to the batch of that number.
+func (w *Reply) Encode(number uint32) []byte {
 	size := replyHeader + len(w.records) + len(w.tail)
 	out := make([]byte, replyHeader, size)
 	binary.LittleEndian.PutUint32(out, number)
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -52,23 +52,23 @@
 }
 
 func TestSettings(t *testing.T) {
-	s, gauges, err := ParseSettings([]byte(settingsText), 9)
+	s, gauges, err := Parse([]byte(settingsText), 9)
 	if err != nil {
 		t.Fatal(err)
 	}
 	b := s.Classes[1]
-	if s.Seed != 9 || s.Cores != 4 || s.Stop != control.StopPause || s.Signal != control.SignalFloor ||
-		s.Below != control.BelowTier || s.MaxRetryAfter != 700*time.Millisecond || s.Ramp != 5*time.Second {
+	if s.Seed != 9 || s.Cores != 4 || s.Preemption != control.PreemptSuspend || s.LoadSignal != control.LoadSignalThreshold ||
+		s.Dependency != control.DependencyTier || s.MaxRetryAfter != 700*time.Millisecond || s.WarmUpTime != 5*time.Second {
 		t.Errorf("settings %+v", s)
 	}
-	if b.Aim != 1500500*time.Microsecond || b.Effect != control.Keyed || !b.Calls || b.Window != 9*time.Second {
+	if b.LatencyObjective != 1500500*time.Microsecond || b.Idempotency != control.IdempotentByKey || !b.MakesCalls || b.RetentionWindow != 9*time.Second {
 		t.Errorf("class %+v", b)
 	}
-	if g := ReadGauges(gauges, []float64{0.25, 0.5}); g.Memory != 0.25 || g.Busy != 0.5 || g.Runnable != -1 {
+	if g := ReadGauges(gauges, []float64{0.25, 0.5}); g.Memory != 0.25 || g.CPUUtilization != 0.5 || g.Runnable != -1 {
 		t.Errorf("gauges %+v", g)
 	}
 	for _, bad := range []string{`{`, strings.Replace(settingsText, "freeze", "melt", 1), strings.Replace(settingsText, "guarded", "x", 1)} {
-		if _, _, err := ParseSettings([]byte(bad), 1); err == nil {
+		if _, _, err := Parse([]byte(bad), 1); err == nil {
 			t.Error("no error for settings that make no sense")
 		}
 	}
@@ -160,9 +160,9 @@
 
 func TestActions(t *testing.T) {
 	var w Reply
-	w.Add(4, control.Refuse{ID: 9, Last: true, StayAway: 250 * time.Millisecond})
-	w.Add(4, control.Log{Text: "why"})
-	out := w.Frame(8)
+	w.Append(4, control.Reject{ID: 9, NoRetry: true, RetryAfter: 250 * time.Millisecond})
+	w.Append(4, control.Log{Text: "why"})
+	out := w.Encode(8)
 	r := rec(out[replyHeader:])
 	if r.u16(0) != acBusy || r.u32(2) != 4 || r.u32(6) != 9 || r.u8(10) != 1 || r.f64(11) != 250 {
 		t.Errorf("refusal %x", out)
--- a/internal/workerpool/checks.go
+++ b/internal/workerpool/checks.go
@@ -34,7 +34,7 @@
 func tagOf(count int) string { return "check" + strconv.Itoa(count) }
 
 // Verify tells done whether work gets done: at once where that is known, else within checkTimeout.
-func (p *Runner) Verify(done func(good bool)) {
+func (p *Backend) Verify(done func(good bool)) {
 	c, now := &p.checks, p.loop.Now()
 	switch {
 	case now < c.lastPass+checkFresh:
@@ -55,7 +55,7 @@
 	}
 }
 
-func (p *Runner) sendVerify() { p.write(pool.AppendVerify(p.out[:0], tagOf(p.checks.count))) }
+func (p *Backend) sendVerify() { p.write(pool.AppendVerify(p.out[:0], tagOf(p.checks.count))) }
 
 func (c *deepChecks) underWay() bool { return len(c.waiters) > 0 }
 
--- a/internal/workerpool/link.go
+++ b/internal/workerpool/link.go
@@ -14,20 +14,20 @@
 // link is the session of one link. Only the one in use is heard: guards against a link to an old address, whose notices come
 // again on the new one, and whose close must not have the new address dialled twice. The next one is heard to be bound.
 type link struct {
-	*Runner
-	conn transport.Link
+	*Backend
+	conn transport.Conn
 }
 
 // dial opens a new link, in place of any that is still being dialled. The link in use, if there is one, serves on until the
 // new one is bound: guards the runs against an address at which somebody listens and says nothing.
-func (p *Runner) dial() {
+func (p *Backend) dial() {
 	if p.drop != nil {
 		p.drop()
 	}
 	p.drop = p.loop.Dial(p.config.Address, p.opened)
 }
 
-func (p *Runner) opened(c transport.Link) transport.Session {
+func (p *Backend) opened(c transport.Conn) transport.Session {
 	p.drop = nil
 	if p.next != nil {
 		p.next.Close() // a newer configuration has replaced it
@@ -45,7 +45,7 @@
 }
 
 // use puts the next link in the place of the one in use. What was told on that one since the bind comes again.
-func (p *Runner) use() {
+func (p *Backend) use() {
 	old := p.conn
 	p.conn, p.next, p.synced, p.polled, p.begun, p.remarks = p.next, nil, false, nil, false, 0
 	p.links++
@@ -55,16 +55,16 @@
 	}
 }
 
-func (p *Runner) syncTag() string { return "sync" + strconv.Itoa(p.links) }
+func (p *Backend) syncTag() string { return "sync" + strconv.Itoa(p.links) }
 
 // Receive is part of transport.Session.
 func (l *link) Receive(in []byte) (int, error) {
 	n := 0
 	for {
-		if l.Runner.conn != l.conn && l.next != l.conn {
+		if l.Backend.conn != l.conn && l.next != l.conn {
 			return len(in), nil
 		}
-		m, size, err := pool.Parse(in[n:])
+		m, size, err := pool.ParseMessage(in[n:])
 		if err != nil || size == 0 {
 			return n, err
 		}
@@ -86,7 +86,7 @@
 
 // Closed is part of transport.Session.
 func (l *link) Closed() {
-	p := l.Runner
+	p := l.Backend
 	switch l.conn {
 	case p.next:
 		p.next = nil
@@ -106,16 +106,16 @@
 	}
 }
 
-var ends = map[pool.End]routing.End{
-	pool.Pass: routing.Passed, pool.Fail: routing.Errored, pool.Killed: routing.Stopped, pool.Noop: routing.Unneeded,
+var ends = map[pool.Outcome]routing.RunOutcome{
+	pool.Pass: routing.RunSucceeded, pool.Fail: routing.RunFailed, pool.Killed: routing.RunCancelled, pool.Noop: routing.RunNotStarted,
 }
 
 // take obeys a message. An error says that the link's stream can no longer be trusted: the next link is bound with the last
 // notice that came in order, so that all after it come again.
-func (p *Runner) take(m pool.Message) error {
+func (p *Backend) take(m pool.Message) error {
 	switch m.Kind {
 	case pool.Bound:
-		p.core.Begin(p.loop.Now(), micro.Time(m.MS*1000), !m.Loaded)
+		p.core.Start(p.loop.Now(), micro.Time(m.Milliseconds*1000), !m.Loaded)
 		// Only now: a pool that is not up yet does not carry out what follows bind, and this poll marks the end of the
 		// missed notices.
 		p.write(pool.AppendPoll(p.out[:0], p.syncTag()))
@@ -131,7 +131,7 @@
 	case pool.Polled:
 		p.takeGauges(m)
 	case pool.Verified:
-		p.checks.answered(p.loop.Now(), m.Tag, m.End == pool.Pass)
+		p.checks.answered(p.loop.Now(), m.Tag, m.Outcome == pool.Pass)
 	case pool.Unknown:
 		p.takeUnknown(m)
 	}
@@ -139,7 +139,7 @@
 }
 
 // takeNotice takes up what a run has come to, unless it was read already on the link before.
-func (p *Runner) takeNotice(m pool.Message) error {
+func (p *Backend) takeNotice(m pool.Message) error {
 	if m.Notice <= p.notice {
 		return nil
 	}
@@ -154,24 +154,24 @@
 	}
 	p.arrived(r)
 	if m.Kind == pool.Blocked {
-		p.core.Blocked(m.ID, append([]byte(nil), m.Call...))
+		p.core.RunBlocked(m.ID, append([]byte(nil), m.Call...))
 		return nil
 	}
-	if r.restart && m.End == pool.Killed {
+	if r.restart && m.Outcome == pool.Killed {
 		p.startAnew(r)
 		return nil
 	}
-	if m.End == pool.Pass {
+	if m.Outcome == pool.Pass {
 		p.checks.lastPass = p.loop.Now()
 	}
 	delete(p.runs, m.ID)
-	p.core.Finished(m.ID, ends[m.End], p.keep(m.Result))
+	p.core.RunFinished(m.ID, ends[m.Outcome], p.keep(m.Result))
 	return nil
 }
 
 // arrived notes that the pool has read all that was sent for a run: it has told something new of it. Commands are read in the
 // order in which they were sent.
-func (p *Runner) arrived(r *run) {
+func (p *Backend) arrived(r *run) {
 	p.acked[r.link] = max(p.acked[r.link], r.order)
 	if r.reply != nil && r.reply.link > 0 {
 		p.acked[r.reply.link] = max(p.acked[r.reply.link], r.reply.order)
@@ -180,7 +180,7 @@
 }
 
 // keep copies a result out of the link's buffer.
-func (p *Runner) keep(result []byte) []byte {
+func (p *Backend) keep(result []byte) []byte {
 	if planted.Bug(planted.WrongTry) {
 		return result
 	}
@@ -188,7 +188,7 @@
 }
 
 // takeUnknown takes up that a command was not carried out.
-func (p *Runner) takeUnknown(m pool.Message) {
+func (p *Backend) takeUnknown(m pool.Message) {
 	p.logf("pool: %s %s was not carried out", m.Command, m.ID)
 	r := p.runs[m.ID]
 	switch {
@@ -198,7 +198,7 @@
 		p.checks.declined(p.loop.Now(), m.ID)
 	case m.Command == "spawn" && r != nil:
 		delete(p.runs, m.ID)
-		p.core.Finished(m.ID, routing.Rejected, nil)
+		p.core.RunFinished(m.ID, routing.RunUnsupported, nil)
 	}
 }
 
@@ -206,7 +206,7 @@
 // came, one too high would have all that follow pass for read, and none of their runs would ever end. Remarks without a meaning
 // may take numbers of their own. The pool keeps a bounded number of notices, so that some may be lost for good: where the next
 // link begins with a gap as well, about where the last one was found, those between are.
-func (p *Runner) inOrder(n uint64) error {
+func (p *Backend) inOrder(n uint64) error {
 	first, most := !p.begun, p.notice+p.remarks+1
 	p.begun, p.remarks = true, 0
 	switch {
--- a/internal/workerpool/resync.go
+++ b/internal/workerpool/resync.go
@@ -16,13 +16,13 @@
 // not be run twice, once it was sent at all: between the end of the missed notices and our command the run may end, and the pool
 // would run it anew. Its notice comes if it arrived; if none comes while anybody could want it, the run's outcome is not known,
 // and it has failed.
-func (p *Runner) resync() {
+func (p *Backend) resync() {
 	p.synced = true
 	byOrder := func(a, b *run) int { return cmp.Compare(a.order, b.order) }
 	for _, r := range slices.SortedFunc(maps.Values(p.runs), byOrder) {
 		r.arrived = r.arrived || p.hasArrived(r.link, r.order)
 		switch {
-		case r.link == 0 || !r.arrived && !r.Once || planted.Bug(planted.SentBefore):
+		case r.link == 0 || !r.arrived && !r.AtMostOnce || planted.Bug(planted.SentBefore):
 			p.send(r)
 			continue
 		case !r.arrived:
@@ -46,10 +46,10 @@
 }
 
 // hasArrived tells whether a command that was sent on a link is known to have been read.
-func (p *Runner) hasArrived(link, order int) bool { return link > 0 && order <= p.acked[link] }
+func (p *Backend) hasArrived(link, order int) bool { return link > 0 && order <= p.acked[link] }
 
 // doubt has a run given up once nobody waits for it.
-func (p *Runner) doubt(r *run) {
+func (p *Backend) doubt(r *run) {
 	if !r.uncertain {
 		r.uncertain = true
 		p.uncertain = append(p.uncertain, r)
@@ -59,13 +59,13 @@
 // resyncReply sees to a call's reply on a new link. One that may have been lost with the link before is not sent again: the run
 // may have gone on to its next call, which would get it. A run that may be repeated starts anew; of another the outcome is not
 // known unless a notice of it comes.
-func (p *Runner) resyncReply(r *run) {
+func (p *Backend) resyncReply(r *run) {
 	switch {
 	case r.reply.link == 0:
 		p.sendReply(r)
 	case p.hasArrived(r.reply.link, r.reply.order):
 		r.reply = nil
-	case r.Once || r.stopped:
+	case r.AtMostOnce || r.stopped:
 		p.doubt(r)
 	case !r.restart:
 		r.restart = true
@@ -76,11 +76,11 @@
 }
 
 // startAnew starts a run again that was stopped for it.
-func (p *Runner) startAnew(r *run) {
+func (p *Backend) startAnew(r *run) {
 	r.restart, r.reply, r.arrived = false, nil, false
 	if r.stopped {
 		delete(p.runs, r.ID)
-		p.core.Finished(r.ID, routing.Stopped, nil)
+		p.core.RunFinished(r.ID, routing.RunCancelled, nil)
 		return
 	}
 	if r.link = 0; p.synced {
@@ -89,19 +89,19 @@
 }
 
 // Check gives up runs that nobody knows of and deep checks that are not answered; it returns when to look again.
-func (p *Runner) Check(now micro.Time) micro.Time {
+func (p *Backend) Check(now micro.Time) micro.Time {
 	next := p.checks.expire(now)
 	left := p.uncertain[:0]
 	for _, r := range p.uncertain {
 		switch {
 		case p.runs[r.ID] != r: // its notice has come
-		case r.Due <= now:
+		case r.Deadline <= now:
 			p.logf("pool: %s: whether it ran is not known", r.ID)
 			delete(p.runs, r.ID)
-			p.core.Finished(r.ID, routing.Errored, nil)
+			p.core.RunFinished(r.ID, routing.RunFailed, nil)
 			next = now
 		default:
-			next = min(next, r.Due)
+			next = min(next, r.Deadline)
 			left = append(left, r)
 		}
 	}
--- a/internal/workerpool/runner.go
+++ b/internal/workerpool/runner.go
@@ -19,16 +19,16 @@
 
 // Core is what the runner tells of its runs.
 type Core interface {
-	Begin(now, age micro.Time, cold bool)
-	Finished(id string, end routing.End, result []byte)
-	Blocked(id string, call []byte)
+	Start(now, age micro.Time, cold bool)
+	RunFinished(id string, end routing.RunOutcome, result []byte)
+	RunBlocked(id string, call []byte)
 	SetGauges(control.Gauges)
 }
 
 // Loop is what the runner needs of the event loop.
 type Loop interface {
 	Now() micro.Time
-	Dial(addr string, open func(transport.Link) transport.Session) (drop func())
+	Dial(addr string, open func(transport.Conn) transport.Session) (drop func())
 }
 
 // Config says where the worker pool is and what it reports.
@@ -37,15 +37,15 @@
 	Gauges  []string // names of its gauges, in their order
 }
 
-// Runner hands runs to the worker pool. All its methods are called on the loop.
-type Runner struct {
+// Backend hands runs to the worker pool. All its methods are called on the loop.
+type Backend struct {
 	config Config
 	core   Core
 	loop   Loop
 	logf   func(format string, args ...any)
 
-	conn   transport.Link // nil while there is no link
-	next   transport.Link // to take its place once the pool has bound it; nil: none
+	conn   transport.Conn // nil while there is no link
+	next   transport.Conn // to take its place once the pool has bound it; nil: none
 	drop   func()         // gives up the link that is being dialled; nil while none is
 	synced bool           // the missed notices of this link have been read
 	links  int            // opened so far; names the poll that marks their end
@@ -84,18 +84,18 @@
 }
 
 // New returns a runner without a link. Attach must follow.
-func New(config Config, logf func(format string, args ...any)) *Runner {
-	return &Runner{config: config, logf: logf, runs: map[string]*run{}, acked: map[int]int{}, checks: deepChecks{lastPass: never}}
+func New(config Config, logf func(format string, args ...any)) *Backend {
+	return &Backend{config: config, logf: logf, runs: map[string]*run{}, acked: map[int]int{}, checks: deepChecks{lastPass: never}}
 }
 
 // Attach ties the runner to its core and its loop, and opens the link.
-func (p *Runner) Attach(core Core, loop Loop) {
+func (p *Backend) Attach(core Core, loop Loop) {
 	p.core, p.loop = core, loop
 	p.dial()
 }
 
-// Move has the runner reach the worker pool at another address. The link in use serves until the new one is bound.
-func (p *Runner) Move(address string) {
+// SetAddress has the runner reach the worker pool at another address. The link in use serves until the new one is bound.
+func (p *Backend) SetAddress(address string) {
 	if address == p.config.Address {
 		return
 	}
@@ -104,38 +104,38 @@
 }
 
 // SetGauges names the gauges anew.
-func (p *Runner) SetGauges(names []string) { p.config.Gauges = names }
+func (p *Backend) SetGauges(names []string) { p.config.Gauges = names }
 
 // Status is what operators and tests may know of the link.
 type Status struct {
 	Bound     bool // the link serves
 	Links     int  // opened since the start
 	Dialling  bool
-	Moving    bool   // a link waits to be bound in place of the one in use
+	Migrating bool   // a link waits to be bound in place of the one in use
 	Notice    uint64 // the number of the last notice that was read
 	Runs      int    // that have not ended
 	Uncertain int    // of these, those of which it is not known whether they run
 }
 
 // Status tells how the link stands.
-func (p *Runner) Status() Status {
-	return Status{Bound: p.synced, Links: p.links, Dialling: p.drop != nil, Moving: p.next != nil, Notice: p.notice, Runs: len(p.runs),
+func (p *Backend) Status() Status {
+	return Status{Bound: p.synced, Links: p.links, Dialling: p.drop != nil, Migrating: p.next != nil, Notice: p.notice, Runs: len(p.runs),
 		Uncertain: len(p.uncertain)}
 }
 
-func (p *Runner) write(b []byte) {
+func (p *Backend) write(b []byte) {
 	p.out = b[:0]
 	p.conn.Write(b)
 }
 
 // nextOrder numbers a command, so that acked can tell what has arrived.
-func (p *Runner) nextOrder() int {
+func (p *Backend) nextOrder() int {
 	p.order++
 	return p.order
 }
 
 // Start is part of routing.Runner.
-func (p *Runner) Start(r routing.Run) {
+func (p *Backend) Start(r routing.Run) {
 	started := &run{Run: r, order: p.nextOrder()}
 	p.runs[r.ID] = started
 	if p.synced {
@@ -143,7 +143,7 @@
 	}
 }
 
-func (p *Runner) send(r *run) {
+func (p *Backend) send(r *run) {
 	r.order, r.link = p.nextOrder(), p.links
 	p.write(pool.AppendSpawn(p.out[:0], r.ID, r.Class, r.Body))
 	if r.stopped {
@@ -151,14 +151,14 @@
 	}
 }
 
-// Stop is part of routing.Runner.
-func (p *Runner) Stop(id string) {
+// Cancel is part of routing.Runner.
+func (p *Backend) Cancel(id string) {
 	r := p.runs[id]
 	switch {
 	case r == nil || r.stopped:
 	case r.link == 0:
 		delete(p.runs, id)
-		p.core.Finished(id, routing.Stopped, nil) // it was never sent
+		p.core.RunFinished(id, routing.RunCancelled, nil) // it was never sent
 	default:
 		r.stopped = true
 		if p.synced {
@@ -167,8 +167,8 @@
 	}
 }
 
-// Supply is part of routing.CallingRunner.
-func (p *Runner) Supply(id string, reply []byte) {
+// DeliverReply is part of routing.CallingRunner.
+func (p *Backend) DeliverReply(id string, reply []byte) {
 	r := p.runs[id]
 	if r == nil {
 		return
@@ -179,16 +179,16 @@
 	}
 }
 
-func (p *Runner) sendReply(r *run) {
+func (p *Backend) sendReply(r *run) {
 	r.reply.order, r.reply.link = p.nextOrder(), p.links
 	p.write(pool.AppendSupply(p.out[:0], r.ID, r.reply.body))
 }
 
-// Poll is part of routing.Runner.
-func (p *Runner) Poll() { p.PollAs(gaugesTag) }
+// RequestGauges is part of routing.Runner.
+func (p *Backend) RequestGauges() { p.PollTagged(gaugesTag) }
 
-// PollAs asks for the gauges under a tag of its own; what was sent before it has arrived once that is answered.
-func (p *Runner) PollAs(tag string) {
+// PollTagged asks for the gauges under a tag of its own; what was sent before it has arrived once that is answered.
+func (p *Backend) PollTagged(tag string) {
 	if !p.synced {
 		return
 	}
@@ -199,7 +199,7 @@
 }
 
 // takeGauges notes the answer to a poll.
-func (p *Runner) takeGauges(m pool.Message) {
+func (p *Backend) takeGauges(m pool.Message) {
 	if m.Tag == gaugesTag && len(p.polled) > 0 {
 		p.acked[p.links], p.polled = max(p.acked[p.links], p.polled[0]), p.polled[1:]
 	}
--- a/internal/workerpool/runner_test.go
+++ b/internal/workerpool/runner_test.go
@@ -22,9 +22,9 @@
 // bench is a runner on a clock that the test moves, with links that the test opens and reads.
 type bench struct {
 	t      *testing.T
-	runner *Runner
+	runner *Backend
 	now    micro.Time
-	open   func(transport.Link) transport.Session
+	open   func(transport.Conn) transport.Session
 	conn   *conn
 	told   []string // what the core heard of runs
 }
@@ -34,23 +34,23 @@
 	out     string
 }
 
-func (c *conn) Write(p []byte) { c.out += string(p) }
-func (c *conn) Close()         {}
-func (c *conn) Resume()        {}
-func (c *conn) Vouch()         {}
-func (c *conn) Remote() string { return "pool" }
+func (c *conn) Write(p []byte)  { c.out += string(p) }
+func (c *conn) Close()          {}
+func (c *conn) Resume()         {}
+func (c *conn) MarkIdentified() {}
+func (c *conn) Remote() string  { return "pool" }
 
 func (b *bench) Now() micro.Time { return b.now }
-func (b *bench) Dial(_ string, open func(transport.Link) transport.Session) func() {
+func (b *bench) Dial(_ string, open func(transport.Conn) transport.Session) func() {
 	b.open = open
 	return func() {}
 }
-func (b *bench) Begin(micro.Time, micro.Time, bool) {}
+func (b *bench) Start(micro.Time, micro.Time, bool) {}
 func (b *bench) SetGauges(control.Gauges)           {}
-func (b *bench) Blocked(id string, call []byte) {
+func (b *bench) RunBlocked(id string, call []byte) {
 	b.told = append(b.told, fmt.Sprintf("blocked %s %s", id, call))
 }
-func (b *bench) Finished(id string, end routing.End, _ []byte) {
+func (b *bench) RunFinished(id string, end routing.RunOutcome, _ []byte) {
 	b.told = append(b.told, fmt.Sprintf("finished %s %d", id, end))
 }
 
@@ -80,7 +80,7 @@
 
 // blocked starts a run that comes to its call under a notice.
 func (b *bench) blocked(notice uint64, id string, once bool) {
-	b.runner.Start(routing.Run{ID: id, Class: "c", Body: []byte("b"), Once: once, Due: b.now + 4*micro.Second})
+	b.runner.Start(routing.Run{ID: id, Class: "c", Body: []byte("b"), AtMostOnce: once, Deadline: b.now + 4*micro.Second})
 	b.tells(string(pool.AppendBlocked(nil, notice, id, []byte("call"))))
 	require.Contains(b.t, b.told, "blocked "+id+" call")
 	b.told = nil
@@ -88,7 +88,7 @@
 
 func (b *bench) breaks() { b.conn.session.Closed() }
 
-func finished(notice uint64, id string, end pool.End) string {
+func finished(notice uint64, id string, end pool.Outcome) string {
 	return string(pool.AppendFinished(nil, notice, id, end, 1, nil))
 }
 
@@ -97,7 +97,7 @@
 func TestReplyThatMayBeLostStartsASafeRunAnew(t *testing.T) {
 	b := newBench(t)
 	b.blocked(1, safeRun, false)
-	b.runner.Supply(safeRun, []byte("reply"))
+	b.runner.DeliverReply(safeRun, []byte("reply"))
 	b.breaks()
 	require.Equal(t, "suspend "+safeRun+"\r\n", b.links(""))
 	b.breaks()
@@ -105,10 +105,10 @@
 	require.Equal(t, "spawn "+safeRun+" c 1\r\nb\r\n", b.tells(finished(2, safeRun, pool.Killed)))
 	require.Empty(t, b.told)
 	b.tells(string(pool.AppendBlocked(nil, 3, safeRun, []byte("call"))))
-	b.runner.Supply(safeRun, []byte("again"))
+	b.runner.DeliverReply(safeRun, []byte("again"))
 	require.Contains(t, b.conn.out, "supply "+safeRun+" 5\r\nagain\r\n")
 	b.tells(finished(4, safeRun, pool.Pass))
-	require.Equal(t, []string{"blocked " + safeRun + " call", fmt.Sprintf("finished %s %d", safeRun, routing.Passed)}, b.told)
+	require.Equal(t, []string{"blocked " + safeRun + " call", fmt.Sprintf("finished %s %d", safeRun, routing.RunSucceeded)}, b.told)
 }
 
 // A run that may run once is neither supplied again nor stopped nor started anew: its notice tells, or it fails when it is due.
@@ -116,12 +116,12 @@
 	for _, heard := range []bool{true, false} {
 		b := newBench(t)
 		b.blocked(1, onceRun, true)
-		b.runner.Supply(onceRun, []byte("reply"))
+		b.runner.DeliverReply(onceRun, []byte("reply"))
 		b.breaks()
 		require.Empty(t, b.links(""))
-		want := routing.Errored
+		want := routing.RunFailed
 		if heard {
-			want = routing.Passed
+			want = routing.RunSucceeded
 			b.tells(finished(2, onceRun, pool.Pass))
 		}
 		for b.now < 5*micro.Second {
@@ -140,22 +140,22 @@
 	for _, once := range []bool{false, true} {
 		b := newBench(t)
 		b.blocked(1, safeRun, once)
-		b.runner.Supply(safeRun, []byte("reply"))
-		b.runner.Poll()
+		b.runner.DeliverReply(safeRun, []byte("reply"))
+		b.runner.RequestGauges()
 		b.tells("polled g\r\n")
 		b.breaks()
 		require.Empty(t, b.links(""), "answered poll")
 
 		b = newBench(t)
 		b.blocked(1, safeRun, once)
-		b.runner.Supply(safeRun, []byte("reply"))
+		b.runner.DeliverReply(safeRun, []byte("reply"))
 		b.breaks()
 		require.Empty(t, b.links(string(pool.AppendBlocked(nil, 2, safeRun, []byte("next")))), "it waits for its next call")
 
 		b = newBench(t)
 		b.blocked(1, safeRun, once)
 		b.breaks()
-		b.runner.Supply(safeRun, []byte("reply"))
+		b.runner.DeliverReply(safeRun, []byte("reply"))
 		require.Equal(t, "supply "+safeRun+" 5\r\nreply\r\n", b.links(""), "sent on no link yet")
 	}
 }
@@ -164,12 +164,12 @@
 func TestUnwantedRunIsNotStartedAnew(t *testing.T) {
 	b := newBench(t)
 	b.blocked(1, safeRun, false)
-	b.runner.Supply(safeRun, []byte("reply"))
+	b.runner.DeliverReply(safeRun, []byte("reply"))
 	b.breaks()
 	b.links("")
-	b.runner.Stop(safeRun)
+	b.runner.Cancel(safeRun)
 	require.NotContains(t, b.tells(finished(2, safeRun, pool.Killed)), "spawn")
-	require.Equal(t, []string{fmt.Sprintf("finished %s %d", safeRun, routing.Stopped)}, b.told)
+	require.Equal(t, []string{fmt.Sprintf("finished %s %d", safeRun, routing.RunCancelled)}, b.told)
 }
 
 // A deep check outlives a link that breaks, and is asked on the next; without any it ends in time.
