--- a/cmd/pewterlab/main.go
+++ b/cmd/pewterline-sim/main.go
@@ -1,4 +1,4 @@
-// Command pewterlab plays the log server on a virtual clock against scripted faults, hunts for scripts that break a
+// Command pewterline-sim plays the log server on a virtual clock against scripted faults, hunts for scripts that break a
 // rule, and makes failing scripts smaller. It exits with 0 where all rules hold, 1 where one is broken, and 2 on bad
 // arguments or a bad script.
 package main
@@ -18,9 +18,9 @@
 	"github.com/alecthomas/kong"
 	"github.com/mattn/go-isatty"
 
-	"pewterline/internal/faults"
-	"pewterline/internal/lab"
-	"pewterline/internal/micro"
+	"pewterline/internal/microtime"
+	"pewterline/internal/testbed/faults"
+	"pewterline/internal/testbed/sim"
 )
 
 // The exit codes.
@@ -51,7 +51,7 @@
 	Rate    float64 `help:"First tries a second in all; 0 has the profile choose."`
 }
 
-func (f worldFlags) length() micro.Time { return micro.Time(f.Seconds * 1e6) }
+func (f worldFlags) length() microtime.Time { return microtime.Time(f.Seconds * 1e6) }
 
 func (f worldFlags) draw(seed uint64) (faults.Script, error) {
 	world := faults.World{Servers: f.Servers, Proxies: f.Proxies, Edges: f.Edges, Length: f.length(), Rate: f.Rate, Vault: f.Vault}
@@ -95,12 +95,12 @@
 	if c.Print {
 		fmt.Fprint(out, s.String())
 	}
-	opts := lab.Options{}
+	opts := sim.Options{}
 	if c.Trace {
 		opts.Log = func(line string) { fmt.Fprintln(out, line) }
 	}
 	start := time.Now()
-	o, err := lab.Play(s, opts)
+	o, err := sim.Play(s, opts)
 	if err != nil {
 		return faulty, err
 	}
@@ -124,7 +124,7 @@
 }
 
 // printCalls tells what became of the calls, and of one request with a call.
-func printCalls(out io.Writer, o lab.Outcome) {
+func printCalls(out io.Writer, o sim.Outcome) {
 	fmt.Fprintf(out, "replies of the vault %v; a request with a call:\n", o.Replies)
 	for _, line := range o.Example {
 		fmt.Fprintln(out, "   ", line)
@@ -149,14 +149,14 @@
 	if last == 0 && c.For == 0 && c.Most == 0 {
 		return faulty, fmt.Errorf("--seeds: without an end, --for or --most is needed")
 	}
-	h := lab.Hunt{First: first, Last: last, For: c.For, Profile: c.Profile, Servers: c.Servers, Proxies: c.Proxies, Length: c.length(),
+	h := sim.Hunt{First: first, Last: last, For: c.For, Profile: c.Profile, Servers: c.Servers, Proxies: c.Proxies, Length: c.length(),
 		Rate: c.Rate, Edges: c.Edges, Vault: c.Vault, Guided: c.Guided, Jobs: c.Jobs, Most: c.Most}
 	if h.Jobs == 0 {
 		h.Jobs = runtime.GOMAXPROCS(0)
 	}
 	told := 0
 	terminal := isatty.IsTerminal(os.Stderr.Fd())
-	h.Progress = func(p lab.Progress) {
+	h.Progress = func(p sim.Progress) {
 		if terminal {
 			fmt.Fprintf(os.Stderr, "\r\x1b[K%d runs, %d situations, %d scripts kept, %d finds, %v", p.Runs, p.Situations, p.Kept, len(p.Finds), p.Took.Round(time.Second))
 		}
@@ -166,7 +166,7 @@
 			if c.Out != "" {
 				name := fmt.Sprintf("%s/find-%d-%d.txt", c.Out, f.Script.Seed, f.Run)
 				if err := os.WriteFile(name, []byte(f.Script.String()), 0o644); err != nil {
-					fmt.Fprintln(os.Stderr, "pewterlab:", err)
+					fmt.Fprintln(os.Stderr, "pewterline-sim:", err)
 				}
 			}
 		}
@@ -212,7 +212,7 @@
 	if err != nil {
 		return faulty, err
 	}
-	least, v, err := lab.Shrink(s, c.Plays, func(s faults.Script) {
+	least, v, err := sim.Shrink(s, c.Plays, func(s faults.Script) {
 		if isatty.IsTerminal(os.Stderr.Fd()) {
 			fmt.Fprintf(os.Stderr, "\r\x1b[K%d faults, %d servers, %d proxies, %v", len(s.Faults), s.Servers, s.Proxies, s.Length.Duration())
 		}
@@ -245,15 +245,15 @@
 }
 
 func (c *routesCmd) Run(out io.Writer) (int, error) {
-	troubles := lab.Troubles
+	troubles := sim.Troubles
 	if c.Trouble != "" {
 		troubles = []string{c.Trouble}
 	}
 	fmt.Fprintf(out, "%-9s %-12s %8s %8s %7s %7s %6s %7s\n", "trouble", "policy", "p50 ms", "p99 ms", "worth", "first10", "tries", "wasted")
 	for _, t := range troubles {
-		results := map[string][]lab.RouteResult{}
+		results := map[string][]sim.RouteResult{}
 		for seed := range c.Seeds {
-			o := lab.Routes{Servers: c.Servers, Load: c.Load, Length: micro.Time(c.Seconds * 1e6), Trouble: t, Seed: uint64(seed + 1), Advised: c.Advised}
+			o := sim.Routes{Servers: c.Servers, Load: c.Load, Length: microtime.Time(c.Seconds * 1e6), Trouble: t, Seed: uint64(seed + 1), Advised: c.Advised}
 			if t == "overload" {
 				o.Load = 1.6
 			}
@@ -265,18 +265,18 @@
 				results[r.Policy] = append(results[r.Policy], r)
 			}
 		}
-		for _, p := range lab.Policies {
-			med := func(f func(lab.RouteResult) float64) float64 {
+		for _, p := range sim.Policies {
+			med := func(f func(sim.RouteResult) float64) float64 {
 				var v []float64
 				for _, r := range results[p] {
 					v = append(v, f(r))
 				}
 				return median(v)
 			}
-			fmt.Fprintf(out, "%-9s %-12s %8.0f %8.0f %7.3f %7.3f %6.2f %7.0f\n", t, p, med(func(r lab.RouteResult) float64 { return float64(r.P50) / 1000 }),
-				med(func(r lab.RouteResult) float64 { return float64(r.P99) / 1000 }), med(func(r lab.RouteResult) float64 { return r.Worth }),
-				med(func(r lab.RouteResult) float64 { return r.FirstWorth }), med(func(r lab.RouteResult) float64 { return r.Amplification }),
-				med(func(r lab.RouteResult) float64 { return float64(r.Wasted) }))
+			fmt.Fprintf(out, "%-9s %-12s %8.0f %8.0f %7.3f %7.3f %6.2f %7.0f\n", t, p, med(func(r sim.RouteResult) float64 { return float64(r.P50) / 1000 }),
+				med(func(r sim.RouteResult) float64 { return float64(r.P99) / 1000 }), med(func(r sim.RouteResult) float64 { return r.Worth }),
+				med(func(r sim.RouteResult) float64 { return r.FirstWorth }), med(func(r sim.RouteResult) float64 { return r.Amplification }),
+				med(func(r sim.RouteResult) float64 { return float64(r.Wasted) }))
 		}
 	}
 	return clean, nil
@@ -296,7 +296,7 @@
 	code := clean
 	fmt.Fprintf(out, "%-8s %28s %28s %24s %10s\n", "advice", "tries wasted (50% 90%)", "in the first 2 s (50% 90%)", "worth (10% 50%)", "bytes/s")
 	for _, advice := range []bool{false, true} {
-		results := make([]lab.LearnResult, c.Seeds)
+		results := make([]sim.LearnResult, c.Seeds)
 		errs := make([]error, c.Seeds)
 		var wait sync.WaitGroup
 		room := make(chan struct{}, runtime.GOMAXPROCS(0))
@@ -304,7 +304,7 @@
 			wait.Go(func() {
 				room <- struct{}{}
 				defer func() { <-room }()
-				results[i], errs[i] = lab.Learn{Seed: uint64(i + 1), Edges: c.Edges, Servers: c.Servers, Dead: c.Dead, Slow: c.Slow, Rate: c.Rate,
+				results[i], errs[i] = sim.Learn{Seed: uint64(i + 1), Edges: c.Edges, Servers: c.Servers, Dead: c.Dead, Slow: c.Slow, Rate: c.Rate,
 					Advice: advice, Draw: c.Worst}.Run()
 			})
 		}
@@ -312,7 +312,7 @@
 		if err := errors.Join(errs...); err != nil {
 			return faulty, err
 		}
-		at := func(q float64, f func(lab.LearnResult) float64) float64 {
+		at := func(q float64, f func(sim.LearnResult) float64) float64 {
 			var v []float64
 			for _, r := range results {
 				v = append(v, f(r))
@@ -320,10 +320,10 @@
 			slices.Sort(v)
 			return v[min(int(q*float64(len(v))), len(v)-1)]
 		}
-		wasted := func(r lab.LearnResult) float64 { return float64(r.Wasted) }
-		right := func(r lab.LearnResult) float64 { return float64(r.Early) }
-		worth := func(r lab.LearnResult) float64 { return r.Worth }
-		bytes := func(r lab.LearnResult) float64 { return float64(r.Exchanged) / 19 / float64(c.Edges) }
+		wasted := func(r sim.LearnResult) float64 { return float64(r.Wasted) }
+		right := func(r sim.LearnResult) float64 { return float64(r.Early) }
+		worth := func(r sim.LearnResult) float64 { return r.Worth }
+		bytes := func(r sim.LearnResult) float64 { return float64(r.Exchanged) / 19 / float64(c.Edges) }
 		fmt.Fprintf(out, "%-8v %20.0f %7.0f %22.0f %7.0f %17.3f %6.3f %10.0f\n", advice, at(0.5, wasted), at(0.9, wasted), at(0.5, right), at(0.9, right),
 			at(0.1, worth), at(0.5, worth), at(0.5, bytes))
 		for _, r := range results {
@@ -343,10 +343,10 @@
 func run(args []string, out, errs io.Writer) int {
 	var cmd command
 	code := clean
-	parser, err := kong.New(&cmd, kong.Name("pewterlab"), kong.Description("Plays the log server against faults on a virtual clock."),
-		kong.Vars{"profiles": strings.Join(faults.Profiles(), ", "), "troubles": strings.Join(lab.Troubles, ", ")}, kong.Writers(out, errs), kong.Exit(func(int) { panic(helpShown{}) }))
+	parser, err := kong.New(&cmd, kong.Name("pewterline-sim"), kong.Description("Plays the log server against faults on a virtual clock."),
+		kong.Vars{"profiles": strings.Join(faults.Profiles(), ", "), "troubles": strings.Join(sim.Troubles, ", ")}, kong.Writers(out, errs), kong.Exit(func(int) { panic(helpShown{}) }))
 	if err != nil {
-		fmt.Fprintln(errs, "pewterlab:", err)
+		fmt.Fprintln(errs, "pewterline-sim:", err)
 		return faulty
 	}
 	defer func() {
@@ -366,7 +366,7 @@
 		code = faulty
 	}
 	if err != nil {
-		fmt.Fprintln(errs, "pewterlab:", err)
+		fmt.Fprintln(errs, "pewterline-sim:", err)
 	}
 	return code
 }
--- a/cmd/pewterlab/planted.go
+++ b/cmd/pewterline-sim/planted.go
@@ -9,9 +9,9 @@
 	"slices"
 	"time"
 
-	"pewterline/internal/faults"
-	"pewterline/internal/lab"
 	"pewterline/internal/planted"
+	"pewterline/internal/testbed/faults"
+	"pewterline/internal/testbed/sim"
 )
 
 type plantedCmd struct {
@@ -27,7 +27,7 @@
 // long that took.
 func (c *plantedCmd) Run(out io.Writer) (int, error) {
 	if !planted.Built {
-		return faulty, fmt.Errorf("planted: this program has no planted bugs; build it with: go build -tags planted -o bin/ ./cmd/pewterlab")
+		return faulty, fmt.Errorf("planted: this program has no planted bugs; build it with: go build -tags planted -o bin/ ./cmd/pewterline-sim")
 	}
 	bugs := planted.All
 	if c.Bug != "" {
@@ -46,7 +46,7 @@
 			text := ""
 			for series := range c.Series {
 				planted.Set(bug)
-				h := lab.Hunt{First: 1 + uint64(series)*1_000_000, For: c.Within, Profile: c.Profile, Servers: c.Servers, Proxies: c.Proxies,
+				h := sim.Hunt{First: 1 + uint64(series)*1_000_000, For: c.Within, Profile: c.Profile, Servers: c.Servers, Proxies: c.Proxies,
 					Length: c.length(), Rate: c.Rate, Guided: mode == 1, Jobs: c.Jobs, Most: 1}
 				p, err := h.Run()
 				if err != nil {
@@ -82,7 +82,7 @@
 
 // keep writes a small script that shows the bug.
 func (c *plantedCmd) keep(bug planted.ID, s faults.Script) error {
-	least, v, err := lab.Shrink(s, 1000, nil)
+	least, v, err := sim.Shrink(s, 1000, nil)
 	if err != nil {
 		return err
 	}
--- a/cmd/pewterlab/procs.go
+++ b/cmd/pewterline-sim/procs.go
@@ -9,11 +9,11 @@
 	"text/tabwriter"
 	"time"
 
-	"pewterline/internal/decide/search"
-	"pewterline/internal/faults"
-	"pewterline/internal/procs"
-	"pewterline/internal/procs/hunt"
-	"pewterline/internal/procs/measure"
+	"pewterline/internal/testbed/faults"
+	"pewterline/internal/testbed/faultsearch"
+	"pewterline/internal/testbed/processtest"
+	"pewterline/internal/testbed/processtest/hunt"
+	"pewterline/internal/testbed/processtest/measure"
 )
 
 // procsCmd plays real processes on the loopback. What they do depends on the machine as well: a seed gives the faults and
@@ -35,34 +35,34 @@
 	if f.Group {
 		return hunt.Drawn(seed, f.Seconds)
 	}
-	return procs.Drawn(seed, f.Seconds)
+	return processtest.Drawn(seed, f.Seconds)
 }
 
 // options builds the program into a folder of its own.
-func (f procsFlags) options() (procs.Options, func(), error) {
+func (f procsFlags) options() (processtest.Options, func(), error) {
 	none := func() {}
 	text, err := os.ReadFile(f.Config)
 	if err != nil {
-		return procs.Options{}, none, err
+		return processtest.Options{}, none, err
 	}
 	var file struct{ Settings json.RawMessage }
 	if err := json.Unmarshal(text, &file); err != nil {
-		return procs.Options{}, none, fmt.Errorf("%s: %w", f.Config, err)
+		return processtest.Options{}, none, fmt.Errorf("%s: %w", f.Config, err)
 	}
-	dir, err := os.MkdirTemp("", "pewterlab")
+	dir, err := os.MkdirTemp("", "pewterline-sim")
 	if err != nil {
-		return procs.Options{}, none, err
+		return processtest.Options{}, none, err
 	}
 	var tags []string
 	if f.Group {
-		tags, file.Settings = []string{"faults"}, procs.LongWindow(file.Settings)
+		tags, file.Settings = []string{"faults"}, processtest.LongWindow(file.Settings)
 	}
-	program, err := procs.Build(f.Root, dir, tags...)
-	return procs.Options{Program: program, Settings: file.Settings}, func() { _ = os.RemoveAll(dir) }, err
+	program, err := processtest.Build(f.Root, dir, tags...)
+	return processtest.Options{Program: program, Settings: file.Settings}, func() { _ = os.RemoveAll(dir) }, err
 }
 
-func (f procsFlags) play(out io.Writer, s faults.Script, opts procs.Options) (bool, error) {
-	play := procs.Play
+func (f procsFlags) play(out io.Writer, s faults.Script, opts processtest.Options) (bool, error) {
+	play := processtest.Play
 	if f.Group {
 		play = hunt.Play
 	}
@@ -125,8 +125,8 @@
 
 // shrink makes a found script smaller. Real processes don't do the same each time: a smaller script counts if one of three plays of it
 // breaks a rule.
-func (c *procsHuntCmd) shrink(out io.Writer, s faults.Script, opts procs.Options) (faults.Script, error) {
-	k := search.NewShrinker(s, c.Plays/3)
+func (c *procsHuntCmd) shrink(out io.Writer, s faults.Script, opts processtest.Options) (faults.Script, error) {
+	k := faultsearch.NewShrinker(s, c.Plays/3)
 	for {
 		smaller, ok := k.Next()
 		if !ok {
@@ -192,7 +192,7 @@
 	if err != nil {
 		return faulty, err
 	}
-	if opts.Program, err = procs.Build(c.Root, filepath.Dir(opts.Program)); err != nil { // as it ships, without faults
+	if opts.Program, err = processtest.Build(c.Root, filepath.Dir(opts.Program)); err != nil { // as it ships, without faults
 		return faulty, err
 	}
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
--- a/cmd/pewterline/build_test.go
+++ b/cmd/pewterline/build_test.go
@@ -111,7 +111,7 @@
 	require.NoError(t, cmd.Process.Signal(syscall.SIGQUIT))
 	require.Error(t, cmd.Wait(), "it ends by the signal")
 	require.Contains(t, log.String(), "pewterline/internal/transport/sockets", "the loop is among them")
-	for _, off := range []string{"internal/store", "database/sql", "sqlite", "pgx", "fleetRunner", "exchange"} {
+	for _, off := range []string{"internal/store", "database/sql", "sqlite", "pgx", "backend/upstream", "exchange"} {
 		require.NotContains(t, log.String(), off)
 	}
 }
--- a/cmd/pewterline/calls_test.go
+++ b/cmd/pewterline/calls_test.go
@@ -7,28 +7,28 @@
 
 	"github.com/stretchr/testify/require"
 
-	"pewterline/internal/procs"
 	"pewterline/internal/protocol/thrift"
+	"pewterline/internal/testbed/processtest"
 )
 
 // newCallingTwin is one whose intakes call the vault once.
-func newCallingTwin(t *testing.T) (*twin, *procs.Vault) {
+func newCallingTwin(t *testing.T) (*twin, *processtest.Vault) {
 	w := newTwin(t)
-	v, err := procs.NewVault()
+	v, err := processtest.NewVault()
 	require.NoError(t, err)
 	t.Cleanup(v.Close)
-	w.Settings, err = procs.WithCalls(w.Settings, "lot-intake")
+	w.Settings, err = processtest.WithCalls(w.Settings, "lot-intake")
 	require.NoError(t, err)
 	w.Vault = v.Addr()
 	return w, v
 }
 
 // called is the next call, which has to be of a body.
-func called(t *testing.T, v *procs.Vault, of string) *procs.Call {
+func called(t *testing.T, v *processtest.Vault, of string) *processtest.Call {
 	t.Helper()
 	c, err := v.Asked()
 	require.NoError(t, err)
-	require.Equal(t, procs.CallBody(1, of), c.Body)
+	require.Equal(t, processtest.CallBody(1, of), c.Body)
 	return c
 }
 
@@ -46,7 +46,7 @@
 	require.NoError(t, old.Pool.Started("three"))
 	next := w.start()
 	require.NoError(t, old.Signal(syscall.SIGTERM))
-	require.Eventually(t, func() bool { return strings.Contains(next.Log(), "has handed over") }, procs.Patience, procs.Patience/1e4)
+	require.Eventually(t, func() bool { return strings.Contains(next.Log(), "has handed over") }, processtest.Patience, processtest.Patience/1e4)
 	d := w.dial()
 	again, fresh := w.ask(d, "lot-intake", "k1", "one"), w.ask(d, "lot-intake", "k2", "two")
 	called(t, v, "two")
@@ -70,7 +70,7 @@
 	p := w.start()
 	v.Hold()
 	c := w.dial()
-	var open []procs.Asked
+	var open []processtest.Asked
 	for _, once := range []string{"one", "two", "three"} {
 		open = append(open, w.ask(c, "lot-intake", once, once))
 		called(t, v, once)
--- a/cmd/pewterline/copies.go
+++ b/cmd/pewterline/copies.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"pewterline/internal/config"
-	"pewterline/internal/holdings"
+	"pewterline/internal/replication"
 )
 
 // copiesCmd asks a running server about its group, or changes that. It finds the server by --admin, or as that one does by its files.
@@ -43,18 +43,18 @@
 
 // state is what a server says of its group.
 type copiesState struct {
-	ID       uint32                  `json:"id"`
-	Life     string                  `json:"life"`
-	Group    string                  `json:"group"`
-	Epoch    uint64                  `json:"epoch"`
-	Copies   int                     `json:"copies"`
-	Changing bool                    `json:"changing"`
-	Marked   int                     `json:"changing_marked"`
-	Why      string                  `json:"why"`
-	Lost     int64                   `json:"lost_ms"`
-	Voting   bool                    `json:"voting"`
-	Members  []holdings.MemberStatus `json:"members"`
-	Counters holdings.Counters       `json:"counters"`
+	ID       uint32                     `json:"id"`
+	Life     string                     `json:"life"`
+	Group    string                     `json:"group"`
+	Epoch    uint64                     `json:"epoch"`
+	Copies   int                        `json:"copies"`
+	Changing bool                       `json:"changing"`
+	Marked   int                        `json:"changing_marked"`
+	Why      string                     `json:"why"`
+	Lost     int64                      `json:"lost_ms"`
+	Voting   bool                       `json:"voting"`
+	Members  []replication.MemberStatus `json:"members"`
+	Counters replication.Counters       `json:"counters"`
 }
 
 // run does what the command line says: the words behind copies.
@@ -133,7 +133,7 @@
 
 func export(admin string, out io.Writer) error {
 	for after := ""; ; {
-		var some []holdings.ExportedKey
+		var some []replication.ExportedKey
 		if err := ask(admin, http.MethodGet, "export", url.Values{"after": {after}}, &some); err != nil || len(some) == 0 {
 			return err
 		}
--- a/cmd/pewterline/copies_test.go
+++ b/cmd/pewterline/copies_test.go
@@ -12,14 +12,14 @@
 	"github.com/stretchr/testify/require"
 
 	"pewterline/example"
-	"pewterline/internal/procs"
 	"pewterline/internal/protocol/thrift"
+	"pewterline/internal/testbed/processtest"
 )
 
 // The command that a newcomer begins with: it plays the loss of a server, ends with 0 and leaves nothing behind.
 func TestTry(t *testing.T) {
 	t.Parallel()
-	program, err := procs.Build("../..", t.TempDir())
+	program, err := processtest.Build("../..", t.TempDir())
 	require.NoError(t, err)
 	tmp := t.TempDir()
 	cmd := exec.Command(program, "try")
@@ -37,11 +37,11 @@
 // What operators do to a group by the command line, and what they are told; each fault is named.
 func TestCopiesCommands(t *testing.T) {
 	t.Parallel()
-	program, err := procs.Build("../..", t.TempDir())
+	program, err := processtest.Build("../..", t.TempDir())
 	require.NoError(t, err)
 	var file struct{ Settings json.RawMessage }
 	require.NoError(t, json.Unmarshal(example.Config, &file))
-	g, err := procs.NewGroup(program, file.Settings, 3, 3)
+	g, err := processtest.NewGroup(program, file.Settings, 3, 3)
 	require.NoError(t, err)
 	t.Cleanup(func() { require.NoError(t, g.Close()) })
 	for id := 1; id <= 3; id++ {
--- a/cmd/pewterline/main.go
+++ b/cmd/pewterline/main.go
@@ -11,14 +11,14 @@
 	"syscall"
 
 	"pewterline/internal/config"
-	"pewterline/internal/edge"
-	"pewterline/internal/holdings"
-	"pewterline/internal/micro"
+	"pewterline/internal/microtime"
 	"pewterline/internal/peers"
+	"pewterline/internal/replication"
+	"pewterline/internal/server"
 	"pewterline/internal/store"
 	"pewterline/internal/transport"
 	"pewterline/internal/transport/sockets"
-	"pewterline/internal/vaultlink"
+	"pewterline/internal/vaultclient"
 )
 
 // spareSockets are the descriptors left beside the accepted connections: the listeners, the poller, the pool
@@ -30,7 +30,7 @@
 	if cfg.VaultAddress == "" {
 		return 0
 	}
-	return vaultlink.MaxConns
+	return vaultclient.MaxConns
 }
 
 func main() {
@@ -47,7 +47,7 @@
 	signals := make(chan os.Signal, 8)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	defer signal.Stop(signals)
-	clock := micro.NewClock()
+	clock := microtime.NewClock()
 	ended := make(chan struct{})
 	defer close(ended)
 	leave, files := split(signals, clock, ended)
@@ -61,7 +61,7 @@
 	runtime.GOMAXPROCS(2)
 	logf := newCapped().Logf
 	wall := wallOf(clock)
-	srv, err := edge.New(cfg, wall, logf)
+	srv, err := server.New(cfg, wall, logf)
 	if err != nil {
 		return err
 	}
@@ -80,7 +80,7 @@
 		}
 	}
 	if cfg.Copies.ID != 0 {
-		held, err := holdings.Open(holdings.Config(cfg.Copies), wall.UnixMilli, srv.LongestRetention(), logf)
+		held, err := replication.Open(replication.Config(cfg.Copies), wall.UnixMilli, srv.LongestRetention(), logf)
 		if err != nil {
 			return err
 		}
@@ -106,7 +106,7 @@
 	opts := sockets.Options{Listen: []string{cfg.Listen, cfg.AJP.Listen, "", cfg.AdminAddress, "", cfg.Copies.Listen}, DatagramPeer: cfg.ControlAddress, Clock: clock, Options: transport.Options{
 		// The limit on memory counts what the kernel holds of the sockets too; this leaves it as much again.
 		MaxConns: cfg.SocketLimit - spareSockets, MaxBuffered: int(cfg.MemoryLimit / 8), Logf: logf,
-		DedicatedLimits: map[int]int{edge.AdminListener: edge.MaxAdminConns, edge.HandoffListener: edge.MaxHandoffConns, edge.ReplicationListener: peers.MaxConns},
+		DedicatedLimits: map[int]int{server.AdminListener: server.MaxAdminConns, server.HandoffListener: server.MaxHandoffConns, server.ReplicationListener: peers.MaxConns},
 	}}
 	if cfg.AJP.BackendAddress != "" {
 		opts.MaxConns -= cfg.AJP.BackendConnections
--- a/cmd/pewterline/main_test.go
+++ b/cmd/pewterline/main_test.go
@@ -15,7 +15,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"pewterline/internal/edge"
+	"pewterline/internal/server"
 )
 
 // standIn is a worker pool's address: it tells of each bind that it reads, and answers it.
@@ -109,7 +109,7 @@
 	var lines bytes.Buffer
 	log.SetOutput(&lines)
 	defer log.SetOutput(os.Stderr)
-	reload(atOnce{}, &edge.Server{})
+	reload(atOnce{}, &server.Server{})
 	require.Contains(t, lines.String(), "SIGHUP: config: pool")
 	require.Contains(t, lines.String(), "nothing has changed")
 }
--- a/cmd/pewterline/signals.go
+++ b/cmd/pewterline/signals.go
@@ -6,8 +6,8 @@
 	"syscall"
 
 	"pewterline/internal/config"
-	"pewterline/internal/edge"
-	"pewterline/internal/micro"
+	"pewterline/internal/microtime"
+	"pewterline/internal/server"
 )
 
 // filesMost are the reloads that may wait, which is many for one that reads files.
@@ -16,8 +16,8 @@
 // split tells signals apart as they come: leave gets the time of the first notice to leave, as whoever sent it counts from then, and
 // files each wish to have the files read anew. Guards the notice against all that takes its time: the start, and a file that
 // is slow to read.
-func split(signals <-chan os.Signal, clock micro.Clock, ended <-chan struct{}) (leave <-chan micro.Time, files <-chan struct{}) {
-	l, f := make(chan micro.Time, 1), make(chan struct{}, filesMost)
+func split(signals <-chan os.Signal, clock microtime.Clock, ended <-chan struct{}) (leave <-chan microtime.Time, files <-chan struct{}) {
+	l, f := make(chan microtime.Time, 1), make(chan struct{}, filesMost)
 	go func() {
 		for {
 			select {
@@ -48,7 +48,7 @@
 }
 
 // obey carries out what the signals ask for, each kind by itself, until the program has ended.
-func obey(leave <-chan micro.Time, files, ended <-chan struct{}, loop executor, srv *edge.Server) {
+func obey(leave <-chan microtime.Time, files, ended <-chan struct{}, loop executor, srv *server.Server) {
 	go func() {
 		for {
 			select {
@@ -71,7 +71,7 @@
 
 // reload is SIGHUP: the files are read and checked as a whole before anything changes, as a faulty one must not harm a server
 // that serves.
-func reload(loop executor, srv *edge.Server) {
+func reload(loop executor, srv *server.Server) {
 	cfg, err := config.Load(os.Getenv)
 	if err != nil {
 		log.Printf("SIGHUP: %v; nothing has changed", err)
--- a/cmd/pewterline/try.go
+++ b/cmd/pewterline/try.go
@@ -10,8 +10,8 @@
 	"time"
 
 	"pewterline/example"
-	"pewterline/internal/procs"
 	"pewterline/internal/protocol/thrift"
+	"pewterline/internal/testbed/processtest"
 )
 
 // tryCmd shows a newcomer what the program does: three log servers that hold copies for each other, in a temporary folder, one of
@@ -29,7 +29,7 @@
 func resultOf(class, key string) string {
 	result := "did " + key
 	if class == callingClass {
-		result += " got kept " + procs.CallBody(1, key)
+		result += " got kept " + processtest.CallBody(1, key)
 	}
 	return result
 }
@@ -40,7 +40,7 @@
 	if err := json.Unmarshal(example.Config, &file); err != nil {
 		return err
 	}
-	g, err := procs.NewGroup(program, file.Settings, 3, 3)
+	g, err := processtest.NewGroup(program, file.Settings, 3, 3)
 	if g != nil {
 		defer func() { err = errors.Join(err, g.Close()) }()
 	}
--- a/cmd/pewterline/upgrade.go
+++ b/cmd/pewterline/upgrade.go
@@ -18,8 +18,8 @@
 	"github.com/cespare/xxhash/v2"
 
 	"pewterline/internal/config"
-	"pewterline/internal/edge"
 	"pewterline/internal/protocol/upgrade"
+	"pewterline/internal/server"
 	"pewterline/internal/transport/sockets"
 )
 
@@ -200,7 +200,7 @@
 func (h *host) use(l *sockets.Loop) error {
 	h.loop.Store(l)
 	if h.wait != nil {
-		l.Serve(h.wait, edge.HandoffListener)
+		l.Serve(h.wait, server.HandoffListener)
 	}
 	if h.before == "" {
 		return nil
--- a/cmd/pewterline/upgrade_test.go
+++ b/cmd/pewterline/upgrade_test.go
@@ -20,8 +20,8 @@
 	"github.com/stretchr/testify/require"
 
 	"pewterline/internal/config"
-	"pewterline/internal/procs"
 	"pewterline/internal/protocol/thrift"
+	"pewterline/internal/testbed/processtest"
 )
 
 var program = sync.OnceValues(func() (string, error) {
@@ -29,7 +29,7 @@
 	if err != nil {
 		return "", err
 	}
-	return procs.Build("../..", dir)
+	return processtest.Build("../..", dir)
 })
 
 func TestMain(m *testing.M) {
@@ -41,14 +41,14 @@
 }
 
 type twin struct {
-	*procs.Server
+	*processtest.Server
 	t *testing.T
 }
 
 func newTwin(t *testing.T) *twin {
 	path, err := program()
 	require.NoError(t, err)
-	listen, err := procs.FreeAddress()
+	listen, err := processtest.FreeAddress()
 	require.NoError(t, err)
 	text, err := os.ReadFile("../../internal/config/testdata/config.json")
 	require.NoError(t, err)
@@ -56,7 +56,7 @@
 	require.NoError(t, json.Unmarshal(text, &file))
 	dir, err := os.MkdirTemp("", "pw") // short: a socket's path has to fit
 	require.NoError(t, err)
-	s := &procs.Server{Program: path, Dir: dir, Listen: listen, Settings: file.Settings, StopMS: 3200, MemoryMB: *memoryMB, Ledger: procs.NewLedger()}
+	s := &processtest.Server{Program: path, Dir: dir, Listen: listen, Settings: file.Settings, StopMS: 3200, MemoryMB: *memoryMB, Ledger: processtest.NewLedger()}
 	t.Cleanup(func() {
 		require.NoError(t, s.Close())
 		_ = os.RemoveAll(dir)
@@ -64,27 +64,27 @@
 	return &twin{s, t}
 }
 
-func (w *twin) start() *procs.Process {
+func (w *twin) start() *processtest.Process {
 	p, err := w.Start(nil)
 	require.NoError(w.t, err)
 	require.NoError(w.t, p.Ready())
 	return p
 }
 
-func (w *twin) dial() *procs.Conn {
-	c, err := procs.Dial(w.Listen)
+func (w *twin) dial() *processtest.Conn {
+	c, err := processtest.Dial(w.Listen)
 	require.NoError(w.t, err)
 	w.t.Cleanup(c.Close)
 	return c
 }
 
-func (w *twin) ask(c *procs.Conn, class, once, body string) procs.Asked {
+func (w *twin) ask(c *processtest.Conn, class, once, body string) processtest.Asked {
 	a, err := c.Ask(class, once, body, time.Now())
 	require.NoError(w.t, err)
 	return a
 }
 
-func (w *twin) served(a procs.Asked, body string) {
+func (w *twin) served(a processtest.Asked, body string) {
 	w.t.Helper()
 	p, err := a.Answer()
 	require.NoError(w.t, err)
@@ -92,7 +92,7 @@
 	require.Equal(w.t, "did "+body, string(p.Body))
 }
 
-func (w *twin) failed(a procs.Asked) {
+func (w *twin) failed(a processtest.Asked) {
 	w.t.Helper()
 	p, err := a.Answer()
 	require.NoError(w.t, err)
@@ -112,17 +112,17 @@
 	old.Pool.Hold()
 	running := w.ask(c, "lot-intake", "k2", "two")
 	require.NoError(t, old.Pool.Started("two"))
-	var fill []procs.Asked
+	var fill []processtest.Asked
 	for i := range 10 { // more than may run at once: the last are held
 		fill = append(fill, w.ask(c, "lot-intake", fmt.Sprintf("f%d", i), fmt.Sprintf("fill%d", i)))
 	}
 	next := w.start()
 	require.NoError(t, old.Signal(syscall.SIGTERM))
-	require.Eventually(t, func() bool { return strings.Contains(next.Log(), "has handed over") }, procs.Patience, time.Millisecond)
+	require.Eventually(t, func() bool { return strings.Contains(next.Log(), "has handed over") }, processtest.Patience, time.Millisecond)
 	d := w.dial()
 	w.served(w.ask(d, "lot-intake", "k1", "one"), "one")
 	again := w.ask(d, "lot-intake", "k2", "two")
-	var repeats []procs.Asked
+	var repeats []processtest.Asked
 	for i := range 10 {
 		repeats = append(repeats, w.ask(d, "lot-intake", fmt.Sprintf("f%d", i), fmt.Sprintf("fill%d", i)))
 	}
@@ -155,7 +155,7 @@
 			next := w.start()
 			if handed {
 				require.NoError(t, old.Signal(syscall.SIGTERM))
-				require.Eventually(t, func() bool { return strings.Contains(next.Log(), "has handed over") }, procs.Patience, time.Millisecond)
+				require.Eventually(t, func() bool { return strings.Contains(next.Log(), "has handed over") }, processtest.Patience, time.Millisecond)
 				d := w.dial()
 				waits, held := w.ask(d, "lot-intake", "two", "two"), w.ask(d, "lot-intake", "four", "four")
 				require.NoError(t, old.Signal(syscall.SIGKILL))
@@ -165,7 +165,7 @@
 				require.NoError(t, old.Signal(syscall.SIGKILL))
 			}
 			require.Error(t, old.Wait())
-			require.Eventually(t, func() bool { return strings.Contains(next.Log(), "predecessor is gone") }, procs.Patience, time.Millisecond)
+			require.Eventually(t, func() bool { return strings.Contains(next.Log(), "predecessor is gone") }, processtest.Patience, time.Millisecond)
 			d := w.dial()
 			w.served(w.ask(d, "lot-intake", "k1", "one"), "one")
 			w.failed(w.ask(d, "lot-intake", "two", "two"))
@@ -194,7 +194,7 @@
 	works := func(once string) {
 		w.served(w.ask(c, "lot-intake", once, once), once)
 		w.served(w.ask(w.dial(), "lot-intake", once, once), once)
-		good, err := procs.Probe(w.Listen)
+		good, err := processtest.Probe(w.Listen)
 		require.NoError(t, err)
 		require.True(t, good)
 	}
@@ -209,7 +209,7 @@
 	killed := w.start()
 	require.NoError(t, killed.Signal(syscall.SIGKILL))
 	require.Error(t, killed.Wait())
-	require.Eventually(t, func() bool { return strings.Contains(old.Log(), "successor is gone") }, procs.Patience, time.Millisecond)
+	require.Eventually(t, func() bool { return strings.Contains(old.Log(), "successor is gone") }, processtest.Patience, time.Millisecond)
 	works("k3")
 	next := w.start()
 	require.NoError(t, old.Signal(syscall.SIGTERM))
@@ -228,7 +228,7 @@
 	w := newTwin(t)
 	old := w.start()
 	old.Pool.Hold()
-	var open []procs.Asked
+	var open []processtest.Asked
 	var bodies []string
 	for i := range 12 {
 		c := w.dial()
@@ -276,7 +276,7 @@
 	require.NoError(t, old.Signal(syscall.SIGTERM))
 	w.failed(a)
 	require.NoError(t, old.Wait(), "it ends by itself")
-	require.Eventually(t, func() bool { return strings.Contains(next.Log(), "predecessor is gone") }, procs.Patience, time.Millisecond)
+	require.Eventually(t, func() bool { return strings.Contains(next.Log(), "predecessor is gone") }, processtest.Patience, time.Millisecond)
 	w.failed(w.ask(w.dial(), "lot-intake", "k1", "one"))
 	w.once()
 }
@@ -312,14 +312,14 @@
 	small := func(cfg map[string]any) {
 		cfg["limits"] = map[string]any{"cores": 1.0, "memory_mb": 64, "sockets": 160}
 	}
-	start := func() *procs.Process {
+	start := func() *processtest.Process {
 		p, err := w.Start(small)
 		require.NoError(t, err)
 		require.NoError(t, p.Ready())
 		return p
 	}
 	old := start()
-	var crowd []*procs.Conn
+	var crowd []*processtest.Conn
 	idle := func() {
 		c := w.dial()
 		crowd = append(crowd, c)
@@ -352,7 +352,7 @@
 	a := w.ask(w.dial(), "lot-intake", "k1", "one")
 	require.NoError(t, old.Pool.Started("one"))
 	next := w.start()
-	reload := func(p *procs.Process, pool string) {
+	reload := func(p *processtest.Process, pool string) {
 		var set map[string]any
 		require.NoError(t, json.Unmarshal(w.Settings, &set))
 		classes := set["classes"].([]any)
@@ -361,12 +361,12 @@
 		require.NoError(t, p.Rewrite(map[string]any{"name": "n0", "listen": w.Listen, "pool": pool, "admin": p.Admin, "stop_ms": 3200,
 			"seed": "8c1f30d27a5be964", "limits": map[string]any{"cores": 1.0, "memory_mb": 64, "sockets": 512}, "settings": set}))
 		require.NoError(t, p.Signal(syscall.SIGHUP))
-		require.Eventually(t, func() bool { return strings.Contains(p.Log(), "classes grape-count block-view lot-intake") }, procs.Patience, time.Millisecond, "%s", &logged{p})
+		require.Eventually(t, func() bool { return strings.Contains(p.Log(), "classes grape-count block-view lot-intake") }, processtest.Patience, time.Millisecond, "%s", &logged{p})
 	}
 	reload(next, next.Pool.Addr())
 	require.NoError(t, old.Signal(syscall.SIGTERM))
 	reload(old, old.Pool.Addr())
-	require.Eventually(t, func() bool { return strings.Contains(next.Log(), "has handed over") }, procs.Patience, time.Millisecond)
+	require.Eventually(t, func() bool { return strings.Contains(next.Log(), "has handed over") }, processtest.Patience, time.Millisecond)
 	d := w.dial()
 	again := w.ask(d, "lot-intake", "k1", "one")
 	w.served(w.ask(d, "grape-count", "", "grapes"), "grapes")
@@ -378,7 +378,7 @@
 }
 
 // logged prints what a process has logged by then.
-type logged struct{ p *procs.Process }
+type logged struct{ p *processtest.Process }
 
 func (l *logged) String() string { return l.p.Log() }
 
@@ -413,14 +413,14 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			var c *procs.Conn
+			var c *processtest.Conn
 			for j := 0; !stop.Load(); j++ {
 				if c == nil || !c.Usable() || i%2 == 0 { // half of them come on new connections
 					if c != nil {
 						c.Close()
 					}
 					var err error
-					if c, err = procs.Dial(w.Listen); err != nil {
+					if c, err = processtest.Dial(w.Listen); err != nil {
 						unheard.Add(1)
 						t.Errorf("refused: %v", err)
 						c = nil
@@ -433,7 +433,7 @@
 					_, err = a.Answer()
 				}
 				if err != nil && !c.Usable() && i%2 == 1 { // it crossed the farewell: a proxy sends it once more
-					if c, err = procs.Dial(w.Listen); err == nil {
+					if c, err = processtest.Dial(w.Listen); err == nil {
 						if a, err = c.Ask("lot-intake", body, body, time.Now()); err == nil {
 							_, err = a.Answer()
 						}
@@ -458,7 +458,7 @@
 		memory = append(memory, float64(at.Memory()+next.Memory())/(1<<20))
 		require.NoError(t, at.Wait(), at.Log())
 		took = append(took, float64(time.Since(ready).Microseconds())/1000)
-		require.Eventually(t, func() bool { return answered.Load() > before }, procs.Patience, time.Millisecond)
+		require.Eventually(t, func() bool { return answered.Load() > before }, processtest.Patience, time.Millisecond)
 		at = next
 	}
 	stop.Store(true)
@@ -536,7 +536,7 @@
 	require.NoError(t, old.Signal(syscall.SIGTERM))
 	third, err := w.Start(nil)
 	require.NoError(t, err)
-	require.Eventually(t, func() bool { return strings.Contains(next.Log(), "a successor is refused: an upgrade is under way") }, procs.Patience, time.Millisecond)
+	require.Eventually(t, func() bool { return strings.Contains(next.Log(), "a successor is refused: an upgrade is under way") }, processtest.Patience, time.Millisecond)
 	old.Pool.Release()
 	w.served(running, "one")
 	require.NoError(t, old.Wait())
@@ -552,16 +552,16 @@
 	t.Parallel()
 	w := newTwin(t)
 	old := w.start()
-	call := func(p *procs.Process, word string) {
+	call := func(p *processtest.Process, word string) {
 		status, body, err := p.Call(http.MethodPut, "/control/"+word)
 		require.NoError(t, err)
 		require.Equal(t, http.StatusOK, status, body)
 	}
 	good := func(want bool) {
 		require.Eventually(t, func() bool {
-			good, err := procs.Probe(w.Listen)
+			good, err := processtest.Probe(w.Listen)
 			return err == nil && good == want
-		}, procs.Patience, time.Millisecond)
+		}, processtest.Patience, time.Millisecond)
 	}
 	call(old, "out-of-service")
 	next := w.start()
--- a/cmd/pewterline/wall.go
+++ b/cmd/pewterline/wall.go
@@ -2,7 +2,7 @@
 
 package main
 
-import "pewterline/internal/micro"
+import "pewterline/internal/microtime"
 
 // wallOf is the wall clock that the program goes by.
-func wallOf(c micro.Clock) micro.Clock { return c }
+func wallOf(c microtime.Clock) microtime.Clock { return c }
--- a/cmd/pewterline/wall_faults.go
+++ b/cmd/pewterline/wall_faults.go
@@ -7,13 +7,13 @@
 	"strconv"
 	"strings"
 
-	"pewterline/internal/micro"
+	"pewterline/internal/microtime"
 )
 
 // wallOf is a wall clock that is off by as many milliseconds as the file says that $WALL_FAULT names, for tests with real processes.
-func wallOf(c micro.Clock) offWall { return offWall{c} }
+func wallOf(c microtime.Clock) offWall { return offWall{c} }
 
-type offWall struct{ micro.Clock }
+type offWall struct{ microtime.Clock }
 
 func off() int64 {
 	text, _ := os.ReadFile(os.Getenv("WALL_FAULT")) // none: it is right
@@ -22,7 +22,7 @@
 }
 
 // FromUnixMilli is the instant of a wall clock time.
-func (w offWall) FromUnixMilli(ms int64) micro.Time { return w.Clock.FromUnixMilli(ms - off()) }
+func (w offWall) FromUnixMilli(ms int64) microtime.Time { return w.Clock.FromUnixMilli(ms - off()) }
 
 // UnixMilli is the wall clock time of an instant.
-func (w offWall) UnixMilli(t micro.Time) int64 { return w.Clock.UnixMilli(t) + off() }
+func (w offWall) UnixMilli(t microtime.Time) int64 { return w.Clock.UnixMilli(t) + off() }
--- a/control/rules_test.go
+++ b/control/rules_test.go
@@ -5,8 +5,9 @@
 	"testing"
 	"time"
 
-	"pewterline/control"
 	"pgregory.net/rapid"
+
+	"pewterline/control"
 )
 
 // book keeps its own account of every request and asserts the four rules after each step. It knows nothing of
--- a/internal/operators/copies.go
+++ b/internal/admin/copies.go
@@ -1,4 +1,4 @@
-package operators
+package admin
 
 import (
 	"errors"
@@ -9,9 +9,9 @@
 	"strconv"
 	"strings"
 
-	"pewterline/internal/decide/copies"
-	"pewterline/internal/holdings"
-	"pewterline/internal/protocol/admin"
+	"pewterline/internal/decide/consensus"
+	"pewterline/internal/protocol/adminhttp"
+	"pewterline/internal/replication"
 )
 
 // maxExport bounds the keys of one answer.
@@ -19,18 +19,18 @@
 
 // groupState is what a server tells of the group that holds copies with it.
 type groupState struct {
-	ID       uint32                  `json:"id"`
-	Life     string                  `json:"life"`
-	Group    string                  `json:"group"`
-	Epoch    uint64                  `json:"epoch"`
-	Copies   int                     `json:"copies"`
-	Changing bool                    `json:"changing"`
-	Marked   int                     `json:"changing_marked"` // members that have brought on what they hold
-	Why      string                  `json:"why"`
-	Lost     int64                   `json:"lost_ms"`
-	Voting   bool                    `json:"voting"`
-	Members  []holdings.MemberStatus `json:"members"`
-	Counters holdings.Counters       `json:"counters"`
+	ID       uint32                     `json:"id"`
+	Life     string                     `json:"life"`
+	Group    string                     `json:"group"`
+	Epoch    uint64                     `json:"epoch"`
+	Copies   int                        `json:"copies"`
+	Changing bool                       `json:"changing"`
+	Marked   int                        `json:"changing_marked"` // members that have brought on what they hold
+	Why      string                     `json:"why"`
+	Lost     int64                      `json:"lost_ms"`
+	Voting   bool                       `json:"voting"`
+	Members  []replication.MemberStatus `json:"members"`
+	Counters replication.Counters       `json:"counters"`
 }
 
 // groupCalls are known where there is a group.
@@ -97,7 +97,7 @@
 func parseServer(text, key string) (uint32, error) {
 	id, err := strconv.ParseUint(text, 10, 32)
 	if err != nil || id == 0 {
-		return 0, &admin.Error{Status: http.StatusBadRequest, Text: fmt.Sprintf("%s: %q is not the number of a server", key, text)}
+		return 0, &adminhttp.Error{Status: http.StatusBadRequest, Text: fmt.Sprintf("%s: %q is not the number of a server", key, text)}
 	}
 	return uint32(id), nil
 }
@@ -107,8 +107,8 @@
 	switch {
 	case err == nil:
 		return h.groupState(nil)
-	case errors.Is(err, copies.ErrChangeInProgress), errors.Is(err, copies.ErrInvalidChange), errors.Is(err, copies.ErrNoMembership):
-		return nil, &admin.Error{Status: http.StatusConflict, Text: err.Error()}
+	case errors.Is(err, consensus.ErrChangeInProgress), errors.Is(err, consensus.ErrInvalidChange), errors.Is(err, consensus.ErrNoMembership):
+		return nil, &adminhttp.Error{Status: http.StatusConflict, Text: err.Error()}
 	}
-	return nil, &admin.Error{Status: http.StatusBadRequest, Text: err.Error()}
+	return nil, &adminhttp.Error{Status: http.StatusBadRequest, Text: err.Error()}
 }
--- a/internal/operators/operators.go
+++ b/internal/admin/operators.go
@@ -1,5 +1,5 @@
-// Package operators answers the operators' calls: HTTP requests on a listener of their own, one on a connection.
-package operators
+// Package admin answers the operators' calls: HTTP requests on a listener of their own, one on a connection.
+package admin
 
 import (
 	"errors"
@@ -7,8 +7,8 @@
 	"net/http"
 	"net/url"
 
-	"pewterline/internal/holdings"
-	"pewterline/internal/protocol/admin"
+	"pewterline/internal/protocol/adminhttp"
+	"pewterline/internal/replication"
 	"pewterline/internal/transport"
 )
 
@@ -45,7 +45,7 @@
 // Handler carries out calls.
 type Handler struct {
 	server Server
-	held   *holdings.Replica // copies, with a group of servers; nil: none
+	held   *replication.Replica // copies, with a group of servers; nil: none
 	logf   func(format string, args ...any)
 }
 
@@ -55,7 +55,7 @@
 }
 
 // UseReplication has the handler take calls about the group that holds copies.
-func (h *Handler) UseReplication(held *holdings.Replica) { h.held = held }
+func (h *Handler) UseReplication(held *replication.Replica) { h.held = held }
 
 // Accept gives an operator's connection its session.
 func (h *Handler) Accept(conn transport.Conn) transport.Session {
@@ -76,13 +76,13 @@
 }
 
 // obey carries out a call; it returns the whole answer. An error is of type *admin.Error.
-func (h *Handler) obey(asked admin.Request) ([]byte, error) {
+func (h *Handler) obey(asked adminhttp.Request) ([]byte, error) {
 	if c, ok := groupCalls[asked.Path]; ok && h.held != nil {
 		return h.answer(c, asked)
 	}
 	c, ok := serverCalls[asked.Path]
 	if !ok {
-		return nil, &admin.Error{Status: http.StatusNotFound, Text: fmt.Sprintf("%q: no such call", asked.Path)}
+		return nil, &adminhttp.Error{Status: http.StatusNotFound, Text: fmt.Sprintf("%q: no such call", asked.Path)}
 	}
 	if asked.Method != http.MethodHead || c.method != http.MethodGet {
 		return h.answer(c, asked)
@@ -92,26 +92,26 @@
 	if err != nil {
 		return nil, err
 	}
-	return admin.WithoutBody(out), nil
+	return adminhttp.WithoutBody(out), nil
 }
 
-func (h *Handler) answer(c call, asked admin.Request) ([]byte, error) {
+func (h *Handler) answer(c call, asked adminhttp.Request) ([]byte, error) {
 	if asked.Method != c.method {
 		text := fmt.Sprintf("%s takes %s, not %s", asked.Path, c.method, asked.Method)
-		return nil, &admin.Error{Status: http.StatusMethodNotAllowed, Text: text, Allow: c.method}
+		return nil, &adminhttp.Error{Status: http.StatusMethodNotAllowed, Text: text, Allow: c.method}
 	}
 	body, err := c.obey(h, asked.Query)
 	if err != nil {
 		return nil, err
 	}
-	return admin.AppendResponse(nil, http.StatusOK, "", body), nil
+	return adminhttp.AppendResponse(nil, http.StatusOK, "", body), nil
 }
 
 // ready says whether this process takes clients, in service or out: out of service, it takes whoever comes still.
 func (h *Handler) ready(url.Values) (any, error) {
 	state := h.server.State()
 	if state.Draining {
-		return nil, &admin.Error{Status: http.StatusServiceUnavailable, Text: "leaving: the notice to leave has come"}
+		return nil, &adminhttp.Error{Status: http.StatusServiceUnavailable, Text: "leaving: the notice to leave has come"}
 	}
 	return state, nil
 }
@@ -124,7 +124,7 @@
 
 func (h *Handler) setInService(in bool) (any, error) {
 	if err := h.server.SetInService(in); err != nil {
-		return nil, &admin.Error{Status: http.StatusConflict, Text: err.Error()}
+		return nil, &adminhttp.Error{Status: http.StatusConflict, Text: err.Error()}
 	}
 	return h.server.State(), nil
 }
@@ -141,7 +141,7 @@
 	if s.done {
 		return len(in), nil
 	}
-	asked, size, err := admin.Parse(in)
+	asked, size, err := adminhttp.Parse(in)
 	if err == nil && size == 0 {
 		return 0, nil
 	}
@@ -149,9 +149,9 @@
 	if err == nil {
 		out, err = s.handler.obey(asked)
 	}
-	if wrong := (*admin.Error)(nil); errors.As(err, &wrong) {
+	if wrong := (*adminhttp.Error)(nil); errors.As(err, &wrong) {
 		s.handler.logf("admin: %s: %s %s: %v", s.conn.Remote(), asked.Method, asked.Path, wrong)
-		out = admin.AppendError(nil, wrong)
+		out = adminhttp.AppendError(nil, wrong)
 	}
 	s.done = true
 	s.conn.Write(out)
--- a/internal/operators/operators_test.go
+++ b/internal/admin/operators_test.go
@@ -1,4 +1,4 @@
-package operators
+package admin
 
 import (
 	"net/url"
@@ -6,8 +6,8 @@
 
 	"github.com/stretchr/testify/require"
 
-	"pewterline/internal/holdings"
-	"pewterline/internal/protocol/admin"
+	"pewterline/internal/protocol/adminhttp"
+	"pewterline/internal/replication"
 )
 
 // Calls about the group are known where there is one, take their method alone, and turn down what is no server's number before the
@@ -17,13 +17,13 @@
 	status := func(method, path, query string) int {
 		values, err := url.ParseQuery(query)
 		require.NoError(t, err)
-		_, err = h.obey(admin.Request{Method: method, Path: path, Query: values})
-		wrong := (*admin.Error)(nil)
+		_, err = h.obey(adminhttp.Request{Method: method, Path: path, Query: values})
+		wrong := (*adminhttp.Error)(nil)
 		require.ErrorAs(t, err, &wrong)
 		return wrong.Status
 	}
 	require.Equal(t, 404, status("GET", "/control/copies", ""))
-	h.UseReplication(&holdings.Replica{})
+	h.UseReplication(&replication.Replica{})
 	for _, c := range []struct {
 		method, path, query string
 		want                int
--- a/internal/runner/ajprunner/link.go
+++ b/internal/backend/ajpbackend/link.go
@@ -1,15 +1,15 @@
-package ajprunner
+package ajpbackend
 
 import (
 	"fmt"
 	"slices"
 	"strconv"
 
-	"pewterline/internal/front"
-	"pewterline/internal/micro"
-	"pewterline/internal/ordered"
+	"pewterline/internal/dispatch"
+	"pewterline/internal/frontend"
+	"pewterline/internal/microtime"
+	"pewterline/internal/orderedset"
 	"pewterline/internal/protocol/ajp"
-	"pewterline/internal/routing"
 	"pewterline/internal/transport"
 )
 
@@ -18,14 +18,14 @@
 
 // link is one connection to the server that does the work. It has one run at a time.
 type link struct {
-	ordered.Position
+	orderedset.Position
 	runner  *Backend
 	conn    transport.Conn
 	run     *run
-	due     micro.Time // the run is to have ended
-	used    bool       // it has carried a run, so it may have been closed meanwhile
-	sent    bool       // the run has left; before that, a lost connection proves that nothing ran
-	unsent  []byte     // what is left of the run's body
+	due     microtime.Time // the run is to have ended
+	used    bool           // it has carried a run, so it may have been closed meanwhile
+	sent    bool           // the run has left; before that, a lost connection proves that nothing ran
+	unsent  []byte         // what is left of the run's body
 	status  int
 	result  []byte
 	scratch []byte
@@ -55,7 +55,7 @@
 	out := ajp.AppendForwardRequest(l.scratch[:0], ajp.Request{
 		Method: "POST", URI: cfg.BackendPath + "/" + q.Class, RemoteAddr: "127.0.0.1", Secret: cfg.BackendSecret,
 		Headers: []ajp.Header{{Name: "content-length", Value: strconv.Itoa(len(q.Body))},
-			{Name: front.HeaderPrefix + "Class", Value: q.Class}, {Name: front.HeaderPrefix + "Id", Value: q.ID}},
+			{Name: frontend.HeaderPrefix + "Class", Value: q.Class}, {Name: frontend.HeaderPrefix + "Id", Value: q.ID}},
 	})
 	if l.unsent = q.Body; len(q.Body) > 0 {
 		out, l.unsent = ajp.AppendBodyChunk(out, q.Body)
@@ -64,7 +64,7 @@
 }
 
 // end tells the core of the run's end.
-func (l *link) end(end routing.RunOutcome, result []byte) {
+func (l *link) end(end dispatch.RunOutcome, result []byte) {
 	q := l.run
 	l.run, l.unsent, l.result = nil, nil, nil
 	l.runner.finish(q, end, result)
@@ -118,9 +118,9 @@
 // ended says that the response is whole. The connection is kept if the server offers it again.
 func (l *link) ended(reuse bool) {
 	if l.status >= 200 && l.status < 300 {
-		l.end(routing.RunSucceeded, l.result)
+		l.end(dispatch.RunSucceeded, l.result)
 	} else {
-		l.end(routing.RunFailed, nil)
+		l.end(dispatch.RunFailed, nil)
 	}
 	if !reuse {
 		l.conn.Close()
@@ -142,7 +142,7 @@
 	}
 	if q := l.run; q != nil {
 		if l.sent { // it may have run: never sent again
-			l.end(routing.RunFailed, nil)
+			l.end(dispatch.RunFailed, nil)
 		} else {
 			l.run, q.link = nil, nil
 			r.queue = slices.Insert(r.queue, 0, q)
--- a/internal/runner/ajprunner/runner.go
+++ b/internal/backend/ajpbackend/runner.go
@@ -1,31 +1,31 @@
-// Package ajprunner has the work done by a server that speaks AJP, over a few kept connections. It has no gauges.
-package ajprunner
+// Package ajpbackend has the work done by a server that speaks AJP, over a few kept connections. It has no gauges.
+package ajpbackend
 
 import (
 	"slices"
 
 	"pewterline/internal/config"
-	"pewterline/internal/micro"
-	"pewterline/internal/ordered"
-	"pewterline/internal/routing"
+	"pewterline/internal/dispatch"
+	"pewterline/internal/microtime"
+	"pewterline/internal/orderedset"
 	"pewterline/internal/transport"
 )
 
 // Core is told how runs end.
 type Core interface {
-	RunFinished(id string, end routing.RunOutcome, result []byte)
+	RunFinished(id string, end dispatch.RunOutcome, result []byte)
 }
 
 // Loop is what the runner needs of the event loop.
 type Loop interface {
-	Now() micro.Time
+	Now() microtime.Time
 	Dial(addr string, open func(transport.Conn) transport.Session) (drop func())
 }
 
 // Config says where the server is, and how long a run may take: longer than any answer could be wanted.
 type Config struct {
 	config.AJP
-	RunTimeout micro.Time
+	RunTimeout microtime.Time
 }
 
 // Backend hands runs to the server. All its methods are called on the loop.
@@ -34,7 +34,7 @@
 	core    Core
 	loop    Loop
 	logf    func(format string, args ...any)
-	links   ordered.Set[*link]
+	links   orderedset.Set[*link]
 	idle    []*link
 	dialing int
 	queue   []*run // not sent yet, oldest first
@@ -43,7 +43,7 @@
 
 // run is a run that has not ended.
 type run struct {
-	routing.Run
+	dispatch.Run
 	link *link // nil while queued
 }
 
@@ -56,7 +56,7 @@
 func (r *Backend) Attach(core Core, loop Loop) { r.core, r.loop = core, loop }
 
 // Start is part of routing.Runner.
-func (r *Backend) Start(started routing.Run) {
+func (r *Backend) Start(started dispatch.Run) {
 	q := &run{Run: started}
 	r.runs[q.ID] = q
 	r.queue = append(r.queue, q)
@@ -70,19 +70,19 @@
 	case q == nil:
 	case q.link != nil:
 		q.link.conn.Close()
-		q.link.end(routing.RunCancelled, nil)
+		q.link.end(dispatch.RunCancelled, nil)
 	default:
 		if i := slices.Index(r.queue, q); i >= 0 {
 			r.queue = slices.Delete(r.queue, i, i+1)
 		}
-		r.finish(q, routing.RunCancelled, nil)
+		r.finish(q, dispatch.RunCancelled, nil)
 	}
 }
 
 // RequestGauges is part of routing.Runner.
 func (r *Backend) RequestGauges() {}
 
-func (r *Backend) finish(q *run, end routing.RunOutcome, result []byte) {
+func (r *Backend) finish(q *run, end dispatch.RunOutcome, result []byte) {
 	delete(r.runs, q.ID)
 	r.core.RunFinished(q.ID, end, result)
 }
@@ -110,8 +110,8 @@
 }
 
 // ExpireTimeouts ends runs whose time is over; it returns when to look again.
-func (r *Backend) ExpireTimeouts(now micro.Time) micro.Time {
-	next := micro.Never
+func (r *Backend) ExpireTimeouts(now microtime.Time) microtime.Time {
+	next := microtime.Never
 	for _, l := range r.links.Items() {
 		if l.run == nil {
 			continue
@@ -121,7 +121,7 @@
 		}
 		r.logf("ajp: runner %s: %s did not end in time", l.conn.Remote(), l.run.ID)
 		l.conn.Close()
-		l.end(routing.RunFailed, nil)
+		l.end(dispatch.RunFailed, nil)
 	}
 	return next
 }
--- a/internal/runner/fleetrunner/link.go
+++ b/internal/backend/upstream/link.go
@@ -1,4 +1,4 @@
-package fleetrunner
+package upstream
 
 import (
 	"cmp"
@@ -6,8 +6,8 @@
 	"slices"
 	"strconv"
 
-	"pewterline/internal/decide/fleet"
-	"pewterline/internal/micro"
+	"pewterline/internal/decide/loadbalancer"
+	"pewterline/internal/microtime"
 	"pewterline/internal/protocol/thrift"
 	"pewterline/internal/transport"
 )
@@ -18,7 +18,7 @@
 	// maxMessagesPerTurn bounds what a turn takes of a connection: the answers to all that is open on it, and as many more.
 	maxMessagesPerTurn = 64
 	// idleTimeout is how long a connection is kept without a request.
-	idleTimeout = 5 * micro.Second
+	idleTimeout = 5 * microtime.Second
 )
 
 // link is one connection to a server, or one that is being opened.
@@ -30,10 +30,10 @@
 	waiting []*try
 	open    map[int32]*try
 	seq     int32
-	closing bool       // it takes nothing new
-	heard   micro.Time // when something last came on it
-	busy    micro.Time // since something has been open on it
-	idle    micro.Time
+	closing bool           // it takes nothing new
+	heard   microtime.Time // when something last came on it
+	busy    microtime.Time // since something has been open on it
+	idle    microtime.Time
 }
 
 func (l *link) opened(c transport.Conn) transport.Session {
@@ -52,7 +52,7 @@
 	waiting := l.waiting
 	l.waiting = nil
 	for _, t := range waiting {
-		l.runner.ended(t, fleet.Result{Outcome: fleet.ConnectFailed}, nil)
+		l.runner.ended(t, loadbalancer.Result{Outcome: loadbalancer.ConnectFailed}, nil)
 	}
 }
 
@@ -78,7 +78,7 @@
 	t.seq, t.written = l.seq, true
 	l.open[t.seq] = t
 	if q.keyed {
-		r.attempts.RecordSent(r.now(), q.key, l.member.Name, micro.FromDuration(q.class.RetentionWindow))
+		r.attempts.RecordSent(r.now(), q.key, l.member.Name, microtime.FromDuration(q.class.RetentionWindow))
 	}
 	r.scratch = thrift.AppendCall(r.scratch[:0], t.seq, r.fields(t), q.Body)
 	l.conn.Write(r.scratch)
@@ -101,7 +101,7 @@
 		fields = append(fields, thrift.Field{Name: "once", Value: req.IdempotencyKey})
 	}
 	if req.CostHint > 0 {
-		fields = append(fields, thrift.Field{Name: "cost", Value: strconv.FormatFloat(float64(req.CostHint)/float64(micro.Millisecond), 'f', 3, 64)})
+		fields = append(fields, thrift.Field{Name: "cost", Value: strconv.FormatFloat(float64(req.CostHint)/float64(microtime.Millisecond), 'f', 3, 64)})
 	}
 	if req.SubjectKey != 0 {
 		fields = append(fields, thrift.Field{Name: "key", Value: strconv.FormatUint(req.SubjectKey, 16)})
@@ -163,14 +163,14 @@
 	}
 	delete(l.open, p.SequenceID)
 	l.idle = l.runner.now()
-	res := fleet.Result{Outcome: fleet.Failed}
+	res := loadbalancer.Result{Outcome: loadbalancer.Failed}
 	var result []byte
 	switch p.Kind {
 	case thrift.ReplyAnswer:
-		res.Outcome, result = fleet.Succeeded, append([]byte(nil), p.Body...)
+		res.Outcome, result = loadbalancer.Succeeded, append([]byte(nil), p.Body...)
 	case thrift.ReplyThrottled:
 		ms, _ := strconv.ParseUint(p.Fields["after"], 10, 20) // absent or out of bounds: no advice
-		res = fleet.Result{Outcome: fleet.Rejected, RetryAfter: micro.Time(ms) * micro.Millisecond, NoRetry: p.Fields["last"] == "1"}
+		res = loadbalancer.Result{Outcome: loadbalancer.Rejected, RetryAfter: microtime.Time(ms) * microtime.Millisecond, NoRetry: p.Fields["last"] == "1"}
 	}
 	l.runner.ended(t, res, result)
 	l.closeAnswered()
@@ -185,6 +185,6 @@
 	open := l.open
 	l.open = map[int32]*try{}
 	for _, seq := range slices.SortedFunc(maps.Keys(open), cmp.Compare[int32]) {
-		l.runner.ended(open[seq], fleet.Result{Outcome: fleet.ConnectionLost}, nil)
+		l.runner.ended(open[seq], loadbalancer.Result{Outcome: loadbalancer.ConnectionLost}, nil)
 	}
 }
--- a/internal/runner/fleetrunner/runner.go
+++ b/internal/backend/upstream/runner.go
@@ -1,33 +1,33 @@
-// Package fleetrunner has the work done by log servers, over connections made on demand: the program as an edge. What goes
+// Package upstream has the work done by log servers, over connections made on demand: the program as an edge. What goes
 // where, and what is tried again, the packages under decide say; here it is carried out.
-package fleetrunner
+package upstream
 
 import (
 	"slices"
 
 	"pewterline/control"
 	"pewterline/internal/config"
-	"pewterline/internal/decide/fleet"
-	"pewterline/internal/micro"
-	"pewterline/internal/ordered"
+	"pewterline/internal/decide/loadbalancer"
+	"pewterline/internal/dispatch"
+	"pewterline/internal/microtime"
+	"pewterline/internal/orderedset"
 	"pewterline/internal/peers"
-	"pewterline/internal/routing"
 )
 
 const (
 	// RemovedEndpointRetention is how long a server that was taken out of the list is still known: past any window, as an intake that may
 	// have run there goes nowhere else.
-	RemovedEndpointRetention = 600 * micro.Second
+	RemovedEndpointRetention = 600 * microtime.Second
 	// sweepEvery is how often idle connections and servers that were taken out are looked for.
-	sweepEvery = 5 * micro.Second
+	sweepEvery = 5 * microtime.Second
 	// declineAfter is the least time after which the caller of a run that no server takes is told to come back.
-	declineAfter = 100 * micro.Millisecond
+	declineAfter = 100 * microtime.Millisecond
 )
 
 // Core is told how runs end.
 type Core interface {
-	RunFinished(id string, end routing.RunOutcome, result []byte)
-	RunDeclined(id string, after micro.Time, last bool)
+	RunFinished(id string, end dispatch.RunOutcome, result []byte)
+	RunDeclined(id string, after microtime.Time, last bool)
 }
 
 // EventLoop is what the runner needs of the event loop.
@@ -38,7 +38,7 @@
 
 // WallClock converts to the wall clock, in Unix milliseconds.
 type WallClock interface {
-	UnixMilli(t micro.Time) int64
+	UnixMilli(t microtime.Time) int64
 }
 
 // Config says which log servers do the work, and by which settings. All but the list of servers holds until a restart.
@@ -55,14 +55,14 @@
 	loop      EventLoop
 	wall      WallClock
 	logf      func(format string, args ...any)
-	fleet     *fleet.Balancer
-	attempts  *fleet.RetryPolicy
+	fleet     *loadbalancer.Balancer
+	attempts  *loadbalancer.RetryPolicy
 	members   []*member
 	byName    map[string]*member
 	runs      map[string]*run
-	work      ordered.Set[*run] // the same, in an order of its own
-	pending   []*run            // that cannot be sent now; told in the turn's check, never from within Start
-	sweepAt   micro.Time
+	work      orderedset.Set[*run] // the same, in an order of its own
+	pending   []*run               // that cannot be sent now; told in the turn's check, never from within Start
+	sweepAt   microtime.Time
 	wasted    int             // tries that came to nothing for want of a server
 	exchange  *peers.Exchange // nil: this instance has no others to talk with
 	unadvised []*run          // until its first advice
@@ -73,33 +73,33 @@
 type member struct {
 	config.Member
 	links   []*link
-	removed micro.Time // it was taken out of the list then; 0: it is in
+	removed microtime.Time // it was taken out of the list then; 0: it is in
 }
 
 // run is a run that has not ended.
 type run struct {
-	ordered.Position
-	routing.Run
-	req      *routing.Request
+	orderedset.Position
+	dispatch.Run
+	req      *dispatch.Request
 	class    control.Class
-	due      micro.Time
-	key      fleet.IdempotencyKey
+	due      microtime.Time
+	key      loadbalancer.IdempotencyKey
 	keyed    bool
 	tries    []*try // that are out
 	count    int    // so far
 	unproven int    // tries that were written and ended without proof that they did not run
 	avoid    []string
-	hedge    micro.Time // when a second copy may go out; Never: not
-	again    micro.Time // when it is to be sent again; Never: it is out
-	after    micro.Time // of the last refusal
+	hedge    microtime.Time // when a second copy may go out; Never: not
+	again    microtime.Time // when it is to be sent again; Never: it is out
+	after    microtime.Time // of the last refusal
 	last     bool
 	declined bool
 }
 
 // unlessDoubtful is how a run ends without a result: as given, unless it is an intake that may have run.
-func (q *run) unlessDoubtful(end routing.RunOutcome) routing.RunOutcome {
+func (q *run) unlessDoubtful(end dispatch.RunOutcome) dispatch.RunOutcome {
 	if q.keyed && q.unproven > 0 {
-		return routing.RunIndeterminate
+		return dispatch.RunIndeterminate
 	}
 	return end
 }
@@ -107,11 +107,11 @@
 // New returns a runner without connections. Attach must follow. The error names a faulty figure of the decisions.
 func New(cfg Config, wall WallClock, logf func(format string, args ...any)) (*Backend, error) {
 	cfg.LoadBalancer.Classes = len(cfg.Settings.Classes)
-	servers, err := fleet.New(cfg.LoadBalancer, cfg.Settings.Seed)
+	servers, err := loadbalancer.New(cfg.LoadBalancer, cfg.Settings.Seed)
 	if err != nil {
 		return nil, err
 	}
-	attempts, err := fleet.NewRetryPolicy(cfg.Retries)
+	attempts, err := loadbalancer.NewRetryPolicy(cfg.Retries)
 	if err != nil {
 		return nil, err
 	}
@@ -144,21 +144,21 @@
 }
 
 // add takes up a server that is not known yet.
-func (r *Backend) add(now micro.Time, listed config.Member) {
+func (r *Backend) add(now microtime.Time, listed config.Member) {
 	m := &member{Member: listed}
 	r.members = append(r.members, m)
 	r.byName[m.Name] = m
 	r.fleet.Add(now, m.Name)
 }
 
-func (r *Backend) now() micro.Time { return r.loop.Now() }
+func (r *Backend) now() microtime.Time { return r.loop.Now() }
 
 // Start is part of routing.Runner.
-func (r *Backend) Start(started routing.Run) {
+func (r *Backend) Start(started dispatch.Run) {
 	class := r.config.Settings.Classes[started.Request.Class]
-	q := &run{Run: started, req: started.Request, class: class, hedge: micro.Never, again: micro.Never}
-	q.due = q.req.ArrivedAt + micro.FromDuration(q.class.Deadline)
-	q.keyed, q.key = q.class.Idempotency == control.IdempotentByKey, fleet.IdempotencyKey{Tenant: q.req.Tenant, Value: q.req.IdempotencyKey}
+	q := &run{Run: started, req: started.Request, class: class, hedge: microtime.Never, again: microtime.Never}
+	q.due = q.req.ArrivedAt + microtime.FromDuration(q.class.Deadline)
+	q.keyed, q.key = q.class.Idempotency == control.IdempotentByKey, loadbalancer.IdempotencyKey{Tenant: q.req.Tenant, Value: q.req.IdempotencyKey}
 	r.runs[q.ID] = q
 	r.work.Add(q)
 	r.attempts.RecordFirstAttempt(r.now(), q.req.CallerID)
@@ -188,7 +188,7 @@
 
 // list takes up a server that is known and on the list. What is open at an address that it has left ends; new connections go to
 // the new one.
-func (r *Backend) list(now micro.Time, m *member, address string) {
+func (r *Backend) list(now microtime.Time, m *member, address string) {
 	if m.Address != address {
 		m.Address = address
 		for _, l := range m.links {
@@ -201,7 +201,7 @@
 }
 
 // ExpireRemoved drops servers that were taken out long ago.
-func (r *Backend) ExpireRemoved(now micro.Time) {
+func (r *Backend) ExpireRemoved(now microtime.Time) {
 	r.members = slices.DeleteFunc(r.members, func(m *member) bool {
 		drop := m.removed > 0 && now > m.removed+RemovedEndpointRetention && len(m.links) == 0
 		if drop {
@@ -214,8 +214,8 @@
 // Cancel is part of routing.Runner: the tries that are out are given up.
 func (r *Backend) Cancel(id string) {
 	if q := r.runs[id]; q != nil {
-		r.withdraw(q, fleet.Cancelled)
-		r.finish(q, q.unlessDoubtful(routing.RunCancelled), nil)
+		r.withdraw(q, loadbalancer.Cancelled)
+		r.finish(q, q.unlessDoubtful(dispatch.RunCancelled), nil)
 	}
 }
 
@@ -227,13 +227,13 @@
 	r.work.Remove(q)
 }
 
-func (r *Backend) finish(q *run, end routing.RunOutcome, result []byte) {
+func (r *Backend) finish(q *run, end dispatch.RunOutcome, result []byte) {
 	r.drop(q)
 	r.core.RunFinished(q.ID, end, result)
 }
 
 // Check does what is due by the clock; it returns when to look again.
-func (r *Backend) Check(now micro.Time) micro.Time {
+func (r *Backend) Check(now microtime.Time) microtime.Time {
 	pending := r.pending
 	r.pending = nil
 	for _, q := range pending {
@@ -241,7 +241,7 @@
 			r.decline(q)
 		}
 	}
-	next := micro.Never
+	next := microtime.Never
 	if now >= r.sweepAt {
 		r.sweepAt = now + sweepEvery
 		r.fleet.ExpireGossip(now)
@@ -275,16 +275,16 @@
 	}
 }
 
-func (r *Backend) checkRuns(now micro.Time) micro.Time {
-	next := micro.Never
+func (r *Backend) checkRuns(now microtime.Time) microtime.Time {
+	next := microtime.Never
 	for i := r.work.Len() - 1; i >= 0; i-- { // from the end, as one that ends gives its place to the last
 		if i >= r.work.Len() {
 			continue
 		}
 		switch q := r.work.Items()[i]; {
 		case now >= q.due:
-			r.withdraw(q, fleet.TimedOut)
-			r.finish(q, q.unlessDoubtful(routing.RunFailed), nil)
+			r.withdraw(q, loadbalancer.TimedOut)
+			r.finish(q, q.unlessDoubtful(dispatch.RunFailed), nil)
 			continue
 		case now >= q.again:
 			r.route(q)
@@ -300,7 +300,7 @@
 }
 
 // closeIdle ends connections that have had nothing open for a while.
-func (r *Backend) closeIdle(now micro.Time) {
+func (r *Backend) closeIdle(now microtime.Time) {
 	for _, m := range r.members {
 		for _, l := range slices.Clone(m.links) {
 			if l.conn != nil && len(l.open) == 0 && now > l.idle+idleTimeout {
--- a/internal/workerpool/checks.go
+++ b/internal/backend/workerpool/checks.go
@@ -3,20 +3,20 @@
 import (
 	"strconv"
 
-	"pewterline/internal/micro"
+	"pewterline/internal/microtime"
 	"pewterline/internal/protocol/pool"
 )
 
 const (
 	// checkTimeout is how long a deep check waits for the worker pool.
-	checkTimeout = micro.Second
+	checkTimeout = microtime.Second
 	// checkFresh is how long a run that ended well, or the outcome of a verification, answers deep checks: a verification costs
 	// the cores as work does.
-	checkFresh = micro.Second
+	checkFresh = microtime.Second
 	// checkWaiters bounds the deep checks that wait for one outcome; one more fails at once.
 	checkWaiters = 64
 	// never is before any time of the clock.
-	never = micro.Time(-1 << 62)
+	never = microtime.Time(-1 << 62)
 )
 
 // deepChecks tells deep health checks whether work gets done. A run that has ended well lately proves that it does. Else the
@@ -24,11 +24,11 @@
 type deepChecks struct {
 	count    int // of verifications; names the one under way
 	waiters  []func(good bool)
-	began    micro.Time // the verification under way
-	known    bool       // there has been an outcome on this link
-	good     bool       // that outcome
-	at       micro.Time // when it came
-	lastPass micro.Time // when a run last ended well
+	began    microtime.Time // the verification under way
+	known    bool           // there has been an outcome on this link
+	good     bool           // that outcome
+	at       microtime.Time // when it came
+	lastPass microtime.Time // when a run last ended well
 }
 
 func tagOf(count int) string { return "check" + strconv.Itoa(count) }
@@ -60,32 +60,32 @@
 func (c *deepChecks) underWay() bool { return len(c.waiters) > 0 }
 
 // answered takes up the outcome of the verification of that tag; one that comes too late is dropped.
-func (c *deepChecks) answered(now micro.Time, tag string, good bool) {
+func (c *deepChecks) answered(now microtime.Time, tag string, good bool) {
 	if c.underWay() && tag == tagOf(c.count) {
 		c.end(now, good)
 	}
 }
 
 // declined says that the worker pool does not verify here: whoever asks gets what the link itself proves.
-func (c *deepChecks) declined(now micro.Time, tag string) { c.answered(now, tag, true) }
+func (c *deepChecks) declined(now microtime.Time, tag string) { c.answered(now, tag, true) }
 
 // forget says that the link has changed: what was found on the one before says nothing of this one.
 func (c *deepChecks) forget() { c.known = false }
 
 // expire ends the verification under way once its time is up: it went well if a run has ended well meanwhile. It returns when that
 // is due.
-func (c *deepChecks) expire(now micro.Time) micro.Time {
+func (c *deepChecks) expire(now microtime.Time) microtime.Time {
 	if !c.underWay() {
-		return micro.Never
+		return microtime.Never
 	}
 	if due := c.began + checkTimeout; now < due {
 		return due
 	}
 	c.end(now, c.lastPass >= c.began)
-	return micro.Never
+	return microtime.Never
 }
 
-func (c *deepChecks) end(now micro.Time, good bool) {
+func (c *deepChecks) end(now microtime.Time, good bool) {
 	c.known, c.good, c.at = true, good, now
 	waiters := c.waiters
 	c.waiters = nil
--- a/internal/workerpool/link.go
+++ b/internal/backend/workerpool/link.go
@@ -4,10 +4,10 @@
 	"fmt"
 	"strconv"
 
-	"pewterline/internal/micro"
+	"pewterline/internal/dispatch"
+	"pewterline/internal/microtime"
 	"pewterline/internal/planted"
 	"pewterline/internal/protocol/pool"
-	"pewterline/internal/routing"
 	"pewterline/internal/transport"
 )
 
@@ -106,8 +106,8 @@
 	}
 }
 
-var ends = map[pool.Outcome]routing.RunOutcome{
-	pool.Pass: routing.RunSucceeded, pool.Fail: routing.RunFailed, pool.Killed: routing.RunCancelled, pool.Noop: routing.RunNotStarted,
+var ends = map[pool.Outcome]dispatch.RunOutcome{
+	pool.Pass: dispatch.RunSucceeded, pool.Fail: dispatch.RunFailed, pool.Killed: dispatch.RunCancelled, pool.Noop: dispatch.RunNotStarted,
 }
 
 // take obeys a message. An error says that the link's stream can no longer be trusted: the next link is bound with the last
@@ -115,7 +115,7 @@
 func (p *Backend) take(m pool.Message) error {
 	switch m.Kind {
 	case pool.Bound:
-		p.core.Start(p.loop.Now(), micro.Time(m.Milliseconds*1000), !m.Loaded)
+		p.core.Start(p.loop.Now(), microtime.Time(m.Milliseconds*1000), !m.Loaded)
 		// Only now: a pool that is not up yet does not carry out what follows bind, and this poll marks the end of the
 		// missed notices.
 		p.write(pool.AppendPoll(p.out[:0], p.syncTag()))
@@ -198,7 +198,7 @@
 		p.checks.declined(p.loop.Now(), m.ID)
 	case m.Command == "spawn" && r != nil:
 		delete(p.runs, m.ID)
-		p.core.RunFinished(m.ID, routing.RunUnsupported, nil)
+		p.core.RunFinished(m.ID, dispatch.RunUnsupported, nil)
 	}
 }
 
--- a/internal/workerpool/resync.go
+++ b/internal/backend/workerpool/resync.go
@@ -5,10 +5,10 @@
 	"maps"
 	"slices"
 
-	"pewterline/internal/micro"
+	"pewterline/internal/dispatch"
+	"pewterline/internal/microtime"
 	"pewterline/internal/planted"
 	"pewterline/internal/protocol/pool"
-	"pewterline/internal/routing"
 )
 
 // resync sends what has no notice yet, oldest first. Guards against both faults of a broken link: a command lost with it, and
@@ -80,7 +80,7 @@
 	r.restart, r.reply, r.arrived = false, nil, false
 	if r.stopped {
 		delete(p.runs, r.ID)
-		p.core.RunFinished(r.ID, routing.RunCancelled, nil)
+		p.core.RunFinished(r.ID, dispatch.RunCancelled, nil)
 		return
 	}
 	if r.link = 0; p.synced {
@@ -89,7 +89,7 @@
 }
 
 // Check gives up runs that nobody knows of and deep checks that are not answered; it returns when to look again.
-func (p *Backend) Check(now micro.Time) micro.Time {
+func (p *Backend) Check(now microtime.Time) microtime.Time {
 	next := p.checks.expire(now)
 	left := p.uncertain[:0]
 	for _, r := range p.uncertain {
@@ -98,7 +98,7 @@
 		case r.Deadline <= now:
 			p.logf("pool: %s: whether it ran is not known", r.ID)
 			delete(p.runs, r.ID)
-			p.core.RunFinished(r.ID, routing.RunFailed, nil)
+			p.core.RunFinished(r.ID, dispatch.RunFailed, nil)
 			next = now
 		default:
 			next = min(next, r.Deadline)
--- a/internal/workerpool/runner.go
+++ b/internal/backend/workerpool/runner.go
@@ -4,11 +4,11 @@
 
 import (
 	"pewterline/control"
-	"pewterline/internal/micro"
+	"pewterline/internal/dispatch"
+	"pewterline/internal/microtime"
 	"pewterline/internal/protocol/pool"
-	"pewterline/internal/routing"
+	"pewterline/internal/settings"
 	"pewterline/internal/transport"
-	"pewterline/internal/wire"
 )
 
 // noticesKept are the notices that the worker pool can tell again.
@@ -19,15 +19,15 @@
 
 // Core is what the runner tells of its runs.
 type Core interface {
-	Start(now, age micro.Time, cold bool)
-	RunFinished(id string, end routing.RunOutcome, result []byte)
+	Start(now, age microtime.Time, cold bool)
+	RunFinished(id string, end dispatch.RunOutcome, result []byte)
 	RunBlocked(id string, call []byte)
 	SetGauges(control.Gauges)
 }
 
 // Loop is what the runner needs of the event loop.
 type Loop interface {
-	Now() micro.Time
+	Now() microtime.Time
 	Dial(addr string, open func(transport.Conn) transport.Session) (drop func())
 }
 
@@ -66,7 +66,7 @@
 
 // run is a run that has not ended.
 type run struct {
-	routing.Run
+	dispatch.Run
 	order     int  // of its start, until it is sent; then of that
 	link      int  // the link it was last sent on; 0: never
 	arrived   bool // it is known that the pool has read it
@@ -135,7 +135,7 @@
 }
 
 // Start is part of routing.Runner.
-func (p *Backend) Start(r routing.Run) {
+func (p *Backend) Start(r dispatch.Run) {
 	started := &run{Run: r, order: p.nextOrder()}
 	p.runs[r.ID] = started
 	if p.synced {
@@ -158,7 +158,7 @@
 	case r == nil || r.stopped:
 	case r.link == 0:
 		delete(p.runs, id)
-		p.core.RunFinished(id, routing.RunCancelled, nil) // it was never sent
+		p.core.RunFinished(id, dispatch.RunCancelled, nil) // it was never sent
 	default:
 		r.stopped = true
 		if p.synced {
@@ -206,5 +206,5 @@
 	if m.Tag == p.syncTag() && !p.synced {
 		p.resync()
 	}
-	p.core.SetGauges(wire.ReadGauges(p.config.Gauges, m.Gauges))
+	p.core.SetGauges(settings.ReadGauges(p.config.Gauges, m.Gauges))
 }
--- a/internal/workerpool/runner_test.go
+++ b/internal/backend/workerpool/runner_test.go
@@ -8,9 +8,9 @@
 	"github.com/stretchr/testify/require"
 
 	"pewterline/control"
-	"pewterline/internal/micro"
+	"pewterline/internal/dispatch"
+	"pewterline/internal/microtime"
 	"pewterline/internal/protocol/pool"
-	"pewterline/internal/routing"
 	"pewterline/internal/transport"
 )
 
@@ -23,7 +23,7 @@
 type bench struct {
 	t      *testing.T
 	runner *Backend
-	now    micro.Time
+	now    microtime.Time
 	open   func(transport.Conn) transport.Session
 	conn   *conn
 	told   []string // what the core heard of runs
@@ -40,17 +40,17 @@
 func (c *conn) MarkIdentified() {}
 func (c *conn) Remote() string  { return "pool" }
 
-func (b *bench) Now() micro.Time { return b.now }
+func (b *bench) Now() microtime.Time { return b.now }
 func (b *bench) Dial(_ string, open func(transport.Conn) transport.Session) func() {
 	b.open = open
 	return func() {}
 }
-func (b *bench) Start(micro.Time, micro.Time, bool) {}
-func (b *bench) SetGauges(control.Gauges)           {}
+func (b *bench) Start(microtime.Time, microtime.Time, bool) {}
+func (b *bench) SetGauges(control.Gauges)                   {}
 func (b *bench) RunBlocked(id string, call []byte) {
 	b.told = append(b.told, fmt.Sprintf("blocked %s %s", id, call))
 }
-func (b *bench) RunFinished(id string, end routing.RunOutcome, _ []byte) {
+func (b *bench) RunFinished(id string, end dispatch.RunOutcome, _ []byte) {
 	b.told = append(b.told, fmt.Sprintf("finished %s %d", id, end))
 }
 
@@ -80,7 +80,7 @@
 
 // blocked starts a run that comes to its call under a notice.
 func (b *bench) blocked(notice uint64, id string, once bool) {
-	b.runner.Start(routing.Run{ID: id, Class: "c", Body: []byte("b"), AtMostOnce: once, Deadline: b.now + 4*micro.Second})
+	b.runner.Start(dispatch.Run{ID: id, Class: "c", Body: []byte("b"), AtMostOnce: once, Deadline: b.now + 4*microtime.Second})
 	b.tells(string(pool.AppendBlocked(nil, notice, id, []byte("call"))))
 	require.Contains(b.t, b.told, "blocked "+id+" call")
 	b.told = nil
@@ -108,7 +108,7 @@
 	b.runner.DeliverReply(safeRun, []byte("again"))
 	require.Contains(t, b.conn.out, "supply "+safeRun+" 5\r\nagain\r\n")
 	b.tells(finished(4, safeRun, pool.Pass))
-	require.Equal(t, []string{"blocked " + safeRun + " call", fmt.Sprintf("finished %s %d", safeRun, routing.RunSucceeded)}, b.told)
+	require.Equal(t, []string{"blocked " + safeRun + " call", fmt.Sprintf("finished %s %d", safeRun, dispatch.RunSucceeded)}, b.told)
 }
 
 // A run that may run once is neither supplied again nor stopped nor started anew: its notice tells, or it fails when it is due.
@@ -119,13 +119,13 @@
 		b.runner.DeliverReply(onceRun, []byte("reply"))
 		b.breaks()
 		require.Empty(t, b.links(""))
-		want := routing.RunFailed
+		want := dispatch.RunFailed
 		if heard {
-			want = routing.RunSucceeded
+			want = dispatch.RunSucceeded
 			b.tells(finished(2, onceRun, pool.Pass))
 		}
-		for b.now < 5*micro.Second {
-			b.now += micro.Second
+		for b.now < 5*microtime.Second {
+			b.now += microtime.Second
 			b.runner.Check(b.now)
 		}
 		require.Equal(t, []string{fmt.Sprintf("finished %s %d", onceRun, want)}, b.told)
@@ -169,7 +169,7 @@
 	b.links("")
 	b.runner.Cancel(safeRun)
 	require.NotContains(t, b.tells(finished(2, safeRun, pool.Killed)), "spawn")
-	require.Equal(t, []string{fmt.Sprintf("finished %s %d", safeRun, routing.RunCancelled)}, b.told)
+	require.Equal(t, []string{fmt.Sprintf("finished %s %d", safeRun, dispatch.RunCancelled)}, b.told)
 }
 
 // A deep check outlives a link that breaks, and is asked on the next; without any it ends in time.
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -17,10 +17,10 @@
 	"github.com/BurntSushi/toml"
 
 	"pewterline/control"
-	"pewterline/internal/decide/copies"
-	"pewterline/internal/decide/fleet"
-	"pewterline/internal/micro"
-	"pewterline/internal/wire"
+	"pewterline/internal/decide/consensus"
+	"pewterline/internal/decide/loadbalancer"
+	"pewterline/internal/microtime"
+	"pewterline/internal/settings"
 )
 
 // Config is all that the program is told.
@@ -31,7 +31,7 @@
 	VaultAddress    string // where runs call; may be empty where they call nothing
 	ControlAddress  string // empty: no reports
 	AdminAddress    string // where operators call; empty: nowhere
-	ShutdownTimeout micro.Time
+	ShutdownTimeout microtime.Time
 	MemoryLimit     int64 // bytes
 	SocketLimit     int
 	Document        map[string]any // the JSON file as it was, for Lacks
@@ -58,8 +58,8 @@
 	// instances tell each other is to go over TLS alone.
 	GossipListen string
 	GossipPeers  []string
-	LoadBalancer fleet.Config
-	Retries      fleet.RetryConfig
+	LoadBalancer loadbalancer.Config
+	Retries      loadbalancer.RetryConfig
 }
 
 // Copies is deploy/copies.toml: the group of servers that hold copies of intakes for each other.
@@ -68,8 +68,8 @@
 	Listen string
 	Folder string
 	Copies int // of a group that is founded here
-	Decide copies.Config
-	Peers  []copies.Member // of the group to be, or where members of it are reached from here
+	Decide consensus.Config
+	Peers  []consensus.Member // of the group to be, or where members of it are reached from here
 }
 
 // check names what makes no sense.
@@ -77,11 +77,11 @@
 	if c.Folder == "" {
 		return errors.New("folder: missing")
 	}
-	g := copies.Membership{ClusterID: 1, Epoch: 1, ReplicationFactor: c.Copies, Current: c.Peers}
+	g := consensus.Membership{ClusterID: 1, Epoch: 1, ReplicationFactor: c.Copies, Current: c.Peers}
 	if err := errors.Join(c.Decide.Validate(), g.Validate()); err != nil {
 		return err
 	}
-	if !slices.ContainsFunc(c.Peers, func(p copies.Member) bool { return p.ID == c.ID }) {
+	if !slices.ContainsFunc(c.Peers, func(p consensus.Member) bool { return p.ID == c.ID }) {
 		return fmt.Errorf("member: none has id %d, this server's own", c.ID)
 	}
 	return nil
@@ -95,9 +95,9 @@
 
 // AJP is deploy/ajp.toml.
 type AJP struct {
-	Listen             string     // empty: no front
-	Secret             string     // empty: none is asked for
-	BodyTimeout        micro.Time // how long a caller may take over a body
+	Listen             string         // empty: no front
+	Secret             string         // empty: none is asked for
+	BodyTimeout        microtime.Time // how long a caller may take over a body
 	MaxBody            int
 	MaxConnections     int    // of the front; they come out of the limit on sockets
 	BackendAddress     string // empty: the worker pool does the work
@@ -245,7 +245,7 @@
 	c := Config{
 		Document: raw, Name: orString(getenv("RELAY_NAME"), f.Name), Listen: orString(getenv("RELAY_LISTEN"), f.Listen), PoolAddress: f.Pool, VaultAddress: f.Vault, ControlAddress: f.Control,
 		AdminAddress:    orString(getenv("RELAY_ADMIN"), f.Admin),
-		ShutdownTimeout: defaultStopMS * micro.Millisecond, MemoryLimit: defaultMemoryMB << 20, SocketLimit: defaultSockets,
+		ShutdownTimeout: defaultStopMS * microtime.Millisecond, MemoryLimit: defaultMemoryMB << 20, SocketLimit: defaultSockets,
 	}
 	var err error
 	if c.AJP, err = parseAJP(ajpText); err != nil {
@@ -296,7 +296,7 @@
 		if !(*f.StopMS > 0 && *f.StopMS <= 3600e3) {
 			return c, fmt.Errorf("config: stop_ms: %v is not within 0 to an hour", *f.StopMS)
 		}
-		c.ShutdownTimeout = micro.Time(*f.StopMS * 1000)
+		c.ShutdownTimeout = microtime.Time(*f.StopMS * 1000)
 	}
 	if m := f.Limits.MemoryMB; m != nil {
 		if !(*m >= 32 && *m <= 1<<20) {
@@ -319,7 +319,7 @@
 	if len(f.Setting) == 0 {
 		return c, errors.New("config: settings: missing")
 	}
-	if c.Settings, c.Gauges, err = wire.Parse(f.Setting, seed); err != nil {
+	if c.Settings, c.Gauges, err = settings.Parse(f.Setting, seed); err != nil {
 		return c, fmt.Errorf("config: %w", err)
 	}
 	if c.Settings.Cores <= 0 {
@@ -425,11 +425,11 @@
 		return Fleet{}, err
 	}
 	e := f.Edge
-	ms := func(n int) micro.Time { return micro.Time(n) * micro.Millisecond }
+	ms := func(n int) microtime.Time { return microtime.Time(n) * microtime.Millisecond }
 	c := Fleet{Members: f.Servers, CallerID: e.From,
-		LoadBalancer: fleet.Config{InitialProbeBackoff: ms(e.ProbeFirst), MaxProbeBackoff: ms(e.ProbeMost), SlowStart: ms(e.Warm), SlowStartShare: e.WarmFrom, MaxEjectedShare: e.EjectMost,
+		LoadBalancer: loadbalancer.Config{InitialProbeBackoff: ms(e.ProbeFirst), MaxProbeBackoff: ms(e.ProbeMost), SlowStart: ms(e.Warm), SlowStartShare: e.WarmFrom, MaxEjectedShare: e.EjectMost,
 			InitialConcurrency: e.LimitFirst, MaxConcurrency: e.LimitMost},
-		Retries: fleet.RetryConfig{TokensPerSuccess: e.RetryEarn, MaxTokens: e.RetryBudget, MaxAttempts: e.Tries}}
+		Retries: loadbalancer.RetryConfig{TokensPerSuccess: e.RetryEarn, MaxTokens: e.RetryBudget, MaxAttempts: e.Tries}}
 	if len(c.Members) > maxMembers {
 		return c, fmt.Errorf("config: fleet.toml: server: %d are over %d", len(c.Members), maxMembers)
 	}
@@ -472,14 +472,14 @@
 	if err := decode("copies.toml", text, &f); err != nil {
 		return Copies{}, err
 	}
-	ms := func(n int) micro.Time { return micro.Time(n) * micro.Millisecond }
+	ms := func(n int) microtime.Time { return microtime.Time(n) * microtime.Millisecond }
 	c := Copies{ID: f.ID, Listen: f.Listen, Folder: f.Folder, Copies: f.Copies,
-		Decide: copies.Config{AttemptTimeout: ms(f.Wait), ProposalTimeout: ms(f.Most), MaxInFlight: f.Keys, RepairRate: f.Rate, MaxRepairs: f.AtOnce}}
+		Decide: consensus.Config{AttemptTimeout: ms(f.Wait), ProposalTimeout: ms(f.Most), MaxInFlight: f.Keys, RepairRate: f.Rate, MaxRepairs: f.AtOnce}}
 	for i, m := range f.Member {
 		if err := address(fmt.Sprintf("copies.toml: member %d: address", i+1), m.Address); err != nil {
 			return c, err
 		}
-		c.Peers = append(c.Peers, copies.Member{Identity: copies.Identity{ID: m.ID}, Addr: m.Address})
+		c.Peers = append(c.Peers, consensus.Member{Identity: consensus.Identity{ID: m.ID}, Addr: m.Address})
 	}
 	if c.ID == 0 {
 		return c, nil
@@ -499,7 +499,7 @@
 		return AJP{}, err
 	}
 	a := AJP{
-		Listen: f.Front.Listen, Secret: f.Front.Secret, BodyTimeout: defaultBodyMS * micro.Millisecond,
+		Listen: f.Front.Listen, Secret: f.Front.Secret, BodyTimeout: defaultBodyMS * microtime.Millisecond,
 		MaxBody: defaultMaxBody, BackendAddress: f.Runner.Address, BackendSecret: f.Runner.Secret,
 		BackendPath: orString(f.Runner.Path, "/run"), BackendConnections: defaultConnections, MaxConnections: defaultMaxConns,
 	}
@@ -517,7 +517,7 @@
 		if *n < 1 || *n > 60_000 {
 			return a, fmt.Errorf("config: ajp.toml: front.body_timeout_ms: %d is not within 1 to 60000", *n)
 		}
-		a.BodyTimeout = micro.Time(*n) * micro.Millisecond
+		a.BodyTimeout = microtime.Time(*n) * microtime.Millisecond
 	}
 	if n := f.Front.BodyBytes; n != nil {
 		if *n < 1 || *n > maxMaxBody {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -7,7 +7,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"pewterline/internal/micro"
+	"pewterline/internal/microtime"
 )
 
 const good = `{"name": "n3", "listen": "127.0.0.1:4100", "pool": "127.0.0.1:9300", "control": "127.0.0.1:7946",
@@ -20,7 +20,7 @@
 	require.NoError(t, err)
 	require.Equal(t, "n3", c.Name)
 	require.Equal(t, "127.0.0.2:4100", c.Listen, "the environment wins")
-	require.Equal(t, 3200*micro.Millisecond, c.ShutdownTimeout)
+	require.Equal(t, 3200*microtime.Millisecond, c.ShutdownTimeout)
 	require.EqualValues(t, 192<<20, c.MemoryLimit)
 	require.Equal(t, uint64(0x8c1f30d27a5be964), c.Settings.Seed)
 	require.Equal(t, []string{"cpu_busy"}, c.Gauges)
--- a/internal/decide/calls/dispatch.go
+++ b/internal/decide/calls/dispatch.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"pewterline/internal/micro"
+	"pewterline/internal/microtime"
 )
 
 // The bounds of a Dispatcher.
@@ -22,14 +22,14 @@
 	givenUpPerLink = 256
 	// IdleTimeout is how long a link is kept without a call. The vault closes one after 10 s, and a call that crosses that close
 	// would be lost.
-	IdleTimeout = 5 * micro.Second
+	IdleTimeout = 5 * microtime.Second
 )
 
 // Request is a call that is to be made.
 type Request struct {
-	ID         string     // of the request that it is made for
-	Timeout    micro.Time // how long its reply is waited for
-	Idempotent bool       // it may be made again whatever became of it
+	ID         string         // of the request that it is made for
+	Timeout    microtime.Time // how long its reply is waited for
+	Idempotent bool           // it may be made again whatever became of it
 	Body       []byte
 }
 
@@ -48,7 +48,7 @@
 	Send struct {
 		Conn    ConnID
 		ID      string
-		Timeout micro.Time
+		Timeout microtime.Time
 		Body    []byte
 	}
 	// Abandon gives up a call that was made on a link.
@@ -67,7 +67,7 @@
 	// ReportSilence tells, for the log, that a link has been silent for longer than its calls usually take.
 	ReportSilence struct {
 		Calls    int
-		Duration micro.Time
+		Duration microtime.Time
 	}
 )
 
@@ -89,22 +89,22 @@
 	links     []*link
 	lastLink  ConnID
 	dialling  bool
-	nextDue   micro.Time
+	nextDue   microtime.Time
 	replyTime replyTime
 }
 
 // call is one call in hand.
 type call struct {
 	Request
-	due  micro.Time
-	sent micro.Time
+	due  microtime.Time
+	sent microtime.Time
 	link *link // nil: it has not been sent
 	over bool
 }
 
 // NewPool returns a dispatcher without links or calls.
 func NewPool() *Pool {
-	return &Pool{calls: map[string]*call{}, nextDue: micro.Never}
+	return &Pool{calls: map[string]*call{}, nextDue: microtime.Never}
 }
 
 // Actions takes what is to be done since the last time.
@@ -122,12 +122,12 @@
 }
 
 // NextWakeup is when Expire has something to do, whatever happens before that.
-func (d *Pool) NextWakeup() micro.Time { return d.nextDue }
+func (d *Pool) NextWakeup() microtime.Time { return d.nextDue }
 
-func (d *Pool) wakeBy(due micro.Time) { d.nextDue = min(d.nextDue, due) }
+func (d *Pool) wakeBy(due microtime.Time) { d.nextDue = min(d.nextDue, due) }
 
 // Call makes a call. One that is in hand for the same request is given up.
-func (d *Pool) Call(now micro.Time, request Request) {
+func (d *Pool) Call(now microtime.Time, request Request) {
 	d.Abandon(now, request.ID)
 	if len(d.calls) >= MaxCalls {
 		d.do(Complete{ID: request.ID, Outcome: NotSent})
@@ -141,7 +141,7 @@
 }
 
 // place sends a call on a link, or has it wait for one that is being dialled.
-func (d *Pool) place(now micro.Time, q *call) {
+func (d *Pool) place(now microtime.Time, q *call) {
 	best, serving := d.bestLink(q.ID)
 	full := serving >= MaxServingConns
 	switch {
@@ -182,7 +182,7 @@
 }
 
 // send makes a call on a link.
-func (d *Pool) send(now micro.Time, l *link, q *call) {
+func (d *Pool) send(now microtime.Time, l *link, q *call) {
 	q.link, q.sent = l, now
 	l.calls[q.ID] = q
 	l.idleSince = now
@@ -191,7 +191,7 @@
 }
 
 // Opened takes up the link that was dialled; its calls go out on it.
-func (d *Pool) Opened(now micro.Time) ConnID {
+func (d *Pool) Opened(now microtime.Time) ConnID {
 	d.dialling = false
 	d.lastLink++
 	l := &link{id: d.lastLink, calls: map[string]*call{}, givenUp: map[string]bool{}, idleSince: now, heard: now}
@@ -227,7 +227,7 @@
 }
 
 // Abandon ends the wait for the call of a request, if one is in hand. Its effect is not known.
-func (d *Pool) Abandon(now micro.Time, id string) {
+func (d *Pool) Abandon(now microtime.Time, id string) {
 	d.actions = slices.DeleteFunc(d.actions, func(a Action) bool { // an end that nobody has heard of yet
 		end, ok := a.(Complete)
 		return ok && end.ID == id
@@ -239,7 +239,7 @@
 }
 
 // Replied takes up a reply on a link. One for no call in hand there is dropped: it has crossed the giving up, or is none of ours.
-func (d *Pool) Replied(now micro.Time, id ConnID, request string, outcome Outcome, reply []byte) {
+func (d *Pool) Replied(now microtime.Time, id ConnID, request string, outcome Outcome, reply []byte) {
 	l := d.link(id)
 	if l == nil || l.calls[request] == nil {
 		return
@@ -272,12 +272,12 @@
 }
 
 // Expire gives up the calls whose time is over, and goes through the links.
-func (d *Pool) Expire(now micro.Time) {
+func (d *Pool) Expire(now microtime.Time) {
 	if now < d.nextDue {
 		return
 	}
 	d.order = slices.DeleteFunc(d.order, func(q *call) bool { return q.over })
-	d.nextDue = micro.Never
+	d.nextDue = microtime.Never
 	for _, q := range slices.Clone(d.order) {
 		switch {
 		case q.due > now:
@@ -312,7 +312,7 @@
 }
 
 // unask tells the vault that nobody waits for a call that was sent.
-func (d *Pool) unask(now micro.Time, q *call) {
+func (d *Pool) unask(now microtime.Time, q *call) {
 	l := q.link
 	if l == nil || l.calls[q.ID] != q {
 		return
@@ -326,7 +326,7 @@
 }
 
 // release takes a call off its link.
-func (d *Pool) release(now micro.Time, q *call) {
+func (d *Pool) release(now microtime.Time, q *call) {
 	l := q.link
 	delete(l.calls, q.ID)
 	l.idleSince = now
--- a/internal/decide/calls/links.go
+++ b/internal/decide/calls/links.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"pewterline/internal/micro"
+	"pewterline/internal/microtime"
 )
 
 // link is one connection to the vault. Replies come in any order and name a request alone: an id that was given up on a link is not
@@ -12,10 +12,10 @@
 	id        ConnID
 	calls     map[string]*call // in hand on it
 	givenUp   map[string]bool
-	idleSince micro.Time // of the last thing that happened to a call on it
-	heard     micro.Time // when something came last, or it was opened
-	suspect   bool       // it has been silent for longer than usual
-	retired   bool       // it takes no new calls, and is closed with the last one
+	idleSince microtime.Time // of the last thing that happened to a call on it
+	heard     microtime.Time // when something came last, or it was opened
+	suspect   bool           // it has been silent for longer than usual
+	retired   bool           // it takes no new calls, and is closed with the last one
 }
 
 func (l *link) load() int { return len(l.calls) }
@@ -72,7 +72,7 @@
 }
 
 // checkLink looks whether a link has been silent or idle for long; it returns when to look again.
-func (d *Pool) checkLink(now micro.Time, l *link) micro.Time {
+func (d *Pool) checkLink(now microtime.Time, l *link) microtime.Time {
 	if l.load() > 0 {
 		return d.checkSilence(now, l)
 	}
@@ -80,7 +80,7 @@
 		return due
 	}
 	d.retire(l)
-	return micro.Never
+	return microtime.Never
 }
 
 // A connection whose other end is gone without a word looks like one on which every call is slow. Nothing on the link tells the
@@ -90,19 +90,19 @@
 	// A link with n calls in hand is silent after the usual reply time and this many n-th parts of it: the more calls, the
 	// sooner one of them should have been answered.
 	suspectParts = 4
-	suspectMin   = 50 * micro.Millisecond
-	suspectMax   = micro.Second
-	suspectFirst = 500 * micro.Millisecond // before any reply has come
+	suspectMin   = 50 * microtime.Millisecond
+	suspectMax   = microtime.Second
+	suspectFirst = 500 * microtime.Millisecond // before any reply has come
 	// retireSilent is the silence after which a link takes no calls at all, even where all links are silent.
-	retireSilent = micro.Second
+	retireSilent = microtime.Second
 	// replyWeight is the part of the latest reply in the mean.
 	replyWeight = 8
 )
 
 // replyTime is a moving mean of the time that replies take; 0: none has come.
-type replyTime struct{ mean micro.Time }
+type replyTime struct{ mean microtime.Time }
 
-func (r *replyTime) add(took micro.Time) {
+func (r *replyTime) add(took microtime.Time) {
 	if r.mean == 0 {
 		r.mean = took
 		return
@@ -111,35 +111,35 @@
 }
 
 // suspectAfter is how long a link with so many calls in hand may be silent.
-func (r *replyTime) suspectAfter(inHand int) micro.Time {
+func (r *replyTime) suspectAfter(inHand int) microtime.Time {
 	if r.mean == 0 {
 		return suspectFirst
 	}
-	usual := r.mean + suspectParts*r.mean/micro.Time(max(inHand, 1))
+	usual := r.mean + suspectParts*r.mean/microtime.Time(max(inHand, 1))
 	return min(max(usual, suspectMin), suspectMax)
 }
 
 // Received says that something has come on a link: it is not silent.
-func (d *Pool) Received(now micro.Time, id ConnID) {
+func (d *Pool) Received(now microtime.Time, id ConnID) {
 	if l := d.link(id); l != nil {
 		l.heard, l.suspect = now, false
 	}
 }
 
 // silentSince is when the silence of a link began that has a call in hand: nothing has come since that was sent.
-func (l *link) silentSince() (since micro.Time, silent bool) {
-	oldest := micro.Never
+func (l *link) silentSince() (since microtime.Time, silent bool) {
+	oldest := microtime.Never
 	for _, q := range l.calls {
 		oldest = min(oldest, q.sent)
 	}
-	return max(oldest, l.heard), oldest != micro.Never
+	return max(oldest, l.heard), oldest != microtime.Never
 }
 
 // checkSilence judges a link; it returns when to do so again.
-func (d *Pool) checkSilence(now micro.Time, l *link) micro.Time {
+func (d *Pool) checkSilence(now microtime.Time, l *link) microtime.Time {
 	since, silent := l.silentSince()
 	if !silent {
-		return micro.Never
+		return microtime.Never
 	}
 	if due := since + d.replyTime.suspectAfter(l.load()); now < due {
 		return due
@@ -149,7 +149,7 @@
 		d.do(ReportSilence{Calls: l.load(), Duration: now - since})
 	}
 	if l.retired {
-		return micro.Never // its calls end by their time
+		return microtime.Never // its calls end by their time
 	}
 	if due := since + retireSilent; now < due {
 		return due
@@ -162,7 +162,7 @@
 
 // outlived says that the vault has answered a call on another link that was sent at a time. Where this link has been silent since
 // before then, its repeatable calls end.
-func (d *Pool) outlived(now micro.Time, l *link, sent micro.Time) {
+func (d *Pool) outlived(now microtime.Time, l *link, sent microtime.Time) {
 	since, silent := l.silentSince()
 	if !l.suspect || !silent || sent < since {
 		return
--- a/internal/decide/copies/copies.go
+++ b/internal/decide/consensus/copies.go
@@ -1,10 +1,10 @@
-// Package copies agrees on what becomes of each once-key among the log servers that hold copies of it, so that the loss of a
+// Package consensus agrees on what becomes of each once-key among the log servers that hold copies of it, so that the loss of a
 // minority of them, disks included, loses nothing that was promised. It is without I/O, goroutines or a clock.
 //
 // Each key is a register of its own (D. Rystsov, "CASPaxos: Replicated State Machines without logs", 2018): whoever wants to
 // change it asks a majority of its holders for their promise and for what they hold, changes the newest of that, and has a
 // majority accept the change. There is no leader whose stall others would have to wait out, and no order between keys.
-package copies
+package consensus
 
 import (
 	"cmp"
--- a/internal/decide/copies/copies_test.go
+++ b/internal/decide/consensus/copies_test.go
@@ -1,4 +1,4 @@
-package copies
+package consensus
 
 import (
 	"flag"
@@ -12,7 +12,7 @@
 	"github.com/cespare/xxhash/v2"
 	"github.com/stretchr/testify/require"
 
-	"pewterline/internal/decide/explore"
+	"pewterline/internal/testbed/modelcheck"
 )
 
 const window = 1000
@@ -148,11 +148,11 @@
 	return out, ok
 }
 
-func (g *group) Successors() (out []explore.Step) {
+func (g *group) Successors() (out []modelcheck.Step) {
 	add := func(what string, f func(*group)) {
 		n := g.clone()
 		f(n)
-		out = append(out, explore.Step{Description: what, State: n})
+		out = append(out, modelcheck.Step{Description: what, State: n})
 	}
 	for i, s := range g.servers {
 		self, key, name := Identity{uint32(10 + s.server), s.life}, fmt.Sprint(s.key), fmt.Sprintf("server %d, key %d,", s.server, s.key)
@@ -212,14 +212,14 @@
 	return out
 }
 
-func visit(t *testing.T, b bounds, most int) explore.Report {
+func visit(t *testing.T, b bounds, most int) modelcheck.Report {
 	g := &group{bounds: &b}
 	for key := range max(b.keys, 1) {
 		for server := range 2 {
 			g.servers = append(g.servers, asker{server: server, key: key, life: 1})
 		}
 	}
-	r := explore.Explore(g, most)
+	r := modelcheck.Explore(g, most)
 	t.Logf("%+v: %v", b, r)
 	return r
 }
--- a/internal/decide/copies/group.go
+++ b/internal/decide/consensus/group.go
@@ -1,4 +1,4 @@
-package copies
+package consensus
 
 import (
 	"errors"
--- a/internal/decide/copies/node.go
+++ b/internal/decide/consensus/node.go
@@ -1,4 +1,4 @@
-package copies
+package consensus
 
 import (
 	"errors"
@@ -6,17 +6,17 @@
 	"math/rand/v2"
 	"slices"
 
-	"pewterline/internal/micro"
+	"pewterline/internal/microtime"
 	"pewterline/internal/planted"
 )
 
 // Config says how a Node goes about its changes.
 type Config struct {
-	AttemptTimeout  micro.Time // for the holders' answers, before an attempt is made anew
-	ProposalTimeout micro.Time // for a change in all: then it is not known whether it was made
-	MaxInFlight     int        // changes under way at once; more are refused
-	RepairRate      int        // keys a second that are brought to holders that may lack them
-	MaxRepairs      int        // of them under way at once
+	AttemptTimeout  microtime.Time // for the holders' answers, before an attempt is made anew
+	ProposalTimeout microtime.Time // for a change in all: then it is not known whether it was made
+	MaxInFlight     int            // changes under way at once; more are refused
+	RepairRate      int            // keys a second that are brought to holders that may lack them
+	MaxRepairs      int            // of them under way at once
 }
 
 // Validate names what makes no sense.
@@ -79,8 +79,8 @@
 }
 
 const (
-	markEvery   = 500 * micro.Millisecond // while a group changes: marks may be lost
-	rejoinEvery = 2 * micro.Second
+	markEvery   = 500 * microtime.Millisecond // while a group changes: marks may be lost
+	rejoinEvery = 2 * microtime.Second
 )
 
 // Node is one log server of a group: it holds copies for others, and changes keys for its own intakes. It has no clock and no
@@ -106,11 +106,11 @@
 	owed     map[string]bool   // of them, those that the members to come have to hold before the change goes on
 	repairs  int               // under way
 	tokens   float64           // of repair
-	counted  micro.Time        // when tokens were last added
+	counted  microtime.Time    // when tokens were last added
 	repaired uint64            // keys so far
 	marks    map[Identity]bool
-	nextMark micro.Time
-	rejoin   micro.Time
+	nextMark microtime.Time
+	rejoin   microtime.Time
 	deciding uint64 // id of the change of the group that is under way; 0: none
 }
 
@@ -147,10 +147,10 @@
 	id      uint64
 	op      *Proposal
 	repair  bool
-	again   micro.Time // the next attempt is due
-	blocked int        // times that somebody else stood in its way
-	until   micro.Time
-	wait    micro.Time
+	again   microtime.Time // the next attempt is due
+	blocked int            // times that somebody else stood in its way
+	until   microtime.Time
+	wait    microtime.Time
 }
 
 // NewNode returns a node with the group and the slots that it had made durable; none, as a life without a disk has. process is
@@ -198,7 +198,7 @@
 func (n *Node) InFlight() int { return len(n.under) }
 
 // Propose starts a change of a key. The end of a run has the Try of the value that gave the leave.
-func (n *Node) Propose(now micro.Time, key string, c Change) (uint64, error) {
+func (n *Node) Propose(now microtime.Time, key string, c Change) (uint64, error) {
 	switch {
 	case n.group.Epoch == 0:
 		return 0, ErrNoMembership
@@ -212,7 +212,7 @@
 	return n.begin(now, key, c, n.group.Replicas(key, n.score), false), nil
 }
 
-func (n *Node) begin(now micro.Time, key string, c Change, sets [][]Identity, repair bool) uint64 {
+func (n *Node) begin(now microtime.Time, key string, c Change, sets [][]Identity, repair bool) uint64 {
 	n.last++
 	c.Proposer = n.ProposerID
 	n.number++
@@ -259,7 +259,7 @@
 }
 
 // HandleReply takes an answer to a request of this node.
-func (n *Node) HandleReply(now micro.Time, r Reply) {
+func (n *Node) HandleReply(now microtime.Time, r Reply) {
 	if !r.OK && r.Epoch < n.group.Epoch {
 		n.tell(r.From.ID)
 	}
@@ -276,12 +276,12 @@
 		// Somebody else is at this key. Who waits for how long is drawn, and longer each time, so that two don't go on standing in
 		// each other's way; at first it is short, as the number that is known now will be too low after a while.
 		u.blocked++
-		u.again = min(u.again, now+1+micro.Time(n.rng.Int64N(int64(min(n.cfg.AttemptTimeout>>5<<min(u.blocked, 10), n.cfg.ProposalTimeout)+1))))
+		u.again = min(u.again, now+1+microtime.Time(n.rng.Int64N(int64(min(n.cfg.AttemptTimeout>>5<<min(u.blocked, 10), n.cfg.ProposalTimeout)+1))))
 	}
 }
 
 // end takes a change off that is over, or whose time is.
-func (n *Node) end(now micro.Time, i int) {
+func (n *Node) end(now microtime.Time, i int) {
 	u := n.under[i]
 	n.under = slices.Delete(n.under, i, i+1)
 	verdict, value, known := u.op.Done()
@@ -315,7 +315,7 @@
 	}
 }
 
-func (n *Node) decided(now micro.Time, v Value) {
+func (n *Node) decided(now microtime.Time, v Value) {
 	if g, err := ParseMembership(v.Result); v.Kind == KindMembership && err == nil { // it was parsed by whoever proposed it
 		_ = n.AdoptMembership(now, g)
 	}
@@ -323,7 +323,7 @@
 
 // Tick makes attempts anew that are due, ends changes whose time is over, and goes on with repairs and with a change of members.
 // It returns when the next is due.
-func (n *Node) Tick(now micro.Time) micro.Time {
+func (n *Node) Tick(now microtime.Time) microtime.Time {
 	for i := 0; i < len(n.under); i++ {
 		u := n.under[i]
 		switch {
@@ -336,7 +336,7 @@
 			n.ready.Requests = append(n.ready.Requests, u.op.Retry(n.number)...)
 			n.number = max(n.number, u.op.Ballot.Number)
 			u.wait = min(2*u.wait, n.cfg.ProposalTimeout)
-			u.again = now + u.wait/2 + micro.Time(n.rng.Int64N(int64(u.wait)))
+			u.again = now + u.wait/2 + microtime.Time(n.rng.Int64N(int64(u.wait)))
 		}
 	}
 	next := min(n.repair(now), n.change(now))
@@ -449,16 +449,16 @@
 }
 
 // repair begins to bring keys to their holders, as many as its rate allows.
-func (n *Node) repair(now micro.Time) (next micro.Time) {
+func (n *Node) repair(now microtime.Time) (next microtime.Time) {
 	if n.look() {
 		defer func() { next = min(next, now+1) }() // the rest in the next turn
 	}
 	if len(n.first)+len(n.queue) == 0 {
 		n.counted = now
-		return micro.Never
+		return microtime.Never
 	}
 	rate := float64(n.cfg.RepairRate)
-	n.tokens = min(n.tokens+float64(now-n.counted)/float64(micro.Second)*rate, max(rate/20, 1)) // 50 ms' worth at once
+	n.tokens = min(n.tokens+float64(now-n.counted)/float64(microtime.Second)*rate, max(rate/20, 1)) // 50 ms' worth at once
 	n.counted = now
 	for len(n.first)+len(n.queue) > 0 && n.repairs < n.cfg.MaxRepairs && n.tokens >= 1 && n.group.Epoch > 0 {
 		from := &n.queue
@@ -481,13 +481,13 @@
 		n.begin(now, key, Change{Kind: ReadValue, AttemptedAt: s.LastAttemptAt}, n.group.Replicas(key, n.score), true)
 	}
 	if len(n.first)+len(n.queue) == 0 || n.repairs >= n.cfg.MaxRepairs {
-		return micro.Never
+		return microtime.Never
 	}
-	return now + max(micro.Time((1-n.tokens)/rate*float64(micro.Second)), micro.Millisecond)
+	return now + max(microtime.Time((1-n.tokens)/rate*float64(microtime.Second)), microtime.Millisecond)
 }
 
 // AdoptMembership takes up a group that was agreed on. One that is no newer changes nothing; one of another name is an error.
-func (n *Node) AdoptMembership(now micro.Time, g Membership) error {
+func (n *Node) AdoptMembership(now microtime.Time, g Membership) error {
 	if err := g.Validate(); err != nil {
 		return err
 	}
@@ -555,32 +555,32 @@
 }
 
 // change goes on with a change of members; it returns when the next step is due.
-func (n *Node) change(now micro.Time) micro.Time {
+func (n *Node) change(now microtime.Time) microtime.Time {
 	g := n.group
 	if g.Epoch == 0 {
-		return micro.Never
+		return microtime.Never
 	}
 	if len(g.Next) == 0 {
 		// A holder that lost its disk is another member: it takes the place of its old self, by a change like any other.
 		if p, ok := g.Find(n.AcceptorID.ID); ok && p.Identity != n.AcceptorID {
 			if now >= n.rejoin && n.deciding == 0 {
-				n.rejoin = now + rejoinEvery + micro.Time(n.rng.Int64N(int64(rejoinEvery)))
+				n.rejoin = now + rejoinEvery + microtime.Time(n.rng.Int64N(int64(rejoinEvery)))
 				next := slices.Clone(g.Current)
 				next[slices.Index(next, p)].Incarnation = n.AcceptorID.Incarnation
 				n.decide(now, g.follow(next, fmt.Sprintf("server %d has lost its disk", n.AcceptorID.ID)))
 			}
 			return n.rejoin
 		}
-		return micro.Never
+		return microtime.Never
 	}
 	// A newcomer that lost its disk on the way will never hold what it is to hold.
 	if p, ok := g.Find(n.AcceptorID.ID); ok && !g.Contains(n.AcceptorID) && now >= n.rejoin && n.deciding == 0 && !slices.Contains(g.Current, p) {
-		n.rejoin = now + rejoinEvery + micro.Time(n.rng.Int64N(int64(rejoinEvery)))
+		n.rejoin = now + rejoinEvery + microtime.Time(n.rng.Int64N(int64(rejoinEvery)))
 		n.decide(now, g.back())
 		return n.rejoin
 	}
 	if (len(n.owed) > 0 || n.scansOwed()) && !planted.Bug(planted.CopyEarly) {
-		return micro.Never // repairs have a time of their own
+		return microtime.Never // repairs have a time of their own
 	}
 	if now < n.nextMark {
 		return n.nextMark
@@ -598,12 +598,12 @@
 	return n.nextMark
 }
 
-func (n *Node) decide(now micro.Time, g Membership) {
+func (n *Node) decide(now microtime.Time, g Membership) {
 	n.deciding = n.begin(now, groupKey(n.group.Epoch), Change{Kind: DecideMembership, AttemptedAt: int64(^uint64(0) >> 1), Result: g.String()}, n.group.sets()[:1], false)
 }
 
 // AbandonChange ends a change of members that is under way: the members stay as they were.
-func (n *Node) AbandonChange(now micro.Time) error {
+func (n *Node) AbandonChange(now microtime.Time) error {
 	if len(n.group.Next) == 0 {
 		return fmt.Errorf("%w: none is under way", ErrInvalidChange)
 	}
@@ -614,7 +614,7 @@
 }
 
 // ProposeMembership begins a change of members. Whether it was this one that was agreed on, the group that follows tells.
-func (n *Node) ProposeMembership(now micro.Time, next []Member, why string) error {
+func (n *Node) ProposeMembership(now microtime.Time, next []Member, why string) error {
 	g := n.group
 	switch {
 	case g.Epoch == 0:
@@ -647,7 +647,7 @@
 }
 
 // Bootstrap makes the first group of a name, where none is known.
-func (n *Node) Bootstrap(now micro.Time, g Membership) error {
+func (n *Node) Bootstrap(now microtime.Time, g Membership) error {
 	if n.group.Epoch > 0 {
 		return fmt.Errorf("%w: a group is known here, of epoch %d", ErrInvalidChange, n.group.Epoch)
 	}
@@ -663,7 +663,7 @@
 // ForceMembership goes on with those members alone, though no majority of the others agrees: an operator's word that they are lost. What
 // only they held is lost with them, so that until lost (Unix milliseconds, with room for callers' clocks) plus a window has passed,
 // nothing is run of which nothing is known.
-func (n *Node) ForceMembership(now micro.Time, keep []uint32, lost int64, why string) error {
+func (n *Node) ForceMembership(now microtime.Time, keep []uint32, lost int64, why string) error {
 	if n.group.Epoch == 0 {
 		return ErrNoMembership
 	}
--- a/internal/decide/copies/node_test.go
+++ b/internal/decide/consensus/node_test.go
@@ -1,4 +1,4 @@
-package copies
+package consensus
 
 import (
 	"flag"
@@ -15,7 +15,7 @@
 	"github.com/cespare/xxhash/v2"
 	"github.com/stretchr/testify/require"
 
-	"pewterline/internal/micro"
+	"pewterline/internal/microtime"
 )
 
 // cluster is a group on a simulated network and simulated disks: messages are late, lost or doubled, halves are cut off from
@@ -23,7 +23,7 @@
 // self's place; members come and go.
 type cluster struct {
 	rng     *rand.Rand
-	now     micro.Time
+	now     microtime.Time
 	nodes   []*sim
 	net     []sending
 	cut     map[int]bool // on the one side of a partition
@@ -39,8 +39,8 @@
 	*Node
 	disk  map[string]Register
 	group Membership
-	due   micro.Time
-	hello micro.Time
+	due   microtime.Time
+	hello microtime.Time
 	asks  map[uint64]*call // changes under way, by id
 	dead  bool
 	born  uint64
@@ -50,11 +50,11 @@
 type call struct {
 	key    string
 	change Change
-	began  micro.Time
+	began  microtime.Time
 }
 
 type sending struct {
-	at       micro.Time
+	at       microtime.Time
 	from, to int
 	m        any
 	who      Identity
@@ -150,11 +150,11 @@
 		return
 	}
 	for n := 1 + c.rng.IntN(12)/11; n > 0; n-- {
-		late := micro.Time(1)
+		late := microtime.Time(1)
 		if from != to {
-			late = 200 + micro.Time(c.rng.Int64N(8000))
+			late = 200 + microtime.Time(c.rng.Int64N(8000))
 			if c.lossy && c.rng.IntN(40) == 0 {
-				late += micro.Time(c.rng.Int64N(200_000)) // hangs, and comes all at once with others
+				late += microtime.Time(c.rng.Int64N(200_000)) // hangs, and comes all at once with others
 			}
 		}
 		c.net = append(c.net, sending{c.now + late, from, to, m, who})
@@ -458,7 +458,7 @@
 	require.NoError(t, err)
 	_, err = n.Propose(0, "j", Change{Retention: 1})
 	require.ErrorIs(t, err, ErrTooManyInFlight)
-	require.Equal(t, micro.Time(10), n.Tick(0))
+	require.Equal(t, microtime.Time(10), n.Tick(0))
 	n.Tick(100)
 	require.Equal(t, []Result{{ID: 1, Key: "k"}}, n.Ready().Results, "nobody answered: it is not known")
 	require.ErrorIs(t, n.ProposeMembership(100, three[:1], ""), ErrInvalidChange, "two at once")
--- a/internal/decide/copies/planted_test.go
+++ b/internal/decide/consensus/planted_test.go
@@ -1,6 +1,6 @@
 //go:build planted
 
-package copies
+package consensus
 
 import (
 	"flag"
--- a/internal/decide/decide_test.go
+++ b/internal/decide/decide_test.go
@@ -17,7 +17,7 @@
 var pure = map[string]bool{
 	"cmp": true, "errors": true, "fmt": true, "maps": true, "math": true, "math/rand/v2": true, "slices": true, "sort": true,
 	"strconv": true, "strings": true, "time": true, "iter": true, "container/heap": true, "math/bits": true, "encoding/binary": true,
-	"pewterline/internal/micro": true, "pewterline/internal/planted": true, "pewterline/internal/faults": true, "pewterline/control": true,
+	"pewterline/internal/microtime": true, "pewterline/internal/planted": true, "pewterline/internal/testbed/faults": true, "pewterline/control": true,
 	"github.com/cespare/xxhash/v2": true, "github.com/benbjohnson/immutable": true, "gonum.org/v1/gonum/stat": true,
 }
 
@@ -27,7 +27,7 @@
 // Guards the decisions against I/O, goroutines and clocks of their own, also by way of the records they work on.
 func TestDecisionsArePure(t *testing.T) {
 	looked := 0
-	for _, root := range []string{".", "../faults", "../micro"} {
+	for _, root := range []string{".", "../testbed/faults", "../testbed/faultsearch", "../testbed/modelcheck", "../microtime"} {
 		require.NoError(t, filepath.WalkDir(root, func(path string, d fs.DirEntry, err error) error {
 			if err != nil || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
 				return err
@@ -39,7 +39,7 @@
 				name := strings.Trim(i.Path.Value, `"`)
 				require.True(t, pure[name] || strings.HasPrefix(name, "pewterline/internal/decide/"), "%s imports %s", path, name)
 			}
-			if root == "../micro" {
+			if root == "../microtime" {
 				return nil // it reads the clock for the program; decisions are handed the time
 			}
 			looked++
--- a/internal/decide/ledger/ledger.go
+++ b/internal/decide/execution/ledger.go
@@ -1,10 +1,10 @@
-// Package ledger decides what becomes of an intake on one log server of a group that holds copies: whether a try of it runs, waits
+// Package execution decides what becomes of an intake on one log server of a group that holds copies: whether a try of it runs, waits
 // for another server's run, gets a result that is agreed on, or is told that nobody knows. It is a state machine for each once-key
 // in each process, without I/O, goroutines or a clock. What is agreed on is the register's (package copies); this is what the
 // process makes of it.
-package ledger
+package execution
 
-import "pewterline/internal/decide/copies"
+import "pewterline/internal/decide/consensus"
 
 // State is how far an intake has come here.
 type State uint8
@@ -166,20 +166,20 @@
 }
 
 // EventOf is the event of what a change has come to; known is false where nobody can say.
-func EventOf(v copies.Outcome, known bool) Event {
+func EventOf(v consensus.Outcome, known bool) Event {
 	if !known {
 		return EventUnavailable
 	}
 	switch v {
-	case copies.OutcomeLeaseGranted:
+	case consensus.OutcomeLeaseGranted:
 		return EventLeaseGranted
-	case copies.OutcomeSucceeded:
+	case consensus.OutcomeSucceeded:
 		return EventResultFound
-	case copies.OutcomeFailed:
+	case consensus.OutcomeFailed:
 		return EventFailureFound
-	case copies.OutcomeVacant:
+	case consensus.OutcomeVacant:
 		return EventVacant
-	case copies.OutcomeLeaseLost:
+	case consensus.OutcomeLeaseLost:
 		return EventLeaseLost
 	}
 	return EventHeldByOther
--- a/internal/decide/ledger/ledger_test.go
+++ b/internal/decide/execution/ledger_test.go
@@ -1,4 +1,4 @@
-package ledger
+package execution
 
 import (
 	"flag"
@@ -9,8 +9,8 @@
 
 	"github.com/stretchr/testify/require"
 
-	"pewterline/internal/decide/copies"
-	"pewterline/internal/decide/explore"
+	"pewterline/internal/decide/consensus"
+	"pewterline/internal/testbed/modelcheck"
 )
 
 const window = 1000
@@ -19,7 +19,7 @@
 // some time or never, also after whoever wanted it has given it up; its answer may be lost. Processes die and come back knowing
 // nothing. All tries are within one window.
 type model struct {
-	values  []copies.Value // by key
+	values  []consensus.Value // by key
 	servers [2]process
 	floats  []change // given up, or of dead processes: they may take effect yet
 	ran     []int    // by key: runs that were begun
@@ -52,9 +52,9 @@
 
 type change struct {
 	key int
-	copies.Change
-	verdict copies.Outcome // 0: it has not taken effect
-	value   copies.Value
+	consensus.Change
+	verdict consensus.Outcome // 0: it has not taken effect
+	value   consensus.Value
 }
 
 func (m *model) clone() *model {
@@ -106,24 +106,24 @@
 func (m *model) move(i, j int, ev Event) {
 	s := &m.servers[i]
 	k := &s.keys[j]
-	ask := func(c copies.Change) {
+	ask := func(c consensus.Change) {
 		if k.op != nil && k.op.verdict == 0 {
 			m.floats = append(m.floats, *k.op)
 		}
-		c.Proposer, c.AttemptedAt, c.Retention = copies.Identity{ID: uint32(i + 1), Incarnation: s.life}, 1, window
+		c.Proposer, c.AttemptedAt, c.Retention = consensus.Identity{ID: uint32(i + 1), Incarnation: s.life}, 1, window
 		k.op = &change{key: j, Change: c}
 	}
 	for _, d := range k.Step(ev) {
 		switch d {
 		case ActionAcquireLease:
 			k.try++
-			ask(copies.Change{Kind: copies.AcquireLease, Attempt: k.try, NeverStarted: !k.Started})
+			ask(consensus.Change{Kind: consensus.AcquireLease, Attempt: k.try, NeverStarted: !k.Started})
 		case ActionPoll:
-			ask(copies.Change{Kind: copies.ReadValue})
+			ask(consensus.Change{Kind: consensus.ReadValue})
 		case ActionRecord:
-			ask(copies.Change{Kind: copies.RecordResult, Attempt: k.try, Succeeded: k.passed, Result: "r"})
+			ask(consensus.Change{Kind: consensus.RecordResult, Attempt: k.try, Succeeded: k.passed, Result: "r"})
 		case ActionReleaseLease:
-			ask(copies.Change{Kind: copies.ReleaseLease, Attempt: k.try})
+			ask(consensus.Change{Kind: consensus.ReleaseLease, Attempt: k.try})
 		case ActionStart:
 			k.running = true
 			m.ran[j]++
@@ -135,11 +135,11 @@
 	}
 }
 
-func (m *model) Successors() (out []explore.Step) {
+func (m *model) Successors() (out []modelcheck.Step) {
 	add := func(what string, f func(*model)) {
 		n := m.clone()
 		f(n)
-		out = append(out, explore.Step{Description: what, State: n})
+		out = append(out, modelcheck.Step{Description: what, State: n})
 	}
 	for i, s := range m.servers {
 		for j, k := range s.keys {
@@ -210,8 +210,8 @@
 			c := n.floats[f]
 			n.floats = slices.Delete(n.floats, f, f+1)
 			// A leave that comes when nobody wants it any more is taken back, if its process still lives.
-			if n.effect(&c) == copies.OutcomeLeaseGranted && n.servers[c.Proposer.ID-1].life == c.Proposer.Incarnation {
-				c.Kind = copies.ReleaseLease
+			if n.effect(&c) == consensus.OutcomeLeaseGranted && n.servers[c.Proposer.ID-1].life == c.Proposer.Incarnation {
+				c.Kind = consensus.ReleaseLease
 				n.floats = append(n.floats, c)
 			}
 		})
@@ -219,7 +219,7 @@
 	return out
 }
 
-func (m *model) effect(c *change) copies.Outcome {
+func (m *model) effect(c *change) consensus.Outcome {
 	v, verdict := c.Apply(m.values[c.key])
 	m.values[c.key] = v
 	return verdict
@@ -227,12 +227,12 @@
 
 var statesMost = flag.Int("states", 160_000, "how many states TestAllOrders visits at most, of each model")
 
-func visit(b bounds, most int) explore.Report {
-	m := &model{bounds: &b, values: make([]copies.Value, b.keys), ran: make([]int, b.keys)}
+func visit(b bounds, most int) modelcheck.Report {
+	m := &model{bounds: &b, values: make([]consensus.Value, b.keys), ran: make([]int, b.keys)}
 	for i := range m.servers {
 		m.servers[i] = process{life: 1, keys: make([]intake, b.keys)}
 	}
-	return explore.Explore(m, most)
+	return modelcheck.Explore(m, most)
 }
 
 // Guards the life of an intake: whatever crosses whatever, it is run once by one server, and served with what ran.
--- a/internal/decide/handover/handover.go
+++ b/internal/decide/handoff/handover.go
@@ -1,10 +1,10 @@
-// Package handover decides who may run a once-key while two processes of one log server live side by side: an old one and
+// Package handoff decides who may run a once-key while two processes of one log server live side by side: an old one and
 // its successor. It is a state machine for each key in each process, without I/O, goroutines or a clock.
 //
 // One process, the Owner, may run a key that nobody knows of; the other, the Asker, asks for each. The owner tells the asker of
 // each run before it begins, and of its end. Ownership passes once, from the old process to the new one. Messages come in the
 // order in which they were sent.
-package handover
+package handoff
 
 // Role is what a process is to the other one.
 type Role uint8
--- a/internal/decide/handover/handover_test.go
+++ b/internal/decide/handoff/handover_test.go
@@ -1,4 +1,4 @@
-package handover
+package handoff
 
 import (
 	"fmt"
--- a/internal/decide/fleet/attempts.go
+++ b/internal/decide/loadbalancer/attempts.go
@@ -1,9 +1,9 @@
-package fleet
+package loadbalancer
 
 import (
 	"fmt"
 
-	"pewterline/internal/micro"
+	"pewterline/internal/microtime"
 )
 
 // RetryConfig are the figures for repeated attempts. Zero values take the defaults.
@@ -70,8 +70,8 @@
 type caller struct {
 	id     uint32
 	tokens float64
-	heard  micro.Time
-	queued micro.Time // heard, when it was put in the order
+	heard  microtime.Time
+	queued microtime.Time // heard, when it was put in the order
 }
 
 // IdempotencyKey names an intake over all its tries.
@@ -84,7 +84,7 @@
 type stuck struct {
 	key     IdempotencyKey
 	server  string
-	expires micro.Time
+	expires microtime.Time
 	written bool // a try has left for it: it may have run
 	open    int
 	mayRun  bool // a try has ended without proof that it did not run
@@ -103,7 +103,7 @@
 
 // caller finds a caller's budget. Guards the memory against callers that come under ever new numbers: beyond the bound
 // the one not heard of the longest goes, and comes back with an empty budget, not a full one.
-func (a *RetryPolicy) caller(now micro.Time, id uint32) *caller {
+func (a *RetryPolicy) caller(now microtime.Time, id uint32) *caller {
 	c := a.callers[id]
 	if c == nil {
 		c = &caller{id: id, tokens: 1, queued: now}
@@ -125,20 +125,20 @@
 }
 
 // RecordFirstAttempt counts a first try of a caller's.
-func (a *RetryPolicy) RecordFirstAttempt(now micro.Time, id uint32) {
+func (a *RetryPolicy) RecordFirstAttempt(now microtime.Time, id uint32) {
 	a.first++
 	a.caller(now, id)
 }
 
 // RecordSuccess has a success earn its part of a token.
-func (a *RetryPolicy) RecordSuccess(now micro.Time, id uint32) {
+func (a *RetryPolicy) RecordSuccess(now microtime.Time, id uint32) {
 	a.tokens = min(a.tokens+a.cfg.TokensPerSuccess, a.cfg.MaxTokens)
 	c := a.caller(now, id)
 	c.tokens = min(c.tokens+a.cfg.TokensPerSuccess, a.cfg.MaxCallerTokens)
 }
 
 // SpendToken takes a token for a further try or a second copy; false: there is none, and nothing is taken.
-func (a *RetryPolicy) SpendToken(now micro.Time, id uint32) bool {
+func (a *RetryPolicy) SpendToken(now microtime.Time, id uint32) bool {
 	c := a.caller(now, id)
 	if a.tokens < 1 || c.tokens < 1 {
 		return false
@@ -177,13 +177,13 @@
 	Key            IdempotencyKey
 	Attempts       int // so far
 	Outcome        Outcome
-	NoRetry        bool       // the server wishes that no other be tried
-	EarliestFinish micro.Time // when a further try would be done; Never if nobody takes it
-	Deadline       micro.Time
+	NoRetry        bool           // the server wishes that no other be tried
+	EarliestFinish microtime.Time // when a further try would be done; Never if nobody takes it
+	Deadline       microtime.Time
 }
 
 // Decide decides what becomes of a request.
-func (a *RetryPolicy) Decide(now micro.Time, q FailedAttempt) Decision {
+func (a *RetryPolicy) Decide(now microtime.Time, q FailedAttempt) Decision {
 	verdict, end := RetryElsewhere, ReportFailed
 	switch {
 	case q.Outcome == Rejected, q.Outcome == ConnectFailed && !(q.Keyed && a.MayHaveExecuted(now, q.Key)):
@@ -206,7 +206,7 @@
 
 // StickyEndpoint tells where an intake has to go: the server that may have run it within its window; "" where none has. false:
 // so many intakes are remembered that a new one cannot be taken, as it could then run twice.
-func (a *RetryPolicy) StickyEndpoint(now micro.Time, k IdempotencyKey) (server string, ok bool) {
+func (a *RetryPolicy) StickyEndpoint(now microtime.Time, k IdempotencyKey) (server string, ok bool) {
 	if s := a.stuck(now, k); s != nil {
 		return s.server, true
 	}
@@ -214,7 +214,7 @@
 }
 
 // RecordSent notes that a try of an intake leaves for a server: from then on it may have run there, until its window ends.
-func (a *RetryPolicy) RecordSent(now micro.Time, k IdempotencyKey, server string, window micro.Time) {
+func (a *RetryPolicy) RecordSent(now microtime.Time, k IdempotencyKey, server string, window microtime.Time) {
 	s := a.stuck(now, k)
 	if s == nil {
 		s = &stuck{key: k, server: server}
@@ -227,7 +227,7 @@
 // RecordOutcome notes how a try of an intake ended. What proves that nothing ran frees it, unless another try may have: one
 // that is out, or one that ended without proof, whichever request of the caller's it belonged to. Found by the hunt: a
 // server that had run an intake and come back refused a repeat, and the next one ran elsewhere.
-func (a *RetryPolicy) RecordOutcome(now micro.Time, k IdempotencyKey, o Outcome) {
+func (a *RetryPolicy) RecordOutcome(now microtime.Time, k IdempotencyKey, o Outcome) {
 	s := a.keys[k]
 	if s == nil {
 		return
@@ -249,13 +249,13 @@
 }
 
 // MayHaveExecuted says that an intake may have run somewhere within its window.
-func (a *RetryPolicy) MayHaveExecuted(now micro.Time, k IdempotencyKey) bool {
+func (a *RetryPolicy) MayHaveExecuted(now microtime.Time, k IdempotencyKey) bool {
 	s := a.stuck(now, k)
 	return s != nil && s.written
 }
 
 // Indeterminate says that an intake's outcome is not known, and until when it cannot be run elsewhere.
-func (a *RetryPolicy) Indeterminate(now micro.Time, k IdempotencyKey) (until micro.Time, unknown bool) {
+func (a *RetryPolicy) Indeterminate(now microtime.Time, k IdempotencyKey) (until microtime.Time, unknown bool) {
 	if s := a.keys[k]; s != nil && s.lost {
 		return s.expires, now < s.expires
 	}
@@ -263,7 +263,7 @@
 }
 
 // stuck finds an intake whose window has not ended.
-func (a *RetryPolicy) stuck(now micro.Time, k IdempotencyKey) *stuck {
+func (a *RetryPolicy) stuck(now microtime.Time, k IdempotencyKey) *stuck {
 	a.expire(now)
 	s := a.keys[k]
 	if s != nil && s.expires <= now { // behind one that lasts longer
@@ -275,7 +275,7 @@
 }
 
 // expire forgets the intakes whose window has ended.
-func (a *RetryPolicy) expire(now micro.Time) {
+func (a *RetryPolicy) expire(now microtime.Time) {
 	n := 0
 	for n < len(a.order) && (a.order[n].dead || a.order[n].expires <= now) {
 		s := a.order[n]
--- a/internal/decide/fleet/attempts_test.go
+++ b/internal/decide/loadbalancer/attempts_test.go
@@ -1,11 +1,11 @@
-package fleet
+package loadbalancer
 
 import (
 	"testing"
 
 	"github.com/stretchr/testify/require"
 
-	"pewterline/internal/micro"
+	"pewterline/internal/microtime"
 )
 
 func newAttempts(t *testing.T, c RetryConfig) *RetryPolicy {
@@ -23,7 +23,7 @@
 func TestAmplificationIsBounded(t *testing.T) {
 	a := newAttempts(t, RetryConfig{MaxTokens: 20})
 	for i := range 10_000 {
-		now := micro.Time(i) * micro.Millisecond
+		now := microtime.Time(i) * microtime.Millisecond
 		a.RecordFirstAttempt(now, uint32(i%7))
 		for range 3 {
 			q := ask(Rejected)
@@ -50,7 +50,7 @@
 	a := newAttempts(t, RetryConfig{})
 	require.Equal(t, RetryElsewhere, a.Decide(second, ask(Rejected)))
 	for _, spoil := range []func(*FailedAttempt){func(q *FailedAttempt) { q.NoRetry = true }, func(q *FailedAttempt) { q.Attempts = 3 }, func(q *FailedAttempt) { q.EarliestFinish = q.Deadline },
-		func(q *FailedAttempt) { q.EarliestFinish = micro.Never }} {
+		func(q *FailedAttempt) { q.EarliestFinish = microtime.Never }} {
 		q := ask(Rejected)
 		spoil(&q)
 		before := a.tokens
@@ -58,7 +58,7 @@
 		require.Equal(t, before, a.tokens, "and it costs nothing")
 	}
 	q := ask(ConnectFailed)
-	q.EarliestFinish = micro.Never
+	q.EarliestFinish = microtime.Never
 	require.Equal(t, ReportRejected, a.Decide(second, q), "nobody took the connection: it ran nowhere")
 	q = ask(ConnectionLost)
 	q.Idempotent = false
@@ -115,7 +115,7 @@
 func TestRememberedIntakesAreBounded(t *testing.T) {
 	a := newAttempts(t, RetryConfig{MaxKeys: 3})
 	for i, once := range []string{"a", "b", "c"} {
-		a.RecordSent(second, IdempotencyKey{0, once}, "s0", micro.Time(10-i)*second)
+		a.RecordSent(second, IdempotencyKey{0, once}, "s0", microtime.Time(10-i)*second)
 	}
 	_, ok := a.StickyEndpoint(second, IdempotencyKey{0, "d"})
 	require.False(t, ok)
@@ -135,9 +135,9 @@
 	a := newAttempts(t, RetryConfig{MaxCallers: 100, MaxTokens: 1e9})
 	spent := 0
 	for i := range uint32(50_000) {
-		a.RecordFirstAttempt(micro.Time(i), i)
-		a.RecordSuccess(micro.Time(i), 7) // one that stays
-		if a.SpendToken(micro.Time(i), i) && a.SpendToken(micro.Time(i), i) {
+		a.RecordFirstAttempt(microtime.Time(i), i)
+		a.RecordSuccess(microtime.Time(i), 7) // one that stays
+		if a.SpendToken(microtime.Time(i), i) && a.SpendToken(microtime.Time(i), i) {
 			spent++
 		}
 	}
--- a/internal/decide/fleet/fleet.go
+++ b/internal/decide/loadbalancer/fleet.go
@@ -1,17 +1,17 @@
-// Package fleet decides how one instance uses many log servers: which server gets a try, how many requests may be
+// Package loadbalancer decides how one instance uses many log servers: which server gets a try, how many requests may be
 // open there, when one that looks bad is tried again and by which request, how much of the traffic a server gets that
 // has come back, whether a request is tried again, and what advice from another instance is worth.
 //
 // It does no I/O, starts no goroutine and reads no clock: the host gives the time with every call. Randomness comes
 // from a seed; the same calls give the same answers.
-package fleet
+package loadbalancer
 
 import (
 	"fmt"
 	"math"
 	"math/rand/v2"
 
-	"pewterline/internal/micro"
+	"pewterline/internal/microtime"
 )
 
 // State is what one instance takes a server for.
@@ -50,15 +50,15 @@
 
 // Config are the figures of the decisions. Zero values take the defaults.
 type Config struct {
-	Classes              int        // of requests, by number from 0 on
-	SuspectAfterFailures int        // failures in a row after which a server is suspect
-	DownAfterFailures    int        // and after which it is down
-	InitialProbeBackoff  micro.Time // after which a suspect is tried again; doubled with each failure
-	MaxProbeBackoff      micro.Time
-	SlowStart            micro.Time // how long a server that came back gets less than its part
-	SlowStartShare       float64    // the part that it gets at first
-	MaxEjectedShare      float64    // share of the servers that may be left out for looking bad; beyond it, routing goes among all
-	InitialConcurrency   float64    // open requests at a server before anything is learned
+	Classes              int            // of requests, by number from 0 on
+	SuspectAfterFailures int            // failures in a row after which a server is suspect
+	DownAfterFailures    int            // and after which it is down
+	InitialProbeBackoff  microtime.Time // after which a suspect is tried again; doubled with each failure
+	MaxProbeBackoff      microtime.Time
+	SlowStart            microtime.Time // how long a server that came back gets less than its part
+	SlowStartShare       float64        // the part that it gets at first
+	MaxEjectedShare      float64        // share of the servers that may be left out for looking bad; beyond it, routing goes among all
+	InitialConcurrency   float64        // open requests at a server before anything is learned
 	MaxConcurrency       float64
 	GossipThreshold      float64 // weight of hearsay from which on it counts against a server we know nothing of
 	GossipHopFactor      float64 // part of its weight that a fact keeps from hand to hand
@@ -70,7 +70,7 @@
 			*v = d
 		}
 	}
-	setTime := func(v *micro.Time, d micro.Time) {
+	setTime := func(v *microtime.Time, d microtime.Time) {
 		if *v == 0 {
 			*v = d
 		}
@@ -81,9 +81,9 @@
 	if c.DownAfterFailures == 0 {
 		c.DownAfterFailures = 5
 	}
-	setTime(&c.InitialProbeBackoff, 250*micro.Millisecond)
-	setTime(&c.MaxProbeBackoff, 8*micro.Second)
-	setTime(&c.SlowStart, 15*micro.Second)
+	setTime(&c.InitialProbeBackoff, 250*microtime.Millisecond)
+	setTime(&c.MaxProbeBackoff, 8*microtime.Second)
+	setTime(&c.SlowStart, 15*microtime.Second)
 	set(&c.SlowStartShare, 0.2)
 	set(&c.MaxEjectedShare, 0.5)
 	set(&c.InitialConcurrency, 8)
@@ -128,20 +128,20 @@
 type member struct {
 	name    string
 	state   State
-	since   micro.Time // it is in that state
-	failed  int        // tries in a row
-	failAt  micro.Time // the last of them
-	probeAt micro.Time // where it is suspect or down
+	since   microtime.Time // it is in that state
+	failed  int            // tries in a row
+	failAt  microtime.Time // the last of them
+	probeAt microtime.Time // where it is suspect or down
 	probing bool
-	wait    micro.Time // until the next probe after that
-	shut    micro.Time // it asked to be left alone until then
+	wait    microtime.Time // until the next probe after that
+	shut    microtime.Time // it asked to be left alone until then
 	open    int
-	busy    micro.Time // since something has been open there
+	busy    microtime.Time // since something has been open there
 	limit   limit
 	lat     []latency
-	heard   micro.Time // it last answered anything
-	born    micro.Time // it came back, as far as we saw; -1: not seen
-	seen    int        // own observations
+	heard   microtime.Time // it last answered anything
+	born    microtime.Time // it came back, as far as we saw; -1: not seen
+	seen    int            // own observations
 }
 
 // New returns a fleet without servers.
@@ -155,7 +155,7 @@
 }
 
 // Add takes a server up; one that is known already stays as it is.
-func (f *Balancer) Add(now micro.Time, name string) {
+func (f *Balancer) Add(now microtime.Time, name string) {
 	if f.byName[name] != nil {
 		return
 	}
@@ -194,7 +194,7 @@
 }
 
 // peakFades is after how long without an answer the peak of a server counts half.
-const peakFades = 2 * micro.Second
+const peakFades = 2 * microtime.Second
 
 // explore: one safe choice in so many takes the first drawn.
 const explore = 32
@@ -208,7 +208,7 @@
 // tried first by a request that is safe and cheap, and never by an intake. false: none will take it now.
 //
 // Pick changes nothing but the marks of a probe; Sent must follow.
-func (f *Balancer) Pick(now micro.Time, t Request) (Choice, bool) {
+func (f *Balancer) Pick(now microtime.Time, t Request) (Choice, bool) {
 	f.listen(now)
 	if t.Idempotent && t.Cheap {
 		for _, m := range f.members {
@@ -251,7 +251,7 @@
 
 // candidates lists who may take a try: those that look good, and all that are not known to take nothing. Whom the
 // request has tried already comes in only where there is nobody else.
-func (f *Balancer) candidates(now micro.Time, t Request) (good, all []*member) {
+func (f *Balancer) candidates(now microtime.Time, t Request) (good, all []*member) {
 	for _, again := range []bool{false, true} {
 		for _, m := range f.members {
 			if m.state == Draining || now < m.shut || float64(m.open) >= m.limit.most*f.warmth(now, m) && m.open > 0 || avoided(t, m) != again {
@@ -271,8 +271,8 @@
 
 // SilenceTimeout is how long a server with something open may say nothing at all before it is suspect: some times what
 // requests usually take, within bounds.
-func (f *Balancer) SilenceTimeout() micro.Time {
-	usual := micro.Time(0)
+func (f *Balancer) SilenceTimeout() microtime.Time {
+	usual := microtime.Time(0)
 	for i := range f.usual {
 		usual = max(usual, f.usual[i].quantile(0.95))
 	}
@@ -281,14 +281,14 @@
 
 const (
 	silenceTimes = 3
-	silenceLeast = 300 * micro.Millisecond
-	silenceMost  = 2 * micro.Second
+	silenceLeast = 300 * microtime.Millisecond
+	silenceMost  = 2 * microtime.Second
 )
 
 // listen makes suspects of servers that have fallen silent. Guards against a machine that is gone without a word: its
 // connections stay open, and what is sent on them waits for its whole time. Found by measuring what advice is worth:
 // the instances that should have told of a dead server had it for up, seconds after it had gone.
-func (f *Balancer) listen(now micro.Time) {
+func (f *Balancer) listen(now microtime.Time) {
 	patience := f.SilenceTimeout()
 	for _, m := range f.members {
 		if m.open == 0 || m.state == Down || m.state == Suspect || m.state == Draining {
@@ -302,7 +302,7 @@
 }
 
 // looksBad says that a server is left out unless most are.
-func (f *Balancer) looksBad(now micro.Time, m *member) bool {
+func (f *Balancer) looksBad(now microtime.Time, m *member) bool {
 	switch m.state {
 	case Suspect, Down, Draining:
 		return true
@@ -313,7 +313,7 @@
 }
 
 // ejected is the share of servers that look bad.
-func (f *Balancer) ejected(now micro.Time) float64 {
+func (f *Balancer) ejected(now microtime.Time) float64 {
 	n := 0
 	for _, m := range f.members {
 		if f.looksBad(now, m) {
@@ -324,7 +324,7 @@
 }
 
 // warmth is the part of its traffic that a server gets: less than 1 while it warms.
-func (f *Balancer) warmth(now micro.Time, m *member) float64 {
+func (f *Balancer) warmth(now microtime.Time, m *member) float64 {
 	if m.state != Warming {
 		return 1
 	}
@@ -332,7 +332,7 @@
 }
 
 // draw draws a server by its warmth.
-func (f *Balancer) draw(now micro.Time, from []*member) *member {
+func (f *Balancer) draw(now microtime.Time, from []*member) *member {
 	for range 8 {
 		m := from[f.rng.IntN(len(from))]
 		if w := f.warmth(now, m); w >= 1 || f.rng.Float64() < w {
@@ -345,7 +345,7 @@
 // expected grows with when a request would be done there, in microseconds: what one takes, for itself and for each that
 // is open there already (the cost of Finagle's peak EWMA balancer). It is for comparing; Finishes does not count the
 // open ones, as they run side by side.
-func (f *Balancer) expected(now micro.Time, m *member, class int) float64 {
+func (f *Balancer) expected(now microtime.Time, m *member, class int) float64 {
 	own := m.lat[class].peak
 	if m.lat[class].n == 0 {
 		own = f.usual[class].mean
@@ -359,13 +359,13 @@
 		own = usual + (own-usual)*math.Exp2(-float64(now-m.heard)/float64(peakFades))
 	}
 	if own == 0 {
-		own = float64(100 * micro.Millisecond)
+		own = float64(100 * microtime.Millisecond)
 	}
 	return own * float64(1+m.open) / f.warmth(now, m)
 }
 
 // AttemptStarted says that a try went to a server.
-func (f *Balancer) AttemptStarted(now micro.Time, c Choice) {
+func (f *Balancer) AttemptStarted(now microtime.Time, c Choice) {
 	m := f.byName[c.Endpoint]
 	if m == nil {
 		return
@@ -383,13 +383,13 @@
 type Result struct {
 	Class      int
 	Outcome    Outcome
-	Latency    micro.Time
-	RetryAfter micro.Time // Refused: how long to leave the server alone
-	NoRetry    bool       // Refused: and no other should be tried
+	Latency    microtime.Time
+	RetryAfter microtime.Time // Refused: how long to leave the server alone
+	NoRetry    bool           // Refused: and no other should be tried
 }
 
 // AttemptEnded says how a try at a server ended.
-func (f *Balancer) AttemptEnded(now micro.Time, c Choice, r Result) {
+func (f *Balancer) AttemptEnded(now microtime.Time, c Choice, r Result) {
 	m := f.byName[c.Endpoint]
 	if m == nil {
 		return
@@ -422,7 +422,7 @@
 }
 
 // answered says that a server is there.
-func (f *Balancer) answered(now micro.Time, m *member) {
+func (f *Balancer) answered(now microtime.Time, m *member) {
 	m.heard, m.failed, m.wait = now, 0, 0
 	switch m.state {
 	case Unobserved:
@@ -443,7 +443,7 @@
 }
 
 // failed counts a try that came to nothing.
-func (f *Balancer) failed(now micro.Time, m *member, o Outcome) {
+func (f *Balancer) failed(now microtime.Time, m *member, o Outcome) {
 	m.failed, m.failAt = m.failed+1, now
 	m.limit.refused()
 	switch {
@@ -461,24 +461,24 @@
 	if f.told.FailureWeight(now, m.name) >= f.cfg.GossipThreshold/2 { // others have found the same
 		m.wait = max(m.wait, f.cfg.MaxProbeBackoff/2)
 	}
-	m.probeAt = now + m.wait/2 + micro.Time(f.rng.Int64N(int64(m.wait)))
+	m.probeAt = now + m.wait/2 + microtime.Time(f.rng.Int64N(int64(m.wait)))
 }
 
-func (f *Balancer) enter(now micro.Time, m *member, s State) {
+func (f *Balancer) enter(now microtime.Time, m *member, s State) {
 	if m.state != s {
 		m.state, m.since = s, now
 	}
 }
 
 // MarkDraining says that a server has bidden farewell: it takes nothing new. Gone says that it has ended after that.
-func (f *Balancer) MarkDraining(now micro.Time, name string) {
+func (f *Balancer) MarkDraining(now microtime.Time, name string) {
 	if m := f.byName[name]; m != nil && m.state != Down {
 		f.enter(now, m, Draining)
 	}
 }
 
 // MarkDrained says that a server that was leaving has closed its last connection.
-func (f *Balancer) MarkDrained(now micro.Time, name string) {
+func (f *Balancer) MarkDrained(now microtime.Time, name string) {
 	if m := f.byName[name]; m != nil && m.state == Draining {
 		f.enter(now, m, Down)
 		m.wait = f.cfg.InitialProbeBackoff
@@ -490,20 +490,20 @@
 type EndpointStatus struct {
 	Name             string
 	State            State
-	InState          micro.Time // it has been in that state
+	InState          microtime.Time // it has been in that state
 	InFlight         int
 	ConcurrencyLimit float64
-	P50              micro.Time // of what it served, over all classes
-	P95              micro.Time
-	SinceAnswer      micro.Time // since it last answered; -1: never
-	SinceRecovery    micro.Time // since it came back; -1: not seen
-	RetryAfter       micro.Time // it asks to be left alone for so long yet
+	P50              microtime.Time // of what it served, over all classes
+	P95              microtime.Time
+	SinceAnswer      microtime.Time // since it last answered; -1: never
+	SinceRecovery    microtime.Time // since it came back; -1: not seen
+	RetryAfter       microtime.Time // it asks to be left alone for so long yet
 	Observed         int
 	GossipWeight     float64 // weight of what others say against it
 }
 
 // Endpoints lists the servers in the order they came.
-func (f *Balancer) Endpoints(now micro.Time) []EndpointStatus {
+func (f *Balancer) Endpoints(now microtime.Time) []EndpointStatus {
 	out := make([]EndpointStatus, 0, len(f.members))
 	for _, m := range f.members {
 		v := EndpointStatus{Name: m.name, State: m.state, InState: now - m.since, InFlight: m.open, ConcurrencyLimit: m.limit.most, SinceAnswer: -1, SinceRecovery: -1,
@@ -526,15 +526,15 @@
 
 // HedgeDelay is when a second copy of a slow safe read may go out: at the quantile of what reads of its class usually
 // take, as in J. Dean and L. Barroso, "The Tail at Scale" (2013). Never while too little is known.
-func (f *Balancer) HedgeDelay(class int, quantile float64) micro.Time {
+func (f *Balancer) HedgeDelay(class int, quantile float64) microtime.Time {
 	if f.usual[class].n < 50 {
-		return micro.Never
+		return microtime.Never
 	}
 	return f.usual[class].quantile(quantile)
 }
 
 // EarliestFinish tells when a try that is sent now would be done, at best; Never if no server takes it.
-func (f *Balancer) EarliestFinish(now micro.Time, t Request) micro.Time {
+func (f *Balancer) EarliestFinish(now microtime.Time, t Request) microtime.Time {
 	good, all := f.candidates(now, t)
 	if f.ejected(now) > f.cfg.MaxEjectedShare {
 		good = all
@@ -544,7 +544,7 @@
 		best = min(best, f.expected(now, m, t.Class)/float64(1+m.open))
 	}
 	if math.IsInf(best, 1) {
-		return micro.Never
+		return microtime.Never
 	}
-	return now + micro.Time(best)
+	return now + microtime.Time(best)
 }
--- a/internal/decide/fleet/fleet_test.go
+++ b/internal/decide/loadbalancer/fleet_test.go
@@ -1,4 +1,4 @@
-package fleet
+package loadbalancer
 
 import (
 	"fmt"
@@ -8,10 +8,10 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"pewterline/internal/micro"
+	"pewterline/internal/microtime"
 )
 
-const second = micro.Second
+const second = microtime.Second
 
 func newFleet(t *testing.T, seed uint64, servers int) *Balancer {
 	f, err := New(Config{Classes: 2}, seed)
@@ -23,13 +23,13 @@
 }
 
 // try sends one to a server and has it end.
-func try(f *Balancer, now micro.Time, server string, o Outcome) {
+func try(f *Balancer, now microtime.Time, server string, o Outcome) {
 	c := Choice{Endpoint: server}
 	f.AttemptStarted(now, c)
-	f.AttemptEnded(now, c, Result{Outcome: o, Latency: 50 * micro.Millisecond})
+	f.AttemptEnded(now, c, Result{Outcome: o, Latency: 50 * microtime.Millisecond})
 }
 
-func view(f *Balancer, now micro.Time, server string) EndpointStatus {
+func view(f *Balancer, now microtime.Time, server string) EndpointStatus {
 	for _, v := range f.Endpoints(now) {
 		if v.Name == server {
 			return v
@@ -39,7 +39,7 @@
 }
 
 // share is the part of many picks that goes to a server; the picks are not sent.
-func share(f *Balancer, now micro.Time, server string) float64 {
+func share(f *Balancer, now microtime.Time, server string) float64 {
 	n := 0
 	for range 4000 {
 		if c, ok := f.Pick(now, Request{Class: 0}); ok && c.Endpoint == server {
@@ -105,11 +105,11 @@
 // Probes come at growing distances, with a spread, and within their bound.
 func TestProbesBackOff(t *testing.T) {
 	f, now := newFleet(t, 1, 3), 10*second
-	var gaps []micro.Time
+	var gaps []microtime.Time
 	last := now
 	try(f, now, "s0", ConnectFailed)
 	for len(gaps) < 12 {
-		now += 5 * micro.Millisecond
+		now += 5 * microtime.Millisecond
 		if c, ok := f.Pick(now, probe); ok && c.Probe {
 			gaps = append(gaps, now-last)
 			last = now
@@ -117,10 +117,10 @@
 			f.AttemptEnded(now, c, Result{Outcome: ConnectFailed})
 		}
 	}
-	require.Less(t, gaps[0], 400*micro.Millisecond)
+	require.Less(t, gaps[0], 400*microtime.Millisecond)
 	for _, g := range gaps[6:] {
 		require.GreaterOrEqual(t, g, 4*second)
-		require.LessOrEqual(t, g, 12*second+10*micro.Millisecond)
+		require.LessOrEqual(t, g, 12*second+10*microtime.Millisecond)
 	}
 }
 
@@ -129,9 +129,9 @@
 	f, now := newFleet(t, 1, 2), 10*second
 	c := Choice{Endpoint: "s0"}
 	f.AttemptStarted(now, c)
-	f.AttemptEnded(now, c, Result{Outcome: Rejected, RetryAfter: 700 * micro.Millisecond})
-	require.Zero(t, share(f, now+699*micro.Millisecond, "s0"))
-	require.Positive(t, share(f, now+700*micro.Millisecond, "s0"))
+	f.AttemptEnded(now, c, Result{Outcome: Rejected, RetryAfter: 700 * microtime.Millisecond})
+	require.Zero(t, share(f, now+699*microtime.Millisecond, "s0"))
+	require.Positive(t, share(f, now+700*microtime.Millisecond, "s0"))
 	require.Equal(t, Up, view(f, now, "s0").State, "who refuses is there")
 }
 
@@ -145,7 +145,7 @@
 	}
 	_, ok := f.Pick(now, Request{})
 	require.False(t, ok)
-	require.Equal(t, micro.Never, f.EarliestFinish(now, Request{}))
+	require.Equal(t, microtime.Never, f.EarliestFinish(now, Request{}))
 	_, ok = f.Pick(now+second, Request{})
 	require.True(t, ok)
 }
@@ -184,7 +184,7 @@
 func TestSlowServersGetLess(t *testing.T) {
 	f, now := newFleet(t, 1, 2), 10*second
 	for i := range 200 {
-		for name, took := range map[string]micro.Time{"s0": 20 * micro.Millisecond, "s1": 20*micro.Millisecond + micro.Time(i)*5*micro.Millisecond} {
+		for name, took := range map[string]microtime.Time{"s0": 20 * microtime.Millisecond, "s1": 20*microtime.Millisecond + microtime.Time(i)*5*microtime.Millisecond} {
 			c := Choice{Endpoint: name}
 			for range 6 { // others are open meanwhile, so that the limit is in use
 				f.AttemptStarted(now, c)
@@ -194,7 +194,7 @@
 				f.AttemptEnded(now, c, Result{Outcome: Cancelled})
 			}
 		}
-		now += 10 * micro.Millisecond
+		now += 10 * microtime.Millisecond
 	}
 	require.Less(t, share(f, now, "s1"), 0.3)
 	require.Less(t, view(f, now, "s1").ConcurrencyLimit, view(f, now, "s0").ConcurrencyLimit/1.5)
@@ -216,14 +216,14 @@
 
 func TestHedgeNeedsKnowledge(t *testing.T) {
 	f, now := newFleet(t, 1, 2), 10*second
-	require.Equal(t, micro.Never, f.HedgeDelay(0, 0.95))
+	require.Equal(t, microtime.Never, f.HedgeDelay(0, 0.95))
 	for range 60 {
 		try(f, now, "s0", Succeeded)
 	}
-	require.InEpsilon(t, float64(50*micro.Millisecond), float64(f.HedgeDelay(0, 0.95)), 0.25)
+	require.InEpsilon(t, float64(50*microtime.Millisecond), float64(f.HedgeDelay(0, 0.95)), 0.25)
 }
 
-func tell(server string, kind ObservationKind, age micro.Time, source string, hops int) Observation {
+func tell(server string, kind ObservationKind, age microtime.Time, source string, hops int) Observation {
 	return Observation{Endpoint: server, Kind: kind, Evidence: 10, Age: age, Source: source, Hops: hops, Value: 1000}
 }
 
@@ -376,7 +376,7 @@
 		open := map[string]int{}
 		var out []Choice
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
-			now += micro.Time(rapid.IntRange(0, 500_000).Draw(t, "wait"))
+			now += microtime.Time(rapid.IntRange(0, 500_000).Draw(t, "wait"))
 			switch rapid.IntRange(0, 4).Draw(t, "what") {
 			case 0, 1:
 				q := Request{Idempotent: rapid.Bool().Draw(t, "safe"), Cheap: true}
@@ -389,7 +389,7 @@
 				v := view(a, now, c.Endpoint)
 				require.NotEqual(t, Draining, v.State)
 				require.False(t, c.Probe && !q.Idempotent)
-				require.Zero(t, v.RetryAfter*micro.Time(len(c.Endpoint)))
+				require.Zero(t, v.RetryAfter*microtime.Time(len(c.Endpoint)))
 				require.True(t, c.Probe || open[c.Endpoint] == 0 || float64(open[c.Endpoint]) < v.ConcurrencyLimit)
 				a.AttemptStarted(now, c)
 				b.AttemptStarted(now, c)
@@ -425,7 +425,7 @@
 		try(f, now, fmt.Sprintf("s%d", i%4), Succeeded)
 	}
 	patience := f.SilenceTimeout()
-	require.Equal(t, 300*micro.Millisecond, patience)
+	require.Equal(t, 300*microtime.Millisecond, patience)
 	f.AttemptStarted(now, Choice{Endpoint: "s0"})
 	f.AttemptStarted(now, Choice{Endpoint: "s1"})
 	now += patience - 1
--- a/internal/decide/fleet/knowledge.go
+++ b/internal/decide/loadbalancer/knowledge.go
@@ -1,4 +1,4 @@
-package fleet
+package loadbalancer
 
 import (
 	"cmp"
@@ -8,7 +8,7 @@
 
 	"github.com/benbjohnson/immutable"
 
-	"pewterline/internal/micro"
+	"pewterline/internal/microtime"
 )
 
 // ObservationKind is what a fact is about.
@@ -24,7 +24,7 @@
 )
 
 // halfLife is after how long a fact of each kind weighs half.
-var halfLife = [kindsEnd]micro.Time{Unreachable: 10 * micro.Second, Reachable: 10 * micro.Second, TypicalLatency: 20 * micro.Second, Recovered: 120 * micro.Second}
+var halfLife = [kindsEnd]microtime.Time{Unreachable: 10 * microtime.Second, Reachable: 10 * microtime.Second, TypicalLatency: 20 * microtime.Second, Recovered: 120 * microtime.Second}
 
 // Observation is what somebody has seen of a server. It goes from instance to instance with its age, never with a time:
 // clocks disagree.
@@ -32,29 +32,29 @@
 	Endpoint string
 	Kind     ObservationKind
 	Value    float64
-	Evidence float64    // observations behind it
-	Age      micro.Time // since it was observed
-	Source   string     // the instance that observed it
-	Hops     int        // hands that it went through since
+	Evidence float64        // observations behind it
+	Age      microtime.Time // since it was observed
+	Source   string         // the instance that observed it
+	Hops     int            // hands that it went through since
 }
 
 // GossipSender is who tells facts.
 type GossipSender struct {
 	Name   string
-	Uptime micro.Time // what it says cannot rest on more than it can have seen
+	Uptime microtime.Time // what it says cannot rest on more than it can have seen
 }
 
 // The bounds of what is taken from others.
 const (
 	MaxHops     = 4
-	MaxAge      = 600 * micro.Second
+	MaxAge      = 600 * microtime.Second
 	maxEvidence = 20.0
 	sourcesMost = 4 // of one kind of fact about one server
 	nameMost    = 64
 	// evidencePerSecond is what an instance can have learned of one server in a second of its life.
 	evidencePerSecond = 1.0
-	slowMost          = float64(60 * micro.Second)
-	together          = micro.Second // within which two sights of a server are of the same time
+	slowMost          = float64(60 * microtime.Second)
+	together          = microtime.Second // within which two sights of a server are of the same time
 	// What our own state is worth to others, at least.
 	deadEvidence    = 8
 	suspectEvidence = 4
@@ -84,7 +84,7 @@
 // held is a fact with the time, on our own clock, of its observation.
 type held struct {
 	fact Observation
-	at   micro.Time
+	at   microtime.Time
 }
 
 // NewGossipTable returns an empty one; keep is the part of its weight that a fact keeps from hand to hand.
@@ -117,7 +117,7 @@
 }
 
 // weight is what a fact counts now: its evidence, halved with each half-life of its kind, and discounted by hearsay.
-func (k GossipTable) weight(now micro.Time, h held) float64 {
+func (k GossipTable) weight(now microtime.Time, h held) float64 {
 	return h.fact.Evidence * math.Exp2(-float64(now-h.at)/float64(halfLife[h.fact.Kind])) * math.Pow(k.keep, float64(h.fact.Hops))
 }
 
@@ -136,8 +136,8 @@
 }
 
 // FailureWeight is the weight of what speaks against a server, less what has spoken for it since; never below 0.
-func (k GossipTable) FailureWeight(now micro.Time, server string) float64 {
-	sum, last := 0.0, micro.Time(-1)
+func (k GossipTable) FailureWeight(now microtime.Time, server string) float64 {
+	sum, last := 0.0, microtime.Time(-1)
 	for _, h := range k.of(server, Unreachable) {
 		sum += k.weight(now, h)
 		last = max(last, h.at)
@@ -154,7 +154,7 @@
 }
 
 // Latency is what requests are said to take at a server, in microseconds: the mean of the sources by their weight.
-func (k GossipTable) Latency(now micro.Time, server string) (float64, bool) {
+func (k GossipTable) Latency(now microtime.Time, server string) (float64, bool) {
 	sum, weights := 0.0, 0.0
 	for _, h := range k.of(server, TypicalLatency) {
 		w := k.weight(now, h)
@@ -165,8 +165,8 @@
 }
 
 // backAt is when a server last came back, as far as anybody has told; -1: never.
-func (k GossipTable) backAt(server string) micro.Time {
-	at := micro.Time(-1)
+func (k GossipTable) backAt(server string) microtime.Time {
+	at := microtime.Time(-1)
 	for _, h := range k.of(server, Recovered) {
 		at = max(at, h.at)
 	}
@@ -175,7 +175,7 @@
 
 // take adds a fact that has passed its checks, or leaves it where something newer is known. It returns the new
 // knowledge.
-func (k GossipTable) take(now micro.Time, f Observation) (GossipTable, bool) {
+func (k GossipTable) take(now microtime.Time, f Observation) (GossipTable, bool) {
 	h := held{f, now - f.Age}
 	// News about an earlier life of a server is none: what was seen before it came back has ended with that life.
 	if f.Kind != Recovered && h.at < k.backAt(f.Endpoint) {
@@ -204,7 +204,7 @@
 }
 
 // forget drops what about nothing can be told any more, and what is about a server that is not there.
-func (k GossipTable) forget(now micro.Time, known func(string) bool) GossipTable {
+func (k GossipTable) forget(now microtime.Time, known func(string) bool) GossipTable {
 	for it := k.facts.Iterator(); !it.Done(); {
 		key, h, _ := it.Next()
 		if now-h.at > MaxAge || !known(key.server) || k.weight(now, h) < 0.001 && key.kind != Recovered {
@@ -225,7 +225,7 @@
 
 // ApplyGossip takes what another instance tells. Own observation goes before it everywhere: what is told counts only for
 // servers that this instance has not tried itself. self is our own name, whose words come back to us.
-func (f *Balancer) ApplyGossip(now micro.Time, self string, from GossipSender, facts []Observation) (a GossipResult) {
+func (f *Balancer) ApplyGossip(now microtime.Time, self string, from GossipSender, facts []Observation) (a GossipResult) {
 	fault := func(err error) {
 		a.Invalid++
 		if a.Err == nil {
@@ -270,7 +270,7 @@
 		a.Accepted++
 		// Whoever told will find out when it is back; we look ourselves after a while, each instance at a time of its own.
 		if x.Kind == Unreachable && m.state == Unobserved && m.probeAt <= now {
-			m.probeAt = now + f.cfg.MaxProbeBackoff/2 + micro.Time(f.rng.Int64N(int64(f.cfg.MaxProbeBackoff)))
+			m.probeAt = now + f.cfg.MaxProbeBackoff/2 + microtime.Time(f.rng.Int64N(int64(f.cfg.MaxProbeBackoff)))
 		}
 	}
 	return a
@@ -278,10 +278,10 @@
 
 // ComposeGossip is what this instance tells another: what it has seen itself, then what it was told, one hand further. The
 // strongest facts come first where most bounds them.
-func (f *Balancer) ComposeGossip(now micro.Time, self string, most int) []Observation {
+func (f *Balancer) ComposeGossip(now microtime.Time, self string, most int) []Observation {
 	var own []Observation
 	for _, m := range f.members {
-		add := func(kind ObservationKind, value, evidence float64, at micro.Time) {
+		add := func(kind ObservationKind, value, evidence float64, at microtime.Time) {
 			if evidence > 0 && now-at <= MaxAge {
 				own = append(own, Observation{Endpoint: m.name, Kind: kind, Value: value, Evidence: min(evidence, maxEvidence), Age: now - at, Source: self, Hops: 1})
 			}
@@ -325,6 +325,6 @@
 func (f *Balancer) GossipSnapshot() GossipTable { return f.told }
 
 // ExpireGossip forgets what has lost its weight; it is called now and then.
-func (f *Balancer) ExpireGossip(now micro.Time) {
+func (f *Balancer) ExpireGossip(now microtime.Time) {
 	f.told = f.told.forget(now, func(server string) bool { return f.byName[server] != nil })
 }
--- a/internal/decide/fleet/learn.go
+++ b/internal/decide/loadbalancer/learn.go
@@ -1,9 +1,9 @@
-package fleet
+package loadbalancer
 
 import (
 	"math"
 
-	"pewterline/internal/micro"
+	"pewterline/internal/microtime"
 )
 
 const (
@@ -64,17 +64,17 @@
 }
 
 // quantile is the upper bound of the bucket that holds it; 0 where nothing was seen.
-func (l *latency) quantile(q float64) micro.Time {
+func (l *latency) quantile(q float64) microtime.Time {
 	if l.n == 0 {
 		return 0
 	}
 	left := float32(q) * l.total
 	for i, c := range l.counts {
 		if left -= c; left <= 0 && c > 0 {
-			return micro.Time(math.Exp2(firstLog2 + float64(i+1)/perDouble))
+			return microtime.Time(math.Exp2(firstLog2 + float64(i+1)/perDouble))
 		}
 	}
-	return micro.Time(math.Exp2(firstLog2 + buckets/perDouble))
+	return microtime.Time(math.Exp2(firstLog2 + buckets/perDouble))
 }
 
 // limit is how many requests may be open at a server. It follows the gradient of what they take, as in the
--- a/internal/decide/fleet/peers.go
+++ b/internal/decide/loadbalancer/peers.go
@@ -1,28 +1,28 @@
-package fleet
+package loadbalancer
 
 import (
 	"cmp"
 	"math/rand/v2"
 	"slices"
 
-	"pewterline/internal/micro"
+	"pewterline/internal/microtime"
 )
 
 // PeerSchedulerConfig are the figures of the exchange between instances. Zero values take the defaults.
 type PeerSchedulerConfig struct {
-	Interval          micro.Time // an instance exchanges with one other about so often
-	Patience          micro.Time // for an answer
-	InitialPeers      int        // peers that a fresh instance asks at once
-	StartupTimeout    micro.Time // it serves without advice after that
-	DeadAfterFailures int        // exchanges in a row that fail, after which a peer is taken for gone
-	MaxPeers          int        // peers that are remembered
+	Interval          microtime.Time // an instance exchanges with one other about so often
+	Patience          microtime.Time // for an answer
+	InitialPeers      int            // peers that a fresh instance asks at once
+	StartupTimeout    microtime.Time // it serves without advice after that
+	DeadAfterFailures int            // exchanges in a row that fail, after which a peer is taken for gone
+	MaxPeers          int            // peers that are remembered
 }
 
 func (c *PeerSchedulerConfig) defaults() {
-	c.Interval = cmp.Or(c.Interval, micro.Second)
-	c.Patience = cmp.Or(c.Patience, 500*micro.Millisecond)
+	c.Interval = cmp.Or(c.Interval, microtime.Second)
+	c.Patience = cmp.Or(c.Patience, 500*microtime.Millisecond)
 	c.InitialPeers = cmp.Or(c.InitialPeers, 3)
-	c.StartupTimeout = cmp.Or(c.StartupTimeout, 200*micro.Millisecond)
+	c.StartupTimeout = cmp.Or(c.StartupTimeout, 200*microtime.Millisecond)
 	c.DeadAfterFailures = cmp.Or(c.DeadAfterFailures, 3)
 	c.MaxPeers = cmp.Or(c.MaxPeers, 64)
 }
@@ -34,8 +34,8 @@
 	cfg   PeerSchedulerConfig
 	rng   *rand.Rand
 	list  []*peer
-	start micro.Time
-	next  micro.Time
+	start microtime.Time
+	next  microtime.Time
 	ready bool
 	asked bool
 }
@@ -44,14 +44,14 @@
 	name, address string // a seed's name is not known before it answers
 	seed          bool
 	failed        int
-	heard         micro.Time // 0: never
-	wait          micro.Time
-	not           micro.Time // asked before
-	out           bool       // an exchange is under way
+	heard         microtime.Time // 0: never
+	wait          microtime.Time
+	not           microtime.Time // asked before
+	out           bool           // an exchange is under way
 }
 
 // NewPeerScheduler returns the decisions of an instance that starts now, with the addresses of its seeds.
-func NewPeerScheduler(now micro.Time, cfg PeerSchedulerConfig, seeds []string, seed uint64) *PeerScheduler {
+func NewPeerScheduler(now microtime.Time, cfg PeerSchedulerConfig, seeds []string, seed uint64) *PeerScheduler {
 	cfg.defaults()
 	p := &PeerScheduler{cfg: cfg, rng: rand.New(rand.NewPCG(seed, 0x70656572)), start: now, next: now, ready: len(seeds) == 0}
 	for _, a := range seeds {
@@ -62,7 +62,7 @@
 
 // Ready says that requests may be served: the first answer has come, all that were asked have failed, or it has taken
 // too long. Once ready, it stays so.
-func (p *PeerScheduler) Ready(now micro.Time) bool {
+func (p *PeerScheduler) Ready(now microtime.Time) bool {
 	if p.ready || now >= p.start+p.cfg.StartupTimeout {
 		p.ready = true
 	}
@@ -79,7 +79,7 @@
 }
 
 // NextCheck is when Ask has something to tell, or Ready may change.
-func (p *PeerScheduler) NextCheck() micro.Time {
+func (p *PeerScheduler) NextCheck() microtime.Time {
 	if !p.ready {
 		return min(p.next, p.start+p.cfg.StartupTimeout)
 	}
@@ -87,13 +87,13 @@
 }
 
 // NextPeers lists the addresses to exchange with now: up to three at first, then one now and then.
-func (p *PeerScheduler) NextPeers(now micro.Time) (addresses []string) {
+func (p *PeerScheduler) NextPeers(now microtime.Time) (addresses []string) {
 	p.Ready(now) // it may have waited long enough
 	if now < p.next {
 		return nil
 	}
 	// Spread, so that instances that were started together do not go on in step.
-	p.next = now + p.cfg.Interval*3/4 + micro.Time(p.rng.Int64N(int64(p.cfg.Interval)/2))
+	p.next = now + p.cfg.Interval*3/4 + microtime.Time(p.rng.Int64N(int64(p.cfg.Interval)/2))
 	most := 1
 	if !p.asked {
 		most, p.asked = p.cfg.InitialPeers, true
@@ -123,7 +123,7 @@
 }
 
 // ExchangeSucceeded says that the peer at an address has told what it knows.
-func (p *PeerScheduler) ExchangeSucceeded(now micro.Time, address, name string) {
+func (p *PeerScheduler) ExchangeSucceeded(now microtime.Time, address, name string) {
 	p.ready = true
 	if x := p.at(address); x != nil {
 		x.out, x.failed, x.wait, x.not, x.heard, x.name = false, 0, 0, 0, now, name
@@ -131,7 +131,7 @@
 }
 
 // ExchangeFailed says that an exchange with an address came to nothing.
-func (p *PeerScheduler) ExchangeFailed(now micro.Time, address string) {
+func (p *PeerScheduler) ExchangeFailed(now microtime.Time, address string) {
 	x := p.at(address)
 	if x == nil {
 		return
@@ -139,7 +139,7 @@
 	x.out = false
 	x.failed++
 	x.wait = min(max(2*x.wait, p.cfg.Interval), 30*p.cfg.Interval)
-	x.not = now + x.wait/2 + micro.Time(p.rng.Int64N(int64(x.wait)))
+	x.not = now + x.wait/2 + microtime.Time(p.rng.Int64N(int64(x.wait)))
 	if x.failed >= 3*p.cfg.DeadAfterFailures && !x.seed {
 		p.list = slices.DeleteFunc(p.list, func(o *peer) bool { return o == x })
 	}
@@ -157,11 +157,11 @@
 type PeerStatus struct {
 	Name, Address string
 	Alive         bool
-	SinceAnswer   micro.Time // since; -1: never
+	SinceAnswer   microtime.Time // since; -1: never
 }
 
 // Peers lists the other instances.
-func (p *PeerScheduler) Peers(now micro.Time) []PeerStatus {
+func (p *PeerScheduler) Peers(now microtime.Time) []PeerStatus {
 	var out []PeerStatus
 	for _, x := range p.list {
 		v := PeerStatus{Name: x.name, Address: x.address, Alive: x.heard > 0 && x.failed < p.cfg.DeadAfterFailures, SinceAnswer: -1}
--- a/internal/decide/fleet/peers_test.go
+++ b/internal/decide/loadbalancer/peers_test.go
@@ -1,4 +1,4 @@
-package fleet
+package loadbalancer
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"pewterline/internal/micro"
+	"pewterline/internal/microtime"
 )
 
 // A fresh instance asks three at once and serves from the first answer.
@@ -26,9 +26,9 @@
 func TestFreshInstanceWaitsBounded(t *testing.T) {
 	p := NewPeerScheduler(second, PeerSchedulerConfig{}, []string{"a", "b"}, 1)
 	p.NextPeers(second)
-	require.False(t, p.Ready(second+199*micro.Millisecond))
-	require.LessOrEqual(t, p.NextCheck(), second+200*micro.Millisecond)
-	require.True(t, p.Ready(second+200*micro.Millisecond))
+	require.False(t, p.Ready(second+199*microtime.Millisecond))
+	require.LessOrEqual(t, p.NextCheck(), second+200*microtime.Millisecond)
+	require.True(t, p.Ready(second+200*microtime.Millisecond))
 	q := NewPeerScheduler(second, PeerSchedulerConfig{}, []string{"a", "b"}, 1)
 	for _, a := range q.NextPeers(second) {
 		q.ExchangeFailed(second+1000, a)
@@ -40,7 +40,7 @@
 // Then it exchanges with one other about once a second, with all in the end, and less and less with one that is gone.
 func TestExchangesGoRound(t *testing.T) {
 	p, n := NewPeerScheduler(0, PeerSchedulerConfig{}, []string{"a", "b", "c", "d"}, 1), map[string]int{}
-	for now := micro.Time(0); now < 400*second; now = max(p.NextCheck(), now+1) {
+	for now := microtime.Time(0); now < 400*second; now = max(p.NextCheck(), now+1) {
 		for _, a := range p.NextPeers(now) {
 			n[a]++
 			if a == "d" {
@@ -67,7 +67,7 @@
 		p.AddPeer(fmt.Sprint(i), "x")
 	}
 	require.Len(t, p.list, 64)
-	for now := micro.Time(0); now < 20_000*second; now = max(p.NextCheck(), now+1) {
+	for now := microtime.Time(0); now < 20_000*second; now = max(p.NextCheck(), now+1) {
 		for _, a := range p.NextPeers(now) {
 			p.ExchangeFailed(now, a)
 		}
--- a/internal/decide/retune/retune.go
+++ b/internal/decide/reload/retune.go
@@ -1,6 +1,6 @@
-// Package retune decides which places of a table classes and tenants have after the settings change, so that whatever holds
+// Package reload decides which places of a table classes and tenants have after the settings change, so that whatever holds
 // on to a place keeps what it had. It is without I/O, goroutines or a clock.
-package retune
+package reload
 
 import (
 	"fmt"
--- a/internal/decide/retune/retune_test.go
+++ b/internal/decide/reload/retune_test.go
@@ -1,4 +1,4 @@
-package retune
+package reload
 
 import (
 	"flag"
--- a/internal/routing/calls.go
+++ b/internal/dispatch/calls.go
@@ -1,11 +1,11 @@
-package routing
+package dispatch
 
 import (
 	"fmt"
 
 	"pewterline/control"
 	"pewterline/internal/decide/calls"
-	"pewterline/internal/micro"
+	"pewterline/internal/microtime"
 )
 
 // Downstream carries out the calls that runs wait for. Each Ask is followed by one Core.CallEnded with its id, unless GiveUp or
@@ -27,7 +27,7 @@
 // call is what a run waits for.
 type call struct {
 	body  []byte
-	asked micro.Time // while it is in hand
+	asked microtime.Time // while it is in hand
 	// last is how this call ended before, where it was made: what follows depends on it.
 	last calls.Outcome
 	made bool
@@ -78,7 +78,7 @@
 
 // makeCall carries out the module's leave. Guards the rule on effects itself, whatever the decisions were: a call that may have
 // had its effect is not made again for a request that may run once.
-func (c *Core) makeCall(r *request, wait micro.Time) {
+func (c *Core) makeCall(r *request, wait microtime.Time) {
 	if r == nil || r.state != blocked || r.answered || c.callee == nil {
 		return
 	}
@@ -90,7 +90,7 @@
 		return
 	}
 	if wait <= 0 {
-		wait = micro.FromDuration(class.Deadline)
+		wait = microtime.FromDuration(class.Deadline)
 	}
 	r.state, r.call.asked = calling, c.now
 	repeatable := calls.MayRepeat(class.Idempotency, calls.Abandoned)
@@ -106,7 +106,7 @@
 }
 
 // CallEnded says how a call ended that Callee.Ask made. The core keeps reply, which only calls.Answered has.
-func (c *Core) CallEnded(now micro.Time, id string, outcome calls.Outcome, reply []byte) {
+func (c *Core) CallEnded(now microtime.Time, id string, outcome calls.Outcome, reply []byte) {
 	r := c.runs[id]
 	if r == nil || r.state != calling {
 		return
--- a/internal/routing/calls_test.go
+++ b/internal/dispatch/calls_test.go
@@ -1,4 +1,4 @@
-package routing
+package dispatch
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 
 	"pewterline/control"
 	"pewterline/internal/decide/calls"
-	"pewterline/internal/micro"
+	"pewterline/internal/microtime"
 )
 
 // caller is a core whose runs call; the test plays the runner and the vault. The classes are numbered by their effect.
@@ -36,7 +36,7 @@
 }
 
 func newCaller(t *testing.T) *caller {
-	c := &caller{bench: &bench{t: t, now: 100 * micro.Second}}
+	c := &caller{bench: &bench{t: t, now: 100 * microtime.Second}}
 	var err error
 	c.core, err = New(callingSettings(), c, t.Logf)
 	require.NoError(t, err)
@@ -57,7 +57,7 @@
 }
 
 func (c *caller) step() {
-	c.now += 20 * micro.Millisecond
+	c.now += 20 * microtime.Millisecond
 	c.core.Step(c.now)
 }
 
@@ -86,11 +86,11 @@
 func TestCallOfARequestThatIsOver(t *testing.T) {
 	for name, over := range map[string]func(c *caller, key control.RequestID){
 		"caller left":  func(c *caller, key control.RequestID) { c.core.Abandon(key) },
-		"due":          func(c *caller, _ control.RequestID) { c.now += 4 * micro.Second },
+		"due":          func(c *caller, _ control.RequestID) { c.now += 4 * microtime.Second },
 		"process ends": func(c *caller, _ control.RequestID) { c.core.FailAll() },
 		"drain": func(c *caller, _ control.RequestID) {
-			c.core.Drain(c.now, c.now, c.now+micro.Second)
-			c.now += micro.Second
+			c.core.Drain(c.now, c.now, c.now+microtime.Second)
+			c.now += microtime.Second
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -120,7 +120,7 @@
 			c.core.CallEnded(c.now, id, outcome, nil)
 			c.core.RunBlocked(id, []byte("call")) // told again, with no reply between
 			c.does()
-			c.core.makeCall(c.core.live[key], micro.Second)
+			c.core.makeCall(c.core.live[key], microtime.Second)
 			if repeatable || outcome.Effect() == calls.NotExecuted {
 				require.Equal(t, []string{fmt.Sprintf("ask %s call %v", id, repeatable)}, c.does(), "class %d, outcome %d", class, outcome)
 				continue
@@ -165,7 +165,7 @@
 // Memory that runs short turns newcomers away and leaves a run at its call alone: its reply still goes to it.
 func TestMemoryShortWhileCalling(t *testing.T) {
 	const held, memory = 100, 1000 // KB
-	c := &caller{bench: &bench{t: t, now: 100 * micro.Second}}
+	c := &caller{bench: &bench{t: t, now: 100 * microtime.Second}}
 	s := callingSettings()
 	s.MemoryKB, s.RunningMemoryFactor = memory, 8
 	var err error
--- a/internal/routing/figures.go
+++ b/internal/dispatch/figures.go
@@ -1,4 +1,4 @@
-package routing
+package dispatch
 
 import (
 	"maps"
--- a/internal/routing/handover.go
+++ b/internal/dispatch/handover.go
@@ -1,12 +1,12 @@
-package routing
+package dispatch
 
 import (
 	"cmp"
 	"slices"
 
 	"pewterline/control"
-	"pewterline/internal/decide/handover"
-	"pewterline/internal/micro"
+	"pewterline/internal/decide/handoff"
+	"pewterline/internal/microtime"
 )
 
 // PeerProcess is the other process of this log server, while an old one and its successor live side by side. Its messages come
@@ -23,7 +23,7 @@
 type IdempotencyKey = idempotencyKey
 
 // answerLead is how long before it is due a try that waits for the other process is answered.
-const answerLead = 10 * micro.Millisecond
+const answerLead = 10 * microtime.Millisecond
 
 // due is a request's answer that goes out with the next step.
 type due struct {
@@ -32,26 +32,26 @@
 }
 
 // JoinPeer has the core decide about keys together with another process from now on.
-func (c *Core) JoinPeer(o PeerProcess, role handover.Role) { c.other, c.role = o, role }
+func (c *Core) JoinPeer(o PeerProcess, role handoff.Role) { c.other, c.role = o, role }
 
 // Role is what this process is to the other one.
-func (c *Core) Role() handover.Role { return c.role }
+func (c *Core) Role() handoff.Role { return c.role }
 
 // state is what is known of a key, as the state machine of the hand-over sees it.
-func (e *keyEntry) state() handover.State {
+func (e *keyEntry) state() handoff.State {
 	switch {
 	case e == nil:
-		return handover.Free
-	case e.side != handover.Free:
+		return handoff.Free
+	case e.side != handoff.Free:
 		return e.side
 	case e.over:
-		return handover.Done
+		return handoff.Done
 	}
-	return handover.Local
+	return handoff.Local
 }
 
-func (c *Core) window(class int) micro.Time {
-	return micro.FromDuration(c.settings.Classes[class].RetentionWindow)
+func (c *Core) window(class int) microtime.Time {
+	return microtime.FromDuration(c.settings.Classes[class].RetentionWindow)
 }
 
 func (e *keyEntry) intake() KeyedRequest {
@@ -62,15 +62,15 @@
 // go to the module.
 func (c *Core) apart(q *request) bool {
 	e := c.keys.current(idempotencyKey{q.Tenant, q.IdempotencyKey}, q.ArrivedAt)
-	if c.other == nil && (e == nil || e.side == handover.Free) {
+	if c.other == nil && (e == nil || e.side == handoff.Free) {
 		return false
 	}
-	k := handover.Key{State: e.state()}
+	k := handoff.Key{State: e.state()}
 	if e != nil {
 		k.PeerWaiting = e.wanted
 	}
-	does := k.Step(c.role, handover.Attempt, false)
-	if does[0] == handover.Admit {
+	does := k.Step(c.role, handoff.Attempt, false)
+	if does[0] == handoff.Admit {
 		return false
 	}
 	q.state = joined
@@ -81,11 +81,11 @@
 	q.key = e
 	for _, d := range does {
 		switch d {
-		case handover.Queue:
+		case handoff.Queue:
 			c.parked = append(c.parked, q)
-		case handover.Fail:
+		case handoff.Fail:
 			c.ready = append(c.ready, due{q, notKnown})
-		case handover.Claim:
+		case handoff.Claim:
 			c.other.Claim(in)
 		}
 	}
@@ -95,14 +95,14 @@
 var notKnown = Response{Status: StatusFailed, Reason: "whether it ran is not known"}
 
 // aside makes the entry of a key that the other process has a say in.
-func (c *Core) aside(in KeyedRequest, s handover.State) *keyEntry {
+func (c *Core) aside(in KeyedRequest, s handoff.State) *keyEntry {
 	e := &keyEntry{name: idempotencyKey{in.Tenant, in.IdempotencyKey}, class: in.Class, kept: true, restored: true, at: in.ArrivedAt, expires: in.ArrivedAt + c.window(in.Class), side: s}
 	c.keys.byName[e.name] = e
 	return e
 }
 
 // hear takes up what the other process says of a key.
-func (c *Core) hear(ev handover.Event, in KeyedRequest, end RunOutcome) {
+func (c *Core) hear(ev handoff.Event, in KeyedRequest, end RunOutcome) {
 	if in.Class < 0 || in.Class >= len(c.settings.Classes) {
 		return
 	}
@@ -110,14 +110,14 @@
 }
 
 // move takes a key a step on; e is what is known of it, nil for nothing.
-func (c *Core) move(e *keyEntry, ev handover.Event, in KeyedRequest, end RunOutcome) {
+func (c *Core) move(e *keyEntry, ev handoff.Event, in KeyedRequest, end RunOutcome) {
 	var waiting []*request
 	for _, r := range c.parked {
 		if e != nil && r.key == e {
 			waiting = append(waiting, r)
 		}
 	}
-	k := handover.Key{State: e.state()}
+	k := handoff.Key{State: e.state()}
 	if e != nil {
 		k.PeerWaiting = e.wanted
 	}
@@ -125,21 +125,21 @@
 	does := k.Step(c.role, ev, len(waiting) > 0)
 	if k.State != was {
 		switch k.State {
-		case handover.Requested, handover.Remote, handover.Indeterminate:
-			if e == nil || e.side == handover.Free {
+		case handoff.Requested, handoff.Remote, handoff.Indeterminate:
+			if e == nil || e.side == handoff.Free {
 				e = c.aside(in, k.State)
 			}
 			e.side = k.State
-		case handover.Done:
-			if ev == handover.PeerFinished {
+		case handoff.Done:
+			if ev == handoff.PeerFinished {
 				if e == nil {
-					e = c.aside(in, handover.Free)
+					e = c.aside(in, handoff.Free)
 				}
-				e.side, e.ran, e.over, e.end, e.result = handover.Free, true, true, end, in.Result
+				e.side, e.ran, e.over, e.end, e.result = handoff.Free, true, true, end, in.Result
 				e.at, e.expires = in.ArrivedAt, in.ArrivedAt+c.window(in.Class)
 			}
 		default: // Here by the tries that waited, or Free
-			if e != nil && e.side != handover.Free {
+			if e != nil && e.side != handoff.Free {
 				c.keys.remove(e)
 			}
 		}
@@ -152,20 +152,20 @@
 	}
 }
 
-func (c *Core) do(d handover.Action, e *keyEntry, in KeyedRequest, waiting []*request) {
+func (c *Core) do(d handoff.Action, e *keyEntry, in KeyedRequest, waiting []*request) {
 	switch d {
-	case handover.Release:
+	case handoff.Release:
 		for _, r := range waiting {
 			c.unpark(r)
 			r.state, r.key = held, nil
 			c.arrive(r)
 		}
-	case handover.Serve:
+	case handoff.Serve:
 		for _, r := range waiting {
 			c.unpark(r)
 			c.ready = append(c.ready, due{r, e.answer()})
 		}
-	case handover.Fail:
+	case handoff.Fail:
 		for _, r := range waiting {
 			c.unpark(r)
 			c.ready = append(c.ready, due{r, notKnown})
@@ -175,19 +175,19 @@
 		return
 	}
 	switch d {
-	case handover.Claim:
+	case handoff.Claim:
 		c.other.Claim(in)
-	case handover.Grant:
+	case handoff.Grant:
 		c.other.Grant(in)
-	case handover.NotifyStarted:
+	case handoff.NotifyStarted:
 		c.other.NotifyStarted(in)
-	case handover.NotifyFinished:
+	case handoff.NotifyFinished:
 		if e != nil && e.over {
 			c.other.NotifyFinished(e.intake(), e.end)
 		} else {
 			c.other.NotifyFinished(in, RunFailed) // it may have run
 		}
-	case handover.NotifyReleased:
+	case handoff.NotifyReleased:
 		c.other.NotifyReleased(in)
 	}
 }
@@ -220,10 +220,10 @@
 	for _, e := range freed {
 		if c.other != nil && c.keys.byName[e.name] == nil {
 			in := e.intake()
-			k := handover.Key{State: handover.Local, PeerWaiting: e.wanted}
-			for _, d := range k.Step(c.role, handover.LocalReleased, false) {
-				if d == handover.Grant {
-					c.aside(in, handover.Remote)
+			k := handoff.Key{State: handoff.Local, PeerWaiting: e.wanted}
+			for _, d := range k.Step(c.role, handoff.LocalReleased, false) {
+				if d == handoff.Grant {
+					c.aside(in, handoff.Remote)
 				}
 				c.do(d, nil, in, nil)
 			}
@@ -251,9 +251,9 @@
 	e := c.keys.byName[name]
 	switch {
 	case e == nil || c.other == nil || c.now >= e.expires && (e.over || !e.ran):
-	case e.state() == handover.Done:
+	case e.state() == handoff.Done:
 		c.other.NotifyFinished(e.intake(), e.end)
-	case e.state() == handover.Indeterminate:
+	case e.state() == handoff.Indeterminate:
 		c.other.NotifyFinished(e.intake(), RunFailed)
 	case e.ran:
 		c.other.NotifyStarted(e.intake())
@@ -261,35 +261,35 @@
 }
 
 // PeerClaimed is the other's question whether it may run a key.
-func (c *Core) PeerClaimed(in KeyedRequest) { c.hear(handover.PeerClaimed, in, 0) }
+func (c *Core) PeerClaimed(in KeyedRequest) { c.hear(handoff.PeerClaimed, in, 0) }
 
 // PeerGranted lets the tries of a key go that wait here.
-func (c *Core) PeerGranted(in KeyedRequest) { c.hear(handover.PeerGranted, in, 0) }
+func (c *Core) PeerGranted(in KeyedRequest) { c.hear(handoff.PeerGranted, in, 0) }
 
 // PeerStarted says that the other process holds or runs a key.
-func (c *Core) PeerStarted(in KeyedRequest) { c.hear(handover.PeerStarted, in, 0) }
+func (c *Core) PeerStarted(in KeyedRequest) { c.hear(handoff.PeerStarted, in, 0) }
 
 // PeerFinished says how a run of the other's ended. The core keeps its result.
-func (c *Core) PeerFinished(in KeyedRequest, end RunOutcome) { c.hear(handover.PeerFinished, in, end) }
+func (c *Core) PeerFinished(in KeyedRequest, end RunOutcome) { c.hear(handoff.PeerFinished, in, end) }
 
 // PeerReleased says that the other holds a key no more and has not run it.
-func (c *Core) PeerReleased(in KeyedRequest) { c.hear(handover.PeerReleased, in, 0) }
+func (c *Core) PeerReleased(in KeyedRequest) { c.hear(handoff.PeerReleased, in, 0) }
 
 // PassOwnership makes the other process the owner of all keys; what is held or run here it hears of.
 func (c *Core) PassOwnership() {
 	for _, name := range c.names() {
 		e := c.keys.byName[name]
-		c.move(e, handover.OwnershipPassed, e.intake(), 0)
+		c.move(e, handoff.OwnershipPassed, e.intake(), 0)
 	}
-	c.role = handover.Requester
+	c.role = handoff.Requester
 }
 
 // TakeOwnership makes this process the owner of all keys.
 func (c *Core) TakeOwnership() {
-	c.role = handover.Owner
+	c.role = handoff.Owner
 	for _, name := range c.names() {
 		e := c.keys.byName[name]
-		c.move(e, handover.OwnershipTaken, e.intake(), 0)
+		c.move(e, handoff.OwnershipTaken, e.intake(), 0)
 	}
 }
 
@@ -298,13 +298,13 @@
 	c.other = nil
 	for _, name := range c.names() {
 		e := c.keys.byName[name]
-		c.move(e, handover.PeerLost, e.intake(), 0)
+		c.move(e, handoff.PeerLost, e.intake(), 0)
 	}
-	c.role = handover.Alone
+	c.role = handoff.Alone
 }
 
 // expireParked answers the tries that have waited for the other process until they are due; it returns when the next is.
-func (c *Core) expireParked(now micro.Time) {
+func (c *Core) expireParked(now microtime.Time) {
 	for _, r := range slices.Clone(c.parked) {
 		if now >= c.parkedDue(r) {
 			c.answer(r, Response{Status: StatusExpired, Reason: "past its deadline"})
@@ -313,8 +313,8 @@
 	}
 }
 
-func (c *Core) parkedDue(r *request) micro.Time {
-	return r.ArrivedAt + micro.FromDuration(c.settings.Classes[r.Class].Deadline) - answerLead
+func (c *Core) parkedDue(r *request) microtime.Time {
+	return r.ArrivedAt + microtime.FromDuration(c.settings.Classes[r.Class].Deadline) - answerLead
 }
 
 // KeyedRuns counts the runs of keys that have not ended.
--- a/internal/routing/keys.go
+++ b/internal/dispatch/keys.go
@@ -1,4 +1,4 @@
-package routing
+package dispatch
 
 import (
 	"fmt"
@@ -6,14 +6,14 @@
 	"maps"
 
 	"pewterline/control"
-	"pewterline/internal/decide/handover"
-	"pewterline/internal/micro"
+	"pewterline/internal/decide/handoff"
+	"pewterline/internal/microtime"
 	"pewterline/internal/planted"
 )
 
 // lateRead is how long past its window an entry stays to be found: a repeat that arrived within the window may
 // be read, or waited for, that much later.
-const lateRead = 10 * micro.Second
+const lateRead = 10 * microtime.Second
 
 // idempotencyKey names a request over all its tries. The same text from another tenant is another request.
 type idempotencyKey struct {
@@ -27,12 +27,12 @@
 	class   int
 	sum     uint64            // of the body; all tries have the same
 	holder  control.RequestID // the try that the module knows as the original
-	expires micro.Time        // of the module's Keep
+	expires microtime.Time    // of the module's Keep
 	kept    bool              // false: only seen in this turn
 
 	ran     bool
 	runner  control.RequestID // the try that ran
-	at      micro.Time        // when that try came
+	at      microtime.Time    // when that try came
 	atMilli int64             // the same by its caller
 	over    bool              // that run has ended, in end with result
 	end     RunOutcome
@@ -43,8 +43,8 @@
 	saving   bool // it is on its way there
 	restored bool // from the store of record, or from another process: the module has not seen its run
 
-	side   handover.State // Asked, Away or Doubt where the other process has a say; else Free
-	wanted bool           // the other process waits for its end
+	side   handoff.State // Asked, Away or Doubt where the other process has a say; else Free
+	wanted bool          // the other process waits for its end
 }
 
 // claim marks the key as run by r, unless another try has run.
@@ -62,15 +62,15 @@
 	byID   map[control.RequestID]*keyEntry // by holder
 	fresh  []*keyEntry                     // seen in this turn and not yet kept
 	seed   maphash.Seed
-	swept  micro.Time
+	swept  microtime.Time
 	freed  []*keyEntry // held no more, without a run, since the last step
 	// Intakes that a runner lost sight of: they may have run, until then. Their repeats go to the runner again, but
 	// none is told that it was turned away.
-	doubts map[idempotencyKey]micro.Time
+	doubts map[idempotencyKey]microtime.Time
 }
 
 func newKeyTable() keyTable {
-	return keyTable{byName: map[idempotencyKey]*keyEntry{}, byID: map[control.RequestID]*keyEntry{}, doubts: map[idempotencyKey]micro.Time{}, seed: maphash.MakeSeed()}
+	return keyTable{byName: map[idempotencyKey]*keyEntry{}, byID: map[control.RequestID]*keyEntry{}, doubts: map[idempotencyKey]microtime.Time{}, seed: maphash.MakeSeed()}
 }
 
 // check refuses a request whose key is another request's. Guards against an answer with the result of what was
@@ -105,9 +105,9 @@
 }
 
 // current is the entry that counts for a try that arrived at a time; one whose window is over is removed.
-func (t *keyTable) current(name idempotencyKey, at micro.Time) *keyEntry {
+func (t *keyTable) current(name idempotencyKey, at microtime.Time) *keyEntry {
 	e := t.byName[name]
-	if e == nil || !e.kept || at < e.expires || e.ran && !e.over || e.side == handover.Requested || e.side == handover.Remote {
+	if e == nil || !e.kept || at < e.expires || e.ran && !e.over || e.side == handoff.Requested || e.side == handoff.Remote {
 		return e
 	}
 	t.remove(e)
@@ -115,7 +115,7 @@
 }
 
 // keep makes r the holder of its entry until expires.
-func (t *keyTable) keep(r *request, expires micro.Time) {
+func (t *keyTable) keep(r *request, expires microtime.Time) {
 	e := r.key
 	if t.byName[e.name] != e { // dropped while r was held
 		if t.byName[e.name] != nil {
@@ -137,13 +137,13 @@
 }
 
 // doubt forgets a run whose outcome the runner does not know, but for that it may have been one.
-func (t *keyTable) doubt(e *keyEntry, until micro.Time) {
+func (t *keyTable) doubt(e *keyEntry, until microtime.Time) {
 	t.doubts[e.name] = max(t.doubts[e.name], until)
 	t.unrun(e)
 }
 
 // doubtful says that an intake may have run, and nobody here knows.
-func (t *keyTable) doubtful(r *request, now micro.Time) bool {
+func (t *keyTable) doubtful(r *request, now microtime.Time) bool {
 	return now < t.doubts[idempotencyKey{r.Tenant, r.IdempotencyKey}]
 }
 
@@ -175,12 +175,12 @@
 }
 
 // sweep drops what has run out, about once a second.
-func (t *keyTable) sweep(now micro.Time) {
-	if now < t.swept+micro.Second {
+func (t *keyTable) sweep(now microtime.Time) {
+	if now < t.swept+microtime.Second {
 		return
 	}
 	t.swept = now
-	maps.DeleteFunc(t.doubts, func(_ idempotencyKey, until micro.Time) bool { return now >= until })
+	maps.DeleteFunc(t.doubts, func(_ idempotencyKey, until microtime.Time) bool { return now >= until })
 	for _, e := range t.byName { // in any order: each goes or stays by itself
 		if now > e.expires+lateRead && (e.over || !e.ran || e.unsaved) && !e.saving {
 			t.remove(e)
--- a/internal/routing/record.go
+++ b/internal/dispatch/record.go
@@ -1,17 +1,17 @@
-package routing
+package dispatch
 
 import (
-	"pewterline/internal/decide/handover"
-	"pewterline/internal/micro"
+	"pewterline/internal/decide/handoff"
+	"pewterline/internal/microtime"
 )
 
 // KeyedRequest is a keyed request that ran, with its result.
 type KeyedRequest struct {
 	Class, Tenant      int
 	IdempotencyKey     string
-	ArrivedAt          micro.Time // when the try that ran came; negative if before the process started
-	ArrivedAtUnixMilli int64      // the same as the caller gave it, in Unix milliseconds; 0: it gave none
-	Retry              bool       // its caller has tried before, here or elsewhere
+	ArrivedAt          microtime.Time // when the try that ran came; negative if before the process started
+	ArrivedAtUnixMilli int64          // the same as the caller gave it, in Unix milliseconds; 0: it gave none
+	Retry              bool           // its caller has tried before, here or elsewhere
 	Result             []byte
 }
 
@@ -30,7 +30,7 @@
 // LeaseResult is a recorder's answer.
 type LeaseResult struct {
 	Verdict   Verdict
-	ArrivedAt micro.Time // HasRun: of the try that ran
+	ArrivedAt microtime.Time // HasRun: of the try that ran
 	Result    []byte
 	Err       error // NoRecord: why
 }
@@ -51,7 +51,7 @@
 }
 
 // storeAfter is when to come back to a server whose store does not record that an intake is about to run.
-const storeAfter = micro.Second
+const storeAfter = microtime.Second
 
 // UseExecutionStore has every intake recorded before it runs, and its result before its answer goes out.
 func (c *Core) UseExecutionStore(r ExecutionStore) { c.recorder = r }
@@ -63,7 +63,7 @@
 	}
 	e := &keyEntry{
 		name: idempotencyKey{in.Tenant, in.IdempotencyKey}, class: in.Class, kept: true, ran: true, at: in.ArrivedAt, over: true, end: RunSucceeded,
-		result: in.Result, restored: true, expires: in.ArrivedAt + micro.FromDuration(c.settings.Classes[in.Class].RetentionWindow),
+		result: in.Result, restored: true, expires: in.ArrivedAt + microtime.FromDuration(c.settings.Classes[in.Class].RetentionWindow),
 	}
 	c.keys.byName[e.name] = e
 }
@@ -72,7 +72,7 @@
 // ran is not known until its window is over. Guards it against a second run: the life before may have been killed in between.
 func (c *Core) RestoreLease(in KeyedRequest) {
 	if in.Class >= 0 && in.Class < len(c.settings.Classes) {
-		c.aside(in, handover.Indeterminate)
+		c.aside(in, handoff.Indeterminate)
 	}
 }
 
@@ -130,7 +130,7 @@
 			q.state = held
 			c.arrive(q)
 		case l.Verdict == VerdictSucceeded:
-			e = c.aside(in, handover.Free)
+			e = c.aside(in, handoff.Free)
 			e.ran, e.over, e.end, e.result, e.at, e.expires = true, true, RunSucceeded, l.Result, l.ArrivedAt, l.ArrivedAt+c.window(q.Class)
 			c.ready = append(c.ready, due{q, e.answer()})
 		case l.Verdict == VerdictFailed:
--- a/internal/routing/record_test.go
+++ b/internal/dispatch/record_test.go
@@ -1,4 +1,4 @@
-package routing
+package dispatch
 
 import (
 	"errors"
@@ -8,14 +8,14 @@
 	"github.com/stretchr/testify/require"
 
 	"pewterline/control"
-	"pewterline/internal/micro"
+	"pewterline/internal/microtime"
 )
 
 // bench is a core with a runner and a recorder that the test plays.
 type bench struct {
 	t        *testing.T
 	core     *Core
-	now      micro.Time
+	now      microtime.Time
 	started  []string
 	recorded []KeyedRequest
 	done     []func(error)
@@ -56,7 +56,7 @@
 }
 
 func newBench(t *testing.T) *bench {
-	b := &bench{t: t, now: 100 * micro.Second}
+	b := &bench{t: t, now: 100 * microtime.Second}
 	var err error
 	b.core, err = New(control.Settings{Cores: 2, MaxRetryAfter: time.Second, Classes: []control.Class{
 		{Name: "view", LatencyObjective: time.Second, Deadline: 4 * time.Second, Weight: 1},
@@ -117,8 +117,8 @@
 // After a restart a repeat gets the recorded result, without a run; past its window the key is new.
 func TestRestore(t *testing.T) {
 	b := newBench(t)
-	b.core.Restore(KeyedRequest{Class: 1, IdempotencyKey: "k1", ArrivedAt: b.now - 5*micro.Second, Result: []byte("lot")})
-	b.core.Restore(KeyedRequest{Class: 1, IdempotencyKey: "k2", ArrivedAt: b.now - 14*micro.Second, Result: []byte("old")})
+	b.core.Restore(KeyedRequest{Class: 1, IdempotencyKey: "k1", ArrivedAt: b.now - 5*microtime.Second, Result: []byte("lot")})
+	b.core.Restore(KeyedRequest{Class: 1, IdempotencyKey: "k2", ArrivedAt: b.now - 14*microtime.Second, Result: []byte("old")})
 	repeat, _ := b.try("k1")
 	require.Equal(t, []Response{{Status: StatusSucceeded, Result: []byte("lot")}}, repeat.got)
 	require.Empty(t, b.started)
@@ -133,14 +133,14 @@
 func TestWindowCountsFromTheTryThatRan(t *testing.T) {
 	b := newBench(t)
 	_, one := b.try("k1")
-	b.now += 3 * micro.Second
+	b.now += 3 * microtime.Second
 	second, two := b.try("k1")
 	b.core.RunFinished(one, RunNotStarted, nil)
 	require.Equal(t, []string{one, two}, b.started)
 	b.core.RunFinished(two, RunSucceeded, []byte("lot"))
 	b.step()
 	require.Equal(t, StatusSucceeded, second.got[0].Status)
-	b.now += 12 * micro.Second // 15 s after the first try, 12 s after the one that ran
+	b.now += 12 * microtime.Second // 15 s after the first try, 12 s after the one that ran
 	late, _ := b.try("k1")
 	require.Equal(t, StatusSucceeded, late.got[0].Status)
 	require.Len(t, b.started, 2)
@@ -172,7 +172,7 @@
 	b.step()
 	require.Equal(t, StatusSucceeded, again.got[0].Status)
 	late, _ := b.try("k3")
-	b.now += 5 * micro.Second
+	b.now += 5 * microtime.Second
 	b.step()
 	require.NotEmpty(t, late.got, "past its deadline")
 	b.begin[3](LeaseResult{})
@@ -186,11 +186,11 @@
 func TestIntentOfAnEarlierLife(t *testing.T) {
 	b := newBench(t)
 	b.core.UseExecutionStore(b)
-	b.core.RestoreLease(KeyedRequest{Class: 1, IdempotencyKey: "k1", ArrivedAt: b.now - 5*micro.Second})
+	b.core.RestoreLease(KeyedRequest{Class: 1, IdempotencyKey: "k1", ArrivedAt: b.now - 5*microtime.Second})
 	repeat, _ := b.try("k1")
 	require.Equal(t, []Response{notKnown}, repeat.got)
 	require.Empty(t, b.started)
-	b.now += 9 * micro.Second
+	b.now += 9 * microtime.Second
 	_, _ = b.try("k1")
 	require.Len(t, b.started, 1, "its window is over")
 }
@@ -206,7 +206,7 @@
 		leave LeaseResult
 		want  Response
 	}{
-		{LeaseResult{Verdict: VerdictSucceeded, ArrivedAt: b.now - micro.Second, Result: result}, Response{Status: StatusSucceeded, Result: result}},
+		{LeaseResult{Verdict: VerdictSucceeded, ArrivedAt: b.now - microtime.Second, Result: result}, Response{Status: StatusSucceeded, Result: result}},
 		{LeaseResult{Verdict: VerdictFailed}, Response{Status: StatusFailed, Reason: "the run failed"}},
 		{LeaseResult{Verdict: VerdictIndeterminate}, notKnown},
 		{LeaseResult{Verdict: VerdictUnavailable}, notKnown},
@@ -258,7 +258,7 @@
 	b.word = nil
 	// Whoever waits for a word that never comes is answered when due, once.
 	late, _ := b.try("late")
-	b.now += 5 * micro.Second
+	b.now += 5 * microtime.Second
 	b.step()
 	require.Equal(t, StatusExpired, late.got[0].Status)
 	b.found[9](LeaseResult{Verdict: VerdictSucceeded, ArrivedAt: b.now, Result: result})
@@ -272,7 +272,7 @@
 	b := newBench(t)
 	b.core.UseExecutionStore(b)
 	_, first := b.try("k")
-	b.now += 100 * micro.Millisecond
+	b.now += 100 * microtime.Millisecond
 	second, id := b.try("k")
 	require.Len(t, b.intended, 1)
 	b.core.RunFinished(first, RunNotStarted, nil)
--- a/internal/routing/retune.go
+++ b/internal/dispatch/retune.go
@@ -1,10 +1,10 @@
-package routing
+package dispatch
 
 import (
 	"fmt"
 
 	"pewterline/control"
-	"pewterline/internal/decide/retune"
+	"pewterline/internal/decide/reload"
 )
 
 // namesMost bounds the counts that are kept of classes that are gone.
@@ -24,10 +24,10 @@
 	var err error
 	now := c.settings
 	placed := next
-	if placed.Classes, err = retune.PlaceClasses(now.Classes, next.Classes, func(i int) bool { return !held[i] && !busy(i) }); err != nil {
+	if placed.Classes, err = reload.PlaceClasses(now.Classes, next.Classes, func(i int) bool { return !held[i] && !busy(i) }); err != nil {
 		return now, fmt.Errorf("routing: %w", err)
 	}
-	if placed.Tenants, err = retune.PlaceTenants(now.Tenants, next.Tenants); err != nil {
+	if placed.Tenants, err = reload.PlaceTenants(now.Tenants, next.Tenants); err != nil {
 		return now, fmt.Errorf("routing: %w", err)
 	}
 	if len(c.byName)+len(next.Classes) > namesMost {
