--- a/internal/routing/routing.go
+++ b/internal/dispatch/routing.go
@@ -1,17 +1,17 @@
-// Package routing is the core of the program. It knows no wire: fronts hand it requests, runners tell it of
+// Package dispatch is the core of the program. It knows no wire: fronts hand it requests, runners tell it of
 // runs, and it turns both into events of the decision module and the module's actions into calls on small
 // interfaces. It keeps the table of requests, the once-keys with their results, the due times and the health.
 //
 // Everything here runs on the event loop; nothing is safe for concurrent use.
-package routing
+package dispatch
 
 import (
 	"fmt"
 	"slices"
 
 	"pewterline/control"
-	"pewterline/internal/decide/handover"
-	"pewterline/internal/micro"
+	"pewterline/internal/decide/handoff"
+	"pewterline/internal/microtime"
 	"pewterline/internal/planted"
 )
 
@@ -30,9 +30,9 @@
 type Response struct {
 	Status     Status
 	Result     []byte
-	RetryAfter micro.Time // Refused: how long to stay away; 0 = no advice
-	NoRetry    bool       // Refused: no other server should be tried
-	Reason     string     // Failed, Expired
+	RetryAfter microtime.Time // Refused: how long to stay away; 0 = no advice
+	NoRetry    bool           // Refused: no other server should be tried
+	Reason     string         // Failed, Expired
 }
 
 // Responder gives a request's answer to its caller. It is called at most once.
@@ -47,10 +47,10 @@
 	Tenant         int
 	IdempotencyKey string // keyed classes: the same for all tries of one request
 	SubjectKey     uint64 // its subject; 0 = none
-	ArrivedAt      micro.Time
+	ArrivedAt      microtime.Time
 	// AtMilli is At as the caller gave it, in Unix milliseconds; 0: it gave none. Servers whose clocks differ agree on it.
 	ArrivedAtUnixMilli int64
-	CostHint           micro.Time // the work to expect, on one core; rough; 0 = not told
+	CostHint           microtime.Time // the work to expect, on one core; rough; 0 = not told
 	QueuedKB           float64
 	Rank               float64
 	Retry              bool
@@ -64,8 +64,8 @@
 	ID         string
 	Class      string
 	Body       []byte
-	AtMostOnce bool       // it must not be run twice: of a keyed class, or of one whose requests run once
-	Deadline   micro.Time // by then nobody waits for its end any more
+	AtMostOnce bool           // it must not be run twice: of a keyed class, or of one whose requests run once
+	Deadline   microtime.Time // by then nobody waits for its end any more
 	// Request is what it came from, for runners that pass it on. It is not to be changed.
 	Request *Request
 }
@@ -107,8 +107,8 @@
 type request struct {
 	Request
 	id       control.RequestID
-	read     micro.Time
-	after    micro.Time // of a runner's refusal
+	read     microtime.Time
+	after    microtime.Time // of a runner's refusal
 	last     bool
 	state    state
 	answered bool // its caller has the answer, or has left
@@ -127,7 +127,7 @@
 	logf     func(format string, args ...any)
 	begun    bool
 	learned  *control.LearnedState // by a predecessor; nil: there was none
-	now      micro.Time
+	now      microtime.Time
 
 	lastID  control.RequestID
 	live    map[control.RequestID]*request
@@ -137,24 +137,24 @@
 	events  []control.Event
 	ready   []due       // to be answered in the next step, without the module
 	other   PeerProcess // nil: this process is alone
-	role    handover.Role
+	role    handoff.Role
 	parked  []*request // wait for the other process, oldest first
 	wakes   []wake
 	gauges  control.Gauges
 	figures []*Counters // by class; those of one name are the same
 	byName  map[string]*Counters
 	drained bool
-	drainAt micro.Time
+	drainAt microtime.Time
 
 	good      bool
-	badSince  micro.Time // where it is not good
+	badSince  microtime.Time // where it is not good
 	say       float64
 	saying    bool
-	idleAfter micro.Time
+	idleAfter microtime.Time
 }
 
 type wake struct {
-	at   micro.Time
+	at   microtime.Time
 	mark uint64
 }
 
@@ -179,7 +179,7 @@
 
 // Start starts the decision module, whose machine has been up for age; cold says that it started cold. Only
 // the first call counts. The module dates the machine's start by its first step, so that step is dated back.
-func (c *Core) Start(now, age micro.Time, cold bool) {
+func (c *Core) Start(now, age microtime.Time, cold bool) {
 	if c.begun {
 		return
 	}
@@ -203,7 +203,7 @@
 }
 
 // doubtMost is how long the module may take its machine for sick before callers hear of it.
-const doubtMost = 250 * micro.Millisecond
+const doubtMost = 250 * microtime.Millisecond
 
 // Healthy is the answer to health checks and reports. Guards the server list against a doubt of a moment: callers
 // see a change a second or two late, and would stay away for as long. The notice to leave is told at once.
@@ -213,7 +213,7 @@
 func (c *Core) AdvertisedValue() (float64, bool) { return c.say, c.saying }
 
 // IdleTimeout is how long an idle connection may stay; 0 = no wish.
-func (c *Core) IdleTimeout() micro.Time { return c.idleAfter }
+func (c *Core) IdleTimeout() microtime.Time { return c.idleAfter }
 
 // OpenRequests counts the requests that are owed an answer.
 func (c *Core) OpenRequests() int { return c.open }
@@ -223,7 +223,7 @@
 
 // Submit takes a request that a front has read. The returned ID is for GiveUp; the answer comes by Reply,
 // never before Submit returns.
-func (c *Core) Submit(now micro.Time, r Request) (control.RequestID, error) {
+func (c *Core) Submit(now microtime.Time, r Request) (control.RequestID, error) {
 	switch {
 	case r.Class < 0 || r.Class >= len(c.settings.Classes):
 		return 0, fmt.Errorf("class: none of that number")
@@ -284,7 +284,7 @@
 }
 
 // Drain is the notice to leave, which came at a time up to now: the process is stopped at stop.
-func (c *Core) Drain(now, at, stop micro.Time) {
+func (c *Core) Drain(now, at, stop microtime.Time) {
 	if c.drained {
 		return
 	}
@@ -296,11 +296,11 @@
 }
 
 // NextWakeup is when Step has something to do, whatever arrives before that.
-func (c *Core) NextWakeup() micro.Time {
+func (c *Core) NextWakeup() microtime.Time {
 	if len(c.events)+len(c.ready) > 0 {
 		return c.now
 	}
-	due := micro.Never
+	due := microtime.Never
 	for _, w := range c.wakes {
 		due = min(due, w.at)
 	}
@@ -311,7 +311,7 @@
 }
 
 // Step hands all that has come in since the last step to the decision module, and carries out its actions.
-func (c *Core) Step(now micro.Time) {
+func (c *Core) Step(now microtime.Time) {
 	c.now = now
 	if !c.begun {
 		return
@@ -345,7 +345,7 @@
 	}
 }
 
-func (c *Core) carryOut(now micro.Time, actions []control.Action) {
+func (c *Core) carryOut(now microtime.Time, actions []control.Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case control.Start:
@@ -357,12 +357,12 @@
 		case control.Preempt:
 			c.pause(c.live[a.ID])
 		case control.Call:
-			c.makeCall(c.live[a.ID], micro.FromDuration(a.Timeout))
+			c.makeCall(c.live[a.ID], microtime.FromDuration(a.Timeout))
 		case control.SkipCall:
 			c.skipCall(c.live[a.ID])
 		case control.RetainKey:
 			if r := c.live[a.ID]; r != nil && r.key != nil {
-				c.keys.keep(r, now+micro.FromDuration(a.TTL))
+				c.keys.keep(r, now+microtime.FromDuration(a.TTL))
 			}
 		case control.ReleaseKey:
 			c.keys.drop(a.ID)
@@ -376,9 +376,9 @@
 		case control.SetLoadSignal:
 			c.say, c.saying = a.Value, true
 		case control.CloseIdleConnections:
-			c.idleAfter = micro.FromDuration(a.IdleTimeout)
+			c.idleAfter = microtime.FromDuration(a.IdleTimeout)
 		case control.ScheduleTick:
-			c.wakes = append(c.wakes, wake{now + micro.FromDuration(a.After), a.Token})
+			c.wakes = append(c.wakes, wake{now + microtime.FromDuration(a.After), a.Token})
 		case control.Log:
 			c.logf("control: %s", a.Text)
 		default:
@@ -399,7 +399,7 @@
 		return
 	}
 	r.state = running
-	if r.key != nil && c.other != nil && c.role == handover.Owner {
+	if r.key != nil && c.other != nil && c.role == handoff.Owner {
 		c.other.NotifyStarted(r.key.intake()) // before it begins: what the other knows outlives this process
 	}
 	c.launch(r)
@@ -410,7 +410,7 @@
 	k := c.settings.Classes[r.Class]
 	c.figures[r.Class].Attempts++
 	c.runner.Start(Run{ID: r.RunID, Class: k.Name, Body: r.Body, AtMostOnce: k.Idempotency != control.Idempotent,
-		Deadline: r.ArrivedAt + micro.FromDuration(max(k.Deadline, k.RetentionWindow)), Request: &r.Request})
+		Deadline: r.ArrivedAt + microtime.FromDuration(max(k.Deadline, k.RetentionWindow)), Request: &r.Request})
 }
 
 func (c *Core) refuse(r *request, a control.Reject) {
@@ -422,24 +422,24 @@
 		c.forget(r)
 		return
 	}
-	c.answer(r, Response{Status: StatusRejected, RetryAfter: micro.FromDuration(a.RetryAfter), NoRetry: a.NoRetry})
+	c.answer(r, Response{Status: StatusRejected, RetryAfter: microtime.FromDuration(a.RetryAfter), NoRetry: a.NoRetry})
 	c.forget(r)
 }
 
 // lateBy is how far before its due time a failed request still counts as expired: the module fails what nears
 // its due time a little ahead of it.
-const lateBy = 100 * micro.Millisecond
+const lateBy = 100 * microtime.Millisecond
 
-func (c *Core) fail(now micro.Time, r *request) {
+func (c *Core) fail(now microtime.Time, r *request) {
 	if r == nil {
 		return
 	}
 	a := Response{Status: StatusFailed, Reason: "given up"}
-	if now >= r.ArrivedAt+micro.FromDuration(c.settings.Classes[r.Class].Deadline)-lateBy {
+	if now >= r.ArrivedAt+microtime.FromDuration(c.settings.Classes[r.Class].Deadline)-lateBy {
 		a = Response{Status: StatusExpired, Reason: "past its deadline"}
 	}
 	if planted.Bug(planted.RefuseRun) && r.state.started() {
-		a = Response{Status: StatusRejected, RetryAfter: micro.Second}
+		a = Response{Status: StatusRejected, RetryAfter: microtime.Second}
 	}
 	c.answer(r, a)
 	if !r.state.started() {
@@ -489,7 +489,7 @@
 		c.finish(r, end, result)
 	case end == RunIndeterminate:
 		// A repeat is passed to the runner again, which alone knows where it may have run and can ask there.
-		c.keys.doubt(k, r.ArrivedAt+micro.FromDuration(c.settings.Classes[r.Class].RetentionWindow))
+		c.keys.doubt(k, r.ArrivedAt+microtime.FromDuration(c.settings.Classes[r.Class].RetentionWindow))
 		c.conclude(k, r, end, nil)
 	case end == RunNotStarted || end == RunUnsupported || end == RunRejected:
 		if !c.passOn(r, end) {
@@ -514,12 +514,12 @@
 
 // RunDeclined says that a run was turned away and never started anywhere: it ends as a refusal, with advice when to come
 // back, cut to what the settings allow.
-func (c *Core) RunDeclined(id string, after micro.Time, last bool) {
+func (c *Core) RunDeclined(id string, after microtime.Time, last bool) {
 	r := c.runs[id]
 	if r == nil {
 		return
 	}
-	r.after, r.last = min(after, micro.FromDuration(c.settings.MaxRetryAfter)), last
+	r.after, r.last = min(after, microtime.FromDuration(c.settings.MaxRetryAfter)), last
 	c.RunFinished(id, RunRejected, nil)
 }
 
@@ -567,7 +567,7 @@
 
 // mayStart says that r may still be run, as far as the notice to leave goes.
 func (c *Core) mayStart(r *request) bool {
-	return !c.drained || r.read <= c.drainAt+micro.FromDuration(c.settings.DrainGrace) || planted.Bug(planted.PassLate)
+	return !c.drained || r.read <= c.drainAt+microtime.FromDuration(c.settings.DrainGrace) || planted.Bug(planted.PassLate)
 }
 
 // finish ends a run or a wait: the answer goes out and the module hears of it.
--- a/internal/front/ajpfront/front.go
+++ b/internal/frontend/ajpfrontend/front.go
@@ -1,18 +1,18 @@
-// Package ajpfront is the front for web servers that speak AJP 1.3.
-package ajpfront
+// Package ajpfrontend is the front for web servers that speak AJP 1.3.
+package ajpfrontend
 
 import (
 	"pewterline/control"
 	"pewterline/internal/config"
-	"pewterline/internal/front"
-	"pewterline/internal/micro"
-	"pewterline/internal/ordered"
+	"pewterline/internal/frontend"
+	"pewterline/internal/microtime"
+	"pewterline/internal/orderedset"
 	"pewterline/internal/transport"
 )
 
 // Server is what this front needs of the log server: a request may leave out what a web server does not know.
 type Server interface {
-	front.Server
+	frontend.Server
 	// Rand draws a number, which need not be secret.
 	Rand() uint64
 	// Classes are the settings' classes, by place.
@@ -23,7 +23,7 @@
 type Frontend struct {
 	server   Server
 	config   config.AJP
-	sessions ordered.Set[*session]
+	sessions orderedset.Set[*session]
 }
 
 // New returns a front without connections.
@@ -45,8 +45,8 @@
 func (f *Frontend) Len() int { return f.sessions.Len() }
 
 // ExpireTimeouts ends the waits whose time is over; it returns when the next one's is.
-func (f *Frontend) ExpireTimeouts(now micro.Time) micro.Time {
-	next := micro.Never
+func (f *Frontend) ExpireTimeouts(now microtime.Time) microtime.Time {
+	next := microtime.Never
 	for _, s := range f.sessions.Items() {
 		next = min(next, s.check(now))
 	}
--- a/internal/front/ajpfront/session.go
+++ b/internal/frontend/ajpfrontend/session.go
@@ -1,4 +1,4 @@
-package ajpfront
+package ajpfrontend
 
 import (
 	"crypto/subtle"
@@ -7,11 +7,11 @@
 	"strings"
 
 	"pewterline/control"
-	"pewterline/internal/front"
-	"pewterline/internal/micro"
-	"pewterline/internal/ordered"
+	"pewterline/internal/dispatch"
+	"pewterline/internal/frontend"
+	"pewterline/internal/microtime"
+	"pewterline/internal/orderedset"
 	"pewterline/internal/protocol/ajp"
-	"pewterline/internal/routing"
 	"pewterline/internal/transport"
 )
 
@@ -19,17 +19,17 @@
 // the class and the tenant may be left out; the once-key only where the class is not keyed. The class may also be the last part
 // of the path.
 const (
-	headerFreeValue = front.HeaderPrefix + "Say"
-	headerAfter     = front.HeaderPrefix + "After-Ms"
-	headerLast      = front.HeaderPrefix + "Last"
+	headerFreeValue = frontend.HeaderPrefix + "Say"
+	headerAfter     = frontend.HeaderPrefix + "After-Ms"
+	headerLast      = frontend.HeaderPrefix + "Last"
 )
 
 const healthPath = "/health"
 
 const (
-	defaultHeldKB = 32                // of the 13 to 63 kB that a held request takes on the platform
-	idleTimeout   = 60 * micro.Second // of a kept connection
-	maxPipelined  = 64 << 10          // bytes that may wait behind a request in hand
+	defaultHeldKB = 32                    // of the 13 to 63 kB that a held request takes on the platform
+	idleTimeout   = 60 * microtime.Second // of a kept connection
+	maxPipelined  = 64 << 10              // bytes that may wait behind a request in hand
 )
 
 // phase is what a connection waits for.
@@ -44,14 +44,14 @@
 
 // session is one connection. It has one request at a time.
 type session struct {
-	ordered.Position
+	orderedset.Position
 	front   *Frontend
 	conn    transport.Conn
 	phase   phase
 	request ajp.Request
 	body    []byte
-	readAt  micro.Time // of the head of the request in hand
-	due     micro.Time // for a body, for the peer's close, or for the end of idleness
+	readAt  microtime.Time // of the head of the request in hand
+	due     microtime.Time // for a body, for the peer's close, or for the end of idleness
 	id      control.RequestID
 	closed  bool
 	scratch []byte
@@ -180,16 +180,16 @@
 }
 
 // check ends a wait whose time is over; it returns when the next one's is.
-func (s *session) check(now micro.Time) micro.Time {
+func (s *session) check(now microtime.Time) microtime.Time {
 	switch {
 	case s.phase == awaitAnswer:
-		return micro.Never
+		return microtime.Never
 	case now < s.due:
 	case s.phase == awaitBody:
 		s.refuse(408, "the body did not come in time")
 	default:
 		s.conn.Close()
-		return micro.Never
+		return microtime.Never
 	}
 	return s.due
 }
@@ -217,11 +217,11 @@
 }
 
 // readRequest reads the headers as Thrift's fields, with values for those that a web front end does not know.
-func (s *session) readRequest() (routing.Request, error) {
+func (s *session) readRequest() (dispatch.Request, error) {
 	server := s.front.server
 	now := server.Now()
-	r, err := front.ReadRequest(server, func(field string) string {
-		if value := strings.TrimSpace(s.request.Header(front.HeaderPrefix + field)); value != "" {
+	r, err := frontend.ReadRequest(server, func(field string) string {
+		if value := strings.TrimSpace(s.request.Header(frontend.HeaderPrefix + field)); value != "" {
 			return value
 		}
 		return s.defaultField(field)
@@ -229,13 +229,13 @@
 	if err != nil {
 		return r, err
 	}
-	if s.request.Header(front.HeaderPrefix+"at") == "" {
+	if s.request.Header(frontend.HeaderPrefix+"at") == "" {
 		r.ArrivedAt = s.readAt
 	}
 	// What is far in the past could only be a front end's wrong clock, and would be refused unseen.
 	classes := server.Classes()
-	r.ArrivedAt = max(r.ArrivedAt, now-micro.FromDuration(classes[r.Class].Deadline))
-	if s.request.Header(front.HeaderPrefix+"rank") == "" {
+	r.ArrivedAt = max(r.ArrivedAt, now-microtime.FromDuration(classes[r.Class].Deadline))
+	if s.request.Header(frontend.HeaderPrefix+"rank") == "" {
 		r.Rank = middleRank(classes, r.Class)
 	}
 	r.Body, r.Responder = s.body, s
@@ -258,17 +258,17 @@
 }
 
 // Respond is part of routing.Replier.
-func (s *session) Respond(answer routing.Response) {
+func (s *session) Respond(answer dispatch.Response) {
 	if s.closed || s.phase != awaitAnswer {
 		return
 	}
 	s.phase = awaitRequest
 	switch answer.Status {
-	case routing.StatusSucceeded:
+	case dispatch.StatusSucceeded:
 		s.respond(200, []ajp.Header{{Name: "Content-Type", Value: "application/octet-stream"}}, answer.Result, true)
-	case routing.StatusRejected:
+	case dispatch.StatusRejected:
 		s.respond(503, adviceHeaders(answer), []byte("turned away; it never ran\n"), true)
-	case routing.StatusExpired:
+	case dispatch.StatusExpired:
 		s.respond(504, nil, []byte(answer.Reason+"\n"), true)
 	default:
 		s.respond(502, nil, []byte(answer.Reason+"\n"), true)
@@ -278,8 +278,8 @@
 
 // adviceHeaders tell when to come back, and whether another server should be tried. A front end that knows no more than HTTP must
 // not come back at once, so there is always a time.
-func adviceHeaders(answer routing.Response) []ajp.Header {
-	wait := max(front.CeilMilliseconds(answer.RetryAfter), 1)
+func adviceHeaders(answer dispatch.Response) []ajp.Header {
+	wait := max(frontend.CeilMilliseconds(answer.RetryAfter), 1)
 	headers := []ajp.Header{
 		{Name: "Retry-After", Value: strconv.FormatInt((wait+999)/1000, 10)},
 		{Name: headerAfter, Value: strconv.FormatInt(wait, 10)},
@@ -314,7 +314,7 @@
 // input unread would throw the response away.
 func (s *session) respond(status int, headers []ajp.Header, body []byte, keep bool) {
 	server := s.front.server
-	if text, known := front.AdmissionLevelText(server); known {
+	if text, known := frontend.AdmissionLevelText(server); known {
 		headers = append(headers, ajp.Header{Name: headerFreeValue, Value: text})
 	}
 	headers = append(headers, ajp.Header{Name: "Content-Length", Value: strconv.Itoa(len(body))})
@@ -323,6 +323,6 @@
 	s.write(ajp.AppendEndResponse(ajp.AppendResponseBody(out, body), keep))
 	s.phase, s.due = awaitRequest, server.Now()+idleTimeout
 	if !keep {
-		s.phase, s.due = awaitClose, server.Now()+front.LingerTimeout
+		s.phase, s.due = awaitClose, server.Now()+frontend.LingerTimeout
 	}
 }
--- a/internal/front/request.go
+++ b/internal/frontend/request.go
@@ -1,4 +1,4 @@
-package front
+package frontend
 
 import (
 	"fmt"
@@ -6,21 +6,21 @@
 	"strconv"
 	"strings"
 
-	"pewterline/internal/micro"
-	"pewterline/internal/routing"
+	"pewterline/internal/dispatch"
+	"pewterline/internal/microtime"
 )
 
 // The bounds of a request's fields.
 const (
-	maxClockLead            = 10 * micro.Second  // that a request's own time may be ahead of ours
-	maxAge                  = 600 * micro.Second // beyond any deadline and window; what came before that came then
+	maxClockLead            = 10 * microtime.Second  // that a request's own time may be ahead of ours
+	maxAge                  = 600 * microtime.Second // beyond any deadline and window; what came before that came then
 	attemptIDDigits         = 16
-	maxIdempotencyKeyLength = 128                             // characters of a once-key
-	maxCost                 = micro.Time(3600) * micro.Second // of the work that a request may be said to take; more is taken for it
+	maxIdempotencyKeyLength = 128                                     // characters of a once-key
+	maxCost                 = microtime.Time(3600) * microtime.Second // of the work that a request may be said to take; more is taken for it
 )
 
 // ReadRequest reads the fields that all fronts share; get returns "" for one that is absent. The error names the field.
-func ReadRequest(server Server, get func(field string) string) (r routing.Request, err error) {
+func ReadRequest(server Server, get func(field string) string) (r dispatch.Request, err error) {
 	if err = readOwner(&r, server, get); err != nil {
 		return r, err
 	}
@@ -34,7 +34,7 @@
 }
 
 // readOwner reads the class and the tenant.
-func readOwner(r *routing.Request, server Server, get func(string) string) error {
+func readOwner(r *dispatch.Request, server Server, get func(string) string) error {
 	var known bool
 	if r.Class, known = server.Class(get("class")); !known {
 		return fmt.Errorf("%w %q", ErrUnknownClass, get("class"))
@@ -46,7 +46,7 @@
 }
 
 // readAttempt reads what names the try, when it was sent and by whom.
-func readAttempt(r *routing.Request, server Server, get func(string) string) error {
+func readAttempt(r *dispatch.Request, server Server, get func(string) string) error {
 	if r.RunID = get("id"); !isHex(r.RunID, attemptIDDigits) {
 		return fmt.Errorf("id: %q is not %d hex digits", r.RunID, attemptIDDigits)
 	}
@@ -69,7 +69,7 @@
 }
 
 // readSize reads the memory and the work to expect, and the rank.
-func readSize(r *routing.Request, get func(string) string) (err error) {
+func readSize(r *dispatch.Request, get func(string) string) (err error) {
 	if r.QueuedKB, err = parseDecimal(get("kb")); err != nil {
 		return fmt.Errorf("kb: %q is not a number", get("kb"))
 	}
@@ -89,7 +89,7 @@
 }
 
 // readIdempotencyKey reads what the request is about and its once-key.
-func readIdempotencyKey(r *routing.Request, get func(string) string) (err error) {
+func readIdempotencyKey(r *dispatch.Request, get func(string) string) (err error) {
 	if key := get("key"); key != "" {
 		if r.SubjectKey, err = strconv.ParseUint(key, 16, 64); err != nil {
 			return fmt.Errorf("key: %q is not a hex number", key)
@@ -102,12 +102,12 @@
 }
 
 // parseCost reads the work to expect, in milliseconds on one core.
-func parseCost(text string) (micro.Time, error) {
+func parseCost(text string) (microtime.Time, error) {
 	ms, err := parseDecimal(text)
 	if err != nil {
 		return 0, fmt.Errorf("cost: %q is not a number of milliseconds", text)
 	}
-	return micro.Time(math.Min(ms*float64(micro.Millisecond), float64(maxCost))), nil
+	return microtime.Time(math.Min(ms*float64(microtime.Millisecond), float64(maxCost))), nil
 }
 
 // parseDecimal reads digits with at most one point among them: no sign, exponent or word, which ParseFloat takes too.
--- a/internal/front/request_test.go
+++ b/internal/frontend/request_test.go
@@ -1,4 +1,4 @@
-package front
+package frontend
 
 import (
 	"strings"
@@ -6,14 +6,16 @@
 
 	"github.com/stretchr/testify/require"
 
-	"pewterline/internal/micro"
+	"pewterline/internal/microtime"
 )
 
 // testServer knows one class and no tenants, at a time of one second.
 type testServer struct{ Server }
 
-func (testServer) Now() micro.Time                         { return micro.Second }
-func (testServer) FromUnixMilli(ms int64) micro.Time       { return micro.Time(ms) * micro.Millisecond }
+func (testServer) Now() microtime.Time { return microtime.Second }
+func (testServer) FromUnixMilli(ms int64) microtime.Time {
+	return microtime.Time(ms) * microtime.Millisecond
+}
 func (testServer) Class(name string) (place int, ok bool)  { return 3, name == "block-view" }
 func (testServer) Tenant(name string) (place int, ok bool) { return 0, true }
 
@@ -30,8 +32,8 @@
 		field, value string
 		want         any
 	}{
-		{"class", "block-view", 3}, {"at", "900", 900 * micro.Millisecond}, {"at", "11000", micro.Second}, // ahead: it came now
-		{"at", "0", micro.Time(0)}, {"cost", "", micro.Time(0)}, {"cost", "12.5", micro.Time(12500)},
+		{"class", "block-view", 3}, {"at", "900", 900 * microtime.Millisecond}, {"at", "11000", microtime.Second}, // ahead: it came now
+		{"at", "0", microtime.Time(0)}, {"cost", "", microtime.Time(0)}, {"cost", "12.5", microtime.Time(12500)},
 		{"cost", "99999999999", maxCost}, {"rank", "1", 0.9999999999999999}, {"key", "ff", uint64(255)},
 		{"once", strings.Repeat("k", maxIdempotencyKeyLength), maxIdempotencyKeyLength}, {"retry", "1", true}, {"retry", "yes", false},
 	} {
--- a/internal/front/thriftfront/session.go
+++ b/internal/frontend/thriftfrontend/session.go
@@ -1,4 +1,4 @@
-package thriftfront
+package thriftfrontend
 
 import (
 	"errors"
@@ -8,12 +8,12 @@
 	"strconv"
 
 	"pewterline/control"
-	"pewterline/internal/front"
-	"pewterline/internal/micro"
-	"pewterline/internal/ordered"
+	"pewterline/internal/dispatch"
+	"pewterline/internal/frontend"
+	"pewterline/internal/microtime"
+	"pewterline/internal/orderedset"
 	"pewterline/internal/planted"
 	"pewterline/internal/protocol/thrift"
-	"pewterline/internal/routing"
 	"pewterline/internal/transport"
 )
 
@@ -36,14 +36,14 @@
 
 // session is one connection.
 type session struct {
-	ordered.Position
+	orderedset.Position
 	front        *Frontend
 	conn         transport.Conn
 	open         map[int32]control.RequestID // by sequence number
 	checks       int                         // deep health checks that wait for their answer
 	highestSeq   int32
-	faults       int        // messages that made no sense since the last that did
-	lastActive   micro.Time // of the last request or answer
+	faults       int            // messages that made no sense since the last that did
+	lastActive   microtime.Time // of the last request or answer
 	farewellSent bool
 	closed       bool
 	scratch      []byte
@@ -55,7 +55,7 @@
 	s.conn.Write(message)
 }
 
-func (s *session) sendFarewell(now micro.Time) {
+func (s *session) sendFarewell(now microtime.Time) {
 	if s.farewellSent {
 		return
 	}
@@ -188,7 +188,7 @@
 	}
 	s.sendException(m, thrift.ExceptionProtocolError, err)
 	// Guards what else is open on the connection: an unknown class is not the peer's fault.
-	if errors.Is(err, front.ErrUnknownClass) {
+	if errors.Is(err, frontend.ErrUnknownClass) {
 		s.faults--
 	}
 	return nil
@@ -214,7 +214,7 @@
 	} else if len(m.Body) > maxBody {
 		return fmt.Errorf("body of %d bytes is over %d", len(m.Body), maxBody)
 	}
-	request, err := front.ReadRequest(s.front.server, func(field string) string { return m.Fields[field] })
+	request, err := frontend.ReadRequest(s.front.server, func(field string) string { return m.Fields[field] })
 	if err != nil {
 		return err
 	}
@@ -230,7 +230,7 @@
 
 // answerFields are the fields that go with every answer.
 func (s *session) answerFields() (fields []thrift.Field) {
-	if text, known := front.AdmissionLevelText(s.front.server); known {
+	if text, known := frontend.AdmissionLevelText(s.front.server); known {
 		fields = append(fields, thrift.Field{Name: "say", Value: text})
 	}
 	return fields
@@ -243,7 +243,7 @@
 }
 
 // Respond is part of routing.Replier.
-func (r *replier) Respond(answer routing.Response) {
+func (r *replier) Respond(answer dispatch.Response) {
 	s := r.session
 	if s.closed {
 		return
@@ -252,9 +252,9 @@
 	s.lastActive = s.front.server.Now()
 	fields := s.answerFields()
 	switch answer.Status {
-	case routing.StatusSucceeded:
+	case dispatch.StatusSucceeded:
 		s.write(thrift.AppendAnswer(s.scratch[:0], "process", r.seq, answer.Result, fields, true))
-	case routing.StatusRejected:
+	case dispatch.StatusRejected:
 		s.write(thrift.AppendThrottled(s.scratch[:0], r.seq, appendAdvice(fields, answer)))
 	default:
 		s.write(thrift.AppendBroken(s.scratch[:0], r.seq, fields))
@@ -262,9 +262,9 @@
 }
 
 // appendAdvice adds when to come back, and whether another server should be tried.
-func appendAdvice(fields []thrift.Field, answer routing.Response) []thrift.Field {
+func appendAdvice(fields []thrift.Field, answer dispatch.Response) []thrift.Field {
 	if answer.RetryAfter > 0 {
-		after := strconv.FormatInt(front.CeilMilliseconds(answer.RetryAfter), 10)
+		after := strconv.FormatInt(frontend.CeilMilliseconds(answer.RetryAfter), 10)
 		fields = append(fields, thrift.Field{Name: "after", Value: after})
 	}
 	if answer.NoRetry {
--- a/internal/micro/micro.go
+++ b/internal/microtime/micro.go
@@ -1,5 +1,5 @@
-// Package micro holds the program's time: whole microseconds on the monotonic clock.
-package micro
+// Package microtime holds the program's time: whole microseconds on the monotonic clock.
+package microtime
 
 import "time"
 
--- a/internal/micro/micro_test.go
+++ b/internal/microtime/micro_test.go
@@ -1,4 +1,4 @@
-package micro
+package microtime
 
 import (
 	"testing"
--- a/internal/ordered/set.go
+++ b/internal/orderedset/set.go
@@ -1,6 +1,6 @@
-// Package ordered has a set that is iterated in an order that depends on nothing but the calls made to it. A map's random order
+// Package orderedset has a set that is iterated in an order that depends on nothing but the calls made to it. A map's random order
 // would make replays of the same events differ.
-package ordered
+package orderedset
 
 // Position is an element's place in a set. A type whose pointers are to be elements embeds it; each element is in one set at most.
 type Position struct{ index int }
--- a/internal/peers/exchange.go
+++ b/internal/peers/exchange.go
@@ -4,20 +4,20 @@
 	"fmt"
 	"slices"
 
-	"pewterline/internal/decide/fleet"
-	"pewterline/internal/micro"
+	"pewterline/internal/decide/loadbalancer"
+	"pewterline/internal/microtime"
 	"pewterline/internal/protocol/gossip"
 	"pewterline/internal/transport"
 )
 
 const (
-	exchangePatience = 500 * micro.Millisecond
+	exchangePatience = 500 * microtime.Millisecond
 	exchangeConns    = 64 // that are accepted at once
 )
 
 // ExchangeEventLoop is what an exchange needs of the event loop.
 type ExchangeEventLoop interface {
-	Now() micro.Time
+	Now() microtime.Time
 	DialOnce(addr string, open func(transport.Conn) transport.Session, failed func()) (drop func())
 }
 
@@ -33,10 +33,10 @@
 type Exchange struct {
 	cfg     ExchangeConfig
 	loop    ExchangeEventLoop
-	fleet   *fleet.Balancer
-	peers   *fleet.PeerScheduler
+	fleet   *loadbalancer.Balancer
+	peers   *loadbalancer.PeerScheduler
 	logf    func(string, ...any)
-	started micro.Time
+	started microtime.Time
 	links   []*exchangeLink
 	taken   int // connections accepted and open
 	out     []byte
@@ -50,18 +50,18 @@
 	conn    transport.Conn // nil while it is being opened
 	drop    func()
 	address string // that we dialled; "" where it came to us
-	due     micro.Time
+	due     microtime.Time
 	asking  bool
 }
 
 // NewExchange returns an exchange of what f knows.
-func NewExchange(cfg ExchangeConfig, loop ExchangeEventLoop, f *fleet.Balancer, logf func(string, ...any)) *Exchange {
+func NewExchange(cfg ExchangeConfig, loop ExchangeEventLoop, f *loadbalancer.Balancer, logf func(string, ...any)) *Exchange {
 	now := loop.Now()
-	return &Exchange{cfg: cfg, loop: loop, fleet: f, logf: logf, started: now, peers: fleet.NewPeerScheduler(now, fleet.PeerSchedulerConfig{}, cfg.Peers, cfg.Seed)}
+	return &Exchange{cfg: cfg, loop: loop, fleet: f, logf: logf, started: now, peers: loadbalancer.NewPeerScheduler(now, loadbalancer.PeerSchedulerConfig{}, cfg.Peers, cfg.Seed)}
 }
 
 // Ready says that a fresh instance has heard first advice, or has waited long enough for it.
-func (x *Exchange) Ready(now micro.Time) bool { return x.peers.Ready(now) }
+func (x *Exchange) Ready(now microtime.Time) bool { return x.peers.Ready(now) }
 
 func (x *Exchange) add(l *exchangeLink) {
 	l.at = len(x.links)
@@ -78,7 +78,7 @@
 }
 
 // Check does what is due; it returns when to look again.
-func (x *Exchange) Check(now micro.Time) micro.Time {
+func (x *Exchange) Check(now microtime.Time) microtime.Time {
 	for _, address := range x.peers.NextPeers(now) {
 		x.ask(now, address)
 	}
@@ -97,7 +97,7 @@
 }
 
 // ask sends what we know to a peer, on the connection that is there or on a new one, and waits for what it knows.
-func (x *Exchange) ask(now micro.Time, address string) {
+func (x *Exchange) ask(now microtime.Time, address string) {
 	i := slices.IndexFunc(x.links, func(l *exchangeLink) bool { return l.address == address })
 	if i >= 0 {
 		x.links[i].begin(now)
@@ -113,7 +113,7 @@
 	}, func() { l.fail(x.loop.Now()) })
 }
 
-func (l *exchangeLink) begin(now micro.Time) {
+func (l *exchangeLink) begin(now microtime.Time) {
 	l.asking, l.due = true, now+exchangePatience
 	if l.conn != nil {
 		l.write(true)
@@ -121,7 +121,7 @@
 }
 
 // fail ends a connection that brings no answer.
-func (l *exchangeLink) fail(now micro.Time) {
+func (l *exchangeLink) fail(now microtime.Time) {
 	if l.conn != nil {
 		l.conn.Close() // Closed follows
 		return
@@ -132,7 +132,7 @@
 	l.gone(now)
 }
 
-func (l *exchangeLink) gone(now micro.Time) {
+func (l *exchangeLink) gone(now microtime.Time) {
 	l.x.remove(l)
 	if l.address == "" {
 		l.x.taken--
@@ -191,7 +191,7 @@
 	if l.address == "" && !m.WantsReply || l.address != "" && !l.asking {
 		return fmt.Errorf("%w: an answer that nobody asked for", gossip.ErrMalformedFrame)
 	}
-	a := x.fleet.ApplyGossip(now, x.cfg.Name, fleet.GossipSender{Name: m.Name, Uptime: m.Uptime}, m.Observations)
+	a := x.fleet.ApplyGossip(now, x.cfg.Name, loadbalancer.GossipSender{Name: m.Name, Uptime: m.Uptime}, m.Observations)
 	if a.Err != nil {
 		x.logf("exchange: %s: %d of %d facts are faulty, the first: %v", l.conn.Remote(), a.Invalid, len(m.Observations), a.Err)
 	}
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -7,17 +7,17 @@
 	"fmt"
 	"slices"
 
-	"pewterline/internal/decide/copies"
-	"pewterline/internal/micro"
-	"pewterline/internal/protocol/copylink"
+	"pewterline/internal/decide/consensus"
+	"pewterline/internal/microtime"
+	"pewterline/internal/protocol/replicationwire"
 	"pewterline/internal/transport"
 )
 
 const (
-	pingEvery = 300 * micro.Millisecond
-	deafMost  = 2 * micro.Second // without an answer; then the link is opened anew
-	openAgain = 100 * micro.Millisecond
-	tellAgain = 500 * micro.Millisecond
+	pingEvery = 300 * microtime.Millisecond
+	deafMost  = 2 * microtime.Second // without an answer; then the link is opened anew
+	openAgain = 100 * microtime.Millisecond
+	tellAgain = 500 * microtime.Millisecond
 	// Bytes of a frame, about, and items: far below the bounds, so that a vote does not wait behind a large one.
 	frameBytes = 64 << 10
 	frameItems = 256
@@ -27,20 +27,20 @@
 
 // EventLoop is what the links need of the event loop.
 type EventLoop interface {
-	Now() micro.Time
+	Now() microtime.Time
 	Dial(addr string, open func(transport.Conn) transport.Session) (drop func())
 }
 
 // Handler is whoever the messages are for. Its methods are called on the loop.
 type Handler interface {
 	// Hello says who this server is.
-	Hello() copylink.Hello
+	Hello() replicationwire.Hello
 	// Take takes a message; who sent it has said hello.
-	HandleMessage(from copylink.Hello, m copylink.Message)
+	HandleMessage(from replicationwire.Hello, m replicationwire.Message)
 	// Linked says whether a server can be reached.
 	PeerStateChanged(id uint32, up bool)
 	// Group is the newest that is known; epoch 0: none.
-	Group() copies.Membership
+	Group() consensus.Membership
 }
 
 // Links are all links of a server.
@@ -50,12 +50,12 @@
 	logf  func(string, ...any)
 	outs  []*out
 	ins   []*in
-	known map[uint32]copylink.Hello // the last that each server said of itself
+	known map[uint32]replicationwire.Hello // the last that each server said of itself
 }
 
 // New returns links to nobody.
 func New(loop EventLoop, host Handler, logf func(string, ...any)) *Links {
-	return &Links{loop: loop, host: host, logf: logf, known: map[uint32]copylink.Hello{}}
+	return &Links{loop: loop, host: host, logf: logf, known: map[uint32]replicationwire.Hello{}}
 }
 
 // out is the link that this server opens.
@@ -67,13 +67,13 @@
 	drop     func()
 	up       bool
 	gone     bool // nobody wants it any more
-	heard    micro.Time
-	pinged   micro.Time
-	again    micro.Time // it is opened anew then
-	told     uint64     // the epoch that was told last
-	toldAt   micro.Time
-	requests []copies.Request
-	marks    []copies.TransferAck
+	heard    microtime.Time
+	pinged   microtime.Time
+	again    microtime.Time // it is opened anew then
+	told     uint64         // the epoch that was told last
+	toldAt   microtime.Time
+	requests []consensus.Request
+	marks    []consensus.TransferAck
 	group    bool
 }
 
@@ -81,12 +81,12 @@
 type in struct {
 	p       *Links
 	conn    transport.Conn
-	from    copylink.Hello
+	from    replicationwire.Hello
 	greeted bool
-	replies []copies.Reply
+	replies []consensus.Reply
 	pong    bool
 	told    uint64
-	toldAt  micro.Time
+	toldAt  microtime.Time
 	group   bool
 }
 
@@ -115,7 +115,7 @@
 }
 
 // LastHello is what a server last said of itself.
-func (p *Links) LastHello(id uint32) (copylink.Hello, bool) {
+func (p *Links) LastHello(id uint32) (replicationwire.Hello, bool) {
 	h, ok := p.known[id]
 	return h, ok
 }
@@ -126,7 +126,7 @@
 }
 
 // SendRequest sends a request, if its server can be reached: whoever asks, asks again in time.
-func (p *Links) SendRequest(r copies.Request) {
+func (p *Links) SendRequest(r consensus.Request) {
 	for _, o := range p.outs {
 		if o.id == r.To.ID && o.up {
 			o.requests = append(o.requests, r)
@@ -135,7 +135,7 @@
 }
 
 // SendReply sends a reply to whoever asked, if it can be reached still.
-func (p *Links) SendReply(to copies.Identity, r copies.Reply) {
+func (p *Links) SendReply(to consensus.Identity, r consensus.Reply) {
 	for i := len(p.ins) - 1; i >= 0; i-- { // the newest first
 		if l := p.ins[i]; l.greeted && l.from.ID == to.ID && l.from.ProcessIncarnation == to.Incarnation {
 			l.replies = append(l.replies, r)
@@ -145,7 +145,7 @@
 }
 
 // BroadcastAck sends a mark to all servers.
-func (p *Links) BroadcastAck(k copies.TransferAck) {
+func (p *Links) BroadcastAck(k consensus.TransferAck) {
 	for _, o := range p.outs {
 		o.marks = append(o.marks, k)
 	}
@@ -166,8 +166,8 @@
 }
 
 // Check sends what was to be said, opens links anew, and drops those that are deaf. It returns when it is due again.
-func (p *Links) Check(now micro.Time) micro.Time {
-	next := micro.Never
+func (p *Links) Check(now microtime.Time) microtime.Time {
+	next := microtime.Never
 	for _, o := range slices.Clone(p.outs) {
 		switch {
 		case o.conn != nil && now >= o.heard+deafMost:
@@ -193,7 +193,7 @@
 		now := o.p.loop.Now()
 		o.conn, o.heard, o.pinged = c, now, now
 		h := o.p.host.Hello()
-		o.write(copylink.Message{Hello: &h, Epoch: o.p.host.Group().Epoch})
+		o.write(replicationwire.Message{Hello: &h, Epoch: o.p.host.Group().Epoch})
 		return o
 	})
 }
@@ -217,10 +217,10 @@
 	o.requests, o.marks, o.group = nil, nil, false
 }
 
-func (o *out) write(m copylink.Message) { send(o.p, o.conn, m) }
+func (o *out) write(m replicationwire.Message) { send(o.p, o.conn, m) }
 
-func send(p *Links, c transport.Conn, m copylink.Message) {
-	b, err := copylink.Append(nil, m)
+func send(p *Links, c transport.Conn, m replicationwire.Message) {
+	b, err := replicationwire.Append(nil, m)
 	if err != nil {
 		p.logf("peers: %v", err)
 		return
@@ -229,7 +229,7 @@
 }
 
 // group is what a peer that goes by an earlier epoch is told, once in a while.
-func (p *Links) group(wanted *bool, told *uint64, at *micro.Time, now micro.Time) *copies.Membership {
+func (p *Links) group(wanted *bool, told *uint64, at *microtime.Time, now microtime.Time) *consensus.Membership {
 	g := p.host.Group()
 	if !*wanted || g.Epoch == 0 || *told == g.Epoch && now < *at+tellAgain {
 		*wanted = false
@@ -239,13 +239,13 @@
 	return &g
 }
 
-func (o *out) flush(now micro.Time) {
+func (o *out) flush(now microtime.Time) {
 	if !o.up {
 		return
 	}
 	epoch := o.p.host.Group().Epoch
 	if g := o.p.group(&o.group, &o.told, &o.toldAt, now); g != nil || len(o.marks) > 0 {
-		o.write(copylink.Message{Epoch: epoch, Membership: g, TransferAcks: o.marks})
+		o.write(replicationwire.Message{Epoch: epoch, Membership: g, TransferAcks: o.marks})
 		o.marks = nil
 	}
 	for len(o.requests) > 0 {
@@ -254,24 +254,24 @@
 			size += 100 + len(o.requests[n].Key) + len(o.requests[n].Value.Result)
 			n++
 		}
-		o.write(copylink.Message{Epoch: epoch, Requests: o.requests[:n]})
+		o.write(replicationwire.Message{Epoch: epoch, Requests: o.requests[:n]})
 		o.requests = o.requests[n:]
 		o.pinged = now
 	}
 	o.requests = nil
 	if now >= o.pinged+pingEvery {
 		o.pinged = now
-		o.write(copylink.Message{Epoch: epoch})
+		o.write(replicationwire.Message{Epoch: epoch})
 	}
 }
 
-func (l *in) flush(now micro.Time) {
+func (l *in) flush(now microtime.Time) {
 	if !l.greeted {
 		return
 	}
 	epoch := l.p.host.Group().Epoch
 	if g := l.p.group(&l.group, &l.told, &l.toldAt, now); g != nil || l.pong {
-		send(l.p, l.conn, copylink.Message{Epoch: epoch, Membership: g})
+		send(l.p, l.conn, replicationwire.Message{Epoch: epoch, Membership: g})
 		l.pong = false
 	}
 	for len(l.replies) > 0 {
@@ -280,7 +280,7 @@
 			size += 120 + len(l.replies[n].Key) + len(l.replies[n].Value.Result)
 			n++
 		}
-		send(l.p, l.conn, copylink.Message{Epoch: epoch, Replies: l.replies[:n]})
+		send(l.p, l.conn, replicationwire.Message{Epoch: epoch, Replies: l.replies[:n]})
 		l.replies = l.replies[n:]
 	}
 	l.replies = nil
@@ -288,7 +288,7 @@
 
 // Receive is part of transport.Session.
 func (o *out) Receive(in []byte) (int, error) {
-	return receive(in, func(m copylink.Message) error {
+	return receive(in, func(m replicationwire.Message) error {
 		if o.heard = o.p.loop.Now(); m.Hello != nil {
 			if m.Hello.ID != o.id {
 				return fmt.Errorf("peers: the server at %s says that it is number %d, not %d", o.addr, m.Hello.ID, o.id)
@@ -329,13 +329,13 @@
 
 // Receive is part of transport.Session.
 func (l *in) Receive(b []byte) (int, error) {
-	return receive(b, func(m copylink.Message) error {
+	return receive(b, func(m replicationwire.Message) error {
 		if m.Hello != nil {
 			l.from, l.greeted = *m.Hello, true
 			l.p.known[l.from.ID] = l.from
 			l.conn.MarkIdentified()
 			h := l.p.host.Hello()
-			send(l.p, l.conn, copylink.Message{Hello: &h, Epoch: l.p.host.Group().Epoch})
+			send(l.p, l.conn, replicationwire.Message{Hello: &h, Epoch: l.p.host.Group().Epoch})
 		} else if !l.greeted {
 			return errors.New("peers: a message before any hello")
 		}
@@ -353,9 +353,9 @@
 // Closed is part of transport.Session.
 func (l *in) Closed() { l.p.ins = slices.DeleteFunc(l.p.ins, func(x *in) bool { return x == l }) }
 
-func receive(in []byte, take func(copylink.Message) error) (int, error) {
+func receive(in []byte, take func(replicationwire.Message) error) (int, error) {
 	for n := 0; ; {
-		m, size, err := copylink.Parse(in[n:])
+		m, size, err := replicationwire.Parse(in[n:])
 		if err != nil || size == 0 {
 			return n, err
 		}
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -5,15 +5,15 @@
 
 	"github.com/stretchr/testify/require"
 
-	"pewterline/internal/decide/copies"
-	"pewterline/internal/micro"
-	"pewterline/internal/protocol/copylink"
+	"pewterline/internal/decide/consensus"
+	"pewterline/internal/microtime"
+	"pewterline/internal/protocol/replicationwire"
 	"pewterline/internal/transport"
 )
 
 // world is two servers on a loop that the test plays. Bytes go from one end to the other when the test says so.
 type world struct {
-	now   micro.Time
+	now   microtime.Time
 	dials []dial
 }
 
@@ -22,7 +22,7 @@
 	open func(transport.Conn) transport.Session
 }
 
-func (w *world) Now() micro.Time { return w.now }
+func (w *world) Now() microtime.Time { return w.now }
 func (w *world) Dial(addr string, open func(transport.Conn) transport.Session) func() {
 	w.dials = append(w.dials, dial{addr, open})
 	return func() {}
@@ -42,17 +42,19 @@
 
 type host struct {
 	id    uint32
-	group copies.Membership
+	group consensus.Membership
 	up    map[uint32]bool
-	took  []copylink.Message
+	took  []replicationwire.Message
 }
 
-func (h *host) Hello() copylink.Hello {
-	return copylink.Hello{ID: h.id, Incarnation: 1, ProcessIncarnation: uint64(h.id) * 10}
+func (h *host) Hello() replicationwire.Hello {
+	return replicationwire.Hello{ID: h.id, Incarnation: 1, ProcessIncarnation: uint64(h.id) * 10}
 }
-func (h *host) HandleMessage(_ copylink.Hello, m copylink.Message) { h.took = append(h.took, m) }
-func (h *host) PeerStateChanged(id uint32, up bool)                { h.up[id] = up }
-func (h *host) Group() copies.Membership                           { return h.group }
+func (h *host) HandleMessage(_ replicationwire.Hello, m replicationwire.Message) {
+	h.took = append(h.took, m)
+}
+func (h *host) PeerStateChanged(id uint32, up bool) { h.up[id] = up }
+func (h *host) Group() consensus.Membership         { return h.group }
 
 // link opens the way from one server to the other; deliver carries what both have written.
 func link(t *testing.T, w *world, from, to *Links) (a, b *wire, deliver func() error) {
@@ -78,7 +80,7 @@
 }
 
 func two(w *world) (a, b *Links, ha, hb *host) {
-	group := copies.Membership{ClusterID: 7, Epoch: 3, ReplicationFactor: 1, Current: []copies.Member{{Identity: copies.Identity{ID: 1, Incarnation: 1}, Addr: "a"}, {Identity: copies.Identity{ID: 2, Incarnation: 1}, Addr: "b"}}}
+	group := consensus.Membership{ClusterID: 7, Epoch: 3, ReplicationFactor: 1, Current: []consensus.Member{{Identity: consensus.Identity{ID: 1, Incarnation: 1}, Addr: "a"}, {Identity: consensus.Identity{ID: 2, Incarnation: 1}, Addr: "b"}}}
 	ha, hb = &host{id: 1, up: map[uint32]bool{}, group: group}, &host{id: 2, up: map[uint32]bool{}, group: group}
 	quiet := func(string, ...any) {}
 	return New(w, ha, quiet), New(w, hb, quiet), ha, hb
@@ -87,7 +89,7 @@
 // What is asked of a server in a turn goes in one frame, its answers come back by the same link, and one that goes by an earlier group
 // hears of the newer.
 func TestAskAndAnswer(t *testing.T) {
-	w := &world{now: micro.Second}
+	w := &world{now: microtime.Second}
 	a, b, ha, hb := two(w)
 	a.SetPeers(map[uint32]string{2: "there"})
 	require.Equal(t, "there", w.dials[0].addr)
@@ -97,15 +99,15 @@
 	require.True(t, wb.vouched)
 	ha.took, hb.took = nil, nil
 	for _, key := range []string{"x", "y"} {
-		a.SendRequest(copies.Request{To: copies.Identity{ID: 2, Incarnation: 1}, Key: key, Epoch: 3})
+		a.SendRequest(consensus.Request{To: consensus.Identity{ID: 2, Incarnation: 1}, Key: key, Epoch: 3})
 	}
-	a.SendRequest(copies.Request{To: copies.Identity{ID: 9, Incarnation: 1}, Key: "nobody", Epoch: 3})
+	a.SendRequest(consensus.Request{To: consensus.Identity{ID: 9, Incarnation: 1}, Key: "nobody", Epoch: 3})
 	a.Check(w.now)
 	require.NoError(t, deliver())
 	require.Len(t, hb.took, 1)
 	require.Len(t, hb.took[0].Requests, 2)
-	b.SendReply(copies.Identity{ID: 1, Incarnation: 10}, copies.Reply{Key: "x"})
-	b.SendReply(copies.Identity{ID: 1, Incarnation: 11}, copies.Reply{Key: "of an earlier process"})
+	b.SendReply(consensus.Identity{ID: 1, Incarnation: 10}, consensus.Reply{Key: "x"})
+	b.SendReply(consensus.Identity{ID: 1, Incarnation: 11}, consensus.Reply{Key: "of an earlier process"})
 	b.Check(w.now)
 	require.NoError(t, deliver())
 	last := ha.took[len(ha.took)-1] // behind a sign of life
@@ -126,18 +128,18 @@
 
 // A link that has lost bytes ends, as does one to another server than was meant, and one on which nobody says who it is.
 func TestBrokenLinks(t *testing.T) {
-	w := &world{now: micro.Second}
+	w := &world{now: microtime.Second}
 	a, b, ha, _ := two(w)
 	a.SetPeers(map[uint32]string{2: "there"})
 	wa, _, deliver := link(t, w, a, b)
 	wa.out = wa.out[:len(wa.out)-1]
 	wa.out = append(wa.out, 0, 0, 0, 9, 9, 9, 9, 9)
-	require.ErrorIs(t, deliver(), copylink.ErrFrame)
+	require.ErrorIs(t, deliver(), replicationwire.ErrFrame)
 	a.SetPeers(map[uint32]string{3: "there"})
 	_, _, deliver = link(t, w, a, b)
 	require.ErrorContains(t, deliver(), "says that it is number 2, not 3")
 	require.False(t, ha.up[3])
-	rude, err := copylink.Append(nil, copylink.Message{Epoch: 3})
+	rude, err := replicationwire.Append(nil, replicationwire.Message{Epoch: 3})
 	require.NoError(t, err)
 	_, err = b.Accept(&wire{}).Receive(rude)
 	require.ErrorContains(t, err, "before any hello")
@@ -145,7 +147,7 @@
 
 // A link on which no answer comes is closed and opened anew. Guards a server against a peer that hears it and is not heard.
 func TestDeaf(t *testing.T) {
-	w := &world{now: micro.Second}
+	w := &world{now: microtime.Second}
 	a, b, ha, _ := two(w)
 	a.SetPeers(map[uint32]string{2: "there"})
 	wa, _, deliver := link(t, w, a, b)
@@ -154,7 +156,7 @@
 	for range 10 {
 		w.now += pingEvery
 		a.Check(w.now)
-		require.Equal(t, w.now >= micro.Second+deafMost, wa.closed)
+		require.Equal(t, w.now >= microtime.Second+deafMost, wa.closed)
 		if wa.closed {
 			break
 		}
--- a/internal/protocol/admin/admin.go
+++ b/internal/protocol/adminhttp/admin.go
@@ -1,6 +1,6 @@
-// Package admin parses the operators' calls, HTTP/1.1 with one call on a connection, and writes the answers. It works
+// Package adminhttp parses the operators' calls, HTTP/1.1 with one call on a connection, and writes the answers. It works
 // over byte slices and carries nothing out.
-package admin
+package adminhttp
 
 import (
 	"bufio"
--- a/internal/protocol/admin/admin_test.go
+++ b/internal/protocol/adminhttp/admin_test.go
@@ -1,4 +1,4 @@
-package admin
+package adminhttp
 
 import (
 	"errors"
--- a/internal/protocol/gossip/gossip.go
+++ b/internal/protocol/gossip/gossip.go
@@ -10,8 +10,8 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"pewterline/internal/decide/fleet"
-	"pewterline/internal/micro"
+	"pewterline/internal/decide/loadbalancer"
+	"pewterline/internal/microtime"
 )
 
 // Version is of the messages; one that does not have it is not understood.
@@ -30,9 +30,9 @@
 // Message is all that instances say: who they are, and what they know. Asking marks one that wants an answer.
 type Message struct {
 	Name         string
-	Uptime       micro.Time
+	Uptime       microtime.Time
 	WantsReply   bool
-	Observations []fleet.Observation
+	Observations []loadbalancer.Observation
 	Peers        []Peer
 }
 
@@ -71,10 +71,10 @@
 
 // Append writes a message. What goes beyond the bounds is left out, the last first.
 func Append(out []byte, m Message) ([]byte, error) {
-	w := wireMessage{Version: Version, Name: m.Name, UptimeMS: int64(m.Uptime / micro.Millisecond), Asking: m.WantsReply,
+	w := wireMessage{Version: Version, Name: m.Name, UptimeMS: int64(m.Uptime / microtime.Millisecond), Asking: m.WantsReply,
 		Peers: m.Peers[:min(len(m.Peers), MaxPeers)]}
 	for _, f := range m.Observations[:min(len(m.Observations), MaxObservations)] {
-		w.Facts = append(w.Facts, wireFact{f.Endpoint, uint8(f.Kind), f.Value, f.Evidence, int64(f.Age / micro.Millisecond), f.Source, f.Hops})
+		w.Facts = append(w.Facts, wireFact{f.Endpoint, uint8(f.Kind), f.Value, f.Evidence, int64(f.Age / microtime.Millisecond), f.Source, f.Hops})
 	}
 	body, err := cbor.Marshal(w)
 	if err != nil {
@@ -111,10 +111,10 @@
 		return m, 0, fmt.Errorf("%w: %d peers are over %d", ErrMalformedFrame, len(w.Peers), MaxPeers)
 	}
 	const most = 1 << 40 // milliseconds; what is beyond would not fit in microseconds, and is refused as out of bounds
-	ms := func(v int64) micro.Time { return micro.Time(min(max(v, -1), most)) * micro.Millisecond }
+	ms := func(v int64) microtime.Time { return microtime.Time(min(max(v, -1), most)) * microtime.Millisecond }
 	m = Message{Name: w.Name, Uptime: ms(w.UptimeMS), WantsReply: w.Asking, Peers: w.Peers}
 	for _, f := range w.Facts {
-		m.Observations = append(m.Observations, fleet.Observation{Endpoint: f.Server, Kind: fleet.ObservationKind(f.Kind), Value: f.Value, Evidence: f.Evidence, Age: ms(f.AgeMS),
+		m.Observations = append(m.Observations, loadbalancer.Observation{Endpoint: f.Server, Kind: loadbalancer.ObservationKind(f.Kind), Value: f.Value, Evidence: f.Evidence, Age: ms(f.AgeMS),
 			Source: f.Source, Hops: f.Hops})
 	}
 	return m, 4 + int(size), nil
--- a/internal/protocol/gossip/gossip_test.go
+++ b/internal/protocol/gossip/gossip_test.go
@@ -8,15 +8,15 @@
 	"github.com/fxamacker/cbor/v2"
 	"github.com/stretchr/testify/require"
 
-	"pewterline/internal/decide/fleet"
-	"pewterline/internal/micro"
+	"pewterline/internal/decide/loadbalancer"
+	"pewterline/internal/microtime"
 )
 
 func message(facts int) Message {
-	m := Message{Name: "e1", Uptime: 5 * micro.Second, WantsReply: true, Peers: []Peer{{"e2", "127.0.0.1:7000"}}}
+	m := Message{Name: "e1", Uptime: 5 * microtime.Second, WantsReply: true, Peers: []Peer{{"e2", "127.0.0.1:7000"}}}
 	for i := range facts {
-		m.Observations = append(m.Observations, fleet.Observation{Endpoint: fmt.Sprintf("s%d", i), Kind: fleet.TypicalLatency, Value: 1234.5, Evidence: 3,
-			Age: micro.Time(i) * micro.Millisecond, Source: "e1", Hops: 1})
+		m.Observations = append(m.Observations, loadbalancer.Observation{Endpoint: fmt.Sprintf("s%d", i), Kind: loadbalancer.TypicalLatency, Value: 1234.5, Evidence: 3,
+			Age: microtime.Time(i) * microtime.Millisecond, Source: "e1", Hops: 1})
 	}
 	return m
 }
@@ -50,7 +50,7 @@
 func TestBounds(t *testing.T) {
 	m, _, err := Parse(frame(t, map[int]any{1: Version, 2: "e9", 3: 10, 99: map[string]any{"later": []int{1, 2}}}))
 	require.NoError(t, err)
-	require.Equal(t, Message{Name: "e9", Uptime: 10 * micro.Millisecond}, m)
+	require.Equal(t, Message{Name: "e9", Uptime: 10 * microtime.Millisecond}, m)
 	many := make([]map[int]any, MaxObservations+1)
 	for i := range many {
 		many[i] = map[int]any{1: "s", 2: 1, 4: 1.0, 5: 1, 6: "x", 7: 1}
@@ -73,7 +73,7 @@
 	m, _, err = Parse(frame(t, map[int]any{1: Version, 3: int64(1) << 62, 5: []map[int]any{{1: "s", 2: 1, 4: 1.0, 5: -77, 6: "x", 7: 1}}}))
 	require.NoError(t, err)
 	require.Positive(t, m.Uptime)
-	require.Error(t, fleet.ValidateObservation(m.Observations[0]), "the age stays out of bounds")
+	require.Error(t, loadbalancer.ValidateObservation(m.Observations[0]), "the age stays out of bounds")
 	p, err := Append(nil, message(MaxObservations+500))
 	require.NoError(t, err)
 	m, _, err = Parse(p)
--- a/internal/protocol/lease/lease.go
+++ b/internal/protocol/loadreport/lease.go
@@ -1,5 +1,5 @@
-// Package lease writes the reports to the control plane.
-package lease
+// Package loadreport writes the reports to the control plane.
+package loadreport
 
 // Append writes one report: a datagram of three words.
 func Append(out []byte, name string, ready bool) []byte {
--- a/internal/protocol/copylink/copylink.go
+++ b/internal/protocol/replicationwire/copylink.go
@@ -1,7 +1,7 @@
-// Package copylink reads and writes what log servers that hold copies say to each other, and what they keep of it on disk: frames of
+// Package replicationwire reads and writes what log servers that hold copies say to each other, and what they keep of it on disk: frames of
 // a length, a checksum and a CBOR map (RFC 8949), over byte slices. Unknown fields are passed over; another version, a frame that
 // is too long, a list that is too long and a wrong checksum are errors.
-package copylink
+package replicationwire
 
 import (
 	"encoding/binary"
@@ -11,7 +11,7 @@
 	"github.com/cespare/xxhash/v2"
 	"github.com/fxamacker/cbor/v2"
 
-	"pewterline/internal/decide/copies"
+	"pewterline/internal/decide/consensus"
 )
 
 // Version is of the messages and of the records; what does not have it is not understood.
@@ -45,10 +45,10 @@
 type Message struct {
 	Hello        *Hello
 	Epoch        uint64 // that the sender goes by
-	Requests     []copies.Request
-	Replies      []copies.Reply
-	Membership   *copies.Membership
-	TransferAcks []copies.TransferAck
+	Requests     []consensus.Request
+	Replies      []consensus.Reply
+	Membership   *consensus.Membership
+	TransferAcks []consensus.TransferAck
 }
 
 type ballot struct {
@@ -121,44 +121,44 @@
 	return m
 }()
 
-func toBallot(b copies.Ballot) ballot {
+func toBallot(b consensus.Ballot) ballot {
 	return ballot{N: b.Number, ID: b.Proposer.ID, Life: b.Proposer.Incarnation}
 }
 
-func (b ballot) ballot() copies.Ballot {
-	return copies.Ballot{Number: b.N, Proposer: copies.Identity{ID: b.ID, Incarnation: b.Life}}
+func (b ballot) ballot() consensus.Ballot {
+	return consensus.Ballot{Number: b.N, Proposer: consensus.Identity{ID: b.ID, Incarnation: b.Life}}
 }
 
-func someBallot(b copies.Ballot) *ballot {
-	if b == (copies.Ballot{}) {
+func someBallot(b consensus.Ballot) *ballot {
+	if b == (consensus.Ballot{}) {
 		return nil
 	}
 	w := toBallot(b)
 	return &w
 }
 
-func (b *ballot) orNone() (out copies.Ballot) {
+func (b *ballot) orNone() (out consensus.Ballot) {
 	if b != nil {
 		out = b.ballot()
 	}
 	return out
 }
 
-func toMember(m copies.Identity) member  { return member{ID: m.ID, Life: m.Incarnation} }
-func (m member) member() copies.Identity { return copies.Identity{ID: m.ID, Incarnation: m.Life} }
+func toMember(m consensus.Identity) member  { return member{ID: m.ID, Life: m.Incarnation} }
+func (m member) member() consensus.Identity { return consensus.Identity{ID: m.ID, Incarnation: m.Life} }
 
-func toValue(v copies.Value) *value {
-	if v == (copies.Value{}) {
+func toValue(v consensus.Value) *value {
+	if v == (consensus.Value{}) {
 		return nil
 	}
 	return &value{uint8(v.Kind), v.Owner, v.Incarnation, v.Attempt, v.AttemptedAt, []byte(v.Result)}
 }
 
-func (v *value) value() copies.Value {
+func (v *value) value() consensus.Value {
 	if v == nil {
-		return copies.Value{}
+		return consensus.Value{}
 	}
-	return copies.Value{Kind: copies.ValueKind(v.Kind), Owner: v.Owner, Incarnation: v.Life, Attempt: v.Try, AttemptedAt: v.At, Result: string(v.Result)}
+	return consensus.Value{Kind: consensus.ValueKind(v.Kind), Owner: v.Owner, Incarnation: v.Life, Attempt: v.Try, AttemptedAt: v.At, Result: string(v.Result)}
 }
 
 func bounds(key int, v *value) error {
@@ -167,7 +167,7 @@
 		return fmt.Errorf("%w: a key of %d bytes is over %d", ErrTooLarge, key, MaxKey)
 	case v != nil && len(v.Result) > MaxValue:
 		return fmt.Errorf("%w: a value of %d bytes is over %d", ErrTooLarge, len(v.Result), MaxValue)
-	case v != nil && v.Kind > uint8(copies.KindMembership):
+	case v != nil && v.Kind > uint8(consensus.KindMembership):
 		return fmt.Errorf("%w: a value of kind %d", ErrFrame, v.Kind)
 	}
 	return nil
@@ -235,24 +235,24 @@
 		if err := bounds(len(r.Key), r.Value); err != nil {
 			return m, 0, err
 		}
-		m.Requests = append(m.Requests, copies.Request{To: r.To.member(), Key: string(r.Key), Epoch: r.Epoch, AttemptedAt: r.At, Ballot: r.Ballot.ballot(), Accept: r.Accept, Read: r.Peek, Value: r.Value.value()})
+		m.Requests = append(m.Requests, consensus.Request{To: r.To.member(), Key: string(r.Key), Epoch: r.Epoch, AttemptedAt: r.At, Ballot: r.Ballot.ballot(), Accept: r.Accept, Read: r.Peek, Value: r.Value.value()})
 	}
 	for _, r := range w.Replies {
 		if err := bounds(len(r.Key), r.Value); err != nil {
 			return m, 0, err
 		}
-		m.Replies = append(m.Replies, copies.Reply{From: r.From.member(), Key: string(r.Key), Epoch: r.Epoch, Ballot: r.Ballot.ballot(), Accept: r.Accept, Read: r.Peek, OK: r.OK,
+		m.Replies = append(m.Replies, consensus.Reply{From: r.From.member(), Key: string(r.Key), Epoch: r.Epoch, Ballot: r.Ballot.ballot(), Accept: r.Accept, Read: r.Peek, OK: r.OK,
 			Promised: r.Promised.orNone(), Accepted: r.Accepted.orNone(), Value: r.Value.value()})
 	}
 	if w.Group != "" {
-		g, err := copies.ParseMembership(w.Group)
+		g, err := consensus.ParseMembership(w.Group)
 		if err != nil {
 			return m, 0, fmt.Errorf("%w: %w", ErrFrame, err)
 		}
 		m.Membership = &g
 	}
 	for _, k := range w.Marks {
-		m.TransferAcks = append(m.TransferAcks, copies.TransferAck{Epoch: k.Epoch, From: k.Of.member()})
+		m.TransferAcks = append(m.TransferAcks, consensus.TransferAck{Epoch: k.Epoch, From: k.Of.member()})
 	}
 	return m, n, nil
 }
@@ -261,8 +261,8 @@
 // Fields that are zero say nothing.
 type Record struct {
 	Incarnation  uint64
-	Membership   *copies.Membership
-	Slots        []copies.SavedRegister
+	Membership   *consensus.Membership
+	Slots        []consensus.SavedRegister
 	ForgetBefore int64
 }
 
@@ -310,14 +310,14 @@
 	}
 	r = Record{Incarnation: w.Life, ForgetBefore: w.Forget}
 	if w.Group != "" {
-		g, err := copies.ParseMembership(w.Group)
+		g, err := consensus.ParseMembership(w.Group)
 		if err != nil {
 			return r, fmt.Errorf("%w: a record: %w", ErrFrame, err)
 		}
 		r.Membership = &g
 	}
 	for _, s := range w.Slots {
-		r.Slots = append(r.Slots, copies.SavedRegister{Key: string(s.Key), Register: copies.Register{Promised: s.Promised.ballot(), Accepted: s.Accepted.orNone(), Value: s.Value.value(), LastAttemptAt: s.At, TransferredEpoch: s.Moved}})
+		r.Slots = append(r.Slots, consensus.SavedRegister{Key: string(s.Key), Register: consensus.Register{Promised: s.Promised.ballot(), Accepted: s.Accepted.orNone(), Value: s.Value.value(), LastAttemptAt: s.At, TransferredEpoch: s.Moved}})
 	}
 	return r, nil
 }
--- a/internal/protocol/copylink/copylink_test.go
+++ b/internal/protocol/replicationwire/copylink_test.go
@@ -1,4 +1,4 @@
-package copylink
+package replicationwire
 
 import (
 	"encoding/binary"
@@ -9,18 +9,18 @@
 	"github.com/cespare/xxhash/v2"
 	"github.com/stretchr/testify/require"
 
-	"pewterline/internal/decide/copies"
+	"pewterline/internal/decide/consensus"
 )
 
 func sample() Message {
-	m := copies.Identity{ID: 3, Incarnation: 1 << 63}
-	b := copies.Ballot{Number: 9, Proposer: m}
-	v := copies.Value{Kind: copies.KindSucceeded, Owner: 3, Incarnation: 4, Attempt: 5, AttemptedAt: 1764547200000, Result: "did \xff it"}
-	g := copies.Membership{ClusterID: 7, Epoch: 2, ReplicationFactor: 3, Current: []copies.Member{{Identity: m, Addr: "127.0.0.1:1"}}, Reason: "be\"cause"}
+	m := consensus.Identity{ID: 3, Incarnation: 1 << 63}
+	b := consensus.Ballot{Number: 9, Proposer: m}
+	v := consensus.Value{Kind: consensus.KindSucceeded, Owner: 3, Incarnation: 4, Attempt: 5, AttemptedAt: 1764547200000, Result: "did \xff it"}
+	g := consensus.Membership{ClusterID: 7, Epoch: 2, ReplicationFactor: 3, Current: []consensus.Member{{Identity: m, Addr: "127.0.0.1:1"}}, Reason: "be\"cause"}
 	return Message{Hello: &Hello{3, 4, 5, 6}, Epoch: 2,
-		Requests:   []copies.Request{{To: m, Key: "t\x00\xffk", Epoch: 2, AttemptedAt: 8, Ballot: b, Read: true}, {To: m, Key: "k", Epoch: 2, AttemptedAt: 8, Ballot: b, Accept: true, Value: v}},
-		Replies:    []copies.Reply{{From: m, Key: "k", Epoch: 2, Ballot: b, Promised: b, Read: true}, {From: m, Key: "k", Epoch: 2, Ballot: b, Accept: true, OK: true, Accepted: b, Value: v}},
-		Membership: &g, TransferAcks: []copies.TransferAck{{Epoch: 2, From: m}}}
+		Requests:   []consensus.Request{{To: m, Key: "t\x00\xffk", Epoch: 2, AttemptedAt: 8, Ballot: b, Read: true}, {To: m, Key: "k", Epoch: 2, AttemptedAt: 8, Ballot: b, Accept: true, Value: v}},
+		Replies:    []consensus.Reply{{From: m, Key: "k", Epoch: 2, Ballot: b, Promised: b, Read: true}, {From: m, Key: "k", Epoch: 2, Ballot: b, Accept: true, OK: true, Accepted: b, Value: v}},
+		Membership: &g, TransferAcks: []consensus.TransferAck{{Epoch: 2, From: m}}}
 }
 
 // What is written is read, cut anywhere: half a message is no message. A byte that is not what was sent ends the link.
@@ -54,11 +54,11 @@
 
 // Guards memory against what is too large, in either direction.
 func TestBounds(t *testing.T) {
-	_, err := Append(nil, Message{Requests: make([]copies.Request, MaxItems+1)})
+	_, err := Append(nil, Message{Requests: make([]consensus.Request, MaxItems+1)})
 	require.ErrorIs(t, err, ErrTooLarge)
-	_, err = Append(nil, Message{Requests: []copies.Request{{Value: copies.Value{Kind: copies.KindSucceeded, Result: strings.Repeat("x", MaxFrame)}}}})
+	_, err = Append(nil, Message{Requests: []consensus.Request{{Value: consensus.Value{Kind: consensus.KindSucceeded, Result: strings.Repeat("x", MaxFrame)}}}})
 	require.ErrorIs(t, err, ErrTooLarge)
-	out, err := Append(nil, Message{Requests: []copies.Request{{Key: strings.Repeat("k", MaxKey+1)}}})
+	out, err := Append(nil, Message{Requests: []consensus.Request{{Key: strings.Repeat("k", MaxKey+1)}}})
 	require.NoError(t, err)
 	_, _, err = Parse(out)
 	require.ErrorIs(t, err, ErrTooLarge)
@@ -69,9 +69,9 @@
 // A record is read as it was written.
 func TestRecords(t *testing.T) {
 	g := sample().Membership
-	b := copies.Ballot{Number: 9, Proposer: copies.Identity{ID: 1, Incarnation: 2}}
+	b := consensus.Ballot{Number: 9, Proposer: consensus.Identity{ID: 1, Incarnation: 2}}
 	for _, want := range []Record{{Incarnation: 1 << 62}, {Membership: g}, {ForgetBefore: 99},
-		{Slots: []copies.SavedRegister{{Key: "k", Register: copies.Register{Promised: b, LastAttemptAt: 5}}, {Key: "\xff", Register: copies.Register{Promised: b, Accepted: b, Value: copies.Value{Kind: copies.KindLeased, AttemptedAt: 5}, LastAttemptAt: 6, TransferredEpoch: 7}}}}} {
+		{Slots: []consensus.SavedRegister{{Key: "k", Register: consensus.Register{Promised: b, LastAttemptAt: 5}}, {Key: "\xff", Register: consensus.Register{Promised: b, Accepted: b, Value: consensus.Value{Kind: consensus.KindLeased, AttemptedAt: 5}, LastAttemptAt: 6, TransferredEpoch: 7}}}}} {
 		out, err := AppendRecord(nil, want)
 		require.NoError(t, err)
 		got, err := ParseRecord(out)
--- a/internal/holdings/disk.go
+++ b/internal/replication/disk.go
@@ -1,4 +1,4 @@
-package holdings
+package replication
 
 import (
 	"crypto/rand"
@@ -9,8 +9,8 @@
 	"slices"
 	"sync"
 
-	"pewterline/internal/decide/copies"
-	"pewterline/internal/protocol/copylink"
+	"pewterline/internal/decide/consensus"
+	"pewterline/internal/protocol/replicationwire"
 	"pewterline/internal/wal"
 )
 
@@ -23,8 +23,8 @@
 	folder string
 	log    *wal.Committer
 	life   uint64
-	group  copies.Membership
-	slots  map[string]copies.Register
+	group  consensus.Membership
+	slots  map[string]consensus.Register
 	bytes  int // of records since the last snapshot
 	least  int // of them, before there is one
 
@@ -56,7 +56,7 @@
 			err = errors.Join(err, log.Close())
 		}
 	}()
-	d = &disk{folder: folder, slots: map[string]copies.Register{}, least: snapshotLeast}
+	d = &disk{folder: folder, slots: map[string]consensus.Register{}, least: snapshotLeast}
 	for at := 0; at < len(rec.Snapshot); {
 		n := int(binary.BigEndian.Uint32(rec.Snapshot[at:]))
 		if err := d.read(rec.Snapshot[at+4 : at+4+n]); err != nil {
@@ -74,7 +74,7 @@
 		if d.life, err = random(); err != nil {
 			return nil, fmt.Errorf("holdings: %w", err)
 		}
-		out, err := copylink.AppendRecord(nil, copylink.Record{Incarnation: d.life})
+		out, err := replicationwire.AppendRecord(nil, replicationwire.Record{Incarnation: d.life})
 		if err != nil {
 			return nil, err
 		}
@@ -90,7 +90,7 @@
 }
 
 func (d *disk) read(data []byte) error {
-	r, err := copylink.ParseRecord(data)
+	r, err := replicationwire.ParseRecord(data)
 	if err != nil {
 		return fmt.Errorf("holdings: %s: %w", d.folder, err)
 	}
@@ -98,7 +98,7 @@
 	return nil
 }
 
-func (d *disk) apply(r copylink.Record) {
+func (d *disk) apply(r replicationwire.Record) {
 	if r.Incarnation != 0 {
 		d.life = r.Incarnation
 	}
@@ -109,14 +109,14 @@
 		d.slots[s.Key] = s.Register
 	}
 	if r.ForgetBefore != 0 {
-		h := copies.NewAcceptor(copies.Identity{}, d.slots)
+		h := consensus.NewAcceptor(consensus.Identity{}, d.slots)
 		h.Expire(r.ForgetBefore)
 	}
 }
 
 // write makes a record durable; then is called on the loop, by way of tell, once it is. failed is called with the first error.
-func (d *disk) write(r copylink.Record, tell func(func()) error, then func(), failed func(error)) {
-	data, err := copylink.AppendRecord(nil, r)
+func (d *disk) write(r replicationwire.Record, tell func(func()) error, then func(), failed func(error)) {
+	data, err := replicationwire.AppendRecord(nil, r)
 	if err != nil {
 		failed(err)
 		return
@@ -173,9 +173,9 @@
 		return nil
 	}
 	var out []byte
-	add := func(r copylink.Record) error {
+	add := func(r replicationwire.Record) error {
 		at := len(out)
-		b, err := copylink.AppendRecord(append(out, 0, 0, 0, 0), r)
+		b, err := replicationwire.AppendRecord(append(out, 0, 0, 0, 0), r)
 		if err != nil {
 			return err
 		}
@@ -183,7 +183,7 @@
 		binary.BigEndian.PutUint32(out[at:], uint32(len(out)-at-4))
 		return nil
 	}
-	first := copylink.Record{Incarnation: d.life}
+	first := replicationwire.Record{Incarnation: d.life}
 	if d.group.Epoch > 0 {
 		first.Membership = &d.group
 	}
@@ -196,9 +196,9 @@
 	}
 	slices.Sort(keys)
 	for chunk := range slices.Chunk(keys, 200) {
-		var r copylink.Record
+		var r replicationwire.Record
 		for _, key := range chunk {
-			r.Slots = append(r.Slots, copies.SavedRegister{Key: key, Register: d.slots[key]})
+			r.Slots = append(r.Slots, consensus.SavedRegister{Key: key, Register: d.slots[key]})
 		}
 		if err := add(r); err != nil {
 			return err
--- a/internal/holdings/holdings.go
+++ b/internal/replication/holdings.go
@@ -1,7 +1,7 @@
-// Package holdings is a log server's part in a group that holds copies of intakes for each other: it drives the decisions of
+// Package replication is a log server's part in a group that holds copies of intakes for each other: it drives the decisions of
 // packages copies and ledger with the program's loop, its disk and the links to the other servers. It knows once-keys as strings and
 // no class, tenant or wire.
-package holdings
+package replication
 
 import (
 	"cmp"
@@ -11,11 +11,11 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"pewterline/internal/decide/copies"
-	"pewterline/internal/decide/ledger"
-	"pewterline/internal/micro"
+	"pewterline/internal/decide/consensus"
+	"pewterline/internal/decide/execution"
+	"pewterline/internal/microtime"
 	"pewterline/internal/peers"
-	"pewterline/internal/protocol/copylink"
+	"pewterline/internal/protocol/replicationwire"
 	"pewterline/internal/transport"
 )
 
@@ -25,15 +25,15 @@
 	Listen string
 	Folder string
 	Copies int // of a group that is founded here
-	Decide copies.Config
-	Peers  []copies.Member // of the group to be, or where members of it are reached from here
+	Decide consensus.Config
+	Peers  []consensus.Member // of the group to be, or where members of it are reached from here
 }
 
 const (
-	lookEvery   = 50 * micro.Millisecond // at a run of another server, at first
-	lookMost    = 400 * micro.Millisecond
-	reopenEvery = 2 * micro.Second // a disk that failed
-	forgetEvery = micro.Second
+	lookEvery   = 50 * microtime.Millisecond // at a run of another server, at first
+	lookMost    = 400 * microtime.Millisecond
+	reopenEvery = 2 * microtime.Second // a disk that failed
+	forgetEvery = microtime.Second
 	// Room for wall clocks that are apart, and for messages on their way, before what is past its window is forgotten.
 	forgetSlack = 60_000
 	// Callers' times may be that far ahead, and clocks apart.
@@ -42,8 +42,8 @@
 
 // Outcome is what became of what was asked for.
 type Outcome struct {
-	Action       ledger.Action // Start, Serve, SayFailed, SayUnknown, SayUncopied, SayUnneeded or Refuse
-	Value        copies.Value
+	Action       execution.Action // Start, Serve, SayFailed, SayUnknown, SayUncopied, SayUnneeded or Refuse
+	Value        consensus.Value
 	RetryAtMilli int64 // SayUnknown: Unix milliseconds by which a repeat may run; 0: that is not known either
 }
 
@@ -77,15 +77,15 @@
 type Replica struct {
 	cfg    Config
 	logf   func(string, ...any)
-	wall   func(micro.Time) int64
+	wall   func(microtime.Time) int64
 	window int64 // milliseconds, the longest that any key has
 	loop   Loop
 	peers  *peers.Links
-	node   *copies.Node
+	node   *consensus.Node
 	disk   *disk
 	broken bool // the disk has failed: this server does not vote
-	reopen micro.Time
-	forget micro.Time
+	reopen microtime.Time
+	forget microtime.Time
 	keys   map[string]*entry
 	active map[*entry]struct{} // somebody waits for an answer of theirs
 	last   uint64              // number of an entry
@@ -96,16 +96,16 @@
 
 // entry is an intake on this server.
 type entry struct {
-	ledger.Lifecycle
+	execution.Lifecycle
 	name    string
 	number  uint64
 	looks   bool  // it is only looked at, and has no place among the keys
 	at      int64 // of the try that is to run, or ran
 	window  int64
 	try     uint64 // of the leave
-	due     micro.Time
-	again   micro.Time // Elsewhere: the next look; Uncopied: the next copy
-	wait    micro.Time // until the one after that
+	due     microtime.Time
+	again   microtime.Time // Elsewhere: the next look; Uncopied: the next copy
+	wait    microtime.Time // until the one after that
 	op      uint64
 	theirs  int64 // when the try came that has the leave elsewhere; 0: not known
 	passed  bool
@@ -115,8 +115,8 @@
 }
 
 // Open reads what this server holds. wall converts the loop's time to Unix milliseconds; window is the longest of any key.
-func Open(cfg Config, wall func(micro.Time) int64, window micro.Time, logf func(string, ...any)) (*Replica, error) {
-	h := &Replica{cfg: cfg, logf: logf, wall: wall, window: int64(window / micro.Millisecond), keys: map[string]*entry{}, active: map[*entry]struct{}{}, ops: map[uint64]*entry{}}
+func Open(cfg Config, wall func(microtime.Time) int64, window microtime.Time, logf func(string, ...any)) (*Replica, error) {
+	h := &Replica{cfg: cfg, logf: logf, wall: wall, window: int64(window / microtime.Millisecond), keys: map[string]*entry{}, active: map[*entry]struct{}{}, ops: map[uint64]*entry{}}
 	var err error
 	if h.disk, err = openDisk(cfg.Folder); err != nil {
 		return nil, err
@@ -125,16 +125,16 @@
 	if err != nil {
 		return nil, err
 	}
-	self := copies.Identity{ID: cfg.ID, Incarnation: h.disk.life}
-	if h.node, err = copies.NewNode(self, process, cfg.Decide, h.disk.group, clone(h.disk.slots), process, xxhash.Sum64String); err != nil {
+	self := consensus.Identity{ID: cfg.ID, Incarnation: h.disk.life}
+	if h.node, err = consensus.NewNode(self, process, cfg.Decide, h.disk.group, clone(h.disk.slots), process, xxhash.Sum64String); err != nil {
 		return nil, errors.Join(fmt.Errorf("holdings: %w", err), h.disk.log.Close())
 	}
 	logf("holdings: server %d, life %x, process %x, group %v, %d keys held", cfg.ID, self.Incarnation, process, h.disk.group, h.node.KeyCount())
 	return h, nil
 }
 
-func clone(in map[string]copies.Register) map[string]copies.Register {
-	out := make(map[string]copies.Register, len(in))
+func clone(in map[string]consensus.Register) map[string]consensus.Register {
+	out := make(map[string]consensus.Register, len(in))
 	for k, v := range in {
 		out[k] = v
 	}
@@ -157,7 +157,7 @@
 // link has links to all that are of the group or in the file. The file says where they are reached from here.
 func (h *Replica) link() {
 	addrs := map[uint32]string{}
-	for _, set := range [][]copies.Member{h.node.Membership().Members(), h.cfg.Peers} {
+	for _, set := range [][]consensus.Member{h.node.Membership().Members(), h.cfg.Peers} {
 		for _, p := range set {
 			if p.ID != h.cfg.ID {
 				addrs[p.ID] = p.Addr
@@ -168,12 +168,12 @@
 }
 
 // Hello is part of peers.Host.
-func (h *Replica) Hello() copylink.Hello {
-	return copylink.Hello{ID: h.cfg.ID, Incarnation: h.node.AcceptorID.Incarnation, ProcessIncarnation: h.node.ProposerID.Incarnation, ClusterID: h.node.Membership().ClusterID}
+func (h *Replica) Hello() replicationwire.Hello {
+	return replicationwire.Hello{ID: h.cfg.ID, Incarnation: h.node.AcceptorID.Incarnation, ProcessIncarnation: h.node.ProposerID.Incarnation, ClusterID: h.node.Membership().ClusterID}
 }
 
 // Group is part of peers.Host.
-func (h *Replica) Group() copies.Membership { return h.node.Membership() }
+func (h *Replica) Group() consensus.Membership { return h.node.Membership() }
 
 // PeerStateChanged is part of peers.Host.
 func (h *Replica) PeerStateChanged(id uint32, up bool) {
@@ -182,7 +182,7 @@
 }
 
 // HandleMessage is part of peers.Host.
-func (h *Replica) HandleMessage(from copylink.Hello, m copylink.Message) {
+func (h *Replica) HandleMessage(from replicationwire.Hello, m replicationwire.Message) {
 	now := h.loop.Now()
 	if m.Membership != nil {
 		if err := h.node.AdoptMembership(now, *m.Membership); err != nil {
@@ -194,7 +194,7 @@
 	}
 	if !h.broken { // what can't be made durable is no vote
 		for _, r := range m.Requests {
-			h.node.HandleRequest(copies.Identity{ID: from.ID, Incarnation: from.ProcessIncarnation}, r)
+			h.node.HandleRequest(consensus.Identity{ID: from.ID, Incarnation: from.ProcessIncarnation}, r)
 		}
 	}
 	for _, r := range m.Replies {
@@ -203,7 +203,7 @@
 }
 
 // Tick does what is due, and what has come up in this turn. It returns when it is due again.
-func (h *Replica) Tick(now micro.Time) micro.Time {
+func (h *Replica) Tick(now microtime.Time) microtime.Time {
 	if h.broken && now >= h.reopen {
 		h.mend(now)
 	}
@@ -213,10 +213,10 @@
 	}
 	next := h.forget
 	for _, e := range h.due(now) {
-		if now >= e.due && e.State != ledger.StateUnrecorded {
-			h.move(e, ledger.EventDeadlineReached, copies.Value{})
+		if now >= e.due && e.State != execution.StateUnrecorded {
+			h.move(e, execution.EventDeadlineReached, consensus.Value{})
 		} else {
-			h.move(e, ledger.EventRetryDue, copies.Value{})
+			h.move(e, execution.EventRetryDue, consensus.Value{})
 		}
 	}
 	next = min(next, h.node.Tick(now))
@@ -231,18 +231,18 @@
 }
 
 // next is when something is due for an entry that is under way.
-func (e *entry) next() micro.Time {
+func (e *entry) next() microtime.Time {
 	switch e.State {
-	case ledger.StateHeldByOther:
+	case execution.StateHeldByOther:
 		return min(e.again, e.due)
-	case ledger.StateUnrecorded: // nobody may be waiting: it is a promise to those who come
+	case execution.StateUnrecorded: // nobody may be waiting: it is a promise to those who come
 		return e.again
 	}
 	return e.due
 }
 
 // due are the entries that something is due for, in an order that depends on nothing else.
-func (h *Replica) due(now micro.Time) (out []*entry) {
+func (h *Replica) due(now microtime.Time) (out []*entry) {
 	for e := range h.active {
 		if now >= e.next() {
 			out = append(out, e)
@@ -253,7 +253,7 @@
 }
 
 // flush carries out what the node is ready for, until there is nothing left.
-func (h *Replica) flush(now micro.Time) {
+func (h *Replica) flush(now microtime.Time) {
 	if h.busy {
 		return // a result has led to another change; the loop below goes on with it
 	}
@@ -273,7 +273,7 @@
 			e := h.ops[q.ID]
 			if delete(h.ops, q.ID); e != nil && e.op == q.ID {
 				e.op = 0
-				h.move(e, ledger.EventOf(q.Outcome, q.Known), q.Value)
+				h.move(e, execution.EventOf(q.Outcome, q.Known), q.Value)
 			}
 		}
 	}
@@ -281,7 +281,7 @@
 
 // save makes durable what has to be, before what was made ready with it goes out. Requests alone may go at once: a vote of this
 // server's is a reply.
-func (h *Replica) save(now micro.Time, r copies.Ready) {
+func (h *Replica) save(now microtime.Time, r consensus.Ready) {
 	send := func() {
 		for _, a := range r.Replies {
 			if a.To == h.node.ProposerID {
@@ -316,11 +316,11 @@
 	if h.broken {
 		return
 	}
-	var parts []copylink.Record
-	part, size := copylink.Record{Membership: r.Membership}, 0
+	var parts []replicationwire.Record
+	part, size := replicationwire.Record{Membership: r.Membership}, 0
 	for _, s := range r.Registers {
 		if part.Slots = append(part.Slots, s); size > recordBytes {
-			parts, part, size = append(parts, part), copylink.Record{}, 0
+			parts, part, size = append(parts, part), replicationwire.Record{}, 0
 		}
 		size += 100 + len(s.Key) + len(s.Register.Value.Result)
 	}
@@ -355,7 +355,7 @@
 }
 
 // mend opens the log anew, and goes by what is in it.
-func (h *Replica) mend(now micro.Time) {
+func (h *Replica) mend(now microtime.Time) {
 	h.reopen = now + reopenEvery
 	_ = h.disk.log.Close() // it has failed
 	d, err := openDisk(h.cfg.Folder)
@@ -374,10 +374,10 @@
 }
 
 // sweep forgets what is past its window, here and on disk.
-func (h *Replica) sweep(now micro.Time) {
+func (h *Replica) sweep(now microtime.Time) {
 	before := h.wall(now) - h.window - forgetSlack
 	for name, e := range h.keys {
-		if e.touched < before && (e.State == ledger.StateIdle || e.State == ledger.StateUnrecorded || e.State == ledger.StateRecorded) {
+		if e.touched < before && (e.State == execution.StateIdle || e.State == execution.StateUnrecorded || e.State == execution.StateRecorded) {
 			delete(h.keys, name)
 			delete(h.active, e)
 		}
@@ -386,7 +386,7 @@
 		d := h.disk
 		failed := func(err error) { h.failed(d, err) }
 		if h.node.Expire(before) > 0 {
-			d.write(copylink.Record{ForgetBefore: max(before, 1)}, h.loop.Execute, func() {}, failed)
+			d.write(replicationwire.Record{ForgetBefore: max(before, 1)}, h.loop.Execute, func() {}, failed)
 		}
 		d.tidy(h.loop.Execute, failed)
 	}
@@ -394,7 +394,7 @@
 
 // AcquireLease asks whether a try of a key, which came at a time, may run; the window is in milliseconds. done is called once, on the
 // loop, by due or soon after.
-func (h *Replica) AcquireLease(key string, at, window int64, due micro.Time, done func(Outcome)) {
+func (h *Replica) AcquireLease(key string, at, window int64, due microtime.Time, done func(Outcome)) {
 	e := h.keys[key]
 	if e == nil {
 		h.last++
@@ -402,94 +402,94 @@
 		h.keys[key] = e
 	}
 	e.at, e.window, e.due, e.done, e.touched = at, window, due, done, max(at, e.touched)
-	if e.State != ledger.StateIdle && e.State != ledger.StateReleasing && e.State != ledger.StateRecorded { // the core has one run of a key at a time
+	if e.State != execution.StateIdle && e.State != execution.StateReleasing && e.State != execution.StateRecorded { // the core has one run of a key at a time
 		h.logf("holdings: %q is asked for while it is in state %d", key, e.State)
-		h.say(e, ledger.ActionReportIndeterminate, copies.Value{})
+		h.say(e, execution.ActionReportIndeterminate, consensus.Value{})
 		return
 	}
-	h.move(e, ledger.EventAttemptArrived, copies.Value{})
+	h.move(e, execution.EventAttemptArrived, consensus.Value{})
 }
 
 // ReleaseLease says whether a leave that was given leads to a run. One that does not is taken back.
 func (h *Replica) ReleaseLease(key string, begun bool) {
 	if e := h.keys[key]; e != nil && !begun {
-		h.move(e, ledger.EventRunNotStarted, copies.Value{})
+		h.move(e, execution.EventRunNotStarted, consensus.Value{})
 	}
 }
 
 // Complete puts the end of a run on record. done is called once, on the loop: with Serve, SayFailed or SayUncopied.
 func (h *Replica) Complete(key string, passed bool, result []byte, done func(Outcome)) {
 	e := h.keys[key]
-	if e == nil || e.State != ledger.StateRunning && e.State != ledger.StateUnrecorded && e.State != ledger.StateRecorded && e.State != ledger.StateRecording {
+	if e == nil || e.State != execution.StateRunning && e.State != execution.StateUnrecorded && e.State != execution.StateRecorded && e.State != execution.StateRecording {
 		h.logf("holdings: a run of %q ends that had no leave", key)
-		done(Outcome{Action: ledger.ActionReportUnrecorded})
+		done(Outcome{Action: execution.ActionReportUnrecorded})
 		return
 	}
 	e.passed, e.result, e.done = passed, string(result), done
-	if e.State == ledger.StateUnrecorded {
-		h.move(e, ledger.EventRetryDue, copies.Value{})
+	if e.State == execution.StateUnrecorded {
+		h.move(e, execution.EventRetryDue, consensus.Value{})
 	} else if passed {
-		h.move(e, ledger.EventRunSucceeded, copies.Value{})
+		h.move(e, execution.EventRunSucceeded, consensus.Value{})
 	} else {
-		h.move(e, ledger.EventRunFailed, copies.Value{})
+		h.move(e, execution.EventRunFailed, consensus.Value{})
 	}
 }
 
 // Lookup asks what is agreed on a key, without a wish to run it. done is called once, on the loop: with Start where nothing stands in
 // a run's way, Serve, SayFailed, or SayUnknown.
-func (h *Replica) Lookup(key string, at, window int64, due micro.Time, done func(Outcome)) {
+func (h *Replica) Lookup(key string, at, window int64, due microtime.Time, done func(Outcome)) {
 	h.last++
-	h.move(&entry{name: key, number: h.last, looks: true, wait: lookEvery, at: at, window: window, due: due, done: done, Lifecycle: ledger.Lifecycle{State: ledger.StateHeldByOther}}, ledger.EventRetryDue, copies.Value{})
+	h.move(&entry{name: key, number: h.last, looks: true, wait: lookEvery, at: at, window: window, due: due, done: done, Lifecycle: execution.Lifecycle{State: execution.StateHeldByOther}}, execution.EventRetryDue, consensus.Value{})
 }
 
 // HasRecord says that this server holds something of a key that a try of that time has to hear of.
 func (h *Replica) HasRecord(key string, at, window int64) bool {
 	v := h.node.Register(key).Value
-	return v.Kind != copies.KindNone && at < v.AttemptedAt+window
+	return v.Kind != consensus.KindNone && at < v.AttemptedAt+window
 }
 
 // move takes an intake a step on.
-func (h *Replica) move(e *entry, ev ledger.Event, v copies.Value) {
+func (h *Replica) move(e *entry, ev execution.Event, v consensus.Value) {
 	was := e.State
-	if v.Kind == copies.KindLeased {
+	if v.Kind == consensus.KindLeased {
 		e.theirs = v.AttemptedAt
 	}
-	if e.looks && was == ledger.StatePolling && ev == ledger.EventVacant {
+	if e.looks && was == execution.StatePolling && ev == execution.EventVacant {
 		delete(h.active, e)
-		h.say(e, ledger.ActionStart, v)
+		h.say(e, execution.ActionStart, v)
 		return
 	}
 	does := e.Step(ev)
 	switch e.State {
-	case ledger.StateHeldByOther, ledger.StateAcquiring, ledger.StatePolling, ledger.StateUnrecorded:
+	case execution.StateHeldByOther, execution.StateAcquiring, execution.StatePolling, execution.StateUnrecorded:
 		h.active[e] = struct{}{}
 	default:
 		delete(h.active, e)
 	}
-	if e.State == ledger.StateIdle && !e.Started && h.keys[e.name] == e {
+	if e.State == execution.StateIdle && !e.Started && h.keys[e.name] == e {
 		delete(h.keys, e.name) // nothing of it is known here that the register does not know
 	}
 	for _, d := range does {
 		switch d {
-		case ledger.ActionAcquireLease:
+		case execution.ActionAcquireLease:
 			h.count.LeasesRequested++
-			h.begin(e, copies.Change{Kind: copies.AcquireLease, AttemptedAt: e.at, Retention: e.window, NeverStarted: !e.Started})
-		case ledger.ActionPoll:
-			h.begin(e, copies.Change{Kind: copies.ReadValue, AttemptedAt: e.at, Retention: e.window})
-		case ledger.ActionRetryLater:
+			h.begin(e, consensus.Change{Kind: consensus.AcquireLease, AttemptedAt: e.at, Retention: e.window, NeverStarted: !e.Started})
+		case execution.ActionPoll:
+			h.begin(e, consensus.Change{Kind: consensus.ReadValue, AttemptedAt: e.at, Retention: e.window})
+		case execution.ActionRetryLater:
 			e.again = h.loop.Now() + e.wait
 			e.wait = min(2*e.wait, lookMost)
-		case ledger.ActionRecord:
-			h.begin(e, copies.Change{Kind: copies.RecordResult, Attempt: e.try, AttemptedAt: e.at, Retention: e.window, Succeeded: e.passed, Result: e.result})
-		case ledger.ActionReleaseLease:
-			h.begin(e, copies.Change{Kind: copies.ReleaseLease, Attempt: e.try, AttemptedAt: e.at, Retention: e.window})
+		case execution.ActionRecord:
+			h.begin(e, consensus.Change{Kind: consensus.RecordResult, Attempt: e.try, AttemptedAt: e.at, Retention: e.window, Succeeded: e.passed, Result: e.result})
+		case execution.ActionReleaseLease:
+			h.begin(e, consensus.Change{Kind: consensus.ReleaseLease, Attempt: e.try, AttemptedAt: e.at, Retention: e.window})
 		default:
 			switch {
-			case d == ledger.ActionStart:
+			case d == execution.ActionStart:
 				h.count.LeasesGranted++
-			case d == ledger.ActionServe && was == ledger.StateRecording:
+			case d == execution.ActionServe && was == execution.StateRecording:
 				h.count.ResultsReplicated++
-			case d == ledger.ActionServe:
+			case d == execution.ActionServe:
 				h.count.ResultsFound++
 			}
 			h.say(e, d, v)
@@ -497,16 +497,16 @@
 	}
 }
 
-func (h *Replica) say(e *entry, d ledger.Action, v copies.Value) {
+func (h *Replica) say(e *entry, d execution.Action, v consensus.Value) {
 	o := Outcome{Action: d, Value: v}
 	switch d {
-	case ledger.ActionReportIndeterminate:
+	case execution.ActionReportIndeterminate:
 		if h.count.OutcomesUnknown++; e.theirs != 0 {
 			o.RetryAtMilli = e.theirs + e.window
 		}
-	case ledger.ActionReportUnrecorded:
+	case execution.ActionReportUnrecorded:
 		h.count.ResultsAtRisk++
-	case ledger.ActionReject:
+	case execution.ActionReject:
 		h.count.RejectedUnreplicated++
 	}
 	if done := e.done; done != nil {
@@ -516,14 +516,14 @@
 }
 
 // begin starts a change for an intake. One that can't be started has come to nothing.
-func (h *Replica) begin(e *entry, c copies.Change) {
+func (h *Replica) begin(e *entry, c consensus.Change) {
 	now := h.loop.Now()
 	id, err := h.node.Propose(now, e.name, c)
 	if err != nil {
-		h.move(e, ledger.EventUnavailable, copies.Value{})
+		h.move(e, execution.EventUnavailable, consensus.Value{})
 		return
 	}
-	if e.op = id; c.Kind == copies.AcquireLease {
+	if e.op = id; c.Kind == consensus.AcquireLease {
 		e.try = id
 	}
 	h.ops[id] = e
--- a/internal/holdings/open_faults.go
+++ b/internal/replication/open_faults.go
@@ -1,6 +1,6 @@
 //go:build faults
 
-package holdings
+package replication
 
 import (
 	"errors"
--- a/internal/holdings/operate.go
+++ b/internal/replication/operate.go
@@ -1,4 +1,4 @@
-package holdings
+package replication
 
 import (
 	"encoding/base64"
@@ -6,8 +6,8 @@
 	"fmt"
 	"slices"
 
-	"pewterline/internal/decide/copies"
-	"pewterline/internal/micro"
+	"pewterline/internal/decide/consensus"
+	"pewterline/internal/microtime"
 )
 
 // MemberStatus is a member as operators see it.
@@ -23,7 +23,7 @@
 
 // Status is the group as this server sees it.
 type Status struct {
-	Self               copies.Identity
+	Self               consensus.Identity
 	Voting             bool
 	MembersTransferred int
 	Members            []MemberStatus
@@ -65,17 +65,17 @@
 	if err != nil {
 		return err
 	}
-	g := copies.Membership{ClusterID: name, ReplicationFactor: h.cfg.Copies, Reason: "founded"}
+	g := consensus.Membership{ClusterID: name, ReplicationFactor: h.cfg.Copies, Reason: "founded"}
 	var missing []error
 	for _, p := range h.cfg.Peers {
 		life, ok := h.life(p.ID)
 		if k, _ := h.peers.LastHello(p.ID); !ok || p.ID != h.cfg.ID && (!h.peers.Connected(p.ID) || k.ClusterID != 0) {
 			missing = append(missing, fmt.Errorf("server %d at %s can't be reached, or has a group", p.ID, p.Addr))
 		}
-		g.Current = append(g.Current, copies.Member{Identity: copies.Identity{ID: p.ID, Incarnation: life}, Addr: p.Addr})
+		g.Current = append(g.Current, consensus.Member{Identity: consensus.Identity{ID: p.ID, Incarnation: life}, Addr: p.Addr})
 	}
 	if h.node.Membership().Epoch == 0 && len(missing) > 0 {
-		return fmt.Errorf("%w: %w", copies.ErrInvalidChange, errors.Join(missing...))
+		return fmt.Errorf("%w: %w", consensus.ErrInvalidChange, errors.Join(missing...))
 	}
 	return h.done(h.node.Bootstrap(h.loop.Now(), g))
 }
@@ -85,19 +85,19 @@
 	g := h.node.Membership()
 	life, ok := h.life(id)
 	if !ok {
-		return fmt.Errorf("%w: server %d has not been heard of; it has to be up, with this server in its file", copies.ErrInvalidChange, id)
+		return fmt.Errorf("%w: server %d has not been heard of; it has to be up, with this server in its file", consensus.ErrInvalidChange, id)
 	}
-	if i := slices.IndexFunc(h.cfg.Peers, func(p copies.Member) bool { return p.ID == id }); addr == "" && i >= 0 {
+	if i := slices.IndexFunc(h.cfg.Peers, func(p consensus.Member) bool { return p.ID == id }); addr == "" && i >= 0 {
 		addr = h.cfg.Peers[i].Addr
 	}
-	next := slices.DeleteFunc(slices.Clone(g.Current), func(p copies.Member) bool { return p.ID == id })
-	next = append(next, copies.Member{Identity: copies.Identity{ID: id, Incarnation: life}, Addr: addr})
+	next := slices.DeleteFunc(slices.Clone(g.Current), func(p consensus.Member) bool { return p.ID == id })
+	next = append(next, consensus.Member{Identity: consensus.Identity{ID: id, Incarnation: life}, Addr: addr})
 	return h.done(h.node.ProposeMembership(h.loop.Now(), next, because(why, "added server %d", id)))
 }
 
 // RemoveMember takes a server out of the group.
 func (h *Replica) RemoveMember(id uint32, why string) error {
-	next := slices.DeleteFunc(slices.Clone(h.node.Membership().Current), func(p copies.Member) bool { return p.ID == id })
+	next := slices.DeleteFunc(slices.Clone(h.node.Membership().Current), func(p consensus.Member) bool { return p.ID == id })
 	return h.done(h.node.ProposeMembership(h.loop.Now(), next, because(why, "removed server %d", id)))
 }
 
@@ -137,7 +137,7 @@
 	Result         string `json:"result"` // in base64
 }
 
-var kinds = map[copies.ValueKind]string{copies.KindLeased: "intent", copies.KindSucceeded: "passed", copies.KindFailed: "failed"}
+var kinds = map[consensus.ValueKind]string{consensus.KindLeased: "intent", consensus.KindSucceeded: "passed", consensus.KindFailed: "failed"}
 
 // Export returns what is held here, in the order of keys, behind one; at most so many.
 func (h *Replica) Export(after string, most int) (out []ExportedKey) {
@@ -150,4 +150,6 @@
 }
 
 // ExtendRetention sets the longest that any key is kept, when the settings change.
-func (h *Replica) ExtendRetention(w micro.Time) { h.window = max(h.window, int64(w/micro.Millisecond)) }
+func (h *Replica) ExtendRetention(w microtime.Time) {
+	h.window = max(h.window, int64(w/microtime.Millisecond))
+}
--- a/internal/edge/admin.go
+++ b/internal/server/admin.go
@@ -1,7 +1,7 @@
-package edge
+package server
 
 import (
-	"pewterline/internal/operators"
+	"pewterline/internal/admin"
 	"pewterline/internal/protocol/upgrade"
 )
 
@@ -16,15 +16,15 @@
 // operatorServer is the server as operators see it: it implements operators.Server.
 type operatorServer struct{ s *Server }
 
-func (o operatorServer) State() operators.State {
+func (o operatorServer) State() admin.State {
 	s := o.s
-	return operators.State{Ready: true, InService: !s.out && !s.draining, Draining: s.draining || s.handed}
+	return admin.State{Ready: true, InService: !s.out && !s.draining, Draining: s.draining || s.handed}
 }
 
 func (o operatorServer) SetInService(in bool) error {
 	s := o.s
 	if in && s.draining {
-		return operators.ErrDraining
+		return admin.ErrDraining
 	}
 	if s.out == in {
 		s.out = !in
@@ -36,7 +36,7 @@
 	return nil
 }
 
-func (o operatorServer) Counters() operators.Counters { return o.s.Counters() }
+func (o operatorServer) Counters() admin.Counters { return o.s.Counters() }
 
 // healthy is the answer to health checks.
 func (s *Server) healthy() bool { return !s.out && s.core.Healthy() }
@@ -51,8 +51,8 @@
 }
 
 // Counters returns the figures as they are now.
-func (s *Server) Counters() operators.Counters {
-	c := operators.Counters{Succeeded: map[string]int{}, Rejected: map[string]int{}, Failed: map[string]int{}, InProgress: s.core.OpenRequests(),
+func (s *Server) Counters() admin.Counters {
+	c := admin.Counters{Succeeded: map[string]int{}, Rejected: map[string]int{}, Failed: map[string]int{}, InProgress: s.core.OpenRequests(),
 		Reloads: s.files.taken, ReloadErrors: s.files.refused}
 	for _, name := range s.core.CountedClasses() {
 		f := s.core.Counters(name)
--- a/internal/edge/admin_test.go
+++ b/internal/server/admin_test.go
@@ -1,4 +1,4 @@
-package edge
+package server
 
 import (
 	"encoding/json"
@@ -10,9 +10,9 @@
 
 	"github.com/stretchr/testify/require"
 
+	"pewterline/internal/admin"
 	"pewterline/internal/config"
-	"pewterline/internal/micro"
-	"pewterline/internal/operators"
+	"pewterline/internal/microtime"
 	"pewterline/internal/transport"
 	"pewterline/internal/transport/sockets"
 )
@@ -89,7 +89,7 @@
 	}
 }
 
-func (s *stage) counters() (c operators.Counters) {
+func (s *stage) counters() (c admin.Counters) {
 	_, body := s.call("GET /control/counters")
 	require.NoError(s.t, json.Unmarshal([]byte(body), &c))
 	return c
@@ -109,7 +109,7 @@
 	l.tell("finished 3 00000000000000a4 PASS 5 2\r\nok\r\n")
 	require.NoError(t, l.srv.Reload(l.srv.cfg))
 	l.srv.ReloadRejected()
-	require.Equal(t, operators.Counters{
+	require.Equal(t, admin.Counters{
 		Succeeded: map[string]int{"block-view": 1, "lot-update": 0, "lot-intake": 0}, Rejected: map[string]int{"block-view": 0, "lot-update": 0, "lot-intake": 0},
 		Failed: map[string]int{"block-view": 0, "lot-update": 0, "lot-intake": 2}, Attempts: 3, Reloads: 1, ReloadErrors: 1,
 	}, l.counters())
@@ -118,7 +118,7 @@
 // Guards both sides of the door: silent and half callers of the operators' listener cost proxies no place, the oldest of
 // them makes room for whoever calls, and a hall full of proxies at work does not shut the operators out.
 func TestOperatorsHavePlacesOfTheirOwn(t *testing.T) {
-	clock := micro.NewClock()
+	clock := microtime.NewClock()
 	srv, err := New(testConfig(t, "127.0.0.1:1"), clock, t.Logf)
 	require.NoError(t, err)
 	loop, err := sockets.Start(sockets.Options{Options: transport.Options{MaxConns: 2, Logf: t.Logf, DedicatedLimits: map[int]int{AdminListener: 3}},
--- a/internal/edge/bench_test.go
+++ b/internal/server/bench_test.go
@@ -1,4 +1,4 @@
-package edge
+package server
 
 import (
 	"bufio"
@@ -13,11 +13,11 @@
 
 	"pewterline/control"
 	"pewterline/internal/config"
-	"pewterline/internal/micro"
+	"pewterline/internal/microtime"
 	"pewterline/internal/protocol/thrift"
+	"pewterline/internal/settings"
 	"pewterline/internal/transport"
 	"pewterline/internal/transport/sockets"
-	"pewterline/internal/wire"
 )
 
 // BenchmarkRequest is one request on its whole way over loopback sockets: a proxy's call, the transport, the edge, the core with the
@@ -40,7 +40,7 @@
 	require.NoError(b, err)
 	defer vaultListener.Close()
 	go serveVault(vaultListener)
-	clock := micro.NewClock()
+	clock := microtime.NewClock()
 	cfg := benchConfig(b, ln.Addr().String())
 	cfg.VaultAddress, cfg.Settings.Dependency = vaultListener.Addr().String(), control.DependencyTier
 	for i := range cfg.Settings.Classes {
@@ -162,7 +162,7 @@
 	}
 }
 
-func startLoop(b *testing.B, srv *Server, clock micro.Clock) (string, func()) {
+func startLoop(b *testing.B, srv *Server, clock microtime.Clock) (string, func()) {
 	loop, err := sockets.Start(sockets.Options{Options: transport.Options{MaxConns: 16, Logf: func(string, ...any) {}}, Listen: []string{"127.0.0.1:0"}, Clock: clock},
 		srv, func(l *transport.Loop) { srv.Attach(l) })
 	require.NoError(b, err)
@@ -173,7 +173,7 @@
 }
 
 func benchConfig(b *testing.B, pool string) config.Config {
-	set, gauges, err := wire.Parse([]byte(settings), 7)
+	set, gauges, err := settings.Parse([]byte(settingsText), 7)
 	require.NoError(b, err)
-	return config.Config{Name: "n0", PoolAddress: pool, ShutdownTimeout: 3200 * micro.Millisecond, Settings: set, Gauges: gauges}
+	return config.Config{Name: "n0", PoolAddress: pool, ShutdownTimeout: 3200 * microtime.Millisecond, Settings: set, Gauges: gauges}
 }
--- a/internal/edge/calls_test.go
+++ b/internal/server/calls_test.go
@@ -1,4 +1,4 @@
-package edge
+package server
 
 import (
 	"slices"
@@ -10,11 +10,11 @@
 
 	"pewterline/control"
 	"pewterline/internal/config"
-	"pewterline/internal/micro"
-	"pewterline/internal/procs"
+	"pewterline/internal/microtime"
 	"pewterline/internal/protocol/pool"
 	"pewterline/internal/protocol/thrift"
 	"pewterline/internal/protocol/vault"
+	"pewterline/internal/testbed/processtest"
 )
 
 // The classes of a callHouse, each of whose requests makes one call.
@@ -30,15 +30,15 @@
 // callHouse is a house whose requests call the vault, on a clock that the test moves.
 type callHouse struct {
 	*house
-	workers *procs.Pool
-	vault   *procs.Vault
+	workers *processtest.Pool
+	vault   *processtest.Vault
 	proxy   *peer
 	seqs    map[string]int32       // of the requests, by ID
 	heard   map[int32]thrift.Reply // so far, by number
 }
 
 func newCallHouse(t *testing.T, change func(*config.Config)) *callHouse {
-	workers, err := procs.NewPool(procs.NewLedger())
+	workers, err := processtest.NewPool(processtest.NewLedger())
 	require.NoError(t, err)
 	t.Cleanup(workers.Close)
 	h := &callHouse{workers: workers, vault: newVault(t)}
@@ -70,12 +70,12 @@
 
 func (h *callHouse) dial() *peer {
 	p := h.house.proxy()
-	require.NoError(h.t, p.c.SetReadDeadline(time.Now().Add(procs.Patience)))
+	require.NoError(h.t, p.c.SetReadDeadline(time.Now().Add(processtest.Patience)))
 	return p
 }
 
-func newVault(t *testing.T) *procs.Vault {
-	v, err := procs.NewVault()
+func newVault(t *testing.T) *processtest.Vault {
+	v, err := processtest.NewVault()
 	require.NoError(t, err)
 	t.Cleanup(v.Close)
 	return v
@@ -122,19 +122,19 @@
 }
 
 // called is the next call, which has to be a request's.
-func (h *callHouse) called(id string) *procs.Call {
+func (h *callHouse) called(id string) *processtest.Call {
 	h.t.Helper()
 	c, err := h.vault.Asked()
 	require.NoError(h.t, err)
 	require.Equal(h.t, id, c.ID)
-	require.Equal(h.t, procs.CallBody(1, "lot"), c.Body)
+	require.Equal(h.t, processtest.CallBody(1, "lot"), c.Body)
 	require.Positive(h.t, c.WaitMS)
 	return c
 }
 
 // calls counts the calls of a request.
 func (h *callHouse) calls(id string) int {
-	others := func(c procs.Call) bool { return c.ID != id }
+	others := func(c processtest.Call) bool { return c.ID != id }
 	return len(slices.DeleteFunc(h.vault.Calls(), others))
 }
 
@@ -147,7 +147,7 @@
 }
 
 // later moves the clock and returns in a turn of that time.
-func (h *callHouse) later(by micro.Time) {
+func (h *callHouse) later(by microtime.Time) {
 	h.pass(by)
 	h.do(func() {})
 }
@@ -158,7 +158,7 @@
 	go func() {
 		defer close(done)
 		for {
-			h.pass(10 * micro.Millisecond)
+			h.pass(10 * microtime.Millisecond)
 			turned := make(chan struct{})
 			if h.loop.Execute(func() { close(turned) }) != nil {
 				return
@@ -180,7 +180,7 @@
 // noMoreCalls asks that what could be called again in a while is not: the next call is that of a request that comes then.
 func (h *callHouse) noMoreCalls() {
 	h.t.Helper()
-	h.later(micro.Second)
+	h.later(microtime.Second)
 	h.comes()
 	last := h.request(safeClass)
 	h.called(last)
@@ -243,7 +243,7 @@
 	old, moved := h.vault, newVault(t)
 	old.Hold()
 	single, safe := h.request(singleClass), h.request(safeClass)
-	calls := map[string]*procs.Call{}
+	calls := map[string]*processtest.Call{}
 	for range 2 {
 		c, err := old.Asked()
 		require.NoError(t, err)
@@ -277,7 +277,7 @@
 	waiting := h.request(safeClass)
 	h.called(waiting).Reply(vault.NotNow, "")
 	h.do(func() { h.srv.Drain(h.Now()) })
-	h.later(h.srv.cfg.ShutdownTimeout - stopLead - micro.Millisecond)
+	h.later(h.srv.cfg.ShutdownTimeout - stopLead - microtime.Millisecond)
 	h.failed(inHand)
 	h.failed(waiting)
 	h.givenUp(inHand)
@@ -325,11 +325,11 @@
 
 // Guards effects: a call of a request that may run once is made again only where the one before is proven not to have run.
 func TestCallsThatMayHaveRunAreNotMadeAgain(t *testing.T) {
-	for name, end := range map[string]func(*callHouse, *procs.Call){
-		"failed":  func(_ *callHouse, c *procs.Call) { c.Reply(vault.Failed, "") },
-		"overdue": func(_ *callHouse, c *procs.Call) { c.Reply(vault.Overdue, "") },
-		"broken":  func(h *callHouse, _ *procs.Call) { h.vault.Break() },
-		"halved":  func(_ *callHouse, c *procs.Call) { c.BreakReply() },
+	for name, end := range map[string]func(*callHouse, *processtest.Call){
+		"failed":  func(_ *callHouse, c *processtest.Call) { c.Reply(vault.Failed, "") },
+		"overdue": func(_ *callHouse, c *processtest.Call) { c.Reply(vault.Overdue, "") },
+		"broken":  func(h *callHouse, _ *processtest.Call) { h.vault.Break() },
+		"halved":  func(_ *callHouse, c *processtest.Call) { c.BreakReply() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newCallHouse(t, nil)
@@ -448,7 +448,7 @@
 		h.comes()
 		h.served(h.request(safeClass), "kept call 1 of lot")
 	}
-	const stale = 2 * micro.Second // an outcome may answer the checks of a moment
+	const stale = 2 * microtime.Second // an outcome may answer the checks of a moment
 	checked := func(good bool) {
 		t.Helper()
 		h.later(stale)
--- a/internal/edge/clients_test.go
+++ b/internal/server/clients_test.go
@@ -1,4 +1,4 @@
-package edge
+package server
 
 import (
 	"encoding/binary"
@@ -7,7 +7,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"pewterline/internal/micro"
+	"pewterline/internal/microtime"
 	"pewterline/internal/protocol/thrift"
 )
 
@@ -82,7 +82,7 @@
 				b.session = nil
 			}
 		}
-		l.advance(l.now + 6*micro.Second)
+		l.advance(l.now + 6*microtime.Second)
 		require.Zero(t, l.srv.core.OpenRequests(), name)
 		require.LessOrEqual(t, l.srv.thrift.Len(), 1, name+": the good one alone, if it is still open")
 	}
--- a/internal/edge/edge.go
+++ b/internal/server/edge.go
@@ -1,6 +1,6 @@
-// Package edge joins the layers: its Server ties the fronts, the core and what does the work to one loop. It decides nothing
+// Package server joins the layers: its Server ties the fronts, the core and what does the work to one loop. It decides nothing
 // about requests.
-package edge
+package server
 
 import (
 	"errors"
@@ -9,30 +9,30 @@
 	"strings"
 
 	"pewterline/control"
+	"pewterline/internal/admin"
+	"pewterline/internal/backend/ajpbackend"
+	"pewterline/internal/backend/upstream"
+	"pewterline/internal/backend/workerpool"
 	"pewterline/internal/config"
-	"pewterline/internal/front"
-	"pewterline/internal/front/ajpfront"
-	"pewterline/internal/front/thriftfront"
-	"pewterline/internal/holdings"
-	"pewterline/internal/micro"
-	"pewterline/internal/operators"
+	"pewterline/internal/dispatch"
+	"pewterline/internal/frontend"
+	"pewterline/internal/frontend/ajpfrontend"
+	"pewterline/internal/frontend/thriftfrontend"
+	"pewterline/internal/microtime"
 	"pewterline/internal/planted"
-	"pewterline/internal/protocol/lease"
-	"pewterline/internal/routing"
-	"pewterline/internal/runner/ajprunner"
-	"pewterline/internal/runner/fleetrunner"
+	"pewterline/internal/protocol/loadreport"
+	"pewterline/internal/replication"
 	"pewterline/internal/transport"
-	"pewterline/internal/vaultlink"
-	"pewterline/internal/workerpool"
+	"pewterline/internal/vaultclient"
 )
 
 const (
 	// Fifteen reports fit before an entry lapses: a quarter of them may be lost, and a lost NotReady of a drain
 	// costs no more than this.
-	reportEvery  = 200 * micro.Millisecond
-	sweepEvery   = 250 * micro.Millisecond // looks for idle connections
-	stopLead     = 100 * micro.Millisecond // we are gone this long before the process would be stopped
-	shutdownMost = 500 * micro.Millisecond // for the peers of the last connections to close them
+	reportEvery  = 200 * microtime.Millisecond
+	sweepEvery   = 250 * microtime.Millisecond // looks for idle connections
+	stopLead     = 100 * microtime.Millisecond // we are gone this long before the process would be stopped
+	shutdownMost = 500 * microtime.Millisecond // for the peers of the last connections to close them
 )
 
 // ExchangeListener is the index of the listener for other instances.
@@ -40,7 +40,7 @@
 
 // EventLoop is what the server needs of the event loop.
 type EventLoop interface {
-	Now() micro.Time
+	Now() microtime.Time
 	Dial(addr string, open func(transport.Conn) transport.Session) (drop func())
 	DialOnce(addr string, open func(transport.Conn) transport.Session, failed func()) (drop func())
 	SetDatagramPeer(addr string) error
@@ -48,45 +48,45 @@
 	Execute(func()) error
 	Rand() uint64 // need not be secret
 	CloseListener(listener int, done func())
-	Shutdown(by micro.Time)
+	Shutdown(by microtime.Time)
 }
 
 // WallClock converts between the wall clock, in Unix milliseconds, and the program's time.
 type WallClock interface {
-	FromUnixMilli(ms int64) micro.Time
-	UnixMilli(t micro.Time) int64
+	FromUnixMilli(ms int64) microtime.Time
+	UnixMilli(t microtime.Time) int64
 }
 
 // Server is the program on one loop.
 type Server struct {
 	cfg       config.Config
-	core      *routing.Core
+	core      *dispatch.Core
 	loop      EventLoop
 	logf      func(string, ...any)
 	wall      WallClock
 	classes   map[string]int
 	tenants   map[string]int
-	settings  control.Settings   // as the file has them; cfg's have the places that classes got over time
-	late      map[int]micro.Time // classes that are gone are taken until then, by place
+	settings  control.Settings       // as the file has them; cfg's have the places that classes got over time
+	late      map[int]microtime.Time // classes that are gone are taken until then, by place
 	pool      *workerpool.Backend
-	vault     *vaultlink.Client    // where runs call
-	backends  *ajprunner.Backend   // nil: no AJP server does the work
-	servers   *fleetrunner.Backend // nil: no log servers do the work
-	held      *holdings.Replica    // copies, with a group of servers; nil: none
-	thrift    *thriftfront.Frontend
-	ajp       *ajpfront.Frontend
-	operators *operators.Handler
+	vault     *vaultclient.Client  // where runs call
+	backends  *ajpbackend.Backend  // nil: no AJP server does the work
+	servers   *upstream.Backend    // nil: no log servers do the work
+	held      *replication.Replica // copies, with a group of servers; nil: none
+	thrift    *thriftfrontend.Frontend
+	ajp       *ajpfrontend.Frontend
+	operators *admin.Handler
 	host      ProcessHost
 	peer      *peerProcess // the other process, in an upgrade
 	handed    bool         // it has taken over from this one
-	handedAt  micro.Time
+	handedAt  microtime.Time
 	out       bool                         // of service, by the operators' word
 	files     struct{ taken, refused int } // at SIGHUP
 	requests  int                          // taken by the core so far
 
-	nextReport, nextSweep micro.Time
-	reported              bool       // the health last reported
-	drainAt, stopAt, lead micro.Time // lead: the process would be stopped that long after stopAt
+	nextReport, nextSweep microtime.Time
+	reported              bool           // the health last reported
+	drainAt, stopAt, lead microtime.Time // lead: the process would be stopped that long after stopAt
 	draining, farewell    bool
 	listening             int // listeners of clients that are to end and have not
 	stopped               bool
@@ -96,28 +96,28 @@
 func New(cfg config.Config, wall WallClock, logf func(string, ...any)) (*Server, error) {
 	s := &Server{
 		cfg: cfg, logf: logf, wall: wall, classes: map[string]int{}, tenants: map[string]int{}, reported: true,
-		settings: cfg.Settings, late: map[int]micro.Time{},
+		settings: cfg.Settings, late: map[int]microtime.Time{},
 	}
-	s.thrift, s.ajp = thriftfront.New(frontendServer{s}), ajpfront.New(frontendServer{s}, cfg.AJP)
-	s.operators = operators.New(operatorServer{s}, logf)
+	s.thrift, s.ajp = thriftfrontend.New(frontendServer{s}), ajpfrontend.New(frontendServer{s}, cfg.AJP)
+	s.operators = admin.New(operatorServer{s}, logf)
 	s.name()
-	var runner routing.Backend
+	var runner dispatch.Backend
 	if len(cfg.Fleet.Members) > 0 {
 		var err error
-		if s.servers, err = fleetrunner.New(fleetrunner.Config{Fleet: cfg.Fleet, Name: cfg.Name, Settings: cfg.Settings}, wall, logf); err != nil {
+		if s.servers, err = upstream.New(upstream.Config{Fleet: cfg.Fleet, Name: cfg.Name, Settings: cfg.Settings}, wall, logf); err != nil {
 			return nil, fmt.Errorf("edge: %w", err)
 		}
 		runner = s.servers
 	} else if cfg.AJP.BackendAddress != "" {
-		s.backends = ajprunner.New(ajprunner.Config{AJP: cfg.AJP, RunTimeout: longestAnswer(cfg.Settings.Classes)}, logf)
+		s.backends = ajpbackend.New(ajpbackend.Config{AJP: cfg.AJP, RunTimeout: longestAnswer(cfg.Settings.Classes)}, logf)
 		runner = s.backends
 	} else {
 		s.pool = workerpool.New(workerpool.Config{Address: cfg.PoolAddress, Gauges: cfg.Gauges}, logf)
-		s.vault = vaultlink.New(cfg.VaultAddress, logf)
+		s.vault = vaultclient.New(cfg.VaultAddress, logf)
 		runner = s.pool
 	}
 	var err error
-	if s.core, err = routing.New(cfg.Settings, runner, logf); err != nil {
+	if s.core, err = dispatch.New(cfg.Settings, runner, logf); err != nil {
 		return nil, fmt.Errorf("edge: %w", err)
 	}
 	if s.vault != nil {
@@ -127,9 +127,9 @@
 }
 
 // longestAnswer is how long any answer could be wanted.
-func longestAnswer(classes []control.Class) (longest micro.Time) {
+func longestAnswer(classes []control.Class) (longest microtime.Time) {
 	for _, c := range classes {
-		longest = max(longest, micro.FromDuration(c.Deadline), micro.FromDuration(c.RetentionWindow))
+		longest = max(longest, microtime.FromDuration(c.Deadline), microtime.FromDuration(c.RetentionWindow))
 	}
 	return longest
 }
@@ -236,9 +236,9 @@
 }
 
 // Turn ends a turn of the loop: one step of the core, then what is due by the clock.
-func (s *Server) Turn(now micro.Time) micro.Time {
+func (s *Server) Turn(now microtime.Time) microtime.Time {
 	if s.loop == nil {
-		return micro.Never
+		return microtime.Never
 	}
 	if s.vault != nil {
 		s.vault.Check(now)
@@ -283,9 +283,9 @@
 	return max(next, now)
 }
 
-func (s *Server) report(now micro.Time) {
+func (s *Server) report(now microtime.Time) {
 	s.reported, s.nextReport = s.listed(), now+reportEvery
-	s.loop.SendDatagram(lease.Append(nil, s.cfg.Name, s.reported))
+	s.loop.SendDatagram(loadreport.Append(nil, s.cfg.Name, s.reported))
 }
 
 // WastedAttempts counts the tries that came to nothing for want of a server, where this is an edge.
@@ -298,7 +298,7 @@
 
 // Drain is the notice to leave, which came at a time up to now: whoever sent it counts from then, however long the program took
 // to start, or to come to it.
-func (s *Server) Drain(at micro.Time) {
+func (s *Server) Drain(at microtime.Time) {
 	if s.draining || s.handed {
 		return
 	}
@@ -310,7 +310,7 @@
 }
 
 // stopWithin notes when the process ends, somewhat before it would be stopped.
-func (s *Server) stopWithin(at, stop micro.Time) {
+func (s *Server) stopWithin(at, stop microtime.Time) {
 	s.lead = min(stopLead, stop/4)
 	s.stopAt = at + stop - s.lead
 }
@@ -326,7 +326,7 @@
 }
 
 // shutdown ends the program; half of the lead is for the last connections to be closed.
-func (s *Server) shutdown(now micro.Time) {
+func (s *Server) shutdown(now microtime.Time) {
 	s.stopped = true
 	s.loop.Shutdown(min(s.stopAt+s.lead/2, now+shutdownMost))
 }
@@ -334,8 +334,8 @@
 // drain ends the program once all that was read is answered. New requests are welcome until none would run;
 // then nobody is accepted any more and farewell is bid, and the end waits for the peers to have closed, so that no request is
 // cut off unread.
-func (s *Server) drain(now micro.Time) micro.Time {
-	quiet := min(s.drainAt+micro.FromDuration(s.cfg.Settings.DrainGrace), s.stopAt-front.LingerTimeout/4)
+func (s *Server) drain(now microtime.Time) microtime.Time {
+	quiet := min(s.drainAt+microtime.FromDuration(s.cfg.Settings.DrainGrace), s.stopAt-frontend.LingerTimeout/4)
 	if now >= quiet && !s.farewell {
 		s.farewell = true
 		s.closeListeners()
@@ -347,7 +347,7 @@
 		s.shutdown(now)
 	}
 	if s.stopped {
-		return micro.Never
+		return microtime.Never
 	}
 	if s.farewell {
 		return s.stopAt
--- a/internal/edge/end_test.go
+++ b/internal/server/end_test.go
@@ -1,4 +1,4 @@
-package edge
+package server
 
 import (
 	"bufio"
@@ -14,7 +14,7 @@
 
 	"pewterline/control"
 	"pewterline/internal/config"
-	"pewterline/internal/micro"
+	"pewterline/internal/microtime"
 	"pewterline/internal/protocol/thrift"
 	"pewterline/internal/transport"
 	"pewterline/internal/transport/sockets"
@@ -30,11 +30,11 @@
 	sent int
 }
 
-func (h *house) Now() micro.Time { return micro.Time(h.now.Load()) }
+func (h *house) Now() microtime.Time { return microtime.Time(h.now.Load()) }
 
 func newHouse(t *testing.T, change func(*config.Config)) *house {
 	h := &house{t: t, pool: newSocketPool(t)}
-	h.now.Store(int64(micro.Second))
+	h.now.Store(int64(microtime.Second))
 	cfg := testConfig(t, h.pool.ln.Addr().String())
 	cfg.Listen = "127.0.0.1:0"
 	if change != nil {
@@ -61,7 +61,7 @@
 }
 
 // pass moves the clock; what is due by it is done from the next turn on.
-func (h *house) pass(by micro.Time) { h.now.Add(int64(by)) }
+func (h *house) pass(by microtime.Time) { h.now.Add(int64(by)) }
 
 func (h *house) proxy() *peer { return dial(h.t, h.loop.Addr(0).String(), thrift.SplitFrame) }
 
@@ -116,7 +116,7 @@
 	h.do(func() { h.srv.Drain(h.Now()) })
 	for h.fronts() > 0 { // its close may not have been read yet
 	}
-	h.pass(micro.FromDuration(h.srv.cfg.Settings.DrainGrace) + micro.Millisecond)
+	h.pass(microtime.FromDuration(h.srv.cfg.Settings.DrainGrace) + microtime.Millisecond)
 	var late []*peer
 	h.do(func() {
 		for range 5 {
@@ -164,7 +164,7 @@
 func TestNoticeCountsFromWhenItCame(t *testing.T) {
 	h := newHouse(t, nil)
 	at := h.Now()
-	h.pass(micro.FromDuration(h.srv.cfg.Settings.DrainGrace) + micro.Millisecond)
+	h.pass(microtime.FromDuration(h.srv.cfg.Settings.DrainGrace) + microtime.Millisecond)
 	p := h.proxy()
 	h.do(func() {
 		h.srv.Drain(at)
@@ -187,7 +187,7 @@
 		next.PoolAddress = h.pool.ln.Addr().String()
 		require.NoError(t, h.srv.Reload(next))
 	})
-	h.pass(micro.FromDuration(2500*time.Millisecond) + micro.Millisecond)
+	h.pass(microtime.FromDuration(2500*time.Millisecond) + microtime.Millisecond)
 	h.do(func() { h.ask(p, "lot-update", "") })
 	require.ElementsMatch(t, []thrift.ReplyKind{thrift.ReplyFarewell, thrift.ReplyThrottled}, []thrift.ReplyKind{heard(p).Kind, heard(p).Kind})
 	require.NoError(t, p.c.Close())
@@ -343,7 +343,7 @@
 	p := h.known()
 	id := h.ask(p, "lot-intake", "k1")
 	require.Equal(t, id, <-h.pool.started)
-	h.pass(2 * micro.Second)
+	h.pass(2 * microtime.Second)
 	h.ask(p, "lot-intake", "k1")
 	safe := h.ask(p, "lot-update", "") // read behind the repeat
 	require.Equal(t, safe, <-h.pool.started)
--- a/internal/edge/fleet_test.go
+++ b/internal/server/fleet_test.go
@@ -1,4 +1,4 @@
-package edge
+package server
 
 import (
 	"fmt"
@@ -7,11 +7,11 @@
 	"github.com/stretchr/testify/require"
 	"golang.org/x/sys/unix"
 
+	"pewterline/internal/backend/upstream"
 	"pewterline/internal/config"
-	"pewterline/internal/decide/fleet"
-	"pewterline/internal/micro"
+	"pewterline/internal/decide/loadbalancer"
+	"pewterline/internal/microtime"
 	"pewterline/internal/protocol/thrift"
-	"pewterline/internal/runner/fleetrunner"
 )
 
 // serveEdge runs an edge on real sockets before servers at those addresses.
@@ -103,8 +103,8 @@
 // Guards the decision to be left with the door: an edge with faulty figures does not start.
 func TestEdgeChecksItsFigures(t *testing.T) {
 	cfg := testConfig(t, "")
-	cfg.Fleet = config.Fleet{Members: []config.Member{{Name: "n1", Address: "127.0.0.1:1"}}, LoadBalancer: fleet.Config{SlowStartShare: 7}}
-	_, err := New(cfg, micro.NewClock(), t.Logf)
+	cfg.Fleet = config.Fleet{Members: []config.Member{{Name: "n1", Address: "127.0.0.1:1"}}, LoadBalancer: loadbalancer.Config{SlowStartShare: 7}}
+	_, err := New(cfg, microtime.NewClock(), t.Logf)
 	require.ErrorContains(t, err, "warm_from")
 }
 
@@ -113,7 +113,7 @@
 func TestEdgeReloadsItsServers(t *testing.T) {
 	cfg := testConfig(t, "")
 	cfg.Fleet.Members = []config.Member{{Name: "n1", Address: "a1"}}
-	s := &stage{t: t, now: micro.Second, links: map[string]*fakeLink{}, control: "control"}
+	s := &stage{t: t, now: microtime.Second, links: map[string]*fakeLink{}, control: "control"}
 	var err error
 	s.srv, err = New(cfg, unixZero{}, t.Logf)
 	require.NoError(t, err)
@@ -121,7 +121,7 @@
 	desk := s.connect("c1", 0)
 	ask := func(seq int32, class, once string) {
 		s.deliver(desk, thrift.AppendCall(nil, seq, []thrift.Field{{Name: "class", Value: class}, {Name: "id", Value: fmt.Sprintf("%016x", seq)},
-			{Name: "at", Value: fmt.Sprint(int64(s.now / micro.Millisecond))}, {Name: "from", Value: "1"}, {Name: "tenant", Value: "lake-vines"},
+			{Name: "at", Value: fmt.Sprint(int64(s.now / microtime.Millisecond))}, {Name: "from", Value: "1"}, {Name: "tenant", Value: "lake-vines"},
 			{Name: "kb", Value: "20"}, {Name: "rank", Value: "0.9"}, {Name: "once", Value: once}}, []byte("lot")))
 		s.turn()
 	}
@@ -149,7 +149,7 @@
 	require.Equal(t, "a1", s.dials[0].addr)
 	known, removed := s.srv.servers.Lookup("n1")
 	require.True(t, known && removed)
-	s.srv.servers.ExpireRemoved(s.now + fleetrunner.RemovedEndpointRetention + micro.Second)
+	s.srv.servers.ExpireRemoved(s.now + upstream.RemovedEndpointRetention + microtime.Second)
 	known, _ = s.srv.servers.Lookup("n1")
 	require.True(t, known, "something is open there")
 }
--- a/internal/edge/fronts.go
+++ b/internal/server/fronts.go
@@ -1,20 +1,20 @@
-package edge
+package server
 
 import (
 	"pewterline/control"
-	"pewterline/internal/micro"
-	"pewterline/internal/routing"
+	"pewterline/internal/dispatch"
+	"pewterline/internal/microtime"
 )
 
 // frontendServer is the server as its fronts see it: it implements front.Server and ajpfront.Server.
 type frontendServer struct{ s *Server }
 
-func (f frontendServer) Now() micro.Time                   { return f.s.loop.Now() }
-func (f frontendServer) Rand() uint64                      { return f.s.loop.Rand() }
-func (f frontendServer) FromUnixMilli(ms int64) micro.Time { return f.s.wall.FromUnixMilli(ms) }
-func (f frontendServer) Classes() []control.Class          { return f.s.cfg.Settings.Classes }
-func (f frontendServer) Cancel(id control.RequestID)       { f.s.core.Abandon(id) }
-func (f frontendServer) Healthy() bool                     { return f.s.healthy() }
+func (f frontendServer) Now() microtime.Time                   { return f.s.loop.Now() }
+func (f frontendServer) Rand() uint64                          { return f.s.loop.Rand() }
+func (f frontendServer) FromUnixMilli(ms int64) microtime.Time { return f.s.wall.FromUnixMilli(ms) }
+func (f frontendServer) Classes() []control.Class              { return f.s.cfg.Settings.Classes }
+func (f frontendServer) Cancel(id control.RequestID)           { f.s.core.Abandon(id) }
+func (f frontendServer) Healthy() bool                         { return f.s.healthy() }
 func (f frontendServer) AdmissionLevel() (value float64, known bool) {
 	return f.s.core.AdvertisedValue()
 }
@@ -31,7 +31,7 @@
 	return place, known || len(f.s.tenants) == 0
 }
 
-func (f frontendServer) Submit(request routing.Request) (control.RequestID, error) {
+func (f frontendServer) Submit(request dispatch.Request) (control.RequestID, error) {
 	s := f.s
 	id, err := s.core.Submit(s.loop.Now(), request)
 	switch {
@@ -56,7 +56,7 @@
 func (s *Server) connections() int { return s.thrift.Len() + s.ajp.Len() }
 
 // sayFarewell has the callers' connections end: the peers are told to close them, or they are closed once they owe no answer.
-func (s *Server) sayFarewell(now micro.Time) {
+func (s *Server) sayFarewell(now microtime.Time) {
 	s.thrift.Drain(now)
 	s.ajp.Drain()
 }
--- a/internal/edge/handover.go
+++ b/internal/server/handover.go
@@ -1,12 +1,12 @@
-package edge
+package server
 
 import (
 	"fmt"
 
-	"pewterline/internal/decide/handover"
-	"pewterline/internal/micro"
+	"pewterline/internal/decide/handoff"
+	"pewterline/internal/dispatch"
+	"pewterline/internal/microtime"
 	"pewterline/internal/protocol/upgrade"
-	"pewterline/internal/routing"
 	"pewterline/internal/transport"
 )
 
@@ -16,13 +16,13 @@
 	// MaxHandoffConns are the connections of successors that may be open at once.
 	MaxHandoffConns = 4
 	// The platform's figures: an old process has the longest deadline, three seconds at most, and this until it is killed.
-	handMost  = 3 * micro.Second
-	handAfter = 700 * micro.Millisecond
+	handMost  = 3 * microtime.Second
+	handAfter = 700 * microtime.Millisecond
 	// What was in the listener's queue at the hand-over is read within this, and what crosses a farewell.
-	handLinger = 200 * micro.Millisecond
-	connsEvery = 100 * micro.Millisecond
+	handLinger = 200 * microtime.Millisecond
+	connsEvery = 100 * microtime.Millisecond
 	// A successor is ready within 6 s or given up by its operators: one that has not heard all keys by then has hung.
-	hearMost = 6 * micro.Second
+	hearMost = 6 * microtime.Second
 )
 
 // ProcessHost is what a hand-over needs of the process. Its methods are called on the loop.
@@ -45,12 +45,12 @@
 	conn      transport.Conn
 	successor bool // the other one is the successor
 	greeted   bool
-	keys      []routing.IdempotencyKey // to be told yet
+	keys      []dispatch.IdempotencyKey // to be told yet
 	synced    bool
 	yours     bool // ownership has passed
 	told      int  // connections, last
-	since     micro.Time
-	next      micro.Time
+	since     microtime.Time
+	next      microtime.Time
 	out       []byte
 }
 
@@ -61,7 +61,7 @@
 // Inherit takes up what a predecessor has told before the loop runs. It comes before Attach.
 func (s *Server) Inherit(told []upgrade.Message) error {
 	s.peer = &peerProcess{s: s, greeted: true, synced: true}
-	s.core.JoinPeer(s.peer, handover.Requester)
+	s.core.JoinPeer(s.peer, handoff.Requester)
 	for _, m := range told {
 		if err := s.peer.take(m); err != nil {
 			return err
@@ -140,7 +140,7 @@
 		}
 		return k.greet(m)
 	}
-	in := routing.KeyedRequest{IdempotencyKey: m.IdempotencyKey, ArrivedAt: s.wall.FromUnixMilli(m.ArrivedAtMilli), Result: m.Result}
+	in := dispatch.KeyedRequest{IdempotencyKey: m.IdempotencyKey, ArrivedAt: s.wall.FromUnixMilli(m.ArrivedAtMilli), Result: m.Result}
 	if m.Kind >= upgrade.Claim {
 		var class, tenant bool
 		in.Class, class = s.classes[m.Class]
@@ -173,9 +173,9 @@
 	case upgrade.Started:
 		s.core.PeerStarted(in)
 	case upgrade.Succeeded:
-		s.core.PeerFinished(in, routing.RunSucceeded)
+		s.core.PeerFinished(in, dispatch.RunSucceeded)
 	case upgrade.Failed:
-		s.core.PeerFinished(in, routing.RunFailed)
+		s.core.PeerFinished(in, dispatch.RunFailed)
 	case upgrade.Released:
 		s.core.PeerReleased(in)
 	}
@@ -205,7 +205,7 @@
 	s.logf("edge: a successor has come")
 	s.host.SteerListeners(0)
 	s.host.ShareLimits(0) // it gets no connections yet
-	s.core.JoinPeer(k, handover.Owner)
+	s.core.JoinPeer(k, handoff.Owner)
 	learned := s.core.LearnedState()
 	k.send(upgrade.Message{Kind: upgrade.Welcome, OutOfService: s.out, Learned: &learned})
 	k.conns()
@@ -234,11 +234,11 @@
 
 // check does what is due; it returns when to look again. Guards the next upgrade against a successor that hangs while it is
 // told: it would keep its place for as long as it lives.
-func (k *peerProcess) check(now micro.Time) micro.Time {
+func (k *peerProcess) check(now microtime.Time) microtime.Time {
 	if !k.synced && now >= k.since+hearMost {
 		k.s.logf("edge: the successor has not heard all keys within %v", hearMost.Duration())
 		k.conn.Close()
-		return micro.Never
+		return microtime.Never
 	}
 	if now >= k.next {
 		k.next = now + connsEvery
@@ -256,7 +256,7 @@
 	}
 }
 
-func (k *peerProcess) key(kind upgrade.Kind, in routing.KeyedRequest) {
+func (k *peerProcess) key(kind upgrade.Kind, in dispatch.KeyedRequest) {
 	m := upgrade.Message{Kind: kind, Class: k.s.cfg.Settings.Classes[in.Class].Name, IdempotencyKey: in.IdempotencyKey, ArrivedAtMilli: k.s.wall.UnixMilli(in.ArrivedAt)}
 	if in.Tenant < len(k.s.cfg.Settings.Tenants) {
 		m.Tenant = k.s.cfg.Settings.Tenants[in.Tenant].Name
@@ -268,21 +268,21 @@
 }
 
 // Claim is part of routing.Other.
-func (k *peerProcess) Claim(in routing.KeyedRequest) { k.key(upgrade.Claim, in) }
+func (k *peerProcess) Claim(in dispatch.KeyedRequest) { k.key(upgrade.Claim, in) }
 
 // Grant is part of routing.Other.
-func (k *peerProcess) Grant(in routing.KeyedRequest) { k.key(upgrade.Grant, in) }
+func (k *peerProcess) Grant(in dispatch.KeyedRequest) { k.key(upgrade.Grant, in) }
 
 // NotifyStarted is part of routing.Other.
-func (k *peerProcess) NotifyStarted(in routing.KeyedRequest) { k.key(upgrade.Started, in) }
+func (k *peerProcess) NotifyStarted(in dispatch.KeyedRequest) { k.key(upgrade.Started, in) }
 
 // NotifyReleased is part of routing.Other.
-func (k *peerProcess) NotifyReleased(in routing.KeyedRequest) { k.key(upgrade.Released, in) }
+func (k *peerProcess) NotifyReleased(in dispatch.KeyedRequest) { k.key(upgrade.Released, in) }
 
 // NotifyFinished is part of routing.Other.
-func (k *peerProcess) NotifyFinished(in routing.KeyedRequest, end routing.RunOutcome) {
+func (k *peerProcess) NotifyFinished(in dispatch.KeyedRequest, end dispatch.RunOutcome) {
 	// A result that no message holds has run all the same: the other process must not run it, and can't serve it.
-	if end == routing.RunSucceeded && len(in.Result) <= upgrade.MaxResult {
+	if end == dispatch.RunSucceeded && len(in.Result) <= upgrade.MaxResult {
 		k.key(upgrade.Succeeded, in)
 		return
 	}
@@ -290,15 +290,15 @@
 }
 
 // Shutdown is SIGTERM, which came at a time up to now: a hand-over where a successor stands ready, else the notice to drain.
-func (s *Server) Shutdown(at micro.Time) {
+func (s *Server) Shutdown(at microtime.Time) {
 	if s.peer == nil || !s.peer.successor || !s.peer.synced || s.draining || s.handed {
 		s.Drain(at)
 		return
 	}
 	now := s.loop.Now()
-	longest := micro.Time(0)
+	longest := microtime.Time(0)
 	for _, c := range s.cfg.Settings.Classes {
-		longest = max(longest, micro.FromDuration(c.Deadline))
+		longest = max(longest, microtime.FromDuration(c.Deadline))
 	}
 	stop := min(s.cfg.ShutdownTimeout, min(longest, handMost)+handAfter)
 	s.handed, s.farewell, s.handedAt = true, true, now
@@ -314,9 +314,9 @@
 
 // leaveHanded ends an old process once all that it read is answered and its keyed runs have ended. Its peers have closed by
 // then, as farewell asks of them, or are cut off at the end.
-func (s *Server) leaveHanded(now micro.Time) micro.Time {
+func (s *Server) leaveHanded(now microtime.Time) microtime.Time {
 	if s.stopped {
-		return micro.Never
+		return microtime.Never
 	}
 	if now >= s.stopAt-stopLead/2 {
 		s.core.FailAll()
@@ -325,9 +325,9 @@
 	if now >= s.handedAt+handLinger && quiet || now >= s.stopAt {
 		s.logf("edge: gone after %d requests, %d are open", s.requests, s.core.OpenRequests())
 		s.shutdown(now)
-		return micro.Never
+		return microtime.Never
 	}
-	for _, at := range []micro.Time{s.handedAt + handLinger, s.stopAt - stopLead/2} {
+	for _, at := range []microtime.Time{s.handedAt + handLinger, s.stopAt - stopLead/2} {
 		if now < at {
 			return at
 		}
--- a/internal/edge/handover_test.go
+++ b/internal/server/handover_test.go
@@ -1,4 +1,4 @@
-package edge
+package server
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"pewterline/internal/micro"
+	"pewterline/internal/microtime"
 	"pewterline/internal/protocol/thrift"
 	"pewterline/internal/protocol/upgrade"
 )
@@ -102,11 +102,11 @@
 	l.pool.out = nil
 	l.say(k, asked[0])
 	require.Contains(t, string(l.pool.out), "spawn 00000000000000f3")
-	l.advance(l.now + micro.Second)
+	l.advance(l.now + microtime.Second)
 	require.Len(t, l.reports, reports, "the successor reports now")
 	// At its end it answers what is open, and is gone in time.
 	l.caller.out = nil
-	l.advance(l.now + 4*micro.Second)
+	l.advance(l.now + 4*microtime.Second)
 	require.True(t, l.stopped)
 	for range 2 {
 		payload, n, err := thrift.SplitFrame(l.caller.out)
@@ -128,7 +128,7 @@
 	other.out = nil
 	require.Equal(t, "an upgrade is under way", l.say(other, upgrade.Message{Kind: upgrade.Hello, Name: "n0"})[0].Reason)
 	require.True(t, other.closed)
-	l.advance(l.now + hearMost + micro.Second)
+	l.advance(l.now + hearMost + microtime.Second)
 	require.True(t, k.closed, "it has hung")
 	require.Equal(t, -1, h.shared[len(h.shared)-1], "all places are its own again")
 	stranger := l.connect("stranger", HandoffListener)
@@ -180,7 +180,7 @@
 	require.Empty(t, l.ask("00000000000000a4", "lot-intake", "runs"))
 	require.NotEmpty(t, l.caller.out)
 	require.Equal(t, 2, l.counters().Failed["lot-intake"])
-	l.advance(l.now + 14*micro.Second)
+	l.advance(l.now + 14*microtime.Second)
 	l.caller = l.connect("c2", 0)
 	require.Contains(t, l.ask("00000000000000a5", "lot-intake", "runs"), "spawn", "its window is over")
 }
--- a/internal/edge/link_test.go
+++ b/internal/server/link_test.go
@@ -1,4 +1,4 @@
-package edge
+package server
 
 import (
 	"strconv"
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 
 	"pewterline/internal/config"
-	"pewterline/internal/micro"
+	"pewterline/internal/microtime"
 	"pewterline/internal/protocol/thrift"
 )
 
@@ -48,7 +48,7 @@
 func (l *linked) ask(id, class, once string) string {
 	l.seq++
 	l.pool.out = nil
-	at := strconv.FormatInt(int64(l.now/micro.Millisecond), 10)
+	at := strconv.FormatInt(int64(l.now/microtime.Millisecond), 10)
 	l.deliver(l.caller, thrift.AppendCall(nil, l.seq, []thrift.Field{{Name: "class", Value: class}, {Name: "id", Value: id}, {Name: "at", Value: at},
 		{Name: "from", Value: "4"}, {Name: "tenant", Value: "hill-estate"}, {Name: "kb", Value: "9"}, {Name: "rank", Value: "0.1"},
 		{Name: "once", Value: once}}, []byte("b")))
@@ -134,14 +134,14 @@
 	l.ask(intake, "lot-intake", "k1")
 	l.broken()
 	l.link("bound LOADED 100\r\n")
-	l.advance(l.now + 5*micro.Second)
+	l.advance(l.now + 5*microtime.Second)
 	require.Equal(t, map[int32]thrift.ReplyKind{1: thrift.ReplyBroken}, l.replies())
 	l.caller, l.seq = l.stage.connect("c2", 0), 0
 	require.NotContains(t, l.ask("00000000000000a2", "lot-intake", "k1"), "spawn")
-	l.advance(l.now + 5*micro.Second)
+	l.advance(l.now + 5*microtime.Second)
 	require.Equal(t, map[int32]thrift.ReplyKind{1: thrift.ReplyBroken}, l.replies())
 	require.Equal(t, 1, l.srv.pool.Status().Runs)
-	l.advance(l.now + 10*micro.Second) // past the window
+	l.advance(l.now + 10*microtime.Second) // past the window
 	require.Zero(t, l.srv.pool.Status().Runs)
 	require.Zero(t, l.srv.pool.Status().Uncertain)
 	require.True(t, strings.Contains(strings.Join(l.logged, "\n"), "whether it ran is not known"))
@@ -196,7 +196,7 @@
 		require.Contains(t, l.ask(intake, "lot-intake", "k1"), "spawn "+intake)
 		l.tell(spoilt)
 		require.NotContains(t, l.link("bound LOADED 100\r\n"), "spawn")
-		l.advance(l.now + 5*micro.Second)
+		l.advance(l.now + 5*microtime.Second)
 		require.Equal(t, map[int32]thrift.ReplyKind{1: thrift.ReplyBroken}, l.replies())
 		l.caller, l.seq = l.stage.connect("c2", 0), 0
 		require.NotContains(t, l.ask("00000000000000a2", "lot-intake", "k1"), "spawn")
@@ -265,7 +265,7 @@
 	l.pool = l.stage.connect("pool", -1)
 	l.turn()
 	require.NotContains(t, l.ask(view, "block-view", ""), "spawn")
-	l.advance(l.now + 6*micro.Second)
+	l.advance(l.now + 6*microtime.Second)
 	require.Len(t, l.replies(), 1, "it has its answer, whatever the pool does")
 	l.caller, l.seq = l.stage.connect("c2", 0), 0
 	require.NotContains(t, l.ask(intake, "lot-intake", "k1"), "spawn")
--- a/internal/edge/listed_test.go
+++ b/internal/server/listed_test.go
@@ -1,4 +1,4 @@
-package edge
+package server
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"pewterline/internal/micro"
+	"pewterline/internal/microtime"
 )
 
 // Where the list of servers tells only whether one runs or drains, a server whose runs fail stays on it, until it drains; where
@@ -21,11 +21,11 @@
 			require.Contains(t, l.ask(id, "block-view", ""), "spawn "+id)
 			l.tell(fmt.Sprintf("finished %d %s FAIL 10 0\r\n\r\n", n+1, id))
 		}
-		l.advance(l.now + micro.Second)
+		l.advance(l.now + microtime.Second)
 		require.False(t, l.srv.healthy())
 		require.True(t, strings.HasSuffix(l.report, map[bool]string{false: " NotReady", true: " Ready"}[ignores]), l.report)
 		l.srv.Drain(l.now)
-		l.advance(l.now + micro.Second)
+		l.advance(l.now + microtime.Second)
 		require.True(t, strings.HasSuffix(l.report, " NotReady"), l.report)
 	}
 }
--- a/internal/edge/loopback_test.go
+++ b/internal/server/loopback_test.go
@@ -1,4 +1,4 @@
-package edge
+package server
 
 import (
 	"bufio"
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/require"
 
 	"pewterline/internal/config"
-	"pewterline/internal/micro"
+	"pewterline/internal/microtime"
 	"pewterline/internal/protocol/ajp"
 	"pewterline/internal/protocol/thrift"
 	"pewterline/internal/store"
@@ -90,7 +90,7 @@
 // serveLoopback runs a whole server on ports that the system picks, until stop or the test's end. A file keeps
 // its intakes; "" for none.
 func serveLoopback(t *testing.T, cfg config.Config, file string) (thriftAddr, ajpAddr string, stop func()) {
-	clock := micro.NewClock()
+	clock := microtime.NewClock()
 	logf := func(f string, a ...any) { t.Logf(f, a...) }
 	srv, err := New(cfg, clock, logf)
 	require.NoError(t, err)
--- a/internal/edge/overload_test.go
+++ b/internal/server/overload_test.go
@@ -1,4 +1,4 @@
-package edge
+package server
 
 import (
 	"bufio"
@@ -16,7 +16,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"pewterline/internal/micro"
+	"pewterline/internal/microtime"
 	"pewterline/internal/protocol/ajp"
 	"pewterline/internal/protocol/thrift"
 	"pewterline/internal/transport"
@@ -26,9 +26,11 @@
 // manualClock stands still until the test moves it; its Unix time is its own.
 type manualClock struct{ now atomic.Int64 }
 
-func (c *manualClock) Now() micro.Time                   { return micro.Time(c.now.Load()) }
-func (c *manualClock) FromUnixMilli(ms int64) micro.Time { return micro.Time(ms) * micro.Millisecond }
-func (c *manualClock) UnixMilli(t micro.Time) int64      { return int64(t / micro.Millisecond) }
+func (c *manualClock) Now() microtime.Time { return microtime.Time(c.now.Load()) }
+func (c *manualClock) FromUnixMilli(ms int64) microtime.Time {
+	return microtime.Time(ms) * microtime.Millisecond
+}
+func (c *manualClock) UnixMilli(t microtime.Time) int64 { return int64(t / microtime.Millisecond) }
 
 // crowd is the whole program on loopback sockets and a clock of the test's, with stand-ins for its peers. Every
 // step waits for what it has sent to be taken, so that a run is the same each time, however fast the machine.
@@ -39,9 +41,9 @@
 	loop    *sockets.Loop
 	pool    net.Conn
 	poolIn  *bufio.Reader
-	queue   []string              // at the pool, waiting for a core
-	ends    map[string]micro.Time // running there
-	runs    map[string]int        // by body: how often each request was run
+	queue   []string                  // at the pool, waiting for a core
+	ends    map[string]microtime.Time // running there
+	runs    map[string]int            // by body: how often each request was run
 	notices uint64
 	out     []byte // notices of this step
 	marks   int
@@ -60,15 +62,15 @@
 
 const (
 	poolCores = 2
-	poolWork  = 200 * micro.Millisecond
+	poolWork  = 200 * microtime.Millisecond
 )
 
 func newCrowd(t *testing.T) *crowd {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer ln.Close()
-	c := &crowd{t: t, ends: map[string]micro.Time{}, runs: map[string]int{}, idle: make(chan *peer, 1000), answers: make(chan answered, 10000)}
-	c.clock.now.Store(int64(micro.Second))
+	c := &crowd{t: t, ends: map[string]microtime.Time{}, runs: map[string]int{}, idle: make(chan *peer, 1000), answers: make(chan answered, 10000)}
+	c.clock.now.Store(int64(microtime.Second))
 	logf := func(string, ...any) {}
 	c.srv, err = New(testConfig(t, ln.Addr().String()), &c.clock, logf)
 	require.NoError(t, err)
@@ -243,7 +245,7 @@
 	c := newCrowd(t)
 	rng := rand.New(rand.NewPCG(1, 2))
 	for i := 0; i < 1250 || c.open() > 0; i++ {
-		c.clock.now.Add(int64(20 * micro.Millisecond))
+		c.clock.now.Add(int64(20 * microtime.Millisecond))
 		c.onLoop(func() {})
 		c.work()
 		if i%5 == 0 && i < 1000 {
--- a/internal/edge/play_test.go
+++ b/internal/server/play_test.go
@@ -1,4 +1,4 @@
-package edge
+package server
 
 import (
 	"flag"
@@ -13,18 +13,18 @@
 	"github.com/stretchr/testify/require"
 
 	"pewterline/internal/config"
-	"pewterline/internal/front/thriftfront"
-	"pewterline/internal/micro"
+	"pewterline/internal/frontend/thriftfrontend"
+	"pewterline/internal/microtime"
 	"pewterline/internal/protocol/ajp"
 	"pewterline/internal/protocol/thrift"
+	"pewterline/internal/settings"
 	"pewterline/internal/transport"
-	"pewterline/internal/wire"
 )
 
 var update = flag.Bool("update", false, "record the program's side of the exchanges anew")
 
-// settings are the platform's, for a server of two cores.
-const settings = `{"classes": [
+// settingsText is the platform's, for a server of two cores.
+const settingsText = `{"classes": [
  {"name": "block-view", "aim_ms": 1800, "hard_limit_ms": 4500, "worth": 1, "effect": "free"},
  {"name": "lot-update", "aim_ms": 1800, "hard_limit_ms": 4500, "worth": 1, "effect": "free"},
  {"name": "lot-intake", "aim_ms": 1800, "hard_limit_ms": 4500, "worth": 10, "effect": "guarded", "window_ms": 13518}],
@@ -39,8 +39,8 @@
 type stage struct {
 	t       *testing.T
 	srv     *Server
-	now     micro.Time
-	next    micro.Time
+	now     microtime.Time
+	next    microtime.Time
 	links   map[string]*fakeLink
 	order   []string
 	dials   []*fakeDial
@@ -82,16 +82,18 @@
 // unixZero is a wall clock whose time is the stage's.
 type unixZero struct{}
 
-func (unixZero) FromUnixMilli(ms int64) micro.Time { return micro.Time(ms) * micro.Millisecond }
-func (unixZero) UnixMilli(t micro.Time) int64      { return int64(t / micro.Millisecond) }
+func (unixZero) FromUnixMilli(ms int64) microtime.Time {
+	return microtime.Time(ms) * microtime.Millisecond
+}
+func (unixZero) UnixMilli(t microtime.Time) int64 { return int64(t / microtime.Millisecond) }
 
 func (s *stage) Execute(f func()) error {
 	f()
 	return nil
 }
-func (s *stage) Now() micro.Time                  { return s.now }
+func (s *stage) Now() microtime.Time              { return s.now }
 func (s *stage) Rand() uint64                     { return 7 }
-func (s *stage) Shutdown(micro.Time)              { s.stopped = true }
+func (s *stage) Shutdown(microtime.Time)          { s.stopped = true }
 func (s *stage) CloseListener(_ int, done func()) { done() }
 func (s *stage) SendDatagram(p []byte) {
 	if text := string(p); text != s.report {
@@ -113,16 +115,16 @@
 
 // testConfig is a configuration with the AJP front on.
 func testConfig(t *testing.T, pool string) config.Config {
-	set, gauges, err := wire.Parse([]byte(settings), 7)
+	set, gauges, err := settings.Parse([]byte(settingsText), 7)
 	require.NoError(t, err)
-	return config.Config{Name: "n0", PoolAddress: pool, ShutdownTimeout: 3200 * micro.Millisecond, Settings: set, Gauges: gauges,
-		AJP: config.AJP{BodyTimeout: 10 * micro.Second, MaxBody: 100, MaxConnections: 900}}
+	return config.Config{Name: "n0", PoolAddress: pool, ShutdownTimeout: 3200 * microtime.Millisecond, Settings: set, Gauges: gauges,
+		AJP: config.AJP{BodyTimeout: 10 * microtime.Second, MaxBody: 100, MaxConnections: 900}}
 }
 
 func newStage(t *testing.T, ajp config.AJP) *stage {
 	cfg := testConfig(t, "pool")
 	cfg.AJP = ajp
-	s := &stage{t: t, now: micro.Second, links: map[string]*fakeLink{}, control: "control"}
+	s := &stage{t: t, now: microtime.Second, links: map[string]*fakeLink{}, control: "control"}
 	var err error
 	s.srv, err = New(cfg, unixZero{}, func(f string, a ...any) { s.logged = append(s.logged, fmt.Sprintf(f, a...)) })
 	require.NoError(t, err)
@@ -181,7 +183,7 @@
 }
 
 // advance moves the clock, with a turn whenever one is due.
-func (s *stage) advance(to micro.Time) {
+func (s *stage) advance(to microtime.Time) {
 	for s.next <= to && !s.stopped {
 		s.now = max(s.now, s.next)
 		s.turn()
@@ -225,7 +227,7 @@
 		case line[0] == '@':
 			ms, err := strconv.Atoi(line[1:])
 			require.NoError(s.t, err, line)
-			s.advance(micro.Time(ms) * micro.Millisecond)
+			s.advance(microtime.Time(ms) * microtime.Millisecond)
 		case words[0] == "reload":
 			cfg := s.srv.cfg
 			cfg.PoolAddress, cfg.ControlAddress = words[1], words[2]
@@ -258,13 +260,13 @@
 	f.Add([]byte("\x12\x34\x00\x01\x0a\x12\x34\x00\x04\x02\x04\x00\x99"))
 	f.Add([]byte("bound LOADED 0\r\npolled sync1\r\nfinished 1 a PASS 1 0\r\n\r\n"))
 	f.Fuzz(func(t *testing.T, in []byte) {
-		s := newStage(t, config.AJP{BodyTimeout: micro.Second, MaxBody: 100, MaxConnections: 99})
+		s := newStage(t, config.AJP{BodyTimeout: microtime.Second, MaxBody: 100, MaxConnections: 99})
 		for i, l := range []*fakeLink{s.connect("pool", -1), s.connect("c1", 0), s.connect("a1", 1)} {
 			s.deliver(l, in)
 			s.turn()
 			require.LessOrEqual(t, len(l.in), len(in), i)
 		}
-		s.advance(s.now + 100*micro.Millisecond)
+		s.advance(s.now + 100*microtime.Millisecond)
 		cping := []byte("\x12\x34\x00\x01\x0a")
 		office := s.connect("a2", 1)
 		s.deliver(office, cping)
@@ -283,7 +285,7 @@
 			require.NoError(t, err)
 			var ajp config.AJP
 			if strings.Contains(file, "ajp") {
-				ajp = config.AJP{Secret: "vine", BodyTimeout: 500 * micro.Millisecond, MaxBody: 100, MaxConnections: 99, BackendConnections: 2, BackendPath: "/run"}
+				ajp = config.AJP{Secret: "vine", BodyTimeout: 500 * microtime.Millisecond, MaxBody: 100, MaxConnections: 99, BackendConnections: 2, BackendPath: "/run"}
 			}
 			if strings.Contains(file, "runner") {
 				ajp.BackendAddress = "backend"
@@ -321,7 +323,7 @@
 		{0, probe, true}, {0, giveUp, false}, {0, "\x00\x00\x00\x02hi", false},
 		{1, head("vine"), true}, {1, head("wine"), false}, {1, "\x12\x34\x00\x01\x0a", true}, {1, "\x12\x34\x00", false},
 	} {
-		s := newStage(t, config.AJP{Secret: "vine", BodyTimeout: micro.Second, MaxBody: 100, MaxConnections: 9})
+		s := newStage(t, config.AJP{Secret: "vine", BodyTimeout: microtime.Second, MaxBody: 100, MaxConnections: 9})
 		l := s.connect("c", c.listener)
 		s.deliver(l, []byte(c.sent))
 		require.Equal(t, c.vouched, l.vouched, "%d %q", c.listener, c.sent)
@@ -333,10 +335,10 @@
 	s := newStage(t, config.AJP{})
 	l := s.connect("c", 0)
 	probe := "\x00\x00\x00\x16\x80\x01\x00\x01\x00\x00\x00\x05probe\x00\x00\x00\x01\x02\x00\x01\x00\x00"
-	const sent = 2*thriftfront.MaxMessagesPerTurn + 1
+	const sent = 2*thriftfrontend.MaxMessagesPerTurn + 1
 	s.deliver(l, []byte(strings.Repeat(probe, sent)))
-	answer := len(l.out) / thriftfront.MaxMessagesPerTurn
-	require.Equal(t, (sent-thriftfront.MaxMessagesPerTurn)*len(probe), len(l.in), "left for later")
+	answer := len(l.out) / thriftfrontend.MaxMessagesPerTurn
+	require.Equal(t, (sent-thriftfrontend.MaxMessagesPerTurn)*len(probe), len(l.in), "left for later")
 	s.turn()
 	require.Empty(t, l.in)
 	require.Equal(t, sent*answer, len(l.out))
--- a/internal/edge/record.go
+++ b/internal/server/record.go
@@ -1,11 +1,11 @@
-package edge
+package server
 
 import (
 	"fmt"
 
-	"pewterline/internal/decide/ledger"
-	"pewterline/internal/micro"
-	"pewterline/internal/routing"
+	"pewterline/internal/decide/execution"
+	"pewterline/internal/dispatch"
+	"pewterline/internal/microtime"
 	"pewterline/internal/store"
 )
 
@@ -20,10 +20,10 @@
 
 // UseStore takes up what an earlier life of this server has recorded, and records from then on. It comes before
 // Attach, and may wait for the database.
-func (s *Server) UseStore(st RecordStore, now micro.Time) error {
-	window := micro.Time(0)
+func (s *Server) UseStore(st RecordStore, now microtime.Time) error {
+	window := microtime.Time(0)
 	for _, c := range s.cfg.Settings.Classes {
-		window = max(window, micro.FromDuration(c.RetentionWindow))
+		window = max(window, microtime.FromDuration(c.RetentionWindow))
 	}
 	records, err := st.Load(s.wall.UnixMilli(now - window))
 	if err != nil {
@@ -35,7 +35,7 @@
 		if !known {
 			continue // of settings that have changed since
 		}
-		in := routing.KeyedRequest{Class: class, Tenant: s.tenants[r.Tenant], IdempotencyKey: r.IdempotencyKey, ArrivedAt: s.wall.FromUnixMilli(r.ArrivedAtMilli), Result: r.Result}
+		in := dispatch.KeyedRequest{Class: class, Tenant: s.tenants[r.Tenant], IdempotencyKey: r.IdempotencyKey, ArrivedAt: s.wall.FromUnixMilli(r.ArrivedAtMilli), Result: r.Result}
 		if r.Intent {
 			open++
 			s.core.RestoreLease(in)
@@ -43,7 +43,7 @@
 			s.core.Restore(in)
 		}
 	}
-	s.core.UseExecutionStore(&recorder{s, st, map[recordName]*ledger.Lifecycle{}})
+	s.core.UseExecutionStore(&recorder{s, st, map[recordName]*execution.Lifecycle{}})
 	s.logf("edge: %d intakes restored, of %d it is not known whether they ran", len(records), open)
 	return nil
 }
@@ -55,10 +55,10 @@
 type recorder struct {
 	s    *Server
 	st   RecordStore
-	keys map[recordName]*ledger.Lifecycle // of what has not come to an end, by tenant and once-key
+	keys map[recordName]*execution.Lifecycle // of what has not come to an end, by tenant and once-key
 }
 
-func (r *recorder) record(in routing.KeyedRequest) store.Record {
+func (r *recorder) record(in dispatch.KeyedRequest) store.Record {
 	rec := store.Record{Class: r.s.cfg.Settings.Classes[in.Class].Name, IdempotencyKey: in.IdempotencyKey,
 		ArrivedAtMilli: r.s.wall.UnixMilli(in.ArrivedAt), Result: in.Result}
 	if in.Tenant < len(r.s.cfg.Settings.Tenants) {
@@ -68,51 +68,51 @@
 }
 
 // move takes an intake a step on, and carries out what the ledger says of the store. told hears what is said to whoever asked.
-func (r *recorder) move(in routing.KeyedRequest, ev ledger.Event, told func(ledger.Action, error)) {
+func (r *recorder) move(in dispatch.KeyedRequest, ev execution.Event, told func(execution.Action, error)) {
 	rec := r.record(in)
 	name := recordName{rec.Tenant, rec.IdempotencyKey}
 	k := r.keys[name]
 	if k == nil {
-		k = &ledger.Lifecycle{}
+		k = &execution.Lifecycle{}
 		r.keys[name] = k
 	}
 	var err error
-	var step func(ledger.Event)
-	write := func(rec store.Record, then ledger.Event) {
+	var step func(execution.Event)
+	write := func(rec store.Record, then execution.Event) {
 		r.st.Record(rec, func(failed error) {
 			// Once the loop has ended there is nobody left to answer.
 			_ = r.s.loop.Execute(func() {
 				if err = failed; failed != nil {
-					then = ledger.EventUnavailable
+					then = execution.EventUnavailable
 				}
 				step(then)
 			})
 		})
 	}
-	step = func(ev ledger.Event) {
+	step = func(ev execution.Event) {
 		for _, d := range k.Step(ev) {
 			switch d {
-			case ledger.ActionAcquireLease:
+			case execution.ActionAcquireLease:
 				intent := rec
 				intent.Intent, intent.Result = true, nil
-				write(intent, ledger.EventLeaseGranted)
-			case ledger.ActionRecord:
-				if ev == ledger.EventRunFailed { // a life to come takes the intent for one whose end is not known
-					step(ledger.EventFailureFound)
+				write(intent, execution.EventLeaseGranted)
+			case execution.ActionRecord:
+				if ev == execution.EventRunFailed { // a life to come takes the intent for one whose end is not known
+					step(execution.EventFailureFound)
 				} else {
-					write(rec, ledger.EventResultFound)
+					write(rec, execution.EventResultFound)
 				}
-			case ledger.ActionReleaseLease:
-				write(rec.Cancelled(), ledger.EventVacant)
-			case ledger.ActionRetryLater: // a repeat tries again
+			case execution.ActionReleaseLease:
+				write(rec.Cancelled(), execution.EventVacant)
+			case execution.ActionRetryLater: // a repeat tries again
 			default:
 				told(d, err)
 			}
 		}
-		if (k.State == ledger.StateIdle || k.State == ledger.StateRecorded) && r.keys[name] == k {
+		if (k.State == execution.StateIdle || k.State == execution.StateRecorded) && r.keys[name] == k {
 			delete(r.keys, name) // the core keeps what has come to an end
 		}
-		if ev == ledger.EventUnavailable && k.State == ledger.StateIdle {
+		if ev == execution.EventUnavailable && k.State == execution.StateIdle {
 			r.s.logf("edge: an intent of %q that came to nothing stays on record: %v", in.IdempotencyKey, err)
 		}
 	}
@@ -120,30 +120,30 @@
 }
 
 // Lookup is part of routing.Recorder: nobody else writes to this store.
-func (r *recorder) Lookup(routing.KeyedRequest, func(routing.LeaseResult)) bool { return false }
+func (r *recorder) Lookup(dispatch.KeyedRequest, func(dispatch.LeaseResult)) bool { return false }
 
 // Acquire is part of routing.Recorder.
-func (r *recorder) Acquire(in routing.KeyedRequest, done func(routing.LeaseResult)) {
-	r.move(in, ledger.EventAttemptArrived, func(d ledger.Action, err error) {
-		if d == ledger.ActionStart {
-			done(routing.LeaseResult{})
+func (r *recorder) Acquire(in dispatch.KeyedRequest, done func(dispatch.LeaseResult)) {
+	r.move(in, execution.EventAttemptArrived, func(d execution.Action, err error) {
+		if d == execution.ActionStart {
+			done(dispatch.LeaseResult{})
 			return
 		}
-		done(routing.LeaseResult{Verdict: routing.VerdictUnavailable, Err: err})
+		done(dispatch.LeaseResult{Verdict: dispatch.VerdictUnavailable, Err: err})
 	})
 }
 
 // Release is part of routing.Recorder. Where it is lost, a repeat after a restart fails for no reason but that nobody knows.
-func (r *recorder) Release(in routing.KeyedRequest) {
-	r.move(in, ledger.EventRunNotStarted, func(ledger.Action, error) {})
+func (r *recorder) Release(in dispatch.KeyedRequest) {
+	r.move(in, execution.EventRunNotStarted, func(execution.Action, error) {})
 }
 
 // RecordFailure is part of routing.Recorder.
-func (r *recorder) RecordFailure(in routing.KeyedRequest) {
-	r.move(in, ledger.EventRunFailed, func(ledger.Action, error) {})
+func (r *recorder) RecordFailure(in dispatch.KeyedRequest) {
+	r.move(in, execution.EventRunFailed, func(execution.Action, error) {})
 }
 
 // RecordResult is part of routing.Recorder.
-func (r *recorder) RecordResult(in routing.KeyedRequest, done func(error)) {
-	r.move(in, ledger.EventRunSucceeded, func(d ledger.Action, err error) { done(err) })
+func (r *recorder) RecordResult(in dispatch.KeyedRequest, done func(error)) {
+	r.move(in, execution.EventRunSucceeded, func(d execution.Action, err error) { done(err) })
 }
--- a/internal/edge/retune.go
+++ b/internal/server/retune.go
@@ -1,15 +1,15 @@
-package edge
+package server
 
 import (
 	"fmt"
 	"reflect"
 
 	"pewterline/internal/config"
-	"pewterline/internal/micro"
+	"pewterline/internal/microtime"
 )
 
 // lateMost is how long at least a class that is gone is taken from those who learn of it late.
-const lateMost = 5 * micro.Second
+const lateMost = 5 * microtime.Second
 
 // name notes which place each class and tenant has.
 func (s *Server) name() {
@@ -66,7 +66,7 @@
 		case !c.Retired:
 			delete(s.late, i)
 		case i < len(before) && !before[i].Retired:
-			s.late[i] = now + max(micro.FromDuration(c.RetentionWindow), lateMost)
+			s.late[i] = now + max(microtime.FromDuration(c.RetentionWindow), lateMost)
 		}
 	}
 	s.name()
@@ -74,8 +74,8 @@
 }
 
 // forgetLate ends the time of classes that are gone; it returns when the next one's is over.
-func (s *Server) forgetLate(now micro.Time) micro.Time {
-	next, over := micro.Never, false
+func (s *Server) forgetLate(now microtime.Time) microtime.Time {
+	next, over := microtime.Never, false
 	for i, until := range s.late {
 		if now >= until {
 			delete(s.late, i)
--- a/internal/edge/retune_test.go
+++ b/internal/server/retune_test.go
@@ -1,4 +1,4 @@
-package edge
+package server
 
 import (
 	"bytes"
@@ -10,18 +10,18 @@
 	"github.com/stretchr/testify/require"
 
 	"pewterline/internal/config"
-	"pewterline/internal/front/thriftfront"
-	"pewterline/internal/micro"
+	"pewterline/internal/frontend/thriftfrontend"
+	"pewterline/internal/microtime"
 	"pewterline/internal/protocol/thrift"
-	"pewterline/internal/wire"
+	"pewterline/internal/settings"
 )
 
 // with is the stage's configuration with other settings.
 func (s *stage) with(change func(string) string) config.Config {
 	cfg := s.srv.cfg
-	text := change(settings)
+	text := change(settingsText)
 	var err error
-	cfg.Settings, cfg.Gauges, err = wire.Parse([]byte(text), 7)
+	cfg.Settings, cfg.Gauges, err = settings.Parse([]byte(text), 7)
 	require.NoError(s.t, err)
 	var set any
 	require.NoError(s.t, json.Unmarshal([]byte(text), &set))
@@ -70,7 +70,7 @@
 	require.Contains(t, string(l.caller.out), "grape")
 
 	// What was open keeps its class and its deadline: 4.5 s, not 1.5.
-	l.advance(l.now + 3*micro.Second)
+	l.advance(l.now + 3*microtime.Second)
 	require.Equal(t, 1, l.counters().InProgress)
 	l.tell("finished 4 00000000000000a2 PASS 5 6\r\nupdate\r\n")
 	require.Contains(t, string(l.caller.out), "update")
@@ -78,7 +78,7 @@
 	l.caller.out = nil
 	require.NotContains(t, l.ask("00000000000000a5", "lot-intake", "k1"), "spawn")
 	require.Contains(t, string(l.caller.out), "lot")
-	l.advance(l.now + 14*micro.Second)
+	l.advance(l.now + 14*microtime.Second)
 	l.caller = l.connect("c2", 0)
 	l.ask("00000000000000a6", "lot-intake", "k9")
 	require.Contains(t, string(l.caller.out), `class: unknown "lot-intake"`)
@@ -103,7 +103,7 @@
 			return strings.Replace(text, `"hard_limit_ms": 4500`, fmt.Sprintf(`"hard_limit_ms": %d`, 4500+i%7), 1)
 		}
 		require.NoError(t, l.srv.Reload(l.with(text)))
-		l.advance(l.now + micro.Second)
+		l.advance(l.now + microtime.Second)
 		require.LessOrEqual(t, len(l.srv.cfg.Settings.Classes), 24)
 	}
 	require.Contains(t, l.ask("00000000000000a1", "block-view", ""), "spawn")
@@ -143,11 +143,11 @@
 func TestUnknownClassHarmsNoOther(t *testing.T) {
 	l := newLinked(t)
 	l.ask("00000000000000a1", "block-view", "")
-	for i := range 3 * thriftfront.MaxConsecutiveErrors {
+	for i := range 3 * thriftfrontend.MaxConsecutiveErrors {
 		l.ask(fmt.Sprintf("%016x", 100+i), "no-such", "")
 	}
 	require.False(t, l.caller.closed)
-	require.Equal(t, 3*thriftfront.MaxConsecutiveErrors, bytes.Count(l.caller.out, []byte(`class: unknown`)))
+	require.Equal(t, 3*thriftfrontend.MaxConsecutiveErrors, bytes.Count(l.caller.out, []byte(`class: unknown`)))
 	l.tell("finished 1 00000000000000a1 PASS 5 2\r\nok\r\n")
 	payload, _, err := thrift.SplitFrame(l.caller.out[bytes.LastIndex(l.caller.out, []byte("process"))-12:])
 	require.NoError(t, err)
--- a/internal/edge/runner_test.go
+++ b/internal/server/runner_test.go
@@ -1,4 +1,4 @@
-package edge
+package server
 
 import (
 	"errors"
--- a/internal/wire/settings.go
+++ b/internal/settings/settings.go
@@ -1,8 +1,12 @@
-package wire
+// Package settings parses the settings that an operator gives a server, and the names of the gauges that come with them, into
+// what the control module works with. The server and the simulator adapter share it, so that both understand the same text.
+package settings
 
 import (
 	"encoding/json"
 	"fmt"
+	"math"
+	"time"
 
 	"pewterline/control"
 )
@@ -85,15 +89,15 @@
 	s := control.Settings{
 		Seed: seed, Cores: x.Cores, Peers: t.Peers, Callers: x.Callers, ColdStart: x.Cold,
 		MemoryKB: x.MemoryKB, KeyKB: x.KeyKB, RunningMemoryFactor: x.RunFactor,
-		MaxConcurrencyPerCore: t.Rules.FallMultiple, MaxConcurrencyWindow: millis(t.Rules.FallMS), WarmUpMinSpeed: t.Rules.ColdFrom,
-		WarmUpTime: millis(t.Rules.RampMS), CallConcurrencyShare: x.CallsOut, CallConcurrencyWindow: millis(x.CallsOverMS),
-		AbandonedCallTime: millis(x.LingerMS), AnswerGrace: millis(t.Rules.SlackMS), DrainGrace: millis(t.Rules.GraceMS),
+		MaxConcurrencyPerCore: t.Rules.FallMultiple, MaxConcurrencyWindow: FromMillis(t.Rules.FallMS), WarmUpMinSpeed: t.Rules.ColdFrom,
+		WarmUpTime: FromMillis(t.Rules.RampMS), CallConcurrencyShare: x.CallsOut, CallConcurrencyWindow: FromMillis(x.CallsOverMS),
+		AbandonedCallTime: FromMillis(x.LingerMS), AnswerGrace: FromMillis(t.Rules.SlackMS), DrainGrace: FromMillis(t.Rules.GraceMS),
 		DeadlinePropagated: x.Deadline, RetriesMarked: t.Clients.MarksRetry, WeightPerWork: t.WorthBy == "work",
-		OverQuotaWeightShare: t.OverShare, LoadSignalTTL: millis(x.HeededMS), MaxKeepAlive: millis(x.KeepAliveMS),
-		ResultFreshness: millis(x.FreshMS), EndpointListIgnoresHealth: x.Readiness != nil && !*x.Readiness,
+		OverQuotaWeightShare: t.OverShare, LoadSignalTTL: FromMillis(x.HeededMS), MaxKeepAlive: FromMillis(x.KeepAliveMS),
+		ResultFreshness: FromMillis(x.FreshMS), EndpointListIgnoresHealth: x.Readiness != nil && !*x.Readiness,
 	}
 	if t.Limits.RetryAfter {
-		s.MaxRetryAfter = millis(t.Limits.MaxRetryAfterMS)
+		s.MaxRetryAfter = FromMillis(t.Limits.MaxRetryAfterMS)
 	}
 	var errs [3]error
 	s.Preemption, errs[0] = word("stop_mode", x.StopMode, map[string]control.PreemptionMode{
@@ -129,8 +133,8 @@
 	effect, err := word("effect", c.Effect, map[string]control.Idempotency{
 		"": control.Idempotent, "free": control.Idempotent, "guarded": control.IdempotentByKey, "single_shot": control.NonIdempotent})
 	return control.Class{
-		Name: c.Name, LatencyObjective: millis(c.AimMS), ObjectiveStretch: c.AimStretch, Deadline: millis(c.HardMS),
-		RetentionWindow: millis(c.WindowMS), Weight: c.Worth, LateWeightShare: c.LateWorth, Idempotency: effect,
+		Name: c.Name, LatencyObjective: FromMillis(c.AimMS), ObjectiveStretch: c.AimStretch, Deadline: FromMillis(c.HardMS),
+		RetentionWindow: FromMillis(c.WindowMS), Weight: c.Worth, LateWeightShare: c.LateWorth, Idempotency: effect,
 	}, err
 }
 
@@ -145,3 +149,18 @@
 	}
 	return g
 }
+
+// FromMillis turns milliseconds, as settings and wire have them, into a duration of whole microseconds. What is no number is zero;
+// what is out of range becomes the longest duration that sums of a few still hold.
+func FromMillis(ms float64) time.Duration {
+	ns := ms * 1e6
+	switch {
+	case math.IsNaN(ns):
+		return 0
+	case ns > math.MaxInt64/4:
+		return math.MaxInt64 / 4
+	case ns < -math.MaxInt64/4:
+		return -math.MaxInt64 / 4
+	}
+	return time.Duration(math.Round(ns/1e3)) * time.Microsecond
+}
--- a/internal/wire/host.go
+++ b/internal/simadapter/host.go
@@ -1,4 +1,4 @@
-package wire
+package simadapter
 
 import (
 	"bufio"
@@ -10,6 +10,7 @@
 	"time"
 
 	"pewterline/control"
+	"pewterline/internal/settings"
 )
 
 // Host carries the instances of one process between the wire and their Controllers.
@@ -91,7 +92,7 @@
 				continue // an event of a life that is over
 			}
 			if t, ok := ev.(control.Tick); ok {
-				t.Gauges = ReadGauges(in.gauges, rec.GaugeValues)
+				t.Gauges = settings.ReadGauges(in.gauges, rec.GaugeValues)
 				in.events = append(in.events, t)
 			} else {
 				in.events = append(in.events, ev.(control.Event))
@@ -109,7 +110,7 @@
 
 func (h *Host) start(id uint32, ev InstanceStarted, reply *Reply) {
 	delete(h.instances, id)
-	s, gauges, err := Parse(ev.Settings, ev.Seed)
+	s, gauges, err := settings.Parse(ev.Settings, ev.Seed)
 	if err != nil {
 		reply.ReportFailure(id, err.Error())
 		return
--- a/internal/wire/wire.go
+++ b/internal/simadapter/wire.go
@@ -1,5 +1,5 @@
-// Package wire turns the frames of the operators' simulator into control's events and its actions into frames.
-package wire
+// Package simadapter turns the frames of the operators' simulator into control's events and its actions into frames.
+package simadapter
 
 import (
 	"encoding/binary"
@@ -8,6 +8,7 @@
 	"time"
 
 	"pewterline/control"
+	"pewterline/internal/settings"
 )
 
 const (
@@ -75,19 +76,6 @@
 	Records []Record
 }
 
-func millis(f float64) time.Duration {
-	ns := f * 1e6
-	switch {
-	case math.IsNaN(ns):
-		return 0
-	case ns > math.MaxInt64/4:
-		return math.MaxInt64 / 4
-	case ns < -math.MaxInt64/4:
-		return -math.MaxInt64 / 4
-	}
-	return time.Duration(math.Round(ns/1e3)) * time.Microsecond
-}
-
 func toMillis(d time.Duration) float64 { return float64(d) / 1e6 }
 
 // rec reads the fields of one record, or appends them; positions are the wire's.
@@ -102,7 +90,7 @@
 func (r rec) id(at int) control.RequestID {
 	return control.RequestID(r.u32(at))
 }
-func (r rec) ms(at int) time.Duration { return millis(r.f64(at)) }
+func (r rec) ms(at int) time.Duration { return settings.FromMillis(r.f64(at)) }
 
 // Decode reads one whole frame. Every error names the fault and its offset.
 func Decode(frame []byte) (Batch, error) {
--- a/internal/wire/wire_test.go
+++ b/internal/simadapter/wire_test.go
@@ -1,4 +1,4 @@
-package wire
+package simadapter
 
 import (
 	"bytes"
@@ -9,6 +9,7 @@
 	"time"
 
 	"pewterline/control"
+	"pewterline/internal/settings"
 )
 
 const settingsText = `{"classes": [{"name": "a", "aim_ms": 1000, "hard_limit_ms": 4000, "worth": 1, "effect": "free"},
@@ -52,7 +53,7 @@
 }
 
 func TestSettings(t *testing.T) {
-	s, gauges, err := Parse([]byte(settingsText), 9)
+	s, gauges, err := settings.Parse([]byte(settingsText), 9)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -64,11 +65,11 @@
 	if b.LatencyObjective != 1500500*time.Microsecond || b.Idempotency != control.IdempotentByKey || !b.MakesCalls || b.RetentionWindow != 9*time.Second {
 		t.Errorf("class %+v", b)
 	}
-	if g := ReadGauges(gauges, []float64{0.25, 0.5}); g.Memory != 0.25 || g.CPUUtilization != 0.5 || g.Runnable != -1 {
+	if g := settings.ReadGauges(gauges, []float64{0.25, 0.5}); g.Memory != 0.25 || g.CPUUtilization != 0.5 || g.Runnable != -1 {
 		t.Errorf("gauges %+v", g)
 	}
 	for _, bad := range []string{`{`, strings.Replace(settingsText, "freeze", "melt", 1), strings.Replace(settingsText, "guarded", "x", 1)} {
-		if _, _, err := Parse([]byte(bad), 1); err == nil {
+		if _, _, err := settings.Parse([]byte(bad), 1); err == nil {
 			t.Error("no error for settings that make no sense")
 		}
 	}
--- a/internal/standin/allowance.go
+++ b/internal/testbed/fakes/allowance.go
@@ -1,11 +1,11 @@
-package standin
+package fakes
 
 import (
 	"math"
 	"strconv"
 
 	"pewterline/control"
-	"pewterline/internal/micro"
+	"pewterline/internal/microtime"
 )
 
 // deafCallers is how many callers there are for each that heeds no allowance.
@@ -14,14 +14,14 @@
 // allowance is how many requests a server said that the caller may have outstanding there.
 type allowance struct {
 	requests float64
-	until    micro.Time
+	until    microtime.Time
 }
 
 // hears takes the free value on an answer of a server.
 func (c *Caller) hears(server, say string) {
 	requests, err := strconv.ParseFloat(say, 64)
 	if err == nil && c.st.Settings.LoadSignal == control.LoadSignalAllowance && c.number%deafCallers != 0 {
-		c.heard[server] = allowance{requests, c.st.W.Now() + micro.FromDuration(c.st.Settings.LoadSignalTTL)}
+		c.heard[server] = allowance{requests, c.st.W.Now() + microtime.FromDuration(c.st.Settings.LoadSignalTTL)}
 	}
 }
 
--- a/internal/standin/caller.go
+++ b/internal/testbed/fakes/caller.go
@@ -1,4 +1,4 @@
-package standin
+package fakes
 
 import (
 	"fmt"
@@ -8,21 +8,21 @@
 	"strconv"
 
 	"pewterline/control"
-	"pewterline/internal/micro"
+	"pewterline/internal/microtime"
 	"pewterline/internal/protocol/ajp"
 	"pewterline/internal/protocol/thrift"
-	"pewterline/internal/virtual"
+	"pewterline/internal/testbed/simnet"
 )
 
 const (
 	maxOpen    = 32 // requests on a connection
 	maxConns   = 4  // to a server
 	triesMost  = 4
-	idleMost   = 6 * micro.Second
-	probeEvery = 2 * micro.Second
+	idleMost   = 6 * microtime.Second
+	probeEvery = 2 * microtime.Second
 	tenantAt   = 4  // among a request's fields
 	hastyOneIn = 20 // requests to a server with a vault
-	hastyMost  = 400 * micro.Millisecond
+	hastyMost  = 400 * microtime.Millisecond
 )
 
 // Caller is a proxy that speaks Thrift, or a web front end that speaks AJP. It has a list of servers that may be out
@@ -30,22 +30,22 @@
 type Caller struct {
 	st     *Stage
 	rng    *rand.Rand
-	node   *virtual.Node
+	node   *simnet.Node
 	number int
 	ajp    bool
 	life   int
 	rate   float64 // jobs a second
-	until  micro.Time
+	until  microtime.Time
 	list   []string
-	frozen micro.Time // hears of no change before
+	frozen microtime.Time // hears of no change before
 	conns  []*conn
 	jobs   int
 	Other  *Caller // of the other protocol, for some repeats of an intake; nil: none
 	heard  map[string]allowance
 
-	hasty, hastyUntil     micro.Time
-	lateUntil, deafUntil  micro.Time
-	insistUntil           micro.Time
+	hasty, hastyUntil     microtime.Time
+	lateUntil, deafUntil  microtime.Time
+	insistUntil           microtime.Time
 	Unknown, Lost, Unsent int // outcomes of intakes that nobody knows; jobs that were lost; that found no server
 }
 
@@ -59,7 +59,7 @@
 	rank   float64
 	size   float64 // of its work, times its class's average; 0: nobody says
 	hint   float64 // the size that the caller states
-	born   micro.Time
+	born   microtime.Time
 	tries  int
 	sticky string // a server that may have run it
 	avoid  string
@@ -70,30 +70,30 @@
 	j      *job
 	id     string
 	seq    int32
-	sentAt micro.Time
-	timer  *virtual.Timer
+	sentAt microtime.Time
+	timer  *simnet.Timer
 }
 
 // conn is a connection to a server, or one that is being opened.
 type conn struct {
 	c       *Caller
 	server  string
-	e       *virtual.End // nil while it is being opened
+	e       *simnet.End // nil while it is being opened
 	waiting []*job
 	open    []*try
 	seq     int32
 	in      []byte
 	bidden  bool
 	ended   bool
-	idle    *virtual.Timer
+	idle    *simnet.Timer
 	status  int
 	result  []byte
-	after   micro.Time
+	after   microtime.Time
 	last    bool
 }
 
 // NewCaller returns a caller that begins at once and asks until a time.
-func NewCaller(st *Stage, name string, number int, isAJP bool, rate float64, until micro.Time, list []string, seed uint64) *Caller {
+func NewCaller(st *Stage, name string, number int, isAJP bool, rate float64, until microtime.Time, list []string, seed uint64) *Caller {
 	c := &Caller{st: st, node: st.Net.Node(name), number: number, ajp: isAJP, rate: rate, until: until, list: slices.Clone(list),
 		heard: map[string]allowance{}}
 	c.rng = st.W.Fork(seed, name)
@@ -113,7 +113,7 @@
 }
 
 // Die ends the caller's process; it is back at a time with the list it had, and an address of nobody's in it.
-func (c *Caller) Die(back micro.Time) {
+func (c *Caller) Die(back microtime.Time) {
 	for _, k := range c.conns {
 		k.ended = true
 		for _, t := range k.open {
@@ -124,7 +124,7 @@
 	}
 	c.conns = nil
 	c.node.Kill(false)
-	c.frozen = max(c.frozen, back+3*micro.Second)
+	c.frozen = max(c.frozen, back+3*microtime.Second)
 	c.st.W.At(back, func() {
 		if c.node.Up() {
 			return
@@ -135,20 +135,20 @@
 }
 
 // Freeze has it hear of no change of the list until a time.
-func (c *Caller) Freeze(until micro.Time) { c.frozen = max(c.frozen, until) }
+func (c *Caller) Freeze(until microtime.Time) { c.frozen = max(c.frozen, until) }
 
 // Hasty has it give requests up after a while, until a time; GiveLate has it give up what was answered; Insist has
 // it try again at once when it is refused; Deaf has it read nothing.
-func (c *Caller) Hasty(after, until micro.Time) { c.hasty, c.hastyUntil = after, until }
+func (c *Caller) Hasty(after, until microtime.Time) { c.hasty, c.hastyUntil = after, until }
 
 // GiveLate has it give up what was answered, until a time.
-func (c *Caller) GiveLate(until micro.Time) { c.lateUntil = until }
+func (c *Caller) GiveLate(until microtime.Time) { c.lateUntil = until }
 
 // Insist has it try again the instant that it is refused, until a time.
-func (c *Caller) Insist(until micro.Time) { c.insistUntil = until }
+func (c *Caller) Insist(until microtime.Time) { c.insistUntil = until }
 
 // Deaf has it read nothing until a time.
-func (c *Caller) Deaf(until micro.Time) {
+func (c *Caller) Deaf(until microtime.Time) {
 	c.deafUntil = max(c.deafUntil, until)
 	for _, k := range slices.Clone(c.conns) {
 		if k.e != nil {
@@ -178,7 +178,7 @@
 	if c.rate <= 0 {
 		return
 	}
-	c.st.W.In(micro.Time(c.rng.ExpFloat64()*1e6/c.rate), func() {
+	c.st.W.In(microtime.Time(c.rng.ExpFloat64()*1e6/c.rate), func() {
 		if !c.alive(life) || c.st.W.Now() > c.until {
 			return
 		}
@@ -253,8 +253,8 @@
 	return c.st.Settings.Classes[j.class].Idempotency == control.IdempotentByKey
 }
 
-func (c *Caller) deadline(j *job) micro.Time {
-	return micro.FromDuration(c.st.Settings.Classes[j.class].Deadline)
+func (c *Caller) deadline(j *job) microtime.Time {
+	return microtime.FromDuration(c.st.Settings.Classes[j.class].Deadline)
 }
 
 // dispatch sends a job to the server that may have run it, or to one of the list.
@@ -262,7 +262,7 @@
 	server := j.sticky
 	if server == "" {
 		if len(c.list) == 0 {
-			c.again(j, 200*micro.Millisecond)
+			c.again(j, 200*microtime.Millisecond)
 			return
 		}
 		server = c.list[c.rng.IntN(len(c.list))]
@@ -276,7 +276,7 @@
 			}
 		}
 	}
-	if j.tries++; j.tries > triesMost || c.st.W.Now() > j.born+13*micro.Second {
+	if j.tries++; j.tries > triesMost || c.st.W.Now() > j.born+13*microtime.Second {
 		c.Lost++
 		return
 	}
@@ -311,10 +311,10 @@
 }
 
 // again goes on with a job after a while.
-func (c *Caller) again(j *job, after micro.Time) {
+func (c *Caller) again(j *job, after microtime.Time) {
 	life := c.life
 	c.st.W.In(after, func() {
-		if c.alive(life) && c.st.W.Now() < j.born+13*micro.Second {
+		if c.alive(life) && c.st.W.Now() < j.born+13*microtime.Second {
 			c.dispatch(j)
 		}
 	})
@@ -328,7 +328,7 @@
 		addr = server + "/ajp"
 	}
 	life := c.life
-	c.node.Dial(addr, func(e *virtual.End, err error) {
+	c.node.Dial(addr, func(e *simnet.End, err error) {
 		if !c.alive(life) {
 			return
 		}
@@ -338,7 +338,7 @@
 			k.drop()
 			for _, j := range waiting {
 				j.avoid = server
-				c.again(j, 50*micro.Millisecond)
+				c.again(j, 50*microtime.Millisecond)
 			}
 			return
 		}
@@ -388,7 +388,7 @@
 		fields = slices.Insert(fields, tenantAt, thrift.Field{Name: "tenant", Value: j.tenant})
 	}
 	if j.hint > 0 {
-		cost := j.hint * float64(c.st.Deployment.Work[j.class]) / float64(micro.Millisecond)
+		cost := j.hint * float64(c.st.Deployment.Work[j.class]) / float64(microtime.Millisecond)
 		fields = append(fields, thrift.Field{Name: "cost", Value: strconv.FormatFloat(cost, 'f', 2, 64)})
 	}
 	if retry != "" {
@@ -408,12 +408,12 @@
 	} else {
 		k.e.Write(thrift.AppendCall(nil, t.seq, fields, j.body))
 	}
-	wait := c.deadline(j) + 200*micro.Millisecond
+	wait := c.deadline(j) + 200*microtime.Millisecond
 	if c.hastyUntil > w.Now() {
 		wait = min(wait, c.hasty)
 	}
 	if c.st.Deployment.Vault && c.rng.IntN(hastyOneIn) == 0 { // some give up while a run waits for a call
-		wait = min(wait, micro.Time(c.rng.Int64N(int64(hastyMost))))
+		wait = min(wait, microtime.Time(c.rng.Int64N(int64(hastyMost))))
 	}
 	t.timer = w.In(wait, func() { k.giveUp(t) })
 }
@@ -454,7 +454,7 @@
 	if c.keyed(j) {
 		j.sticky = server
 		if c.Other != nil && c.rng.IntN(3) == 0 && c.Other.node.Up() {
-			c.Other.again(j, micro.Time(c.rng.Int64N(int64(300*micro.Millisecond))))
+			c.Other.again(j, microtime.Time(c.rng.Int64N(int64(300*microtime.Millisecond))))
 			return
 		}
 	} else if c.rng.IntN(2) == 0 {
@@ -462,7 +462,7 @@
 		return
 	}
 	j.avoid = server
-	c.again(j, micro.Time(c.rng.Int64N(int64(400*micro.Millisecond))))
+	c.again(j, microtime.Time(c.rng.Int64N(int64(400*microtime.Millisecond))))
 }
 
 // rest ends a connection that was told farewell, or that stays idle.
@@ -485,13 +485,13 @@
 }
 
 // EOF is part of virtual.Handler.
-func (k *conn) EOF(e *virtual.End) {
+func (k *conn) EOF(e *simnet.End) {
 	e.Close()
 	k.Gone(e)
 }
 
 // Gone is part of virtual.Handler: what was open may have run, but for what crossed the close.
-func (k *conn) Gone(*virtual.End) {
+func (k *conn) Gone(*simnet.End) {
 	if k.ended {
 		return
 	}
@@ -506,7 +506,7 @@
 }
 
 // Data is part of virtual.Handler.
-func (k *conn) Data(e *virtual.End, in []byte) {
+func (k *conn) Data(e *simnet.End, in []byte) {
 	k.in = append(k.in, in...)
 	for !k.ended {
 		var payload []byte
@@ -558,7 +558,7 @@
 		k.e.Write(thrift.AppendGiveUp(nil, t.seq+1000))
 	}
 	after, _ := strconv.ParseInt(p.Fields["after"], 10, 64)
-	k.over(t, map[thrift.ReplyKind]int{thrift.ReplyAnswer: 200, thrift.ReplyThrottled: 503}[p.Kind], micro.Time(after)*micro.Millisecond, p.Fields["last"] == "1")
+	k.over(t, map[thrift.ReplyKind]int{thrift.ReplyAnswer: 200, thrift.ReplyThrottled: 503}[p.Kind], microtime.Time(after)*microtime.Millisecond, p.Fields["last"] == "1")
 	k.rest()
 	return nil
 }
@@ -575,7 +575,7 @@
 			switch h.Name {
 			case "X-Relay-After-Ms":
 				ms, _ := strconv.ParseInt(h.Value, 10, 64)
-				k.after = micro.Time(ms) * micro.Millisecond
+				k.after = microtime.Time(ms) * microtime.Millisecond
 			case "X-Relay-Last":
 				k.last = h.Value == "1"
 			}
@@ -598,14 +598,14 @@
 }
 
 // over goes on after the final answer to a try.
-func (k *conn) over(t *try, status int, after micro.Time, last bool) {
+func (k *conn) over(t *try, status int, after microtime.Time, last bool) {
 	c, j := k.c, t.j
 	now := c.st.W.Now()
 	class := c.st.Settings.Classes[j.class]
 	switch status {
 	case 200:
 		c.st.Served[class.Name]++
-		if now <= j.born+micro.FromDuration(class.LatencyObjective) {
+		if now <= j.born+microtime.FromDuration(class.LatencyObjective) {
 			c.st.Worth += c.worth(j)
 		} else if now <= j.born+c.deadline(j) {
 			c.st.Worth += c.worth(j) * class.LateWeightShare
@@ -618,7 +618,7 @@
 		case last && j.sticky == "":
 			c.Lost++
 		default:
-			c.again(j, max(after, 10*micro.Millisecond)+micro.Time(c.rng.Int64N(int64(50*micro.Millisecond))))
+			c.again(j, max(after, 10*microtime.Millisecond)+microtime.Time(c.rng.Int64N(int64(50*microtime.Millisecond))))
 		}
 	default:
 		c.failed(t, k.server)
@@ -628,7 +628,7 @@
 // probe asks a server of the list for its health, on a connection of its own.
 func (c *Caller) probe() {
 	life := c.life
-	c.st.W.In(probeEvery/2+micro.Time(c.rng.Int64N(int64(probeEvery))), func() {
+	c.st.W.In(probeEvery/2+microtime.Time(c.rng.Int64N(int64(probeEvery))), func() {
 		if !c.alive(life) || c.st.W.Now() > c.until {
 			return
 		}
@@ -637,13 +637,13 @@
 			return
 		}
 		deep := c.st.Deployment.Vault && c.rng.IntN(2) == 0
-		c.node.Dial(c.list[c.rng.IntN(len(c.list))]+"/thrift", func(e *virtual.End, err error) {
+		c.node.Dial(c.list[c.rng.IntN(len(c.list))]+"/thrift", func(e *simnet.End, err error) {
 			if err != nil {
 				return
 			}
 			e.SetHandler(prober{})
 			e.Write(thrift.AppendProbe(nil, 1, deep))
-			c.st.W.In(3*micro.Second, e.Close)
+			c.st.W.In(3*microtime.Second, e.Close)
 		})
 	})
 }
@@ -651,4 +651,4 @@
 // prober closes once it is answered.
 type prober struct{ silent }
 
-func (prober) Data(e *virtual.End, _ []byte) { e.Close() }
+func (prober) Data(e *simnet.End, _ []byte) { e.Close() }
--- a/internal/standin/deployment.go
+++ b/internal/testbed/fakes/deployment.go
@@ -1,17 +1,17 @@
-package standin
+package fakes
 
 import (
 	"math/rand/v2"
 
-	"pewterline/internal/micro"
+	"pewterline/internal/microtime"
 )
 
 // Deployment is what the callers ask for and what its runs do, by class in the order of the settings.
 type Deployment struct {
-	Shares []float64    // of the jobs
-	Work   []micro.Time // that a run takes of a core, on average
-	Calls  []Calls      // that a run makes; empty: none
-	Vault  bool         // there is a vault: callers send hints of the cost, heed an allowance, and check deeply
+	Shares []float64        // of the jobs
+	Work   []microtime.Time // that a run takes of a core, on average
+	Calls  []Calls          // that a run makes; empty: none
+	Vault  bool             // there is a vault: callers send hints of the cost, heed an allowance, and check deeply
 }
 
 // Calls is how many calls a run makes, from the fewest to the most.
@@ -21,11 +21,11 @@
 var (
 	FirstDeployment = Deployment{
 		Shares: []float64{0.5, 0.3, 0.2},
-		Work:   []micro.Time{30 * micro.Millisecond, 60 * micro.Millisecond, 120 * micro.Millisecond},
+		Work:   []microtime.Time{30 * microtime.Millisecond, 60 * microtime.Millisecond, 120 * microtime.Millisecond},
 	}
 	SecondDeployment = Deployment{
 		Shares: []float64{0.35, 0.34, 0.31},
-		Work:   []micro.Time{45 * micro.Millisecond, 65 * micro.Millisecond, 65 * micro.Millisecond},
+		Work:   []microtime.Time{45 * microtime.Millisecond, 65 * microtime.Millisecond, 65 * microtime.Millisecond},
 		Calls:  []Calls{{1, 1}, {}, {0, 2}},
 		Vault:  true,
 	}
--- a/internal/standin/pool.go
+++ b/internal/testbed/fakes/pool.go
@@ -1,4 +1,4 @@
-package standin
+package fakes
 
 import (
 	"fmt"
@@ -9,38 +9,38 @@
 	"github.com/cespare/xxhash/v2"
 
 	"pewterline/control"
-	"pewterline/internal/micro"
+	"pewterline/internal/microtime"
 	"pewterline/internal/protocol/pool"
-	"pewterline/internal/rules"
-	"pewterline/internal/virtual"
+	"pewterline/internal/testbed/invariant"
+	"pewterline/internal/testbed/simnet"
 )
 
 // noticesKept are the last notices that a worker pool can tell again.
 const noticesKept = 4000
 
 // checkTime is what a deep health check takes.
-const checkTime = 10 * micro.Millisecond
+const checkTime = 10 * microtime.Millisecond
 
 // Pool is a worker pool: it owns the cores, which its runs share evenly, and starts cold if it is told to.
 type Pool struct {
 	st      *Stage
 	rng     *rand.Rand
-	node    *virtual.Node
+	node    *simnet.Node
 	server  string
 	life    int
 	addr    int // which of its addresses is in use
-	lis     *virtual.Listener
+	lis     *simnet.Listener
 	cores   float64
 	cold    bool
-	born    micro.Time
+	born    microtime.Time
 	slow    float64
 	costly  map[string]float64
-	doubled micro.Time
+	doubled microtime.Time
 	runs    []*work // by when they end
 	known   map[string]*work
-	done    float64    // service that every run has had since the start, in microseconds
-	at      micro.Time // when done was that
-	timer   *virtual.Timer
+	done    float64        // service that every run has had since the start, in microseconds
+	at      microtime.Time // when done was that
+	timer   *simnet.Timer
 	made    uint64
 	notices [][]byte // the first is number first
 	first   uint64
@@ -52,7 +52,7 @@
 type work struct {
 	id      string
 	end     float64 // in service
-	started micro.Time
+	started microtime.Time
 	body    []byte
 	over    bool
 	part    float64 // service before each of its calls, and behind the last
@@ -80,7 +80,7 @@
 func (p *Pool) Addr() string { return fmt.Sprintf("%s/%c", p.node.Name, 'a'+p.addr%26) }
 
 func (p *Pool) listen() {
-	lis, err := p.node.Listen(p.Addr(), virtual.Listener{Accept: func(e *virtual.End) virtual.Handler { return &poolLink{p: p, e: e} }})
+	lis, err := p.node.Listen(p.Addr(), simnet.Listener{Accept: func(e *simnet.End) simnet.Handler { return &poolLink{p: p, e: e} }})
 	if err != nil {
 		panic(err) // its addresses are its own
 	}
@@ -93,7 +93,7 @@
 	p.lis.Close()
 	p.addr++
 	p.listen()
-	p.st.W.In(1500*micro.Millisecond, func() {
+	p.st.W.In(1500*microtime.Millisecond, func() {
 		for _, e := range old {
 			e.Close()
 		}
@@ -114,14 +114,14 @@
 func (p *Pool) Costly(class string, factor float64) { p.costly[class] = factor }
 
 // Doubled has each notice come twice until a time.
-func (p *Pool) Doubled(until micro.Time) { p.doubled = until }
+func (p *Pool) Doubled(until microtime.Time) { p.doubled = until }
 
 // rate is the service that each run gets in a microsecond.
 func (p *Pool) rate() float64 {
 	share := 1.0
 	if p.cold {
 		from := 0.24
-		share = min(1, from+(1-from)*float64(p.st.W.Now()-p.born)/float64(17*micro.Second))
+		share = min(1, from+(1-from)*float64(p.st.W.Now()-p.born)/float64(17*microtime.Second))
 	}
 	return share / p.slow * min(1, p.cores/float64(max(len(p.runs), 1)))
 }
@@ -137,15 +137,15 @@
 	f()
 	p.timer.Stop()
 	if len(p.runs) > 0 {
-		p.timer = p.st.W.In(micro.Time(math.Ceil(max(p.runs[0].end-p.done, 0)/p.rate())), p.ends)
+		p.timer = p.st.W.In(microtime.Time(math.Ceil(max(p.runs[0].end-p.done, 0)/p.rate())), p.ends)
 	}
 }
 
 // warm counts the speed anew while it rises.
 func (p *Pool) warm() {
 	p.change(func() {})
-	if !p.dead && p.st.W.Now() < p.born+17*micro.Second {
-		p.st.W.In(250*micro.Millisecond, p.warm)
+	if !p.dead && p.st.W.Now() < p.born+17*microtime.Second {
+		p.st.W.In(250*microtime.Millisecond, p.warm)
 	}
 }
 
@@ -159,7 +159,7 @@
 				continue
 			}
 			p.made++
-			p.notice(r, pool.Pass, rules.Result(r.body, p.made))
+			p.notice(r, pool.Pass, invariant.Result(r.body, p.made))
 		}
 	})
 }
@@ -226,26 +226,26 @@
 // poolLink is one link of the server's.
 type poolLink struct {
 	p     *Pool
-	e     *virtual.End
+	e     *simnet.End
 	in    []byte
 	bound bool
 }
 
 // EOF and Gone are part of virtual.Handler.
-func (l *poolLink) EOF(e *virtual.End) {
+func (l *poolLink) EOF(e *simnet.End) {
 	e.Close()
 	l.Gone(e)
 }
 
 // Gone is part of virtual.Handler.
-func (l *poolLink) Gone(*virtual.End) {
+func (l *poolLink) Gone(*simnet.End) {
 	if l.p.link == l {
 		l.p.link = nil
 	}
 }
 
 // Data is part of virtual.Handler.
-func (l *poolLink) Data(e *virtual.End, in []byte) {
+func (l *poolLink) Data(e *simnet.End, in []byte) {
 	l.in = append(l.in, in...)
 	for e.IsOpen() {
 		c, n, err := pool.ParseCommand(l.in)
@@ -300,7 +300,7 @@
 		r.blocked = false
 		p.change(func() { p.start(r) })
 	case pool.Verify:
-		p.st.W.In(micro.Time(float64(checkTime)*p.slow), func() {
+		p.st.W.In(microtime.Time(float64(checkTime)*p.slow), func() {
 			if p.link == l {
 				l.e.Write(pool.AppendVerified(nil, c.Tag, pool.Pass))
 			}
--- a/internal/standin/standin.go
+++ b/internal/testbed/fakes/standin.go
@@ -1,7 +1,7 @@
-// Package standin has small stand-ins for what the program talks with, on the virtual clock: callers by Thrift and by
+// Package fakes has small stand-ins for what the program talks with, on the virtual clock: callers by Thrift and by
 // AJP, worker pools, the control plane, strangers and a store of record. They keep to the protocols' pages, and go
 // wrong only as a fault says.
-package standin
+package fakes
 
 import (
 	"fmt"
@@ -10,14 +10,14 @@
 	"github.com/cespare/xxhash/v2"
 
 	"pewterline/control"
-	"pewterline/internal/micro"
-	"pewterline/internal/virtual"
+	"pewterline/internal/microtime"
+	"pewterline/internal/testbed/simnet"
 )
 
 // Stage is what all stand-ins of a world share.
 type Stage struct {
-	Net        *virtual.Net
-	W          *virtual.World
+	Net        *simnet.Net
+	W          *simnet.World
 	Settings   control.Settings
 	Deployment Deployment
 	Book       *Book
@@ -27,11 +27,11 @@
 	Asked      map[string]int
 	Worth      float64 // of those served within their aim, and a share of those served late
 	Wanted     float64
-	wall       virtual.Wall
+	wall       simnet.Wall
 }
 
 // NewStage returns a stage with a control plane.
-func NewStage(net *virtual.Net, s control.Settings, d Deployment, seed uint64) *Stage {
+func NewStage(net *simnet.Net, s control.Settings, d Deployment, seed uint64) *Stage {
 	st := &Stage{Net: net, W: net.World(), Settings: s, Deployment: d, Book: &Book{tries: map[string]*sent{}}, Flood: map[string]float64{},
 		Served: map[string]int{}, Asked: map[string]int{}}
 	st.Control = newControl(st, st.W.Fork(seed, "control"))
@@ -86,19 +86,19 @@
 	rng     *rand.Rand
 	entries []*entry
 	callers []*Caller
-	muted   micro.Time
+	muted   microtime.Time
 	hidden  map[string]bool // servers that callers are not to use: edges stand before them
 }
 
 type entry struct {
 	server string
-	heard  micro.Time
+	heard  microtime.Time
 	ready  bool
 }
 
 const (
-	lapse     = 3 * micro.Second
-	pushEvery = 500 * micro.Millisecond
+	lapse     = 3 * microtime.Second
+	pushEvery = 500 * microtime.Millisecond
 )
 
 func newControl(st *Stage, rng *rand.Rand) *Control {
@@ -106,7 +106,7 @@
 	n := st.Net.Node("control")
 	n.Boot()
 	for _, a := range []string{"control/a", "control/b"} {
-		if _, err := n.Listen(a, virtual.Listener{Datagram: func(_ string, p []byte) { c.report(string(p)) }}); err != nil {
+		if _, err := n.Listen(a, simnet.Listener{Datagram: func(_ string, p []byte) { c.report(string(p)) }}); err != nil {
 			panic(err) // nobody else listens there
 		}
 	}
@@ -143,7 +143,7 @@
 func (c *Control) Unlist(server string) { c.entry(server).ready = false }
 
 // Mute has the control plane be down until a time: nobody hears of changes, and no entry lapses.
-func (c *Control) Mute(until micro.Time) { c.muted = max(c.muted, until) }
+func (c *Control) Mute(until microtime.Time) { c.muted = max(c.muted, until) }
 
 func (c *Control) report(text string) {
 	var name, word string
@@ -168,7 +168,7 @@
 			}
 		}
 		for _, k := range c.callers {
-			c.st.W.In(micro.Second+micro.Time(c.rng.Int64N(int64(micro.Second))), func() { k.hear(list) })
+			c.st.W.In(microtime.Second+microtime.Time(c.rng.Int64N(int64(microtime.Second))), func() { k.hear(list) })
 		}
 	}
 	c.st.W.In(pushEvery, c.push)
@@ -182,8 +182,8 @@
 	}
 	for i := range n {
 		addr := server + "/" + []string{"thrift", "ajp"}[rng.IntN(2)]
-		st.W.In(micro.Time(i)*5*micro.Millisecond, func() {
-			node.Dial(addr, func(e *virtual.End, err error) {
+		st.W.In(microtime.Time(i)*5*microtime.Millisecond, func() {
+			node.Dial(addr, func(e *simnet.End, err error) {
 				if err != nil {
 					return
 				}
@@ -194,7 +194,7 @@
 				case 1:
 					e.Write([]byte("GET / HTTP/1.1\r\n\r\n"))
 				}
-				st.W.In(5*micro.Second, e.Close)
+				st.W.In(5*microtime.Second, e.Close)
 			})
 		})
 	}
@@ -203,6 +203,6 @@
 // silent reads and does nothing.
 type silent struct{}
 
-func (silent) Data(*virtual.End, []byte) {}
-func (silent) EOF(e *virtual.End)        { e.Close() }
-func (silent) Gone(*virtual.End)         {}
+func (silent) Data(*simnet.End, []byte) {}
+func (silent) EOF(e *simnet.End)        { e.Close() }
+func (silent) Gone(*simnet.End)         {}
--- a/internal/standin/store.go
+++ b/internal/testbed/fakes/store.go
@@ -1,13 +1,13 @@
-package standin
+package fakes
 
 import (
 	"cmp"
 	"errors"
 	"slices"
 
-	"pewterline/internal/micro"
+	"pewterline/internal/microtime"
 	"pewterline/internal/store"
-	"pewterline/internal/virtual"
+	"pewterline/internal/testbed/simnet"
 )
 
 // ErrStore is what a failing store says.
@@ -15,22 +15,22 @@
 
 // Store is a store of record on the virtual clock. It outlives the servers that use it.
 type Store struct {
-	w     *virtual.World
+	w     *simnet.World
 	rows  []store.Record
-	free  micro.Time // when it has written all before
-	slow  micro.Time // added to each write
-	until micro.Time // of its being slow
-	fails micro.Time // until then
+	free  microtime.Time // when it has written all before
+	slow  microtime.Time // added to each write
+	until microtime.Time // of its being slow
+	fails microtime.Time // until then
 }
 
 // NewStore returns an empty one.
-func NewStore(w *virtual.World) *Store { return &Store{w: w} }
+func NewStore(w *simnet.World) *Store { return &Store{w: w} }
 
 // Slow has each write take longer until a time; Fail has writes fail until one.
-func (s *Store) Slow(by, until micro.Time) { s.slow, s.until = by, until }
+func (s *Store) Slow(by, until microtime.Time) { s.slow, s.until = by, until }
 
 // Fail has writes fail until a time. Every other one is on record all the same, as where the answer is lost.
-func (s *Store) Fail(until micro.Time) { s.fails = until }
+func (s *Store) Fail(until microtime.Time) { s.fails = until }
 
 // Load is part of edge.Records.
 func (s *Store) Load(sinceMilli int64) ([]store.Record, error) {
@@ -50,7 +50,7 @@
 // Record is part of edge.Records.
 func (s *Store) Record(r store.Record, done func(error)) {
 	now := s.w.Now()
-	took := 2 * micro.Millisecond
+	took := 2 * microtime.Millisecond
 	if now < s.until {
 		took += s.slow
 	}
--- a/internal/standin/vault.go
+++ b/internal/testbed/fakes/vault.go
@@ -1,4 +1,4 @@
-package standin
+package fakes
 
 import (
 	"fmt"
@@ -7,15 +7,15 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"pewterline/internal/micro"
+	"pewterline/internal/microtime"
 	"pewterline/internal/protocol/vault"
-	"pewterline/internal/virtual"
+	"pewterline/internal/testbed/simnet"
 )
 
 const (
-	callTime  = 30 * micro.Millisecond // of a call, on average
-	vaultIdle = 10 * micro.Second      // a connection that is idle for so long is closed
-	holdBack  = 80 * micro.Millisecond // replies that are shuffled are held back for up to this
+	callTime  = 30 * microtime.Millisecond // of a call, on average
+	vaultIdle = 10 * microtime.Second      // a connection that is idle for so long is closed
+	holdBack  = 80 * microtime.Millisecond // replies that are shuffled are held back for up to this
 )
 
 // VaultFault is something that a vault can be told to do wrong for a while.
@@ -38,10 +38,10 @@
 type Vault struct {
 	st     *Stage
 	rng    *rand.Rand
-	node   *virtual.Node
-	lis    []*virtual.Listener
+	node   *simnet.Node
+	lis    []*simnet.Listener
 	slow   float64
-	until  [vaultFaults]micro.Time
+	until  [vaultFaults]microtime.Time
 	chance [vaultFaults]float64
 	made   uint64
 	calls  map[string]*vaultCall // in hand, by id
@@ -51,10 +51,10 @@
 // vaultLink is one connection of a server's.
 type vaultLink struct {
 	v    *Vault
-	e    *virtual.End
+	e    *simnet.End
 	in   []byte
 	open int // calls in hand
-	idle *virtual.Timer
+	idle *simnet.Timer
 }
 
 // vaultCall is one call in hand.
@@ -62,7 +62,7 @@
 	id    string
 	link  *vaultLink
 	body  []byte
-	timer *virtual.Timer
+	timer *simnet.Timer
 }
 
 // NewVault starts the vault; it listens at v0/a and v0/b.
@@ -75,12 +75,12 @@
 
 func (v *Vault) listen() {
 	for _, address := range []string{"v0/a", "v0/b"} {
-		accept := func(e *virtual.End) virtual.Handler {
+		accept := func(e *simnet.End) simnet.Handler {
 			link := &vaultLink{v: v, e: e}
 			link.rest()
 			return link
 		}
-		lis, err := v.node.Listen(address, virtual.Listener{Accept: accept})
+		lis, err := v.node.Listen(address, simnet.Listener{Accept: accept})
 		if err != nil {
 			panic(err) // its addresses are its own
 		}
@@ -89,7 +89,7 @@
 }
 
 // Down has it refuse connections until a time; those that it has break at once.
-func (v *Vault) Down(until micro.Time) {
+func (v *Vault) Down(until microtime.Time) {
 	for _, lis := range v.lis {
 		lis.Close()
 	}
@@ -107,7 +107,7 @@
 func (v *Vault) Slow(factor float64) { v.slow = factor }
 
 // Fault has something go wrong with a chance until a time.
-func (v *Vault) Fault(fault VaultFault, chance float64, until micro.Time) {
+func (v *Vault) Fault(fault VaultFault, chance float64, until microtime.Time) {
 	v.until[fault], v.chance[fault] = until, chance
 }
 
@@ -125,13 +125,13 @@
 }
 
 // EOF is part of virtual.Handler.
-func (l *vaultLink) EOF(e *virtual.End) {
+func (l *vaultLink) EOF(e *simnet.End) {
 	e.Close()
 	l.Gone(e)
 }
 
 // Gone is part of virtual.Handler: the end of a connection gives up every call on it.
-func (l *vaultLink) Gone(*virtual.End) {
+func (l *vaultLink) Gone(*simnet.End) {
 	l.idle.Stop()
 	for _, c := range l.v.calls {
 		if c.link == l {
@@ -141,7 +141,7 @@
 }
 
 // Data is part of virtual.Handler.
-func (l *vaultLink) Data(e *virtual.End, in []byte) {
+func (l *vaultLink) Data(e *simnet.End, in []byte) {
 	l.in = append(l.in, in...)
 	for e.IsOpen() {
 		c, n, err := vault.ParseCommand(l.in)
@@ -179,7 +179,7 @@
 	c := &vaultCall{id: command.ID, link: l, body: slices.Clone(command.Body)}
 	v.calls[c.id] = c
 	l.open++
-	took := micro.Time(float64(callTime) * v.slow * (0.2 + 0.8*v.rng.ExpFloat64()))
+	took := microtime.Time(float64(callTime) * v.slow * (0.2 + 0.8*v.rng.ExpFloat64()))
 	status := vault.Yes
 	switch {
 	case !v.st.Book.waits(c.id):
@@ -194,7 +194,7 @@
 		return
 	}
 	if v.faulty(VaultShuffles) {
-		took += micro.Time(v.rng.Int64N(int64(holdBack)))
+		took += microtime.Time(v.rng.Int64N(int64(holdBack)))
 	}
 	c.timer = v.st.W.In(took, func() { l.reply(c, status) })
 }
--- a/internal/faults/draw.go
+++ b/internal/testbed/faults/draw.go
@@ -9,7 +9,7 @@
 	"sort"
 	"strings"
 
-	"pewterline/internal/micro"
+	"pewterline/internal/microtime"
 )
 
 // profile says how much goes wrong, and what.
@@ -25,7 +25,7 @@
 	Servers int
 	Proxies int
 	Edges   int
-	Length  micro.Time
+	Length  microtime.Time
 	Rate    float64 // 0 takes the profile's load
 	Vault   bool
 }
@@ -60,12 +60,12 @@
 
 // Draw draws a script from a seed by a profile, for a world of that size; rate 0 takes the profile's load. The same
 // arguments give the same script.
-func Draw(seed uint64, name string, servers, proxies int, length micro.Time, rate float64) (Script, error) {
+func Draw(seed uint64, name string, servers, proxies int, length microtime.Time, rate float64) (Script, error) {
 	return DrawWith(seed, name, servers, proxies, 0, length, rate)
 }
 
 // DrawWith is Draw for a world with edges before the servers.
-func DrawWith(seed uint64, name string, servers, proxies, edges int, length micro.Time, rate float64) (Script, error) {
+func DrawWith(seed uint64, name string, servers, proxies, edges int, length microtime.Time, rate float64) (Script, error) {
 	return World{Servers: servers, Proxies: proxies, Edges: edges, Length: length, Rate: rate}.Draw(seed, name)
 }
 
@@ -125,7 +125,7 @@
 // RandomOf draws one fault of a kind.
 func (s *Script) RandomOf(rng *rand.Rand, k Kind) Fault {
 	r := kinds[k]
-	f := Fault{Kind: k, At: micro.Time(rng.Int64N(int64(s.Length)+1)) / 1000 * 1000}
+	f := Fault{Kind: k, At: microtime.Time(rng.Int64N(int64(s.Length)+1)) / 1000 * 1000}
 	if r.peer {
 		f.Node, f.Peer = s.randomPair(rng, k)
 	} else if r.node != "" {
@@ -135,7 +135,7 @@
 		}
 	}
 	if r.length { // mostly short, at times longer than any deadline
-		f.For = micro.Time(math.Exp(rng.Float64()*math.Log(400))*50) * micro.Millisecond
+		f.For = microtime.Time(math.Exp(rng.Float64()*math.Log(400))*50) * microtime.Millisecond
 	}
 	if words := s.words(k); words != nil {
 		f.What = words[rng.IntN(len(words))]
