--- a/internal/faults/faults.go
+++ b/internal/testbed/faults/faults.go
@@ -15,7 +15,7 @@
 	"strings"
 	"time"
 
-	"pewterline/internal/micro"
+	"pewterline/internal/microtime"
 )
 
 // Kind is what goes wrong.
@@ -147,11 +147,11 @@
 
 // Fault is one thing that goes wrong.
 type Fault struct {
-	At     micro.Time // since the run's start
+	At     microtime.Time // since the run's start
 	Kind   Kind
 	Node   string
 	Peer   string
-	For    micro.Time
+	For    microtime.Time
 	What   string
 	Amount float64
 }
@@ -162,14 +162,14 @@
 	Profile string // that it was drawn by; "" for none
 	Servers int
 	Proxies int
-	Offices int        // AJP front ends
-	Edges   int        // instances before the servers, to which all callers go; 0: they go to the servers
-	Advice  bool       // the edges tell each other what they know of the servers
-	Store   bool       // the servers have a store of record
-	Vault   bool       // requests call the vault v0 while they run; classes, allowance and figures are the second deployment's
-	Guarded bool       // with a vault: print-order may come again within its window, in place of running once
-	Length  micro.Time // that requests come; the run goes on until all is answered
-	Rate    float64    // first tries a second in all
+	Offices int            // AJP front ends
+	Edges   int            // instances before the servers, to which all callers go; 0: they go to the servers
+	Advice  bool           // the edges tell each other what they know of the servers
+	Store   bool           // the servers have a store of record
+	Vault   bool           // requests call the vault v0 while they run; classes, allowance and figures are the second deployment's
+	Guarded bool           // with a vault: print-order may come again within its window, in place of running once
+	Length  microtime.Time // that requests come; the run goes on until all is answered
+	Rate    float64        // first tries a second in all
 	Faults  []Fault
 }
 
@@ -178,7 +178,7 @@
 	MaxServers = 1000
 	MaxProxies = 1000
 	MaxFaults  = 10_000
-	MaxLength  = 3600 * micro.Second
+	MaxLength  = 3600 * microtime.Second
 	MaxRate    = 1e6
 )
 
@@ -390,7 +390,7 @@
 		case "seconds":
 			var v float64
 			v, err = strconv.ParseFloat(f.value, 64)
-			s.Length = micro.Time(v * 1e6)
+			s.Length = microtime.Time(v * 1e6)
 		case "rate":
 			s.Rate, err = strconv.ParseFloat(f.value, 64)
 		default:
@@ -431,9 +431,9 @@
 	return f, nil
 }
 
-func duration(text string) (micro.Time, error) {
+func duration(text string) (microtime.Time, error) {
 	d, err := time.ParseDuration(text)
-	return micro.FromDuration(d), err
+	return microtime.FromDuration(d), err
 }
 
 // Sort puts the faults in order of time.
--- a/internal/faults/faults_test.go
+++ b/internal/testbed/faults/faults_test.go
@@ -8,14 +8,14 @@
 	"github.com/cespare/xxhash/v2"
 	"github.com/stretchr/testify/require"
 
-	"pewterline/internal/micro"
+	"pewterline/internal/microtime"
 )
 
 // Every drawn script passes its own checks, and its text reads back as the same script.
 func TestDrawnScriptsReadBack(t *testing.T) {
 	for _, profile := range Profiles() {
 		for seed := range uint64(300) {
-			w := World{Servers: 1 + int(seed%5), Proxies: int(seed % 4), Length: 12 * micro.Second, Vault: seed%2 == 1}
+			w := World{Servers: 1 + int(seed%5), Proxies: int(seed % 4), Length: 12 * microtime.Second, Vault: seed%2 == 1}
 			s, err := w.Draw(seed, profile)
 			require.NoError(t, err)
 			require.NoError(t, s.Check())
@@ -31,7 +31,7 @@
 
 // Each kind can be drawn, passes, and reads back.
 func TestEveryKindOfFault(t *testing.T) {
-	s := Script{Servers: 2, Proxies: 2, Offices: 1, Store: true, Vault: true, Length: 10 * micro.Second}
+	s := Script{Servers: 2, Proxies: 2, Offices: 1, Store: true, Vault: true, Length: 10 * microtime.Second}
 	rng := rand.New(rand.NewPCG(1, 2))
 	require.Len(t, Kinds(), 37)
 	for _, k := range Kinds() {
@@ -92,7 +92,7 @@
 		require.Equal(t, c.field, e.Field, c.text)
 		require.Equal(t, c.line, e.Line, c.text)
 	}
-	_, err := Draw(1, "tea-time", 1, 1, micro.Second, 0)
+	_, err := Draw(1, "tea-time", 1, 1, microtime.Second, 0)
 	require.ErrorContains(t, err, "profile")
 }
 
@@ -101,7 +101,7 @@
 	sum := xxhash.New()
 	for _, profile := range Profiles() {
 		for seed := range uint64(50) {
-			s, err := DrawWith(seed, profile, 3, 4, int(seed%3), 12*micro.Second, 0)
+			s, err := DrawWith(seed, profile, 3, 4, int(seed%3), 12*microtime.Second, 0)
 			require.NoError(t, err)
 			_, _ = sum.WriteString(s.String())
 		}
--- a/internal/decide/search/search.go
+++ b/internal/testbed/faultsearch/search.go
@@ -1,15 +1,15 @@
-// Package search decides which fault script is played next, and how a failing one is made smaller. It plays nothing
+// Package faultsearch decides which fault script is played next, and how a failing one is made smaller. It plays nothing
 // itself: the host asks for a script, plays it, and tells what it reached or whether it still fails. There is no I/O,
 // goroutine or clock here, and the same seed with the same reports gives the same scripts.
-package search
+package faultsearch
 
 import (
 	"math"
 	"math/rand/v2"
 	"slices"
 
-	"pewterline/internal/faults"
-	"pewterline/internal/micro"
+	"pewterline/internal/microtime"
+	"pewterline/internal/testbed/faults"
 )
 
 const (
@@ -145,17 +145,17 @@
 			s.Faults = slices.Delete(s.Faults, pick, pick+1)
 		case c == 5: // two faults at nearly the same time
 			other := s.Faults[g.rng.IntN(n)]
-			s.Faults[pick].At = clamp(other.At+micro.Time(g.rng.Int64N(int64(other.For)+int64(100*micro.Millisecond))), s.Length)
+			s.Faults[pick].At = clamp(other.At+microtime.Time(g.rng.Int64N(int64(other.For)+int64(100*microtime.Millisecond))), s.Length)
 		case c == 6: // and at the same place
 			other := s.Faults[g.rng.IntN(n)]
 			f := s.Faults[pick]
 			f.Node, f.Peer = other.Node, other.Peer
-			f.At = clamp(other.At+micro.Time(g.rng.Int64N(int64(500*micro.Millisecond))), s.Length)
+			f.At = clamp(other.At+microtime.Time(g.rng.Int64N(int64(500*microtime.Millisecond))), s.Length)
 			if s.Fits(f) {
 				s.Faults[pick] = f
 			}
 		case c == 7:
-			s.Faults[pick].At = clamp(s.Faults[pick].At+micro.Time(g.rng.Int64N(int64(2*micro.Second)))-micro.Second, s.Length)
+			s.Faults[pick].At = clamp(s.Faults[pick].At+microtime.Time(g.rng.Int64N(int64(2*microtime.Second)))-microtime.Second, s.Length)
 		case c == 8: // longer, shorter, more, less
 			fresh := s.RandomOf(g.rng, s.Faults[pick].Kind)
 			s.Faults[pick].For, s.Faults[pick].Amount = fresh.For, fresh.Amount
@@ -172,4 +172,4 @@
 	return s
 }
 
-func clamp(t, length micro.Time) micro.Time { return min(max(t, 0), length) }
+func clamp(t, length microtime.Time) microtime.Time { return min(max(t, 0), length) }
--- a/internal/decide/search/search_test.go
+++ b/internal/testbed/faultsearch/search_test.go
@@ -1,4 +1,4 @@
-package search
+package faultsearch
 
 import (
 	"slices"
@@ -6,12 +6,12 @@
 
 	"github.com/stretchr/testify/require"
 
-	"pewterline/internal/faults"
-	"pewterline/internal/micro"
+	"pewterline/internal/microtime"
+	"pewterline/internal/testbed/faults"
 )
 
 func draw(seed uint64) faults.Script {
-	s, err := faults.Draw(seed, "worst", 3, 4, 12*micro.Second, 0)
+	s, err := faults.Draw(seed, "worst", 3, 4, 12*microtime.Second, 0)
 	if err != nil {
 		panic(err)
 	}
@@ -23,7 +23,7 @@
 	kinds := faults.Kinds()
 	for _, a := range s.Faults {
 		for _, b := range s.Faults {
-			if a.Node == b.Node && a.At <= b.At && b.At < a.At+100*micro.Millisecond {
+			if a.Node == b.Node && a.At <= b.At && b.At < a.At+100*microtime.Millisecond {
 				out = append(out, Situation(slices.Index(kinds, a.Kind)*100+slices.Index(kinds, b.Kind)))
 			}
 		}
@@ -105,7 +105,7 @@
 	fails := func(s faults.Script) bool { // a cut of a pool's link within 200 ms of its server's reload
 		for _, a := range s.Faults {
 			for _, b := range s.Faults {
-				if a.Kind == faults.Hup && b.Kind == faults.Cut && b.Node[1:] == a.Node[1:] && b.Node[0] == 'w' && b.At >= a.At && b.At < a.At+200*micro.Millisecond {
+				if a.Kind == faults.Hup && b.Kind == faults.Cut && b.Node[1:] == a.Node[1:] && b.Node[0] == 'w' && b.At >= a.At && b.At < a.At+200*microtime.Millisecond {
 					return true
 				}
 			}
@@ -129,7 +129,7 @@
 
 // A node that goes takes the faults that name it with it, and those behind it move up.
 func TestLeaveOutRenumbers(t *testing.T) {
-	s := faults.Script{Servers: 3, Proxies: 1, Length: micro.Second, Faults: []faults.Fault{
+	s := faults.Script{Servers: 3, Proxies: 1, Length: microtime.Second, Faults: []faults.Fault{
 		{Kind: faults.Hup, Node: "s0"}, {Kind: faults.Slow, Node: "w1", Amount: 2}, {Kind: faults.Cut, Node: "p0", Peer: "s2"}}}
 	require.True(t, leaveOut(&s, 's', 1))
 	require.NoError(t, s.Check())
--- a/internal/decide/search/shrink.go
+++ b/internal/testbed/faultsearch/shrink.go
@@ -1,4 +1,4 @@
-package search
+package faultsearch
 
 import (
 	"fmt"
@@ -6,8 +6,8 @@
 	"slices"
 	"strconv"
 
-	"pewterline/internal/faults"
-	"pewterline/internal/micro"
+	"pewterline/internal/microtime"
+	"pewterline/internal/testbed/faults"
 )
 
 // Shrinker makes a failing script smaller: fewer faults, fewer nodes, shorter, rounder, until nothing that it knows
@@ -108,9 +108,9 @@
 		})
 	}
 	for i := range n {
-		out = append(out, func(s *faults.Script) bool { return round(s, i, micro.Second) },
-			func(s *faults.Script) bool { return round(s, i, 100*micro.Millisecond) },
-			func(s *faults.Script) bool { return round(s, i, micro.Millisecond) })
+		out = append(out, func(s *faults.Script) bool { return round(s, i, microtime.Second) },
+			func(s *faults.Script) bool { return round(s, i, 100*microtime.Millisecond) },
+			func(s *faults.Script) bool { return round(s, i, microtime.Millisecond) })
 	}
 	return out
 }
@@ -155,8 +155,8 @@
 
 // shorten cuts the end off, with the faults in it.
 func shorten(s *faults.Script, share float64) bool {
-	short := micro.Time(float64(s.Length)*share) / (100 * micro.Millisecond) * (100 * micro.Millisecond)
-	if short < 100*micro.Millisecond || short >= s.Length {
+	short := microtime.Time(float64(s.Length)*share) / (100 * microtime.Millisecond) * (100 * microtime.Millisecond)
+	if short < 100*microtime.Millisecond || short >= s.Length {
 		return false
 	}
 	s.Length = short
@@ -165,7 +165,7 @@
 }
 
 // round makes a fault's figures rounder.
-func round(s *faults.Script, i int, to micro.Time) bool {
+func round(s *faults.Script, i int, to microtime.Time) bool {
 	if i >= len(s.Faults) {
 		return false
 	}
--- a/internal/rules/call_address.go
+++ b/internal/testbed/invariant/call_address.go
@@ -1,6 +1,6 @@
-package rules
+package invariant
 
-import "pewterline/internal/micro"
+import "pewterline/internal/microtime"
 
 // CallsAt says that from now on a server's configuration has its calls go to an address of the vault.
 func (o *Observer) CallsAt(name, address string) {
@@ -12,7 +12,7 @@
 func (o *Observer) judgeAddress(c *call) {
 	s := c.conn.s
 	since := o.w.Now() - s.callsMoved - o.pausedSince(s, s.callsMoved)
-	if s.callsAt != "" && c.conn.addr != s.callsAt && since > readMost+micro.Millisecond {
+	if s.callsAt != "" && c.conn.addr != s.callsAt && since > readMost+microtime.Millisecond {
 		o.report("call", s, c.request, "to another address: %s, where %s is configured", c.conn.addr, s.callsAt)
 	}
 }
--- a/internal/rules/call_open.go
+++ b/internal/testbed/invariant/call_open.go
@@ -1,4 +1,4 @@
-package rules
+package invariant
 
 // judgeOneOpen judges that a request has one call open at most.
 func (o *Observer) judgeOneOpen(c *call) {
--- a/internal/rules/call_over.go
+++ b/internal/testbed/invariant/call_over.go
@@ -1,13 +1,13 @@
-package rules
+package invariant
 
-import "pewterline/internal/micro"
+import "pewterline/internal/microtime"
 
 // readMost is how long what has reached a server's machine may lie there unread.
-const readMost = 20 * micro.Millisecond
+const readMost = 20 * microtime.Millisecond
 
 // endKnown is when the server knew that a request is over: it has answered, the caller's giveUp has come, or the caller's
 // connection has ended. ok is false while it is not over.
-func (r *request) endKnown() (at micro.Time, ok bool) { return r.overSince, r.overSince > 0 }
+func (r *request) endKnown() (at microtime.Time, ok bool) { return r.overSince, r.overSince > 0 }
 
 // ended notes that the server knows now that a request is over.
 func (o *Observer) ended(r *request) {
@@ -28,8 +28,8 @@
 }
 
 // judgeGivenUp judges that an open call is given up soon once its request or its run is over, or the time stated for it has passed.
-func (o *Observer) judgeGivenUp(s *server, c *call, now micro.Time) {
-	late := func(from micro.Time) bool { return now > from+callGrace+o.pausedSince(s, from) }
+func (o *Observer) judgeGivenUp(s *server, c *call, now microtime.Time) {
+	late := func(from microtime.Time) bool { return now > from+callGrace+o.pausedSince(s, from) }
 	if c.request != nil {
 		if at, over := c.request.endKnown(); over && late(max(at, c.asked)) {
 			o.report("call", s, c.request, "not given up: of request %s, which is over", c.id)
--- a/internal/rules/call_reply.go
+++ b/internal/testbed/invariant/call_reply.go
@@ -1,4 +1,4 @@
-package rules
+package invariant
 
 import (
 	"bytes"
--- a/internal/rules/calls.go
+++ b/internal/testbed/invariant/calls.go
@@ -1,4 +1,4 @@
-package rules
+package invariant
 
 import (
 	"bytes"
@@ -7,14 +7,14 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"pewterline/internal/micro"
+	"pewterline/internal/microtime"
 	"pewterline/internal/protocol/pool"
 	"pewterline/internal/protocol/vault"
-	"pewterline/internal/virtual"
+	"pewterline/internal/testbed/simnet"
 )
 
 // callGrace is how long a server may take to act on what has reached its machine: a turn, and what is read before.
-const callGrace = 100 * micro.Millisecond
+const callGrace = 100 * microtime.Millisecond
 
 // point is where a run waits for a call.
 type point struct {
@@ -31,9 +31,9 @@
 	request *request // nil: of nothing that came to the server
 	id      string
 	conn    *conn
-	asked   micro.Time
-	wait    micro.Time   // that the server has stated
-	status  vault.Status // of the reply; 0: none
+	asked   microtime.Time
+	wait    microtime.Time // that the server has stated
+	status  vault.Status   // of the reply; 0: none
 	reply   []byte
 	over    bool // given up, or its connection has ended
 }
@@ -44,11 +44,11 @@
 func (c *call) neverRan() bool { return c.status == vault.NotNow || c.status == vault.Pointless }
 
 // vaultBytes takes what passes on a server's connection to the vault, as the server writes it and as it reaches the server.
-func (o *Observer) vaultBytes(c *conn, v virtual.Event) {
+func (o *Observer) vaultBytes(c *conn, v simnet.Event) {
 	switch {
-	case v.Kind == virtual.Written && v.Dialer:
+	case v.Kind == simnet.Written && v.Dialer:
 		o.read(c, v.Bytes, true)
-	case v.Kind == virtual.Arrived && v.Dialer:
+	case v.Kind == simnet.Arrived && v.Dialer:
 		o.read(c, v.Bytes, false)
 	}
 }
@@ -77,7 +77,7 @@
 // asked takes a call as the server writes it.
 func (o *Observer) asked(c *conn, m vault.Command) {
 	s := c.s
-	made := &call{id: m.ID, conn: c, run: s.runs[m.ID], request: s.reqs[m.ID], asked: o.w.Now(), wait: micro.Time(m.WaitMS) * micro.Millisecond}
+	made := &call{id: m.ID, conn: c, run: s.runs[m.ID], request: s.reqs[m.ID], asked: o.w.Now(), wait: microtime.Time(m.WaitMS) * microtime.Millisecond}
 	if made.request != nil {
 		o.note(made.request, "call, for %v", made.wait.Duration())
 	}
@@ -140,7 +140,7 @@
 }
 
 // vaultEnded says that a connection to the vault has ended at the server: that gives up what was open on it.
-func (o *Observer) vaultEnded(c *conn, v virtual.Event) {
+func (o *Observer) vaultEnded(c *conn, v simnet.Event) {
 	if !v.Dialer {
 		return
 	}
@@ -178,8 +178,8 @@
 }
 
 // auditCalls looks at the calls that are open, and forgets those that are not.
-func (o *Observer) auditCalls(s *server, now micro.Time) {
-	s.calls = slices.DeleteFunc(s.calls, func(c *call) bool { return !c.open() && now > c.asked+micro.Second })
+func (o *Observer) auditCalls(s *server, now microtime.Time) {
+	s.calls = slices.DeleteFunc(s.calls, func(c *call) bool { return !c.open() && now > c.asked+microtime.Second })
 	if s.pausedAt(now) || s.pausedAt(now-callGrace) {
 		return
 	}
--- a/internal/rules/calls_test.go
+++ b/internal/testbed/invariant/calls_test.go
@@ -1,15 +1,15 @@
-package rules
+package invariant
 
 import (
 	"testing"
 
 	"github.com/stretchr/testify/require"
 
-	"pewterline/internal/micro"
+	"pewterline/internal/microtime"
 	"pewterline/internal/protocol/pool"
 	"pewterline/internal/protocol/thrift"
 	"pewterline/internal/protocol/vault"
-	"pewterline/internal/virtual"
+	"pewterline/internal/testbed/simnet"
 )
 
 const (
@@ -23,8 +23,8 @@
 func (s *scene) block(id string) {
 	s.made++
 	p := pool.AppendBlocked(nil, s.made, id, []byte("call"))
-	s.event(2, virtual.Written, "w0", "s0", false, p)
-	s.event(2, virtual.Arrived, "s0", "w0", true, p)
+	s.event(2, simnet.Written, "w0", "s0", false, p)
+	s.event(2, simnet.Arrived, "s0", "w0", true, p)
 }
 
 // waiting has a request come and run to its call.
@@ -36,19 +36,19 @@
 }
 
 func (s *scene) call(conn uint64, id string) {
-	s.event(conn, virtual.Written, "s0", "v0", true, vault.AppendAsk(nil, id, 1000, []byte("call")))
+	s.event(conn, simnet.Written, "s0", "v0", true, vault.AppendAsk(nil, id, 1000, []byte("call")))
 }
 
 func (s *scene) unask(conn uint64, id string) {
-	s.event(conn, virtual.Written, "s0", "v0", true, vault.AppendUnask(nil, id))
+	s.event(conn, simnet.Written, "s0", "v0", true, vault.AppendUnask(nil, id))
 }
 
 func (s *scene) reply(conn uint64, id string, status vault.Status) {
-	s.event(conn, virtual.Arrived, "s0", "v0", true, vault.AppendReply(nil, id, status, []byte("reply "+id)))
+	s.event(conn, simnet.Arrived, "s0", "v0", true, vault.AppendReply(nil, id, status, []byte("reply "+id)))
 }
 
 func (s *scene) supply(id, body string) {
-	s.event(2, virtual.Arrived, "w0", "s0", false, pool.AppendSupply(nil, id, []byte(body)))
+	s.event(2, simnet.Arrived, "w0", "s0", false, pool.AppendSupply(nil, id, []byte(body)))
 }
 
 // ends has the run of id end and be answered.
@@ -79,7 +79,7 @@
 		{"again after its connection broke", "call/made twice", func(s *scene) {
 			s.waiting(callBig, order)
 			s.call(4, callBig)
-			s.event(4, virtual.Ended, "s0", "v0", true, nil)
+			s.event(4, simnet.Ended, "s0", "v0", true, nil)
 			s.call(5, callBig)
 		}},
 		{"again after unask", "call/made twice", func(s *scene) {
@@ -116,7 +116,7 @@
 		{"for no run", "call/for no run", func(s *scene) { s.giveUp(s.ask(callBig, view, "")); s.call(4, callBig) }},
 		{"body changed", "call/body changed", func(s *scene) {
 			s.waiting(callBig, view)
-			s.event(4, virtual.Written, "s0", "v0", true, vault.AppendAsk(nil, callBig, 1000, []byte("calm")))
+			s.event(4, simnet.Written, "s0", "v0", true, vault.AppendAsk(nil, callBig, 1000, []byte("calm")))
 		}},
 		{"reply changed", "call/reply changed, or another's", func(s *scene) {
 			s.waiting(callBig, view)
@@ -150,12 +150,12 @@
 		}},
 		{"called though answered", "call/for what is over", func(s *scene) {
 			s.answer(thrift.AppendBroken(nil, s.waiting(callBig, view), nil))
-			s.after(30 * micro.Millisecond)
+			s.after(30 * microtime.Millisecond)
 			s.call(4, callBig)
 		}},
 		{"called though given up", "call/for what is over", func(s *scene) {
 			s.giveUp(s.waiting(callBig, view))
-			s.after(30 * micro.Millisecond)
+			s.after(30 * microtime.Millisecond)
 			s.call(4, callBig)
 		}},
 		{"called as the giveUp comes", "", func(s *scene) {
@@ -165,8 +165,8 @@
 		}},
 		{"called though the caller has left", "call/for what is over", func(s *scene) {
 			s.waiting(callBig, view)
-			s.event(1, virtual.Ended, "s0", "p0", false, nil)
-			s.after(30 * micro.Millisecond)
+			s.event(1, simnet.Ended, "s0", "p0", false, nil)
+			s.after(30 * microtime.Millisecond)
 			s.call(4, callBig)
 		}},
 		{"not given up though answered", "call/not given up", func(s *scene) {
@@ -182,17 +182,17 @@
 		{"not given up by its time", "call/not given up", func(s *scene) {
 			s.waiting(callBig, view)
 			s.call(4, callBig)
-			s.after(1200 * micro.Millisecond)
+			s.after(1200 * microtime.Millisecond)
 		}},
 		{"given up by its connection's end", "", func(s *scene) {
 			n := s.waiting(callBig, view)
 			s.call(4, callBig)
 			s.answer(thrift.AppendBroken(nil, n, nil))
-			s.event(4, virtual.Ended, "s0", "v0", true, nil)
+			s.event(4, simnet.Ended, "s0", "v0", true, nil)
 		}},
 		{"to the address before", "call/to another address", func(s *scene) {
 			s.o.CallsAt("s0", "v0/b")
-			s.after(30 * micro.Millisecond)
+			s.after(30 * microtime.Millisecond)
 			s.waiting(callBig, view)
 			s.call(4, callBig)
 		}},
@@ -205,12 +205,12 @@
 			s.ends(n, callBig)
 		}},
 		{"deep check answered", "", func(s *scene) {
-			s.event(1, virtual.Arrived, "s0", "p0", false, thrift.AppendProbe(nil, 7, true))
-			s.after(micro.Second)
+			s.event(1, simnet.Arrived, "s0", "p0", false, thrift.AppendProbe(nil, 7, true))
+			s.after(microtime.Second)
 			s.answer(thrift.AppendAnswer(nil, "probe", 7, nil, nil, false))
 		}},
 		{"deep check unanswered", "check/deep check unanswered", func(s *scene) {
-			s.event(1, virtual.Arrived, "s0", "p0", false, thrift.AppendProbe(nil, 7, true))
+			s.event(1, simnet.Arrived, "s0", "p0", false, thrift.AppendProbe(nil, 7, true))
 		}},
 		{"as many as may run, and more that wait", "", func(s *scene) {
 			for i := range 12 {
@@ -227,7 +227,7 @@
 			s.open(4, "v0/a", "s0")
 			s.open(5, "v0/b", "s0")
 			c.play(s)
-			s.after(5 * micro.Second)
+			s.after(5 * microtime.Second)
 			if c.want == "" {
 				require.Empty(t, s.o.Violations)
 				return
--- a/internal/rules/deep_check.go
+++ b/internal/testbed/invariant/deep_check.go
@@ -1,18 +1,18 @@
-package rules
+package invariant
 
 import (
-	"pewterline/internal/micro"
+	"pewterline/internal/microtime"
 	"pewterline/internal/protocol/thrift"
 )
 
 // checkMost is how long a deep health check may be without an answer.
-const checkMost = 1500 * micro.Millisecond
+const checkMost = 1500 * microtime.Millisecond
 
 // check is a deep health check that has reached a server and has no answer yet.
 type check struct {
 	conn *conn
 	seq  int32
-	at   micro.Time
+	at   microtime.Time
 }
 
 // checked takes a deep health check as it reaches the server.
@@ -38,7 +38,7 @@
 }
 
 // auditChecks judges that deep health checks are answered in time, whatever becomes of the worker pool.
-func (o *Observer) auditChecks(s *server, now micro.Time) {
+func (o *Observer) auditChecks(s *server, now microtime.Time) {
 	kept := s.checks[:0]
 	for _, k := range s.checks {
 		switch {
--- a/internal/rules/drain.go
+++ b/internal/testbed/invariant/drain.go
@@ -1,7 +1,7 @@
-package rules
+package invariant
 
 import (
-	"pewterline/internal/micro"
+	"pewterline/internal/microtime"
 )
 
 // judgeEnd judges that a process that ends of itself, or is stopped after the notice to leave, has answered all it has read.
@@ -17,7 +17,7 @@
 
 // judgeRunInDrain judges that nothing is run that came too long after the notice to leave.
 func (o *Observer) judgeRunInDrain(s *server, r *request) {
-	if s.noticed != micro.Never && r.arrived > s.noticed+o.Rules.DrainMost+socketGrace {
+	if s.noticed != microtime.Never && r.arrived > s.noticed+o.Rules.DrainMost+socketGrace {
 		o.report("drain", s, r, "run past the limit: request %s came %v after the notice", r.id, (r.arrived - s.noticed).Duration())
 	}
 }
--- a/internal/rules/duplicate.go
+++ b/internal/testbed/invariant/duplicate.go
@@ -1,7 +1,7 @@
-package rules
+package invariant
 
 import (
-	"pewterline/internal/micro"
+	"pewterline/internal/microtime"
 )
 
 // ranWithin is a run of the intake in whose window the try came.
@@ -16,8 +16,8 @@
 	return nil
 }
 
-func (o *Observer) window(r *request) micro.Time {
-	return micro.FromDuration(o.Rules.Settings.Classes[r.class].RetentionWindow)
+func (o *Observer) window(r *request) microtime.Time {
+	return microtime.FromDuration(o.Rules.Settings.Classes[r.class].RetentionWindow)
 }
 
 // judgeRefusal judges that nothing is refused that has run.
--- a/internal/rules/fall_over.go
+++ b/internal/testbed/invariant/fall_over.go
@@ -1,9 +1,9 @@
-package rules
+package invariant
 
 import (
 	"slices"
 
-	"pewterline/internal/micro"
+	"pewterline/internal/microtime"
 )
 
 func (o *Observer) crowded(s *server, by int) {
@@ -12,7 +12,7 @@
 }
 
 // judgeMemory judges that the memory booked stays within its bound.
-func (o *Observer) judgeMemory(s *server, now micro.Time) {
+func (o *Observer) judgeMemory(s *server, now microtime.Time) {
 	booked := 0.0
 	s.open = slices.DeleteFunc(s.open, func(r *request) bool { return (r.answers > 0 || r.gaveUp || r.over || r.c.left) && !r.running })
 	for _, r := range s.open {
@@ -29,7 +29,7 @@
 }
 
 // judgeCrowd judges that what runs on the cores stays within its bound, on average.
-func (o *Observer) judgeCrowd(s *server, now micro.Time) {
+func (o *Observer) judgeCrowd(s *server, now microtime.Time) {
 	from := now - o.Rules.FallOver
 	if s.born > from {
 		return
--- a/internal/rules/lost.go
+++ b/internal/testbed/invariant/lost.go
@@ -1,26 +1,26 @@
-package rules
+package invariant
 
 import (
 	"cmp"
 	"slices"
 
-	"pewterline/internal/micro"
+	"pewterline/internal/microtime"
 )
 
 // answerLimit is when a request must have been answered, what its server stood still for not counted.
-func (o *Observer) answerLimit(s *server, r *request) micro.Time {
+func (o *Observer) answerLimit(s *server, r *request) microtime.Time {
 	return o.due(r) + o.Rules.Grace + socketGrace + o.pausedSince(s, r.arrived)
 }
 
 // judgeInTime judges that an answer comes in time.
-func (o *Observer) judgeInTime(s *server, r *request, now micro.Time) {
+func (o *Observer) judgeInTime(s *server, r *request, now microtime.Time) {
 	if limit := o.answerLimit(s, r); now > limit && !r.gaveUp {
 		o.report("lost", s, r, "answered late: request %s, by %v", r.id, (now - limit).Duration())
 	}
 }
 
 // judgeDue judges that what is due by now has been answered.
-func (o *Observer) judgeDue(now micro.Time) {
+func (o *Observer) judgeDue(now microtime.Time) {
 	for len(o.dues) > 0 && o.dues[0].at < now {
 		d := o.dues[0]
 		o.dues = o.dues[1:]
@@ -28,7 +28,7 @@
 			continue
 		}
 		if late := o.answerLimit(d.r.s, d.r); late > d.at || d.r.s.pausedAt(now) {
-			i, _ := slices.BinarySearchFunc(o.dues, max(late, now+1), func(x due, at micro.Time) int { return cmp.Compare(x.at, at) })
+			i, _ := slices.BinarySearchFunc(o.dues, max(late, now+1), func(x due, at microtime.Time) int { return cmp.Compare(x.at, at) })
 			o.dues = slices.Insert(o.dues, i, due{max(late, now+1), d.r})
 			continue
 		}
--- a/internal/rules/requests.go
+++ b/internal/testbed/invariant/requests.go
@@ -1,4 +1,4 @@
-package rules
+package invariant
 
 import (
 	"fmt"
@@ -8,14 +8,14 @@
 	"github.com/cespare/xxhash/v2"
 
 	"pewterline/control"
-	"pewterline/internal/micro"
+	"pewterline/internal/microtime"
 	"pewterline/internal/protocol/thrift"
-	"pewterline/internal/virtual"
+	"pewterline/internal/testbed/simnet"
 )
 
 func (o *Observer) owed(r *request) bool { return !r.over && r.answers == 0 && !r.gaveUp && !r.c.left }
 
-func (o *Observer) pausedSince(s *server, from micro.Time) (sum micro.Time) {
+func (o *Observer) pausedSince(s *server, from microtime.Time) (sum microtime.Time) {
 	now := o.w.Now()
 	for _, p := range s.paused {
 		sum += max(0, min(p.to, now)-max(p.from, from))
@@ -99,7 +99,7 @@
 		o.OnRequest(r.id, s.name, cl.Name, body)
 	}
 	s.open = append(s.open, r)
-	o.note(r, "%s read, asked at %v, due at %v", cl.Name, (r.at - virtual.Start).Duration(), (o.due(r) - virtual.Start).Duration())
+	o.note(r, "%s read, asked at %v, due at %v", cl.Name, (r.at - simnet.Start).Duration(), (o.due(r) - simnet.Start).Duration())
 	at := o.due(r) + o.Rules.Grace + socketGrace
 	i := len(o.dues)
 	for i > 0 && o.dues[i-1].at > at {
@@ -110,8 +110,8 @@
 }
 
 // due is when an answer must have come: never earlier than the request was read.
-func (o *Observer) due(r *request) micro.Time {
-	return max(r.at+micro.FromDuration(o.Rules.Settings.Classes[r.class].Deadline), r.arrived)
+func (o *Observer) due(r *request) microtime.Time {
+	return max(r.at+microtime.FromDuration(o.Rules.Settings.Classes[r.class].Deadline), r.arrived)
 }
 
 func (o *Observer) replied(c *conn, p thrift.Reply) {
@@ -173,7 +173,7 @@
 	}
 }
 
-func (s *server) pausedAt(now micro.Time) bool {
+func (s *server) pausedAt(now microtime.Time) bool {
 	for _, p := range s.paused {
 		if now >= p.from && now <= p.to {
 			return true
--- a/internal/rules/rules.go
+++ b/internal/testbed/invariant/rules.go
@@ -1,4 +1,4 @@
-// Package rules looks on while a world runs and judges whether the program keeps its rules. It sees bytes and times
+// Package invariant looks on while a world runs and judges whether the program keeps its rules. It sees bytes and times
 // at the machines' edges, and nothing of the program's insides:
 //
 //   - lost: each request read gets one final answer by its time, unless its caller gave it up or left.
@@ -11,7 +11,7 @@
 //   - call: a call of a request with an effect is made once, unless it is proven not to have run; a request has one call open at
 //     most, and none once it is over; a reply reaches the run that it is for, unchanged.
 //   - check: a deep health check is answered in time.
-package rules
+package invariant
 
 import (
 	"cmp"
@@ -20,30 +20,30 @@
 	"strings"
 
 	"pewterline/control"
-	"pewterline/internal/decide/search"
-	"pewterline/internal/micro"
-	"pewterline/internal/virtual"
+	"pewterline/internal/microtime"
+	"pewterline/internal/testbed/faultsearch"
+	"pewterline/internal/testbed/simnet"
 )
 
 const (
-	socketGrace = 50 * micro.Millisecond // by which every limit is longer on sockets
-	crossing    = 50 * micro.Millisecond // a request that meets a close
-	bookedFrom  = 100 * micro.Millisecond
-	auditEvery  = 50 * micro.Millisecond
+	socketGrace = 50 * microtime.Millisecond // by which every limit is longer on sockets
+	crossing    = 50 * microtime.Millisecond // a request that meets a close
+	bookedFrom  = 100 * microtime.Millisecond
+	auditEvery  = 50 * microtime.Millisecond
 )
 
 // Rules are the figures of the settings that the rules need.
 type Rules struct {
 	Settings  control.Settings
-	Grace     micro.Time // past a due time
-	DrainMost micro.Time // after the notice
+	Grace     microtime.Time // past a due time
+	DrainMost microtime.Time // after the notice
 	Cores     int
 	Fall      float64 // multiple of the cores
-	FallOver  micro.Time
+	FallOver  microtime.Time
 	MemoryKB  float64
 	RunFactor float64
 	ColdFrom  float64
-	Ramp      micro.Time
+	Ramp      microtime.Time
 	Store     bool // a store of record is on: what was answered outlives the server
 }
 
@@ -51,7 +51,7 @@
 type Violation struct {
 	Rule    string
 	Server  string
-	At      micro.Time // since the world's start
+	At      microtime.Time // since the world's start
 	Text    string
 	History []string
 }
@@ -84,15 +84,15 @@
 	Replies   map[string]int // of the vault to calls, by status
 	Example   []string       // what was seen of the first request that was served after its run had made a call
 
-	w       *virtual.World
-	wall    virtual.Wall
+	w       *simnet.World
+	wall    simnet.Wall
 	classes map[string]int
 	servers map[string]*server
 	order   []*server
 	conns   map[uint64]*conn
 	dues    []due // sorted by time, as deadlines of a class come in order
-	audit   micro.Time
-	reached map[search.Situation]struct{}
+	audit   microtime.Time
+	reached map[faultsearch.Situation]struct{}
 	faulty  []fault
 	made    map[string]bool        // results of all runs anywhere
 	ran     map[string][]globalRun // by once-key, at any server
@@ -101,9 +101,9 @@
 }
 
 // New returns an observer of a world. Its Tap is for the network.
-func New(w *virtual.World, r Rules) *Observer {
+func New(w *simnet.World, r Rules) *Observer {
 	o := &Observer{Rules: r, Most: 5, w: w, classes: map[string]int{}, servers: map[string]*server{}, conns: map[uint64]*conn{},
-		Answers: map[string]int{}, Seen: map[string]int{}, Replies: map[string]int{}, stored: map[string]*run{}, begun: map[string]*run{}, made: map[string]bool{}, ran: map[string][]globalRun{}, reached: map[search.Situation]struct{}{}}
+		Answers: map[string]int{}, Seen: map[string]int{}, Replies: map[string]int{}, stored: map[string]*run{}, begun: map[string]*run{}, made: map[string]bool{}, ran: map[string][]globalRun{}, reached: map[faultsearch.Situation]struct{}{}}
 	for i, c := range r.Settings.Classes {
 		o.classes[c.Name] = i
 	}
@@ -112,7 +112,7 @@
 
 // Boots says that a server starts, with a worker pool of its own.
 func (o *Observer) Boots(name string, life int) {
-	s := &server{name: name, life: life, born: o.w.Now(), tried: o.w.Now(), noticed: micro.Never, reqs: map[string]*request{}, keys: map[string]*key{}, runs: map[string]*run{}}
+	s := &server{name: name, life: life, born: o.w.Now(), tried: o.w.Now(), noticed: microtime.Never, reqs: map[string]*request{}, keys: map[string]*key{}, runs: map[string]*run{}}
 	if old := o.servers[name]; old != nil {
 		i := slices.Index(o.order, old)
 		o.order[i] = s
@@ -125,13 +125,13 @@
 
 // Noticed says that the notice to leave has been sent to a server.
 func (o *Observer) Noticed(name string) {
-	if s := o.servers[name]; s.noticed == micro.Never {
+	if s := o.servers[name]; s.noticed == microtime.Never {
 		s.noticed = o.w.Now()
 	}
 }
 
 // Paused says that a server's process stands still until a time, which is not counted against it.
-func (o *Observer) Paused(name string, until micro.Time) {
+func (o *Observer) Paused(name string, until microtime.Time) {
 	s := o.servers[name]
 	s.paused = append(s.paused, span{o.w.Now(), until})
 }
@@ -200,7 +200,7 @@
 }
 
 // auditServer judges what is not tied to one message.
-func (o *Observer) auditServer(s *server, now micro.Time) {
+func (o *Observer) auditServer(s *server, now microtime.Time) {
 	o.judgeRedial(s, now)
 	o.auditCalls(s, now)
 	o.auditChecks(s, now)
--- a/internal/rules/rules_test.go
+++ b/internal/testbed/invariant/rules_test.go
@@ -1,4 +1,4 @@
-package rules
+package invariant
 
 import (
 	"fmt"
@@ -9,17 +9,17 @@
 	"github.com/stretchr/testify/require"
 
 	"pewterline/control"
-	"pewterline/internal/micro"
+	"pewterline/internal/microtime"
 	"pewterline/internal/protocol/ajp"
 	"pewterline/internal/protocol/pool"
 	"pewterline/internal/protocol/thrift"
-	"pewterline/internal/virtual"
+	"pewterline/internal/testbed/simnet"
 )
 
 // scene is a world in which a test plays the server: what the observer sees are bytes that the test makes up.
 type scene struct {
 	t     *testing.T
-	w     *virtual.World
+	w     *simnet.World
 	o     *Observer
 	seq   int32
 	conns uint64
@@ -27,11 +27,11 @@
 }
 
 func newScene(t *testing.T) *scene {
-	s := &scene{t: t, w: virtual.NewWorld(1)}
+	s := &scene{t: t, w: simnet.NewWorld(1)}
 	s.o = New(s.w, Rules{Settings: control.Settings{Classes: []control.Class{
 		{Name: "block-view", Deadline: 4 * time.Second}, {Name: "lot-intake", Deadline: 4 * time.Second, Idempotency: control.IdempotentByKey, RetentionWindow: 10 * time.Second}}},
-		Grace: 100 * micro.Millisecond, DrainMost: 2500 * micro.Millisecond, Cores: 2, Fall: 4, FallOver: micro.Second, MemoryKB: 2000,
-		RunFactor: 8, ColdFrom: 0.25, Ramp: 10 * micro.Second, Store: true})
+		Grace: 100 * microtime.Millisecond, DrainMost: 2500 * microtime.Millisecond, Cores: 2, Fall: 4, FallOver: microtime.Second, MemoryKB: 2000,
+		RunFactor: 8, ColdFrom: 0.25, Ramp: 10 * microtime.Second, Store: true})
 	s.w.After = s.o.Check
 	s.o.Boots("s0", 1)
 	s.open(1, "s0/thrift", "p0")
@@ -41,17 +41,17 @@
 	return s
 }
 
-func (s *scene) event(conn uint64, kind virtual.EventKind, node, peer string, dialer bool, p []byte) {
-	s.o.Tap(virtual.Event{At: s.w.Now(), Kind: kind, Conn: conn, Node: node, Peer: peer, Dialer: dialer, Bytes: p})
+func (s *scene) event(conn uint64, kind simnet.EventKind, node, peer string, dialer bool, p []byte) {
+	s.o.Tap(simnet.Event{At: s.w.Now(), Kind: kind, Conn: conn, Node: node, Peer: peer, Dialer: dialer, Bytes: p})
 }
 
 func (s *scene) open(conn uint64, addr, from string) {
-	s.o.Tap(virtual.Event{At: s.w.Now(), Kind: virtual.Opened, Conn: conn, Node: from, Addr: addr, Dialer: true})
+	s.o.Tap(simnet.Event{At: s.w.Now(), Kind: simnet.Opened, Conn: conn, Node: from, Addr: addr, Dialer: true})
 }
 
 // fields are those of a request asked some time ago.
-func (s *scene) fields(id, class, once string, ago micro.Time) []thrift.Field {
-	at := strconv.FormatInt((&virtual.Wall{}).UnixMilli(s.w.Now()-ago), 10)
+func (s *scene) fields(id, class, once string, ago microtime.Time) []thrift.Field {
+	at := strconv.FormatInt((&simnet.Wall{}).UnixMilli(s.w.Now()-ago), 10)
 	return []thrift.Field{{Name: "class", Value: class}, {Name: "id", Value: id}, {Name: "at", Value: at}, {Name: "kb", Value: "20"},
 		{Name: "tenant", Value: "t"}, {Name: "once", Value: once}}
 }
@@ -59,22 +59,22 @@
 // ask has a request reach the server; it returns its number.
 func (s *scene) ask(id, class, once string) int32 { return s.askAgo(id, class, once, 0) }
 
-func (s *scene) askAgo(id, class, once string, ago micro.Time) int32 {
+func (s *scene) askAgo(id, class, once string, ago microtime.Time) int32 {
 	s.seq++
-	s.event(1, virtual.Arrived, "s0", "p0", false, thrift.AppendCall(nil, s.seq, s.fields(id, class, once, ago), []byte("body")))
+	s.event(1, simnet.Arrived, "s0", "p0", false, thrift.AppendCall(nil, s.seq, s.fields(id, class, once, ago), []byte("body")))
 	return s.seq
 }
 
 func (s *scene) giveUp(seq int32) {
-	s.event(1, virtual.Arrived, "s0", "p0", false, thrift.AppendGiveUp(nil, seq))
+	s.event(1, simnet.Arrived, "s0", "p0", false, thrift.AppendGiveUp(nil, seq))
 }
 
-func (s *scene) answer(p []byte) { s.event(1, virtual.Written, "s0", "p0", false, p) }
+func (s *scene) answer(p []byte) { s.event(1, simnet.Written, "s0", "p0", false, p) }
 func (s *scene) served(seq int32, result []byte) {
 	s.answer(thrift.AppendAnswer(nil, "process", seq, result, nil, true))
 }
 func (s *scene) spawn(id, class, body string) {
-	s.event(2, virtual.Arrived, "w0", "s0", false, pool.AppendSpawn(nil, id, class, []byte(body)))
+	s.event(2, simnet.Arrived, "w0", "s0", false, pool.AppendSpawn(nil, id, class, []byte(body)))
 }
 
 // finish has the run of id end, and its notice reach the server; it returns the result.
@@ -85,8 +85,8 @@
 		result = Result([]byte("body"), s.made)
 	}
 	p := pool.AppendFinished(nil, s.made, id, end, 5, result)
-	s.event(2, virtual.Written, "w0", "s0", false, p)
-	s.event(2, virtual.Arrived, "s0", "w0", true, p)
+	s.event(2, simnet.Written, "w0", "s0", false, p)
+	s.event(2, simnet.Arrived, "s0", "w0", true, p)
 	return result
 }
 
@@ -95,9 +95,9 @@
 	return s.finish(id, pool.Pass)
 }
 
-func (s *scene) after(d micro.Time) {
+func (s *scene) after(d microtime.Time) {
 	for end := s.w.Now() + d; s.w.Now() < end; {
-		s.w.At(min(s.w.Now()+20*micro.Millisecond, end), func() {})
+		s.w.At(min(s.w.Now()+20*microtime.Millisecond, end), func() {})
 		s.w.Step(end)
 	}
 }
@@ -117,15 +117,15 @@
 			s.answer(thrift.AppendBroken(nil, n, nil))
 		}},
 		{"answered late", "lost/answered late", func(s *scene) {
-			n := s.askAgo("a", "block-view", "", 4*micro.Second)
-			s.after(140 * micro.Millisecond)
-			s.w.Run(s.w.Now() + 100*micro.Millisecond) // no step, so that nothing is judged meanwhile
+			n := s.askAgo("a", "block-view", "", 4*microtime.Second)
+			s.after(140 * microtime.Millisecond)
+			s.w.Run(s.w.Now() + 100*microtime.Millisecond) // no step, so that nothing is judged meanwhile
 			s.answer(thrift.AppendBroken(nil, n, nil))
 		}},
 		{"stood still meanwhile", "", func(s *scene) {
 			n := s.ask("a", "block-view", "")
-			s.o.Paused("s0", s.w.Now()+6*micro.Second)
-			s.after(6100 * micro.Millisecond)
+			s.o.Paused("s0", s.w.Now()+6*microtime.Second)
+			s.after(6100 * microtime.Millisecond)
 			s.answer(thrift.AppendBroken(nil, n, nil))
 		}},
 		{"answered twice", "duplicate/answered twice", func(s *scene) {
@@ -155,19 +155,19 @@
 		}},
 		{"run twice", "duplicate/run twice within its window", func(s *scene) {
 			s.served(s.ask("a", "lot-intake", "k"), s.run("a", "lot-intake"))
-			s.after(9 * micro.Second)
+			s.after(9 * microtime.Second)
 			s.served(s.ask("b", "lot-intake", "k"), s.run("b", "lot-intake"))
 		}},
 		{"run again after its window", "", func(s *scene) {
 			s.served(s.ask("a", "lot-intake", "k"), s.run("a", "lot-intake"))
-			s.after(11 * micro.Second)
+			s.after(11 * microtime.Second)
 			s.served(s.ask("b", "lot-intake", "k"), s.run("b", "lot-intake"))
 		}},
 		{"the window counts from the try that ran", "duplicate/run twice within its window", func(s *scene) {
 			s.giveUp(s.ask("a", "lot-intake", "k"))
-			s.after(8 * micro.Second)
+			s.after(8 * microtime.Second)
 			s.served(s.ask("b", "lot-intake", "k"), s.run("b", "lot-intake"))
-			s.after(8 * micro.Second)
+			s.after(8 * microtime.Second)
 			s.served(s.ask("c", "lot-intake", "k"), s.run("c", "lot-intake"))
 		}},
 		{"not started, so it may run", "", func(s *scene) {
@@ -193,7 +193,7 @@
 			s.open(1, "s0/thrift", "p0")
 			s.seq = 0
 			s.ask("b", "lot-intake", "k")
-			s.event(4, virtual.Arrived, "w0", "s0", false, pool.AppendSpawn(nil, "b", "lot-intake", []byte("body")))
+			s.event(4, simnet.Arrived, "w0", "s0", false, pool.AppendSpawn(nil, "b", "lot-intake", []byte("body")))
 		}},
 		{"refused after a run", "duplicate/refused after a run", func(s *scene) {
 			n := s.ask("a", "block-view", "")
@@ -207,61 +207,61 @@
 		{"refused", "", func(s *scene) { s.answer(thrift.AppendThrottled(nil, s.ask("a", "lot-intake", "k"), nil)) }},
 		{"run past the drain's limit", "drain/run past the limit", func(s *scene) {
 			s.o.Noticed("s0")
-			s.after(2600 * micro.Millisecond)
+			s.after(2600 * microtime.Millisecond)
 			s.served(s.ask("a", "block-view", ""), s.run("a", "block-view"))
 		}},
 		{"run within the drain's limit", "", func(s *scene) {
 			s.o.Noticed("s0")
-			s.after(2400 * micro.Millisecond)
+			s.after(2400 * microtime.Millisecond)
 			s.served(s.ask("a", "block-view", ""), s.run("a", "block-view"))
 		}},
 		{"ended with a request open", "drain/unanswered at the end", func(s *scene) {
 			s.ask("a", "block-view", "")
-			s.after(60 * micro.Millisecond)
+			s.after(60 * microtime.Millisecond)
 			s.o.Gone("s0", true)
 		}},
 		{"killed with a request open", "", func(s *scene) {
 			s.ask("a", "block-view", "")
-			s.after(60 * micro.Millisecond)
+			s.after(60 * microtime.Millisecond)
 			s.o.Gone("s0", false)
 		}},
 		{"closed with a request open", "lost/closed by the server", func(s *scene) {
 			s.ask("a", "block-view", "")
-			s.after(60 * micro.Millisecond)
-			s.event(1, virtual.Ended, "s0", "p0", false, nil)
+			s.after(60 * microtime.Millisecond)
+			s.event(1, simnet.Ended, "s0", "p0", false, nil)
 		}},
 		{"shut with a request open", "lost/closed by the server", func(s *scene) {
 			s.ask("a", "block-view", "")
-			s.after(60 * micro.Millisecond)
-			s.event(1, virtual.Halved, "s0", "p0", false, nil)
+			s.after(60 * microtime.Millisecond)
+			s.event(1, simnet.Halved, "s0", "p0", false, nil)
 		}},
 		{"cut by the network with a request open", "", func(s *scene) {
 			s.ask("a", "block-view", "")
-			s.after(60 * micro.Millisecond)
-			s.o.Tap(virtual.Event{At: s.w.Now(), Kind: virtual.Halved, Why: virtual.ByCut, Conn: 1, Node: "s0", Peer: "p0"})
+			s.after(60 * microtime.Millisecond)
+			s.o.Tap(simnet.Event{At: s.w.Now(), Kind: simnet.Halved, Why: simnet.ByCut, Conn: 1, Node: "s0", Peer: "p0"})
 		}},
 		{"shut as a request comes", "", func(s *scene) {
 			s.ask("a", "block-view", "")
-			s.event(1, virtual.Halved, "s0", "p0", false, nil)
+			s.event(1, simnet.Halved, "s0", "p0", false, nil)
 			s.ask("b", "block-view", "")
-			s.after(60 * micro.Millisecond)
-			s.event(1, virtual.Ended, "s0", "p0", false, nil)
+			s.after(60 * microtime.Millisecond)
+			s.event(1, simnet.Ended, "s0", "p0", false, nil)
 			s.o.Gone("s0", true)
 		}},
 		{"the caller left", "", func(s *scene) {
 			s.ask("a", "block-view", "")
-			s.event(1, virtual.Ended, "p0", "s0", true, nil)
+			s.event(1, simnet.Ended, "p0", "s0", true, nil)
 		}},
 		{"notices passed over", "result/notices passed over", func(s *scene) {
 			s.served(s.ask("a", "block-view", ""), s.run("a", "block-view"))
-			s.event(2, virtual.Arrived, "w0", "s0", false, pool.AppendBind(nil, 2))
+			s.event(2, simnet.Arrived, "w0", "s0", false, pool.AppendBind(nil, 2))
 		}},
 		{"bound with the last notice", "", func(s *scene) {
 			s.served(s.ask("a", "block-view", ""), s.run("a", "block-view"))
-			s.event(2, virtual.Arrived, "w0", "s0", false, pool.AppendBind(nil, 1))
+			s.event(2, simnet.Arrived, "w0", "s0", false, pool.AppendBind(nil, 1))
 		}},
 		{"no try to reach the pool", "recovery/no try to reach the worker pool", func(s *scene) {
-			s.event(2, virtual.Ended, "s0", "w0", true, nil)
+			s.event(2, simnet.Ended, "s0", "w0", true, nil)
 		}},
 		{"too many run", "fall-over/crowd", func(s *scene) {
 			for i := range 9 {
@@ -280,7 +280,7 @@
 				s.ask(fmt.Sprint(i), "block-view", "")
 				s.spawn(fmt.Sprint(i), "block-view", "body")
 			}
-			s.after(200 * micro.Millisecond)
+			s.after(200 * microtime.Millisecond)
 			for i := range 13 {
 				s.served(int32(i+1), s.finish(fmt.Sprint(i), pool.Pass))
 			}
@@ -294,7 +294,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			s := newScene(t)
 			c.play(s)
-			s.after(5 * micro.Second)
+			s.after(5 * microtime.Second)
 			if c.want == "" {
 				require.Empty(t, s.o.Violations)
 				return
@@ -313,7 +313,7 @@
 	}
 	p, _ := ajp.AppendBodyChunk(ajp.AppendForwardRequest(nil, req), []byte("body"))
 	for i := range p { // in pieces
-		s.event(3, virtual.Arrived, "s0", "o0", false, p[i:i+1])
+		s.event(3, simnet.Arrived, "s0", "o0", false, p[i:i+1])
 	}
 	if result == nil && status == "200" {
 		result = s.run(id, "lot-intake")
@@ -321,7 +321,7 @@
 	n, err := strconv.Atoi(status)
 	require.NoError(s.t, err)
 	out := ajp.AppendEndResponse(ajp.AppendResponseBody(ajp.AppendSendHeaders(nil, n, "x", nil), result), true)
-	s.event(3, virtual.Written, "s0", "o0", false, out)
+	s.event(3, simnet.Written, "s0", "o0", false, out)
 	return result
 }
 
@@ -329,7 +329,7 @@
 func TestHistoryHasAllTries(t *testing.T) {
 	s := newScene(t)
 	s.served(s.ask("a", "lot-intake", "k"), s.run("a", "lot-intake"))
-	s.after(micro.Second)
+	s.after(microtime.Second)
 	s.ask("b", "lot-intake", "k")
 	s.spawn("b", "lot-intake", "body")
 	require.Len(t, s.o.Violations, 1)
--- a/internal/rules/situations.go
+++ b/internal/testbed/invariant/situations.go
@@ -1,4 +1,4 @@
-package rules
+package invariant
 
 import (
 	"fmt"
@@ -6,12 +6,12 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"pewterline/internal/decide/search"
-	"pewterline/internal/micro"
+	"pewterline/internal/microtime"
+	"pewterline/internal/testbed/faultsearch"
 )
 
 // Fault says that something goes wrong with a server until a time: only for what Reached tells.
-func (o *Observer) Fault(kind, name string, until micro.Time) {
+func (o *Observer) Fault(kind, name string, until microtime.Time) {
 	o.faulty = append(o.faulty, fault{kind, name, until})
 	s := o.servers[name]
 	if s == nil {
@@ -45,7 +45,7 @@
 
 func (o *Observer) drainPhase(s *server) int {
 	switch now := o.w.Now(); {
-	case s.noticed == micro.Never:
+	case s.noticed == microtime.Never:
 		return 0
 	case now < s.noticed+o.Rules.DrainMost:
 		return 1
@@ -57,14 +57,14 @@
 func (o *Observer) reach(s *server, what string) {
 	o.Seen[what]++
 	now := o.w.Now()
-	o.faulty = slices.DeleteFunc(o.faulty, func(f fault) bool { return f.until+2*micro.Second < now })
+	o.faulty = slices.DeleteFunc(o.faulty, func(f fault) bool { return f.until+2*microtime.Second < now })
 	add := func(parts ...string) {
 		h := xxhash.New()
 		for _, p := range parts {
 			_, _ = h.WriteString(p)
 			_, _ = h.WriteString("|")
 		}
-		o.reached[search.Situation(h.Sum64())] = struct{}{}
+		o.reached[faultsearch.Situation(h.Sum64())] = struct{}{}
 	}
 	add(what)
 	for _, f := range o.faulty {
@@ -75,8 +75,8 @@
 }
 
 // Reached lists the situations so far, in order.
-func (o *Observer) Reached() []search.Situation {
-	out := make([]search.Situation, 0, len(o.reached))
+func (o *Observer) Reached() []faultsearch.Situation {
+	out := make([]faultsearch.Situation, 0, len(o.reached))
 	for x := range o.reached {
 		out = append(out, x)
 	}
--- a/internal/rules/state.go
+++ b/internal/testbed/invariant/state.go
@@ -1,14 +1,14 @@
-package rules
+package invariant
 
 import (
-	"pewterline/internal/micro"
+	"pewterline/internal/microtime"
 	"pewterline/internal/protocol/ajp"
 	"pewterline/internal/protocol/pool"
 )
 
 type fault struct {
 	kind, server string
-	until        micro.Time
+	until        microtime.Time
 }
 
 // globalRun is a run of an intake at some server.
@@ -20,7 +20,7 @@
 }
 
 type due struct {
-	at micro.Time
+	at microtime.Time
 	r  *request
 }
 
@@ -28,8 +28,8 @@
 type server struct {
 	name    string
 	life    int
-	born    micro.Time
-	noticed micro.Time // to leave; Never: not
+	born    microtime.Time
+	noticed microtime.Time // to leave; Never: not
 	paused  []span
 	reqs    map[string]*request // by ID
 	keys    map[string]*key
@@ -39,24 +39,24 @@
 	crowd   float64 // integral of the running over the last FallOver
 	marks   []mark
 	ended   bool
-	links   int        // to its worker pool, open
-	notice  uint64     // the highest that has reached it
-	strays  int        // errors answered to what is no request
-	tried   micro.Time // when it last tried to reach its worker pool
-	calls   []*call    // open, or made a short while ago
+	links   int            // to its worker pool, open
+	notice  uint64         // the highest that has reached it
+	strays  int            // errors answered to what is no request
+	tried   microtime.Time // when it last tried to reach its worker pool
+	calls   []*call        // open, or made a short while ago
 	checks  []check
 	callsAt string // the address of the vault in its configuration; "": not told
 	// callsMoved is when that was told.
-	callsMoved micro.Time
+	callsMoved microtime.Time
 	// blockedTold is the number of the last notice that a run waits for a call which its worker pool has sent.
 	blockedTold uint64
 }
 
-type span struct{ from, to micro.Time }
+type span struct{ from, to microtime.Time }
 
 // mark is a change of the running, for the average.
 type mark struct {
-	at micro.Time
+	at microtime.Time
 	n  int
 }
 
@@ -68,7 +68,7 @@
 // run is what a worker pool did for one ID.
 type run struct {
 	id     string
-	at     micro.Time // of the try
+	at     microtime.Time // of the try
 	ended  bool
 	made   bool // it is a run: not declined, nor found needless
 	end    pool.Outcome
@@ -76,11 +76,11 @@
 	before *run // of the same ID, which a safe class may have
 	points []*point
 	// endHeard is when the notice of its end reached the server; 0: not yet.
-	endHeard micro.Time
+	endHeard microtime.Time
 }
 
 type note struct {
-	at   micro.Time
+	at   microtime.Time
 	text string
 }
 
@@ -92,8 +92,8 @@
 	seq      int32
 	class    int
 	once     string // with the tenant; "" where not keyed
-	at       micro.Time
-	arrived  micro.Time
+	at       microtime.Time
+	arrived  microtime.Time
 	kb       float64
 	body     uint64
 	answers  int
@@ -101,10 +101,10 @@
 	over     bool // no answer is owed any more
 	notes    []note
 	running  bool
-	answered micro.Time
+	answered microtime.Time
 	kind     string // of the first answer
 	// overSince is when the server knew that it is over; 0: not yet.
-	overSince micro.Time
+	overSince microtime.Time
 }
 
 type connKind uint8
--- a/internal/rules/tally.go
+++ b/internal/testbed/invariant/tally.go
@@ -1,4 +1,4 @@
-package rules
+package invariant
 
 // Tally is what became of the requests of a class that a life of a server has read, as its callers and its worker pool saw it.
 type Tally struct {
--- a/internal/rules/wire.go
+++ b/internal/testbed/invariant/wire.go
@@ -1,4 +1,4 @@
-package rules
+package invariant
 
 import (
 	"fmt"
@@ -7,18 +7,18 @@
 	"pewterline/internal/protocol/ajp"
 	"pewterline/internal/protocol/pool"
 	"pewterline/internal/protocol/thrift"
-	"pewterline/internal/virtual"
+	"pewterline/internal/testbed/simnet"
 )
 
 // Tap takes what happens on the network.
-func (o *Observer) Tap(v virtual.Event) {
+func (o *Observer) Tap(v simnet.Event) {
 	switch v.Kind {
-	case virtual.Opened:
+	case simnet.Opened:
 		o.opened(v)
 		return
-	case virtual.Packet:
+	case simnet.Packet:
 		return
-	case virtual.Tried:
+	case simnet.Tried:
 		if s := o.servers[v.Node]; s != nil && v.Peer[0] == 'w' {
 			s.tried = v.At
 		}
@@ -32,7 +32,7 @@
 		return
 	}
 	if c.kind == vaultLink {
-		if v.Kind == virtual.Ended {
+		if v.Kind == simnet.Ended {
 			o.vaultEnded(c, v)
 		} else {
 			o.vaultBytes(c, v)
@@ -40,22 +40,22 @@
 		return
 	}
 	switch v.Kind {
-	case virtual.Halved: // who sends no more has left, as far as the program can tell
-		if v.Dialer || v.Why == virtual.ByCut && c.kind != link {
+	case simnet.Halved: // who sends no more has left, as far as the program can tell
+		if v.Dialer || v.Why == simnet.ByCut && c.kind != link {
 			c.left = true
 		} else if c.kind != link { // a server that sends no more answers nothing, and takes nothing that comes later
 			o.connEnded(c, v)
 			c.broken = true
 		}
-	case virtual.Ended:
+	case simnet.Ended:
 		o.connEnded(c, v)
-	case virtual.Arrived:
+	case simnet.Arrived:
 		if c.kind == link && !v.Dialer || c.kind != link && !v.Dialer {
 			o.read(c, v.Bytes, true)
 		} else if c.kind == link {
 			o.reads(c, v.Bytes)
 		}
-	case virtual.Written:
+	case simnet.Written:
 		// What the server writes counts from then on, and so does what the worker pool tells.
 		if c.kind == link && !v.Dialer {
 			o.read(c, v.Bytes, false)
@@ -65,7 +65,7 @@
 	}
 }
 
-func (o *Observer) opened(v virtual.Event) {
+func (o *Observer) opened(v simnet.Event) {
 	host, what, _ := strings.Cut(v.Addr, "/")
 	c := &conn{s: o.servers[host], addr: v.Addr, from: v.Node, fromLife: v.Life}
 	switch {
@@ -88,9 +88,9 @@
 	o.conns[v.Conn] = c
 }
 
-func (o *Observer) connEnded(c *conn, v virtual.Event) {
+func (o *Observer) connEnded(c *conn, v simnet.Event) {
 	if c.kind == link {
-		if v.Dialer && v.Why == virtual.ByCut && len(c.got) > 0 {
+		if v.Dialer && v.Why == simnet.ByCut && len(c.got) > 0 {
 			o.reach(c.s, "link broke inside a notice")
 		}
 		if v.Dialer && c.s.links > 0 {
@@ -106,7 +106,7 @@
 			}
 		}
 	}
-	if v.Dialer || v.Why == virtual.ByCut || v.Why == virtual.ByReset {
+	if v.Dialer || v.Why == simnet.ByCut || v.Why == simnet.ByReset {
 		c.left = true
 		n := 0
 		for _, r := range c.s.open {
@@ -117,7 +117,7 @@
 		o.reach(c.s, fmt.Sprintf("caller left open%d drain%d", size(n), o.drainPhase(c.s)))
 		return
 	}
-	if v.Why == virtual.ByKill { // what is owed then, Gone judges
+	if v.Why == simnet.ByKill { // what is owed then, Gone judges
 		return
 	}
 	o.judgeClosed(c)
--- a/internal/decide/explore/explore.go
+++ b/internal/testbed/modelcheck/explore.go
@@ -1,6 +1,6 @@
-// Package explore visits all states that a model can reach, nearest first, and tells how it got to a forbidden one. A model is
+// Package modelcheck visits all states that a model can reach, nearest first, and tells how it got to a forbidden one. A model is
 // the state machines of a protocol, the messages between them, and what can go wrong.
-package explore
+package modelcheck
 
 import (
 	"fmt"
--- a/internal/decide/explore/explore_test.go
+++ b/internal/testbed/modelcheck/explore_test.go
@@ -1,4 +1,4 @@
-package explore
+package modelcheck
 
 import (
 	"fmt"
--- a/internal/procs/group_test.go
+++ b/internal/testbed/processtest/group_test.go
@@ -1,4 +1,4 @@
-package procs
+package processtest
 
 import (
 	"encoding/json"
@@ -18,7 +18,7 @@
 )
 
 func settings(t *testing.T) json.RawMessage {
-	text, err := os.ReadFile("../../internal/config/testdata/config.json")
+	text, err := os.ReadFile("../../config/testdata/config.json")
 	require.NoError(t, err)
 	var file struct{ Settings json.RawMessage }
 	require.NoError(t, json.Unmarshal(text, &file))
@@ -30,7 +30,7 @@
 	if err != nil {
 		return "", err
 	}
-	return Build("../..", dir, "faults")
+	return Build("../../..", dir, "faults")
 })
 
 func TestMain(m *testing.M) {
--- a/internal/procs/hunt/hunt.go
+++ b/internal/testbed/processtest/hunt/hunt.go
@@ -15,10 +15,10 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"pewterline/internal/faults"
-	"pewterline/internal/micro"
-	"pewterline/internal/procs"
+	"pewterline/internal/microtime"
 	"pewterline/internal/protocol/thrift"
+	"pewterline/internal/testbed/faults"
+	"pewterline/internal/testbed/processtest"
 )
 
 // A script for a group plays servers s0 to sN-1, which hold copies for each other, under load:
@@ -33,12 +33,12 @@
 // groupPlay is a group that is played.
 type groupPlay struct {
 	script  faults.Script
-	opts    procs.Options
-	g       *procs.Group
+	opts    processtest.Options
+	g       *processtest.Group
 	began   time.Time
 	closing atomic.Bool
 	mu      sync.Mutex
-	out     procs.Outcome
+	out     processtest.Outcome
 	events  []string
 	history []porcupine.Operation
 	busy    []sync.Mutex // of each server: one fault of its process at a time
@@ -63,7 +63,7 @@
 	},
 	Init: func() any { return "" },
 	Step: func(state, _, out any) (bool, any) {
-		ran, o := state.(string), out.(procs.Told)
+		ran, o := state.(string), out.(processtest.Told)
 		switch o.Kind {
 		case thrift.ReplyAnswer:
 			return ran == "" || ran == o.Result, o.Result
@@ -76,7 +76,7 @@
 
 // Play plays a script for a group to its end, and judges what callers and worker pools saw. The program has to be built with
 // the tag faults where disks are to fail.
-func Play(script faults.Script, opts procs.Options) (out procs.Outcome, err error) {
+func Play(script faults.Script, opts processtest.Options) (out processtest.Outcome, err error) {
 	if err := script.Check(); err != nil {
 		return out, err
 	}
@@ -84,7 +84,7 @@
 	if script.Servers >= 5 {
 		copies = 5
 	}
-	g, err := procs.NewGroup(opts.Program, opts.Settings, script.Servers, copies)
+	g, err := processtest.NewGroup(opts.Program, opts.Settings, script.Servers, copies)
 	if g != nil {
 		defer func() { err = errors.Join(err, g.Close()) }()
 	}
@@ -137,14 +137,14 @@
 	}
 }
 
-func (p *groupPlay) count(f func(*procs.Outcome)) {
+func (p *groupPlay) count(f func(*processtest.Outcome)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	f(&p.out)
 }
 
 func (p *groupPlay) broken(format string, args ...any) {
-	p.count(func(o *procs.Outcome) { o.Broken = append(o.Broken, fmt.Sprintf(format, args...)) })
+	p.count(func(o *processtest.Outcome) { o.Broken = append(o.Broken, fmt.Sprintf(format, args...)) })
 }
 
 // server is the number of a node, from 1; 0: none.
@@ -176,14 +176,14 @@
 				p.broken("wipe: %v", err)
 				return
 			}
-			p.count(func(o *procs.Outcome) { o.Wiped++ })
+			p.count(func(o *processtest.Outcome) { o.Wiped++ })
 		}
 		time.Sleep(f.For.Duration())
 		// It does not start on a full disk.
 		if err := p.g.Eventually(func() error { return p.g.Start(id) }); err != nil {
 			p.broken("start: %v", err)
 		}
-		p.count(func(o *procs.Outcome) { o.Starts++ })
+		p.count(func(o *processtest.Outcome) { o.Starts++ })
 	case faults.Pause:
 		p.busy[id-1].Lock()
 		defer p.busy[id-1].Unlock()
@@ -203,19 +203,19 @@
 		late := time.Duration(f.Amount * float64(time.Millisecond))
 		switch f.Kind {
 		case faults.Stall:
-			there.Hold(procs.There, procs.Back)
-			back.Hold(procs.There, procs.Back)
+			there.Hold(processtest.There, processtest.Back)
+			back.Hold(processtest.There, processtest.Back)
 		case faults.Dark:
-			there.Drop(procs.There)
-			back.Drop(procs.Back)
+			there.Drop(processtest.There)
+			back.Drop(processtest.Back)
 		case faults.Lag:
-			there.Lag(late, procs.There, procs.Back)
-			back.Lag(late, procs.There, procs.Back)
+			there.Lag(late, processtest.There, processtest.Back)
+			back.Lag(late, processtest.There, processtest.Back)
 		case faults.Thin:
-			there.Thin(int(f.Amount), procs.There, procs.Back)
-			back.Thin(int(f.Amount), procs.There, procs.Back)
+			there.Thin(int(f.Amount), processtest.There, processtest.Back)
+			back.Thin(int(f.Amount), processtest.There, processtest.Back)
 		case faults.Cut:
-			there.Cut(int(f.Amount), procs.There)
+			there.Cut(int(f.Amount), processtest.There)
 			return
 		default:
 			p.broken("script: %s is no fault of a group", f.Kind)
@@ -232,7 +232,7 @@
 	if !p.losing.TryLock() {
 		return false
 	}
-	var best procs.State
+	var best processtest.State
 	for id := range p.g.Servers {
 		if m := p.g.Servers[id]; m.Process != nil && !m.Process.Ended() {
 			if s, err := p.state(id + 1); err == nil && s.Epoch > best.Epoch {
@@ -254,9 +254,9 @@
 }
 
 // state asks a server that may be stopped, and waits no longer than a while.
-func (p *groupPlay) state(id int) (procs.State, error) {
+func (p *groupPlay) state(id int) (processtest.State, error) {
 	type told struct {
-		s   procs.State
+		s   processtest.State
 		err error
 	}
 	ch := make(chan told, 1)
@@ -268,7 +268,7 @@
 	case t := <-ch:
 		return t.s, t.err
 	case <-time.After(500 * time.Millisecond):
-		return procs.State{}, errors.New("procs: no answer")
+		return processtest.State{}, errors.New("procs: no answer")
 	}
 }
 
@@ -294,12 +294,12 @@
 	told, err := p.g.Intake(id, key, time.Now(), retry)
 	ended := time.Since(p.began)
 	if err != nil { // it may run at any time, or never
-		told, ended = procs.Told{}, time.Hour
+		told, ended = processtest.Told{}, time.Hour
 	}
 	p.mu.Lock()
 	p.history = append(p.history, porcupine.Operation{ClientId: caller, Input: key, Output: told, Call: int64(began), Return: int64(ended)})
 	p.mu.Unlock()
-	p.count(func(o *procs.Outcome) {
+	p.count(func(o *processtest.Outcome) {
 		switch {
 		case err != nil:
 			o.Unheard++
@@ -322,7 +322,7 @@
 	p.mu.Lock()
 	var keys []string
 	for _, o := range p.history {
-		if k := o.Input.(string); o.Output.(procs.Told).Kind == thrift.ReplyAnswer && !slices.Contains(keys, k) {
+		if k := o.Input.(string); o.Output.(processtest.Told).Kind == thrift.ReplyAnswer && !slices.Contains(keys, k) {
 			keys = append(keys, k)
 		}
 	}
@@ -357,11 +357,11 @@
 // Drawn is a script for a group, from a seed: at each moment some of its servers, disks and links are spoilt.
 func Drawn(seed uint64, seconds float64) faults.Script {
 	rng := rand.New(rand.NewPCG(seed, 2))
-	s := faults.Script{Seed: seed, Servers: []int{3, 5}[seed%2], Proxies: 6, Length: micro.Time(seconds * 1e6), Rate: 1}
+	s := faults.Script{Seed: seed, Servers: []int{3, 5}[seed%2], Proxies: 6, Length: microtime.Time(seconds * 1e6), Rate: 1}
 	kinds := []faults.Kind{faults.Kill, faults.Vanish, faults.Vanish, faults.Vanish, faults.Vanish, faults.Vanish, faults.Pause, faults.Stall, faults.Dark, faults.Lag, faults.Thin, faults.Cut, faults.StoreFail, faults.StoreSlow}
 	for range int(3 * seconds) {
-		f := faults.Fault{At: micro.Time(rng.Int64N(int64(s.Length))), Kind: kinds[rng.IntN(len(kinds))], Node: fmt.Sprint("s", rng.IntN(s.Servers))}
-		f.For = 1 + micro.Time(rng.Int64N(int64(micro.Second)))
+		f := faults.Fault{At: microtime.Time(rng.Int64N(int64(s.Length))), Kind: kinds[rng.IntN(len(kinds))], Node: fmt.Sprint("s", rng.IntN(s.Servers))}
+		f.For = 1 + microtime.Time(rng.Int64N(int64(microtime.Second)))
 		switch f.Kind {
 		case faults.Stall, faults.Dark, faults.Lag, faults.Thin, faults.Cut:
 			i := server(f.Node)
--- a/internal/procs/measure/measure.go
+++ b/internal/testbed/processtest/measure/measure.go
@@ -15,8 +15,8 @@
 	"gonum.org/v1/plot/plotter"
 	"gonum.org/v1/plot/vg"
 
-	"pewterline/internal/procs"
 	"pewterline/internal/protocol/thrift"
+	"pewterline/internal/testbed/processtest"
 )
 
 // Row is what a number of copies costs.
@@ -33,7 +33,7 @@
 
 // Cost has callers send intakes to one server, each after the answer to the one before.
 func Cost(program string, settings json.RawMessage, copies, callers int, length time.Duration) (r Row, err error) {
-	g, err := procs.NewGroup(program, settings, max(copies, 1), max(copies, 1))
+	g, err := processtest.NewGroup(program, settings, max(copies, 1), max(copies, 1))
 	if g != nil {
 		defer func() { err = errors.Join(err, g.Close()) }()
 	}
@@ -58,7 +58,7 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			c, err := procs.Dial(g.Servers[0].Listen)
+			c, err := processtest.Dial(g.Servers[0].Listen)
 			if err != nil {
 				missed.Add(1)
 				return
@@ -110,7 +110,7 @@
 
 // Repair fills a group of three, loses one with its disk, and waits until it holds all again. rate is the bound on keys a second.
 func Repair(program string, settings json.RawMessage, holdings, rate, atOnce int) (r Repaired, err error) {
-	g, err := procs.NewGroup(program, settings, 3, 3, fmt.Sprintf("repair_keys_per_s = %d", rate), fmt.Sprintf("repair_at_once = %d", atOnce))
+	g, err := processtest.NewGroup(program, settings, 3, 3, fmt.Sprintf("repair_keys_per_s = %d", rate), fmt.Sprintf("repair_at_once = %d", atOnce))
 	if g != nil {
 		defer func() { err = errors.Join(err, g.Close()) }()
 	}
@@ -129,7 +129,7 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			c, err := procs.Dial(g.Servers[i%3].Listen)
+			c, err := processtest.Dial(g.Servers[i%3].Listen)
 			if err != nil {
 				return
 			}
@@ -171,7 +171,7 @@
 
 // Kill has callers send intakes to all three servers at a steady rate, each once, while one is lost with its disk and comes back.
 func Kill(program string, settings json.RawMessage, seconds, lost, back, rate int) (out []Second, err error) {
-	g, err := procs.NewGroup(program, settings, 3, 3)
+	g, err := processtest.NewGroup(program, settings, 3, 3)
 	if g != nil {
 		defer func() { err = errors.Join(err, g.Close()) }()
 	}
--- a/internal/procs/play.go
+++ b/internal/testbed/processtest/play.go
@@ -1,4 +1,4 @@
-package procs
+package processtest
 
 import (
 	"encoding/json"
@@ -14,9 +14,9 @@
 	"syscall"
 	"time"
 
-	"pewterline/internal/faults"
-	"pewterline/internal/micro"
+	"pewterline/internal/microtime"
 	"pewterline/internal/protocol/thrift"
+	"pewterline/internal/testbed/faults"
 )
 
 // A script plays one log server, s0, of real processes that upgrade and die, under load:
@@ -433,9 +433,9 @@
 // Drawn is a script from a seed: upgrades, one after the other, and faults at any moment of them.
 func Drawn(seed uint64, seconds float64) faults.Script {
 	rng := rand.New(rand.NewPCG(seed, 1))
-	s := faults.Script{Seed: seed, Servers: 1, Proxies: 6, Length: micro.Time(seconds * 1e6), Rate: 1, Store: seed%2 == 0}
-	at := func() micro.Time { return micro.Time(rng.Int64N(int64(s.Length))) }
-	within := func(most micro.Time) micro.Time { return 1 + micro.Time(rng.Int64N(int64(most))) }
+	s := faults.Script{Seed: seed, Servers: 1, Proxies: 6, Length: microtime.Time(seconds * 1e6), Rate: 1, Store: seed%2 == 0}
+	at := func() microtime.Time { return microtime.Time(rng.Int64N(int64(s.Length))) }
+	within := func(most microtime.Time) microtime.Time { return 1 + microtime.Time(rng.Int64N(int64(most))) }
 	for range 1 + int(seconds/2) {
 		s.Faults = append(s.Faults, faults.Fault{At: at(), Kind: faults.Term, Node: "s0"})
 	}
@@ -444,7 +444,7 @@
 		if s.Servers = 2; f.Kind == faults.Hup {
 			f.Node = "s0"
 		} else {
-			f.For = within(micro.Second)
+			f.For = within(microtime.Second)
 		}
 		s.Faults = append(s.Faults, f)
 	}
--- a/internal/procs/playcalls.go
+++ b/internal/testbed/processtest/playcalls.go
@@ -1,4 +1,4 @@
-package procs
+package processtest
 
 import (
 	"math/rand/v2"
--- a/internal/procs/procs.go
+++ b/internal/testbed/processtest/procs.go
@@ -1,6 +1,6 @@
-// Package procs starts real processes of the program for tests, with stand-ins for their worker pools, the vault and callers,
+// Package processtest starts real processes of the program for tests, with stand-ins for their worker pools, the vault and callers,
 // and ends only what it started. All addresses are ephemeral ports of the loopback.
-package procs
+package processtest
 
 import (
 	"bytes"
--- a/internal/procs/procs_test.go
+++ b/internal/testbed/processtest/procs_test.go
@@ -1,4 +1,4 @@
-package procs
+package processtest
 
 import (
 	"encoding/json"
@@ -11,18 +11,18 @@
 
 	"github.com/stretchr/testify/require"
 
-	"pewterline/internal/faults"
+	"pewterline/internal/testbed/faults"
 )
 
 // Upgrades and deaths at fixed moments, under load: no intake runs twice in a life, none is refused once it has run, and what
 // is served is what was run. Where intakes call a vault that has its troubles, no call that may have run is made again. Longer hunts
-// are pewterlab's.
+// are pewterline-sim's.
 func TestFixedScripts(t *testing.T) {
-	text, err := os.ReadFile("../../internal/config/testdata/config.json")
+	text, err := os.ReadFile("../../config/testdata/config.json")
 	require.NoError(t, err)
 	var file struct{ Settings json.RawMessage }
 	require.NoError(t, json.Unmarshal(text, &file))
-	program, err := Build("../..", t.TempDir())
+	program, err := Build("../../..", t.TempDir())
 	require.NoError(t, err)
 	for seed := uint64(1); seed <= 6; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
--- a/internal/procs/relay.go
+++ b/internal/testbed/processtest/relay.go
@@ -1,4 +1,4 @@
-package procs
+package processtest
 
 import (
 	"math/rand/v2"
@@ -7,8 +7,8 @@
 	"sync"
 	"time"
 
-	"pewterline/internal/faults"
-	"pewterline/internal/micro"
+	"pewterline/internal/microtime"
+	"pewterline/internal/testbed/faults"
 )
 
 // Relay carries connections to an address and spoils them as it is told, each direction by itself: what goes wrong on a
@@ -239,7 +239,7 @@
 		if rng.IntN(2) == 0 {
 			f.Node, f.Peer = peer, node
 		}
-		f.At, f.For = micro.FromDuration(time.Duration(rng.Int64N(int64(within)))), micro.FromDuration(time.Duration(rng.Int64N(int64(within/4))))
+		f.At, f.For = microtime.FromDuration(time.Duration(rng.Int64N(int64(within)))), microtime.FromDuration(time.Duration(rng.Int64N(int64(within/4))))
 		switch f.Kind {
 		case faults.Lag:
 			f.Amount = float64(1 + rng.IntN(300))
--- a/internal/lab/calls_test.go
+++ b/internal/testbed/sim/calls_test.go
@@ -1,4 +1,4 @@
-package lab
+package sim
 
 import (
 	"strings"
@@ -6,8 +6,8 @@
 
 	"github.com/stretchr/testify/require"
 
-	"pewterline/internal/faults"
-	"pewterline/internal/micro"
+	"pewterline/internal/microtime"
+	"pewterline/internal/testbed/faults"
 )
 
 // A fixed set of seeds of worlds with a vault keeps all rules, and what the rules on calls are about has come about in them.
@@ -16,7 +16,7 @@
 	seen := map[string]int{}
 	answers := 0
 	for seed := uint64(1); seed <= 60; seed++ {
-		s, err := faults.World{Servers: 3, Proxies: 4, Length: 8 * micro.Second, Vault: true}.Draw(seed, []string{"worst", "release", "noon"}[seed%3])
+		s, err := faults.World{Servers: 3, Proxies: 4, Length: 8 * microtime.Second, Vault: true}.Draw(seed, []string{"worst", "release", "noon"}[seed%3])
 		require.NoError(t, err)
 		out, err := Play(s, Options{})
 		require.NoError(t, err)
--- a/internal/lab/deployment.go
+++ b/internal/testbed/sim/deployment.go
@@ -1,31 +1,31 @@
-package lab
+package sim
 
 import (
 	"strings"
 
-	"pewterline/internal/faults"
-	"pewterline/internal/micro"
-	"pewterline/internal/standin"
+	"pewterline/internal/microtime"
+	"pewterline/internal/testbed/fakes"
+	"pewterline/internal/testbed/faults"
 )
 
 // deployment is what the servers of a world are set up for, and what they are asked.
 type deployment struct {
 	settings string // for servers of two cores
-	traffic  standin.Deployment
-	stop     micro.Time // from the notice to leave until the process is killed
+	traffic  fakes.Deployment
+	stop     microtime.Time // from the notice to leave until the process is killed
 }
 
 // deploymentOf is the deployment of a script's world.
 func deploymentOf(s faults.Script) deployment {
 	if !s.Vault {
-		return deployment{settings: firstSettings, traffic: standin.FirstDeployment, stop: 3200 * micro.Millisecond}
+		return deployment{settings: firstSettings, traffic: fakes.FirstDeployment, stop: 3200 * microtime.Millisecond}
 	}
 	effect := `"effect": "single_shot"`
 	if s.Guarded {
 		effect = `"effect": "guarded", "window_ms": 13518`
 	}
-	return deployment{settings: strings.Replace(secondSettings, `"effect": ORDER`, effect, 1), traffic: standin.SecondDeployment,
-		stop: 2400 * micro.Millisecond}
+	return deployment{settings: strings.Replace(secondSettings, `"effect": ORDER`, effect, 1), traffic: fakes.SecondDeployment,
+		stop: 2400 * microtime.Millisecond}
 }
 
 const firstSettings = `{"classes": [
--- a/internal/lab/figures_test.go
+++ b/internal/testbed/sim/figures_test.go
@@ -1,4 +1,4 @@
-package lab
+package sim
 
 import (
 	"flag"
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"pewterline/internal/faults"
-	"pewterline/internal/micro"
+	"pewterline/internal/microtime"
+	"pewterline/internal/testbed/faults"
 )
 
 // Guards the figures that operators read: whatever happens in a world, each server's equal what its callers and its worker
@@ -18,7 +18,7 @@
 	checked, answers := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
 		profile := rapid.SampledFrom(faults.Profiles()).Draw(t, "profile")
-		shape := faults.World{Servers: 2, Proxies: 3, Length: 4 * micro.Second, Vault: rapid.Bool().Draw(t, "vault")}
+		shape := faults.World{Servers: 2, Proxies: 3, Length: 4 * microtime.Second, Vault: rapid.Bool().Draw(t, "vault")}
 		script, err := shape.Draw(rapid.Uint64().Draw(t, "seed"), profile)
 		require.NoError(t, err)
 		var log []string
@@ -28,7 +28,7 @@
 					continue
 				}
 				seen, strays := l.obs.Tally(s.name)
-				c := s.srv.Counters()
+				c := s.program.Counters()
 				runs := 0
 				for class, k := range seen {
 					within := func(what string, counted, saw, slack int) {
--- a/internal/lab/happen.go
+++ b/internal/testbed/sim/happen.go
@@ -1,13 +1,13 @@
-package lab
+package sim
 
 import (
 	"runtime/debug"
 	"slices"
 
-	"pewterline/internal/faults"
-	"pewterline/internal/micro"
-	"pewterline/internal/standin"
-	"pewterline/internal/virtual"
+	"pewterline/internal/microtime"
+	"pewterline/internal/testbed/fakes"
+	"pewterline/internal/testbed/faults"
+	"pewterline/internal/testbed/simnet"
 )
 
 func stack() string { return string(debug.Stack()) }
@@ -75,7 +75,7 @@
 	case faults.Stale:
 		c.Freeze(until)
 	case faults.Hasty:
-		c.Hasty(micro.Time(f.Amount*1000), until)
+		c.Hasty(microtime.Time(f.Amount*1000), until)
 	case faults.GiveLate:
 		c.GiveLate(until)
 	case faults.Deaf:
@@ -92,7 +92,7 @@
 		l.st.Control.Mute(until)
 	case faults.StoreSlow:
 		if s.store != nil {
-			s.store.Slow(micro.Time(f.Amount*1000), until)
+			s.store.Slow(microtime.Time(f.Amount*1000), until)
 		}
 	case faults.StoreFail:
 		if s.store != nil {
@@ -104,7 +104,7 @@
 }
 
 // vaultFault has the vault go wrong until a time.
-func (l *world) vaultFault(f faults.Fault, until micro.Time) {
+func (l *world) vaultFault(f faults.Fault, until microtime.Time) {
 	for _, s := range l.servers {
 		l.obs.Fault(string(f.Kind), s.name, until)
 	}
@@ -115,21 +115,21 @@
 		l.vault.Slow(f.Amount)
 		l.w.At(until, func() { l.vault.Slow(1) })
 	case faults.VaultRefusing:
-		l.vault.Fault(standin.VaultRefuses, f.Amount, until)
+		l.vault.Fault(fakes.VaultRefuses, f.Amount, until)
 	case faults.VaultFailing:
-		kind := standin.VaultFails
+		kind := fakes.VaultFails
 		if f.What == "overdue" {
-			kind = standin.VaultOverruns
+			kind = fakes.VaultOverruns
 		}
 		l.vault.Fault(kind, f.Amount, until)
 	case faults.VaultBreak:
-		l.vault.Fault(standin.VaultBreaks, f.Amount, until)
+		l.vault.Fault(fakes.VaultBreaks, f.Amount, until)
 	case faults.VaultShuffle:
-		l.vault.Fault(standin.VaultShuffles, 1, until)
+		l.vault.Fault(fakes.VaultShuffles, 1, until)
 	case faults.VaultStray:
-		l.vault.Fault(standin.VaultStrays, f.Amount, until)
+		l.vault.Fault(fakes.VaultStrays, f.Amount, until)
 	case faults.VaultSilent:
-		l.vault.Fault(standin.VaultSilent, 1, until)
+		l.vault.Fault(fakes.VaultSilent, 1, until)
 	case faults.VaultHang:
 		for _, s := range l.servers {
 			path := l.net.Path(s.name, "v0")
@@ -139,7 +139,7 @@
 }
 
 // spoil makes a path worse until a time.
-func (l *world) spoil(p *virtual.Path, f faults.Fault, until micro.Time) {
+func (l *world) spoil(p *simnet.Path, f faults.Fault, until microtime.Time) {
 	was := l.net.Default
 	switch f.Kind {
 	case faults.Stall:
@@ -147,7 +147,7 @@
 	case faults.Dark:
 		p.LostUntil = max(p.LostUntil, until)
 	case faults.Lag:
-		p.Latency = was.Latency + micro.Time(f.Amount*1000)
+		p.Latency = was.Latency + microtime.Time(f.Amount*1000)
 		l.w.At(until, func() { p.Latency = was.Latency })
 	case faults.Thin:
 		p.Bandwidth = int(f.Amount)
--- a/internal/lab/hunt.go
+++ b/internal/testbed/sim/hunt.go
@@ -1,13 +1,13 @@
-package lab
+package sim
 
 import (
 	"sync"
 	"time"
 
-	"pewterline/internal/decide/search"
-	"pewterline/internal/faults"
-	"pewterline/internal/micro"
-	"pewterline/internal/rules"
+	"pewterline/internal/microtime"
+	"pewterline/internal/testbed/faults"
+	"pewterline/internal/testbed/faultsearch"
+	"pewterline/internal/testbed/invariant"
 )
 
 // Hunt looks for scripts that break a rule.
@@ -17,7 +17,7 @@
 	Profile     string
 	Servers     int
 	Proxies     int
-	Length      micro.Time
+	Length      microtime.Time
 	Rate        float64
 	Edges       int
 	Vault       bool
@@ -32,14 +32,14 @@
 type Progress struct {
 	Runs, Situations, Kept int
 	Finds                  []Find
-	Simulated              micro.Time
+	Simulated              microtime.Time
 	Took                   time.Duration
 }
 
 // Find is a script that breaks a rule.
 type Find struct {
 	Script    faults.Script
-	Violation rules.Violation
+	Violation invariant.Violation
 	Run       int           // the how-manieth it was
 	After     time.Duration // since the hunt's start
 }
@@ -55,7 +55,7 @@
 		s, _ := world.Draw(seed, h.Profile) // as it just could
 		return s
 	}
-	guide := search.NewGuided(h.First, draw)
+	guide := faultsearch.NewGuided(h.First, draw)
 	start, seed, jobs := time.Now(), h.First, max(h.Jobs, 1)
 	for {
 		var batch []faults.Script
@@ -93,17 +93,17 @@
 
 // Shrink makes a failing script smaller as long as it breaks the same rule in the same way. plays bounds the tries;
 // told hears of each step, where it is not nil.
-func Shrink(s faults.Script, plays int, told func(faults.Script)) (faults.Script, rules.Violation, error) {
+func Shrink(s faults.Script, plays int, told func(faults.Script)) (faults.Script, invariant.Violation, error) {
 	return shrink(s, plays, told, Options{StopAtFirst: true})
 }
 
-func shrink(s faults.Script, plays int, told func(faults.Script), opts Options) (faults.Script, rules.Violation, error) {
+func shrink(s faults.Script, plays int, told func(faults.Script), opts Options) (faults.Script, invariant.Violation, error) {
 	first, err := Play(s, opts)
 	if err != nil || len(first.Violations) == 0 {
-		return s, rules.Violation{}, err
+		return s, invariant.Violation{}, err
 	}
 	found := first.Violations[0]
-	k := search.NewShrinker(s, plays)
+	k := faultsearch.NewShrinker(s, plays)
 	for {
 		next, ok := k.Next()
 		if !ok {
--- a/internal/lab/lab.go
+++ b/internal/testbed/sim/lab.go
@@ -1,6 +1,6 @@
-// Package lab plays a fault script: it builds a world of log servers, each the whole program on a virtual host, with
+// Package sim plays a fault script: it builds a world of log servers, each the whole program on a virtual host, with
 // stand-ins for all that they talk to, has the faults happen, and has the rules judged after every step.
-package lab
+package sim
 
 import (
 	"encoding/json"
@@ -9,29 +9,29 @@
 	"strings"
 
 	"pewterline/internal/config"
-	"pewterline/internal/decide/search"
-	"pewterline/internal/edge"
-	"pewterline/internal/faults"
-	"pewterline/internal/micro"
-	"pewterline/internal/rules"
-	"pewterline/internal/standin"
+	"pewterline/internal/microtime"
+	"pewterline/internal/server"
+	"pewterline/internal/settings"
 	"pewterline/internal/store"
+	"pewterline/internal/testbed/fakes"
+	"pewterline/internal/testbed/faults"
+	"pewterline/internal/testbed/faultsearch"
+	"pewterline/internal/testbed/invariant"
+	"pewterline/internal/testbed/simnet"
 	"pewterline/internal/transport"
-	"pewterline/internal/virtual"
-	"pewterline/internal/wire"
 )
 
 const (
 	sockets   = 64 // the fewest that a configuration may have, so that tables fill
 	memory    = 32 << 20
 	officeMax = 48
-	afterward = 20 * micro.Second // the run goes on for after the last job
+	afterward = 20 * microtime.Second // the run goes on for after the last job
 )
 
 // Options say how a script is played, beside what it says itself.
 type Options struct {
 	Log   func(line string) // what the servers log, and what goes wrong; nil: nobody hears
-	Every func(at micro.Time)
+	Every func(at microtime.Time)
 	// Stop at the first violation; else all go on to be counted.
 	StopAtFirst bool
 	begin, end  func(*world) // of a test: they may add to the world, and look at what has become of it
@@ -39,10 +39,10 @@
 
 // Outcome is what became of a run.
 type Outcome struct {
-	Violations []rules.Violation
+	Violations []invariant.Violation
 	Digest     uint64
-	Reached    []search.Situation
-	Simulated  micro.Time
+	Reached    []faultsearch.Situation
+	Simulated  microtime.Time
 	Events     uint64
 	Turns      uint64
 	Requests   int            // tries that the servers have answered
@@ -59,33 +59,33 @@
 type world struct {
 	script  faults.Script
 	opts    Options
-	w       *virtual.World
-	net     *virtual.Net
-	st      *standin.Stage
-	vault   *standin.Vault // nil: requests call nothing
-	stop    micro.Time     // from the notice to leave until the process is killed
-	obs     *rules.Observer
+	w       *simnet.World
+	net     *simnet.Net
+	st      *fakes.Stage
+	vault   *fakes.Vault   // nil: requests call nothing
+	stop    microtime.Time // from the notice to leave until the process is killed
+	obs     *invariant.Observer
 	base    config.Config
-	servers []*server
-	edges   []*server
-	callers map[string]*standin.Caller
+	servers []*simServer
+	edges   []*simServer
+	callers map[string]*fakes.Caller
 	turns   uint64
 	stopped bool
 }
 
-// server is one log server over its lives.
-type server struct {
+// simServer is one log server over its lives.
+type simServer struct {
 	l       *world
 	name    string
-	host    *virtual.Host
-	srv     *edge.Server
-	pool    *standin.Pool
-	store   *standin.Store
+	host    *simnet.Host
+	program *server.Server
+	pool    *fakes.Pool
+	store   *fakes.Store
 	cfg     config.Config
 	moves   int  // of its links and reports, by SIGHUP
 	edge    bool // it has no worker pool: the servers do its work
 	leaving bool
-	back    micro.Time // after its end it is away for so long
+	back    microtime.Time // after its end it is away for so long
 }
 
 // Play plays a script to its end. The same script gives the same outcome.
@@ -94,7 +94,7 @@
 		return out, err
 	}
 	deployment := deploymentOf(script)
-	set, gauges, err := wire.Parse([]byte(deployment.settings), 0)
+	set, gauges, err := settings.Parse([]byte(deployment.settings), 0)
 	if err != nil {
 		return out, fmt.Errorf("lab: %w", err)
 	}
@@ -115,10 +115,10 @@
 	if err := json.Unmarshal([]byte(deployment.settings), &figures); err != nil {
 		return out, fmt.Errorf("lab: %w", err)
 	}
-	ms := func(v float64) micro.Time { return micro.Time(v * 1000) }
-	l := &world{script: script, opts: opts, w: virtual.NewWorld(script.Seed), stop: deployment.stop, callers: map[string]*standin.Caller{}}
-	l.net = virtual.NewNet(l.w, virtual.Quality{Latency: 500, Jitter: 300, Bandwidth: 50 << 20})
-	l.obs = rules.New(l.w, rules.Rules{Settings: set, Grace: ms(figures.Rules.Grace), DrainMost: ms(figures.Rules.Stop), Cores: set.Cores,
+	ms := func(v float64) microtime.Time { return microtime.Time(v * 1000) }
+	l := &world{script: script, opts: opts, w: simnet.NewWorld(script.Seed), stop: deployment.stop, callers: map[string]*fakes.Caller{}}
+	l.net = simnet.NewNet(l.w, simnet.Quality{Latency: 500, Jitter: 300, Bandwidth: 50 << 20})
+	l.obs = invariant.New(l.w, invariant.Rules{Settings: set, Grace: ms(figures.Rules.Grace), DrainMost: ms(figures.Rules.Stop), Cores: set.Cores,
 		Fall: figures.Rules.Fall, FallOver: ms(figures.Rules.TipMS), MemoryKB: figures.Extra.Memory, RunFactor: figures.Extra.Factor,
 		ColdFrom: figures.Rules.ColdFrom, Ramp: ms(figures.Rules.RampMS), Store: script.Store})
 	if script.Edges > 0 {
@@ -127,11 +127,11 @@
 	}
 	l.net.Tap = l.obs.Tap
 	l.w.After = l.obs.Check
-	l.st = standin.NewStage(l.net, set, deployment.traffic, script.Seed)
+	l.st = fakes.NewStage(l.net, set, deployment.traffic, script.Seed)
 	l.base = config.Config{ShutdownTimeout: l.stop, MemoryLimit: memory, SocketLimit: sockets, Settings: set, Gauges: gauges,
-		AJP: config.AJP{Listen: "on", BodyTimeout: 2 * micro.Second, MaxBody: 2 << 10, MaxConnections: officeMax}}
+		AJP: config.AJP{Listen: "on", BodyTimeout: 2 * microtime.Second, MaxBody: 2 << 10, MaxConnections: officeMax}}
 	if script.Vault {
-		l.vault = standin.NewVault(l.st, script.Seed)
+		l.vault = fakes.NewVault(l.st, script.Seed)
 		l.base.VaultAddress = "v0/a"
 	}
 	l.build()
@@ -164,26 +164,26 @@
 	defer func() {
 		if p := recover(); p != nil {
 			out.Panic = fmt.Sprint(p)
-			l.obs.Violations = append(l.obs.Violations, rules.Violation{Rule: "crash", Server: "?", At: l.w.Since(),
+			l.obs.Violations = append(l.obs.Violations, invariant.Violation{Rule: "crash", Server: "?", At: l.w.Since(),
 				Text: "panic: " + out.Panic})
 			if l.opts.Log != nil {
 				l.opts.Log(stack())
 			}
 		}
 	}()
-	end := virtual.Start + l.script.Length
-	next := virtual.Start
-	for at := virtual.Start; at < end+afterward; at = min(at+100*micro.Millisecond, end+afterward) {
+	end := simnet.Start + l.script.Length
+	next := simnet.Start
+	for at := simnet.Start; at < end+afterward; at = min(at+100*microtime.Millisecond, end+afterward) {
 		for l.w.Step(at) {
 			if l.opts.StopAtFirst && len(l.obs.Violations) > 0 {
 				return
 			}
 		}
 		if l.opts.Every != nil && at >= next {
-			next += micro.Second
-			l.opts.Every(at - virtual.Start)
+			next += microtime.Second
+			l.opts.Every(at - simnet.Start)
 		}
-		if at > end+2*micro.Second && l.obs.Open() == 0 && l.quiet() {
+		if at > end+2*microtime.Second && l.obs.Open() == 0 && l.quiet() {
 			return
 		}
 	}
@@ -208,18 +208,18 @@
 func (l *world) build() {
 	var list []string
 	for i := range l.script.Servers {
-		s := &server{l: l, name: fmt.Sprintf("s%d", i)}
+		s := &simServer{l: l, name: fmt.Sprintf("s%d", i)}
 		s.cfg = l.base
 		s.cfg.Name, s.cfg.ControlAddress = s.name, "control/a"
 		if l.script.Store {
-			s.store = standin.NewStore(l.w)
+			s.store = fakes.NewStore(l.w)
 		}
 		l.servers = append(l.servers, s)
 		list = append(list, s.name)
 		s.boot(false)
 	}
 	for i := range l.script.Edges {
-		s := &server{l: l, name: fmt.Sprintf("e%d", i), edge: true}
+		s := &simServer{l: l, name: fmt.Sprintf("e%d", i), edge: true}
 		s.cfg = l.base
 		s.cfg.Name, s.cfg.ControlAddress, s.cfg.Fleet.CallerID = s.name, "control/a", uint32(1000+i)
 		for _, name := range list {
@@ -241,7 +241,7 @@
 			list = append(list, e.name)
 		}
 	}
-	until := virtual.Start + l.script.Length
+	until := simnet.Start + l.script.Length
 	callers := l.script.Proxies + l.script.Offices
 	for i := range callers {
 		name, isAJP := fmt.Sprintf("p%d", i), false
@@ -255,7 +255,7 @@
 				rate = 0.25 * l.script.Rate / float64(l.script.Offices)
 			}
 		}
-		l.callers[name] = standin.NewCaller(l.st, name, i+1, isAJP, rate, until, list, l.script.Seed)
+		l.callers[name] = fakes.NewCaller(l.st, name, i+1, isAJP, rate, until, list, l.script.Seed)
 	}
 	for i := range callers {
 		if i < l.script.Proxies && l.script.Offices > 0 {
@@ -264,18 +264,18 @@
 		}
 	}
 	for _, f := range l.script.Faults {
-		l.w.At(virtual.Start+f.At, func() { l.happen(f) })
+		l.w.At(simnet.Start+f.At, func() { l.happen(f) })
 	}
 }
 
 // boot starts a life of the server, with a worker pool of its own.
-func (s *server) boot(cold bool) {
+func (s *simServer) boot(cold bool) {
 	l := s.l
 	node := l.net.Node(s.name)
 	node.Boot()
 	s.leaving = false
 	if !s.edge {
-		s.pool = standin.NewPool(l.st, s.name, l.script.Seed, cold)
+		s.pool = fakes.NewPool(l.st, s.name, l.script.Seed, cold)
 		s.cfg.PoolAddress = s.pool.Addr()
 	}
 	rng := l.w.Fork(l.script.Seed, fmt.Sprintf("%s/%d", s.name, node.Life))
@@ -286,14 +286,14 @@
 		}
 	}
 	var err error
-	if s.srv, err = edge.New(s.cfg, &virtual.Wall{}, logf); err != nil {
+	if s.program, err = server.New(s.cfg, &simnet.Wall{}, logf); err != nil {
 		panic(err) // the settings are our own
 	}
 	l.obs.Boots(s.name, node.Life)
 	l.obs.CallsAt(s.name, s.cfg.VaultAddress)
-	srv := s.srv
-	s.host = virtual.NewHost(node, transport.Options{MaxConns: sockets - 40, MaxBuffered: memory / 8, Logf: logf}, srv, rng,
-		virtual.Cost{Turn: 40, KB: 15}, func(t *transport.Loop) {
+	srv := s.program
+	s.host = simnet.NewHost(node, transport.Options{MaxConns: sockets - 40, MaxBuffered: memory / 8, Logf: logf}, srv, rng,
+		simnet.Cost{Turn: 40, KB: 15}, func(t *transport.Loop) {
 			if s.store != nil {
 				if err := srv.UseStore(life{s.store, node, node.Life}, l.w.Now()); err != nil {
 					panic(err) // the stand-in loads what it has
@@ -319,8 +319,8 @@
 
 // life is the store as one life of a server sees it: once that is gone, it has nothing more written.
 type life struct {
-	*standin.Store
-	node *virtual.Node
+	*fakes.Store
+	node *simnet.Node
 	life int
 }
 
@@ -331,7 +331,7 @@
 }
 
 // gone takes down what goes with the process, and plans the next life.
-func (s *server) gone(itself, machine bool) {
+func (s *simServer) gone(itself, machine bool) {
 	l := s.l
 	l.turns += s.host.Turns()
 	l.obs.Gone(s.name, itself)
@@ -339,11 +339,11 @@
 		s.pool.Kill(machine)
 	}
 	l.log("%s is gone, itself %v", s.name, itself)
-	l.w.In(max(s.back, micro.Millisecond), func() { s.boot(true) })
+	l.w.In(max(s.back, microtime.Millisecond), func() { s.boot(true) })
 }
 
 // kill ends the process.
-func (s *server) kill(machine bool, away micro.Time) {
+func (s *simServer) kill(machine bool, away microtime.Time) {
 	if s.host.Ended {
 		return
 	}
@@ -353,12 +353,12 @@
 }
 
 // term sends the notice to leave; the process is killed when its time is up.
-func (s *server) term(away micro.Time) {
+func (s *simServer) term(away microtime.Time) {
 	if s.host.Ended || s.leaving {
 		return
 	}
 	s.leaving, s.back = true, away
-	host, srv, l := s.host, s.srv, s.l
+	host, srv, l := s.host, s.program, s.l
 	if host.PausedUntil() > l.w.Now() { // a signal reaches a process that stands still when it goes on
 		l.w.At(host.PausedUntil(), func() {
 			if !host.Ended {
@@ -380,7 +380,7 @@
 }
 
 // hup moves the worker pool's link, the reports and the calls to other addresses and tells the process.
-func (s *server) hup() {
+func (s *simServer) hup() {
 	if s.host.Ended {
 		return
 	}
@@ -393,7 +393,7 @@
 		next.VaultAddress = "v0/" + at
 	}
 	s.cfg = next
-	srv := s.srv
+	srv := s.program
 	_ = s.host.Loop().Execute(func() {
 		if err := srv.Reload(next); err != nil {
 			s.l.log("%s: %v", s.name, err)
@@ -403,7 +403,7 @@
 	})
 }
 
-func (l *world) server(name string) *server {
+func (l *world) server(name string) *simServer {
 	var i int
 	if name != "" && name[0] == 'e' {
 		if n, _ := fmt.Sscanf(name, "e%d", &i); n == 1 && i < len(l.edges) {
--- a/internal/lab/lab_test.go
+++ b/internal/testbed/sim/lab_test.go
@@ -1,4 +1,4 @@
-package lab
+package sim
 
 import (
 	"fmt"
@@ -11,11 +11,11 @@
 
 	"github.com/stretchr/testify/require"
 
-	"pewterline/internal/faults"
-	"pewterline/internal/micro"
+	"pewterline/internal/microtime"
 	"pewterline/internal/protocol/thrift"
-	"pewterline/internal/rules"
-	"pewterline/internal/virtual"
+	"pewterline/internal/testbed/faults"
+	"pewterline/internal/testbed/invariant"
+	"pewterline/internal/testbed/simnet"
 )
 
 func read(t *testing.T, path string) faults.Script {
@@ -54,7 +54,7 @@
 			t.Parallel()
 			answers := 0
 			for seed := uint64(1); seed <= 60; seed++ {
-				s, err := faults.Draw(seed, profile, 3, 4, 8*micro.Second, 0)
+				s, err := faults.Draw(seed, profile, 3, 4, 8*microtime.Second, 0)
 				require.NoError(t, err)
 				out, err := Play(s, Options{})
 				require.NoError(t, err)
@@ -71,7 +71,7 @@
 	t.Parallel()
 	answers := 0
 	for seed := uint64(1); seed <= 60; seed++ {
-		s, err := faults.DrawWith(seed, []string{"worst", "release", "noon"}[seed%3], 3, 3, 2, 6*micro.Second, 0)
+		s, err := faults.DrawWith(seed, []string{"worst", "release", "noon"}[seed%3], 3, 3, 2, 6*microtime.Second, 0)
 		require.NoError(t, err)
 		out, err := Play(s, Options{})
 		require.NoError(t, err)
@@ -85,7 +85,7 @@
 func digests(t *testing.T) string {
 	var b strings.Builder
 	for seed := uint64(1); seed <= 50; seed++ {
-		s, err := faults.Draw(seed, "worst", 3, 3, 4*micro.Second, 0)
+		s, err := faults.Draw(seed, "worst", 3, 3, 4*microtime.Second, 0)
 		require.NoError(t, err)
 		out, err := Play(s, Options{})
 		require.NoError(t, err)
@@ -113,7 +113,7 @@
 	_, there, _ := strings.Cut(string(out), "DIGESTS\n")
 	there, _, _ = strings.Cut(there, "END\n")
 	require.Equal(t, here, there)
-	s, err := faults.Draw(50, "worst", 3, 3, 4*micro.Second, 0)
+	s, err := faults.Draw(50, "worst", 3, 3, 4*microtime.Second, 0)
 	require.NoError(t, err)
 	alone, err := Play(s, Options{})
 	require.NoError(t, err)
@@ -165,10 +165,10 @@
 	errors, ended := 0, 0
 	hard(t, "calm", func(l *world) {
 		errors, ended = 0, 0
-		l.w.In(2*micro.Second, func() {
+		l.w.In(2*microtime.Second, func() {
 			n := l.net.Node("x1")
 			n.Boot()
-			n.Dial("s0/thrift", func(e *virtual.End, err error) {
+			n.Dial("s0/thrift", func(e *simnet.End, err error) {
 				e.SetHandler(&teller{errors: &errors, ended: &ended})
 				for _, p := range [][]byte{call(l, 1, "1"), thrift.AppendGiveUp(nil, 1), call(l, 1, "2"), thrift.AppendGiveUp(nil, 1)} {
 					e.Write(p)
@@ -180,7 +180,7 @@
 }
 
 func call(l *world, seq int32, id string) []byte {
-	at := fmt.Sprint((&virtual.Wall{}).UnixMilli(l.w.Now()))
+	at := fmt.Sprint((&simnet.Wall{}).UnixMilli(l.w.Now()))
 	return thrift.AppendCall(nil, seq, []thrift.Field{{Name: "class", Value: "block-view"}, {Name: "id", Value: "00000000000000f" + id}, {Name: "at", Value: at},
 		{Name: "from", Value: "9"}, {Name: "tenant", Value: "hill-estate"}, {Name: "kb", Value: "20"}, {Name: "rank", Value: "0.2"}}, nil)
 }
@@ -191,7 +191,7 @@
 	errors, ended *int
 }
 
-func (t *teller) Data(_ *virtual.End, p []byte) {
+func (t *teller) Data(_ *simnet.End, p []byte) {
 	t.in = append(t.in, p...)
 	for {
 		payload, n, err := thrift.SplitFrame(t.in)
@@ -204,8 +204,8 @@
 		}
 	}
 }
-func (t *teller) EOF(e *virtual.End) { *t.ended++; e.Close() }
-func (t *teller) Gone(*virtual.End)  { *t.ended++ }
+func (t *teller) EOF(e *simnet.End) { *t.ended++; e.Close() }
+func (t *teller) Gone(*simnet.End)  { *t.ended++ }
 
 // The worker pool's link breaks inside a notice while SIGHUP moves it to another address and a drain begins.
 func TestHardLinkBreaksInANoticeInTheMove(t *testing.T) {
@@ -239,20 +239,20 @@
 func TestHardReleaseOfHalfTheFleet(t *testing.T) {
 	t.Parallel()
 	for seed := uint64(1); seed <= 2; seed++ {
-		s := faults.Script{Seed: seed, Servers: 120, Proxies: 30, Offices: 4, Length: 10 * micro.Second, Rate: 2400}
+		s := faults.Script{Seed: seed, Servers: 120, Proxies: 30, Offices: 4, Length: 10 * microtime.Second, Rate: 2400}
 		for i := range s.Servers / 2 {
-			f := faults.Fault{At: micro.Second + micro.Time(i/10)*micro.Second, Kind: faults.Term, Node: fmt.Sprintf("s%d", 2*i), For: 300 * micro.Millisecond}
+			f := faults.Fault{At: microtime.Second + microtime.Time(i/10)*microtime.Second, Kind: faults.Term, Node: fmt.Sprintf("s%d", 2*i), For: 300 * microtime.Millisecond}
 			if i%10 == 9 { // some die in place of leaving, in the middle of a turn
 				f.Kind, f.Amount = faults.Kill, 5
 			}
 			s.Faults = append(s.Faults, f)
 		}
 		for i := range s.Proxies * 7 / 10 {
-			s.Faults = append(s.Faults, faults.Fault{At: 3 * micro.Second, Kind: faults.Die, Node: fmt.Sprintf("p%d", i), For: 400 * micro.Millisecond})
+			s.Faults = append(s.Faults, faults.Fault{At: 3 * microtime.Second, Kind: faults.Die, Node: fmt.Sprintf("p%d", i), For: 400 * microtime.Millisecond})
 		}
-		s.Faults = append(s.Faults, faults.Fault{At: 3 * micro.Second, Kind: faults.Mute, For: 3 * micro.Second})
+		s.Faults = append(s.Faults, faults.Fault{At: 3 * microtime.Second, Kind: faults.Mute, For: 3 * microtime.Second})
 		for i := range s.Servers / 4 {
-			s.Faults = append(s.Faults, faults.Fault{At: 5 * micro.Second, Kind: faults.Hup, Node: fmt.Sprintf("s%d", 4*i+1)})
+			s.Faults = append(s.Faults, faults.Fault{At: 5 * microtime.Second, Kind: faults.Hup, Node: fmt.Sprintf("s%d", 4*i+1)})
 		}
 		s.Sort()
 		out, err := Play(s, Options{})
@@ -268,25 +268,25 @@
 // A violation names the rule, the server, the virtual time and the request's whole history, and a crash of the
 // program is a violation too.
 func TestCrashIsAViolation(t *testing.T) {
-	s := faults.Script{Seed: 1, Servers: 1, Proxies: 1, Length: 2 * micro.Second, Rate: 5}
+	s := faults.Script{Seed: 1, Servers: 1, Proxies: 1, Length: 2 * microtime.Second, Rate: 5}
 	out, err := Play(s, Options{begin: func(l *world) {
-		l.w.In(micro.Second, func() { _ = l.servers[0].host.Queue(func() { panic("as planted") }) })
+		l.w.In(microtime.Second, func() { _ = l.servers[0].host.Queue(func() { panic("as planted") }) })
 	}})
 	require.NoError(t, err)
 	require.Len(t, out.Violations, 1)
 	require.Equal(t, "crash/panic", out.Violations[0].Key())
-	require.Equal(t, micro.Second, out.Violations[0].At/micro.Second*micro.Second)
+	require.Equal(t, microtime.Second, out.Violations[0].At/microtime.Second*microtime.Second)
 }
 
 // What a script cannot be is an error, and nothing is played.
 func TestFaultyScript(t *testing.T) {
-	_, err := Play(faults.Script{Servers: 1, Length: micro.Second, Faults: []faults.Fault{{Kind: "quake"}}}, Options{})
+	_, err := Play(faults.Script{Servers: 1, Length: microtime.Second, Faults: []faults.Fault{{Kind: "quake"}}}, Options{})
 	require.ErrorContains(t, err, "fault 1: kind")
 }
 
 // The hunt asks, plays and learns in a fixed order: with the same seeds it is the same, however it is spread.
 func TestHuntIsRepeatable(t *testing.T) {
-	h := Hunt{First: 1, Last: 40, Profile: "worst", Servers: 2, Proxies: 2, Length: 2 * micro.Second, Guided: true, Jobs: 4}
+	h := Hunt{First: 1, Last: 40, Profile: "worst", Servers: 2, Proxies: 2, Length: 2 * microtime.Second, Guided: true, Jobs: 4}
 	a, err := h.Run()
 	require.NoError(t, err)
 	b, err := h.Run()
@@ -299,11 +299,11 @@
 
 // A failing script is made small as long as it fails in the same way.
 func TestShrinkKeepsTheSort(t *testing.T) {
-	s, err := faults.Draw(1, "worst", 2, 2, 3*micro.Second, 0)
+	s, err := faults.Draw(1, "worst", 2, 2, 3*microtime.Second, 0)
 	require.NoError(t, err)
 	least, v, err := Shrink(s, 50, nil)
 	require.NoError(t, err)
-	require.Equal(t, rules.Violation{}, v)
+	require.Equal(t, invariant.Violation{}, v)
 	require.Equal(t, s, least, "what breaks no rule stays as it is")
 }
 
@@ -314,12 +314,12 @@
 func BenchmarkLarge(b *testing.B) { benchmark(b, 200, 24, 4000) }
 
 func benchmark(b *testing.B, servers, proxies int, rate float64) {
-	var simulated micro.Time
+	var simulated microtime.Time
 	requests := 0
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	for i := range b.N {
-		s, err := faults.Draw(uint64(i+1), "worst", servers, proxies, 10*micro.Second, rate)
+		s, err := faults.Draw(uint64(i+1), "worst", servers, proxies, 10*microtime.Second, rate)
 		require.NoError(b, err)
 		out, err := Play(s, Options{})
 		require.NoError(b, err)
--- a/internal/lab/learn.go
+++ b/internal/testbed/sim/learn.go
@@ -1,11 +1,11 @@
-package lab
+package sim
 
 import (
 	"fmt"
 
-	"pewterline/internal/faults"
-	"pewterline/internal/micro"
-	"pewterline/internal/virtual"
+	"pewterline/internal/microtime"
+	"pewterline/internal/testbed/faults"
+	"pewterline/internal/testbed/simnet"
 )
 
 // Learn measures what advice is worth to a fresh instance: some servers are dead and some are slow when one of the
@@ -32,9 +32,9 @@
 }
 
 const (
-	learnDown  = 4 * micro.Second
-	learnFresh = 9 * micro.Second
-	learnYoung = 10 * micro.Second
+	learnDown  = 4 * microtime.Second
+	learnFresh = 9 * microtime.Second
+	learnYoung = 10 * microtime.Second
 )
 
 // Run plays it.
@@ -48,23 +48,23 @@
 	}
 	add := func(f faults.Fault) { s.Faults = append(s.Faults, f) }
 	for i := range o.Dead {
-		add(faults.Fault{At: learnDown, Kind: faults.Vanish, Node: name('s', i), For: 300 * micro.Second})
+		add(faults.Fault{At: learnDown, Kind: faults.Vanish, Node: name('s', i), For: 300 * microtime.Second})
 	}
 	for i := o.Dead; i < o.Dead+o.Slow; i++ {
-		add(faults.Fault{At: learnDown, Kind: faults.Slow, Node: name('w', i), For: 300 * micro.Second, Amount: 5})
+		add(faults.Fault{At: learnDown, Kind: faults.Slow, Node: name('w', i), For: 300 * microtime.Second, Amount: 5})
 	}
-	add(faults.Fault{At: learnFresh, Kind: faults.Kill, Node: "e0", For: 50 * micro.Millisecond})
+	add(faults.Fault{At: learnFresh, Kind: faults.Kill, Node: "e0", For: 50 * microtime.Millisecond})
 	s.Sort()
 	var worth, wanted [2]float64 // at the fresh instance's start, and when it is no longer young
 	out, err := Play(s, Options{begin: func(l *world) {
-		fresh := virtual.Start + learnFresh
+		fresh := simnet.Start + learnFresh
 		tap := l.net.Tap
-		l.net.Tap = func(v virtual.Event) {
+		l.net.Tap = func(v simnet.Event) {
 			tap(v)
-			if v.Kind == virtual.Written && len(v.Addr) > 9 && v.Addr[len(v.Addr)-9:] == "/exchange" {
+			if v.Kind == simnet.Written && len(v.Addr) > 9 && v.Addr[len(v.Addr)-9:] == "/exchange" {
 				r.Exchanged += len(v.Bytes)
 			}
-			if v.Kind != virtual.Tried || v.Node != "e0" || v.At < fresh || v.At > fresh+learnYoung {
+			if v.Kind != simnet.Tried || v.Node != "e0" || v.At < fresh || v.At > fresh+learnYoung {
 				return
 			}
 			if t := l.server(v.Peer); t != nil && t.host.Ended {
@@ -72,9 +72,9 @@
 			}
 		}
 		l.w.At(fresh, func() { worth[0], wanted[0] = l.st.Worth, l.st.Wanted })
-		l.w.At(fresh+2*micro.Second, func() { r.Early = l.edges[0].srv.WastedAttempts() })
+		l.w.At(fresh+2*microtime.Second, func() { r.Early = l.edges[0].program.WastedAttempts() })
 		l.w.At(fresh+learnYoung, func() {
-			r.Wasted = l.edges[0].srv.WastedAttempts()
+			r.Wasted = l.edges[0].program.WastedAttempts()
 			worth[1], wanted[1] = l.st.Worth, l.st.Wanted
 		})
 	}})
--- a/internal/lab/planted_test.go
+++ b/internal/testbed/sim/planted_test.go
@@ -1,6 +1,6 @@
 //go:build planted
 
-package lab
+package sim
 
 import (
 	"testing"
--- a/internal/lab/routes.go
+++ b/internal/testbed/sim/routes.go
@@ -1,4 +1,4 @@
-package lab
+package sim
 
 import (
 	"fmt"
@@ -6,16 +6,16 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"pewterline/internal/decide/fleet"
-	"pewterline/internal/micro"
-	"pewterline/internal/virtual"
+	"pewterline/internal/decide/loadbalancer"
+	"pewterline/internal/microtime"
+	"pewterline/internal/testbed/simnet"
 )
 
 // Routes compares ways to choose a server, all with the same traffic, servers, troubles and retry budgets.
 type Routes struct {
 	Servers int
 	Load    float64 // of what all servers can do
-	Length  micro.Time
+	Length  microtime.Time
 	Trouble string // see Troubles
 	Seed    uint64
 	Advised bool // the instance starts with what a running one knows
@@ -30,27 +30,27 @@
 // RouteResult is how a policy did.
 type RouteResult struct {
 	Policy        string
-	P50, P99      micro.Time // of what was served
-	Worth         float64    // served within the aim, of all
-	Amplification float64    // tries for each request
-	Wasted        int        // tries at servers that were dead
-	FirstWorth    float64    // of the first ten seconds
+	P50, P99      microtime.Time // of what was served
+	Worth         float64        // served within the aim, of all
+	Amplification float64        // tries for each request
+	Wasted        int            // tries at servers that were dead
+	FirstWorth    float64        // of the first ten seconds
 }
 
 const (
 	routeCores  = 2
-	routeWork   = 60 * micro.Millisecond
+	routeWork   = 60 * microtime.Millisecond
 	routeQueue  = 60
-	routeAim    = 1800 * micro.Millisecond
-	routeDue    = 4500 * micro.Millisecond
-	routeConnTO = micro.Second
+	routeAim    = 1800 * microtime.Millisecond
+	routeDue    = 4500 * microtime.Millisecond
+	routeConnTO = microtime.Second
 )
 
 // routeServer is a queue before a few cores.
 type routeServer struct {
 	name    string
 	factor  float64 // its work takes so many times as long
-	born    micro.Time
+	born    microtime.Time
 	cold    bool
 	silent  bool // it takes what is sent and answers nothing
 	refused bool // nobody listens
@@ -60,12 +60,12 @@
 
 type routeWorld struct {
 	o       Routes
-	w       *virtual.World
+	w       *simnet.World
 	rng     *rand.Rand
 	servers []*routeServer
 	policy  string
-	fleet   *fleet.Balancer
-	att     *fleet.RetryPolicy
+	fleet   *loadbalancer.Balancer
+	att     *loadbalancer.RetryPolicy
 	open    map[string]int
 	turn    int
 	hist    *hdrhistogram.Histogram
@@ -89,17 +89,17 @@
 }
 
 func (o Routes) run(policy string) (RouteResult, error) {
-	l := &routeWorld{o: o, w: virtual.NewWorld(o.Seed), policy: policy, open: map[string]int{}, hist: hdrhistogram.New(1, 10_000_000, 2)}
+	l := &routeWorld{o: o, w: simnet.NewWorld(o.Seed), policy: policy, open: map[string]int{}, hist: hdrhistogram.New(1, 10_000_000, 2)}
 	l.rng = l.w.Fork(o.Seed, "routes") // the same traffic for each policy
 	var err error
-	if l.fleet, err = fleet.New(fleet.Config{Classes: 1}, o.Seed); err != nil {
+	if l.fleet, err = loadbalancer.New(loadbalancer.Config{Classes: 1}, o.Seed); err != nil {
 		return RouteResult{}, err
 	}
-	if l.att, err = fleet.NewRetryPolicy(fleet.RetryConfig{}); err != nil {
+	if l.att, err = loadbalancer.NewRetryPolicy(loadbalancer.RetryConfig{}); err != nil {
 		return RouteResult{}, err
 	}
 	for i := range o.Servers {
-		s := &routeServer{name: fmt.Sprintf("s%d", i), factor: 1, born: virtual.Start - 60*micro.Second}
+		s := &routeServer{name: fmt.Sprintf("s%d", i), factor: 1, born: simnet.Start - 60*microtime.Second}
 		l.servers = append(l.servers, s)
 		l.fleet.Add(l.w.Now(), s.name)
 	}
@@ -108,11 +108,11 @@
 	}
 	rate := o.Load * float64(o.Servers*routeCores) / routeWork.Duration().Seconds()
 	for at := 0.0; at < o.Length.Duration().Seconds(); at += l.rng.ExpFloat64() / rate {
-		work := micro.Time(float64(routeWork) * (0.2 + 0.8*l.rng.ExpFloat64()))
-		l.w.At(virtual.Start+micro.Time(at*1e6), func() { l.ask(work) })
+		work := microtime.Time(float64(routeWork) * (0.2 + 0.8*l.rng.ExpFloat64()))
+		l.w.At(simnet.Start+microtime.Time(at*1e6), func() { l.ask(work) })
 	}
-	l.w.Run(virtual.Start + o.Length + 10*micro.Second)
-	r := RouteResult{Policy: policy, P50: micro.Time(l.hist.ValueAtQuantile(50)), P99: micro.Time(l.hist.ValueAtQuantile(99)),
+	l.w.Run(simnet.Start + o.Length + 10*microtime.Second)
+	r := RouteResult{Policy: policy, P50: microtime.Time(l.hist.ValueAtQuantile(50)), P99: microtime.Time(l.hist.ValueAtQuantile(99)),
 		Worth: float64(l.inTime) / float64(max(l.asked, 1)), Amplification: float64(l.tries) / float64(max(l.asked, 1)), Wasted: l.wasted,
 		FirstWorth: float64(l.first[1]) / float64(max(l.first[0], 1))}
 	return r, nil
@@ -130,29 +130,29 @@
 		l.w.In(third, func() { s.refused, s.cold, s.born = false, true, l.w.Now() })
 	case "dying": // it falls silent, then nobody listens
 		l.w.In(third, func() { s.silent = true })
-		l.w.In(third+3*micro.Second, func() { s.silent, s.refused, s.queue, s.busy = false, true, nil, 0 })
+		l.w.In(third+3*microtime.Second, func() { s.silent, s.refused, s.queue, s.busy = false, true, nil, 0 })
 	case "dead": // from before the start
 		s.silent = true
 	default:
 		return fmt.Errorf("lab: trouble: unknown %q; there are %v", l.o.Trouble, Troubles)
 	}
 	if l.o.Advised && (s.silent || s.refused) {
-		l.fleet.ApplyGossip(l.w.Now(), "new", fleet.GossipSender{Name: "old", Uptime: 600 * micro.Second},
-			[]fleet.Observation{{Endpoint: s.name, Kind: fleet.Unreachable, Evidence: 10, Age: micro.Second, Source: "old", Hops: 1}})
+		l.fleet.ApplyGossip(l.w.Now(), "new", loadbalancer.GossipSender{Name: "old", Uptime: 600 * microtime.Second},
+			[]loadbalancer.Observation{{Endpoint: s.name, Kind: loadbalancer.Unreachable, Evidence: 10, Age: microtime.Second, Source: "old", Hops: 1}})
 	}
 	return nil
 }
 
 // asking is one request.
 type asking struct {
-	work  micro.Time
-	born  micro.Time
+	work  microtime.Time
+	born  microtime.Time
 	tries int
 	avoid []string
 	over  bool
 }
 
-func (l *routeWorld) ask(work micro.Time) {
+func (l *routeWorld) ask(work microtime.Time) {
 	q := &asking{work: work, born: l.w.Now()}
 	l.asked++
 	if l.early(q) {
@@ -162,19 +162,19 @@
 	l.send(q)
 }
 
-func (l *routeWorld) early(q *asking) bool { return q.born < virtual.Start+10*micro.Second }
+func (l *routeWorld) early(q *asking) bool { return q.born < simnet.Start+10*microtime.Second }
 
 // pick chooses a server by the policy.
-func (l *routeWorld) pick(q *asking) (fleet.Choice, bool) {
+func (l *routeWorld) pick(q *asking) (loadbalancer.Choice, bool) {
 	n := len(l.servers)
 	switch l.policy {
 	case "fleet":
-		return l.fleet.Pick(l.w.Now(), fleet.Request{Idempotent: true, Cheap: true, Exclude: q.avoid})
+		return l.fleet.Pick(l.w.Now(), loadbalancer.Request{Idempotent: true, Cheap: true, Exclude: q.avoid})
 	case "round robin":
 		l.turn++
-		return fleet.Choice{Endpoint: l.servers[l.turn%n].name}, true
+		return loadbalancer.Choice{Endpoint: l.servers[l.turn%n].name}, true
 	case "random":
-		return fleet.Choice{Endpoint: l.servers[l.w.Rand().IntN(n)].name}, true
+		return loadbalancer.Choice{Endpoint: l.servers[l.w.Rand().IntN(n)].name}, true
 	}
 	best, at := "", 0
 	for i := range n {
@@ -184,7 +184,7 @@
 		}
 	}
 	l.turn++
-	return fleet.Choice{Endpoint: best}, true
+	return loadbalancer.Choice{Endpoint: best}, true
 }
 
 func (l *routeWorld) send(q *asking) {
@@ -204,7 +204,7 @@
 	l.open[s.name]++
 	l.fleet.AttemptStarted(l.w.Now(), c)
 	sent, done := l.w.Now(), false
-	end := func(r fleet.Result) {
+	end := func(r loadbalancer.Result) {
 		if done {
 			return
 		}
@@ -218,33 +218,35 @@
 		l.wasted++
 	}
 	if s.refused {
-		l.w.In(micro.Millisecond, func() { end(fleet.Result{Outcome: fleet.ConnectFailed}) })
+		l.w.In(microtime.Millisecond, func() { end(loadbalancer.Result{Outcome: loadbalancer.ConnectFailed}) })
 		return
 	}
 	l.w.At(max(min(q.born+routeDue, sent+routeConnTO), sent), func() {
 		if s.silent || l.w.Now() >= q.born+routeDue {
-			end(fleet.Result{Outcome: fleet.TimedOut})
+			end(loadbalancer.Result{Outcome: loadbalancer.TimedOut})
 		}
 	})
 	if s.silent {
 		return
 	}
 	if len(s.queue) >= routeQueue {
-		l.w.In(micro.Millisecond, func() { end(fleet.Result{Outcome: fleet.Rejected, RetryAfter: 200 * micro.Millisecond}) })
+		l.w.In(microtime.Millisecond, func() {
+			end(loadbalancer.Result{Outcome: loadbalancer.Rejected, RetryAfter: 200 * microtime.Millisecond})
+		})
 		return
 	}
 	s.queue = append(s.queue, func() {
 		s.busy++
 		factor := s.factor
 		if s.cold {
-			factor /= min(1, 0.24+0.76*float64(l.w.Now()-s.born)/float64(17*micro.Second))
+			factor /= min(1, 0.24+0.76*float64(l.w.Now()-s.born)/float64(17*microtime.Second))
 		}
-		l.w.In(micro.Time(float64(q.work)*factor), func() {
+		l.w.In(microtime.Time(float64(q.work)*factor), func() {
 			if s.silent || s.refused {
 				return
 			}
 			s.busy--
-			end(fleet.Result{Outcome: fleet.Succeeded})
+			end(loadbalancer.Result{Outcome: loadbalancer.Succeeded})
 			s.next()
 		})
 	})
@@ -259,12 +261,12 @@
 	}
 }
 
-func (l *routeWorld) ended(q *asking, r fleet.Result) {
+func (l *routeWorld) ended(q *asking, r loadbalancer.Result) {
 	now := l.w.Now()
 	if q.over {
 		return
 	}
-	if r.Outcome == fleet.Succeeded {
+	if r.Outcome == loadbalancer.Succeeded {
 		q.over = true
 		l.att.RecordSuccess(now, 1)
 		_ = l.hist.RecordValue(int64(now - q.born)) // within the histogram's range, as the run ends before
@@ -276,8 +278,8 @@
 		}
 		return
 	}
-	v := l.att.Decide(now, fleet.FailedAttempt{Caller: 1, Idempotent: true, Attempts: q.tries, Outcome: r.Outcome, EarliestFinish: now + routeWork, Deadline: q.born + routeDue})
-	if v == fleet.RetryElsewhere {
+	v := l.att.Decide(now, loadbalancer.FailedAttempt{Caller: 1, Idempotent: true, Attempts: q.tries, Outcome: r.Outcome, EarliestFinish: now + routeWork, Deadline: q.born + routeDue})
+	if v == loadbalancer.RetryElsewhere {
 		l.send(q)
 	} else {
 		q.over = true
--- a/internal/lab/sabotage_test.go
+++ b/internal/testbed/sim/sabotage_test.go
@@ -1,4 +1,4 @@
-package lab
+package sim
 
 import (
 	"os"
@@ -7,10 +7,10 @@
 
 	"github.com/stretchr/testify/require"
 
-	"pewterline/internal/micro"
+	"pewterline/internal/microtime"
 	"pewterline/internal/protocol/pool"
 	"pewterline/internal/protocol/vault"
-	"pewterline/internal/virtual"
+	"pewterline/internal/testbed/simnet"
 )
 
 // sabotage is a bug that is planted between the program and the network: what the program writes is changed on its way, and the
@@ -28,27 +28,27 @@
 }
 
 // toVault and toPool tell what an end of a server's is connected to.
-func toVault(v virtual.Event) bool {
+func toVault(v simnet.Event) bool {
 	return v.Dialer && v.Node[0] == 's' && strings.HasPrefix(v.Addr, "v0/")
 }
 
-func toPool(e *virtual.End) bool { return e.Node()[0] == 's' && e.Peer()[0] == 'w' }
+func toPool(e *simnet.End) bool { return e.Node()[0] == 's' && e.Peer()[0] == 'w' }
 
 // plantAgainAfterOverdue makes each call again, on the same connection, once "overdue" has come for it.
 func plantAgainAfterOverdue(l *world) {
 	bodies, read := map[string][]byte{}, map[uint64][]byte{}
 	tap := l.net.Tap
-	l.net.Tap = func(v virtual.Event) {
+	l.net.Tap = func(v simnet.Event) {
 		tap(v)
 		switch {
 		case !toVault(v):
-		case v.Kind == virtual.Written:
+		case v.Kind == simnet.Written:
 			for _, c := range commands(v.Bytes, vault.ParseCommand) {
 				if c.command.Verb == vault.Ask {
 					bodies[c.command.ID] = append([]byte(nil), c.command.Body...)
 				}
 			}
-		case v.Kind == virtual.Arrived:
+		case v.Kind == simnet.Arrived:
 			read[v.Conn] = append(read[v.Conn], v.Bytes...)
 			for {
 				r, n, err := vault.ParseReply(read[v.Conn])
@@ -57,7 +57,7 @@
 				}
 				read[v.Conn] = read[v.Conn][n:]
 				if r.Status == vault.Overdue {
-					l.w.In(micro.Millisecond, func() { l.write(v, vault.AppendAsk(nil, r.ID, 1000, bodies[r.ID])) })
+					l.w.In(microtime.Millisecond, func() { l.write(v, vault.AppendAsk(nil, r.ID, 1000, bodies[r.ID])) })
 				}
 			}
 		}
@@ -65,7 +65,7 @@
 }
 
 // write has a server's end of a connection, where it is still open, send what the program did not.
-func (l *world) write(v virtual.Event, p []byte) {
+func (l *world) write(v simnet.Event, p []byte) {
 	for _, e := range l.net.Node(v.Node).Ends() {
 		if e.Conn() == v.Conn {
 			e.Write(p)
@@ -77,9 +77,9 @@
 func plantReplyToNextRun(l *world) {
 	waiting := map[string][]string{} // by server, in the order in which they came to wait
 	tap := l.net.Tap
-	l.net.Tap = func(v virtual.Event) {
+	l.net.Tap = func(v simnet.Event) {
 		tap(v)
-		if v.Kind == virtual.Written && toVault(v) {
+		if v.Kind == simnet.Written && toVault(v) {
 			for _, c := range commands(v.Bytes, vault.ParseCommand) {
 				if c.command.Verb == vault.Ask {
 					waiting[v.Node] = append(waiting[v.Node], c.command.ID)
@@ -87,7 +87,7 @@
 			}
 		}
 	}
-	l.net.Mangle = func(e *virtual.End, p []byte) []byte {
+	l.net.Mangle = func(e *simnet.End, p []byte) []byte {
 		if !toPool(e) {
 			return p
 		}
@@ -115,7 +115,7 @@
 
 // plantOpenAtDrain keeps back what gives a call up, once the server has had the notice to leave.
 func plantOpenAtDrain(l *world) {
-	l.net.Mangle = func(e *virtual.End, p []byte) []byte {
+	l.net.Mangle = func(e *simnet.End, p []byte) []byte {
 		s := l.server(e.Node())
 		if s == nil || !s.leaving || e.Node()[0] != 's' || e.Peer() != "v0" {
 			return p
@@ -152,7 +152,7 @@
 // The hunt finds each sabotage within a few hundred scripts, which is well under two minutes.
 func TestHuntFindsSabotage(t *testing.T) {
 	for _, bug := range sabotages {
-		h := Hunt{First: 1, Last: 300, Profile: "worst", Servers: 2, Proxies: 3, Length: 8 * micro.Second, Vault: true, Jobs: 2, Most: 1, begin: bug.plant}
+		h := Hunt{First: 1, Last: 300, Profile: "worst", Servers: 2, Proxies: 3, Length: 8 * microtime.Second, Vault: true, Jobs: 2, Most: 1, begin: bug.plant}
 		p, err := h.Run()
 		require.NoError(t, err)
 		require.NotEmpty(t, p.Finds, bug.name)
--- a/internal/lab/tables_test.go
+++ b/internal/testbed/sim/tables_test.go
@@ -1,4 +1,4 @@
-package lab
+package sim
 
 import (
 	"reflect"
@@ -7,8 +7,8 @@
 
 	"github.com/stretchr/testify/require"
 
-	"pewterline/internal/faults"
-	"pewterline/internal/micro"
+	"pewterline/internal/microtime"
+	"pewterline/internal/testbed/faults"
 )
 
 // tables counts the entries, or for a buffer the bytes, of each map and slice that the program's own types hold,
@@ -53,9 +53,9 @@
 
 func ours(t reflect.Type) bool {
 	p := t.PkgPath()
-	for _, own := range []string{"control", "internal/edge", "internal/front", "internal/front/ajpfront", "internal/front/thriftfront",
-		"internal/operators", "internal/ordered", "internal/routing", "internal/runner/ajprunner", "internal/runner/fleetrunner",
-		"internal/workerpool", "internal/vaultlink", "internal/decide/calls", "internal/transport", "internal/config"} {
+	for _, own := range []string{"control", "internal/server", "internal/frontend", "internal/frontend/ajpfrontend", "internal/frontend/thriftfrontend",
+		"internal/admin", "internal/orderedset", "internal/dispatch", "internal/backend/ajpbackend", "internal/backend/upstream",
+		"internal/backend/workerpool", "internal/vaultclient", "internal/decide/calls", "internal/transport", "internal/config"} {
 		if p == "pewterline/"+own {
 			return true
 		}
@@ -69,40 +69,40 @@
 func TestTablesStayFlatFor45Minutes(t *testing.T) {
 	t.Parallel()
 	const minutes = 45
-	s := faults.Script{Seed: 45, Servers: 1, Proxies: 4, Offices: 2, Length: minutes * 60 * micro.Second, Rate: 16}
-	for at := 20 * micro.Second; at < s.Length-60*micro.Second; at += 60 * micro.Second {
+	s := faults.Script{Seed: 45, Servers: 1, Proxies: 4, Offices: 2, Length: minutes * 60 * microtime.Second, Rate: 16}
+	for at := 20 * microtime.Second; at < s.Length-60*microtime.Second; at += 60 * microtime.Second {
 		s.Faults = append(s.Faults,
-			faults.Fault{At: at, Kind: faults.Flood, What: "hill-estate", For: 8 * micro.Second, Amount: 4},
-			faults.Fault{At: at + 12*micro.Second, Kind: faults.Cut, Node: "w0", Peer: "s0", Amount: 200},
-			faults.Fault{At: at + 14*micro.Second, Kind: faults.Strangers, Node: "s0", Amount: 40},
-			faults.Fault{At: at + 16*micro.Second, Kind: faults.Die, Node: "p1", For: 2 * micro.Second},
-			faults.Fault{At: at + 20*micro.Second, Kind: faults.Hasty, Node: "p2", For: 5 * micro.Second, Amount: 300},
-			faults.Fault{At: at + 26*micro.Second, Kind: faults.Hup, Node: "s0"},
-			faults.Fault{At: at + 30*micro.Second, Kind: faults.Doubled, Node: "w0", For: 5 * micro.Second},
-			faults.Fault{At: at + 36*micro.Second, Kind: faults.Slow, Node: "w0", For: 5 * micro.Second, Amount: 4})
+			faults.Fault{At: at, Kind: faults.Flood, What: "hill-estate", For: 8 * microtime.Second, Amount: 4},
+			faults.Fault{At: at + 12*microtime.Second, Kind: faults.Cut, Node: "w0", Peer: "s0", Amount: 200},
+			faults.Fault{At: at + 14*microtime.Second, Kind: faults.Strangers, Node: "s0", Amount: 40},
+			faults.Fault{At: at + 16*microtime.Second, Kind: faults.Die, Node: "p1", For: 2 * microtime.Second},
+			faults.Fault{At: at + 20*microtime.Second, Kind: faults.Hasty, Node: "p2", For: 5 * microtime.Second, Amount: 300},
+			faults.Fault{At: at + 26*microtime.Second, Kind: faults.Hup, Node: "s0"},
+			faults.Fault{At: at + 30*microtime.Second, Kind: faults.Doubled, Node: "w0", For: 5 * microtime.Second},
+			faults.Fault{At: at + 36*microtime.Second, Kind: faults.Slow, Node: "w0", For: 5 * microtime.Second, Amount: 4})
 	}
 	flat(t, s, 30_000, "control.Controller.keys", "control.Controller.live", "control.Controller.heard", "control.class.lat",
-		"routing.keyTable.byName", "routing.keyTable.byID", "routing.Core.wakes", "workerpool.Backend.runs", "transport.room.conns", "transport.Connection.buf")
+		"dispatch.keyTable.byName", "dispatch.keyTable.byID", "dispatch.Core.wakes", "workerpool.Backend.runs", "transport.room.conns", "transport.Connection.buf")
 }
 
 // The same over 30 minutes of calls that are given up, cut off, silent, and moved.
 func TestTablesStayFlatWithAVault(t *testing.T) {
 	t.Parallel()
-	s := faults.Script{Seed: 45, Servers: 1, Proxies: 4, Offices: 2, Vault: true, Length: 30 * 60 * micro.Second, Rate: 16}
-	for at := 20 * micro.Second; at < s.Length-60*micro.Second; at += 60 * micro.Second {
+	s := faults.Script{Seed: 45, Servers: 1, Proxies: 4, Offices: 2, Vault: true, Length: 30 * 60 * microtime.Second, Rate: 16}
+	for at := 20 * microtime.Second; at < s.Length-60*microtime.Second; at += 60 * microtime.Second {
 		s.Faults = append(s.Faults,
-			faults.Fault{At: at, Kind: faults.VaultSlow, Node: "v0", For: 10 * micro.Second, Amount: 8},
-			faults.Fault{At: at + micro.Second, Kind: faults.Hasty, Node: "p2", For: 8 * micro.Second, Amount: 150},
-			faults.Fault{At: at + 12*micro.Second, Kind: faults.VaultSilent, Node: "v0", For: 4 * micro.Second},
-			faults.Fault{At: at + 18*micro.Second, Kind: faults.VaultDown, Node: "v0", For: 2 * micro.Second},
-			faults.Fault{At: at + 24*micro.Second, Kind: faults.VaultBreak, Node: "v0", For: 3 * micro.Second, Amount: 0.3},
-			faults.Fault{At: at + 28*micro.Second, Kind: faults.VaultHang, Node: "v0", For: 3 * micro.Second},
-			faults.Fault{At: at + 32*micro.Second, Kind: faults.VaultStray, Node: "v0", For: 3 * micro.Second, Amount: 0.5},
-			faults.Fault{At: at + 36*micro.Second, Kind: faults.Hup, Node: "s0"},
-			faults.Fault{At: at + 38*micro.Second, Kind: faults.Cut, Node: "w0", Peer: "s0", Amount: 200},
-			faults.Fault{At: at + 42*micro.Second, Kind: faults.Stall, Node: "s0", Peer: "w0", For: 2 * micro.Second})
+			faults.Fault{At: at, Kind: faults.VaultSlow, Node: "v0", For: 10 * microtime.Second, Amount: 8},
+			faults.Fault{At: at + microtime.Second, Kind: faults.Hasty, Node: "p2", For: 8 * microtime.Second, Amount: 150},
+			faults.Fault{At: at + 12*microtime.Second, Kind: faults.VaultSilent, Node: "v0", For: 4 * microtime.Second},
+			faults.Fault{At: at + 18*microtime.Second, Kind: faults.VaultDown, Node: "v0", For: 2 * microtime.Second},
+			faults.Fault{At: at + 24*microtime.Second, Kind: faults.VaultBreak, Node: "v0", For: 3 * microtime.Second, Amount: 0.3},
+			faults.Fault{At: at + 28*microtime.Second, Kind: faults.VaultHang, Node: "v0", For: 3 * microtime.Second},
+			faults.Fault{At: at + 32*microtime.Second, Kind: faults.VaultStray, Node: "v0", For: 3 * microtime.Second, Amount: 0.5},
+			faults.Fault{At: at + 36*microtime.Second, Kind: faults.Hup, Node: "s0"},
+			faults.Fault{At: at + 38*microtime.Second, Kind: faults.Cut, Node: "w0", Peer: "s0", Amount: 200},
+			faults.Fault{At: at + 42*microtime.Second, Kind: faults.Stall, Node: "s0", Peer: "w0", For: 2 * microtime.Second})
 	}
-	flat(t, s, 20_000, "calls.Pool.calls", "calls.link.givenUp", "vaultlink.Client.links", "workerpool.Backend.runs")
+	flat(t, s, 20_000, "calls.Pool.calls", "calls.link.givenUp", "vaultclient.Client.links", "workerpool.Backend.runs")
 }
 
 // flat plays a script and judges that no table's peak of the last third is above that of the first, but for a little.
@@ -116,13 +116,13 @@
 			third := int(l.w.Since() * 3 / s.Length)
 			if third < len(peaks) {
 				samples++
-				for name, n := range tables(l.servers[0].srv) {
+				for name, n := range tables(l.servers[0].program) {
 					peaks[third][name] = max(peaks[third][name], n)
 				}
 				for name, n := range tables(l.servers[0].host.Loop()) {
 					peaks[third][name] = max(peaks[third][name], n)
 				}
-				l.w.In(micro.Second, look)
+				l.w.In(microtime.Second, look)
 			}
 		}
 		look()
@@ -130,7 +130,7 @@
 	require.NoError(t, err)
 	clean(t, s, out)
 	require.Greater(t, out.Requests, requests)
-	require.Greater(t, samples, int(s.Length/micro.Second)-10)
+	require.Greater(t, samples, int(s.Length/microtime.Second)-10)
 	var counted []string
 	for name, n := range peaks[0] {
 		if n > 0 {
--- a/internal/virtual/host.go
+++ b/internal/testbed/simnet/host.go
@@ -1,11 +1,11 @@
-package virtual
+package simnet
 
 import (
 	"errors"
 	"fmt"
 	"math/rand/v2"
 
-	"pewterline/internal/micro"
+	"pewterline/internal/microtime"
 	"pewterline/internal/transport"
 )
 
@@ -16,8 +16,8 @@
 
 // Cost is what a turn takes of a host's processor. Whatever becomes ready meanwhile waits for the next turn.
 type Cost struct {
-	Turn micro.Time
-	KB   micro.Time // for each 1024 bytes read or written
+	Turn microtime.Time
+	KB   microtime.Time // for each 1024 bytes read or written
 }
 
 // Host is a transport.Driver on a node: it runs one program until Stop or Kill.
@@ -31,8 +31,8 @@
 	tasks   []func()
 	woken   *Timer
 	next    *Timer // the turn to come
-	busy    micro.Time
-	paused  micro.Time
+	busy    microtime.Time
+	paused  microtime.Time
 	bytes   int
 	inTurn  bool
 	killIn  int // calls into the program, and writes of it, until it is killed; 0: never
@@ -76,10 +76,12 @@
 }
 
 // Pause has the program stand still until a time; its machine goes on taking what arrives.
-func (h *Host) Pause(until micro.Time) { h.busy, h.paused = max(h.busy, until), max(h.paused, until) }
+func (h *Host) Pause(until microtime.Time) {
+	h.busy, h.paused = max(h.busy, until), max(h.paused, until)
+}
 
 // PausedUntil is when it goes on; a past time where it does not stand still.
-func (h *Host) PausedUntil() micro.Time { return h.paused }
+func (h *Host) PausedUntil() microtime.Time { return h.paused }
 
 // KillIn has the process killed after so many further calls into the program or writes of it, in the middle of
 // whatever it does then; done is called at that moment.
@@ -145,7 +147,7 @@
 		f()
 	}
 	h.inTurn = false
-	h.busy = max(h.busy, w.now+h.cost.Turn+h.cost.KB*micro.Time(h.bytes)/1024)
+	h.busy = max(h.busy, w.now+h.cost.Turn+h.cost.KB*microtime.Time(h.bytes)/1024)
 	if len(h.ready)+len(h.tasks) > 0 {
 		h.wakeTurn()
 	}
@@ -257,7 +259,7 @@
 func (c *hostConn) Remote() string { return fmt.Sprintf("%s#%d", c.e.Peer(), c.e.conn) }
 
 // Now is part of transport.Driver.
-func (h *Host) Now() micro.Time { return h.node.net.w.now }
+func (h *Host) Now() microtime.Time { return h.node.net.w.now }
 
 // Queue is part of transport.Driver.
 func (h *Host) Queue(f func()) error {
@@ -270,10 +272,10 @@
 }
 
 // SetTimer is part of transport.Driver.
-func (h *Host) SetTimer(at micro.Time) {
+func (h *Host) SetTimer(at microtime.Time) {
 	h.woken.Stop()
 	h.woken = nil
-	if at != micro.Never && !h.Ended {
+	if at != microtime.Never && !h.Ended {
 		h.woken = h.node.net.w.At(at, func() { _ = h.Queue(h.loop.TimerFired) })
 	}
 }
--- a/internal/virtual/host_test.go
+++ b/internal/testbed/simnet/host_test.go
@@ -1,4 +1,4 @@
-package virtual_test
+package simnet_test
 
 import (
 	"bytes"
@@ -7,16 +7,16 @@
 
 	"github.com/stretchr/testify/require"
 
-	"pewterline/internal/micro"
+	"pewterline/internal/microtime"
+	"pewterline/internal/testbed/simnet"
 	"pewterline/internal/transport"
-	"pewterline/internal/virtual"
 )
 
 // program answers every byte; 'v' vouches, 'i' says that nothing is owed, 'h' waits for the rest of a message.
 type program struct {
 	answer []byte
 	closed []string
-	turn   func(now micro.Time)
+	turn   func(now microtime.Time)
 }
 
 type session struct {
@@ -26,11 +26,11 @@
 }
 
 func (p *program) Accept(_ int, l transport.Conn) transport.Session { return &session{p: p, link: l} }
-func (p *program) Turn(now micro.Time) micro.Time {
+func (p *program) Turn(now microtime.Time) microtime.Time {
 	if p.turn != nil {
 		p.turn(now)
 	}
-	return micro.Never
+	return microtime.Never
 }
 func (s *session) Closed()    { s.p.closed = append(s.p.closed, s.link.Remote()) }
 func (s *session) Idle() bool { return s.idle }
@@ -53,32 +53,32 @@
 
 // peer is a client on the virtual network.
 type peer struct {
-	e     *virtual.End
+	e     *simnet.End
 	got   bytes.Buffer
 	ended bool
 }
 
-func (p *peer) Data(_ *virtual.End, in []byte) { p.got.Write(in) }
-func (p *peer) EOF(e *virtual.End)             { p.ended = true; e.Close() }
-func (p *peer) Gone(*virtual.End)              { p.ended = true }
+func (p *peer) Data(_ *simnet.End, in []byte) { p.got.Write(in) }
+func (p *peer) EOF(e *simnet.End)             { p.ended = true; e.Close() }
+func (p *peer) Gone(*simnet.End)              { p.ended = true }
 
 // rig is a program on a host, with the guards of transport on the virtual clock.
 type rig struct {
 	t    *testing.T
-	w    *virtual.World
-	net  *virtual.Net
+	w    *simnet.World
+	net  *simnet.Net
 	p    *program
-	host *virtual.Host
+	host *simnet.Host
 	n    int
 }
 
 func newRig(t *testing.T, o transport.Options) *rig {
-	r := &rig{t: t, w: virtual.NewWorld(3), p: &program{answer: []byte("r")}}
-	r.net = virtual.NewNet(r.w, virtual.Quality{Latency: micro.Millisecond})
+	r := &rig{t: t, w: simnet.NewWorld(3), p: &program{answer: []byte("r")}}
+	r.net = simnet.NewNet(r.w, simnet.Quality{Latency: microtime.Millisecond})
 	n := r.net.Node("s0")
 	n.Boot()
 	o.Logf = t.Logf
-	r.host = virtual.NewHost(n, o, r.p, r.w.Fork(3, "s0"), virtual.Cost{Turn: 20, KB: 10}, func(*transport.Loop) {})
+	r.host = simnet.NewHost(n, o, r.p, r.w.Fork(3, "s0"), simnet.Cost{Turn: 20, KB: 10}, func(*transport.Loop) {})
 	require.NoError(t, r.host.Listen("s0/x", 0))
 	return r
 }
@@ -88,22 +88,22 @@
 	r.n++
 	n.Boot()
 	p := &peer{}
-	n.Dial("s0/x", func(e *virtual.End, err error) {
+	n.Dial("s0/x", func(e *simnet.End, err error) {
 		require.NoError(r.t, err)
 		p.e = e
 		e.SetHandler(p)
 	})
-	r.after(10 * micro.Millisecond)
+	r.after(10 * microtime.Millisecond)
 	require.NotNil(r.t, p.e)
 	return p
 }
 
-func (r *rig) after(d micro.Time) { r.w.Run(r.w.Now() + d) }
+func (r *rig) after(d microtime.Time) { r.w.Run(r.w.Now() + d) }
 
 func (r *rig) says(p *peer, what string) {
 	p.got.Reset()
 	p.e.Write([]byte(what))
-	r.after(10 * micro.Millisecond)
+	r.after(10 * microtime.Millisecond)
 }
 
 // The same lines guard here as on sockets: strangers go when their time is up, and who has sent something valid stays.
@@ -130,7 +130,7 @@
 		require.True(t, next.ended)
 	}
 	late := r.connect()
-	r.after(10 * micro.Millisecond)
+	r.after(10 * microtime.Millisecond)
 	require.True(t, late.ended, "all are in use")
 	require.False(t, busy.ended)
 }
@@ -154,9 +154,9 @@
 	r := newRig(t, transport.Options{MaxConns: 9})
 	w0 := r.net.Node("w0")
 	w0.Boot()
-	var tries []micro.Time
-	r.net.Tap = func(v virtual.Event) {
-		if v.Kind == virtual.Tried && v.Addr == "w0/x" {
+	var tries []microtime.Time
+	r.net.Tap = func(v simnet.Event) {
+		if v.Kind == simnet.Tried && v.Addr == "w0/x" {
 			tries = append(tries, v.At)
 		}
 	}
@@ -168,19 +168,19 @@
 			return &session{p: r.p, link: l}
 		})
 	}))
-	r.after(5 * micro.Second)
+	r.after(5 * microtime.Second)
 	require.Greater(t, len(tries), 10)
 	for i := 2; i < len(tries); i++ {
-		require.LessOrEqual(t, tries[i]-tries[i-1], 510*micro.Millisecond)
+		require.LessOrEqual(t, tries[i]-tries[i-1], 510*microtime.Millisecond)
 		require.GreaterOrEqual(t, tries[i]-tries[i-1]+10, tries[i-1]-tries[i-2])
 	}
-	_, err := w0.Listen("w0/x", virtual.Listener{Accept: func(*virtual.End) virtual.Handler { return &peer{} }})
+	_, err := w0.Listen("w0/x", simnet.Listener{Accept: func(*simnet.End) simnet.Handler { return &peer{} }})
 	require.NoError(t, err)
-	r.after(micro.Second)
+	r.after(microtime.Second)
 	require.Equal(t, 1, opened)
 	drop()
 	n := len(tries)
-	r.after(5 * micro.Second)
+	r.after(5 * microtime.Second)
 	require.Len(t, tries, n)
 }
 
@@ -195,7 +195,7 @@
 		for _, p := range []*peer{a, b, c} { // all are read in one turn, then the turn's end, then three writes
 			p.e.Write([]byte("v"))
 		}
-		r.after(micro.Second)
+		r.after(microtime.Second)
 		require.True(t, gone, calls)
 		require.Equal(t, want, a.got.Len()+b.got.Len()+c.got.Len(), "killed at call %d", calls)
 		require.True(t, a.ended && b.ended && c.ended)
@@ -206,13 +206,13 @@
 func TestPause(t *testing.T) {
 	r := newRig(t, transport.Options{MaxConns: 9})
 	p := r.connect()
-	r.host.Pause(r.w.Now() + 2*micro.Second)
+	r.host.Pause(r.w.Now() + 2*microtime.Second)
 	for range 5 {
 		r.says(p, "v")
 	}
 	require.Zero(t, p.got.Len())
 	turns := r.host.Turns()
-	r.after(2 * micro.Second)
+	r.after(2 * microtime.Second)
 	require.Equal(t, 5, p.got.Len())
 	require.Equal(t, turns+1, r.host.Turns())
 }
--- a/internal/virtual/net.go
+++ b/internal/testbed/simnet/net.go
@@ -1,4 +1,4 @@
-package virtual
+package simnet
 
 import (
 	"errors"
@@ -6,13 +6,13 @@
 	"math"
 	"strings"
 
-	"pewterline/internal/micro"
+	"pewterline/internal/microtime"
 )
 
 const (
 	segmentMost = 16 << 10 // bytes that arrive at once
 	window      = 64 << 10 // bytes under way or unread in one direction, before a sender has to keep the rest
-	dialMost    = micro.Second
+	dialMost    = microtime.Second
 )
 
 // What may become of a connect.
@@ -23,18 +23,18 @@
 
 // Quality is how good a path between two nodes is.
 type Quality struct {
-	Latency   micro.Time // one way
-	Jitter    micro.Time // added at random, up to this
-	Bandwidth int        // bytes a second in each direction; 0: no bound
-	Loss      float64    // chance of a datagram
-	Double    float64    // chance of a datagram
+	Latency   microtime.Time // one way
+	Jitter    microtime.Time // added at random, up to this
+	Bandwidth int            // bytes a second in each direction; 0: no bound
+	Loss      float64        // chance of a datagram
+	Double    float64        // chance of a datagram
 }
 
 // Path is the way between two nodes. Faults change it.
 type Path struct {
 	Quality
-	StalledUntil micro.Time // nothing passes before, and nothing is lost
-	LostUntil    micro.Time // connects and datagrams get no answer before
+	StalledUntil microtime.Time // nothing passes before, and nothing is lost
+	LostUntil    microtime.Time // connects and datagrams get no answer before
 }
 
 // EventKind is what a tap sees.
@@ -64,7 +64,7 @@
 
 // Event is one thing that a tap sees: bytes and times, and nothing else.
 type Event struct {
-	At     micro.Time
+	At     microtime.Time
 	Kind   EventKind
 	Conn   uint64 // the same for both ends
 	Node   string
@@ -203,7 +203,7 @@
 
 // segment is bytes under way; fin marks the end of the stream, reset its breaking.
 type segment struct {
-	at         micro.Time
+	at         microtime.Time
 	data       []byte
 	fin, reset bool
 }
@@ -224,9 +224,9 @@
 	sent    int // bytes under way or unread at the peer
 	flight  []segment
 	timer   *Timer
-	last    micro.Time // when the last segment arrives
-	cut     int        // bytes until the connection is reset under way; -1: never
-	fin     bool       // no more is sent
+	last    microtime.Time // when the last segment arrives
+	cut     int            // bytes until the connection is reset under way; -1: never
+	fin     bool           // no more is sent
 	open    bool
 	unread  []byte // by a host
 	eof     bool   // and nothing follows
@@ -254,7 +254,7 @@
 // it by SetHandler.
 func (n *Node) Dial(addr string, done func(*End, error)) {
 	w, life := n.net.w, n.Life
-	answer := func(d micro.Time, e *End, err error) {
+	answer := func(d microtime.Time, e *End, err error) {
 		w.In(d, func() {
 			if !n.up || n.Life != life {
 				if e != nil {
@@ -356,10 +356,10 @@
 	e.read()
 }
 
-func (n *Net) delay(p *Path) micro.Time {
+func (n *Net) delay(p *Path) microtime.Time {
 	d := p.Latency
 	if p.Jitter > 0 {
-		d += micro.Time(n.w.rng.Int64N(int64(p.Jitter)))
+		d += microtime.Time(n.w.rng.Int64N(int64(p.Jitter)))
 	}
 	return d
 }
@@ -414,7 +414,7 @@
 	net := e.node.net
 	s.at = max(net.w.now+net.delay(e.path), e.last)
 	if bw := e.path.Bandwidth; bw > 0 {
-		s.at += micro.Time(len(s.data)) * micro.Second / micro.Time(bw)
+		s.at += microtime.Time(len(s.data)) * microtime.Second / microtime.Time(bw)
 	}
 	e.last = s.at
 	e.flight = append(e.flight, s)
--- a/internal/virtual/virtual_test.go
+++ b/internal/testbed/simnet/virtual_test.go
@@ -1,4 +1,4 @@
-package virtual
+package simnet
 
 import (
 	"strings"
@@ -6,7 +6,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"pewterline/internal/micro"
+	"pewterline/internal/microtime"
 )
 
 // diary notes what an end hears, with the time since the start in milliseconds.
@@ -37,7 +37,7 @@
 	ours       *End
 	theirs     *End
 	near, far  *diary
-	opened     micro.Time
+	opened     microtime.Time
 	dialledErr error
 }
 
@@ -55,41 +55,41 @@
 		p.dialledErr = err
 		e.SetHandler(p.near)
 	})
-	p.w.Run(Start + micro.Second)
+	p.w.Run(Start + microtime.Second)
 	require.NoError(t, p.dialledErr)
 	return p
 }
 
-func (p *pair) after(d micro.Time) { p.w.Run(p.w.Now() + d) }
+func (p *pair) after(d microtime.Time) { p.w.Run(p.w.Now() + d) }
 
 func TestStreamsTakeLatencyAndBandwidth(t *testing.T) {
-	p := connected(t, Quality{Latency: 10 * micro.Millisecond, Bandwidth: 1000})
-	require.Equal(t, 20*micro.Millisecond, p.opened, "there and back")
+	p := connected(t, Quality{Latency: 10 * microtime.Millisecond, Bandwidth: 1000})
+	require.Equal(t, 20*microtime.Millisecond, p.opened, "there and back")
 	p.ours.Write([]byte(strings.Repeat("x", 100)))
-	p.after(109 * micro.Millisecond)
+	p.after(109 * microtime.Millisecond)
 	require.Empty(t, p.far.text)
-	p.after(micro.Millisecond)
+	p.after(microtime.Millisecond)
 	require.Len(t, p.far.text, 100)
 }
 
 func TestStallLosesNothingAndKeepsOrder(t *testing.T) {
-	p := connected(t, Quality{Latency: micro.Millisecond})
-	p.net.Path("b", "a").StalledUntil = p.w.Now() + 20*micro.Second
+	p := connected(t, Quality{Latency: microtime.Millisecond})
+	p.net.Path("b", "a").StalledUntil = p.w.Now() + 20*microtime.Second
 	p.ours.Write([]byte("one "))
-	p.after(5 * micro.Second)
+	p.after(5 * microtime.Second)
 	p.ours.Write([]byte("two"))
-	p.after(14 * micro.Second)
+	p.after(14 * microtime.Second)
 	require.Empty(t, p.far.text)
-	p.after(2 * micro.Second)
+	p.after(2 * microtime.Second)
 	require.Equal(t, "one two", p.far.text)
 }
 
 func TestCutAtAnyByte(t *testing.T) {
 	for cut := range 8 {
-		p := connected(t, Quality{Latency: micro.Millisecond})
+		p := connected(t, Quality{Latency: microtime.Millisecond})
 		p.ours.CutAfter(cut)
 		p.ours.Write([]byte("abcdefghij"))
-		p.after(micro.Second)
+		p.after(microtime.Second)
 		require.Equal(t, "abcdefghij"[:cut], p.far.text)
 		require.Equal(t, []string{"gone"}, p.far.lines)
 		require.Equal(t, []string{"gone"}, p.near.lines)
@@ -98,58 +98,58 @@
 }
 
 func TestHalfClosedEndStillReads(t *testing.T) {
-	p := connected(t, Quality{Latency: micro.Millisecond})
+	p := connected(t, Quality{Latency: microtime.Millisecond})
 	p.far.keep = true
 	p.ours.Write([]byte("ask"))
 	p.ours.CloseWrite()
-	p.after(10 * micro.Millisecond)
+	p.after(10 * microtime.Millisecond)
 	require.Equal(t, []string{"eof"}, p.far.lines)
 	p.theirs.Write([]byte("answer"))
-	p.after(10 * micro.Millisecond)
+	p.after(10 * microtime.Millisecond)
 	require.Equal(t, "answer", p.near.text)
 }
 
 func TestCloseWithInputUnreadIsAReset(t *testing.T) {
-	p := connected(t, Quality{Latency: micro.Millisecond})
+	p := connected(t, Quality{Latency: microtime.Millisecond})
 	p.theirs.Hold(true)
 	p.ours.Write([]byte("unread"))
-	p.after(10 * micro.Millisecond)
+	p.after(10 * microtime.Millisecond)
 	p.theirs.Close()
-	p.after(10 * micro.Millisecond)
+	p.after(10 * microtime.Millisecond)
 	require.Equal(t, []string{"gone"}, p.near.lines)
 }
 
 // A reader that takes nothing leaves the rest with the sender, and gets all of it in the end.
 func TestSlowReaderHoldsTheSenderBack(t *testing.T) {
-	p := connected(t, Quality{Latency: micro.Millisecond})
+	p := connected(t, Quality{Latency: microtime.Millisecond})
 	p.theirs.Hold(true)
 	p.ours.Write(make([]byte, 3*window))
-	p.after(micro.Second)
+	p.after(microtime.Second)
 	require.Equal(t, 2*window, p.ours.Unsent())
 	p.theirs.Hold(false)
 	p.ours.Close()
-	p.after(micro.Second)
+	p.after(microtime.Second)
 	require.Len(t, p.far.text, 3*window)
 	require.Equal(t, []string{"eof"}, p.far.lines)
 }
 
 func TestConnectsAreRefusedOrTimeOut(t *testing.T) {
-	p := connected(t, Quality{Latency: micro.Millisecond})
+	p := connected(t, Quality{Latency: microtime.Millisecond})
 	results := map[string]error{}
 	try := func(addr string) {
 		p.a.Dial(addr, func(_ *End, err error) { results[addr] = err })
-		p.after(1100 * micro.Millisecond)
+		p.after(1100 * microtime.Millisecond)
 	}
 	try("b/nobody")
 	try("nowhere/x")
-	p.net.Path("a", "b").LostUntil = p.w.Now() + micro.Second
+	p.net.Path("a", "b").LostUntil = p.w.Now() + microtime.Second
 	try("b/x")
 	require.Equal(t, map[string]error{"b/nobody": ErrRefused, "nowhere/x": ErrTimeout, "b/x": ErrTimeout}, results)
 }
 
 // A machine whose table is full takes a connection once there is room; what was sent on it counts from then on.
 func TestFullTableWaits(t *testing.T) {
-	p := connected(t, Quality{Latency: micro.Millisecond})
+	p := connected(t, Quality{Latency: microtime.Millisecond})
 	arrived := 0
 	p.net.Tap = func(v Event) {
 		if v.Kind == Arrived && v.Node == "b" {
@@ -159,29 +159,29 @@
 	p.b.SetMaxOpen(1)
 	first := p.ours
 	p.a.Dial("b/x", func(e *End, _ error) { e.Write([]byte("patience")) })
-	p.after(micro.Second)
+	p.after(microtime.Second)
 	require.Zero(t, arrived)
 	first.Close()
-	p.after(micro.Second)
+	p.after(microtime.Second)
 	require.Equal(t, 1, arrived)
 	require.Contains(t, p.far.text, "patience")
 }
 
 func TestKilledProcessAndLostMachine(t *testing.T) {
-	p := connected(t, Quality{Latency: micro.Millisecond})
+	p := connected(t, Quality{Latency: microtime.Millisecond})
 	p.b.Kill(false)
-	p.after(10 * micro.Millisecond)
+	p.after(10 * microtime.Millisecond)
 	require.Equal(t, []string{"eof"}, p.near.lines)
 
-	p = connected(t, Quality{Latency: micro.Millisecond})
+	p = connected(t, Quality{Latency: microtime.Millisecond})
 	p.b.Kill(true)
 	p.ours.Write([]byte("anybody?"))
-	p.after(10 * micro.Second)
+	p.after(10 * microtime.Second)
 	require.Empty(t, p.near.lines, "a machine that is gone says nothing")
 }
 
 func TestDatagramsAreLostAndDoubled(t *testing.T) {
-	p := connected(t, Quality{Latency: micro.Millisecond})
+	p := connected(t, Quality{Latency: microtime.Millisecond})
 	got := 0
 	_, err := p.b.Listen("b/d", Listener{Datagram: func(string, []byte) { got++ }})
 	require.NoError(t, err)
@@ -192,7 +192,7 @@
 		for range 1000 {
 			p.a.Send("b/d", []byte("x"))
 		}
-		p.after(micro.Second)
+		p.after(microtime.Second)
 		return got
 	}
 	require.Equal(t, 1000, count(0, 0))
@@ -206,12 +206,12 @@
 	w := NewWorld(1)
 	var got []int
 	for i := range 100 {
-		timer := w.At(Start+micro.Time(i%3)*micro.Second, func() { got = append(got, i) })
+		timer := w.At(Start+microtime.Time(i%3)*microtime.Second, func() { got = append(got, i) })
 		if i%10 == 9 {
 			timer.Stop()
 		}
 	}
-	w.Run(Start + micro.Time(10)*micro.Second)
+	w.Run(Start + microtime.Time(10)*microtime.Second)
 	require.Len(t, got, 90)
 	for i := 1; i < len(got); i++ {
 		require.True(t, got[i-1]%3 < got[i]%3 || got[i-1]%3 == got[i]%3 && got[i-1] < got[i])
@@ -219,10 +219,10 @@
 }
 
 func TestWallClocks(t *testing.T) {
-	for _, off := range []micro.Time{0, micro.Second, -3 * micro.Second} {
+	for _, off := range []microtime.Time{0, microtime.Second, -3 * microtime.Second} {
 		c := Wall{Off: off}
-		at := Start + 1234*micro.Millisecond
+		at := Start + 1234*microtime.Millisecond
 		require.Equal(t, at, c.FromUnixMilli(c.UnixMilli(at)))
-		require.Equal(t, int64(unixStart)+1234+int64(off/micro.Millisecond), c.UnixMilli(at))
+		require.Equal(t, int64(unixStart)+1234+int64(off/microtime.Millisecond), c.UnixMilli(at))
 	}
 }
--- a/internal/virtual/world.go
+++ b/internal/testbed/simnet/world.go
@@ -1,10 +1,10 @@
-// Package virtual is a clock and a network in one process and one goroutine, from one seed: what happens, and when,
+// Package simnet is a clock and a network in one process and one goroutine, from one seed: what happens, and when,
 // depends on the seed and on nothing else. Nodes have streams with latency, bandwidth, stalls, cuts and resets, and
 // datagrams that are lost, late or doubled. A Host runs the program's own event loop on a node; stand-ins use the
 // streams directly.
 //
 // Nothing sleeps: the clock jumps to the next event. Events of one instant run in the order they were asked for.
-package virtual
+package simnet
 
 import (
 	"encoding/binary"
@@ -12,18 +12,18 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"pewterline/internal/micro"
+	"pewterline/internal/microtime"
 )
 
 // Start is the first instant of every world: an hour in, so that what came before has an instant as well.
-const Start = 3600 * micro.Second
+const Start = 3600 * microtime.Second
 
 // unixStart is the wall clock at Start, in Unix milliseconds.
 const unixStart = 1_764_576_000_000
 
 // World is the clock, the events to come and the digest of what has happened.
 type World struct {
-	now    micro.Time
+	now    microtime.Time
 	heap   []*Timer
 	asked  uint64
 	events uint64
@@ -35,7 +35,7 @@
 
 // Timer is an event to come.
 type Timer struct {
-	at   micro.Time
+	at   microtime.Time
 	seq  uint64
 	f    func()
 	dead bool
@@ -54,10 +54,10 @@
 }
 
 // Now is the virtual time.
-func (w *World) Now() micro.Time { return w.now }
+func (w *World) Now() microtime.Time { return w.now }
 
 // Since is the time since Start.
-func (w *World) Since() micro.Time { return w.now - Start }
+func (w *World) Since() microtime.Time { return w.now - Start }
 
 // Events counts what has happened so far.
 func (w *World) Events() uint64 { return w.events }
@@ -72,7 +72,7 @@
 }
 
 // At has f happen at a time, at once if that is past.
-func (w *World) At(at micro.Time, f func()) *Timer {
+func (w *World) At(at microtime.Time, f func()) *Timer {
 	w.asked++
 	t := &Timer{at: max(at, w.now), seq: w.asked, f: f}
 	w.push(t)
@@ -80,10 +80,10 @@
 }
 
 // In has f happen after a while.
-func (w *World) In(d micro.Time, f func()) *Timer { return w.At(w.now+max(d, 0), f) }
+func (w *World) In(d microtime.Time, f func()) *Timer { return w.At(w.now+max(d, 0), f) }
 
 // Step lets the next event happen; false if there is none up to the time until, to which the clock then moves.
-func (w *World) Step(until micro.Time) bool {
+func (w *World) Step(until microtime.Time) bool {
 	for len(w.heap) > 0 && w.heap[0].at <= until {
 		t := w.pop()
 		if t.dead {
@@ -104,7 +104,7 @@
 }
 
 // Run lets all happen up to a time.
-func (w *World) Run(until micro.Time) {
+func (w *World) Run(until microtime.Time) {
 	for w.Step(until) {
 	}
 }
@@ -158,19 +158,19 @@
 
 // Wall is a node's wall clock, which may be off.
 type Wall struct {
-	Off micro.Time // ahead of the true time
+	Off microtime.Time // ahead of the true time
 }
 
 // FromUnixMilli is the instant of a wall clock time.
-func (c *Wall) FromUnixMilli(ms int64) micro.Time {
-	return Start + micro.Time(ms-unixStart)*micro.Millisecond - c.Off
+func (c *Wall) FromUnixMilli(ms int64) microtime.Time {
+	return Start + microtime.Time(ms-unixStart)*microtime.Millisecond - c.Off
 }
 
 // UnixMilli is the wall clock time of an instant, to the nearest millisecond.
-func (c *Wall) UnixMilli(t micro.Time) int64 {
-	since := t - Start + c.Off + micro.Millisecond/2
+func (c *Wall) UnixMilli(t microtime.Time) int64 {
+	since := t - Start + c.Off + microtime.Millisecond/2
 	if since < 0 { // round down there too
-		since -= micro.Millisecond - 1
+		since -= microtime.Millisecond - 1
 	}
-	return unixStart + int64(since/micro.Millisecond)
+	return unixStart + int64(since/microtime.Millisecond)
 }
--- a/internal/transport/sockets/linger_test.go
+++ b/internal/transport/sockets/linger_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/require"
 	"golang.org/x/sys/unix"
 
-	"pewterline/internal/micro"
+	"pewterline/internal/microtime"
 	"pewterline/internal/transport"
 )
 
@@ -56,7 +56,7 @@
 		close func(*handClock, *Loop, *echoSession)
 	}{
 		"by its session":   {"v", func(_ *handClock, _ *Loop, s *echoSession) { s.link.Close() }},
-		"as the loop ends": {"v", func(c *handClock, l *Loop, _ *echoSession) { l.Shutdown(c.Now() + micro.Second) }},
+		"as the loop ends": {"v", func(c *handClock, l *Loop, _ *echoSession) { l.Shutdown(c.Now() + microtime.Second) }},
 		"to make room":     {"vi", func(_ *handClock, l *Loop, _ *echoSession) { l.SetLimits(0, 0) }},
 		"as a stranger":    {"i", func(*handClock, *Loop, *echoSession) {}}, // by the end of the turn, whose time is past its own
 	} {
@@ -108,7 +108,7 @@
 // A message that makes no sense ends its connection; the error that tells so arrives, whatever came behind the message.
 func TestErrorArrivesBeforeTheEnd(t *testing.T) {
 	e := &fussy{answer: bytes.Repeat([]byte("e"), 100<<10)}
-	l, err := Start(Options{Options: transport.Options{MaxConns: 9, Logf: t.Logf}, Clock: micro.NewClock(), Listen: []string{"127.0.0.1:0"}}, e, func(*transport.Loop) {})
+	l, err := Start(Options{Options: transport.Options{MaxConns: 9, Logf: t.Logf}, Clock: microtime.NewClock(), Listen: []string{"127.0.0.1:0"}}, e, func(*transport.Loop) {})
 	require.NoError(t, err)
 	c := narrow(t, l)
 	set := make(chan struct{})
@@ -144,9 +144,9 @@
 	f.link = l
 	return f
 }
-func (f *fussy) Turn(micro.Time) micro.Time { return micro.Never }
-func (f *fussy) Closed()                    {}
-func (f *fussy) Idle() bool                 { return true }
+func (f *fussy) Turn(microtime.Time) microtime.Time { return microtime.Never }
+func (f *fussy) Closed()                            {}
+func (f *fussy) Idle() bool                         { return true }
 func (f *fussy) Receive(in []byte) (int, error) {
 	f.taken++
 	f.wait()
--- a/internal/transport/sockets/sockets.go
+++ b/internal/transport/sockets/sockets.go
@@ -22,7 +22,7 @@
 	"github.com/panjf2000/gnet/v2/pkg/logging"
 	"golang.org/x/sys/unix"
 
-	"pewterline/internal/micro"
+	"pewterline/internal/microtime"
 	"pewterline/internal/transport"
 )
 
@@ -30,7 +30,7 @@
 
 // Clock tells the time of a turn. Timers run by the system's own clock.
 type Clock interface {
-	Now() micro.Time
+	Now() microtime.Time
 }
 
 // Options say what a Loop serves.
@@ -154,14 +154,14 @@
 func (d *driver) Queue(f func()) error { return d.el.Execute(context.Background(), task(f)) }
 
 // Now is part of transport.Driver.
-func (d *driver) Now() micro.Time { return d.opts.Clock.Now() }
+func (d *driver) Now() microtime.Time { return d.opts.Clock.Now() }
 
 // Rand is part of transport.Driver.
 func (d *driver) Rand() uint64 { return rand.Uint64() }
 
 // SetTimer is part of transport.Driver.
-func (d *driver) SetTimer(at micro.Time) {
-	if at == micro.Never {
+func (d *driver) SetTimer(at microtime.Time) {
+	if at == microtime.Never {
 		d.timer.Stop()
 	} else {
 		d.timer.Reset(max(at-d.opts.Clock.Now(), 0).Duration())
--- a/internal/transport/sockets/sockets_test.go
+++ b/internal/transport/sockets/sockets_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/require"
 	"golang.org/x/sys/unix"
 
-	"pewterline/internal/micro"
+	"pewterline/internal/microtime"
 	"pewterline/internal/transport"
 )
 
@@ -30,7 +30,7 @@
 }
 
 func (e *echo) Accept(_ int, l transport.Conn) transport.Session { return &echoSession{e: e, link: l} }
-func (e *echo) Turn(micro.Time) micro.Time                       { return micro.Never }
+func (e *echo) Turn(microtime.Time) microtime.Time               { return microtime.Never }
 func (s *echoSession) Closed()                                   { s.e.closed <- s.link.Remote() }
 func (s *echoSession) Idle() bool                                { return s.idle }
 func (s *echoSession) Receive(in []byte) (int, error) {
@@ -52,10 +52,10 @@
 // handClock stands still until a test moves it.
 type handClock struct{ now atomic.Int64 }
 
-func (c *handClock) Now() micro.Time { return micro.Time(c.now.Load()) }
+func (c *handClock) Now() microtime.Time { return microtime.Time(c.now.Load()) }
 
 // move sets the clock forward and has the loop take a turn.
-func (c *handClock) move(t *testing.T, l *Loop, by micro.Time) {
+func (c *handClock) move(t *testing.T, l *Loop, by microtime.Time) {
 	c.now.Add(int64(by))
 	done := make(chan struct{})
 	require.NoError(t, l.Execute(func() { close(done) }))
@@ -63,7 +63,7 @@
 }
 
 func start(t *testing.T, e *echo, most int) *Loop {
-	return startWith(t, e, Options{Options: transport.Options{MaxConns: most}, Clock: micro.NewClock()})
+	return startWith(t, e, Options{Options: transport.Options{MaxConns: most}, Clock: microtime.NewClock()})
 }
 
 func startWith(t *testing.T, e *echo, o Options) *Loop {
@@ -107,7 +107,7 @@
 // address, which it may lack, and it is no session.
 func TestOwnSocketNeedsNoAddress(t *testing.T) {
 	begun := 0
-	d := &driver{opts: Options{Clock: micro.NewClock()}}
+	d := &driver{opts: Options{Clock: microtime.NewClock()}}
 	d.loop = transport.New(transport.Options{Logf: t.Logf}, begins{d}, &echo{}, func(*transport.Loop) { begun++ })
 	out, action := d.OnOpen(nowhere{})
 	require.Empty(t, out)
@@ -140,7 +140,7 @@
 		}
 	}()
 	e := &eager{echo: echo{answer: []byte("r"), closed: make(chan string, 10)}}
-	l, err := Start(Options{Options: transport.Options{MaxConns: 2, Logf: t.Logf}, Listen: []string{addr}, Clock: micro.NewClock()}, e, func(*transport.Loop) { e.begun = true })
+	l, err := Start(Options{Options: transport.Options{MaxConns: 2, Logf: t.Logf}, Listen: []string{addr}, Clock: microtime.NewClock()}, e, func(*transport.Loop) { e.begun = true })
 	require.NoError(t, err)
 	c := <-called
 	works(t, c, e.answer) // its session is there
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -9,7 +9,7 @@
 import (
 	"time"
 
-	"pewterline/internal/micro"
+	"pewterline/internal/microtime"
 	"pewterline/internal/planted"
 )
 
@@ -19,22 +19,22 @@
 	// Bytes that may wait to be taken: all open requests of a connection fit several times over.
 	maxUntaken  = 256 << 10
 	keepBuffer  = 4 << 10 // of an empty buffer; an ordinary request and its answer fit
-	redialFirst = 20 * micro.Millisecond
-	redialMost  = 500 * micro.Millisecond
+	redialFirst = 20 * microtime.Millisecond
+	redialMost  = 500 * microtime.Millisecond
 )
 
 // The bounds on time that others may want to know.
 const (
-	IdentificationTimeout = 1500 * micro.Millisecond // until something valid must have come
-	EvictionGrace         = 200 * micro.Millisecond  // not closed to make room: a request may be on its way
-	DialTimeout           = time.Second              // of one attempt; what a Driver keeps to
-	LingerTimeout         = micro.Second             // for the peer of a connection that has been shut to close it
+	IdentificationTimeout = 1500 * microtime.Millisecond // until something valid must have come
+	EvictionGrace         = 200 * microtime.Millisecond  // not closed to make room: a request may be on its way
+	DialTimeout           = time.Second                  // of one attempt; what a Driver keeps to
+	LingerTimeout         = microtime.Second             // for the peer of a connection that has been shut to close it
 )
 
 const (
-	lingerBytes = 256 << 10              // bytes that may come on a connection that has been shut
-	lingerConns = 4                      // connections that have been shut and are in nobody's place
-	lingerPoll  = 10 * micro.Millisecond // looks whether all is sent of one that is to be shut
+	lingerBytes = 256 << 10                  // bytes that may come on a connection that has been shut
+	lingerConns = 4                          // connections that have been shut and are in nobody's place
+	lingerPoll  = 10 * microtime.Millisecond // looks whether all is sent of one that is to be shut
 )
 
 // Session is what a connection's bytes are for. Its methods run on the loop.
@@ -62,7 +62,7 @@
 	// Accept returns the session of a new connection to the listener of that index.
 	Accept(listener int, c Conn) Session
 	// Turn ends a turn, in which all that was ready has been received. It returns when the next one is due.
-	Turn(now micro.Time) micro.Time
+	Turn(now microtime.Time) microtime.Time
 }
 
 // Driver is the network and the clock below a Loop. All its methods but Queue are called on the loop; in return it
@@ -70,12 +70,12 @@
 // each attempt to dial that came to nothing, and Wake.
 type Driver interface {
 	// Now reads the clock. It never goes back.
-	Now() micro.Time
+	Now() microtime.Time
 	// Queue runs f on the loop, behind all that is ready now. It may be called from anywhere; an error says that
 	// the loop has ended and that f will never run.
 	Queue(f func()) error
 	// Wake has Loop.Wake called at a time, or soon after it; a later call replaces the one before. Never: not at all.
-	SetTimer(at micro.Time)
+	SetTimer(at microtime.Time)
 	// Dial tries once to open a connection to d's address, for DialTimeout at most. Connected or Failed follows.
 	Dial(d *Dial)
 	// Datagrams sets the peer of Send; empty: none. On an error the one before stays.
@@ -124,10 +124,10 @@
 	handler Handler
 	begin   func(*Loop)
 	begun   bool
-	now     micro.Time // of this turn
-	pending bool       // the end of this turn is queued
+	now     microtime.Time // of this turn
+	pending bool           // the end of this turn is queued
 	dirty   []*Connection
-	armed   micro.Time
+	armed   microtime.Time
 	hall    room          // of most listeners
 	apart   map[int]*room // of those that have places of their own
 	// Accepted connections that had sent nothing valid when they were last looked at, oldest first.
@@ -136,7 +136,7 @@
 	failed       []*Dial       // to be dialled again
 	lingering    []*Connection // shut, until their peers close them; oldest first
 	shuttingDown bool          // nothing is accepted, and the loop stops with the last that parts
-	shutdownBy   micro.Time
+	shutdownBy   microtime.Time
 }
 
 // Connection is one connection, accepted or dialled. It has one buffer for what is read and not yet taken.
@@ -146,17 +146,17 @@
 	session Session
 	buf     []byte
 	out     []byte
-	closing bool       // closed at the end of the turn, after what is unsent
-	closed  bool       // the session has been told
-	gone    bool       // the driver has no more of it
-	until   micro.Time // shut: closed outright then
-	spilled int        // bytes that came since
-	room    *room      // nil: dialled
+	closing bool           // closed at the end of the turn, after what is unsent
+	closed  bool           // the session has been told
+	gone    bool           // the driver has no more of it
+	until   microtime.Time // shut: closed outright then
+	spilled int            // bytes that came since
+	room    *room          // nil: dialled
 	vouched bool
-	place   int        // in its room
-	since   micro.Time // it was accepted
-	active  micro.Time // it last sent something, or was written to
-	counted int        // its share of the loop's waiting bytes
+	place   int            // in its room
+	since   microtime.Time // it was accepted
+	active  microtime.Time // it last sent something, or was written to
+	counted int            // its share of the loop's waiting bytes
 }
 
 // room holds accepted connections; each knows its place. One that has been shut keeps its place while it can, as it holds a
@@ -170,7 +170,7 @@
 // New returns a loop on a driver, which has begun to run when it calls Begin; begin comes first on it, before any
 // session.
 func New(opts Options, d Driver, h Handler, begin func(*Loop)) *Loop {
-	l := &Loop{opts: opts, driver: d, handler: h, begin: begin, armed: micro.Never, hall: room{most: opts.MaxConns}, apart: map[int]*room{}}
+	l := &Loop{opts: opts, driver: d, handler: h, begin: begin, armed: microtime.Never, hall: room{most: opts.MaxConns}, apart: map[int]*room{}}
 	for listener, most := range opts.DedicatedLimits {
 		l.apart[listener] = &room{most: most}
 	}
@@ -208,7 +208,7 @@
 
 // Shutdown shuts all accepted connections, after what was written, and ends the loop once their peers have closed them, or at a
 // time. Guards the last answers: a process that ends while something has arrived unread resets the connection.
-func (l *Loop) Shutdown(by micro.Time) {
+func (l *Loop) Shutdown(by microtime.Time) {
 	l.touch()
 	l.shuttingDown, l.shutdownBy = true, by
 	for _, r := range l.rooms() {
@@ -249,7 +249,7 @@
 }
 
 // Now is the time of this turn.
-func (l *Loop) Now() micro.Time { return l.now }
+func (l *Loop) Now() microtime.Time { return l.now }
 
 // Rand is a random number of the driver's.
 func (l *Loop) Rand() uint64 { return l.driver.Rand() }
@@ -404,8 +404,8 @@
 }
 
 // sweepLingering goes through the connections that have been shut; it returns when to do so again.
-func (l *Loop) sweepLingering() micro.Time {
-	next, left := micro.Never, l.lingering[:0]
+func (l *Loop) sweepLingering() microtime.Time {
+	next, left := microtime.Never, l.lingering[:0]
 	if l.shuttingDown {
 		next = l.shutdownBy
 	}
@@ -502,7 +502,7 @@
 
 // dismiss closes the strangers whose time is up; it returns when that of the next one is. Guards the places of the
 // proxies against whoever connects and says nothing, or nothing that makes sense, or half of it.
-func (l *Loop) dismiss() micro.Time {
+func (l *Loop) dismiss() microtime.Time {
 	for len(l.strangers) > 0 {
 		c := l.strangers[0]
 		if !c.closed && (!c.vouched || planted.Bug(planted.StrangerVouched)) {
@@ -515,7 +515,7 @@
 		l.strangers = l.strangers[1:]
 	}
 	l.strangers = nil
-	return micro.Never
+	return microtime.Never
 }
 
 // makeRoom closes one connection of a room: the oldest stranger, or else the one that has been idle the longest.
@@ -585,9 +585,9 @@
 	addr    string
 	open    func(Conn) Session
 	failed  func() // nil: it is tried again until it opens
-	wait    micro.Time
-	again   micro.Time // when it is to be tried again
-	dropped bool       // nobody wants it any more
+	wait    microtime.Time
+	again   microtime.Time // when it is to be tried again
+	dropped bool           // nobody wants it any more
 }
 
 // Addr is where to.
@@ -639,8 +639,8 @@
 }
 
 // redial tries what is due to be tried again; it returns when the next one is.
-func (l *Loop) redial() micro.Time {
-	next, left := micro.Never, l.failed[:0]
+func (l *Loop) redial() microtime.Time {
+	next, left := microtime.Never, l.failed[:0]
 	for _, d := range l.failed {
 		switch {
 		case d.dropped:
--- a/internal/vaultlink/client.go
+++ b/internal/vaultclient/client.go
@@ -1,9 +1,9 @@
-// Package vaultlink is the client of the vault: it carries out on the event loop what calls.Dispatcher decides.
-package vaultlink
+// Package vaultclient is the client of the vault: it carries out on the event loop what calls.Dispatcher decides.
+package vaultclient
 
 import (
 	"pewterline/internal/decide/calls"
-	"pewterline/internal/micro"
+	"pewterline/internal/microtime"
 	"pewterline/internal/transport"
 )
 
@@ -12,13 +12,13 @@
 
 // Loop is what the client needs of the event loop.
 type Loop interface {
-	Now() micro.Time
+	Now() microtime.Time
 	// Try opens a connection once: open gives its session, or failed says that it came to nothing.
 	DialOnce(addr string, open func(transport.Conn) transport.Session, failed func()) (drop func())
 }
 
 // CallEnded tells how a call ended. reply is the caller's to keep; only calls.Answered has one.
-type CallEnded func(now micro.Time, id string, outcome calls.Outcome, reply []byte)
+type CallEnded func(now microtime.Time, id string, outcome calls.Outcome, reply []byte)
 
 // Client makes calls. All its methods are called on the loop. Ended is only called by Check.
 type Client struct {
@@ -91,7 +91,7 @@
 }
 
 // Check ends what is due, and tells how calls ended. It is called at the beginning of a turn.
-func (c *Client) Check(now micro.Time) {
+func (c *Client) Check(now microtime.Time) {
 	c.dispatch.Expire(now)
 	c.carryOut()
 	results := c.results
@@ -102,7 +102,7 @@
 }
 
 // NextDue is when Check has something to do, whatever arrives before that.
-func (c *Client) NextDue() micro.Time {
+func (c *Client) NextDue() microtime.Time {
 	if len(c.results) > 0 {
 		return c.loop.Now()
 	}
--- a/internal/vaultlink/client_test.go
+++ b/internal/vaultclient/client_test.go
@@ -1,4 +1,4 @@
-package vaultlink
+package vaultclient
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 
 	"pewterline/internal/decide/calls"
-	"pewterline/internal/micro"
+	"pewterline/internal/microtime"
 	"pewterline/internal/protocol/vault"
 	"pewterline/internal/transport"
 )
@@ -17,7 +17,7 @@
 type bench struct {
 	t      *testing.T
 	client *Client
-	now    micro.Time
+	now    microtime.Time
 	dials  []dial
 	ended  []string
 }
@@ -41,7 +41,7 @@
 func (c *conn) MarkIdentified() {}
 func (c *conn) Remote() string  { return "vault" }
 
-func (b *bench) Now() micro.Time { return b.now }
+func (b *bench) Now() microtime.Time { return b.now }
 
 func (b *bench) DialOnce(address string, open func(transport.Conn) transport.Session, failed func()) func() {
 	b.dials = append(b.dials, dial{address: address, open: open, failed: failed})
@@ -51,7 +51,7 @@
 
 func newBench(t *testing.T) *bench {
 	b := &bench{t: t, client: New("v1", t.Logf)}
-	b.client.Attach(b, func(_ micro.Time, id string, outcome calls.Outcome, reply []byte) {
+	b.client.Attach(b, func(_ microtime.Time, id string, outcome calls.Outcome, reply []byte) {
 		b.ended = append(b.ended, fmt.Sprintf("%s %d %s", id[12:], outcome, reply))
 	})
 	return b
@@ -59,7 +59,7 @@
 
 func id(n int) string { return fmt.Sprintf("%016d", n) }
 
-func (b *bench) ask(n int, wait micro.Time, repeatable bool) {
+func (b *bench) ask(n int, wait microtime.Time, repeatable bool) {
 	b.client.Call(calls.Request{ID: id(n), Timeout: wait, Idempotent: repeatable, Body: []byte("b")})
 }
 
@@ -79,7 +79,7 @@
 }
 
 // after moves the clock on, and returns how calls ended since the last time.
-func (b *bench) after(d micro.Time) []string {
+func (b *bench) after(d microtime.Time) []string {
 	b.now += d
 	b.client.Check(b.now)
 	ended := b.ended
@@ -91,7 +91,7 @@
 	return fmt.Sprintf("%04d %d %s", n, o, reply)
 }
 
-const second = micro.Second
+const second = microtime.Second
 
 // Calls share a link, and each reply ends its own call, in any order and unchanged; one for no call is dropped.
 func TestCallsShareALink(t *testing.T) {
@@ -128,14 +128,14 @@
 // A call whose time is over is given up, and what is given up is told to the vault once.
 func TestGivingUp(t *testing.T) {
 	b := newBench(t)
-	b.ask(1, 100*micro.Millisecond, false)
+	b.ask(1, 100*microtime.Millisecond, false)
 	b.ask(2, second, false)
 	c := b.opens()
 	c.out = ""
 	b.client.Abandon(id(2))
 	b.client.Abandon(id(2))
 	require.Equal(t, "unask "+id(2)+"\r\n", c.out)
-	require.Equal(t, []string{ended(1, calls.Abandoned, "")}, b.after(100*micro.Millisecond))
+	require.Equal(t, []string{ended(1, calls.Abandoned, "")}, b.after(100*microtime.Millisecond))
 	require.Equal(t, "unask "+id(2)+"\r\nunask "+id(1)+"\r\n", c.out)
 	b.tells(c, id(1)+" yes 1\r\nx\r\n"+id(2)+" yes 1\r\nx\r\n")
 	require.Empty(t, b.after(0), "replies that cross")
@@ -216,7 +216,7 @@
 		if len(b.dials) > len(conns) {
 			conns = append(conns, b.opens())
 		}
-		require.Empty(t, b.after(20*micro.Millisecond))
+		require.Empty(t, b.after(20*microtime.Millisecond))
 		require.LessOrEqual(t, b.client.Status().Links, MaxConns)
 	}
 	require.Equal(t, 400, b.client.Status().InFlight)
--- a/internal/vaultlink/link.go
+++ b/internal/vaultclient/link.go
@@ -1,8 +1,8 @@
-package vaultlink
+package vaultclient
 
 import (
 	"pewterline/internal/decide/calls"
-	"pewterline/internal/micro"
+	"pewterline/internal/microtime"
 	"pewterline/internal/protocol/vault"
 	"pewterline/internal/transport"
 )
@@ -27,7 +27,7 @@
 
 // ask writes a call. Its wait is told in whole milliseconds, and is at least one.
 func (l *link) ask(a calls.Send) {
-	wait := (a.Timeout + micro.Millisecond - 1) / micro.Millisecond
+	wait := (a.Timeout + microtime.Millisecond - 1) / microtime.Millisecond
 	l.write(vault.AppendAsk(l.out[:0], a.ID, int(min(max(wait, 1), vault.MaxWaitMS)), a.Body))
 }
 
