--- a/cmd/pewterline-sim/main.go
+++ b/cmd/pewterline-sim/main.go
@@ -149,8 +149,8 @@
 	if last == 0 && c.For == 0 && c.Most == 0 {
 		return faulty, fmt.Errorf("--seeds: without an end, --for or --most is needed")
 	}
-	h := sim.Hunt{First: first, Last: last, For: c.For, Profile: c.Profile, Servers: c.Servers, Proxies: c.Proxies, Length: c.length(),
-		Rate: c.Rate, Edges: c.Edges, Vault: c.Vault, Guided: c.Guided, Jobs: c.Jobs, Most: c.Most}
+	h := sim.Search{FirstSeed: first, LastSeed: last, Duration: c.For, Profile: c.Profile, Servers: c.Servers, Proxies: c.Proxies, Length: c.length(),
+		Rate: c.Rate, Edges: c.Edges, Vault: c.Vault, Guided: c.Guided, Jobs: c.Jobs, MaxFindings: c.Most}
 	if h.Jobs == 0 {
 		h.Jobs = runtime.GOMAXPROCS(0)
 	}
@@ -158,10 +158,10 @@
 	terminal := isatty.IsTerminal(os.Stderr.Fd())
 	h.Progress = func(p sim.Progress) {
 		if terminal {
-			fmt.Fprintf(os.Stderr, "\r\x1b[K%d runs, %d situations, %d scripts kept, %d finds, %v", p.Runs, p.Situations, p.Kept, len(p.Finds), p.Took.Round(time.Second))
+			fmt.Fprintf(os.Stderr, "\r\x1b[K%d runs, %d situations, %d scripts kept, %d finds, %v", p.Runs, p.Situations, p.CorpusSize, len(p.Findings), p.Took.Round(time.Second))
 		}
-		for ; told < len(p.Finds); told++ {
-			f := p.Finds[told]
+		for ; told < len(p.Findings); told++ {
+			f := p.Findings[told]
 			fmt.Fprintf(out, "run %d after %v, seed %d: %s\n", f.Run, f.After.Round(time.Millisecond), f.Script.Seed, f.Violation)
 			if c.Out != "" {
 				name := fmt.Sprintf("%s/find-%d-%d.txt", c.Out, f.Script.Seed, f.Run)
@@ -179,8 +179,8 @@
 		return faulty, err
 	}
 	fmt.Fprintf(out, "%d runs, %v simulated in %v, %d situations reached, %d broke a rule\n", p.Runs, p.Simulated.Duration().Round(time.Second),
-		p.Took.Round(time.Millisecond), p.Situations, len(p.Finds))
-	if len(p.Finds) > 0 {
+		p.Took.Round(time.Millisecond), p.Situations, len(p.Findings))
+	if len(p.Findings) > 0 {
 		return broken, nil
 	}
 	return clean, nil
@@ -245,15 +245,15 @@
 }
 
 func (c *routesCmd) Run(out io.Writer) (int, error) {
-	troubles := sim.Troubles
+	troubles := sim.Impairments
 	if c.Trouble != "" {
 		troubles = []string{c.Trouble}
 	}
 	fmt.Fprintf(out, "%-9s %-12s %8s %8s %7s %7s %6s %7s\n", "trouble", "policy", "p50 ms", "p99 ms", "worth", "first10", "tries", "wasted")
 	for _, t := range troubles {
-		results := map[string][]sim.RouteResult{}
+		results := map[string][]sim.PolicyResult{}
 		for seed := range c.Seeds {
-			o := sim.Routes{Servers: c.Servers, Load: c.Load, Length: microtime.Time(c.Seconds * 1e6), Trouble: t, Seed: uint64(seed + 1), Advised: c.Advised}
+			o := sim.BalancerComparison{Servers: c.Servers, Load: c.Load, Length: microtime.Time(c.Seconds * 1e6), Impairment: t, Seed: uint64(seed + 1), Warm: c.Advised}
 			if t == "overload" {
 				o.Load = 1.6
 			}
@@ -266,17 +266,17 @@
 			}
 		}
 		for _, p := range sim.Policies {
-			med := func(f func(sim.RouteResult) float64) float64 {
+			med := func(f func(sim.PolicyResult) float64) float64 {
 				var v []float64
 				for _, r := range results[p] {
 					v = append(v, f(r))
 				}
 				return median(v)
 			}
-			fmt.Fprintf(out, "%-9s %-12s %8.0f %8.0f %7.3f %7.3f %6.2f %7.0f\n", t, p, med(func(r sim.RouteResult) float64 { return float64(r.P50) / 1000 }),
-				med(func(r sim.RouteResult) float64 { return float64(r.P99) / 1000 }), med(func(r sim.RouteResult) float64 { return r.Worth }),
-				med(func(r sim.RouteResult) float64 { return r.FirstWorth }), med(func(r sim.RouteResult) float64 { return r.Amplification }),
-				med(func(r sim.RouteResult) float64 { return float64(r.Wasted) }))
+			fmt.Fprintf(out, "%-9s %-12s %8.0f %8.0f %7.3f %7.3f %6.2f %7.0f\n", t, p, med(func(r sim.PolicyResult) float64 { return float64(r.P50) / 1000 }),
+				med(func(r sim.PolicyResult) float64 { return float64(r.P99) / 1000 }), med(func(r sim.PolicyResult) float64 { return r.Worth }),
+				med(func(r sim.PolicyResult) float64 { return r.FirstWorth }), med(func(r sim.PolicyResult) float64 { return r.Amplification }),
+				med(func(r sim.PolicyResult) float64 { return float64(r.Wasted) }))
 		}
 	}
 	return clean, nil
@@ -296,7 +296,7 @@
 	code := clean
 	fmt.Fprintf(out, "%-8s %28s %28s %24s %10s\n", "advice", "tries wasted (50% 90%)", "in the first 2 s (50% 90%)", "worth (10% 50%)", "bytes/s")
 	for _, advice := range []bool{false, true} {
-		results := make([]sim.LearnResult, c.Seeds)
+		results := make([]sim.GossipResult, c.Seeds)
 		errs := make([]error, c.Seeds)
 		var wait sync.WaitGroup
 		room := make(chan struct{}, runtime.GOMAXPROCS(0))
@@ -304,15 +304,15 @@
 			wait.Go(func() {
 				room <- struct{}{}
 				defer func() { <-room }()
-				results[i], errs[i] = sim.Learn{Seed: uint64(i + 1), Edges: c.Edges, Servers: c.Servers, Dead: c.Dead, Slow: c.Slow, Rate: c.Rate,
-					Advice: advice, Draw: c.Worst}.Run()
+				results[i], errs[i] = sim.GossipExperiment{Seed: uint64(i + 1), Edges: c.Edges, Servers: c.Servers, Dead: c.Dead, Slow: c.Slow, Rate: c.Rate,
+					Gossip: advice, DrawFaults: c.Worst}.Run()
 			})
 		}
 		wait.Wait()
 		if err := errors.Join(errs...); err != nil {
 			return faulty, err
 		}
-		at := func(q float64, f func(sim.LearnResult) float64) float64 {
+		at := func(q float64, f func(sim.GossipResult) float64) float64 {
 			var v []float64
 			for _, r := range results {
 				v = append(v, f(r))
@@ -320,10 +320,10 @@
 			slices.Sort(v)
 			return v[min(int(q*float64(len(v))), len(v)-1)]
 		}
-		wasted := func(r sim.LearnResult) float64 { return float64(r.Wasted) }
-		right := func(r sim.LearnResult) float64 { return float64(r.Early) }
-		worth := func(r sim.LearnResult) float64 { return r.Worth }
-		bytes := func(r sim.LearnResult) float64 { return float64(r.Exchanged) / 19 / float64(c.Edges) }
+		wasted := func(r sim.GossipResult) float64 { return float64(r.Wasted) }
+		right := func(r sim.GossipResult) float64 { return float64(r.Early) }
+		worth := func(r sim.GossipResult) float64 { return r.Worth }
+		bytes := func(r sim.GossipResult) float64 { return float64(r.Exchanged) / 19 / float64(c.Edges) }
 		fmt.Fprintf(out, "%-8v %20.0f %7.0f %22.0f %7.0f %17.3f %6.3f %10.0f\n", advice, at(0.5, wasted), at(0.9, wasted), at(0.5, right), at(0.9, right),
 			at(0.1, worth), at(0.5, worth), at(0.5, bytes))
 		for _, r := range results {
@@ -344,7 +344,7 @@
 	var cmd command
 	code := clean
 	parser, err := kong.New(&cmd, kong.Name("pewterline-sim"), kong.Description("Plays the log server against faults on a virtual clock."),
-		kong.Vars{"profiles": strings.Join(faults.Profiles(), ", "), "troubles": strings.Join(sim.Troubles, ", ")}, kong.Writers(out, errs), kong.Exit(func(int) { panic(helpShown{}) }))
+		kong.Vars{"profiles": strings.Join(faults.Profiles(), ", "), "troubles": strings.Join(sim.Impairments, ", ")}, kong.Writers(out, errs), kong.Exit(func(int) { panic(helpShown{}) }))
 	if err != nil {
 		fmt.Fprintln(errs, "pewterline-sim:", err)
 		return faulty
--- a/cmd/pewterline-sim/planted.go
+++ b/cmd/pewterline-sim/planted.go
@@ -46,18 +46,18 @@
 			text := ""
 			for series := range c.Series {
 				planted.Set(bug)
-				h := sim.Hunt{First: 1 + uint64(series)*1_000_000, For: c.Within, Profile: c.Profile, Servers: c.Servers, Proxies: c.Proxies,
-					Length: c.length(), Rate: c.Rate, Guided: mode == 1, Jobs: c.Jobs, Most: 1}
+				h := sim.Search{FirstSeed: 1 + uint64(series)*1_000_000, Duration: c.Within, Profile: c.Profile, Servers: c.Servers, Proxies: c.Proxies,
+					Length: c.length(), Rate: c.Rate, Guided: mode == 1, Jobs: c.Jobs, MaxFindings: 1}
 				p, err := h.Run()
 				if err != nil {
 					return faulty, err
 				}
-				if len(p.Finds) == 0 {
+				if len(p.Findings) == 0 {
 					text += fmt.Sprintf(" none in %d (%.0f)", p.Runs, p.Took.Seconds())
 					runs, secs, code = append(runs, math.Inf(1)), append(secs, math.Inf(1)), broken
 					continue
 				}
-				f := p.Finds[0]
+				f := p.Findings[0]
 				if c.Out != "" && series == 0 && mode == 0 {
 					if err := c.keep(bug, f.Script); err != nil {
 						return faulty, err
--- a/cmd/pewterline-sim/procs.go
+++ b/cmd/pewterline-sim/procs.go
@@ -33,9 +33,9 @@
 
 func (f procsFlags) drawn(seed uint64) faults.Script {
 	if f.Group {
-		return hunt.Drawn(seed, f.Seconds)
+		return hunt.DrawScript(seed, f.Seconds)
 	}
-	return processtest.Drawn(seed, f.Seconds)
+	return processtest.DrawScript(seed, f.Seconds)
 }
 
 // options builds the program into a folder of its own.
@@ -55,7 +55,7 @@
 	}
 	var tags []string
 	if f.Group {
-		tags, file.Settings = []string{"faults"}, processtest.LongWindow(file.Settings)
+		tags, file.Settings = []string{"faults"}, processtest.LongRetention(file.Settings)
 	}
 	program, err := processtest.Build(f.Root, dir, tags...)
 	return processtest.Options{Program: program, Settings: file.Settings}, func() { _ = os.RemoveAll(dir) }, err
@@ -74,11 +74,11 @@
 		fmt.Fprintf(out, "seed %d: %d servers, %d disks lost, %d times not known; ", s.Seed, s.Servers, o.Wiped, o.Unknown)
 	}
 	fmt.Fprintf(out, "seed %d: %d faults, %d processes, %d upgrades; %d answers, %d served, %d refused, %d unheard; %d rules broken\n", s.Seed, len(s.Faults),
-		o.Starts, o.Upgrades, o.Answered, o.Served, o.Refused, o.Unheard, len(o.Broken))
-	for _, b := range o.Broken {
+		o.Starts, o.Upgrades, o.Answered, o.Served, o.Refused, o.Unanswered, len(o.Violations))
+	for _, b := range o.Violations {
 		fmt.Fprintln(out, b)
 	}
-	return len(o.Broken) == 0, nil
+	return len(o.Violations) == 0, nil
 }
 
 type procsRunCmd struct {
@@ -140,7 +140,7 @@
 			}
 			fails = !ok
 		}
-		k.Tell(fails)
+		k.Report(fails)
 		fmt.Fprintf(out, "%d faults, %d servers: breaks a rule: %v\n", len(smaller.Faults), smaller.Servers, fails)
 	}
 }
--- a/cmd/pewterline/calls_test.go
+++ b/cmd/pewterline/calls_test.go
@@ -26,7 +26,7 @@
 // called is the next call, which has to be of a body.
 func called(t *testing.T, v *processtest.Vault, of string) *processtest.Call {
 	t.Helper()
-	c, err := v.Asked()
+	c, err := v.NextCall()
 	require.NoError(t, err)
 	require.Equal(t, processtest.CallBody(1, of), c.Body)
 	return c
@@ -43,7 +43,7 @@
 	called(t, v, "one")
 	old.Pool.Hold()
 	running := w.ask(w.dial(), "lot-intake", "k3", "three")
-	require.NoError(t, old.Pool.Started("three"))
+	require.NoError(t, old.Pool.AwaitStart("three"))
 	next := w.start()
 	require.NoError(t, old.Signal(syscall.SIGTERM))
 	require.Eventually(t, func() bool { return strings.Contains(next.Log(), "has handed over") }, processtest.Patience, processtest.Patience/1e4)
@@ -70,20 +70,20 @@
 	p := w.start()
 	v.Hold()
 	c := w.dial()
-	var open []processtest.Asked
+	var open []processtest.PendingRequest
 	for _, once := range []string{"one", "two", "three"} {
 		open = append(open, w.ask(c, "lot-intake", once, once))
 		called(t, v, once)
 	}
 	require.NoError(t, p.Signal(syscall.SIGTERM))
 	for _, a := range open {
-		r, err := a.Answer()
+		r, err := a.Await()
 		require.NoError(t, err)
 		require.Equal(t, thrift.ReplyBroken, r.Kind)
 	}
 	c.Close()
 	require.NoError(t, p.Wait(), p.Log())
 	require.Len(t, v.Calls(), len(open))
-	require.Empty(t, p.Pool.Strays())
+	require.Empty(t, p.Pool.UnexpectedCommands())
 	w.once()
 }
--- a/cmd/pewterline/signals_test.go
+++ b/cmd/pewterline/signals_test.go
@@ -38,7 +38,7 @@
 	c := w.dial()
 	p.Pool.Hold()
 	running := w.ask(c, "lot-intake", "k1", "one")
-	require.NoError(t, p.Pool.Started("one"))
+	require.NoError(t, p.Pool.AwaitStart("one"))
 	require.NoError(t, p.Signal(syscall.SIGTERM))
 	for !strings.Contains(p.Log(), "edge: draining") {
 		require.False(t, p.Ended())
--- a/cmd/pewterline/store_test.go
+++ b/cmd/pewterline/store_test.go
@@ -21,7 +21,7 @@
 	w.served(w.ask(c, "lot-intake", "k1", "one"), "one")
 	first.Pool.Hold()
 	w.ask(c, "lot-intake", "k2", "two")
-	require.NoError(t, first.Pool.Started("two"))
+	require.NoError(t, first.Pool.AwaitStart("two"))
 	require.NoError(t, first.Signal(syscall.SIGKILL))
 	require.Error(t, first.Wait())
 	second := w.start()
--- a/cmd/pewterline/try.go
+++ b/cmd/pewterline/try.go
@@ -40,7 +40,7 @@
 	if err := json.Unmarshal(example.Config, &file); err != nil {
 		return err
 	}
-	g, err := processtest.NewGroup(program, file.Settings, 3, 3)
+	g, err := processtest.NewCluster(program, file.Settings, 3, 3)
 	if g != nil {
 		defer func() { err = errors.Join(err, g.Close()) }()
 	}
@@ -58,7 +58,7 @@
 	wrong := error(nil)
 	send := func(id int, class, key string, retry, same bool) {
 		told, err := g.Send(id, class, key, time.Now(), retry)
-		runs := len(g.Ledger.Runs(key))
+		runs := len(g.RunLog.Runs(key))
 		answer := said[told.Kind]
 		if err != nil {
 			answer = err.Error()
@@ -81,7 +81,7 @@
 	if err := g.Start(1); err != nil {
 		return err
 	}
-	if err := g.Settled(); err != nil {
+	if err := g.AwaitStable(); err != nil {
 		return err
 	}
 	s, err := g.State(1)
--- a/cmd/pewterline/upgrade_test.go
+++ b/cmd/pewterline/upgrade_test.go
@@ -56,7 +56,7 @@
 	require.NoError(t, json.Unmarshal(text, &file))
 	dir, err := os.MkdirTemp("", "pw") // short: a socket's path has to fit
 	require.NoError(t, err)
-	s := &processtest.Server{Program: path, Dir: dir, Listen: listen, Settings: file.Settings, StopMS: 3200, MemoryMB: *memoryMB, Ledger: processtest.NewLedger()}
+	s := &processtest.Server{Program: path, Dir: dir, Listen: listen, Settings: file.Settings, StopMS: 3200, MemoryMB: *memoryMB, RunLog: processtest.NewRunLog()}
 	t.Cleanup(func() {
 		require.NoError(t, s.Close())
 		_ = os.RemoveAll(dir)
@@ -78,28 +78,28 @@
 	return c
 }
 
-func (w *twin) ask(c *processtest.Conn, class, once, body string) processtest.Asked {
-	a, err := c.Ask(class, once, body, time.Now())
+func (w *twin) ask(c *processtest.Conn, class, once, body string) processtest.PendingRequest {
+	a, err := c.Send(class, once, body, time.Now())
 	require.NoError(w.t, err)
 	return a
 }
 
-func (w *twin) served(a processtest.Asked, body string) {
+func (w *twin) served(a processtest.PendingRequest, body string) {
 	w.t.Helper()
-	p, err := a.Answer()
+	p, err := a.Await()
 	require.NoError(w.t, err)
 	require.Equal(w.t, thrift.ReplyAnswer, p.Kind, body)
 	require.Equal(w.t, "did "+body, string(p.Body))
 }
 
-func (w *twin) failed(a processtest.Asked) {
+func (w *twin) failed(a processtest.PendingRequest) {
 	w.t.Helper()
-	p, err := a.Answer()
+	p, err := a.Await()
 	require.NoError(w.t, err)
 	require.Equal(w.t, thrift.ReplyBroken, p.Kind, "neither served nor refused: whether it ran is not known")
 }
 
-func (w *twin) once() { require.Empty(w.t, w.Ledger.Twice()) }
+func (w *twin) once() { require.Empty(w.t, w.RunLog.DuplicateRuns()) }
 
 // Guards the once-only rule across an upgrade: an intake read by the old process, and its repeat by the new one while it runs
 // there, once it has run, and while it is held and has not run yet.
@@ -111,8 +111,8 @@
 	w.served(w.ask(c, "lot-intake", "k1", "one"), "one")
 	old.Pool.Hold()
 	running := w.ask(c, "lot-intake", "k2", "two")
-	require.NoError(t, old.Pool.Started("two"))
-	var fill []processtest.Asked
+	require.NoError(t, old.Pool.AwaitStart("two"))
+	var fill []processtest.PendingRequest
 	for i := range 10 { // more than may run at once: the last are held
 		fill = append(fill, w.ask(c, "lot-intake", fmt.Sprintf("f%d", i), fmt.Sprintf("fill%d", i)))
 	}
@@ -122,7 +122,7 @@
 	d := w.dial()
 	w.served(w.ask(d, "lot-intake", "k1", "one"), "one")
 	again := w.ask(d, "lot-intake", "k2", "two")
-	var repeats []processtest.Asked
+	var repeats []processtest.PendingRequest
 	for i := range 10 {
 		repeats = append(repeats, w.ask(d, "lot-intake", fmt.Sprintf("f%d", i), fmt.Sprintf("fill%d", i)))
 	}
@@ -151,7 +151,7 @@
 			for _, k := range []string{"two", "three", "four"} { // the last is held: two may run at once
 				w.ask(c, "lot-intake", k, k)
 			}
-			require.NoError(t, old.Pool.Started("two"))
+			require.NoError(t, old.Pool.AwaitStart("two"))
 			next := w.start()
 			if handed {
 				require.NoError(t, old.Signal(syscall.SIGTERM))
@@ -172,10 +172,10 @@
 			if handed {
 				w.failed(w.ask(d, "lot-intake", "four", "four"))
 			} else { // the successor knows whether the old one had begun it by then; either way it runs once
-				p, err := w.ask(d, "lot-intake", "four", "four").Answer()
+				p, err := w.ask(d, "lot-intake", "four", "four").Await()
 				require.NoError(t, err)
 				require.Contains(t, []thrift.ReplyKind{thrift.ReplyAnswer, thrift.ReplyBroken}, p.Kind)
-				require.Len(t, w.Ledger.Runs("four"), 1)
+				require.Len(t, w.RunLog.Runs("four"), 1)
 			}
 			w.served(w.ask(d, "lot-intake", "new", "new"), "new")
 			w.served(w.ask(d, "block-view", "", "view"), "view")
@@ -194,7 +194,7 @@
 	works := func(once string) {
 		w.served(w.ask(c, "lot-intake", once, once), once)
 		w.served(w.ask(w.dial(), "lot-intake", once, once), once)
-		good, err := processtest.Probe(w.Listen)
+		good, err := processtest.CheckHealth(w.Listen)
 		require.NoError(t, err)
 		require.True(t, good)
 	}
@@ -228,7 +228,7 @@
 	w := newTwin(t)
 	old := w.start()
 	old.Pool.Hold()
-	var open []processtest.Asked
+	var open []processtest.PendingRequest
 	var bodies []string
 	for i := range 12 {
 		c := w.dial()
@@ -240,22 +240,22 @@
 	silent := w.dial()
 	next := w.start()
 	require.NoError(t, old.Signal(syscall.SIGTERM))
-	first, err := silent.Ask("lot-intake", "first", "first", time.Now()) // crosses the farewell, if it has not read it yet
+	first, err := silent.Send("lot-intake", "first", "first", time.Now()) // crosses the farewell, if it has not read it yet
 	if err != nil {
 		first = w.ask(w.dial(), "lot-intake", "first", "first")
 	}
 	old.Pool.Release()
 	for i, a := range open {
-		p, err := a.Answer()
+		p, err := a.Await()
 		require.NoError(t, err, bodies[i])
 		if p.Kind == thrift.ReplyAnswer {
 			require.Equal(t, "did "+bodies[i], string(p.Body))
 		} else { // what never ran may be refused, and may come again at the successor
 			require.Equal(t, thrift.ReplyThrottled, p.Kind, "%s: %v", bodies[i], p)
-			require.Empty(t, w.Ledger.Runs(bodies[i]), "refused though it ran")
+			require.Empty(t, w.RunLog.Runs(bodies[i]), "refused though it ran")
 		}
 	}
-	if _, err := first.Answer(); err != nil {
+	if _, err := first.Await(); err != nil {
 		w.served(w.ask(w.dial(), "lot-intake", "first", "first"), "first")
 	}
 	require.NoError(t, old.Wait(), old.Log())
@@ -271,7 +271,7 @@
 	old := w.start()
 	old.Pool.Hold()
 	a := w.ask(w.dial(), "lot-intake", "k1", "one")
-	require.NoError(t, old.Pool.Started("one"))
+	require.NoError(t, old.Pool.AwaitStart("one"))
 	next := w.start()
 	require.NoError(t, old.Signal(syscall.SIGTERM))
 	w.failed(a)
@@ -295,7 +295,7 @@
 		require.Less(t, i, 5000, "what the successor does not read is bounded")
 		body := fmt.Sprintf("%d%s", i, long)
 		a := w.ask(c, "lot-intake", fmt.Sprintf("k%d", i), body)
-		_, err := a.Answer()
+		_, err := a.Await()
 		require.NoError(t, err)
 	}
 	require.NoError(t, next.Signal(syscall.SIGCONT))
@@ -323,9 +323,9 @@
 	idle := func() {
 		c := w.dial()
 		crowd = append(crowd, c)
-		a, err := c.Ask("block-view", "", "v", time.Now()) // known, then silent; or closed to make room
+		a, err := c.Send("block-view", "", "v", time.Now()) // known, then silent; or closed to make room
 		if err == nil {
-			_, _ = a.Answer()
+			_, _ = a.Await()
 		}
 	}
 	for range 140 {
@@ -350,7 +350,7 @@
 	old := w.start()
 	old.Pool.Hold()
 	a := w.ask(w.dial(), "lot-intake", "k1", "one")
-	require.NoError(t, old.Pool.Started("one"))
+	require.NoError(t, old.Pool.AwaitStart("one"))
 	next := w.start()
 	reload := func(p *processtest.Process, pool string) {
 		var set map[string]any
@@ -428,14 +428,14 @@
 					}
 				}
 				body := fmt.Sprintf("lot %d/%d", i, j)
-				a, err := c.Ask("lot-intake", body, body, time.Now())
+				a, err := c.Send("lot-intake", body, body, time.Now())
 				if err == nil {
-					_, err = a.Answer()
+					_, err = a.Await()
 				}
 				if err != nil && !c.Usable() && i%2 == 1 { // it crossed the farewell: a proxy sends it once more
 					if c, err = processtest.Dial(w.Listen); err == nil {
-						if a, err = c.Ask("lot-intake", body, body, time.Now()); err == nil {
-							_, err = a.Answer()
+						if a, err = c.Send("lot-intake", body, body, time.Now()); err == nil {
+							_, err = a.Await()
 						}
 					}
 				}
@@ -504,7 +504,7 @@
 			if n++; n%16 == 0 || !c.Usable() {
 				c = w.dial()
 			}
-			_, _ = c.Ask("block-view", "", "v", time.Now())
+			_, _ = c.Send("block-view", "", "v", time.Now())
 		}
 	}()
 	var took []float64
@@ -531,7 +531,7 @@
 	old.Pool.Hold()
 	c := w.dial()
 	running := w.ask(c, "lot-intake", "k1", "one")
-	require.NoError(t, old.Pool.Started("one"))
+	require.NoError(t, old.Pool.AwaitStart("one"))
 	next := w.start()
 	require.NoError(t, old.Signal(syscall.SIGTERM))
 	third, err := w.Start(nil)
@@ -559,7 +559,7 @@
 	}
 	good := func(want bool) {
 		require.Eventually(t, func() bool {
-			good, err := processtest.Probe(w.Listen)
+			good, err := processtest.CheckHealth(w.Listen)
 			return err == nil && good == want
 		}, processtest.Patience, time.Millisecond)
 	}
--- a/internal/server/calls_test.go
+++ b/internal/server/calls_test.go
@@ -38,7 +38,7 @@
 }
 
 func newCallHouse(t *testing.T, change func(*config.Config)) *callHouse {
-	workers, err := processtest.NewPool(processtest.NewLedger())
+	workers, err := processtest.NewPool(processtest.NewRunLog())
 	require.NoError(t, err)
 	t.Cleanup(workers.Close)
 	h := &callHouse{workers: workers, vault: newVault(t)}
@@ -51,14 +51,14 @@
 			if class.Name == singleClass {
 				class.Idempotency = control.NonIdempotent
 			}
-			workers.Calling(class.Name, 1)
+			workers.SetCallsPerRun(class.Name, 1)
 		}
 		if change != nil {
 			change(cfg)
 		}
 	})
 	h.comes()
-	_, err = workers.Bound()
+	_, err = workers.AwaitBound()
 	require.NoError(t, err)
 	return h
 }
@@ -118,17 +118,17 @@
 func (h *callHouse) failed(id string) {
 	h.t.Helper()
 	require.Equal(h.t, thrift.ReplyBroken, h.answer(id).Kind)
-	h.workers.Over(id)
+	h.workers.FinishRun(id)
 }
 
 // called is the next call, which has to be a request's.
 func (h *callHouse) called(id string) *processtest.Call {
 	h.t.Helper()
-	c, err := h.vault.Asked()
+	c, err := h.vault.NextCall()
 	require.NoError(h.t, err)
 	require.Equal(h.t, id, c.ID)
 	require.Equal(h.t, processtest.CallBody(1, "lot"), c.Body)
-	require.Positive(h.t, c.WaitMS)
+	require.Positive(h.t, c.TimeoutMS)
 	return c
 }
 
@@ -141,7 +141,7 @@
 // givenUp asks that the next call to be given up is a request's.
 func (h *callHouse) givenUp(id string) {
 	h.t.Helper()
-	got, err := h.vault.Unasked()
+	got, err := h.vault.NextAbandoned()
 	require.NoError(h.t, err)
 	require.Equal(h.t, id, got)
 }
@@ -192,7 +192,7 @@
 	h.t.Helper()
 	h.loop.Stop()
 	h.ends()
-	require.Empty(h.t, h.workers.Strays())
+	require.Empty(h.t, h.workers.UnexpectedCommands())
 }
 
 // The reply to a call goes to the run as it came, whatever its bytes, and in whatever order replies come.
@@ -221,12 +221,12 @@
 	h.called(keyed)
 	safe := h.request(safeClass)
 	h.called(safe)
-	h.vault.Refuse()
+	h.vault.RejectConnections()
 	h.vault.Break()
 	h.failed(single)
 	h.failed(keyed)
 	h.vault.Release()
-	require.NoError(t, h.vault.Accept())
+	require.NoError(t, h.vault.AwaitConnection())
 	stop := h.run()
 	h.called(safe)
 	h.served(safe, "kept call 1 of lot")
@@ -245,7 +245,7 @@
 	single, safe := h.request(singleClass), h.request(safeClass)
 	calls := map[string]*processtest.Call{}
 	for range 2 {
-		c, err := old.Asked()
+		c, err := old.NextCall()
 		require.NoError(t, err)
 		calls[c.ID] = c
 	}
@@ -285,7 +285,7 @@
 	require.NoError(t, h.proxy.c.Close())
 	h.ends()
 	require.Equal(t, 1, h.calls(waiting))
-	require.Empty(t, h.workers.Strays())
+	require.Empty(t, h.workers.UnexpectedCommands())
 }
 
 // Guards the vault against calls for nobody. When a caller leaves, a call in hand is given up and its reply, which crosses that,
@@ -300,7 +300,7 @@
 	h.givenUp(inHand)
 	late.Reply(vault.Yes, "late")
 	require.NoError(t, late.CloseConn())
-	h.workers.Over(inHand)
+	h.workers.FinishRun(inHand)
 
 	again := h.request(safeClass)
 	turned := h.called(again)
@@ -310,7 +310,7 @@
 
 	h.workers.Hold()
 	yet := h.request(singleClass)
-	require.NoError(t, h.workers.Started("lot"))
+	require.NoError(t, h.workers.AwaitStart("lot"))
 	giveUp(yet)
 	last := h.request(keyedClass) // read behind the notice
 	h.workers.Release()
@@ -368,13 +368,13 @@
 			stop := h.run()
 			h.called(turned)
 			h.served(turned, "kept call 1 of lot")
-			h.vault.Refuse()
+			h.vault.RejectConnections()
 			h.vault.Break()
 			refused := h.request(class)
 			for reached := true; reached; {
 				h.do(func() { reached = h.srv.vault.Status().Reachable })
 			}
-			require.NoError(t, h.vault.Accept())
+			require.NoError(t, h.vault.AwaitConnection())
 			h.called(refused)
 			h.served(refused, "kept call 1 of lot")
 			stop()
@@ -413,14 +413,14 @@
 	h.vault.Hold()
 	blocked := h.request(singleClass)
 	call := h.called(blocked)
-	require.NoError(t, h.workers.Started("lot"))
+	require.NoError(t, h.workers.AwaitStart("lot"))
 	h.workers.Hold()
 	running := h.request(keyedClass)
-	require.NoError(t, h.workers.Started("lot"))
+	require.NoError(t, h.workers.AwaitStart("lot"))
 
 	h.workers.Leave()
 	h.workers.Release() // the second run comes to its call
-	seen, err := h.workers.Bound()
+	seen, err := h.workers.AwaitBound()
 	require.NoError(t, err)
 	require.EqualValues(t, 1, seen)
 	call.Reply(vault.Yes, "while there was no link")
@@ -463,10 +463,10 @@
 	require.Equal(t, unasked, h.workers.Checks(), "a run that has just ended well is answer enough")
 	checked(true)
 	require.Greater(t, h.workers.Checks(), unasked)
-	h.workers.Checked(pool.Fail)
+	h.workers.AnswerChecksWith(pool.Fail)
 	checked(false)
 
-	h.workers.Checked(0)
+	h.workers.AnswerChecksWith(0)
 	h.later(stale)
 	const checks = 40
 	before := h.workers.Checks()
@@ -478,8 +478,8 @@
 	h.workers.Hold()
 	h.comes()
 	meanwhile := h.request(safeClass)
-	require.NoError(t, h.workers.Started("lot")) // the first run
-	require.NoError(t, h.workers.Started("lot"))
+	require.NoError(t, h.workers.AwaitStart("lot")) // the first run
+	require.NoError(t, h.workers.AwaitStart("lot"))
 	stop := h.run()
 	for _, p := range hang {
 		require.False(t, heard(p).Good)
@@ -503,7 +503,7 @@
 	require.True(t, heard(deep).Good)
 	stop()
 
-	h.workers.Checked(pool.Pass)
+	h.workers.AnswerChecksWith(pool.Pass)
 	checked(true)
 	h.workers.Freeze()
 	checked(false)
--- a/internal/testbed/fakes/allowance.go
+++ b/internal/testbed/fakes/allowance.go
@@ -21,7 +21,7 @@
 func (c *Caller) hears(server, say string) {
 	requests, err := strconv.ParseFloat(say, 64)
 	if err == nil && c.st.Settings.LoadSignal == control.LoadSignalAllowance && c.number%deafCallers != 0 {
-		c.heard[server] = allowance{requests, c.st.W.Now() + microtime.FromDuration(c.st.Settings.LoadSignalTTL)}
+		c.heard[server] = allowance{requests, c.st.World.Now() + microtime.FromDuration(c.st.Settings.LoadSignalTTL)}
 	}
 }
 
@@ -41,7 +41,7 @@
 // allowed tells whether the caller may have one more request at a server; a fraction is allowed by chance.
 func (c *Caller) allowed(server string) bool {
 	a, ok := c.heard[server]
-	if !ok || c.st.W.Now() > a.until {
+	if !ok || c.st.World.Now() > a.until {
 		return true
 	}
 	open := 0
--- a/internal/testbed/fakes/caller.go
+++ b/internal/testbed/fakes/caller.go
@@ -28,25 +28,25 @@
 // Caller is a proxy that speaks Thrift, or a web front end that speaks AJP. It has a list of servers that may be out
 // of date, sends jobs of its crews, tries again after refusals and errors, and gives up.
 type Caller struct {
-	st     *Stage
-	rng    *rand.Rand
-	node   *simnet.Node
-	number int
-	ajp    bool
-	life   int
-	rate   float64 // jobs a second
-	until  microtime.Time
-	list   []string
-	frozen microtime.Time // hears of no change before
-	conns  []*conn
-	jobs   int
-	Other  *Caller // of the other protocol, for some repeats of an intake; nil: none
-	heard  map[string]allowance
-
-	hasty, hastyUntil     microtime.Time
-	lateUntil, deafUntil  microtime.Time
-	insistUntil           microtime.Time
-	Unknown, Lost, Unsent int // outcomes of intakes that nobody knows; jobs that were lost; that found no server
+	st            *Environment
+	rng           *rand.Rand
+	node          *simnet.Node
+	number        int
+	ajp           bool
+	life          int
+	rate          float64 // jobs a second
+	until         microtime.Time
+	list          []string
+	frozen        microtime.Time // hears of no change before
+	conns         []*conn
+	jobs          int
+	OtherProtocol *Caller // of the other protocol, for some repeats of an intake; nil: none
+	heard         map[string]allowance
+
+	hasty, hastyUntil           microtime.Time
+	lateUntil, deafUntil        microtime.Time
+	insistUntil                 microtime.Time
+	Indeterminate, Lost, Unsent int // outcomes of intakes that nobody knows; jobs that were lost; that found no server
 }
 
 // job is a request over all its tries.
@@ -78,7 +78,7 @@
 type conn struct {
 	c       *Caller
 	server  string
-	e       *simnet.End // nil while it is being opened
+	e       *simnet.Stream // nil while it is being opened
 	waiting []*job
 	open    []*try
 	seq     int32
@@ -93,18 +93,18 @@
 }
 
 // NewCaller returns a caller that begins at once and asks until a time.
-func NewCaller(st *Stage, name string, number int, isAJP bool, rate float64, until microtime.Time, list []string, seed uint64) *Caller {
+func NewCaller(st *Environment, name string, number int, isAJP bool, rate float64, until microtime.Time, list []string, seed uint64) *Caller {
 	c := &Caller{st: st, node: st.Net.Node(name), number: number, ajp: isAJP, rate: rate, until: until, list: slices.Clone(list),
 		heard: map[string]allowance{}}
-	c.rng = st.W.Fork(seed, name)
-	st.Control.callers = append(st.Control.callers, c)
+	c.rng = st.World.Fork(seed, name)
+	st.Registry.callers = append(st.Registry.callers, c)
 	c.boot()
 	return c
 }
 
 func (c *Caller) boot() {
 	c.node.Boot()
-	c.life = c.node.Life
+	c.life = c.node.Incarnation
 	c.conns = nil
 	c.next()
 	if !c.ajp {
@@ -112,20 +112,20 @@
 	}
 }
 
-// Die ends the caller's process; it is back at a time with the list it had, and an address of nobody's in it.
-func (c *Caller) Die(back microtime.Time) {
+// Crash ends the caller's process; it is back at a time with the list it had, and an address of nobody's in it.
+func (c *Caller) Crash(back microtime.Time) {
 	for _, k := range c.conns {
 		k.ended = true
 		for _, t := range k.open {
 			t.timer.Stop()
-			c.st.Book.over(t.id)
+			c.st.Requests.over(t.id)
 		}
 		k.idle.Stop()
 	}
 	c.conns = nil
 	c.node.Kill(false)
 	c.frozen = max(c.frozen, back+3*microtime.Second)
-	c.st.W.At(back, func() {
+	c.st.World.At(back, func() {
 		if c.node.Up() {
 			return
 		}
@@ -134,43 +134,43 @@
 	})
 }
 
-// Freeze has it hear of no change of the list until a time.
-func (c *Caller) Freeze(until microtime.Time) { c.frozen = max(c.frozen, until) }
+// FreezeEndpoints has it hear of no change of the list until a time.
+func (c *Caller) FreezeEndpoints(until microtime.Time) { c.frozen = max(c.frozen, until) }
 
-// Hasty has it give requests up after a while, until a time; GiveLate has it give up what was answered; Insist has
+// CancelAfter has it give requests up after a while, until a time; GiveLate has it give up what was answered; Insist has
 // it try again at once when it is refused; Deaf has it read nothing.
-func (c *Caller) Hasty(after, until microtime.Time) { c.hasty, c.hastyUntil = after, until }
+func (c *Caller) CancelAfter(after, until microtime.Time) { c.hasty, c.hastyUntil = after, until }
 
-// GiveLate has it give up what was answered, until a time.
-func (c *Caller) GiveLate(until microtime.Time) { c.lateUntil = until }
+// CancelLate has it give up what was answered, until a time.
+func (c *Caller) CancelLate(until microtime.Time) { c.lateUntil = until }
 
-// Insist has it try again the instant that it is refused, until a time.
-func (c *Caller) Insist(until microtime.Time) { c.insistUntil = until }
+// RetryAtOnce has it try again the instant that it is refused, until a time.
+func (c *Caller) RetryAtOnce(until microtime.Time) { c.insistUntil = until }
 
-// Deaf has it read nothing until a time.
-func (c *Caller) Deaf(until microtime.Time) {
+// StopReading has it read nothing until a time.
+func (c *Caller) StopReading(until microtime.Time) {
 	c.deafUntil = max(c.deafUntil, until)
 	for _, k := range slices.Clone(c.conns) {
 		if k.e != nil {
-			k.e.Hold(true)
+			k.e.PauseReading(true)
 		}
 	}
-	c.st.W.At(until, func() {
+	c.st.World.At(until, func() {
 		for _, k := range slices.Clone(c.conns) {
-			if k.e != nil && !k.ended && c.deafUntil <= c.st.W.Now() {
-				k.e.Hold(false)
+			if k.e != nil && !k.ended && c.deafUntil <= c.st.World.Now() {
+				k.e.PauseReading(false)
 			}
 		}
 	})
 }
 
 func (c *Caller) hear(list []string) {
-	if c.st.W.Now() >= c.frozen {
+	if c.st.World.Now() >= c.frozen {
 		c.list = list
 	}
 }
 
-func (c *Caller) alive(life int) bool { return c.node.Up() && c.node.Life == life }
+func (c *Caller) alive(life int) bool { return c.node.Up() && c.node.Incarnation == life }
 
 // next plans the next job.
 func (c *Caller) next() {
@@ -178,8 +178,8 @@
 	if c.rate <= 0 {
 		return
 	}
-	c.st.W.In(microtime.Time(c.rng.ExpFloat64()*1e6/c.rate), func() {
-		if !c.alive(life) || c.st.W.Now() > c.until {
+	c.st.World.In(microtime.Time(c.rng.ExpFloat64()*1e6/c.rate), func() {
+		if !c.alive(life) || c.st.World.Now() > c.until {
 			return
 		}
 		c.next()
@@ -205,7 +205,7 @@
 
 // flooded is how many jobs come in place of one.
 func (c *Caller) flooded(what string) int {
-	if f := c.st.Flood[what]; f > 1 {
+	if f := c.st.TrafficFactor[what]; f > 1 {
 		return int(f + c.rng.Float64())
 	}
 	return 1
@@ -213,9 +213,9 @@
 
 // newJob draws a job of a class, or of any if that is negative, and sends it off. It returns the class.
 func (c *Caller) newJob(tenant string, class int) int {
-	j := &job{tenant: tenant, kb: 13 + 50*c.rng.Float64(), born: c.st.W.Now(), class: class}
+	j := &job{tenant: tenant, kb: 13 + 50*c.rng.Float64(), born: c.st.World.Now(), class: class}
 	if class < 0 {
-		shares, x := c.st.Deployment.Shares, c.rng.Float64()
+		shares, x := c.st.Deployment.TrafficShares, c.rng.Float64()
 		for j.class = 0; j.class < len(shares)-1 && x > shares[j.class]; j.class++ {
 			x -= shares[j.class]
 		}
@@ -234,7 +234,7 @@
 		j.hint = j.size * math.Exp(0.4*c.rng.NormFloat64())
 	}
 	c.st.Asked[c.st.Settings.Classes[j.class].Name]++
-	c.st.Wanted += c.worth(j)
+	c.st.WeightAsked += c.worth(j)
 	c.jobs++
 	c.dispatch(j)
 	return j.class
@@ -276,7 +276,7 @@
 			}
 		}
 	}
-	if j.tries++; j.tries > triesMost || c.st.W.Now() > j.born+13*microtime.Second {
+	if j.tries++; j.tries > triesMost || c.st.World.Now() > j.born+13*microtime.Second {
 		c.Lost++
 		return
 	}
@@ -313,8 +313,8 @@
 // again goes on with a job after a while.
 func (c *Caller) again(j *job, after microtime.Time) {
 	life := c.life
-	c.st.W.In(after, func() {
-		if c.alive(life) && c.st.W.Now() < j.born+13*microtime.Second {
+	c.st.World.In(after, func() {
+		if c.alive(life) && c.st.World.Now() < j.born+13*microtime.Second {
 			c.dispatch(j)
 		}
 	})
@@ -328,7 +328,7 @@
 		addr = server + "/ajp"
 	}
 	life := c.life
-	c.node.Dial(addr, func(e *simnet.End, err error) {
+	c.node.Dial(addr, func(e *simnet.Stream, err error) {
 		if !c.alive(life) {
 			return
 		}
@@ -344,8 +344,8 @@
 		}
 		k.e = e
 		e.SetHandler(k)
-		if c.deafUntil > c.st.W.Now() {
-			e.Hold(true)
+		if c.deafUntil > c.st.World.Now() {
+			e.PauseReading(true)
 		}
 		for _, j := range waiting {
 			if k.ended {
@@ -367,15 +367,15 @@
 // send writes a try and waits for its answer as long as its deadline is, or as haste has it.
 func (k *conn) send(j *job) {
 	c := k.c
-	w := c.st.W
+	w := c.st.World
 	class := c.st.Settings.Classes[j.class]
 	t := &try{j: j, id: fmt.Sprintf("%016x", c.rng.Uint64()), sentAt: w.Now()}
 	k.seq++
 	t.seq = k.seq
 	k.open = append(k.open, t)
 	k.idle.Stop()
-	c.st.Book.add(t.id, k.server, class.Name, j.body)
-	c.st.Book.tries[t.id].size = j.size
+	c.st.Requests.add(t.id, k.server, class.Name, j.body)
+	c.st.Requests.tries[t.id].size = j.size
 	retry := ""
 	if j.tries > 1 {
 		retry = "1"
@@ -388,7 +388,7 @@
 		fields = slices.Insert(fields, tenantAt, thrift.Field{Name: "tenant", Value: j.tenant})
 	}
 	if j.hint > 0 {
-		cost := j.hint * float64(c.st.Deployment.Work[j.class]) / float64(microtime.Millisecond)
+		cost := j.hint * float64(c.st.Deployment.MeanWork[j.class]) / float64(microtime.Millisecond)
 		fields = append(fields, thrift.Field{Name: "cost", Value: strconv.FormatFloat(cost, 'f', 2, 64)})
 	}
 	if retry != "" {
@@ -425,7 +425,7 @@
 	}
 	k.open = slices.Delete(k.open, i, i+1)
 	t.timer.Stop()
-	k.c.st.Book.over(t.id)
+	k.c.st.Requests.over(t.id)
 	return true
 }
 
@@ -453,8 +453,8 @@
 	}
 	if c.keyed(j) {
 		j.sticky = server
-		if c.Other != nil && c.rng.IntN(3) == 0 && c.Other.node.Up() {
-			c.Other.again(j, microtime.Time(c.rng.Int64N(int64(300*microtime.Millisecond))))
+		if c.OtherProtocol != nil && c.rng.IntN(3) == 0 && c.OtherProtocol.node.Up() {
+			c.OtherProtocol.again(j, microtime.Time(c.rng.Int64N(int64(300*microtime.Millisecond))))
 			return
 		}
 	} else if c.rng.IntN(2) == 0 {
@@ -476,7 +476,7 @@
 		return
 	}
 	k.idle.Stop()
-	k.idle = k.c.st.W.In(idleMost, func() {
+	k.idle = k.c.st.World.In(idleMost, func() {
 		if len(k.open) == 0 && !k.ended {
 			k.e.Close()
 			k.drop()
@@ -484,14 +484,14 @@
 	})
 }
 
-// EOF is part of virtual.Handler.
-func (k *conn) EOF(e *simnet.End) {
+// EOF is part of simnet.Handler.
+func (k *conn) EOF(e *simnet.Stream) {
 	e.Close()
-	k.Gone(e)
+	k.Reset(e)
 }
 
-// Gone is part of virtual.Handler: what was open may have run, but for what crossed the close.
-func (k *conn) Gone(*simnet.End) {
+// Reset is part of simnet.Handler: what was open may have run, but for what crossed the close.
+func (k *conn) Reset(*simnet.Stream) {
 	if k.ended {
 		return
 	}
@@ -500,13 +500,13 @@
 	k.open = nil
 	for _, t := range open {
 		t.timer.Stop()
-		k.c.st.Book.over(t.id)
+		k.c.st.Requests.over(t.id)
 		k.c.failed(t, k.server)
 	}
 }
 
-// Data is part of virtual.Handler.
-func (k *conn) Data(e *simnet.End, in []byte) {
+// Received is part of simnet.Handler.
+func (k *conn) Received(e *simnet.Stream, in []byte) {
 	k.in = append(k.in, in...)
 	for !k.ended {
 		var payload []byte
@@ -526,7 +526,7 @@
 		}
 		if err != nil { // the rules see it too
 			e.Close()
-			k.Gone(e)
+			k.Reset(e)
 			return
 		}
 		if payload == nil {
@@ -553,7 +553,7 @@
 	t := k.open[i]
 	k.take(t)
 	k.c.hears(k.server, p.Fields["say"])
-	if k.c.lateUntil > k.c.st.W.Now() {
+	if k.c.lateUntil > k.c.st.World.Now() {
 		k.e.Write(thrift.AppendGiveUp(nil, t.seq))
 		k.e.Write(thrift.AppendGiveUp(nil, t.seq+1000))
 	}
@@ -600,15 +600,15 @@
 // over goes on after the final answer to a try.
 func (k *conn) over(t *try, status int, after microtime.Time, last bool) {
 	c, j := k.c, t.j
-	now := c.st.W.Now()
+	now := c.st.World.Now()
 	class := c.st.Settings.Classes[j.class]
 	switch status {
 	case 200:
 		c.st.Served[class.Name]++
 		if now <= j.born+microtime.FromDuration(class.LatencyObjective) {
-			c.st.Worth += c.worth(j)
+			c.st.WeightServed += c.worth(j)
 		} else if now <= j.born+c.deadline(j) {
-			c.st.Worth += c.worth(j) * class.LateWeightShare
+			c.st.WeightServed += c.worth(j) * class.LateWeightShare
 		}
 	case 503: // it never ran
 		j.avoid = k.server
@@ -628,8 +628,8 @@
 // probe asks a server of the list for its health, on a connection of its own.
 func (c *Caller) probe() {
 	life := c.life
-	c.st.W.In(probeEvery/2+microtime.Time(c.rng.Int64N(int64(probeEvery))), func() {
-		if !c.alive(life) || c.st.W.Now() > c.until {
+	c.st.World.In(probeEvery/2+microtime.Time(c.rng.Int64N(int64(probeEvery))), func() {
+		if !c.alive(life) || c.st.World.Now() > c.until {
 			return
 		}
 		c.probe()
@@ -637,13 +637,13 @@
 			return
 		}
 		deep := c.st.Deployment.Vault && c.rng.IntN(2) == 0
-		c.node.Dial(c.list[c.rng.IntN(len(c.list))]+"/thrift", func(e *simnet.End, err error) {
+		c.node.Dial(c.list[c.rng.IntN(len(c.list))]+"/thrift", func(e *simnet.Stream, err error) {
 			if err != nil {
 				return
 			}
 			e.SetHandler(prober{})
 			e.Write(thrift.AppendProbe(nil, 1, deep))
-			c.st.W.In(3*microtime.Second, e.Close)
+			c.st.World.In(3*microtime.Second, e.Close)
 		})
 	})
 }
@@ -651,4 +651,4 @@
 // prober closes once it is answered.
 type prober struct{ silent }
 
-func (prober) Data(e *simnet.End, _ []byte) { e.Close() }
+func (prober) Received(e *simnet.Stream, _ []byte) { e.Close() }
--- a/internal/testbed/fakes/standin.go
+++ b/internal/testbed/fakes/environment.go
@@ -14,32 +14,32 @@
 	"pewterline/internal/testbed/simnet"
 )
 
-// Stage is what all stand-ins of a world share.
-type Stage struct {
-	Net        *simnet.Net
-	W          *simnet.World
-	Settings   control.Settings
-	Deployment Deployment
-	Book       *Book
-	Control    *Control
-	Flood      map[string]float64 // of each tenant's traffic, or each class's where there are no tenants; 1 where absent
-	Served     map[string]int     // jobs that got their result, by class
-	Asked      map[string]int
-	Worth      float64 // of those served within their aim, and a share of those served late
-	Wanted     float64
-	wall       simnet.Wall
-}
-
-// NewStage returns a stage with a control plane.
-func NewStage(net *simnet.Net, s control.Settings, d Deployment, seed uint64) *Stage {
-	st := &Stage{Net: net, W: net.World(), Settings: s, Deployment: d, Book: &Book{tries: map[string]*sent{}}, Flood: map[string]float64{},
+// Environment is what all stand-ins of a world share.
+type Environment struct {
+	Net           *simnet.Net
+	World         *simnet.World
+	Settings      control.Settings
+	Deployment    Deployment
+	Requests      *RequestRegistry
+	Registry      *Registry
+	TrafficFactor map[string]float64 // of each tenant's traffic, or each class's where there are no tenants; 1 where absent
+	Served        map[string]int     // jobs that got their result, by class
+	Asked         map[string]int
+	WeightServed  float64 // of those served within their aim, and a share of those served late
+	WeightAsked   float64
+	wall          simnet.WallClock
+}
+
+// NewEnvironment returns a stage with a control plane.
+func NewEnvironment(net *simnet.Net, s control.Settings, d Deployment, seed uint64) *Environment {
+	st := &Environment{Net: net, World: net.World(), Settings: s, Deployment: d, Requests: &RequestRegistry{tries: map[string]*sent{}}, TrafficFactor: map[string]float64{},
 		Served: map[string]int{}, Asked: map[string]int{}}
-	st.Control = newControl(st, st.W.Fork(seed, "control"))
+	st.Registry = newControl(st, st.World.Fork(seed, "control"))
 	return st
 }
 
-// Book knows which tries have been sent where: what a worker pool of the platform knows of the requests.
-type Book struct {
+// RequestRegistry knows which tries have been sent where: what a worker pool of the platform knows of the requests.
+type RequestRegistry struct {
 	tries map[string]*sent
 }
 
@@ -54,22 +54,22 @@
 }
 
 // Add notes a try that has come to a server, as from an edge; Over that nobody waits for it.
-func (b *Book) Add(id, server, class string, body []byte) { b.add(id, server, class, body) }
+func (b *RequestRegistry) Add(id, server, class string, body []byte) { b.add(id, server, class, body) }
 
-// Over notes that nobody waits for a try any more.
-func (b *Book) Over(id string) { b.over(id) }
+// MarkEnded notes that nobody waits for a try any more.
+func (b *RequestRegistry) MarkEnded(id string) { b.over(id) }
 
-func (b *Book) add(id, server, class string, body []byte) {
+func (b *RequestRegistry) add(id, server, class string, body []byte) {
 	b.tries[id] = &sent{server: server, class: class, sum: xxhash.Sum64(body)}
 }
 
 // waits tells whether the run of a try waits for a call.
-func (b *Book) waits(id string) bool {
+func (b *RequestRegistry) waits(id string) bool {
 	t := b.tries[id]
 	return t != nil && t.run != nil && t.run.blocked && !t.pool.dead
 }
 
-func (b *Book) over(id string) {
+func (b *RequestRegistry) over(id string) {
 	t := b.tries[id]
 	if t == nil {
 		return
@@ -80,9 +80,9 @@
 	}
 }
 
-// Control is the control plane: it lists the servers that report, and tells the callers late.
-type Control struct {
-	st      *Stage
+// Registry is the control plane: it lists the servers that report, and tells the callers late.
+type Registry struct {
+	st      *Environment
 	rng     *rand.Rand
 	entries []*entry
 	callers []*Caller
@@ -101,8 +101,8 @@
 	pushEvery = 500 * microtime.Millisecond
 )
 
-func newControl(st *Stage, rng *rand.Rand) *Control {
-	c := &Control{st: st, rng: rng}
+func newControl(st *Environment, rng *rand.Rand) *Registry {
+	c := &Registry{st: st, rng: rng}
 	n := st.Net.Node("control")
 	n.Boot()
 	for _, a := range []string{"control/a", "control/b"} {
@@ -110,11 +110,11 @@
 			panic(err) // nobody else listens there
 		}
 	}
-	st.W.In(0, c.push)
+	st.World.In(0, c.push)
 	return c
 }
 
-func (c *Control) entry(server string) *entry {
+func (c *Registry) entry(server string) *entry {
 	for _, e := range c.entries {
 		if e.server == server {
 			return e
@@ -126,13 +126,13 @@
 }
 
 // List enters a server whose worker pool has come up.
-func (c *Control) List(server string) {
+func (c *Registry) List(server string) {
 	e := c.entry(server)
-	e.heard, e.ready = c.st.W.Now(), true
+	e.heard, e.ready = c.st.World.Now(), true
 }
 
 // Hide keeps a server off the list for good.
-func (c *Control) Hide(server string) {
+func (c *Registry) Hide(server string) {
 	if c.hidden == nil {
 		c.hidden = map[string]bool{}
 	}
@@ -140,23 +140,23 @@
 }
 
 // Unlist drops a server at once, as where its machine is known to be gone.
-func (c *Control) Unlist(server string) { c.entry(server).ready = false }
+func (c *Registry) Unlist(server string) { c.entry(server).ready = false }
 
-// Mute has the control plane be down until a time: nobody hears of changes, and no entry lapses.
-func (c *Control) Mute(until microtime.Time) { c.muted = max(c.muted, until) }
+// SetDown has the control plane be down until a time: nobody hears of changes, and no entry lapses.
+func (c *Registry) SetDown(until microtime.Time) { c.muted = max(c.muted, until) }
 
-func (c *Control) report(text string) {
+func (c *Registry) report(text string) {
 	var name, word string
-	if n, _ := fmt.Sscanf(text, "lease %s %s", &name, &word); n != 2 || c.muted > c.st.W.Now() {
+	if n, _ := fmt.Sscanf(text, "lease %s %s", &name, &word); n != 2 || c.muted > c.st.World.Now() {
 		return
 	}
 	e := c.entry(name)
-	e.heard, e.ready = c.st.W.Now(), word == "Ready"
+	e.heard, e.ready = c.st.World.Now(), word == "Ready"
 }
 
 // push tells every caller of the list as it is now, a second or two later.
-func (c *Control) push() {
-	now := c.st.W.Now()
+func (c *Registry) push() {
+	now := c.st.World.Now()
 	if now >= c.muted {
 		var list []string
 		for _, e := range c.entries {
@@ -168,22 +168,22 @@
 			}
 		}
 		for _, k := range c.callers {
-			c.st.W.In(microtime.Second+microtime.Time(c.rng.Int64N(int64(microtime.Second))), func() { k.hear(list) })
+			c.st.World.In(microtime.Second+microtime.Time(c.rng.Int64N(int64(microtime.Second))), func() { k.hear(list) })
 		}
 	}
-	c.st.W.In(pushEvery, c.push)
+	c.st.World.In(pushEvery, c.push)
 }
 
-// Strangers connects n times to a server: some say nothing, some say half of something, some say what is no message.
-func (st *Stage) Strangers(server string, n int, rng *rand.Rand) {
+// ConnectUnidentified connects n times to a server: some say nothing, some say half of something, some say what is no message.
+func (st *Environment) ConnectUnidentified(server string, n int, rng *rand.Rand) {
 	node := st.Net.Node("x0")
 	if !node.Up() {
 		node.Boot()
 	}
 	for i := range n {
 		addr := server + "/" + []string{"thrift", "ajp"}[rng.IntN(2)]
-		st.W.In(microtime.Time(i)*5*microtime.Millisecond, func() {
-			node.Dial(addr, func(e *simnet.End, err error) {
+		st.World.In(microtime.Time(i)*5*microtime.Millisecond, func() {
+			node.Dial(addr, func(e *simnet.Stream, err error) {
 				if err != nil {
 					return
 				}
@@ -194,7 +194,7 @@
 				case 1:
 					e.Write([]byte("GET / HTTP/1.1\r\n\r\n"))
 				}
-				st.W.In(5*microtime.Second, e.Close)
+				st.World.In(5*microtime.Second, e.Close)
 			})
 		})
 	}
@@ -203,6 +203,6 @@
 // silent reads and does nothing.
 type silent struct{}
 
-func (silent) Data(*simnet.End, []byte) {}
-func (silent) EOF(e *simnet.End)        { e.Close() }
-func (silent) Gone(*simnet.End)         {}
+func (silent) Received(*simnet.Stream, []byte) {}
+func (silent) EOF(e *simnet.Stream)        { e.Close() }
+func (silent) Reset(*simnet.Stream)         {}
--- a/internal/testbed/fakes/pool.go
+++ b/internal/testbed/fakes/pool.go
@@ -23,7 +23,7 @@
 
 // Pool is a worker pool: it owns the cores, which its runs share evenly, and starts cold if it is told to.
 type Pool struct {
-	st      *Stage
+	st      *Environment
 	rng     *rand.Rand
 	node    *simnet.Node
 	server  string
@@ -62,13 +62,13 @@
 }
 
 // NewPool starts the worker pool of a server.
-func NewPool(st *Stage, server string, seed uint64, cold bool) *Pool {
+func NewPool(st *Environment, server string, seed uint64, cold bool) *Pool {
 	name := "w" + server[1:]
-	p := &Pool{st: st, node: st.Net.Node(name), server: server, cores: float64(st.Settings.Cores), cold: cold, born: st.W.Now(),
-		at: st.W.Now(), slow: 1, costly: map[string]float64{}, known: map[string]*work{}, first: 1}
+	p := &Pool{st: st, node: st.Net.Node(name), server: server, cores: float64(st.Settings.Cores), cold: cold, born: st.World.Now(),
+		at: st.World.Now(), slow: 1, costly: map[string]float64{}, known: map[string]*work{}, first: 1}
 	p.node.Boot()
-	p.life = p.node.Life
-	p.rng = st.W.Fork(seed, fmt.Sprintf("%s/%d", name, p.life))
+	p.life = p.node.Incarnation
+	p.rng = st.World.Fork(seed, fmt.Sprintf("%s/%d", name, p.life))
 	p.listen()
 	if cold {
 		p.warm()
@@ -80,20 +80,20 @@
 func (p *Pool) Addr() string { return fmt.Sprintf("%s/%c", p.node.Name, 'a'+p.addr%26) }
 
 func (p *Pool) listen() {
-	lis, err := p.node.Listen(p.Addr(), simnet.Listener{Accept: func(e *simnet.End) simnet.Handler { return &poolLink{p: p, e: e} }})
+	lis, err := p.node.Listen(p.Addr(), simnet.Listener{Accept: func(e *simnet.Stream) simnet.Handler { return &poolLink{p: p, e: e} }})
 	if err != nil {
 		panic(err) // its addresses are its own
 	}
 	p.lis = lis
 }
 
-// Move has the worker pool listen at another address; the old one takes nothing new, and closes what it has later.
-func (p *Pool) Move() {
-	old := slices.Clone(p.node.Ends())
+// ChangeAddress has the worker pool listen at another address; the old one takes nothing new, and closes what it has later.
+func (p *Pool) ChangeAddress() {
+	old := slices.Clone(p.node.Streams())
 	p.lis.Close()
 	p.addr++
 	p.listen()
-	p.st.W.In(1500*microtime.Millisecond, func() {
+	p.st.World.In(1500*microtime.Millisecond, func() {
 		for _, e := range old {
 			e.Close()
 		}
@@ -110,18 +110,18 @@
 // Slow has all work take so many times as long; Costly that of one class; Doubled has notices come twice.
 func (p *Pool) Slow(factor float64) { p.change(func() { p.slow = factor }) }
 
-// Costly has the work of a class that starts from now on take so many times as long.
-func (p *Pool) Costly(class string, factor float64) { p.costly[class] = factor }
+// SlowClass has the work of a class that starts from now on take so many times as long.
+func (p *Pool) SlowClass(class string, factor float64) { p.costly[class] = factor }
 
-// Doubled has each notice come twice until a time.
-func (p *Pool) Doubled(until microtime.Time) { p.doubled = until }
+// DuplicateNotices has each notice come twice until a time.
+func (p *Pool) DuplicateNotices(until microtime.Time) { p.doubled = until }
 
 // rate is the service that each run gets in a microsecond.
 func (p *Pool) rate() float64 {
 	share := 1.0
 	if p.cold {
 		from := 0.24
-		share = min(1, from+(1-from)*float64(p.st.W.Now()-p.born)/float64(17*microtime.Second))
+		share = min(1, from+(1-from)*float64(p.st.World.Now()-p.born)/float64(17*microtime.Second))
 	}
 	return share / p.slow * min(1, p.cores/float64(max(len(p.runs), 1)))
 }
@@ -131,21 +131,21 @@
 	if p.dead {
 		return
 	}
-	now := p.st.W.Now()
+	now := p.st.World.Now()
 	p.done += p.rate() * float64(now-p.at)
 	p.at = now
 	f()
 	p.timer.Stop()
 	if len(p.runs) > 0 {
-		p.timer = p.st.W.In(microtime.Time(math.Ceil(max(p.runs[0].end-p.done, 0)/p.rate())), p.ends)
+		p.timer = p.st.World.In(microtime.Time(math.Ceil(max(p.runs[0].end-p.done, 0)/p.rate())), p.ends)
 	}
 }
 
 // warm counts the speed anew while it rises.
 func (p *Pool) warm() {
 	p.change(func() {})
-	if !p.dead && p.st.W.Now() < p.born+17*microtime.Second {
-		p.st.W.In(250*microtime.Millisecond, p.warm)
+	if !p.dead && p.st.World.Now() < p.born+17*microtime.Second {
+		p.st.World.In(250*microtime.Millisecond, p.warm)
 	}
 }
 
@@ -166,7 +166,7 @@
 
 // block has a run wait for a call. A run whose request is over ends there.
 func (p *Pool) block(r *work) {
-	if p.st.Book.tries[r.id].over {
+	if p.st.Requests.tries[r.id].over {
 		p.notice(r, pool.Killed, nil)
 		return
 	}
@@ -203,7 +203,7 @@
 		p.tell(func(n uint64) []byte { return fmt.Appendf(nil, "chatter %d all is well\r\n", n) })
 	}
 	p.tell(func(n uint64) []byte {
-		return pool.AppendFinished(nil, n, r.id, end, int((p.st.W.Now()-r.started)/1000), result)
+		return pool.AppendFinished(nil, n, r.id, end, int((p.st.World.Now()-r.started)/1000), result)
 	})
 }
 
@@ -217,7 +217,7 @@
 	if p.link == nil || !p.link.bound {
 		return
 	}
-	if p.doubled > p.st.W.Now() {
+	if p.doubled > p.st.World.Now() {
 		line = append(slices.Clone(line), line...)
 	}
 	p.link.e.Write(line)
@@ -226,32 +226,32 @@
 // poolLink is one link of the server's.
 type poolLink struct {
 	p     *Pool
-	e     *simnet.End
+	e     *simnet.Stream
 	in    []byte
 	bound bool
 }
 
-// EOF and Gone are part of virtual.Handler.
-func (l *poolLink) EOF(e *simnet.End) {
+// EOF and Gone are part of simnet.Handler.
+func (l *poolLink) EOF(e *simnet.Stream) {
 	e.Close()
-	l.Gone(e)
+	l.Reset(e)
 }
 
-// Gone is part of virtual.Handler.
-func (l *poolLink) Gone(*simnet.End) {
+// Reset is part of simnet.Handler.
+func (l *poolLink) Reset(*simnet.Stream) {
 	if l.p.link == l {
 		l.p.link = nil
 	}
 }
 
-// Data is part of virtual.Handler.
-func (l *poolLink) Data(e *simnet.End, in []byte) {
+// Received is part of simnet.Handler.
+func (l *poolLink) Received(e *simnet.Stream, in []byte) {
 	l.in = append(l.in, in...)
 	for e.IsOpen() {
 		c, n, err := pool.ParseCommand(l.in)
 		if err != nil {
 			e.Close() // what is not a command ends the link
-			l.Gone(e)
+			l.Reset(e)
 		}
 		if n == 0 {
 			return
@@ -272,7 +272,7 @@
 		if p.cold {
 			state = "EMPTY"
 		}
-		l.e.Write([]byte(fmt.Sprintf("bound %s %d\r\n", state, (p.st.W.Now()-p.born)/1000)))
+		l.e.Write([]byte(fmt.Sprintf("bound %s %d\r\n", state, (p.st.World.Now()-p.born)/1000)))
 		for n := max(c.Notice+1, p.first); n < p.first+uint64(len(p.notices)); n++ {
 			l.e.Write(p.notices[n-p.first])
 		}
@@ -300,20 +300,20 @@
 		r.blocked = false
 		p.change(func() { p.start(r) })
 	case pool.Verify:
-		p.st.W.In(microtime.Time(float64(checkTime)*p.slow), func() {
+		p.st.World.In(microtime.Time(float64(checkTime)*p.slow), func() {
 			if p.link == l {
 				l.e.Write(pool.AppendVerified(nil, c.Tag, pool.Pass))
 			}
 		})
 	case pool.Poll:
 		busy := min(1, float64(len(p.runs))/p.cores)
-		l.e.Write([]byte(fmt.Sprintf("polled %s %.2f %d 0.2 %d\r\n", c.Tag, busy, max(0, len(p.runs)-int(p.cores)), p.node.Open())))
+		l.e.Write([]byte(fmt.Sprintf("polled %s %.2f %d 0.2 %d\r\n", c.Tag, busy, max(0, len(p.runs)-int(p.cores)), p.node.OpenConnections())))
 	}
 }
 
 func (l *poolLink) spawn(c pool.Command) {
 	p := l.p
-	t := p.st.Book.tries[c.ID]
+	t := p.st.Requests.tries[c.ID]
 	switch {
 	case t == nil || t.server != p.server || t.class != c.Class || t.sum != xxhash.Sum64(c.Body):
 		l.e.Write([]byte("unknown spawn " + c.ID + "\r\n"))
@@ -321,7 +321,7 @@
 	case p.known[c.ID] != nil && !p.known[c.ID].over:
 		return // it runs already
 	}
-	r := &work{id: c.ID, started: p.st.W.Now(), body: slices.Clone(c.Body)}
+	r := &work{id: c.ID, started: p.st.World.Now(), body: slices.Clone(c.Body)}
 	p.known[c.ID] = r
 	if t.over { // nothing is started for a request that is over
 		p.notice(r, pool.Noop, nil)
@@ -338,7 +338,7 @@
 			size = drawSize(p.rng)
 		}
 		r.calls = p.st.Deployment.calls(class, p.rng)
-		r.part = float64(p.st.Deployment.Work[class]) * factor * size / float64(r.calls+1)
+		r.part = float64(p.st.Deployment.MeanWork[class]) * factor * size / float64(r.calls+1)
 		p.start(r)
 	})
 }
--- a/internal/testbed/fakes/vault.go
+++ b/internal/testbed/fakes/vault.go
@@ -36,7 +36,7 @@
 // Vault is the store that all servers of a world call, on the node v0. It does each call in a while of its own, and replies as the
 // calls end.
 type Vault struct {
-	st     *Stage
+	st     *Environment
 	rng    *rand.Rand
 	node   *simnet.Node
 	lis    []*simnet.Listener
@@ -51,7 +51,7 @@
 // vaultLink is one connection of a server's.
 type vaultLink struct {
 	v    *Vault
-	e    *simnet.End
+	e    *simnet.Stream
 	in   []byte
 	open int // calls in hand
 	idle *simnet.Timer
@@ -66,8 +66,8 @@
 }
 
 // NewVault starts the vault; it listens at v0/a and v0/b.
-func NewVault(st *Stage, seed uint64) *Vault {
-	v := &Vault{st: st, rng: st.W.Fork(seed, "v0"), node: st.Net.Node("v0"), slow: 1, calls: map[string]*vaultCall{}, Calls: map[vault.Status]int{}}
+func NewVault(st *Environment, seed uint64) *Vault {
+	v := &Vault{st: st, rng: st.World.Fork(seed, "v0"), node: st.Net.Node("v0"), slow: 1, calls: map[string]*vaultCall{}, Calls: map[vault.Status]int{}}
 	v.node.Boot()
 	v.listen()
 	return v
@@ -75,7 +75,7 @@
 
 func (v *Vault) listen() {
 	for _, address := range []string{"v0/a", "v0/b"} {
-		accept := func(e *simnet.End) simnet.Handler {
+		accept := func(e *simnet.Stream) simnet.Handler {
 			link := &vaultLink{v: v, e: e}
 			link.rest()
 			return link
@@ -95,11 +95,11 @@
 	}
 	down := len(v.lis) == 0
 	v.lis = nil
-	for _, e := range slices.Clone(v.node.Ends()) {
+	for _, e := range slices.Clone(v.node.Streams()) {
 		e.Reset()
 	}
 	if !down { // else the first fault's end brings it back
-		v.st.W.At(until, v.listen)
+		v.st.World.At(until, v.listen)
 	}
 }
 
@@ -112,7 +112,7 @@
 }
 
 func (v *Vault) faulty(fault VaultFault) bool {
-	return v.st.W.Now() < v.until[fault] && v.rng.Float64() < v.chance[fault]
+	return v.st.World.Now() < v.until[fault] && v.rng.Float64() < v.chance[fault]
 }
 
 // rest closes the link once it has been idle for a while.
@@ -120,18 +120,18 @@
 	l.idle.Stop()
 	l.idle = nil
 	if l.open == 0 && l.e.IsOpen() {
-		l.idle = l.v.st.W.In(vaultIdle, l.e.Close)
+		l.idle = l.v.st.World.In(vaultIdle, l.e.Close)
 	}
 }
 
-// EOF is part of virtual.Handler.
-func (l *vaultLink) EOF(e *simnet.End) {
+// EOF is part of simnet.Handler.
+func (l *vaultLink) EOF(e *simnet.Stream) {
 	e.Close()
-	l.Gone(e)
+	l.Reset(e)
 }
 
-// Gone is part of virtual.Handler: the end of a connection gives up every call on it.
-func (l *vaultLink) Gone(*simnet.End) {
+// Reset is part of simnet.Handler: the end of a connection gives up every call on it.
+func (l *vaultLink) Reset(*simnet.Stream) {
 	l.idle.Stop()
 	for _, c := range l.v.calls {
 		if c.link == l {
@@ -140,14 +140,14 @@
 	}
 }
 
-// Data is part of virtual.Handler.
-func (l *vaultLink) Data(e *simnet.End, in []byte) {
+// Received is part of simnet.Handler.
+func (l *vaultLink) Received(e *simnet.Stream, in []byte) {
 	l.in = append(l.in, in...)
 	for e.IsOpen() {
 		c, n, err := vault.ParseCommand(l.in)
 		if err != nil { // the rules see it too
 			e.Close()
-			l.Gone(e)
+			l.Reset(e)
 		}
 		if n == 0 {
 			break
@@ -182,7 +182,7 @@
 	took := microtime.Time(float64(callTime) * v.slow * (0.2 + 0.8*v.rng.ExpFloat64()))
 	status := vault.Yes
 	switch {
-	case !v.st.Book.waits(c.id):
+	case !v.st.Requests.waits(c.id):
 		status, took = vault.Pointless, 0
 	case v.faulty(VaultRefuses):
 		status, took = vault.NotNow, 0
@@ -196,14 +196,14 @@
 	if v.faulty(VaultShuffles) {
 		took += microtime.Time(v.rng.Int64N(int64(holdBack)))
 	}
-	c.timer = v.st.W.In(took, func() { l.reply(c, status) })
+	c.timer = v.st.World.In(took, func() { l.reply(c, status) })
 }
 
 // reply ends a call.
 func (l *vaultLink) reply(c *vaultCall, status vault.Status) {
 	v := l.v
 	v.end(c)
-	if status == vault.Yes && !v.st.Book.waits(c.id) {
+	if status == vault.Yes && !v.st.Requests.waits(c.id) {
 		status = vault.Overdue // its run has ended meanwhile
 	}
 	v.made++
--- a/internal/testbed/faults/draw.go
+++ b/internal/testbed/faults/draw.go
@@ -34,18 +34,18 @@
 const ratePerServer = 24
 
 var profiles = map[string]profile{
-	"calm": {every: 20, load: 0.5, weight: map[Kind]int{Cut: 2, Lose: 2, Lag: 2, Hasty: 1, Doubled: 1},
-		vault: map[Kind]int{VaultSlow: 1, VaultRefusing: 1, VaultShuffle: 1}},
-	"dawn": {every: 6, load: 0.9, weight: map[Kind]int{Flood: 5, Insist: 3, Strangers: 2, Costly: 2, Lag: 2, Stall: 1, Hasty: 2, Cut: 2},
-		vault: map[Kind]int{VaultSlow: 3, VaultRefusing: 3, VaultFailing: 1, VaultShuffle: 2}},
-	"noon": {every: 5, load: 1.1, weight: map[Kind]int{Slow: 4, Costly: 4, Pause: 3, StoreSlow: 3, StoreFail: 1, Stall: 2, Thin: 2, Deaf: 1,
-		Cut: 2, Flood: 2, Insist: 1}, vault: map[Kind]int{VaultSlow: 4, VaultRefusing: 3, VaultFailing: 3, VaultSilent: 2, VaultBreak: 1, VaultShuffle: 1}},
-	"release": {every: 5, load: 0.9, weight: map[Kind]int{Term: 6, Hup: 4, Kill: 2, Stale: 3, Die: 2, Mute: 1, Lose: 2, Stall: 2, Cut: 2, Dark: 1},
-		vault: map[Kind]int{VaultDown: 4, VaultHang: 2, VaultBreak: 2, VaultSilent: 1}},
-	"worst": {every: 3, load: 1, weight: map[Kind]int{Kill: 3, Vanish: 1, Term: 3, Hup: 3, Pause: 2, Slow: 2, Costly: 2, Stall: 4, Cut: 5, Half: 1,
-		Lag: 2, Thin: 1, Dark: 2, Lose: 2, Double: 1, Flood: 2, Die: 2, Stale: 1, Hasty: 3, GiveLate: 2, Deaf: 1, Insist: 1, Table: 2, Strangers: 2,
-		Doubled: 2, Mute: 1, StoreSlow: 1, StoreFail: 1},
-		vault: map[Kind]int{VaultDown: 3, VaultSlow: 3, VaultRefusing: 3, VaultFailing: 4, VaultBreak: 3, VaultShuffle: 2, VaultStray: 3, VaultSilent: 3, VaultHang: 2}},
+	"calm": {every: 20, load: 0.5, weight: map[Kind]int{CutConnection: 2, DropDatagrams: 2, AddLatency: 2, ImpatientCaller: 1, DuplicateNotices: 1},
+		vault: map[Kind]int{VaultSlow: 1, VaultRefusing: 1, VaultReorder: 1}},
+	"dawn": {every: 6, load: 0.9, weight: map[Kind]int{TrafficSurge: 5, ImmediateRetry: 3, UnidentifiedConnections: 2, CostlyClass: 2, AddLatency: 2, StallPath: 1, ImpatientCaller: 2, CutConnection: 2},
+		vault: map[Kind]int{VaultSlow: 3, VaultRefusing: 3, VaultFailing: 1, VaultReorder: 2}},
+	"noon": {every: 5, load: 1.1, weight: map[Kind]int{SlowPool: 4, CostlyClass: 4, Pause: 3, StoreSlow: 3, StoreFail: 1, StallPath: 2, LimitBandwidth: 2, CallerStopsReading: 1,
+		CutConnection: 2, TrafficSurge: 2, ImmediateRetry: 1}, vault: map[Kind]int{VaultSlow: 4, VaultRefusing: 3, VaultFailing: 3, VaultSilent: 2, VaultBreakReply: 1, VaultReorder: 1}},
+	"release": {every: 5, load: 0.9, weight: map[Kind]int{Terminate: 6, ReloadConfig: 4, Kill: 2, StaleEndpoints: 3, CallerCrash: 2, RegistryDown: 1, DropDatagrams: 2, StallPath: 2, CutConnection: 2, Blackhole: 1},
+		vault: map[Kind]int{VaultDown: 4, VaultHang: 2, VaultBreakReply: 2, VaultSilent: 1}},
+	"worst": {every: 3, load: 1, weight: map[Kind]int{Kill: 3, MachineLost: 1, Terminate: 3, ReloadConfig: 3, Pause: 2, SlowPool: 2, CostlyClass: 2, StallPath: 4, CutConnection: 5, HalfClose: 1,
+		AddLatency: 2, LimitBandwidth: 1, Blackhole: 2, DropDatagrams: 2, DuplicateDatagrams: 1, TrafficSurge: 2, CallerCrash: 2, StaleEndpoints: 1, ImpatientCaller: 3, LateCancel: 2, CallerStopsReading: 1, ImmediateRetry: 1, ConnectionLimit: 2, UnidentifiedConnections: 2,
+		DuplicateNotices: 2, RegistryDown: 1, StoreSlow: 1, StoreFail: 1},
+		vault: map[Kind]int{VaultDown: 3, VaultSlow: 3, VaultRefusing: 3, VaultFailing: 4, VaultBreakReply: 3, VaultReorder: 2, VaultStrayReply: 3, VaultSilent: 3, VaultHang: 2}},
 }
 
 // Profiles are the names that Draw takes, in a fixed order.
@@ -61,11 +61,11 @@
 // Draw draws a script from a seed by a profile, for a world of that size; rate 0 takes the profile's load. The same
 // arguments give the same script.
 func Draw(seed uint64, name string, servers, proxies int, length microtime.Time, rate float64) (Script, error) {
-	return DrawWith(seed, name, servers, proxies, 0, length, rate)
+	return DrawWithEdges(seed, name, servers, proxies, 0, length, rate)
 }
 
-// DrawWith is Draw for a world with edges before the servers.
-func DrawWith(seed uint64, name string, servers, proxies, edges int, length microtime.Time, rate float64) (Script, error) {
+// DrawWithEdges is Draw for a world with edges before the servers.
+func DrawWithEdges(seed uint64, name string, servers, proxies, edges int, length microtime.Time, rate float64) (Script, error) {
 	return World{Servers: servers, Proxies: proxies, Edges: edges, Length: length, Rate: rate}.Draw(seed, name)
 }
 
@@ -76,8 +76,8 @@
 		return Script{}, wrong("profile", "unknown %q; there are %s", name, strings.Join(Profiles(), ", "))
 	}
 	rng := rand.New(rand.NewPCG(seed, 0x6661756c))
-	s := Script{Seed: seed, Profile: name, Servers: w.Servers, Proxies: w.Proxies, Offices: max(w.Proxies/2, 1), Edges: w.Edges, Length: w.Length,
-		Rate: w.Rate, Store: rng.IntN(4) == 0, Advice: w.Edges > 1 && seed%2 == 0, Vault: w.Vault, Guarded: w.Vault && seed%3 == 0}
+	s := Script{Seed: seed, Profile: name, Servers: w.Servers, Proxies: w.Proxies, WebFrontends: max(w.Proxies/2, 1), Edges: w.Edges, Length: w.Length,
+		Rate: w.Rate, Store: rng.IntN(4) == 0, Gossip: w.Edges > 1 && seed%2 == 0, Vault: w.Vault, IdempotentOrders: w.Vault && seed%3 == 0}
 	if w.Rate == 0 {
 		s.Rate = math.Round(p.load * ratePerServer * float64(w.Servers) * (0.7 + 0.6*rng.Float64()))
 	}
@@ -86,14 +86,14 @@
 	}
 	n := w.Length.Duration().Seconds() * math.Sqrt(float64(w.Servers)) / p.every * (0.5 + rng.Float64())
 	for range min(max(int(n+rng.Float64()), 1), MaxFaults) {
-		s.Faults = append(s.Faults, s.Random(rng))
+		s.Faults = append(s.Faults, s.RandomFault(rng))
 	}
-	s.Sort()
+	s.SortFaults()
 	return s, nil
 }
 
-// Random draws one fault by the script's profile, or of any kind where it has none.
-func (s *Script) Random(rng *rand.Rand) Fault {
+// RandomFault draws one fault by the script's profile, or of any kind where it has none.
+func (s *Script) RandomFault(rng *rand.Rand) Fault {
 	p, ok := profiles[s.Profile]
 	if !ok {
 		p = profiles["worst"]
@@ -116,14 +116,14 @@
 	pick := rng.IntN(total)
 	for _, k := range all {
 		if pick -= weights[k]; pick < 0 {
-			return s.RandomOf(rng, k)
+			return s.RandomFaultOf(rng, k)
 		}
 	}
 	panic("faults: weights") // the sum above is of the same weights
 }
 
-// RandomOf draws one fault of a kind.
-func (s *Script) RandomOf(rng *rand.Rand, k Kind) Fault {
+// RandomFaultOf draws one fault of a kind.
+func (s *Script) RandomFaultOf(rng *rand.Rand, k Kind) Fault {
 	r := kinds[k]
 	f := Fault{Kind: k, At: microtime.Time(rng.Int64N(int64(s.Length)+1)) / 1000 * 1000}
 	if r.peer {
@@ -143,21 +143,21 @@
 	switch k {
 	case Kill:
 		f.Amount = float64(rng.IntN(12))
-	case Slow, Costly, Flood, VaultSlow:
+	case SlowPool, CostlyClass, TrafficSurge, VaultSlow:
 		f.Amount = math.Round(10*math.Exp(rng.Float64()*math.Log(8))) / 10
-	case Cut:
+	case CutConnection:
 		f.Amount = math.Floor(math.Exp(rng.Float64() * math.Log(8000)))
-	case Lag:
+	case AddLatency:
 		f.Amount = float64(1 + rng.IntN(800))
-	case Thin:
+	case LimitBandwidth:
 		f.Amount = math.Floor(2000 * math.Exp(rng.Float64()*math.Log(50)))
-	case Lose, Double, VaultRefusing, VaultFailing, VaultBreak, VaultStray:
+	case DropDatagrams, DuplicateDatagrams, VaultRefusing, VaultFailing, VaultBreakReply, VaultStrayReply:
 		f.Amount = math.Round(100*rng.Float64()) / 100
-	case Hasty:
+	case ImpatientCaller:
 		f.Amount = float64(1 + rng.IntN(2500))
-	case Table:
+	case ConnectionLimit:
 		f.Amount = float64(rng.IntN(8))
-	case Strangers:
+	case UnidentifiedConnections:
 		f.Amount = float64(1 + rng.IntN(60))
 	case StoreSlow:
 		f.Amount = float64(1 + rng.IntN(3000))
@@ -173,7 +173,7 @@
 func (s *Script) randomPair(rng *rand.Rand, k Kind) (string, string) {
 	server := rng.IntN(s.Servers)
 	name := fmt.Sprintf("s%d", server)
-	if k == Lose || k == Double {
+	if k == DropDatagrams || k == DuplicateDatagrams {
 		return name, "control"
 	}
 	peer := fmt.Sprintf("w%d", server)
@@ -201,7 +201,7 @@
 	switch n := rng.IntN(10); {
 	case n < 5 && s.Proxies > 0:
 		peer = s.randomNode(rng, 'p')
-	case n < 6 && s.Offices > 0:
+	case n < 6 && s.WebFrontends > 0:
 		peer = s.randomNode(rng, 'o')
 	}
 	if rng.IntN(2) == 0 {
--- a/internal/testbed/faults/faults.go
+++ b/internal/testbed/faults/faults.go
@@ -23,47 +23,47 @@
 
 // The kinds of fault. For, Peer, Amount and What are used where the kind's rule says so.
 const (
-	Kill      Kind = "kill"      // the server's process dies with its worker pool; For later it is back, cold. Amount: calls into a turn
-	Vanish    Kind = "vanish"    // the same with its whole machine: its peers hear nothing
-	Term      Kind = "term"      // the notice to leave; For after its end it is back, cold
-	Hup       Kind = "hup"       // the configuration moves the pool's link and the reports to other addresses
-	Pause     Kind = "pause"     // the process stands still
-	Slow      Kind = "slow"      // the worker pool takes Amount times as long
-	Costly    Kind = "costly"    // the class What takes Amount times as long at the worker pool
-	Stall     Kind = "stall"     // nothing passes between Node and Peer, and nothing is lost
-	Cut       Kind = "cut"       // connections of Node to Peer break after Amount more bytes from Node
-	Half      Kind = "half"      // connections of Node to Peer are closed in the direction from Node
-	Lag       Kind = "lag"       // Amount milliseconds more from Node to Peer and back
-	Thin      Kind = "thin"      // Amount bytes a second between Node and Peer
-	Dark      Kind = "dark"      // connects and datagrams between Node and Peer get no answer
-	Lose      Kind = "lose"      // datagrams between Node and Peer are lost with the chance Amount
-	Double    Kind = "double"    // datagrams between Node and Peer come twice with the chance Amount
-	Flood     Kind = "flood"     // the vineyard What sends Amount times as much
-	Die       Kind = "die"       // the proxy dies; For later it is back, with the list it had and an address of nobody's
-	Stale     Kind = "stale"     // the proxy hears of no change of the list
-	Hasty     Kind = "hasty"     // the proxy gives requests up after Amount milliseconds
-	GiveLate  Kind = "give-late" // the proxy gives up what it has been answered, and numbers it never used
-	Deaf      Kind = "deaf"      // the proxy reads nothing
-	Insist    Kind = "insist"    // the proxy tries again the instant that it is refused
-	Table     Kind = "table"     // the server's machine takes Amount connections at most
-	Strangers Kind = "strangers" // Amount connections to the server that say nothing, or half of something
-	Doubled   Kind = "doubled"   // the worker pool sends its notices twice
-	Mute      Kind = "mute"      // the control plane is down
-	StoreSlow Kind = "store-slow"
-	StoreFail Kind = "store-fail"
+	Kill                    Kind = "kill"      // the server's process dies with its worker pool; For later it is back, cold. Amount: calls into a turn
+	MachineLost             Kind = "vanish"    // the same with its whole machine: its peers hear nothing
+	Terminate               Kind = "term"      // the notice to leave; For after its end it is back, cold
+	ReloadConfig            Kind = "hup"       // the configuration moves the pool's link and the reports to other addresses
+	Pause                   Kind = "pause"     // the process stands still
+	SlowPool                Kind = "slow"      // the worker pool takes Amount times as long
+	CostlyClass             Kind = "costly"    // the class What takes Amount times as long at the worker pool
+	StallPath               Kind = "stall"     // nothing passes between Node and Peer, and nothing is lost
+	CutConnection           Kind = "cut"       // connections of Node to Peer break after Amount more bytes from Node
+	HalfClose               Kind = "half"      // connections of Node to Peer are closed in the direction from Node
+	AddLatency              Kind = "lag"       // Amount milliseconds more from Node to Peer and back
+	LimitBandwidth          Kind = "thin"      // Amount bytes a second between Node and Peer
+	Blackhole               Kind = "dark"      // connects and datagrams between Node and Peer get no answer
+	DropDatagrams           Kind = "lose"      // datagrams between Node and Peer are lost with the chance Amount
+	DuplicateDatagrams      Kind = "double"    // datagrams between Node and Peer come twice with the chance Amount
+	TrafficSurge            Kind = "flood"     // the vineyard What sends Amount times as much
+	CallerCrash             Kind = "die"       // the proxy dies; For later it is back, with the list it had and an address of nobody's
+	StaleEndpoints          Kind = "stale"     // the proxy hears of no change of the list
+	ImpatientCaller         Kind = "hasty"     // the proxy gives requests up after Amount milliseconds
+	LateCancel              Kind = "give-late" // the proxy gives up what it has been answered, and numbers it never used
+	CallerStopsReading      Kind = "deaf"      // the proxy reads nothing
+	ImmediateRetry          Kind = "insist"    // the proxy tries again the instant that it is refused
+	ConnectionLimit         Kind = "table"     // the server's machine takes Amount connections at most
+	UnidentifiedConnections Kind = "strangers" // Amount connections to the server that say nothing, or half of something
+	DuplicateNotices        Kind = "doubled"   // the worker pool sends its notices twice
+	RegistryDown            Kind = "mute"      // the control plane is down
+	StoreSlow               Kind = "store-slow"
+	StoreFail               Kind = "store-fail"
 )
 
 // The kinds of fault of the vault.
 const (
-	VaultDown     Kind = "vault-down"     // it refuses connections, and those that it had break
-	VaultSlow     Kind = "vault-slow"     // it takes Amount times as long
-	VaultRefusing Kind = "vault-refusing" // it turns calls away with the chance Amount
-	VaultFailing  Kind = "vault-failing"  // calls end as What says with the chance Amount, half of them after their effect
-	VaultBreak    Kind = "vault-break"    // a connection breaks in the middle of a reply with the chance Amount
-	VaultShuffle  Kind = "vault-shuffle"  // replies are held back and come in another order
-	VaultStray    Kind = "vault-stray"    // replies come twice, or beside others for nobody's call, with the chance Amount
-	VaultSilent   Kind = "vault-silent"   // it takes calls and replies to none
-	VaultHang     Kind = "vault-hang"     // it does not answer connects
+	VaultDown       Kind = "vault-down"     // it refuses connections, and those that it had break
+	VaultSlow       Kind = "vault-slow"     // it takes Amount times as long
+	VaultRefusing   Kind = "vault-refusing" // it turns calls away with the chance Amount
+	VaultFailing    Kind = "vault-failing"  // calls end as What says with the chance Amount, half of them after their effect
+	VaultBreakReply Kind = "vault-break"    // a connection breaks in the middle of a reply with the chance Amount
+	VaultReorder    Kind = "vault-shuffle"  // replies are held back and come in another order
+	VaultStrayReply Kind = "vault-stray"    // replies come twice, or beside others for nobody's call, with the chance Amount
+	VaultSilent     Kind = "vault-silent"   // it takes calls and replies to none
+	VaultHang       Kind = "vault-hang"     // it does not answer connects
 )
 
 // rule says which fields a kind has.
@@ -83,34 +83,34 @@
 
 // VaultClasses are the classes of a world with a vault, which has no tenants; CallEnds are ends of a call that prove nothing.
 var (
-	VaultClasses = []string{"page-view", "page-save", "print-order"}
-	CallEnds     = []string{"failed", "overdue"}
+	VaultClasses              = []string{"page-view", "page-save", "print-order"}
+	IndeterminateCallOutcomes = []string{"failed", "overdue"}
 )
 
 const anyNode = "spowcev"
 
 var kinds = map[Kind]rule{
-	Kill: {node: "se", length: true, hi: 1000}, Vanish: {node: "se", length: true}, Term: {node: "se", length: true},
-	Hup: {node: "s"}, Pause: {node: "se", length: true}, Slow: {node: "w", length: true, lo: 1, hi: 100},
-	Costly: {node: "w", length: true, what: Classes, lo: 1, hi: 100},
-	Stall:  {node: anyNode, peer: true, length: true}, Cut: {node: anyNode, peer: true, hi: 1e7},
-	Half: {node: anyNode, peer: true}, Lag: {node: anyNode, peer: true, length: true, hi: 10_000}, Thin: {node: anyNode, peer: true, length: true, lo: 1000, hi: 1e9},
-	Dark: {node: anyNode, peer: true, length: true}, Lose: {node: anyNode, peer: true, length: true, hi: 1},
-	Double: {node: anyNode, peer: true, length: true, hi: 1}, Flood: {length: true, what: Tenants, lo: 1, hi: 100},
-	Die: {node: "p", length: true}, Stale: {node: "p", length: true}, Hasty: {node: "p", length: true, hi: 10_000},
-	GiveLate: {node: "p", length: true}, Deaf: {node: "p", length: true}, Insist: {node: "p", length: true},
-	Table: {node: "s", length: true, hi: 10_000}, Strangers: {node: "s", lo: 1, hi: 5000},
-	Doubled: {node: "w", length: true}, Mute: {length: true}, StoreSlow: {node: "s", length: true, hi: 60_000},
+	Kill: {node: "se", length: true, hi: 1000}, MachineLost: {node: "se", length: true}, Terminate: {node: "se", length: true},
+	ReloadConfig: {node: "s"}, Pause: {node: "se", length: true}, SlowPool: {node: "w", length: true, lo: 1, hi: 100},
+	CostlyClass: {node: "w", length: true, what: Classes, lo: 1, hi: 100},
+	StallPath:   {node: anyNode, peer: true, length: true}, CutConnection: {node: anyNode, peer: true, hi: 1e7},
+	HalfClose: {node: anyNode, peer: true}, AddLatency: {node: anyNode, peer: true, length: true, hi: 10_000}, LimitBandwidth: {node: anyNode, peer: true, length: true, lo: 1000, hi: 1e9},
+	Blackhole: {node: anyNode, peer: true, length: true}, DropDatagrams: {node: anyNode, peer: true, length: true, hi: 1},
+	DuplicateDatagrams: {node: anyNode, peer: true, length: true, hi: 1}, TrafficSurge: {length: true, what: Tenants, lo: 1, hi: 100},
+	CallerCrash: {node: "p", length: true}, StaleEndpoints: {node: "p", length: true}, ImpatientCaller: {node: "p", length: true, hi: 10_000},
+	LateCancel: {node: "p", length: true}, CallerStopsReading: {node: "p", length: true}, ImmediateRetry: {node: "p", length: true},
+	ConnectionLimit: {node: "s", length: true, hi: 10_000}, UnidentifiedConnections: {node: "s", lo: 1, hi: 5000},
+	DuplicateNotices: {node: "w", length: true}, RegistryDown: {length: true}, StoreSlow: {node: "s", length: true, hi: 60_000},
 	StoreFail: {node: "s", length: true},
 	VaultDown: {node: "v", length: true}, VaultSlow: {node: "v", length: true, lo: 1, hi: 100},
-	VaultRefusing: {node: "v", length: true, hi: 1}, VaultFailing: {node: "v", length: true, what: CallEnds, hi: 1},
-	VaultBreak: {node: "v", length: true, hi: 1}, VaultShuffle: {node: "v", length: true}, VaultStray: {node: "v", length: true, hi: 1},
+	VaultRefusing: {node: "v", length: true, hi: 1}, VaultFailing: {node: "v", length: true, what: IndeterminateCallOutcomes, hi: 1},
+	VaultBreakReply: {node: "v", length: true, hi: 1}, VaultReorder: {node: "v", length: true}, VaultStrayReply: {node: "v", length: true, hi: 1},
 	VaultSilent: {node: "v", length: true}, VaultHang: {node: "v", length: true},
 }
 
 // words are what What may be for a kind in the script's world.
 func (s *Script) words(k Kind) []string {
-	if s.Vault && (k == Costly || k == Flood) {
+	if s.Vault && (k == CostlyClass || k == TrafficSurge) {
 		return VaultClasses
 	}
 	return kinds[k].what
@@ -124,7 +124,7 @@
 	case 'p':
 		return s.Proxies
 	case 'o':
-		return s.Offices
+		return s.WebFrontends
 	case 'e':
 		return s.Edges
 	case 'v':
@@ -158,19 +158,19 @@
 
 // Script is a run: its world and its faults, by time.
 type Script struct {
-	Seed    uint64
-	Profile string // that it was drawn by; "" for none
-	Servers int
-	Proxies int
-	Offices int            // AJP front ends
-	Edges   int            // instances before the servers, to which all callers go; 0: they go to the servers
-	Advice  bool           // the edges tell each other what they know of the servers
-	Store   bool           // the servers have a store of record
-	Vault   bool           // requests call the vault v0 while they run; classes, allowance and figures are the second deployment's
-	Guarded bool           // with a vault: print-order may come again within its window, in place of running once
-	Length  microtime.Time // that requests come; the run goes on until all is answered
-	Rate    float64        // first tries a second in all
-	Faults  []Fault
+	Seed             uint64
+	Profile          string // that it was drawn by; "" for none
+	Servers          int
+	Proxies          int
+	WebFrontends     int            // AJP front ends
+	Edges            int            // instances before the servers, to which all callers go; 0: they go to the servers
+	Gossip           bool           // the edges tell each other what they know of the servers
+	Store            bool           // the servers have a store of record
+	Vault            bool           // requests call the vault v0 while they run; classes, allowance and figures are the second deployment's
+	IdempotentOrders bool           // with a vault: print-order may come again within its window, in place of running once
+	Length           microtime.Time // that requests come; the run goes on until all is answered
+	Rate             float64        // first tries a second in all
+	Faults           []Fault
 }
 
 // The bounds of a world.
@@ -184,37 +184,37 @@
 
 // Error is a fault of the text or of a record: it names the line and the field.
 type Error struct {
-	Line  int // from 1 on; 0: of the record
-	Field string
-	Why   string
+	Line   int // from 1 on; 0: of the record
+	Field  string
+	Reason string
 }
 
 func (e *Error) Error() string {
 	if e.Line == 0 {
-		return fmt.Sprintf("faults: %s: %s", e.Field, e.Why)
+		return fmt.Sprintf("faults: %s: %s", e.Field, e.Reason)
 	}
-	return fmt.Sprintf("faults: line %d: %s: %s", e.Line, e.Field, e.Why)
+	return fmt.Sprintf("faults: line %d: %s: %s", e.Line, e.Field, e.Reason)
 }
 
 func wrong(field, format string, args ...any) *Error {
-	return &Error{Field: field, Why: fmt.Sprintf(format, args...)}
+	return &Error{Field: field, Reason: fmt.Sprintf(format, args...)}
 }
 
-// Check tells the first thing that is wrong with the script, as an *Error.
-func (s *Script) Check() error {
+// Validate tells the first thing that is wrong with the script, as an *Error.
+func (s *Script) Validate() error {
 	if err := s.checkWorld(); err != nil {
 		return err
 	}
 	for i, f := range s.Faults {
 		if err := s.check(f); err != nil {
-			return &Error{Field: fmt.Sprintf("fault %d: %s", i+1, err.Field), Why: err.Why}
+			return &Error{Field: fmt.Sprintf("fault %d: %s", i+1, err.Field), Reason: err.Reason}
 		}
 	}
 	return nil
 }
 
-// Fits tells whether a fault may stand in the script.
-func (s *Script) Fits(f Fault) bool { return s.check(f) == nil }
+// Allows tells whether a fault may stand in the script.
+func (s *Script) Allows(f Fault) bool { return s.check(f) == nil }
 
 func (s *Script) checkWorld() *Error {
 	within := func(field string, v, lo, hi float64) *Error {
@@ -225,7 +225,7 @@
 	}
 	for _, err := range []*Error{
 		within("servers", float64(s.Servers), 1, MaxServers), within("proxies", float64(s.Proxies), 0, MaxProxies),
-		within("offices", float64(s.Offices), 0, MaxProxies), within("seconds", s.Length.Duration().Seconds(), 0.001, MaxLength.Duration().Seconds()),
+		within("offices", float64(s.WebFrontends), 0, MaxProxies), within("seconds", s.Length.Duration().Seconds(), 0.001, MaxLength.Duration().Seconds()),
 		within("edges", float64(s.Edges), 0, MaxServers), within("rate", s.Rate, 0, MaxRate), within("faults", float64(len(s.Faults)), 0, MaxFaults),
 	} {
 		if err != nil {
@@ -235,7 +235,7 @@
 	switch {
 	case s.Vault && s.Edges > 0:
 		return wrong("vault", "edges pass work on to servers and make no calls")
-	case s.Guarded && !s.Vault:
+	case s.IdempotentOrders && !s.Vault:
 		return wrong("guarded", "needs vault=true")
 	}
 	return nil
@@ -340,7 +340,7 @@
 	if !seen {
 		return s, wrong("world", "missing")
 	}
-	s.Sort()
+	s.SortFaults()
 	return s, nil
 }
 
@@ -376,17 +376,17 @@
 		case "proxies":
 			s.Proxies, err = strconv.Atoi(f.value)
 		case "offices":
-			s.Offices, err = strconv.Atoi(f.value)
+			s.WebFrontends, err = strconv.Atoi(f.value)
 		case "edges":
 			s.Edges, err = strconv.Atoi(f.value)
 		case "advice":
-			s.Advice, err = strconv.ParseBool(f.value)
+			s.Gossip, err = strconv.ParseBool(f.value)
 		case "store":
 			s.Store, err = strconv.ParseBool(f.value)
 		case "vault":
 			s.Vault, err = strconv.ParseBool(f.value)
 		case "guarded":
-			s.Guarded, err = strconv.ParseBool(f.value)
+			s.IdempotentOrders, err = strconv.ParseBool(f.value)
 		case "seconds":
 			var v float64
 			v, err = strconv.ParseFloat(f.value, 64)
@@ -436,8 +436,8 @@
 	return microtime.FromDuration(d), err
 }
 
-// Sort puts the faults in order of time.
-func (s *Script) Sort() {
+// SortFaults puts the faults in order of time.
+func (s *Script) SortFaults() {
 	slices.SortStableFunc(s.Faults, func(a, b Fault) int { return int(a.At - b.At) })
 }
 
@@ -455,11 +455,11 @@
 	if s.Profile != "" {
 		fmt.Fprintf(&b, " profile=%s", s.Profile)
 	}
-	fmt.Fprintf(&b, " servers=%d proxies=%d offices=%d", s.Servers, s.Proxies, s.Offices)
+	fmt.Fprintf(&b, " servers=%d proxies=%d offices=%d", s.Servers, s.Proxies, s.WebFrontends)
 	if s.Edges > 0 {
 		fmt.Fprintf(&b, " edges=%d", s.Edges)
 	}
-	if s.Advice {
+	if s.Gossip {
 		b.WriteString(" advice=true")
 	}
 	if s.Store {
@@ -468,7 +468,7 @@
 	if s.Vault {
 		b.WriteString(" vault=true")
 	}
-	if s.Guarded {
+	if s.IdempotentOrders {
 		b.WriteString(" guarded=true")
 	}
 	fmt.Fprintf(&b, " seconds=%v rate=%v\n", float64(s.Length)/1e6, s.Rate)
--- a/internal/testbed/faults/faults_test.go
+++ b/internal/testbed/faults/faults_test.go
@@ -18,7 +18,7 @@
 			w := World{Servers: 1 + int(seed%5), Proxies: int(seed % 4), Length: 12 * microtime.Second, Vault: seed%2 == 1}
 			s, err := w.Draw(seed, profile)
 			require.NoError(t, err)
-			require.NoError(t, s.Check())
+			require.NoError(t, s.Validate())
 			back, err := Parse(s.String())
 			require.NoError(t, err, s.String())
 			require.Equal(t, s, back)
@@ -31,17 +31,17 @@
 
 // Each kind can be drawn, passes, and reads back.
 func TestEveryKindOfFault(t *testing.T) {
-	s := Script{Servers: 2, Proxies: 2, Offices: 1, Store: true, Vault: true, Length: 10 * microtime.Second}
+	s := Script{Servers: 2, Proxies: 2, WebFrontends: 1, Store: true, Vault: true, Length: 10 * microtime.Second}
 	rng := rand.New(rand.NewPCG(1, 2))
 	require.Len(t, Kinds(), 37)
 	for _, k := range Kinds() {
 		for range 20 {
-			f := s.RandomOf(rng, k)
-			require.True(t, s.Fits(f), f)
+			f := s.RandomFaultOf(rng, k)
+			require.True(t, s.Allows(f), f)
 			s.Faults = append(s.Faults, f)
 		}
 	}
-	s.Sort()
+	s.SortFaults()
 	back, err := Parse(s.String())
 	require.NoError(t, err)
 	require.Equal(t, s, back)
@@ -101,7 +101,7 @@
 	sum := xxhash.New()
 	for _, profile := range Profiles() {
 		for seed := range uint64(50) {
-			s, err := DrawWith(seed, profile, 3, 4, int(seed%3), 12*microtime.Second, 0)
+			s, err := DrawWithEdges(seed, profile, 3, 4, int(seed%3), 12*microtime.Second, 0)
 			require.NoError(t, err)
 			_, _ = sum.WriteString(s.String())
 		}
--- a/internal/testbed/faultsearch/search.go
+++ b/internal/testbed/faultsearch/search.go
@@ -24,10 +24,10 @@
 // Situation names something that a run has reached, such as a fault of one kind while a request was in one state.
 type Situation uint64
 
-// Guided keeps scripts that reached new or rare situations and changes them, in the way of coverage-guided fuzzing:
+// CoverageGuided keeps scripts that reached new or rare situations and changes them, in the way of coverage-guided fuzzing:
 // M. Zalewski, "Technical whitepaper for afl-fuzz"; the preference for the rare is that of M. Boehme et al.,
 // "Coverage-based Greybox Fuzzing as Markov Chain" (CCS 2016).
-type Guided struct {
+type CoverageGuided struct {
 	rng  *rand.Rand
 	draw func(seed uint64) faults.Script
 	seen map[Situation]int
@@ -43,13 +43,13 @@
 	played int         // how often it was changed
 }
 
-// NewGuided returns a search that draws fresh scripts by draw, from the seed first on.
-func NewGuided(first uint64, draw func(seed uint64) faults.Script) *Guided {
-	return &Guided{rng: rand.New(rand.NewPCG(first, 0x73656172)), draw: draw, seen: map[Situation]int{}, next: first}
+// NewCoverageGuided returns a search that draws fresh scripts by draw, from the seed first on.
+func NewCoverageGuided(first uint64, draw func(seed uint64) faults.Script) *CoverageGuided {
+	return &CoverageGuided{rng: rand.New(rand.NewPCG(first, 0x73656172)), draw: draw, seen: map[Situation]int{}, next: first}
 }
 
 // Next is the script to play now.
-func (g *Guided) Next() faults.Script {
+func (g *CoverageGuided) Next() faults.Script {
 	g.runs++
 	if len(g.kept) == 0 || g.rng.Float64() < freshShare {
 		s := g.draw(g.next)
@@ -62,16 +62,16 @@
 }
 
 // Runs, Seen and Kept tell how far the search has come: scripts asked for, situations reached, scripts kept.
-func (g *Guided) Runs() int { return g.runs }
+func (g *CoverageGuided) Runs() int { return g.runs }
 
-// Seen counts the situations reached.
-func (g *Guided) Seen() int { return len(g.seen) }
+// SituationCount counts the situations reached.
+func (g *CoverageGuided) SituationCount() int { return len(g.seen) }
 
-// Kept counts the scripts that are changed further.
-func (g *Guided) Kept() int { return len(g.kept) }
+// CorpusSize counts the scripts that are changed further.
+func (g *CoverageGuided) CorpusSize() int { return len(g.kept) }
 
-// Learn takes what a script has reached. It is kept where something was new.
-func (g *Guided) Learn(s faults.Script, reached []Situation) (fresh int) {
+// Report takes what a script has reached. It is kept where something was new.
+func (g *CoverageGuided) Report(s faults.Script, reached []Situation) (fresh int) {
 	reached = slices.Compact(slices.Sorted(slices.Values(reached)))
 	var first []Situation
 	for _, x := range reached {
@@ -99,7 +99,7 @@
 }
 
 // worth is high for a script that reaches what few others do, and falls as it is changed again and again.
-func (g *Guided) worth(k *kept) float64 {
+func (g *CoverageGuided) worth(k *kept) float64 {
 	rarest, sum := 0.0, 0.0
 	for _, x := range k.first {
 		w := 1 / float64(g.seen[x])
@@ -110,7 +110,7 @@
 }
 
 // pick draws a kept script by its worth.
-func (g *Guided) pick() *kept {
+func (g *CoverageGuided) pick() *kept {
 	total := 0.0
 	for i := range g.kept {
 		total += g.worth(&g.kept[i])
@@ -125,7 +125,7 @@
 }
 
 // change returns a script near s. It always passes Check if s does.
-func (g *Guided) change(from faults.Script) faults.Script {
+func (g *CoverageGuided) change(from faults.Script) faults.Script {
 	s := from.Clone()
 	most := min(len(from.Faults)+stepsMost, faultsMost)
 	for range 1 + g.rng.IntN(changeMost) {
@@ -138,9 +138,9 @@
 		case c == 0: // other traffic
 			s.Seed = g.rng.Uint64()
 		case n == 0 || c <= 2 && n < most:
-			s.Faults = append(s.Faults, s.Random(g.rng))
+			s.Faults = append(s.Faults, s.RandomFault(g.rng))
 		case c == 3 && n < most: // one more of a kind that is there, at another node
-			s.Faults = append(s.Faults, s.RandomOf(g.rng, s.Faults[pick].Kind))
+			s.Faults = append(s.Faults, s.RandomFaultOf(g.rng, s.Faults[pick].Kind))
 		case c == 4:
 			s.Faults = slices.Delete(s.Faults, pick, pick+1)
 		case c == 5: // two faults at nearly the same time
@@ -151,24 +151,24 @@
 			f := s.Faults[pick]
 			f.Node, f.Peer = other.Node, other.Peer
 			f.At = clamp(other.At+microtime.Time(g.rng.Int64N(int64(500*microtime.Millisecond))), s.Length)
-			if s.Fits(f) {
+			if s.Allows(f) {
 				s.Faults[pick] = f
 			}
 		case c == 7:
 			s.Faults[pick].At = clamp(s.Faults[pick].At+microtime.Time(g.rng.Int64N(int64(2*microtime.Second)))-microtime.Second, s.Length)
 		case c == 8: // longer, shorter, more, less
-			fresh := s.RandomOf(g.rng, s.Faults[pick].Kind)
+			fresh := s.RandomFaultOf(g.rng, s.Faults[pick].Kind)
 			s.Faults[pick].For, s.Faults[pick].Amount = fresh.For, fresh.Amount
 		default: // what another script does
 			other := g.kept[g.rng.IntN(len(g.kept))].script
 			if len(other.Faults) > 0 && n < most {
-				if f := other.Faults[g.rng.IntN(len(other.Faults))]; s.Fits(f) {
+				if f := other.Faults[g.rng.IntN(len(other.Faults))]; s.Allows(f) {
 					s.Faults = append(s.Faults, f)
 				}
 			}
 		}
 	}
-	s.Sort()
+	s.SortFaults()
 	return s
 }
 
--- a/internal/testbed/faultsearch/search_test.go
+++ b/internal/testbed/faultsearch/search_test.go
@@ -33,15 +33,15 @@
 
 // The search is its seed's and its reports' alone, and its scripts always pass.
 func TestGuidedIsDeterministicAndSound(t *testing.T) {
-	a, b := NewGuided(5, draw), NewGuided(5, draw)
+	a, b := NewCoverageGuided(5, draw), NewCoverageGuided(5, draw)
 	for range 500 {
 		x, y := a.Next(), b.Next()
 		require.Equal(t, x, y)
-		require.NoError(t, x.Check())
-		require.Equal(t, a.Learn(x, reach(x)), b.Learn(y, reach(y)))
+		require.NoError(t, x.Validate())
+		require.Equal(t, a.Report(x, reach(x)), b.Report(y, reach(y)))
 	}
-	require.Equal(t, a.Seen(), b.Seen())
-	require.LessOrEqual(t, a.Kept(), keptMost)
+	require.Equal(t, a.SituationCount(), b.SituationCount())
+	require.LessOrEqual(t, a.CorpusSize(), keptMost)
 }
 
 // With the same number of scripts, the guided search reaches more than drawing alone, from each of five seeds.
@@ -49,16 +49,16 @@
 	const runs = 1500
 	guided, random := 0, 0
 	for first := uint64(1); first < 50_000; first += 10_000 {
-		g, drawn := NewGuided(first, draw), map[Situation]bool{}
+		g, drawn := NewCoverageGuided(first, draw), map[Situation]bool{}
 		for i := range uint64(runs) {
 			s := g.Next()
-			g.Learn(s, reach(s))
+			g.Report(s, reach(s))
 			for _, x := range reach(draw(first + i)) {
 				drawn[x] = true
 			}
 		}
-		require.Greater(t, g.Seen(), len(drawn))
-		guided, random = guided+g.Seen(), random+len(drawn)
+		require.Greater(t, g.SituationCount(), len(drawn))
+		guided, random = guided+g.SituationCount(), random+len(drawn)
 	}
 	t.Logf("guided reaches %d, drawing %d", guided, random)
 	require.Greater(t, guided*10, random*11)
@@ -66,9 +66,9 @@
 
 // What is rare is changed more often than what every script reaches.
 func TestRareScriptsAreWorthMore(t *testing.T) {
-	g := NewGuided(1, draw)
+	g := NewCoverageGuided(1, draw)
 	for i := range uint64(50) {
-		g.Learn(draw(i), []Situation{1, Situation(100 + i)})
+		g.Report(draw(i), []Situation{1, Situation(100 + i)})
 	}
 	rare, common := kept{first: []Situation{149}}, kept{first: []Situation{1}}
 	require.Greater(t, g.worth(&rare), 5*g.worth(&common))
@@ -88,8 +88,8 @@
 			return k.Best(), n
 		}
 		n++
-		require.NoError(t, next.Check())
-		k.Tell(fails(next))
+		require.NoError(t, next.Validate())
+		k.Report(fails(next))
 	}
 }
 
@@ -99,13 +99,13 @@
 	for range 30 {
 		s.Faults = append(s.Faults, draw(uint64(len(s.Faults))).Faults...)
 	}
-	s.Faults = append(s.Faults, faults.Fault{Kind: faults.Hup, Node: "s2", At: 3123456},
-		faults.Fault{Kind: faults.Cut, Node: "w2", Peer: "s2", At: 3223456, Amount: 77.5})
-	s.Sort()
+	s.Faults = append(s.Faults, faults.Fault{Kind: faults.ReloadConfig, Node: "s2", At: 3123456},
+		faults.Fault{Kind: faults.CutConnection, Node: "w2", Peer: "s2", At: 3223456, Amount: 77.5})
+	s.SortFaults()
 	fails := func(s faults.Script) bool { // a cut of a pool's link within 200 ms of its server's reload
 		for _, a := range s.Faults {
 			for _, b := range s.Faults {
-				if a.Kind == faults.Hup && b.Kind == faults.Cut && b.Node[1:] == a.Node[1:] && b.Node[0] == 'w' && b.At >= a.At && b.At < a.At+200*microtime.Millisecond {
+				if a.Kind == faults.ReloadConfig && b.Kind == faults.CutConnection && b.Node[1:] == a.Node[1:] && b.Node[0] == 'w' && b.At >= a.At && b.At < a.At+200*microtime.Millisecond {
 					return true
 				}
 			}
@@ -114,7 +114,7 @@
 	}
 	least, plays := shrink(t, s, 5000, fails)
 	require.Len(t, least.Faults, 2, least.String())
-	require.Equal(t, []int{1, 0, 0}, []int{least.Servers, least.Proxies, least.Offices}, least.String())
+	require.Equal(t, []int{1, 0, 0}, []int{least.Servers, least.Proxies, least.WebFrontends}, least.String())
 	require.Equal(t, float64(1), least.Rate)
 	require.Less(t, plays, 600)
 }
@@ -130,8 +130,8 @@
 // A node that goes takes the faults that name it with it, and those behind it move up.
 func TestLeaveOutRenumbers(t *testing.T) {
 	s := faults.Script{Servers: 3, Proxies: 1, Length: microtime.Second, Faults: []faults.Fault{
-		{Kind: faults.Hup, Node: "s0"}, {Kind: faults.Slow, Node: "w1", Amount: 2}, {Kind: faults.Cut, Node: "p0", Peer: "s2"}}}
+		{Kind: faults.ReloadConfig, Node: "s0"}, {Kind: faults.SlowPool, Node: "w1", Amount: 2}, {Kind: faults.CutConnection, Node: "p0", Peer: "s2"}}}
 	require.True(t, leaveOut(&s, 's', 1))
-	require.NoError(t, s.Check())
-	require.Equal(t, []faults.Fault{{Kind: faults.Hup, Node: "s0"}, {Kind: faults.Cut, Node: "p0", Peer: "s1"}}, s.Faults)
+	require.NoError(t, s.Validate())
+	require.Equal(t, []faults.Fault{{Kind: faults.ReloadConfig, Node: "s0"}, {Kind: faults.CutConnection, Node: "p0", Peer: "s1"}}, s.Faults)
 }
--- a/internal/testbed/faultsearch/shrink.go
+++ b/internal/testbed/faultsearch/shrink.go
@@ -47,7 +47,7 @@
 			continue
 		}
 		s := k.best.Clone()
-		if !k.smaller[k.at](&s) || s.Check() != nil {
+		if !k.smaller[k.at](&s) || s.Validate() != nil {
 			k.at++
 			continue
 		}
@@ -58,8 +58,8 @@
 	return faults.Script{}, false
 }
 
-// Tell says whether the script asked for fails in the same way as the first one.
-func (k *Shrinker) Tell(fails bool) {
+// Report says whether the script asked for fails in the same way as the first one.
+func (k *Shrinker) Report(fails bool) {
 	if !fails {
 		k.at++
 		return
@@ -87,7 +87,7 @@
 		}
 	}
 	for _, letter := range []byte("spo") {
-		count := map[byte]int{'s': s.Servers, 'p': s.Proxies, 'o': s.Offices}[letter]
+		count := map[byte]int{'s': s.Servers, 'p': s.Proxies, 'o': s.WebFrontends}[letter]
 		for i := count - 1; i >= 0; i-- {
 			out = append(out, func(s *faults.Script) bool { return leaveOut(s, letter, i) })
 		}
@@ -117,7 +117,7 @@
 
 // leaveOut takes a node out, with the faults that name it, and gives the later ones its number.
 func leaveOut(s *faults.Script, letter byte, i int) bool {
-	count := map[byte]*int{'s': &s.Servers, 'p': &s.Proxies, 'o': &s.Offices}[letter]
+	count := map[byte]*int{'s': &s.Servers, 'p': &s.Proxies, 'o': &s.WebFrontends}[letter]
 	if i >= *count || letter == 's' && *count == 1 {
 		return false
 	}
--- a/internal/testbed/invariant/call_address.go
+++ b/internal/testbed/invariant/call_address.go
@@ -2,8 +2,8 @@
 
 import "pewterline/internal/microtime"
 
-// CallsAt says that from now on a server's configuration has its calls go to an address of the vault.
-func (o *Observer) CallsAt(name, address string) {
+// CallsRoutedTo says that from now on a server's configuration has its calls go to an address of the vault.
+func (o *Observer) CallsRoutedTo(name, address string) {
 	s := o.servers[name]
 	s.callsAt, s.callsMoved = address, o.w.Now()
 }
--- a/internal/testbed/invariant/calls.go
+++ b/internal/testbed/invariant/calls.go
@@ -152,7 +152,7 @@
 			n++
 		}
 	}
-	o.reach(c.s, fmt.Sprintf("vault link down open%d why%d", size(n), v.Why))
+	o.reach(c.s, fmt.Sprintf("vault link down open%d why%d", size(n), v.Cause))
 }
 
 // blocked takes a run's notice that it waits for a call, as its worker pool sends it.
--- a/internal/testbed/invariant/calls_test.go
+++ b/internal/testbed/invariant/calls_test.go
@@ -79,7 +79,7 @@
 		{"again after its connection broke", "call/made twice", func(s *scene) {
 			s.waiting(callBig, order)
 			s.call(4, callBig)
-			s.event(4, simnet.Ended, "s0", "v0", true, nil)
+			s.event(4, simnet.Closed, "s0", "v0", true, nil)
 			s.call(5, callBig)
 		}},
 		{"again after unask", "call/made twice", func(s *scene) {
@@ -165,7 +165,7 @@
 		}},
 		{"called though the caller has left", "call/for what is over", func(s *scene) {
 			s.waiting(callBig, view)
-			s.event(1, simnet.Ended, "s0", "p0", false, nil)
+			s.event(1, simnet.Closed, "s0", "p0", false, nil)
 			s.after(30 * microtime.Millisecond)
 			s.call(4, callBig)
 		}},
@@ -188,17 +188,17 @@
 			n := s.waiting(callBig, view)
 			s.call(4, callBig)
 			s.answer(thrift.AppendBroken(nil, n, nil))
-			s.event(4, simnet.Ended, "s0", "v0", true, nil)
+			s.event(4, simnet.Closed, "s0", "v0", true, nil)
 		}},
 		{"to the address before", "call/to another address", func(s *scene) {
-			s.o.CallsAt("s0", "v0/b")
+			s.o.CallsRoutedTo("s0", "v0/b")
 			s.after(30 * microtime.Millisecond)
 			s.waiting(callBig, view)
 			s.call(4, callBig)
 		}},
 		{"as the address changes", "", func(s *scene) {
 			n := s.waiting(callBig, view)
-			s.o.CallsAt("s0", "v0/b")
+			s.o.CallsRoutedTo("s0", "v0/b")
 			s.call(4, callBig)
 			s.reply(4, callBig, vault.Yes)
 			s.supply(callBig, "reply "+callBig)
@@ -223,7 +223,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := newScene(t)
-			s.o.Rules.MemoryKB = 4000
+			s.o.Limits.MemoryKB = 4000
 			s.open(4, "v0/a", "s0")
 			s.open(5, "v0/b", "s0")
 			c.play(s)
--- a/internal/testbed/invariant/drain.go
+++ b/internal/testbed/invariant/drain.go
@@ -17,7 +17,7 @@
 
 // judgeRunInDrain judges that nothing is run that came too long after the notice to leave.
 func (o *Observer) judgeRunInDrain(s *server, r *request) {
-	if s.noticed != microtime.Never && r.arrived > s.noticed+o.Rules.DrainMost+socketGrace {
+	if s.noticed != microtime.Never && r.arrived > s.noticed+o.Limits.DrainGrace+socketGrace {
 		o.report("drain", s, r, "run past the limit: request %s came %v after the notice", r.id, (r.arrived - s.noticed).Duration())
 	}
 }
--- a/internal/testbed/invariant/duplicate.go
+++ b/internal/testbed/invariant/duplicate.go
@@ -17,7 +17,7 @@
 }
 
 func (o *Observer) window(r *request) microtime.Time {
-	return microtime.FromDuration(o.Rules.Settings.Classes[r.class].RetentionWindow)
+	return microtime.FromDuration(o.Limits.Settings.Classes[r.class].RetentionWindow)
 }
 
 // judgeRefusal judges that nothing is refused that has run.
@@ -45,7 +45,7 @@
 		o.report("duplicate", s, r, "run again though it is on record: as %s and as %s", prev.id, r.id)
 	}
 	// With a store of record, a life knows what the one before it had begun, whether or not that came to an end.
-	if prev := o.begun[name]; o.Rules.Store && prev != nil && prev.made && first && r.at < prev.at+o.window(r) {
+	if prev := o.begun[name]; o.Limits.Store && prev != nil && prev.made && first && r.at < prev.at+o.window(r) {
 		o.report("duplicate", s, r, "run again by a later life: as %s and as %s", prev.id, r.id)
 	}
 	o.begun[name] = u
--- a/internal/testbed/invariant/lost.go
+++ b/internal/testbed/invariant/lost.go
@@ -9,7 +9,7 @@
 
 // answerLimit is when a request must have been answered, what its server stood still for not counted.
 func (o *Observer) answerLimit(s *server, r *request) microtime.Time {
-	return o.due(r) + o.Rules.Grace + socketGrace + o.pausedSince(s, r.arrived)
+	return o.due(r) + o.Limits.AnswerGrace + socketGrace + o.pausedSince(s, r.arrived)
 }
 
 // judgeInTime judges that an answer comes in time.
--- a/internal/testbed/invariant/rules.go
+++ b/internal/testbed/invariant/observer.go
@@ -32,19 +32,19 @@
 	auditEvery  = 50 * microtime.Millisecond
 )
 
-// Rules are the figures of the settings that the rules need.
-type Rules struct {
-	Settings  control.Settings
-	Grace     microtime.Time // past a due time
-	DrainMost microtime.Time // after the notice
-	Cores     int
-	Fall      float64 // multiple of the cores
-	FallOver  microtime.Time
-	MemoryKB  float64
-	RunFactor float64
-	ColdFrom  float64
-	Ramp      microtime.Time
-	Store     bool // a store of record is on: what was answered outlives the server
+// Limits are the figures of the settings that the rules need.
+type Limits struct {
+	Settings              control.Settings
+	AnswerGrace           microtime.Time // past a due time
+	DrainGrace            microtime.Time // after the notice
+	Cores                 int
+	MaxConcurrencyPerCore float64 // multiple of the cores
+	MaxConcurrencyWindow  microtime.Time
+	MemoryKB              float64
+	RunningMemoryFactor   float64
+	WarmUpMinSpeed        float64
+	WarmUpTime            microtime.Time
+	Store                 bool // a store of record is on: what was answered outlives the server
 }
 
 // Violation is a broken rule, with all that was seen of the request.
@@ -52,12 +52,12 @@
 	Rule    string
 	Server  string
 	At      microtime.Time // since the world's start
-	Text    string
+	Message string
 	History []string
 }
 
 func (v Violation) String() string {
-	s := fmt.Sprintf("%s on %s at %v: %s", v.Rule, v.Server, v.At.Duration(), v.Text)
+	s := fmt.Sprintf("%s on %s at %v: %s", v.Rule, v.Server, v.At.Duration(), v.Message)
 	for _, h := range v.History {
 		s += "\n    " + h
 	}
@@ -66,26 +66,26 @@
 
 // Key tells violations of one sort from others: what the shrinker must preserve.
 func (v Violation) Key() string {
-	head, _, _ := strings.Cut(v.Text, ":")
+	head, _, _ := strings.Cut(v.Message, ":")
 	return v.Rule + "/" + head
 }
 
 // Observer judges one world.
 type Observer struct {
-	Rules      Rules
+	Limits     Limits
 	Violations []Violation
 	// OnRequest and OnOver, where they are set, hear of each request that an edge has got to a server, and of its end: what a
 	// worker pool of the platform knows by itself.
-	OnRequest func(id, server, class string, body []byte)
-	OnOver    func(id string)
-	Most      int // violations that are told; further ones are counted alone
-	Answers   map[string]int
-	Seen      map[string]int // how often each situation came about, faults aside
-	Replies   map[string]int // of the vault to calls, by status
-	Example   []string       // what was seen of the first request that was served after its run had made a call
+	OnRequest       func(id, server, class string, body []byte)
+	OnRequestEnded  func(id string)
+	MaxViolations   int // violations that are told; further ones are counted alone
+	Answers         map[string]int
+	SituationCounts map[string]int // how often each situation came about, faults aside
+	Replies         map[string]int // of the vault to calls, by status
+	Example         []string       // what was seen of the first request that was served after its run had made a call
 
 	w       *simnet.World
-	wall    simnet.Wall
+	wall    simnet.WallClock
 	classes map[string]int
 	servers map[string]*server
 	order   []*server
@@ -101,17 +101,17 @@
 }
 
 // New returns an observer of a world. Its Tap is for the network.
-func New(w *simnet.World, r Rules) *Observer {
-	o := &Observer{Rules: r, Most: 5, w: w, classes: map[string]int{}, servers: map[string]*server{}, conns: map[uint64]*conn{},
-		Answers: map[string]int{}, Seen: map[string]int{}, Replies: map[string]int{}, stored: map[string]*run{}, begun: map[string]*run{}, made: map[string]bool{}, ran: map[string][]globalRun{}, reached: map[faultsearch.Situation]struct{}{}}
+func New(w *simnet.World, r Limits) *Observer {
+	o := &Observer{Limits: r, MaxViolations: 5, w: w, classes: map[string]int{}, servers: map[string]*server{}, conns: map[uint64]*conn{},
+		Answers: map[string]int{}, SituationCounts: map[string]int{}, Replies: map[string]int{}, stored: map[string]*run{}, begun: map[string]*run{}, made: map[string]bool{}, ran: map[string][]globalRun{}, reached: map[faultsearch.Situation]struct{}{}}
 	for i, c := range r.Settings.Classes {
 		o.classes[c.Name] = i
 	}
 	return o
 }
 
-// Boots says that a server starts, with a worker pool of its own.
-func (o *Observer) Boots(name string, life int) {
+// ServerStarted says that a server starts, with a worker pool of its own.
+func (o *Observer) ServerStarted(name string, life int) {
 	s := &server{name: name, life: life, born: o.w.Now(), tried: o.w.Now(), noticed: microtime.Never, reqs: map[string]*request{}, keys: map[string]*key{}, runs: map[string]*run{}}
 	if old := o.servers[name]; old != nil {
 		i := slices.Index(o.order, old)
@@ -123,21 +123,21 @@
 	o.reach(s, fmt.Sprintf("boot life%d", min(life, 3)))
 }
 
-// Noticed says that the notice to leave has been sent to a server.
-func (o *Observer) Noticed(name string) {
+// DrainSent says that the notice to leave has been sent to a server.
+func (o *Observer) DrainSent(name string) {
 	if s := o.servers[name]; s.noticed == microtime.Never {
 		s.noticed = o.w.Now()
 	}
 }
 
-// Paused says that a server's process stands still until a time, which is not counted against it.
-func (o *Observer) Paused(name string, until microtime.Time) {
+// ServerPaused says that a server's process stands still until a time, which is not counted against it.
+func (o *Observer) ServerPaused(name string, until microtime.Time) {
 	s := o.servers[name]
 	s.paused = append(s.paused, span{o.w.Now(), until})
 }
 
-// Gone says that a server's process is no more: killed, or ended of itself.
-func (o *Observer) Gone(name string, itself bool) {
+// ServerStopped says that a server's process is no more: killed, or ended of itself.
+func (o *Observer) ServerStopped(name string, itself bool) {
 	s := o.servers[name]
 	if s.ended {
 		return
@@ -152,11 +152,11 @@
 }
 
 func (o *Observer) report(rule string, s *server, r *request, format string, args ...any) {
-	v := Violation{Rule: rule, Server: s.name, At: o.w.Since(), Text: fmt.Sprintf(format, args...)}
+	v := Violation{Rule: rule, Server: s.name, At: o.w.Since(), Message: fmt.Sprintf(format, args...)}
 	if r != nil {
 		v.History = o.history(s, r)
 	}
-	if len(o.Violations) < o.Most {
+	if len(o.Violations) < o.MaxViolations {
 		o.Violations = append(o.Violations, v)
 	}
 }
@@ -208,8 +208,8 @@
 	o.judgeCrowd(s, now)
 }
 
-// Open counts the requests that are owed an answer anywhere.
-func (o *Observer) Open() (n int) {
+// Unanswered counts the requests that are owed an answer anywhere.
+func (o *Observer) Unanswered() (n int) {
 	for _, s := range o.order {
 		for _, r := range s.open {
 			if o.owed(r) {
--- a/internal/testbed/invariant/rules_test.go
+++ b/internal/testbed/invariant/observer_test.go
@@ -28,12 +28,12 @@
 
 func newScene(t *testing.T) *scene {
 	s := &scene{t: t, w: simnet.NewWorld(1)}
-	s.o = New(s.w, Rules{Settings: control.Settings{Classes: []control.Class{
+	s.o = New(s.w, Limits{Settings: control.Settings{Classes: []control.Class{
 		{Name: "block-view", Deadline: 4 * time.Second}, {Name: "lot-intake", Deadline: 4 * time.Second, Idempotency: control.IdempotentByKey, RetentionWindow: 10 * time.Second}}},
-		Grace: 100 * microtime.Millisecond, DrainMost: 2500 * microtime.Millisecond, Cores: 2, Fall: 4, FallOver: microtime.Second, MemoryKB: 2000,
-		RunFactor: 8, ColdFrom: 0.25, Ramp: 10 * microtime.Second, Store: true})
+		AnswerGrace: 100 * microtime.Millisecond, DrainGrace: 2500 * microtime.Millisecond, Cores: 2, MaxConcurrencyPerCore: 4, MaxConcurrencyWindow: microtime.Second, MemoryKB: 2000,
+		RunningMemoryFactor: 8, WarmUpMinSpeed: 0.25, WarmUpTime: 10 * microtime.Second, Store: true})
 	s.w.After = s.o.Check
-	s.o.Boots("s0", 1)
+	s.o.ServerStarted("s0", 1)
 	s.open(1, "s0/thrift", "p0")
 	s.open(2, "w0/a", "s0")
 	s.open(3, "s0/ajp", "o0")
@@ -51,7 +51,7 @@
 
 // fields are those of a request asked some time ago.
 func (s *scene) fields(id, class, once string, ago microtime.Time) []thrift.Field {
-	at := strconv.FormatInt((&simnet.Wall{}).UnixMilli(s.w.Now()-ago), 10)
+	at := strconv.FormatInt((&simnet.WallClock{}).UnixMilli(s.w.Now()-ago), 10)
 	return []thrift.Field{{Name: "class", Value: class}, {Name: "id", Value: id}, {Name: "at", Value: at}, {Name: "kb", Value: "20"},
 		{Name: "tenant", Value: "t"}, {Name: "once", Value: once}}
 }
@@ -124,7 +124,7 @@
 		}},
 		{"stood still meanwhile", "", func(s *scene) {
 			n := s.ask("a", "block-view", "")
-			s.o.Paused("s0", s.w.Now()+6*microtime.Second)
+			s.o.ServerPaused("s0", s.w.Now()+6*microtime.Second)
 			s.after(6100 * microtime.Millisecond)
 			s.answer(thrift.AppendBroken(nil, n, nil))
 		}},
@@ -187,8 +187,8 @@
 		}},
 		{"on record, and run in a later life", "duplicate/run again though it is on record", func(s *scene) {
 			s.served(s.ask("a", "lot-intake", "k"), s.run("a", "lot-intake"))
-			s.o.Gone("s0", false)
-			s.o.Boots("s0", 2)
+			s.o.ServerStopped("s0", false)
+			s.o.ServerStarted("s0", 2)
 			s.open(4, "w0/a", "s0")
 			s.open(1, "s0/thrift", "p0")
 			s.seq = 0
@@ -206,51 +206,51 @@
 		}},
 		{"refused", "", func(s *scene) { s.answer(thrift.AppendThrottled(nil, s.ask("a", "lot-intake", "k"), nil)) }},
 		{"run past the drain's limit", "drain/run past the limit", func(s *scene) {
-			s.o.Noticed("s0")
+			s.o.DrainSent("s0")
 			s.after(2600 * microtime.Millisecond)
 			s.served(s.ask("a", "block-view", ""), s.run("a", "block-view"))
 		}},
 		{"run within the drain's limit", "", func(s *scene) {
-			s.o.Noticed("s0")
+			s.o.DrainSent("s0")
 			s.after(2400 * microtime.Millisecond)
 			s.served(s.ask("a", "block-view", ""), s.run("a", "block-view"))
 		}},
 		{"ended with a request open", "drain/unanswered at the end", func(s *scene) {
 			s.ask("a", "block-view", "")
 			s.after(60 * microtime.Millisecond)
-			s.o.Gone("s0", true)
+			s.o.ServerStopped("s0", true)
 		}},
 		{"killed with a request open", "", func(s *scene) {
 			s.ask("a", "block-view", "")
 			s.after(60 * microtime.Millisecond)
-			s.o.Gone("s0", false)
+			s.o.ServerStopped("s0", false)
 		}},
 		{"closed with a request open", "lost/closed by the server", func(s *scene) {
 			s.ask("a", "block-view", "")
 			s.after(60 * microtime.Millisecond)
-			s.event(1, simnet.Ended, "s0", "p0", false, nil)
+			s.event(1, simnet.Closed, "s0", "p0", false, nil)
 		}},
 		{"shut with a request open", "lost/closed by the server", func(s *scene) {
 			s.ask("a", "block-view", "")
 			s.after(60 * microtime.Millisecond)
-			s.event(1, simnet.Halved, "s0", "p0", false, nil)
+			s.event(1, simnet.HalfClosed, "s0", "p0", false, nil)
 		}},
 		{"cut by the network with a request open", "", func(s *scene) {
 			s.ask("a", "block-view", "")
 			s.after(60 * microtime.Millisecond)
-			s.o.Tap(simnet.Event{At: s.w.Now(), Kind: simnet.Halved, Why: simnet.ByCut, Conn: 1, Node: "s0", Peer: "p0"})
+			s.o.Tap(simnet.Event{At: s.w.Now(), Kind: simnet.HalfClosed, Cause: simnet.CauseCut, Conn: 1, Node: "s0", Peer: "p0"})
 		}},
 		{"shut as a request comes", "", func(s *scene) {
 			s.ask("a", "block-view", "")
-			s.event(1, simnet.Halved, "s0", "p0", false, nil)
+			s.event(1, simnet.HalfClosed, "s0", "p0", false, nil)
 			s.ask("b", "block-view", "")
 			s.after(60 * microtime.Millisecond)
-			s.event(1, simnet.Ended, "s0", "p0", false, nil)
-			s.o.Gone("s0", true)
+			s.event(1, simnet.Closed, "s0", "p0", false, nil)
+			s.o.ServerStopped("s0", true)
 		}},
 		{"the caller left", "", func(s *scene) {
 			s.ask("a", "block-view", "")
-			s.event(1, simnet.Ended, "p0", "s0", true, nil)
+			s.event(1, simnet.Closed, "p0", "s0", true, nil)
 		}},
 		{"notices passed over", "result/notices passed over", func(s *scene) {
 			s.served(s.ask("a", "block-view", ""), s.run("a", "block-view"))
@@ -261,7 +261,7 @@
 			s.event(2, simnet.Arrived, "w0", "s0", false, pool.AppendBind(nil, 1))
 		}},
 		{"no try to reach the pool", "recovery/no try to reach the worker pool", func(s *scene) {
-			s.event(2, simnet.Ended, "s0", "w0", true, nil)
+			s.event(2, simnet.Closed, "s0", "w0", true, nil)
 		}},
 		{"too many run", "fall-over/crowd", func(s *scene) {
 			for i := range 9 {
--- a/internal/testbed/invariant/requests.go
+++ b/internal/testbed/invariant/requests.go
@@ -77,7 +77,7 @@
 		return nil // no proxy sends this
 	}
 	r := &request{s: s, c: c, id: get("id"), class: class, at: o.wall.FromUnixMilli(ms), arrived: now, kb: kb, body: xxhash.Sum64(body)}
-	cl := o.Rules.Settings.Classes[class]
+	cl := o.Limits.Settings.Classes[class]
 	if cl.Idempotency == control.IdempotentByKey {
 		r.once = get("tenant") + "/" + get("once")
 		k := s.keys[r.once]
@@ -100,7 +100,7 @@
 	}
 	s.open = append(s.open, r)
 	o.note(r, "%s read, asked at %v, due at %v", cl.Name, (r.at - simnet.Start).Duration(), (o.due(r) - simnet.Start).Duration())
-	at := o.due(r) + o.Rules.Grace + socketGrace
+	at := o.due(r) + o.Limits.AnswerGrace + socketGrace
 	i := len(o.dues)
 	for i > 0 && o.dues[i-1].at > at {
 		i--
@@ -111,7 +111,7 @@
 
 // due is when an answer must have come: never earlier than the request was read.
 func (o *Observer) due(r *request) microtime.Time {
-	return max(r.at+microtime.FromDuration(o.Rules.Settings.Classes[r.class].Deadline), r.arrived)
+	return max(r.at+microtime.FromDuration(o.Limits.Settings.Classes[r.class].Deadline), r.arrived)
 }
 
 func (o *Observer) replied(c *conn, p thrift.Reply) {
@@ -136,8 +136,8 @@
 }
 
 func (o *Observer) overAt(r *request) {
-	if o.OnOver != nil && r.c.from[0] == 'e' {
-		o.OnOver(r.id)
+	if o.OnRequestEnded != nil && r.c.from[0] == 'e' {
+		o.OnRequestEnded(r.id)
 	}
 }
 
@@ -167,7 +167,7 @@
 		if u := s.runs[r.id]; o.Example == nil && u != nil && len(u.points) > 0 {
 			o.Example = o.history(s, r)
 		}
-		if k := s.keys[r.once]; o.Rules.Store && k != nil && len(k.runs) > 0 {
+		if k := s.keys[r.once]; o.Limits.Store && k != nil && len(k.runs) > 0 {
 			o.stored[s.name+"/"+r.once] = k.runs[len(k.runs)-1]
 		}
 	}
--- a/internal/testbed/invariant/situations.go
+++ b/internal/testbed/invariant/situations.go
@@ -10,8 +10,8 @@
 	"pewterline/internal/testbed/faultsearch"
 )
 
-// Fault says that something goes wrong with a server until a time: only for what Reached tells.
-func (o *Observer) Fault(kind, name string, until microtime.Time) {
+// FaultInjected says that something goes wrong with a server until a time: only for what Reached tells.
+func (o *Observer) FaultInjected(kind, name string, until microtime.Time) {
 	o.faulty = append(o.faulty, fault{kind, name, until})
 	s := o.servers[name]
 	if s == nil {
@@ -47,7 +47,7 @@
 	switch now := o.w.Now(); {
 	case s.noticed == microtime.Never:
 		return 0
-	case now < s.noticed+o.Rules.DrainMost:
+	case now < s.noticed+o.Limits.DrainGrace:
 		return 1
 	}
 	return 2
@@ -55,7 +55,7 @@
 
 // reach notes a situation, alone and with each fault that is at work on the server.
 func (o *Observer) reach(s *server, what string) {
-	o.Seen[what]++
+	o.SituationCounts[what]++
 	now := o.w.Now()
 	o.faulty = slices.DeleteFunc(o.faulty, func(f fault) bool { return f.until+2*microtime.Second < now })
 	add := func(parts ...string) {
@@ -74,8 +74,8 @@
 	}
 }
 
-// Reached lists the situations so far, in order.
-func (o *Observer) Reached() []faultsearch.Situation {
+// Situations lists the situations so far, in order.
+func (o *Observer) Situations() []faultsearch.Situation {
 	out := make([]faultsearch.Situation, 0, len(o.reached))
 	for x := range o.reached {
 		out = append(out, x)
--- a/internal/testbed/invariant/tally.go
+++ b/internal/testbed/invariant/tally.go
@@ -1,27 +1,27 @@
 package invariant
 
-// Tally is what became of the requests of a class that a life of a server has read, as its callers and its worker pool saw it.
-type Tally struct {
-	Served, Refused, Failed int
-	Runs                    int // that reached the worker pool
+// Counts is what became of the requests of a class that a life of a server has read, as its callers and its worker pool saw it.
+type Counts struct {
+	Served, Rejected, Failed int
+	Runs                     int // that reached the worker pool
 	// Loose are requests whose callers gave up or left: their answers may have crossed that, and been counted or not.
-	Loose int
+	Ambiguous int
 }
 
-// Tally counts by class for the life that a server is in. strays are errors that answered what is no request.
-func (o *Observer) Tally(name string) (byClass map[string]Tally, strays int) {
-	byClass = map[string]Tally{}
+// CountsOf counts by class for the life that a server is in. strays are errors that answered what is no request.
+func (o *Observer) CountsOf(name string) (byClass map[string]Counts, strays int) {
+	byClass = map[string]Counts{}
 	s := o.servers[name]
 	for _, r := range s.reqs {
-		class := o.Rules.Settings.Classes[r.class].Name
+		class := o.Limits.Settings.Classes[r.class].Name
 		t := byClass[class]
 		switch {
 		case r.gaveUp || r.c.left || r.over:
-			t.Loose++
+			t.Ambiguous++
 		case r.kind == "served":
 			t.Served++
 		case r.kind == "refused":
-			t.Refused++
+			t.Rejected++
 		case r.kind == "failed":
 			t.Failed++
 		}
--- a/internal/testbed/invariant/wire.go
+++ b/internal/testbed/invariant/wire.go
@@ -16,14 +16,14 @@
 	case simnet.Opened:
 		o.opened(v)
 		return
-	case simnet.Packet:
+	case simnet.DatagramArrived:
 		return
-	case simnet.Tried:
+	case simnet.ConnectAttempted:
 		if s := o.servers[v.Node]; s != nil && v.Peer[0] == 'w' {
 			s.tried = v.At
 		}
 		if o.servers[v.Peer] == nil && v.Peer[0] == 'x' {
-			o.Seen["tried nobody"]++
+			o.SituationCounts["tried nobody"]++
 		}
 		return
 	}
@@ -32,7 +32,7 @@
 		return
 	}
 	if c.kind == vaultLink {
-		if v.Kind == simnet.Ended {
+		if v.Kind == simnet.Closed {
 			o.vaultEnded(c, v)
 		} else {
 			o.vaultBytes(c, v)
@@ -40,14 +40,14 @@
 		return
 	}
 	switch v.Kind {
-	case simnet.Halved: // who sends no more has left, as far as the program can tell
-		if v.Dialer || v.Why == simnet.ByCut && c.kind != link {
+	case simnet.HalfClosed: // who sends no more has left, as far as the program can tell
+		if v.Dialer || v.Cause == simnet.CauseCut && c.kind != link {
 			c.left = true
 		} else if c.kind != link { // a server that sends no more answers nothing, and takes nothing that comes later
 			o.connEnded(c, v)
 			c.broken = true
 		}
-	case simnet.Ended:
+	case simnet.Closed:
 		o.connEnded(c, v)
 	case simnet.Arrived:
 		if c.kind == link && !v.Dialer || c.kind != link && !v.Dialer {
@@ -67,7 +67,7 @@
 
 func (o *Observer) opened(v simnet.Event) {
 	host, what, _ := strings.Cut(v.Addr, "/")
-	c := &conn{s: o.servers[host], addr: v.Addr, from: v.Node, fromLife: v.Life}
+	c := &conn{s: o.servers[host], addr: v.Addr, from: v.Node, fromLife: v.Incarnation}
 	switch {
 	case host[0] == 'w':
 		c.kind, c.s = link, o.servers["s"+host[1:]]
@@ -90,7 +90,7 @@
 
 func (o *Observer) connEnded(c *conn, v simnet.Event) {
 	if c.kind == link {
-		if v.Dialer && v.Why == simnet.ByCut && len(c.got) > 0 {
+		if v.Dialer && v.Cause == simnet.CauseCut && len(c.got) > 0 {
 			o.reach(c.s, "link broke inside a notice")
 		}
 		if v.Dialer && c.s.links > 0 {
@@ -106,7 +106,7 @@
 			}
 		}
 	}
-	if v.Dialer || v.Why == simnet.ByCut || v.Why == simnet.ByReset {
+	if v.Dialer || v.Cause == simnet.CauseCut || v.Cause == simnet.CauseReset {
 		c.left = true
 		n := 0
 		for _, r := range c.s.open {
@@ -117,7 +117,7 @@
 		o.reach(c.s, fmt.Sprintf("caller left open%d drain%d", size(n), o.drainPhase(c.s)))
 		return
 	}
-	if v.Why == simnet.ByKill { // what is owed then, Gone judges
+	if v.Cause == simnet.CauseKilled { // what is owed then, Gone judges
 		return
 	}
 	o.judgeClosed(c)
--- a/internal/testbed/invariant/workers.go
+++ b/internal/testbed/invariant/workers.go
@@ -37,11 +37,11 @@
 	case u != nil && !u.ended:
 		o.reach(s, "command again for a run under way")
 		return // it runs already
-	case u != nil && u.made && o.Rules.Settings.Classes[r.class].Idempotency != control.Idempotent:
+	case u != nil && u.made && o.Limits.Settings.Classes[r.class].Idempotency != control.Idempotent:
 		o.report("duplicate", s, r, "run twice: %s, its run had ended", m.ID)
 	case xxhash.Sum64(m.Body) != r.body:
 		o.report("result", s, r, "body changed: request %s", m.ID)
-	case o.Rules.Settings.Classes[r.class].Name != m.Class:
+	case o.Limits.Settings.Classes[r.class].Name != m.Class:
 		o.report("result", s, r, "class changed: request %s", m.ID)
 	}
 	u = &run{id: m.ID, at: r.at, made: true, before: u}
--- a/internal/testbed/processtest/caller.go
+++ b/internal/testbed/processtest/caller.go
@@ -95,14 +95,14 @@
 	return !k.bidden && !k.ended
 }
 
-// Asked is a request that was sent.
-type Asked struct {
+// PendingRequest is a request that was sent.
+type PendingRequest struct {
 	ID string
 	w  chan thrift.Reply
 }
 
-// Answer waits for the answer.
-func (a Asked) Answer() (thrift.Reply, error) {
+// Await waits for the answer.
+func (a PendingRequest) Await() (thrift.Reply, error) {
 	select {
 	case p, ok := <-a.w:
 		if !ok {
@@ -114,17 +114,17 @@
 	}
 }
 
-// Ask sends a request of a class, which came at a time; once is its key, "" for none.
-func (k *Conn) Ask(class, once, body string, at time.Time) (Asked, error) {
+// Send sends a request of a class, which came at a time; once is its key, "" for none.
+func (k *Conn) Send(class, once, body string, at time.Time) (PendingRequest, error) {
 	return k.ask(class, once, body, at, false)
 }
 
 // Retry sends a further try of a request.
-func (k *Conn) Retry(class, once, body string, at time.Time) (Asked, error) {
+func (k *Conn) Retry(class, once, body string, at time.Time) (PendingRequest, error) {
 	return k.ask(class, once, body, at, true)
 }
 
-func (k *Conn) ask(class, once, body string, at time.Time, retry bool) (Asked, error) {
+func (k *Conn) ask(class, once, body string, at time.Time, retry bool) (PendingRequest, error) {
 	id := fmt.Sprintf("%016x", ids.Add(1))
 	fields := []thrift.Field{{Name: "class", Value: class}, {Name: "id", Value: id},
 		{Name: "at", Value: fmt.Sprint(at.UnixMilli())}, {Name: "from", Value: "1"}, {Name: "tenant", Value: "lake-vines"},
@@ -138,20 +138,20 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.ended {
-		return Asked{}, ErrUnheard
+		return PendingRequest{}, ErrUnheard
 	}
 	k.seq++
 	w := make(chan thrift.Reply, 1)
 	k.waiting[k.seq] = w
 	if _, err := k.c.Write(thrift.AppendCall(nil, k.seq, fields, []byte(body))); err != nil {
 		delete(k.waiting, k.seq)
-		return Asked{}, ErrUnheard
+		return PendingRequest{}, ErrUnheard
 	}
-	return Asked{id, w}, nil
+	return PendingRequest{id, w}, nil
 }
 
-// Probe is a health check on a connection of its own.
-func Probe(addr string) (good bool, err error) {
+// CheckHealth is a health check on a connection of its own.
+func CheckHealth(addr string) (good bool, err error) {
 	k, err := Dial(addr)
 	if err != nil {
 		return false, err
@@ -165,6 +165,6 @@
 	if err != nil {
 		return false, err
 	}
-	p, err := Asked{w: w}.Answer()
+	p, err := PendingRequest{w: w}.Await()
 	return p.Good, err
 }
--- a/internal/testbed/processtest/group.go
+++ b/internal/testbed/processtest/group.go
@@ -15,10 +15,10 @@
 	"pewterline/internal/protocol/thrift"
 )
 
-// Group is several log servers that hold copies for each other: real processes, with a relay on each way from one to another.
-type Group struct {
+// Cluster is several log servers that hold copies for each other: real processes, with a relay on each way from one to another.
+type Cluster struct {
 	Servers []*Member
-	Ledger  *Ledger // of all worker pools
+	RunLog  *RunLog // of all worker pools
 	Vault   *Vault  // where their requests call; nil: they don't
 	dir     string
 	copies  int
@@ -35,13 +35,13 @@
 	ways    map[int]*Relay // to the others
 }
 
-// NewGroup prepares servers that are not started, of which the first so many are in the files of all.
-func NewGroup(program string, settings json.RawMessage, n, copies int, lines ...string) (*Group, error) {
+// NewCluster prepares servers that are not started, of which the first so many are in the files of all.
+func NewCluster(program string, settings json.RawMessage, n, copies int, lines ...string) (*Cluster, error) {
 	dir, err := os.MkdirTemp("", "pw")
 	if err != nil {
 		return nil, err
 	}
-	g := &Group{Ledger: NewLedger(), dir: dir, copies: copies, lines: lines}
+	g := &Cluster{RunLog: NewRunLog(), dir: dir, copies: copies, lines: lines}
 	if g.Vault, err = vaultFor(settings); err != nil {
 		return g, err
 	}
@@ -59,7 +59,7 @@
 		if err != nil {
 			return g, err
 		}
-		m.Server = &Server{Program: program, Dir: home, Name: fmt.Sprint("n", m.ID), Listen: front, Settings: settings, StopMS: 3200, MemoryMB: 96, Ledger: g.Ledger,
+		m.Server = &Server{Program: program, Dir: home, Name: fmt.Sprint("n", m.ID), Listen: front, Settings: settings, StopMS: 3200, MemoryMB: 96, RunLog: g.RunLog,
 			Copies: filepath.Join(home, "copies.toml")}
 		if g.Vault != nil {
 			m.Server.Vault = g.Vault.Addr()
@@ -82,7 +82,7 @@
 	return g, nil
 }
 
-func (g *Group) write(m *Member) error {
+func (g *Cluster) write(m *Member) error {
 	var b strings.Builder
 	fmt.Fprintf(&b, "id = %d\nlisten = %q\nfolder = %q\ncopies = %d\n", m.ID, m.listen, m.Folder, g.copies)
 	for _, l := range g.lines {
@@ -98,8 +98,8 @@
 	return os.WriteFile(m.Copies, []byte(b.String()), 0o600)
 }
 
-// LongWindow are settings whose windows outlast any play, however slow the machine is.
-func LongWindow(settings json.RawMessage) json.RawMessage {
+// LongRetention are settings whose windows outlast any play, however slow the machine is.
+func LongRetention(settings json.RawMessage) json.RawMessage {
 	var set map[string]any
 	if err := json.Unmarshal(settings, &set); err != nil {
 		return settings // the program names what is wrong with them
@@ -121,31 +121,31 @@
 	return out
 }
 
-// Way is the relay by which one server reaches another.
-func (g *Group) Way(from, to int) *Relay { return g.Servers[from-1].ways[to] }
+// RelayBetween is the relay by which one server reaches another.
+func (g *Cluster) RelayBetween(from, to int) *Relay { return g.Servers[from-1].ways[to] }
 
-// Ways has something happen to all links of a server, both those that it opens and those that are opened to it.
-func (g *Group) Ways(id int, f func(*Relay)) {
+// RelaysOf has something happen to all links of a server, both those that it opens and those that are opened to it.
+func (g *Cluster) RelaysOf(id int, f func(*Relay)) {
 	for _, m := range g.Servers {
 		if m.ID != id {
-			f(g.Way(id, m.ID))
-			f(g.Way(m.ID, id))
+			f(g.RelayBetween(id, m.ID))
+			f(g.RelayBetween(m.ID, id))
 		}
 	}
 }
 
-// Mute has nothing that a server sends reach the others, in whichever direction a link was opened.
-func (g *Group) Mute(id int) {
+// Isolate has nothing that a server sends reach the others, in whichever direction a link was opened.
+func (g *Cluster) Isolate(id int) {
 	for _, m := range g.Servers {
 		if m.ID != id {
-			g.Way(id, m.ID).Drop(There)
-			g.Way(m.ID, id).Drop(Back)
+			g.RelayBetween(id, m.ID).Drop(Forward)
+			g.RelayBetween(m.ID, id).Drop(Backward)
 		}
 	}
 }
 
 // Start starts the process of a server, and waits until it takes clients.
-func (g *Group) Start(id int) error {
+func (g *Cluster) Start(id int) error {
 	m := g.Servers[id-1]
 	p, err := m.Server.Start(nil)
 	if err != nil {
@@ -156,20 +156,20 @@
 }
 
 // StartAll starts all, and founds a group of them.
-func (g *Group) StartAll() error {
+func (g *Cluster) StartAll() error {
 	for _, m := range g.Servers {
 		if err := g.Start(m.ID); err != nil {
 			return err
 		}
 	}
-	if err := g.Eventually(func() error { return g.Put(1, "found") }); err != nil {
+	if err := g.Eventually(func() error { return g.AdminCall(1, "found") }); err != nil {
 		return err
 	}
-	return g.Settled()
+	return g.AwaitStable()
 }
 
 // Kill ends a server's process, as a lost machine does.
-func (g *Group) Kill(id int) error {
+func (g *Cluster) Kill(id int) error {
 	p := g.Servers[id-1].Process
 	if p == nil || p.Ended() {
 		return nil
@@ -185,10 +185,10 @@
 }
 
 // Wipe loses the disk of a server whose process has ended.
-func (g *Group) Wipe(id int) error { return os.RemoveAll(g.Servers[id-1].Folder) }
+func (g *Cluster) Wipe(id int) error { return os.RemoveAll(g.Servers[id-1].Folder) }
 
 // Fault has the disk of a server fail, where the program is built with the tag faults; "" heals it.
-func (g *Group) Fault(id int, what string) error {
+func (g *Cluster) Fault(id int, what string) error {
 	path := g.Servers[id-1].Folder + ".fault"
 	if what == "" {
 		err := os.Remove(path)
@@ -200,31 +200,31 @@
 	return os.WriteFile(path, []byte(what), 0o600)
 }
 
-// Wall has a server's wall clock off by so many milliseconds from now on, where the program is built with the tag faults.
-func (g *Group) Wall(id, ms int) error {
+// SetClockOffset has a server's wall clock off by so many milliseconds from now on, where the program is built with the tag faults.
+func (g *Cluster) SetClockOffset(id, ms int) error {
 	return os.WriteFile(filepath.Join(g.Servers[id-1].Dir, "wall"), []byte(fmt.Sprint(ms)), 0o600)
 }
 
 // Stall stops a server's process; Wake has it go on.
-func (g *Group) Stall(id int) error { return g.Servers[id-1].Process.Stall() }
+func (g *Cluster) Stall(id int) error { return g.Servers[id-1].Process.Stall() }
 
-// Wake has a stalled process go on.
-func (g *Group) Wake(id int) error { return g.Servers[id-1].Process.Signal(syscall.SIGCONT) }
+// Resume has a stalled process go on.
+func (g *Cluster) Resume(id int) error { return g.Servers[id-1].Process.Signal(syscall.SIGCONT) }
 
-// Kept is a key that a server holds.
-type Kept struct {
+// ExportedKey is a key that a server holds.
+type ExportedKey struct {
 	Key, Kind string
 	Owner     uint32
 }
 
 // Export is what a server holds.
-func (g *Group) Export(id int) (out []Kept, err error) {
+func (g *Cluster) Export(id int) (out []ExportedKey, err error) {
 	for after := ""; ; {
 		status, body, err := g.Servers[id-1].Process.Call(http.MethodGet, "/control/copies/export?after="+url.QueryEscape(after))
 		if err == nil && status != http.StatusOK {
 			err = fmt.Errorf("procs: export: %d: %s", status, body)
 		}
-		var some []Kept
+		var some []ExportedKey
 		if err == nil {
 			err = json.Unmarshal([]byte(body), &some)
 		}
@@ -266,7 +266,7 @@
 }
 
 // State asks a server.
-func (g *Group) State(id int) (s State, err error) {
+func (g *Cluster) State(id int) (s State, err error) {
 	status, body, err := g.Servers[id-1].Process.Call(http.MethodGet, "/control/copies")
 	if err == nil && status != http.StatusOK {
 		err = fmt.Errorf("procs: %d: %s", status, body)
@@ -277,8 +277,8 @@
 	return s, err
 }
 
-// Put gives a server an operator's word about its group.
-func (g *Group) Put(id int, call string) error {
+// AdminCall gives a server an operator's word about its group.
+func (g *Cluster) AdminCall(id int, call string) error {
 	status, body, err := g.Servers[id-1].Process.Call(http.MethodPut, "/control/copies/"+call)
 	if err == nil && status != http.StatusOK {
 		err = fmt.Errorf("procs: %s: %d: %s", call, status, body)
@@ -287,7 +287,7 @@
 }
 
 // Eventually tries until there is no error. Its patience is no verdict on time; it only ends a test that hangs.
-func (g *Group) Eventually(try func() error) error {
+func (g *Cluster) Eventually(try func() error) error {
 	var err error
 	for until := time.Now().Add(Patience); time.Now().Before(until); time.Sleep(10 * time.Millisecond) {
 		if err = try(); err == nil {
@@ -297,9 +297,9 @@
 	return fmt.Errorf("procs: not in time: %w", err)
 }
 
-// Settled waits until all servers that live go by one group in which no change is under way, are members with the life that they
+// AwaitStable waits until all servers that live go by one group in which no change is under way, are members with the life that they
 // have, vote, reach all that live, and have nothing to repair.
-func (g *Group) Settled() error {
+func (g *Cluster) AwaitStable() error {
 	return g.Eventually(func() error {
 		var epoch uint64
 		living := map[uint32]bool{}
@@ -330,34 +330,34 @@
 	})
 }
 
-// Told is what a caller was told.
-type Told struct {
+// RequestOutcome is what a caller was told.
+type RequestOutcome struct {
 	Kind   thrift.ReplyKind
 	Result string
 }
 
-// Intake sends one try of an intake to a server, which came at a time, and waits for the answer. Its body is its key.
-func (g *Group) Intake(id int, key string, at time.Time, retry bool) (Told, error) {
+// SendKeyed sends one try of an intake to a server, which came at a time, and waits for the answer. Its body is its key.
+func (g *Cluster) SendKeyed(id int, key string, at time.Time, retry bool) (RequestOutcome, error) {
 	return g.Send(id, "lot-intake", key, at, retry)
 }
 
 // Send does the same for a request of any class.
-func (g *Group) Send(id int, class, key string, at time.Time, retry bool) (Told, error) {
+func (g *Cluster) Send(id int, class, key string, at time.Time, retry bool) (RequestOutcome, error) {
 	c, err := Dial(g.Servers[id-1].Listen)
 	if err != nil {
-		return Told{}, err
+		return RequestOutcome{}, err
 	}
 	defer c.Close()
 	a, err := c.ask(class, key, key, at, retry)
 	if err != nil {
-		return Told{}, err
+		return RequestOutcome{}, err
 	}
-	r, err := a.Answer()
-	return Told{r.Kind, string(r.Body)}, err
+	r, err := a.Await()
+	return RequestOutcome{r.Kind, string(r.Body)}, err
 }
 
 // Log is what all processes of all servers have logged.
-func (g *Group) Log() string {
+func (g *Cluster) Log() string {
 	var b strings.Builder
 	for _, m := range g.Servers {
 		for i, p := range m.all {
@@ -370,7 +370,7 @@
 }
 
 // Close ends all that was started, and takes its folders away. It is an error if a process would not die.
-func (g *Group) Close() error {
+func (g *Cluster) Close() error {
 	var errs []error
 	for _, m := range g.Servers {
 		if m.Process != nil {
--- a/internal/testbed/processtest/group_test.go
+++ b/internal/testbed/processtest/group_test.go
@@ -22,7 +22,7 @@
 	require.NoError(t, err)
 	var file struct{ Settings json.RawMessage }
 	require.NoError(t, json.Unmarshal(text, &file))
-	return LongWindow(file.Settings)
+	return LongRetention(file.Settings)
 }
 
 var faulty = sync.OnceValues(func() (string, error) {
@@ -42,10 +42,10 @@
 }
 
 // group starts servers and founds a group of the first ones.
-func group(t *testing.T, n, copies int, lines ...string) *Group {
+func group(t *testing.T, n, copies int, lines ...string) *Cluster {
 	program, err := faulty()
 	require.NoError(t, err)
-	g, err := NewGroup(program, settings(t), n, copies, lines...)
+	g, err := NewCluster(program, settings(t), n, copies, lines...)
 	require.NoError(t, err)
 	t.Cleanup(func() {
 		if t.Failed() {
@@ -57,13 +57,13 @@
 	return g
 }
 
-func (g *Group) intake(t *testing.T, id int, key string, retry bool) Told {
-	told, err := g.Intake(id, key, time.Now(), retry)
+func (g *Cluster) intake(t *testing.T, id int, key string, retry bool) RequestOutcome {
+	told, err := g.SendKeyed(id, key, time.Now(), retry)
 	require.NoError(t, err)
 	return told
 }
 
-var served = func(key string) Told { return Told{thrift.ReplyAnswer, "did " + key} }
+var served = func(key string) RequestOutcome { return RequestOutcome{thrift.ReplyAnswer, "did " + key} }
 
 // What one server has served is found at any other, by a repeat, also once that server is lost with its disk; and it ran once.
 func TestLostAfterAnswer(t *testing.T) {
@@ -75,59 +75,59 @@
 	require.Equal(t, served("lot"), g.intake(t, 2, "lot", true))
 	require.Equal(t, served("lot"), g.intake(t, 3, "lot", true))
 	require.NoError(t, g.Start(1))
-	require.NoError(t, g.Settled())
+	require.NoError(t, g.AwaitStable())
 	s, err := g.State(1)
 	require.NoError(t, err)
 	require.Equal(t, 1, s.Counters.Held, "its copy is there again")
 	require.Equal(t, served("lot"), g.intake(t, 1, "lot", true))
-	require.Empty(t, g.Ledger.Twice())
+	require.Empty(t, g.RunLog.DuplicateRuns())
 }
 
 // unknown is what a caller hears where nobody knows whether its intake ran: it failed, with no promise.
-func (g *Group) unknown(t *testing.T, id int, key string) {
+func (g *Cluster) unknown(t *testing.T, id int, key string) {
 	t.Helper()
 	told := g.intake(t, id, key, true)
 	require.Equal(t, thrift.ReplyBroken, told.Kind, "%s at server %d", key, id)
 }
 
 // lose has a machine lost with its disk.
-func (g *Group) lose(t *testing.T, id int) {
+func (g *Cluster) lose(t *testing.T, id int) {
 	t.Helper()
 	require.NoError(t, g.Kill(id))
 	require.NoError(t, g.Wipe(id))
 }
 
 // back has a lost server come back, and waits until the group is whole.
-func (g *Group) back(t *testing.T, ids ...int) {
+func (g *Cluster) back(t *testing.T, ids ...int) {
 	t.Helper()
 	for _, id := range ids {
 		require.NoError(t, g.Start(id))
 	}
-	require.NoError(t, g.Settled())
+	require.NoError(t, g.AwaitStable())
 }
 
 // send sends an intake whose answer is waited for later, or never.
-func (g *Group) send(t *testing.T, id int, key string) (*Conn, Asked) {
+func (g *Cluster) send(t *testing.T, id int, key string) (*Conn, PendingRequest) {
 	t.Helper()
 	c, err := Dial(g.Servers[id-1].Listen)
 	require.NoError(t, err)
 	t.Cleanup(c.Close)
-	a, err := c.Ask("lot-intake", key, key, time.Now())
+	a, err := c.Send("lot-intake", key, key, time.Now())
 	require.NoError(t, err)
 	return c, a
 }
 
 // change gives an operator's word, and waits until the group has changed by it.
-func (g *Group) change(t *testing.T, id int, call string) {
+func (g *Cluster) change(t *testing.T, id int, call string) {
 	t.Helper()
 	before, err := g.State(id)
 	require.NoError(t, err)
-	require.NoError(t, g.Put(id, call))
+	require.NoError(t, g.AdminCall(id, call))
 	g.changed(t, id, before.Epoch)
 }
 
 // changed waits until a change of members that began at an epoch has ended.
-func (g *Group) changed(t *testing.T, id int, epoch uint64) {
+func (g *Cluster) changed(t *testing.T, id int, epoch uint64) {
 	t.Helper()
 	require.NoError(t, g.Eventually(func() error {
 		s, err := g.State(id)
@@ -136,15 +136,15 @@
 		}
 		return err
 	}))
-	require.NoError(t, g.Settled())
+	require.NoError(t, g.AwaitStable())
 }
 
 // holds waits until a server holds a key, of a kind.
-func (g *Group) holds(t *testing.T, id int, key, kind string) {
+func (g *Cluster) holds(t *testing.T, id int, key, kind string) {
 	t.Helper()
 	require.NoError(t, g.Eventually(func() error {
 		kept, err := g.Export(id)
-		if err == nil && !slices.ContainsFunc(kept, func(k Kept) bool { return strings.HasSuffix(k.Key, "\x00"+key) && k.Kind == kind }) {
+		if err == nil && !slices.ContainsFunc(kept, func(k ExportedKey) bool { return strings.HasSuffix(k.Key, "\x00"+key) && k.Kind == kind }) {
 			err = fmt.Errorf("%v", kept)
 		}
 		return err
@@ -165,7 +165,7 @@
 	g.unknown(t, 3, "lot")
 	g.back(t, 1)
 	g.unknown(t, 1, "lot")
-	require.Empty(t, g.Ledger.Runs("lot"))
+	require.Empty(t, g.RunLog.Runs("lot"))
 }
 
 // It is lost between the run and the copy of its result: it ran, and nobody else runs it.
@@ -175,7 +175,7 @@
 	pool := g.Servers[0].Process.Pool
 	pool.Hold()
 	g.send(t, 1, "lot")
-	require.NoError(t, pool.Started("lot"))
+	require.NoError(t, pool.AwaitStart("lot"))
 	g.lose(t, 1)
 	pool.Release()
 	g.unknown(t, 2, "lot")
@@ -183,7 +183,7 @@
 	for id := 1; id <= 3; id++ {
 		g.unknown(t, id, "lot")
 	}
-	require.Len(t, g.Ledger.Runs("lot"), 1)
+	require.Len(t, g.RunLog.Runs("lot"), 1)
 }
 
 // It is lost between the copy and the answer: the caller has heard nothing, and a repeat elsewhere gets the result.
@@ -193,22 +193,22 @@
 	front, err := NewRelay(g.Servers[0].Listen)
 	require.NoError(t, err)
 	t.Cleanup(front.Close)
-	front.Drop(Back)
+	front.Drop(Backward)
 	c, err := Dial(front.Addr())
 	require.NoError(t, err)
 	t.Cleanup(c.Close)
-	_, err = c.Ask("lot-intake", "lot", "lot", time.Now())
+	_, err = c.Send("lot-intake", "lot", "lot", time.Now())
 	require.NoError(t, err)
 	g.holds(t, 3, "lot", "passed")
 	g.lose(t, 1)
 	require.Equal(t, served("lot"), g.intake(t, 2, "lot", true))
 	g.back(t, 1)
 	require.Equal(t, served("lot"), g.intake(t, 1, "lot", true))
-	require.Len(t, g.Ledger.Runs("lot"), 1)
+	require.Len(t, g.RunLog.Runs("lot"), 1)
 }
 
 // fill has intakes served, each at one server in turn.
-func (g *Group) fill(t *testing.T, n int, ids ...int) (keys []string) {
+func (g *Cluster) fill(t *testing.T, n int, ids ...int) (keys []string) {
 	t.Helper()
 	for i := range n {
 		key := fmt.Sprint("lot ", i)
@@ -219,12 +219,12 @@
 }
 
 // found has all of them found at a server, and none run twice.
-func (g *Group) found(t *testing.T, id int, keys []string) {
+func (g *Cluster) found(t *testing.T, id int, keys []string) {
 	t.Helper()
 	for _, key := range keys {
 		require.Equal(t, served(key), g.intake(t, id, key, true), "%s at server %d", key, id)
 	}
-	require.Empty(t, g.Ledger.Twice())
+	require.Empty(t, g.RunLog.DuplicateRuns())
 }
 
 // With five copies a second machine is lost before the first one's place is filled: nothing that was promised is lost. The repair is
@@ -258,13 +258,13 @@
 	pool := g.Servers[0].Process.Pool
 	pool.Hold()
 	_, a := g.send(t, 1, "lot")
-	require.NoError(t, pool.Started("lot"))
+	require.NoError(t, pool.AwaitStart("lot"))
 	require.NoError(t, g.Stall(1))
 	pool.Release()
 	g.unknown(t, 2, "lot") // once its own time is over: over 4 s
 	time.Sleep(time.Second)
-	require.NoError(t, g.Wake(1))
-	_, err := a.Answer()
+	require.NoError(t, g.Resume(1))
+	_, err := a.Await()
 	require.NoError(t, err, "the caller of the stalled one gets an answer, if a late one")
 	require.NoError(t, g.Eventually(func() error {
 		if told := g.intake(t, 3, "lot", true); told != served("lot") {
@@ -273,7 +273,7 @@
 		return nil
 	}))
 	require.Equal(t, served("lot"), g.intake(t, 2, "lot", true))
-	require.Len(t, g.Ledger.Runs("lot"), 1)
+	require.Len(t, g.RunLog.Runs("lot"), 1)
 }
 
 // One way is lost: a server hears the others, and they do not hear it. It refuses, before they run, what it can't put on record; the
@@ -281,14 +281,14 @@
 func TestOneWayLoss(t *testing.T) {
 	t.Parallel()
 	g := group(t, 3, 3)
-	g.Mute(1)
+	g.Isolate(1)
 	told := g.intake(t, 1, "lot", false)
 	require.Equal(t, thrift.ReplyThrottled, told.Kind, "before it runs")
-	require.Empty(t, g.Ledger.Runs("lot"))
+	require.Empty(t, g.RunLog.Runs("lot"))
 	keys := g.fill(t, 10, 2, 3)
-	g.Ways(1, (*Relay).Heal)
-	g.Ways(1, (*Relay).Break)
-	require.NoError(t, g.Settled())
+	g.RelaysOf(1, (*Relay).Heal)
+	g.RelaysOf(1, (*Relay).Break)
+	require.NoError(t, g.AwaitStable())
 	g.found(t, 1, keys)
 	require.Equal(t, served("lot"), g.intake(t, 1, "lot", false))
 }
@@ -297,20 +297,20 @@
 func TestHangThenBurst(t *testing.T) {
 	t.Parallel()
 	g := group(t, 3, 3)
-	g.Ways(1, func(r *Relay) { r.Hold(There, Back) })
-	var late []Asked
+	g.RelaysOf(1, func(r *Relay) { r.Hold(Forward, Backward) })
+	var late []PendingRequest
 	for i := range 5 {
 		_, a := g.send(t, 1, fmt.Sprint("lot ", i))
 		late = append(late, a)
 	}
 	keys := g.fill(t, 10, 2, 3) // the same keys at others, and more
 	time.Sleep(20 * time.Second)
-	g.Ways(1, (*Relay).Heal)
+	g.RelaysOf(1, (*Relay).Heal)
 	for _, a := range late {
-		_, err := a.Answer()
+		_, err := a.Await()
 		require.NoError(t, err)
 	}
-	require.NoError(t, g.Settled())
+	require.NoError(t, g.AwaitStable())
 	g.found(t, 1, keys)
 }
 
@@ -347,13 +347,13 @@
 	c, err := Dial(g.Servers[0].Listen)
 	require.NoError(t, err)
 	t.Cleanup(c.Close)
-	a, err := c.Ask("block-view", "", "view", time.Now())
+	a, err := c.Send("block-view", "", "view", time.Now())
 	require.NoError(t, err)
-	r, err := a.Answer()
+	r, err := a.Await()
 	require.NoError(t, err)
 	require.Equal(t, thrift.ReplyAnswer, r.Kind, "reads do not suffer")
-	require.Error(t, g.Put(1, "force?keep=2"), "only with itself")
-	require.NoError(t, g.Put(1, "force?keep=1&why=two+burnt"))
+	require.Error(t, g.AdminCall(1, "force?keep=2"), "only with itself")
+	require.NoError(t, g.AdminCall(1, "force?keep=1&why=two+burnt"))
 	g.found(t, 1, keys)
 	g.unknown(t, 1, "new") // it may have run on one that is lost
 	s, err := g.State(1)
@@ -381,7 +381,7 @@
 	t.Parallel()
 	program, err := faulty()
 	require.NoError(t, err)
-	g, err := NewGroup(program, settings(t), 5, 3)
+	g, err := NewCluster(program, settings(t), 5, 3)
 	require.NoError(t, err)
 	t.Cleanup(func() {
 		if t.Failed() {
@@ -395,15 +395,15 @@
 	require.NoError(t, g.Stall(4))
 	was, err := g.State(1)
 	require.NoError(t, err)
-	require.NoError(t, g.Put(1, "remove?id=5")) // three of five agree
-	require.ErrorContains(t, g.Put(1, "remove?id=4"), "409")
-	require.NoError(t, g.Wake(4))
+	require.NoError(t, g.AdminCall(1, "remove?id=5")) // three of five agree
+	require.ErrorContains(t, g.AdminCall(1, "remove?id=4"), "409")
+	require.NoError(t, g.Resume(4))
 	g.changed(t, 1, was.Epoch)
 	s, err := g.State(2)
 	require.NoError(t, err)
 	require.Len(t, s.Members, 4)
 	require.NoError(t, g.Start(5)) // it has its disk, and is no member any more
-	require.NoError(t, g.Settled())
+	require.NoError(t, g.AwaitStable())
 	g.found(t, 5, keys)
 	g.change(t, 5, "add?id=5&why=back")
 	s, err = g.State(3)
@@ -439,7 +439,7 @@
 			}))
 			g.found(t, 1, keys) // by the others' copies
 			require.NoError(t, g.Fault(1, ""))
-			require.NoError(t, g.Settled())
+			require.NoError(t, g.AwaitStable())
 			g.lose(t, 3)
 			g.found(t, 1, keys)
 			g.found(t, 2, keys)
@@ -479,11 +479,11 @@
 func TestWallClocksApart(t *testing.T) {
 	t.Parallel()
 	g := group(t, 3, 3)
-	require.NoError(t, g.Wall(1, 500))
-	require.NoError(t, g.Wall(2, -500))
+	require.NoError(t, g.SetClockOffset(1, 500))
+	require.NoError(t, g.SetClockOffset(2, -500))
 	keys := g.fill(t, 12, 1, 2, 3)
-	require.NoError(t, g.Wall(1, -500))
-	require.NoError(t, g.Wall(2, 500))
+	require.NoError(t, g.SetClockOffset(1, -500))
+	require.NoError(t, g.SetClockOffset(2, 500))
 	for id := 1; id <= 3; id++ {
 		g.found(t, id, keys)
 	}
--- a/internal/testbed/processtest/hunt/hunt.go
+++ b/internal/testbed/processtest/hunt/hunt.go
@@ -34,7 +34,7 @@
 type groupPlay struct {
 	script  faults.Script
 	opts    processtest.Options
-	g       *processtest.Group
+	g       *processtest.Cluster
 	began   time.Time
 	closing atomic.Bool
 	mu      sync.Mutex
@@ -63,7 +63,7 @@
 	},
 	Init: func() any { return "" },
 	Step: func(state, _, out any) (bool, any) {
-		ran, o := state.(string), out.(processtest.Told)
+		ran, o := state.(string), out.(processtest.RequestOutcome)
 		switch o.Kind {
 		case thrift.ReplyAnswer:
 			return ran == "" || ran == o.Result, o.Result
@@ -77,21 +77,21 @@
 // Play plays a script for a group to its end, and judges what callers and worker pools saw. The program has to be built with
 // the tag faults where disks are to fail.
 func Play(script faults.Script, opts processtest.Options) (out processtest.Outcome, err error) {
-	if err := script.Check(); err != nil {
+	if err := script.Validate(); err != nil {
 		return out, err
 	}
 	copies := 3
 	if script.Servers >= 5 {
 		copies = 5
 	}
-	g, err := processtest.NewGroup(opts.Program, opts.Settings, script.Servers, copies)
+	g, err := processtest.NewCluster(opts.Program, opts.Settings, script.Servers, copies)
 	if g != nil {
 		defer func() { err = errors.Join(err, g.Close()) }()
 	}
 	if err != nil {
 		return out, err
 	}
-	g.Ledger.Named = true
+	g.RunLog.NamedResults = true
 	if err := g.StartAll(); err != nil {
 		return out, err
 	}
@@ -114,7 +114,7 @@
 	faulted.Wait()
 	p.closing.Store(true)
 	p.wg.Wait()
-	if err := g.Settled(); err != nil {
+	if err := g.AwaitStable(); err != nil {
 		p.broken("rest: %v", err)
 		for id := range p.g.Servers {
 			s, err := p.state(id + 1)
@@ -144,7 +144,7 @@
 }
 
 func (p *groupPlay) broken(format string, args ...any) {
-	p.count(func(o *processtest.Outcome) { o.Broken = append(o.Broken, fmt.Sprintf(format, args...)) })
+	p.count(func(o *processtest.Outcome) { o.Violations = append(o.Violations, fmt.Sprintf(format, args...)) })
 }
 
 // server is the number of a node, from 1; 0: none.
@@ -159,10 +159,10 @@
 func (p *groupPlay) happen(f faults.Fault) {
 	id, peer := server(f.Node), server(f.Peer)
 	switch f.Kind {
-	case faults.Kill, faults.Vanish:
+	case faults.Kill, faults.MachineLost:
 		p.busy[id-1].Lock()
 		defer p.busy[id-1].Unlock()
-		lost := f.Kind == faults.Vanish && p.bears()
+		lost := f.Kind == faults.MachineLost && p.bears()
 		if lost {
 			defer p.losing.Unlock()
 		}
@@ -199,23 +199,23 @@
 		_ = p.g.Fault(id, "")
 	default:
 		p.log("%s from %d to %d for %v, %v", f.Kind, id, peer, f.For.Duration(), f.Amount)
-		there, back := p.g.Way(id, peer), p.g.Way(peer, id)
+		there, back := p.g.RelayBetween(id, peer), p.g.RelayBetween(peer, id)
 		late := time.Duration(f.Amount * float64(time.Millisecond))
 		switch f.Kind {
-		case faults.Stall:
-			there.Hold(processtest.There, processtest.Back)
-			back.Hold(processtest.There, processtest.Back)
-		case faults.Dark:
-			there.Drop(processtest.There)
-			back.Drop(processtest.Back)
-		case faults.Lag:
-			there.Lag(late, processtest.There, processtest.Back)
-			back.Lag(late, processtest.There, processtest.Back)
-		case faults.Thin:
-			there.Thin(int(f.Amount), processtest.There, processtest.Back)
-			back.Thin(int(f.Amount), processtest.There, processtest.Back)
-		case faults.Cut:
-			there.Cut(int(f.Amount), processtest.There)
+		case faults.StallPath:
+			there.Hold(processtest.Forward, processtest.Backward)
+			back.Hold(processtest.Forward, processtest.Backward)
+		case faults.Blackhole:
+			there.Drop(processtest.Forward)
+			back.Drop(processtest.Backward)
+		case faults.AddLatency:
+			there.AddLatency(late, processtest.Forward, processtest.Backward)
+			back.AddLatency(late, processtest.Forward, processtest.Backward)
+		case faults.LimitBandwidth:
+			there.LimitBandwidth(int(f.Amount), processtest.Forward, processtest.Backward)
+			back.LimitBandwidth(int(f.Amount), processtest.Forward, processtest.Backward)
+		case faults.CutConnection:
+			there.Cut(int(f.Amount), processtest.Forward)
 			return
 		default:
 			p.broken("script: %s is no fault of a group", f.Kind)
@@ -291,10 +291,10 @@
 // try sends one try; 0: there was no answer.
 func (p *groupPlay) try(caller, id int, key string, retry bool) thrift.ReplyKind {
 	began := time.Since(p.began)
-	told, err := p.g.Intake(id, key, time.Now(), retry)
+	told, err := p.g.SendKeyed(id, key, time.Now(), retry)
 	ended := time.Since(p.began)
 	if err != nil { // it may run at any time, or never
-		told, ended = processtest.Told{}, time.Hour
+		told, ended = processtest.RequestOutcome{}, time.Hour
 	}
 	p.mu.Lock()
 	p.history = append(p.history, porcupine.Operation{ClientId: caller, Input: key, Output: told, Call: int64(began), Return: int64(ended)})
@@ -302,7 +302,7 @@
 	p.count(func(o *processtest.Outcome) {
 		switch {
 		case err != nil:
-			o.Unheard++
+			o.Unanswered++
 		case told.Kind == thrift.ReplyAnswer:
 			o.Answered++
 			o.Served++
@@ -322,7 +322,7 @@
 	p.mu.Lock()
 	var keys []string
 	for _, o := range p.history {
-		if k := o.Input.(string); o.Output.(processtest.Told).Kind == thrift.ReplyAnswer && !slices.Contains(keys, k) {
+		if k := o.Input.(string); o.Output.(processtest.RequestOutcome).Kind == thrift.ReplyAnswer && !slices.Contains(keys, k) {
 			keys = append(keys, k)
 		}
 	}
@@ -337,7 +337,7 @@
 
 // judge looks for intakes that ran twice, and for a history that fits no order.
 func (p *groupPlay) judge() {
-	for _, twice := range p.g.Ledger.Twice() {
+	for _, twice := range p.g.RunLog.DuplicateRuns() {
 		p.broken("duplicate: %s", twice)
 	}
 	if got := porcupine.CheckOperationsTimeout(onceModel, p.history, time.Minute); got != porcupine.Ok {
@@ -346,33 +346,33 @@
 			p.broken("    %v", o)
 		}
 	}
-	if len(p.out.Broken) > 0 {
+	if len(p.out.Violations) > 0 {
 		for _, e := range p.events {
-			p.out.Broken = append(p.out.Broken, "    "+e)
+			p.out.Violations = append(p.out.Violations, "    "+e)
 		}
-		p.out.Broken = append(p.out.Broken, strings.Split(p.g.Log(), "\n")...)
+		p.out.Violations = append(p.out.Violations, strings.Split(p.g.Log(), "\n")...)
 	}
 }
 
-// Drawn is a script for a group, from a seed: at each moment some of its servers, disks and links are spoilt.
-func Drawn(seed uint64, seconds float64) faults.Script {
+// DrawScript is a script for a group, from a seed: at each moment some of its servers, disks and links are spoilt.
+func DrawScript(seed uint64, seconds float64) faults.Script {
 	rng := rand.New(rand.NewPCG(seed, 2))
 	s := faults.Script{Seed: seed, Servers: []int{3, 5}[seed%2], Proxies: 6, Length: microtime.Time(seconds * 1e6), Rate: 1}
-	kinds := []faults.Kind{faults.Kill, faults.Vanish, faults.Vanish, faults.Vanish, faults.Vanish, faults.Vanish, faults.Pause, faults.Stall, faults.Dark, faults.Lag, faults.Thin, faults.Cut, faults.StoreFail, faults.StoreSlow}
+	kinds := []faults.Kind{faults.Kill, faults.MachineLost, faults.MachineLost, faults.MachineLost, faults.MachineLost, faults.MachineLost, faults.Pause, faults.StallPath, faults.Blackhole, faults.AddLatency, faults.LimitBandwidth, faults.CutConnection, faults.StoreFail, faults.StoreSlow}
 	for range int(3 * seconds) {
 		f := faults.Fault{At: microtime.Time(rng.Int64N(int64(s.Length))), Kind: kinds[rng.IntN(len(kinds))], Node: fmt.Sprint("s", rng.IntN(s.Servers))}
 		f.For = 1 + microtime.Time(rng.Int64N(int64(microtime.Second)))
 		switch f.Kind {
-		case faults.Stall, faults.Dark, faults.Lag, faults.Thin, faults.Cut:
+		case faults.StallPath, faults.Blackhole, faults.AddLatency, faults.LimitBandwidth, faults.CutConnection:
 			i := server(f.Node)
 			f.Peer = fmt.Sprint("s", (i+rng.IntN(s.Servers-1))%s.Servers)
 		}
 		switch f.Kind {
-		case faults.Lag:
+		case faults.AddLatency:
 			f.Amount = float64(1 + rng.IntN(300))
-		case faults.Thin:
+		case faults.LimitBandwidth:
 			f.Amount = float64(1000 + rng.IntN(100_000))
-		case faults.Cut:
+		case faults.CutConnection:
 			f.Amount, f.For = float64(rng.IntN(5000)), 0
 		case faults.StoreSlow:
 			f.Amount = 100
--- a/internal/testbed/processtest/measure/measure.go
+++ b/internal/testbed/processtest/measure/measure.go
@@ -19,8 +19,8 @@
 	"pewterline/internal/testbed/processtest"
 )
 
-// Row is what a number of copies costs.
-type Row struct {
+// CostResult is what a number of copies costs.
+type CostResult struct {
 	Copies      int // 0: off
 	Intakes     int
 	PerSecond   float64
@@ -32,8 +32,8 @@
 }
 
 // Cost has callers send intakes to one server, each after the answer to the one before.
-func Cost(program string, settings json.RawMessage, copies, callers int, length time.Duration) (r Row, err error) {
-	g, err := processtest.NewGroup(program, settings, max(copies, 1), max(copies, 1))
+func Cost(program string, settings json.RawMessage, copies, callers int, length time.Duration) (r CostResult, err error) {
+	g, err := processtest.NewCluster(program, settings, max(copies, 1), max(copies, 1))
 	if g != nil {
 		defer func() { err = errors.Join(err, g.Close()) }()
 	}
@@ -67,10 +67,10 @@
 			for j := 0; time.Now().Before(until); j++ {
 				key := fmt.Sprintf("lot %d/%d", i, j)
 				began := time.Now()
-				a, err := c.Ask("lot-intake", key, key, began)
+				a, err := c.Send("lot-intake", key, key, began)
 				var p thrift.Reply
 				if err == nil {
-					p, err = a.Answer()
+					p, err = a.Await()
 				}
 				if err != nil || p.Kind != thrift.ReplyAnswer {
 					missed.Add(1)
@@ -101,16 +101,16 @@
 	return r, nil
 }
 
-// Repaired is how long it took to bring a lost server's copies back.
-type Repaired struct {
+// RepairResult is how long it took to bring a lost server's copies back.
+type RepairResult struct {
 	Holdings int
 	Took     time.Duration
 	Memory   int // bytes, of the server that was lost, once it is whole
 }
 
 // Repair fills a group of three, loses one with its disk, and waits until it holds all again. rate is the bound on keys a second.
-func Repair(program string, settings json.RawMessage, holdings, rate, atOnce int) (r Repaired, err error) {
-	g, err := processtest.NewGroup(program, settings, 3, 3, fmt.Sprintf("repair_keys_per_s = %d", rate), fmt.Sprintf("repair_at_once = %d", atOnce))
+func Repair(program string, settings json.RawMessage, holdings, rate, atOnce int) (r RepairResult, err error) {
+	g, err := processtest.NewCluster(program, settings, 3, 3, fmt.Sprintf("repair_keys_per_s = %d", rate), fmt.Sprintf("repair_at_once = %d", atOnce))
 	if g != nil {
 		defer func() { err = errors.Join(err, g.Close()) }()
 	}
@@ -136,8 +136,8 @@
 			defer c.Close()
 			for n := next.Add(1); n <= int64(holdings); n = next.Add(1) {
 				key := fmt.Sprintf("lot %d", n)
-				if a, err := c.Ask("lot-intake", key, key, time.Now()); err == nil {
-					_, _ = a.Answer()
+				if a, err := c.Send("lot-intake", key, key, time.Now()); err == nil {
+					_, _ = a.Await()
 				}
 			}
 		}()
@@ -157,7 +157,7 @@
 	}
 	for time.Since(began) < 10*time.Minute {
 		s, err := g.State(3)
-		if err == nil && s.Counters.Held >= r.Holdings && !s.Changing && g.Settled() == nil {
+		if err == nil && s.Counters.Held >= r.Holdings && !s.Changing && g.AwaitStable() == nil {
 			r.Took, r.Memory = time.Since(began), g.Servers[2].Process.Memory()
 			return r, nil
 		}
@@ -166,12 +166,12 @@
 	return r, errors.New("measure: the repair does not come to an end")
 }
 
-// Second is what callers were told within a second.
-type Second struct{ Served, Refused, Unknown, Unheard int }
+// SecondCounts is what callers were told within a second.
+type SecondCounts struct{ Served, Refused, Unknown, Unheard int }
 
 // Kill has callers send intakes to all three servers at a steady rate, each once, while one is lost with its disk and comes back.
-func Kill(program string, settings json.RawMessage, seconds, lost, back, rate int) (out []Second, err error) {
-	g, err := processtest.NewGroup(program, settings, 3, 3)
+func Kill(program string, settings json.RawMessage, seconds, lost, back, rate int) (out []SecondCounts, err error) {
+	g, err := processtest.NewCluster(program, settings, 3, 3)
 	if g != nil {
 		defer func() { err = errors.Join(err, g.Close()) }()
 	}
@@ -181,7 +181,7 @@
 	if err := g.StartAll(); err != nil {
 		return nil, err
 	}
-	out = make([]Second, seconds)
+	out = make([]SecondCounts, seconds)
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	began := time.Now()
@@ -201,7 +201,7 @@
 		go func() {
 			defer wg.Done()
 			key := fmt.Sprint("lot ", n)
-			told, err := g.Intake(1+n%3, key, time.Now(), false)
+			told, err := g.SendKeyed(1+n%3, key, time.Now(), false)
 			mu.Lock()
 			defer mu.Unlock()
 			s := &out[n/rate]
@@ -222,7 +222,7 @@
 }
 
 // Plot draws the seconds of a Kill into a file, whose name tells the kind.
-func Plot(seconds []Second, path string) error {
+func Plot(seconds []SecondCounts, path string) error {
 	p := plot.New()
 	p.Title.Text = "Intakes by second while one of three servers is lost with its disk and comes back"
 	p.X.Label.Text, p.Y.Label.Text = "second", "intakes"
@@ -230,12 +230,12 @@
 	for _, l := range []struct {
 		name  string
 		color color.Color
-		of    func(Second) int
+		of    func(SecondCounts) int
 	}{
-		{"served", color.RGBA{0, 110, 60, 255}, func(s Second) int { return s.Served }},
-		{"refused before they ran", color.RGBA{200, 130, 0, 255}, func(s Second) int { return s.Refused }},
-		{"not known", color.RGBA{190, 0, 0, 255}, func(s Second) int { return s.Unknown }},
-		{"connection refused or broken", color.RGBA{120, 120, 120, 255}, func(s Second) int { return s.Unheard }},
+		{"served", color.RGBA{0, 110, 60, 255}, func(s SecondCounts) int { return s.Served }},
+		{"refused before they ran", color.RGBA{200, 130, 0, 255}, func(s SecondCounts) int { return s.Refused }},
+		{"not known", color.RGBA{190, 0, 0, 255}, func(s SecondCounts) int { return s.Unknown }},
+		{"connection refused or broken", color.RGBA{120, 120, 120, 255}, func(s SecondCounts) int { return s.Unheard }},
 	} {
 		xy := make(plotter.XYs, len(seconds))
 		for i, s := range seconds {
--- a/internal/testbed/processtest/play.go
+++ b/internal/testbed/processtest/play.go
@@ -38,12 +38,12 @@
 
 // Outcome is what became of a run.
 type Outcome struct {
-	Broken            []string // rules, with all that is known of the request
-	Answered, Unheard int
-	Served, Refused   int
-	Upgrades, Starts  int
-	Calls             int // that the vault has read
-	Wiped, Unknown    int // of a group: disks lost; answers that nobody knows
+	Violations           []string // rules, with all that is known of the request
+	Answered, Unanswered int
+	Served, Refused      int
+	Upgrades, Starts     int
+	Calls                int // that the vault has read
+	Wiped, Unknown       int // of a group: disks lost; answers that nobody knows
 }
 
 const (
@@ -74,7 +74,7 @@
 
 // Play plays a script to its end, and judges what callers and worker pools saw.
 func Play(script faults.Script, opts Options) (out Outcome, err error) {
-	if err := script.Check(); err != nil {
+	if err := script.Validate(); err != nil {
 		return out, err
 	}
 	dir, err := os.MkdirTemp("", "pw")
@@ -92,7 +92,7 @@
 		}
 	}
 	p := &play{script: script, opts: opts, relays: map[*Process]*Relay{}, began: time.Now()}
-	p.srv = &Server{Program: opts.Program, Dir: dir, Listen: listen, Settings: opts.Settings, StopMS: 3200, MemoryMB: 64, Ledger: NewLedger()}
+	p.srv = &Server{Program: opts.Program, Dir: dir, Listen: listen, Settings: opts.Settings, StopMS: 3200, MemoryMB: 64, RunLog: NewRunLog()}
 	if p.vault, err = vaultFor(opts.Settings); err != nil {
 		return out, err
 	}
@@ -231,7 +231,7 @@
 	p.log("%s %s %s for %v, %v", f.Kind, f.Node, f.Peer, f.For.Duration(), f.Amount)
 	q := p.target(f.Node)
 	switch f.Kind {
-	case faults.Term:
+	case faults.Terminate:
 		p.renew()
 	case faults.Kill:
 		if q != nil {
@@ -248,7 +248,7 @@
 			time.Sleep(f.For.Duration())
 			_ = q.Signal(syscall.SIGCONT)
 		}
-	case faults.Hup:
+	case faults.ReloadConfig:
 		p.mu.Lock()
 		p.grape = !p.grape
 		p.mu.Unlock()
@@ -272,7 +272,7 @@
 		}
 		p.mu.Unlock()
 		for _, r := range relays {
-			heal, err := r.Do(f)
+			heal, err := r.Apply(f)
 			if err != nil {
 				p.log("%v", err)
 			} else if heal != nil {
@@ -330,21 +330,21 @@
 				var err error
 				if c, err = Dial(p.srv.Listen); err != nil {
 					c = nil
-					p.count(func(o *Outcome) { o.Unheard++ })
+					p.count(func(o *Outcome) { o.Unanswered++ })
 					time.Sleep(20 * time.Millisecond)
 					tries-- // nobody is there: what was open when the server died comes again once it is back
 					continue
 				}
 			}
 			sent := time.Now()
-			a, err := c.Ask(calling, body, body, sent)
+			a, err := c.Send(calling, body, body, sent)
 			var r thrift.Reply
 			if err == nil {
-				r, err = a.Answer()
+				r, err = a.Await()
 			}
 			p.over(a.ID)
 			if err != nil {
-				p.count(func(o *Outcome) { o.Unheard++ })
+				p.count(func(o *Outcome) { o.Unanswered++ })
 				continue
 			}
 			p.count(func(o *Outcome) { o.Answered++ })
@@ -357,7 +357,7 @@
 			}
 			if r.Kind == thrift.ReplyThrottled {
 				p.count(func(o *Outcome) { o.Refused++ })
-				if runs := p.srv.Ledger.before(body, sent); len(runs) > 0 && p.knows(runs) {
+				if runs := p.srv.RunLog.before(body, sent); len(runs) > 0 && p.knows(runs) {
 					p.broken("refused: %s, though it had run by then: %v", body, runs)
 				}
 			}
@@ -376,7 +376,7 @@
 }
 
 func (p *play) broken(format string, args ...any) {
-	p.count(func(o *Outcome) { o.Broken = append(o.Broken, fmt.Sprintf(format, args...)) })
+	p.count(func(o *Outcome) { o.Violations = append(o.Violations, fmt.Sprintf(format, args...)) })
 }
 
 // life numbers the processes' lives: one that was told by its predecessor lives that one's life on, and with a store of record
@@ -395,20 +395,20 @@
 }
 
 // knows says that the newest process lives on the life in which one of the runs was.
-func (p *play) knows(runs []Ran) bool {
+func (p *play) knows(runs []RunRecord) bool {
 	lives := p.life()
 	last := 0
 	for _, n := range lives {
 		last = max(last, n)
 	}
-	return slices.ContainsFunc(runs, func(r Ran) bool { return lives[r.By] == last })
+	return slices.ContainsFunc(runs, func(r RunRecord) bool { return lives[r.By] == last })
 }
 
 // judge looks for intakes that ran twice in one life within their window. A process that was started with nobody to tell it
 // begins a new life: it may run again what the one before had run.
 func (p *play) judge() {
 	lives := p.life()
-	for body, runs := range p.srv.Ledger.all() {
+	for body, runs := range p.srv.RunLog.all() {
 		for i, a := range runs {
 			for _, b := range runs[i+1:] {
 				if lives[a.By] == lives[b.By] && b.At.Sub(a.At) < windowOf {
@@ -418,37 +418,37 @@
 		}
 	}
 	p.judgeCalls()
-	if len(p.out.Broken) > 0 {
+	if len(p.out.Violations) > 0 {
 		for _, e := range p.events {
-			p.out.Broken = append(p.out.Broken, "    "+e)
+			p.out.Violations = append(p.out.Violations, "    "+e)
 		}
 		for i, q := range p.srv.all {
 			for line := range strings.Lines(q.Log()) {
-				p.out.Broken = append(p.out.Broken, fmt.Sprintf("    process %d: %s", i, strings.TrimSpace(line)))
+				p.out.Violations = append(p.out.Violations, fmt.Sprintf("    process %d: %s", i, strings.TrimSpace(line)))
 			}
 		}
 	}
 }
 
-// Drawn is a script from a seed: upgrades, one after the other, and faults at any moment of them.
-func Drawn(seed uint64, seconds float64) faults.Script {
+// DrawScript is a script from a seed: upgrades, one after the other, and faults at any moment of them.
+func DrawScript(seed uint64, seconds float64) faults.Script {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	s := faults.Script{Seed: seed, Servers: 1, Proxies: 6, Length: microtime.Time(seconds * 1e6), Rate: 1, Store: seed%2 == 0}
 	at := func() microtime.Time { return microtime.Time(rng.Int64N(int64(s.Length))) }
 	within := func(most microtime.Time) microtime.Time { return 1 + microtime.Time(rng.Int64N(int64(most))) }
 	for range 1 + int(seconds/2) {
-		s.Faults = append(s.Faults, faults.Fault{At: at(), Kind: faults.Term, Node: "s0"})
+		s.Faults = append(s.Faults, faults.Fault{At: at(), Kind: faults.Terminate, Node: "s0"})
 	}
 	for range rng.IntN(4) {
-		f := faults.Fault{At: at(), Node: []string{"s0", "s1"}[rng.IntN(2)], Kind: []faults.Kind{faults.Kill, faults.Pause, faults.Hup}[rng.IntN(3)]}
-		if s.Servers = 2; f.Kind == faults.Hup {
+		f := faults.Fault{At: at(), Node: []string{"s0", "s1"}[rng.IntN(2)], Kind: []faults.Kind{faults.Kill, faults.Pause, faults.ReloadConfig}[rng.IntN(3)]}
+		if s.Servers = 2; f.Kind == faults.ReloadConfig {
 			f.Node = "s0"
 		} else {
 			f.For = within(microtime.Second)
 		}
 		s.Faults = append(s.Faults, f)
 	}
-	s.Faults = append(s.Faults, Draw(seed, rng.IntN(4), s.Length.Duration(), "s0", "w0")...)
+	s.Faults = append(s.Faults, DrawPathFaults(seed, rng.IntN(4), s.Length.Duration(), "s0", "w0")...)
 	slices.SortFunc(s.Faults, func(a, b faults.Fault) int { return int(a.At - b.At) })
 	return s
 }
--- a/internal/testbed/processtest/playcalls.go
+++ b/internal/testbed/processtest/playcalls.go
@@ -10,7 +10,7 @@
 // over tells all worker pools, which know it, that a request waits for no answer any more.
 func (p *play) over(id string) {
 	for _, q := range p.srv.processes() {
-		q.Pool.Over(id)
+		q.Pool.FinishRun(id)
 	}
 }
 
@@ -29,7 +29,7 @@
 	rng := rand.New(rand.NewPCG(p.script.Seed, 2))
 	odd := []vault.Status{vault.NotNow, vault.Failed, vault.Overdue, vault.Pointless}
 	p.vault.Slow(2 * time.Millisecond)
-	p.vault.Answer(func(*Call) vault.Status {
+	p.vault.AnswerWith(func(*Call) vault.Status {
 		if i := rand.IntN(10 * len(odd)); i < len(odd) {
 			return odd[i]
 		}
@@ -38,11 +38,11 @@
 	for !p.closing.Load() {
 		time.Sleep(time.Duration(rng.IntN(500)) * time.Millisecond)
 		if rng.IntN(2) == 0 {
-			p.vault.Refuse()
+			p.vault.RejectConnections()
 		}
 		p.vault.Break()
 		time.Sleep(time.Duration(rng.IntN(100)) * time.Millisecond)
-		if err := p.vault.Accept(); err != nil {
+		if err := p.vault.AwaitConnection(); err != nil {
 			p.log("vault: %v", err)
 		}
 	}
@@ -55,8 +55,8 @@
 	}
 	last := map[string]Call{}
 	for _, c := range p.vault.Calls() {
-		if before, again := last[c.ID]; again && before.Told != vault.NotNow && before.Told != vault.Pointless {
-			p.broken("effect: the call of %s was made again after %q", c.ID, before.Told)
+		if before, again := last[c.ID]; again && before.Status != vault.NotNow && before.Status != vault.Pointless {
+			p.broken("effect: the call of %s was made again after %q", c.ID, before.Status)
 		}
 		last[c.ID] = c
 	}
--- a/internal/testbed/processtest/pool.go
+++ b/internal/testbed/processtest/pool.go
@@ -16,7 +16,7 @@
 // Pool is a worker pool at one address. A result is "did " and the body, and for each call that the run made " got " and its reply.
 type Pool struct {
 	ln       net.Listener
-	ledger   *Ledger
+	ledger   *RunLog
 	mu       sync.Mutex
 	link     net.Conn // the one that is bound; nil: none
 	unbound  *bind    // waits for its answer while the pool is away
@@ -43,7 +43,7 @@
 }
 
 // NewPool opens a worker pool that ends each run at once.
-func NewPool(l *Ledger) (*Pool, error) {
+func NewPool(l *RunLog) (*Pool, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
@@ -75,15 +75,15 @@
 	p.hold = true
 }
 
-// Calling has each run of a class from now on make so many calls, one after the other.
-func (p *Pool) Calling(class string, calls int) {
+// SetCallsPerRun has each run of a class from now on make so many calls, one after the other.
+func (p *Pool) SetCallsPerRun(class string, calls int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.calls[class] = calls
 }
 
-// Over says that a request waits for no answer any more: its run ends at the call that it waits for, or at its next one.
-func (p *Pool) Over(id string) {
+// FinishRun says that a request waits for no answer any more: its run ends at the call that it waits for, or at its next one.
+func (p *Pool) FinishRun(id string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.over[id] = true
@@ -99,8 +99,8 @@
 	p.frozen = true
 }
 
-// Checked sets how deep health checks end from now on; 0: they get no answer.
-func (p *Pool) Checked(end pool.Outcome) {
+// AnswerChecksWith sets how deep health checks end from now on; 0: they get no answer.
+func (p *Pool) AnswerChecksWith(end pool.Outcome) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.checkEnd = end
@@ -154,8 +154,8 @@
 	}
 }
 
-// Started returns when a run with that body has begun.
-func (p *Pool) Started(body string) error {
+// AwaitStart returns when a run with that body has begun.
+func (p *Pool) AwaitStart(body string) error {
 	late := time.After(Patience)
 	for {
 		select {
@@ -169,11 +169,11 @@
 	}
 }
 
-// Bound is the notice that the next link asked to be bound with.
-func (p *Pool) Bound() (uint64, error) { return await(p.binds, "a link to the worker pool") }
+// AwaitBound is the notice that the next link asked to be bound with.
+func (p *Pool) AwaitBound() (uint64, error) { return await(p.binds, "a link to the worker pool") }
 
-// Strays are the IDs of replies that came for runs that waited for none.
-func (p *Pool) Strays() []string {
+// UnexpectedCommands are the IDs of replies that came for runs that waited for none.
+func (p *Pool) UnexpectedCommands() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return slices.Clone(p.strays)
--- a/internal/testbed/processtest/poolruns.go
+++ b/internal/testbed/processtest/poolruns.go
@@ -97,7 +97,7 @@
 		return
 	}
 	r := &poolRun{id: k.ID, body: body, result: "did " + body, callsLeft: p.calls[k.Class]}
-	if p.ledger.Named {
+	if p.ledger.NamedResults {
 		r.result += " as " + k.ID
 	}
 	p.runs[k.ID] = r
--- a/internal/testbed/processtest/procs.go
+++ b/internal/testbed/processtest/process.go
@@ -49,7 +49,7 @@
 	Store    string // the file that names a store of record; "": none
 	Copies   string // the file that names a group that holds copies; "": none
 	Vault    string // its address, for settings with calls; "": none
-	Ledger   *Ledger
+	RunLog   *RunLog
 	mu       sync.Mutex
 	all      []*Process
 }
@@ -109,12 +109,12 @@
 	if err != nil {
 		return nil, err
 	}
-	pool, err := NewPool(s.Ledger)
+	pool, err := NewPool(s.RunLog)
 	if err != nil {
 		return nil, err
 	}
 	for _, class := range callingClasses(s.Settings) {
-		pool.Calling(class, 1)
+		pool.SetCallsPerRun(class, 1)
 	}
 	name := s.Name
 	if name == "" {
--- a/internal/testbed/processtest/relay.go
+++ b/internal/testbed/processtest/relay.go
@@ -23,13 +23,13 @@
 	shut bool
 }
 
-// Direction is a way through a relay.
-type Direction int
+// RelayDirection is a way through a relay.
+type RelayDirection int
 
 // The directions.
 const (
-	There Direction = iota // from whoever connects
-	Back
+	Forward RelayDirection = iota // from whoever connects
+	Backward
 )
 
 // way is what happens to the bytes of one direction.
@@ -49,7 +49,7 @@
 	}
 	r := &Relay{ln: ln, to: to, open: map[net.Conn]net.Conn{}}
 	r.cond = sync.NewCond(&r.mu)
-	r.way[There].cut, r.way[Back].cut = -1, -1
+	r.way[Forward].cut, r.way[Backward].cut = -1, -1
 	go r.accept()
 	return r, nil
 }
@@ -91,8 +91,8 @@
 				_, _ = a.Close(), b.Close()
 				return
 			}
-			go r.carry(a, b, There)
-			r.carry(b, a, Back)
+			go r.carry(a, b, Forward)
+			r.carry(b, a, Backward)
 			r.mu.Lock()
 			delete(r.open, a)
 			r.mu.Unlock()
@@ -109,7 +109,7 @@
 // pieces bounds what a direction holds; beyond it the sender has to wait, as at a full window.
 const pieces = 1024
 
-func (r *Relay) carry(from, to net.Conn, d Direction) {
+func (r *Relay) carry(from, to net.Conn, d RelayDirection) {
 	queue := make(chan piece, pieces)
 	go func() {
 		defer close(queue)
@@ -164,7 +164,7 @@
 	}
 }
 
-func (r *Relay) set(f func(*way), ds ...Direction) {
+func (r *Relay) set(f func(*way), ds ...RelayDirection) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, d := range ds {
@@ -174,24 +174,26 @@
 }
 
 // Hold has nothing pass in the directions given; Heal lets it go on in a burst.
-func (r *Relay) Hold(ds ...Direction) { r.set(func(w *way) { w.hold = true }, ds...) }
+func (r *Relay) Hold(ds ...RelayDirection) { r.set(func(w *way) { w.hold = true }, ds...) }
 
 // Drop loses all that comes, as a black hole does.
-func (r *Relay) Drop(ds ...Direction) { r.set(func(w *way) { w.drop = true }, ds...) }
+func (r *Relay) Drop(ds ...RelayDirection) { r.set(func(w *way) { w.drop = true }, ds...) }
 
-// Lag has all come later.
-func (r *Relay) Lag(late time.Duration, ds ...Direction) {
+// AddLatency has all come later.
+func (r *Relay) AddLatency(late time.Duration, ds ...RelayDirection) {
 	r.set(func(w *way) { w.delay = late }, ds...)
 }
 
-// Thin lets so many bytes a second pass.
-func (r *Relay) Thin(rate int, ds ...Direction) { r.set(func(w *way) { w.rate = rate }, ds...) }
+// LimitBandwidth lets so many bytes a second pass.
+func (r *Relay) LimitBandwidth(rate int, ds ...RelayDirection) {
+	r.set(func(w *way) { w.rate = rate }, ds...)
+}
 
 // Cut breaks the next connection that sends so many more bytes: in the middle of a message, if need be.
-func (r *Relay) Cut(after int, d Direction) { r.set(func(w *way) { w.cut = after }, d) }
+func (r *Relay) Cut(after int, d RelayDirection) { r.set(func(w *way) { w.cut = after }, d) }
 
 // Heal ends all faults. What was dropped is lost.
-func (r *Relay) Heal() { r.set(func(w *way) { *w = way{cut: -1} }, There, Back) }
+func (r *Relay) Heal() { r.set(func(w *way) { *w = way{cut: -1} }, Forward, Backward) }
 
 // Break ends all connections that are open now.
 func (r *Relay) Break() {
@@ -203,37 +205,37 @@
 }
 
 // from is the direction that a fault's node sends in: a worker pool does not connect, it is connected to.
-func from(f faults.Fault) Direction {
+func from(f faults.Fault) RelayDirection {
 	if strings.HasPrefix(f.Node, "w") {
-		return Back
+		return Backward
 	}
-	return There
+	return Forward
 }
 
-// Do has a fault of a script happen, and returns how it ends; nil where it ends by itself. Kinds that are no relay's are an error.
-func (r *Relay) Do(f faults.Fault) (heal func(), err error) {
+// Apply has a fault of a script happen, and returns how it ends; nil where it ends by itself. Kinds that are no relay's are an error.
+func (r *Relay) Apply(f faults.Fault) (heal func(), err error) {
 	switch f.Kind {
-	case faults.Stall:
-		r.Hold(There, Back)
-	case faults.Dark: // one way: what the node sends is lost
+	case faults.StallPath:
+		r.Hold(Forward, Backward)
+	case faults.Blackhole: // one way: what the node sends is lost
 		r.Drop(from(f))
-	case faults.Lag:
-		r.Lag(time.Duration(f.Amount*float64(time.Millisecond)), There, Back)
-	case faults.Thin:
-		r.Thin(int(f.Amount), There, Back)
-	case faults.Cut:
+	case faults.AddLatency:
+		r.AddLatency(time.Duration(f.Amount*float64(time.Millisecond)), Forward, Backward)
+	case faults.LimitBandwidth:
+		r.LimitBandwidth(int(f.Amount), Forward, Backward)
+	case faults.CutConnection:
 		r.Cut(int(f.Amount), from(f))
 		return nil, nil
 	default:
-		return nil, &faults.Error{Field: "kind", Why: string(f.Kind) + " is no fault of a relay"}
+		return nil, &faults.Error{Field: "kind", Reason: string(f.Kind) + " is no fault of a relay"}
 	}
 	return r.Heal, nil
 }
 
-// Draw is a script of faults for a relay between two nodes, from a seed: what a hunt plays.
-func Draw(seed uint64, n int, within time.Duration, node, peer string) (out []faults.Fault) {
+// DrawPathFaults is a script of faults for a relay between two nodes, from a seed: what a hunt plays.
+func DrawPathFaults(seed uint64, n int, within time.Duration, node, peer string) (out []faults.Fault) {
 	rng := rand.New(rand.NewPCG(seed, 0))
-	kinds := []faults.Kind{faults.Stall, faults.Dark, faults.Lag, faults.Thin, faults.Cut}
+	kinds := []faults.Kind{faults.StallPath, faults.Blackhole, faults.AddLatency, faults.LimitBandwidth, faults.CutConnection}
 	for range n {
 		f := faults.Fault{Kind: kinds[rng.IntN(len(kinds))], Node: node, Peer: peer}
 		if rng.IntN(2) == 0 {
@@ -241,11 +243,11 @@
 		}
 		f.At, f.For = microtime.FromDuration(time.Duration(rng.Int64N(int64(within)))), microtime.FromDuration(time.Duration(rng.Int64N(int64(within/4))))
 		switch f.Kind {
-		case faults.Lag:
+		case faults.AddLatency:
 			f.Amount = float64(1 + rng.IntN(300))
-		case faults.Thin:
+		case faults.LimitBandwidth:
 			f.Amount = float64(1000 + rng.IntN(100_000))
-		case faults.Cut:
+		case faults.CutConnection:
 			f.Amount, f.For = float64(rng.IntN(5000)), 0
 		}
 		out = append(out, f)
--- a/internal/testbed/processtest/vault.go
+++ b/internal/testbed/processtest/vault.go
@@ -38,12 +38,12 @@
 
 // Call is one call that the vault was asked for.
 type Call struct {
-	ID, Body string
-	WaitMS   int          // how long the log server waits
-	Conn     int          // the number of its connection
-	Told     vault.Status // the reply; 0: none. Of calls that Calls has returned
-	vault    *Vault
-	on       *vaultConn
+	ID, Body  string
+	TimeoutMS int          // how long the log server waits
+	Conn      int          // the number of its connection
+	Status    vault.Status // the reply; 0: none. Of calls that Calls has returned
+	vault     *Vault
+	on        *vaultConn
 }
 
 // NewVault opens a vault that answers each call at once.
@@ -54,7 +54,7 @@
 	}
 	v := &Vault{addr: addr, conns: map[*vaultConn]bool{}, status: func(*Call) vault.Status { return vault.Yes }, open: map[string]*Call{},
 		asked: make(chan *Call, 1<<16), given: make(chan string, 1<<16)}
-	return v, v.Accept()
+	return v, v.AwaitConnection()
 }
 
 // Addr is where it listens.
@@ -62,12 +62,12 @@
 
 // Close ends it.
 func (v *Vault) Close() {
-	v.Refuse()
+	v.RejectConnections()
 	v.Break()
 }
 
-// Refuse has connections refused from now on; those that are open go on.
-func (v *Vault) Refuse() {
+// RejectConnections has connections refused from now on; those that are open go on.
+func (v *Vault) RejectConnections() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if v.ln != nil {
@@ -85,8 +85,8 @@
 	}
 }
 
-// Accept has connections accepted again, at the same address, where they are refused.
-func (v *Vault) Accept() error {
+// AwaitConnection has connections accepted again, at the same address, where they are refused.
+func (v *Vault) AwaitConnection() error {
 	v.mu.Lock()
 	listens := v.ln != nil
 	v.mu.Unlock()
@@ -128,18 +128,18 @@
 	v.took = took
 }
 
-// Answer sets how the replies from now on are drawn.
-func (v *Vault) Answer(status func(*Call) vault.Status) {
+// AnswerWith sets how the replies from now on are drawn.
+func (v *Vault) AnswerWith(status func(*Call) vault.Status) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.status = status
 }
 
-// Asked is the next call.
-func (v *Vault) Asked() (*Call, error) { return await(v.asked, "a call") }
+// NextCall is the next call.
+func (v *Vault) NextCall() (*Call, error) { return await(v.asked, "a call") }
 
-// Unasked is the ID of the next call that is given up.
-func (v *Vault) Unasked() (string, error) { return await(v.given, "the end of a call") }
+// NextAbandoned is the ID of the next call that is given up.
+func (v *Vault) NextAbandoned() (string, error) { return await(v.given, "the end of a call") }
 
 // Calls are all calls that have come, in their order.
 func (v *Vault) Calls() (out []Call) {
@@ -267,7 +267,7 @@
 		}
 		return
 	}
-	call := &Call{ID: k.ID, Body: string(k.Body), WaitMS: k.WaitMS, Conn: c.number, vault: v, on: c}
+	call := &Call{ID: k.ID, Body: string(k.Body), TimeoutMS: k.WaitMS, Conn: c.number, vault: v, on: c}
 	v.made = append(v.made, call)
 	v.open[k.ID] = call // a second call of a request gives up the first
 	select {
@@ -298,6 +298,6 @@
 	if v.open[c.ID] == c {
 		delete(v.open, c.ID)
 	}
-	c.Told = s
+	c.Status = s
 	_, _ = c.on.link.Write(vault.AppendReply(nil, c.ID, s, []byte(body)))
 }
--- a/internal/testbed/sim/routes.go
+++ b/internal/testbed/sim/balancer.go
@@ -11,24 +11,24 @@
 	"pewterline/internal/testbed/simnet"
 )
 
-// Routes compares ways to choose a server, all with the same traffic, servers, troubles and retry budgets.
-type Routes struct {
-	Servers int
-	Load    float64 // of what all servers can do
-	Length  microtime.Time
-	Trouble string // see Troubles
-	Seed    uint64
-	Advised bool // the instance starts with what a running one knows
+// BalancerComparison compares ways to choose a server, all with the same traffic, servers, troubles and retry budgets.
+type BalancerComparison struct {
+	Servers    int
+	Load       float64 // of what all servers can do
+	Length     microtime.Time
+	Impairment string // see Troubles
+	Seed       uint64
+	Warm       bool // the instance starts with what a running one knows
 }
 
-// Troubles and Policies are what Routes knows.
+// Impairments and Policies are what Routes knows.
 var (
-	Troubles = []string{"none", "slow", "cold", "dying", "dead", "overload"}
-	Policies = []string{"fleet", "least open", "round robin", "random"}
+	Impairments = []string{"none", "slow", "cold", "dying", "dead", "overload"}
+	Policies    = []string{"fleet", "least open", "round robin", "random"}
 )
 
-// RouteResult is how a policy did.
-type RouteResult struct {
+// PolicyResult is how a policy did.
+type PolicyResult struct {
 	Policy        string
 	P50, P99      microtime.Time // of what was served
 	Worth         float64        // served within the aim, of all
@@ -59,7 +59,7 @@
 }
 
 type routeWorld struct {
-	o       Routes
+	o       BalancerComparison
 	w       *simnet.World
 	rng     *rand.Rand
 	servers []*routeServer
@@ -77,7 +77,7 @@
 }
 
 // Run plays every policy.
-func (o Routes) Run() (out []RouteResult, err error) {
+func (o BalancerComparison) Run() (out []PolicyResult, err error) {
 	for _, p := range Policies {
 		r, err := o.run(p)
 		if err != nil {
@@ -88,15 +88,15 @@
 	return out, nil
 }
 
-func (o Routes) run(policy string) (RouteResult, error) {
+func (o BalancerComparison) run(policy string) (PolicyResult, error) {
 	l := &routeWorld{o: o, w: simnet.NewWorld(o.Seed), policy: policy, open: map[string]int{}, hist: hdrhistogram.New(1, 10_000_000, 2)}
 	l.rng = l.w.Fork(o.Seed, "routes") // the same traffic for each policy
 	var err error
 	if l.fleet, err = loadbalancer.New(loadbalancer.Config{Classes: 1}, o.Seed); err != nil {
-		return RouteResult{}, err
+		return PolicyResult{}, err
 	}
 	if l.att, err = loadbalancer.NewRetryPolicy(loadbalancer.RetryConfig{}); err != nil {
-		return RouteResult{}, err
+		return PolicyResult{}, err
 	}
 	for i := range o.Servers {
 		s := &routeServer{name: fmt.Sprintf("s%d", i), factor: 1, born: simnet.Start - 60*microtime.Second}
@@ -104,7 +104,7 @@
 		l.fleet.Add(l.w.Now(), s.name)
 	}
 	if err := l.trouble(); err != nil {
-		return RouteResult{}, err
+		return PolicyResult{}, err
 	}
 	rate := o.Load * float64(o.Servers*routeCores) / routeWork.Duration().Seconds()
 	for at := 0.0; at < o.Length.Duration().Seconds(); at += l.rng.ExpFloat64() / rate {
@@ -112,7 +112,7 @@
 		l.w.At(simnet.Start+microtime.Time(at*1e6), func() { l.ask(work) })
 	}
 	l.w.Run(simnet.Start + o.Length + 10*microtime.Second)
-	r := RouteResult{Policy: policy, P50: microtime.Time(l.hist.ValueAtQuantile(50)), P99: microtime.Time(l.hist.ValueAtQuantile(99)),
+	r := PolicyResult{Policy: policy, P50: microtime.Time(l.hist.ValueAtQuantile(50)), P99: microtime.Time(l.hist.ValueAtQuantile(99)),
 		Worth: float64(l.inTime) / float64(max(l.asked, 1)), Amplification: float64(l.tries) / float64(max(l.asked, 1)), Wasted: l.wasted,
 		FirstWorth: float64(l.first[1]) / float64(max(l.first[0], 1))}
 	return r, nil
@@ -121,7 +121,7 @@
 // trouble sets up what goes wrong.
 func (l *routeWorld) trouble() error {
 	s, third := l.servers[0], l.o.Length/3
-	switch l.o.Trouble {
+	switch l.o.Impairment {
 	case "none", "overload":
 	case "slow": // from a third of the run on
 		l.w.In(third, func() { s.factor = 5 })
@@ -134,9 +134,9 @@
 	case "dead": // from before the start
 		s.silent = true
 	default:
-		return fmt.Errorf("lab: trouble: unknown %q; there are %v", l.o.Trouble, Troubles)
+		return fmt.Errorf("lab: trouble: unknown %q; there are %v", l.o.Impairment, Impairments)
 	}
-	if l.o.Advised && (s.silent || s.refused) {
+	if l.o.Warm && (s.silent || s.refused) {
 		l.fleet.ApplyGossip(l.w.Now(), "new", loadbalancer.GossipSender{Name: "old", Uptime: 600 * microtime.Second},
 			[]loadbalancer.Observation{{Endpoint: s.name, Kind: loadbalancer.Unreachable, Evidence: 10, Age: microtime.Second, Source: "old", Hops: 1}})
 	}
--- a/internal/testbed/sim/calls_test.go
+++ b/internal/testbed/sim/calls_test.go
@@ -22,7 +22,7 @@
 		require.NoError(t, err)
 		clean(t, s, out)
 		answers += out.Requests
-		for what, n := range out.Seen {
+		for what, n := range out.SituationCounts {
 			seen[what] += n
 		}
 	}
--- a/internal/testbed/sim/deployment.go
+++ b/internal/testbed/sim/deployment.go
@@ -21,7 +21,7 @@
 		return deployment{settings: firstSettings, traffic: fakes.FirstDeployment, stop: 3200 * microtime.Millisecond}
 	}
 	effect := `"effect": "single_shot"`
-	if s.Guarded {
+	if s.IdempotentOrders {
 		effect = `"effect": "guarded", "window_ms": 13518`
 	}
 	return deployment{settings: strings.Replace(secondSettings, `"effect": ORDER`, effect, 1), traffic: fakes.SecondDeployment,
--- a/internal/testbed/sim/figures_test.go
+++ b/internal/testbed/sim/figures_test.go
@@ -27,7 +27,7 @@
 				if s.host.Ended || s.leaving {
 					continue
 				}
-				seen, strays := l.obs.Tally(s.name)
+				seen, strays := l.obs.CountsOf(s.name)
 				c := s.program.Counters()
 				runs := 0
 				for class, k := range seen {
@@ -36,12 +36,12 @@
 							t.Fatalf("%s: %s of %s: %d counted, %d seen, %d may be either\n%s", s.name, what, class, counted, saw, slack, script.String())
 						}
 					}
-					within("passed", c.Succeeded[class], k.Served, k.Loose)
-					within("dropped", c.Rejected[class], k.Refused, k.Loose)
-					within("bad_gateway", c.Failed[class], k.Failed, k.Loose+strays)
-					within("all", c.Succeeded[class]+c.Rejected[class]+c.Failed[class], k.Served+k.Refused+k.Failed, k.Loose+strays)
+					within("passed", c.Succeeded[class], k.Served, k.Ambiguous)
+					within("dropped", c.Rejected[class], k.Rejected, k.Ambiguous)
+					within("bad_gateway", c.Failed[class], k.Failed, k.Ambiguous+strays)
+					within("all", c.Succeeded[class]+c.Rejected[class]+c.Failed[class], k.Served+k.Rejected+k.Failed, k.Ambiguous+strays)
 					runs += k.Runs
-					answers += k.Served + k.Refused + k.Failed
+					answers += k.Served + k.Rejected + k.Failed
 				}
 				require.Zero(t, c.InProgress, "all is answered by then")
 				require.GreaterOrEqual(t, c.Attempts, runs)
--- a/internal/testbed/sim/learn.go
+++ b/internal/testbed/sim/gossip.go
@@ -8,21 +8,21 @@
 	"pewterline/internal/testbed/simnet"
 )
 
-// Learn measures what advice is worth to a fresh instance: some servers are dead and some are slow when one of the
+// GossipExperiment measures what advice is worth to a fresh instance: some servers are dead and some are slow when one of the
 // edges dies and comes back knowing nothing.
-type Learn struct {
-	Seed    uint64
-	Edges   int
-	Servers int
-	Dead    int // servers whose machine is gone: a connect there takes its whole second
-	Slow    int // whose work takes five times as long
-	Rate    float64
-	Advice  bool
-	Draw    bool // also draw faults of the profile worst from the seed
+type GossipExperiment struct {
+	Seed       uint64
+	Edges      int
+	Servers    int
+	Dead       int // servers whose machine is gone: a connect there takes its whole second
+	Slow       int // whose work takes five times as long
+	Rate       float64
+	Gossip     bool
+	DrawFaults bool // also draw faults of the profile worst from the seed
 }
 
-// LearnResult is how the fresh instance did in its first ten seconds.
-type LearnResult struct {
+// GossipResult is how the fresh instance did in its first ten seconds.
+type GossipResult struct {
 	Wasted     int     // tries that came to nothing for want of a server
 	Connects   int     // to dead servers
 	Early      int     // tries wasted in the first two seconds
@@ -38,23 +38,23 @@
 )
 
 // Run plays it.
-func (o Learn) Run() (r LearnResult, err error) {
-	s := faults.Script{Seed: o.Seed, Servers: o.Servers, Proxies: 2 * o.Edges, Edges: o.Edges, Advice: o.Advice, Length: learnFresh + learnYoung, Rate: o.Rate}
-	if o.Draw {
-		if s, err = faults.DrawWith(o.Seed, "worst", o.Servers, 2*o.Edges, o.Edges, s.Length, o.Rate); err != nil {
+func (o GossipExperiment) Run() (r GossipResult, err error) {
+	s := faults.Script{Seed: o.Seed, Servers: o.Servers, Proxies: 2 * o.Edges, Edges: o.Edges, Gossip: o.Gossip, Length: learnFresh + learnYoung, Rate: o.Rate}
+	if o.DrawFaults {
+		if s, err = faults.DrawWithEdges(o.Seed, "worst", o.Servers, 2*o.Edges, o.Edges, s.Length, o.Rate); err != nil {
 			return r, err
 		}
-		s.Advice = o.Advice
+		s.Gossip = o.Gossip
 	}
 	add := func(f faults.Fault) { s.Faults = append(s.Faults, f) }
 	for i := range o.Dead {
-		add(faults.Fault{At: learnDown, Kind: faults.Vanish, Node: name('s', i), For: 300 * microtime.Second})
+		add(faults.Fault{At: learnDown, Kind: faults.MachineLost, Node: name('s', i), For: 300 * microtime.Second})
 	}
 	for i := o.Dead; i < o.Dead+o.Slow; i++ {
-		add(faults.Fault{At: learnDown, Kind: faults.Slow, Node: name('w', i), For: 300 * microtime.Second, Amount: 5})
+		add(faults.Fault{At: learnDown, Kind: faults.SlowPool, Node: name('w', i), For: 300 * microtime.Second, Amount: 5})
 	}
 	add(faults.Fault{At: learnFresh, Kind: faults.Kill, Node: "e0", For: 50 * microtime.Millisecond})
-	s.Sort()
+	s.SortFaults()
 	var worth, wanted [2]float64 // at the fresh instance's start, and when it is no longer young
 	out, err := Play(s, Options{begin: func(l *world) {
 		fresh := simnet.Start + learnFresh
@@ -64,18 +64,18 @@
 			if v.Kind == simnet.Written && len(v.Addr) > 9 && v.Addr[len(v.Addr)-9:] == "/exchange" {
 				r.Exchanged += len(v.Bytes)
 			}
-			if v.Kind != simnet.Tried || v.Node != "e0" || v.At < fresh || v.At > fresh+learnYoung {
+			if v.Kind != simnet.ConnectAttempted || v.Node != "e0" || v.At < fresh || v.At > fresh+learnYoung {
 				return
 			}
 			if t := l.server(v.Peer); t != nil && t.host.Ended {
 				r.Connects++
 			}
 		}
-		l.w.At(fresh, func() { worth[0], wanted[0] = l.st.Worth, l.st.Wanted })
+		l.w.At(fresh, func() { worth[0], wanted[0] = l.st.WeightServed, l.st.WeightAsked })
 		l.w.At(fresh+2*microtime.Second, func() { r.Early = l.edges[0].program.WastedAttempts() })
 		l.w.At(fresh+learnYoung, func() {
 			r.Wasted = l.edges[0].program.WastedAttempts()
-			worth[1], wanted[1] = l.st.Worth, l.st.Wanted
+			worth[1], wanted[1] = l.st.WeightServed, l.st.WeightAsked
 		})
 	}})
 	if err != nil {
