--- a/internal/testbed/sim/happen.go
+++ b/internal/testbed/sim/inject.go
@@ -19,7 +19,7 @@
 	until := now + f.For
 	for _, name := range []string{f.Node, f.Peer} {
 		if s := l.server(name); s != nil {
-			l.obs.Fault(string(f.Kind), s.name, until)
+			l.obs.FaultInjected(string(f.Kind), s.name, until)
 			break
 		}
 	}
@@ -32,64 +32,64 @@
 			s.back = f.For
 			s.host.KillIn(int(f.Amount), func() { s.gone(false, false) })
 		}
-	case faults.Vanish:
+	case faults.MachineLost:
 		s.kill(true, f.For)
-	case faults.Term:
+	case faults.Terminate:
 		s.term(f.For)
-	case faults.Hup:
+	case faults.ReloadConfig:
 		s.hup()
 	case faults.Pause:
 		if !s.host.Ended && !s.leaving { // the time to leave is not stretched by a pause
 			s.host.Pause(until)
-			l.obs.Paused(s.name, until)
+			l.obs.ServerPaused(s.name, until)
 		}
-	case faults.Slow:
+	case faults.SlowPool:
 		p := s.pool
 		p.Slow(f.Amount)
 		l.w.At(until, func() { p.Slow(1) })
-	case faults.Costly:
+	case faults.CostlyClass:
 		p := s.pool
-		p.Costly(f.What, f.Amount)
-		l.w.At(until, func() { p.Costly(f.What, 1) })
-	case faults.Doubled:
-		s.pool.Doubled(until)
-	case faults.Stall, faults.Dark, faults.Lag, faults.Thin, faults.Lose, faults.Double:
+		p.SlowClass(f.What, f.Amount)
+		l.w.At(until, func() { p.SlowClass(f.What, 1) })
+	case faults.DuplicateNotices:
+		s.pool.DuplicateNotices(until)
+	case faults.StallPath, faults.Blackhole, faults.AddLatency, faults.LimitBandwidth, faults.DropDatagrams, faults.DuplicateDatagrams:
 		l.spoil(l.net.Path(f.Node, f.Peer), f, until)
-	case faults.Cut:
-		for _, e := range slices.Clone(l.net.Node(f.Node).Ends()) {
+	case faults.CutConnection:
+		for _, e := range slices.Clone(l.net.Node(f.Node).Streams()) {
 			if e.IsOpen() && e.Peer() == f.Peer {
 				e.CutAfter(int(f.Amount))
 			}
 		}
-	case faults.Half:
-		for _, e := range slices.Clone(l.net.Node(f.Node).Ends()) {
+	case faults.HalfClose:
+		for _, e := range slices.Clone(l.net.Node(f.Node).Streams()) {
 			if e.IsOpen() && e.Peer() == f.Peer {
 				e.CutWrite()
 			}
 		}
-	case faults.Flood:
-		l.st.Flood[f.What] = f.Amount
-		l.w.At(until, func() { l.st.Flood[f.What] = 1 })
-	case faults.Die:
-		c.Die(until)
-	case faults.Stale:
-		c.Freeze(until)
-	case faults.Hasty:
-		c.Hasty(microtime.Time(f.Amount*1000), until)
-	case faults.GiveLate:
-		c.GiveLate(until)
-	case faults.Deaf:
-		c.Deaf(until)
-	case faults.Insist:
-		c.Insist(until)
-	case faults.Table:
+	case faults.TrafficSurge:
+		l.st.TrafficFactor[f.What] = f.Amount
+		l.w.At(until, func() { l.st.TrafficFactor[f.What] = 1 })
+	case faults.CallerCrash:
+		c.Crash(until)
+	case faults.StaleEndpoints:
+		c.FreezeEndpoints(until)
+	case faults.ImpatientCaller:
+		c.CancelAfter(microtime.Time(f.Amount*1000), until)
+	case faults.LateCancel:
+		c.CancelLate(until)
+	case faults.CallerStopsReading:
+		c.StopReading(until)
+	case faults.ImmediateRetry:
+		c.RetryAtOnce(until)
+	case faults.ConnectionLimit:
 		n := l.net.Node(f.Node)
-		n.SetMaxOpen(int(f.Amount))
-		l.w.At(until, func() { n.SetMaxOpen(1 << 30) })
-	case faults.Strangers:
-		l.st.Strangers(f.Node, int(f.Amount), l.w.Rand())
-	case faults.Mute:
-		l.st.Control.Mute(until)
+		n.SetMaxConnections(int(f.Amount))
+		l.w.At(until, func() { n.SetMaxConnections(1 << 30) })
+	case faults.UnidentifiedConnections:
+		l.st.ConnectUnidentified(f.Node, int(f.Amount), l.w.Rand())
+	case faults.RegistryDown:
+		l.st.Registry.SetDown(until)
 	case faults.StoreSlow:
 		if s.store != nil {
 			s.store.Slow(microtime.Time(f.Amount*1000), until)
@@ -106,7 +106,7 @@
 // vaultFault has the vault go wrong until a time.
 func (l *world) vaultFault(f faults.Fault, until microtime.Time) {
 	for _, s := range l.servers {
-		l.obs.Fault(string(f.Kind), s.name, until)
+		l.obs.FaultInjected(string(f.Kind), s.name, until)
 	}
 	switch f.Kind {
 	case faults.VaultDown:
@@ -122,11 +122,11 @@
 			kind = fakes.VaultOverruns
 		}
 		l.vault.Fault(kind, f.Amount, until)
-	case faults.VaultBreak:
+	case faults.VaultBreakReply:
 		l.vault.Fault(fakes.VaultBreaks, f.Amount, until)
-	case faults.VaultShuffle:
+	case faults.VaultReorder:
 		l.vault.Fault(fakes.VaultShuffles, 1, until)
-	case faults.VaultStray:
+	case faults.VaultStrayReply:
 		l.vault.Fault(fakes.VaultStrays, f.Amount, until)
 	case faults.VaultSilent:
 		l.vault.Fault(fakes.VaultSilent, 1, until)
@@ -142,21 +142,21 @@
 func (l *world) spoil(p *simnet.Path, f faults.Fault, until microtime.Time) {
 	was := l.net.Default
 	switch f.Kind {
-	case faults.Stall:
+	case faults.StallPath:
 		p.StalledUntil = max(p.StalledUntil, until)
-	case faults.Dark:
+	case faults.Blackhole:
 		p.LostUntil = max(p.LostUntil, until)
-	case faults.Lag:
+	case faults.AddLatency:
 		p.Latency = was.Latency + microtime.Time(f.Amount*1000)
 		l.w.At(until, func() { p.Latency = was.Latency })
-	case faults.Thin:
+	case faults.LimitBandwidth:
 		p.Bandwidth = int(f.Amount)
 		l.w.At(until, func() { p.Bandwidth = was.Bandwidth })
-	case faults.Lose:
+	case faults.DropDatagrams:
 		p.Loss = f.Amount
 		l.w.At(until, func() { p.Loss = was.Loss })
-	case faults.Double:
-		p.Double = f.Amount
-		l.w.At(until, func() { p.Double = was.Double })
+	case faults.DuplicateDatagrams:
+		p.Duplicate = f.Amount
+		l.w.At(until, func() { p.Duplicate = was.Duplicate })
 	}
 }
--- a/internal/testbed/sim/sabotage_test.go
+++ b/internal/testbed/sim/sabotage_test.go
@@ -32,7 +32,7 @@
 	return v.Dialer && v.Node[0] == 's' && strings.HasPrefix(v.Addr, "v0/")
 }
 
-func toPool(e *simnet.End) bool { return e.Node()[0] == 's' && e.Peer()[0] == 'w' }
+func toPool(e *simnet.Stream) bool { return e.Node()[0] == 's' && e.Peer()[0] == 'w' }
 
 // plantAgainAfterOverdue makes each call again, on the same connection, once "overdue" has come for it.
 func plantAgainAfterOverdue(l *world) {
@@ -66,8 +66,8 @@
 
 // write has a server's end of a connection, where it is still open, send what the program did not.
 func (l *world) write(v simnet.Event, p []byte) {
-	for _, e := range l.net.Node(v.Node).Ends() {
-		if e.Conn() == v.Conn {
+	for _, e := range l.net.Node(v.Node).Streams() {
+		if e.ConnID() == v.Conn {
 			e.Write(p)
 		}
 	}
@@ -87,7 +87,7 @@
 			}
 		}
 	}
-	l.net.Mangle = func(e *simnet.End, p []byte) []byte {
+	l.net.Intercept = func(e *simnet.Stream, p []byte) []byte {
 		if !toPool(e) {
 			return p
 		}
@@ -115,7 +115,7 @@
 
 // plantOpenAtDrain keeps back what gives a call up, once the server has had the notice to leave.
 func plantOpenAtDrain(l *world) {
-	l.net.Mangle = func(e *simnet.End, p []byte) []byte {
+	l.net.Intercept = func(e *simnet.Stream, p []byte) []byte {
 		s := l.server(e.Node())
 		if s == nil || !s.leaving || e.Node()[0] != 's' || e.Peer() != "v0" {
 			return p
@@ -152,14 +152,14 @@
 // The hunt finds each sabotage within a few hundred scripts, which is well under two minutes.
 func TestHuntFindsSabotage(t *testing.T) {
 	for _, bug := range sabotages {
-		h := Hunt{First: 1, Last: 300, Profile: "worst", Servers: 2, Proxies: 3, Length: 8 * microtime.Second, Vault: true, Jobs: 2, Most: 1, begin: bug.plant}
+		h := Search{FirstSeed: 1, LastSeed: 300, Profile: "worst", Servers: 2, Proxies: 3, Length: 8 * microtime.Second, Vault: true, Jobs: 2, MaxFindings: 1, begin: bug.plant}
 		p, err := h.Run()
 		require.NoError(t, err)
-		require.NotEmpty(t, p.Finds, bug.name)
-		require.Equal(t, bug.want, p.Finds[0].Violation.Key(), "%s: %s", bug.name, p.Finds[0].Violation)
-		t.Logf("%s: script %d, after %v", bug.name, p.Finds[0].Run, p.Finds[0].After)
+		require.NotEmpty(t, p.Findings, bug.name)
+		require.Equal(t, bug.want, p.Findings[0].Violation.Key(), "%s: %s", bug.name, p.Findings[0].Violation)
+		t.Logf("%s: script %d, after %v", bug.name, p.Findings[0].Run, p.Findings[0].After)
 		if folder := os.Getenv("LAB_SABOTAGE"); folder != "" { // writes the kept scripts anew
-			least, v, err := shrink(p.Finds[0].Script, 1000, nil, Options{StopAtFirst: true, begin: bug.plant})
+			least, v, err := shrink(p.Findings[0].Script, 1000, nil, Options{StopAtFirst: true, begin: bug.plant})
 			require.NoError(t, err)
 			require.NoError(t, os.WriteFile(folder+"/"+bug.name+".txt", []byte("# "+v.Key()+"\n"+least.String()), 0o644))
 		}
--- a/internal/testbed/sim/hunt.go
+++ b/internal/testbed/sim/search.go
@@ -10,34 +10,34 @@
 	"pewterline/internal/testbed/invariant"
 )
 
-// Hunt looks for scripts that break a rule.
-type Hunt struct {
-	First, Last uint64 // seeds; Last 0: without end
-	For         time.Duration
-	Profile     string
-	Servers     int
-	Proxies     int
-	Length      microtime.Time
-	Rate        float64
-	Edges       int
-	Vault       bool
-	Guided      bool
-	Jobs        int // scripts that are played at once
-	Most        int // finds after which it ends; 0: none
-	Progress    func(Progress)
-	begin       func(*world) // of a test: what it adds to each world
+// Search looks for scripts that break a rule.
+type Search struct {
+	FirstSeed, LastSeed uint64 // seeds; Last 0: without end
+	Duration            time.Duration
+	Profile             string
+	Servers             int
+	Proxies             int
+	Length              microtime.Time
+	Rate                float64
+	Edges               int
+	Vault               bool
+	Guided              bool
+	Jobs                int // scripts that are played at once
+	MaxFindings         int // finds after which it ends; 0: none
+	Progress            func(Progress)
+	begin               func(*world) // of a test: what it adds to each world
 }
 
 // Progress is how far a hunt has come.
 type Progress struct {
-	Runs, Situations, Kept int
-	Finds                  []Find
-	Simulated              microtime.Time
-	Took                   time.Duration
+	Runs, Situations, CorpusSize int
+	Findings                     []Finding
+	Simulated                    microtime.Time
+	Took                         time.Duration
 }
 
-// Find is a script that breaks a rule.
-type Find struct {
+// Finding is a script that breaks a rule.
+type Finding struct {
 	Script    faults.Script
 	Violation invariant.Violation
 	Run       int           // the how-manieth it was
@@ -46,20 +46,20 @@
 
 // Run hunts until something ends it. Scripts are asked for and told of in a fixed order, so that a hunt without a
 // limit in time comes out the same with the same number of jobs.
-func (h Hunt) Run() (p Progress, err error) {
+func (h Search) Run() (p Progress, err error) {
 	world := faults.World{Servers: h.Servers, Proxies: h.Proxies, Edges: h.Edges, Length: h.Length, Rate: h.Rate, Vault: h.Vault}
-	if _, err := world.Draw(h.First, h.Profile); err != nil {
+	if _, err := world.Draw(h.FirstSeed, h.Profile); err != nil {
 		return p, err
 	}
 	draw := func(seed uint64) faults.Script {
 		s, _ := world.Draw(seed, h.Profile) // as it just could
 		return s
 	}
-	guide := faultsearch.NewGuided(h.First, draw)
-	start, seed, jobs := time.Now(), h.First, max(h.Jobs, 1)
+	guide := faultsearch.NewCoverageGuided(h.FirstSeed, draw)
+	start, seed, jobs := time.Now(), h.FirstSeed, max(h.Jobs, 1)
 	for {
 		var batch []faults.Script
-		for len(batch) < jobs && (h.Last == 0 || h.Guided || seed <= h.Last) && (h.Last == 0 || p.Runs+len(batch) <= int(h.Last-h.First)) {
+		for len(batch) < jobs && (h.LastSeed == 0 || h.Guided || seed <= h.LastSeed) && (h.LastSeed == 0 || p.Runs+len(batch) <= int(h.LastSeed-h.FirstSeed)) {
 			if h.Guided {
 				batch = append(batch, guide.Next())
 			} else {
@@ -76,16 +76,16 @@
 		for i, out := range outs {
 			p.Runs++
 			p.Simulated += out.Simulated
-			guide.Learn(batch[i], out.Reached)
+			guide.Report(batch[i], out.Situations)
 			if len(out.Violations) > 0 {
-				p.Finds = append(p.Finds, Find{batch[i], out.Violations[0], p.Runs, time.Since(start)})
+				p.Findings = append(p.Findings, Finding{batch[i], out.Violations[0], p.Runs, time.Since(start)})
 			}
 		}
-		p.Took, p.Situations, p.Kept = time.Since(start), guide.Seen(), guide.Kept()
+		p.Took, p.Situations, p.CorpusSize = time.Since(start), guide.SituationCount(), guide.CorpusSize()
 		if h.Progress != nil {
 			h.Progress(p)
 		}
-		if len(batch) == 0 || h.For > 0 && p.Took >= h.For || h.Most > 0 && len(p.Finds) >= h.Most {
+		if len(batch) == 0 || h.Duration > 0 && p.Took >= h.Duration || h.MaxFindings > 0 && len(p.Findings) >= h.MaxFindings {
 			return p, nil
 		}
 	}
@@ -117,7 +117,7 @@
 		if fails {
 			found = out.Violations[0]
 		}
-		k.Tell(fails)
+		k.Report(fails)
 		if fails && told != nil {
 			told(k.Best())
 		}
--- a/internal/testbed/sim/lab.go
+++ b/internal/testbed/sim/sim.go
@@ -39,21 +39,21 @@
 
 // Outcome is what became of a run.
 type Outcome struct {
-	Violations []invariant.Violation
-	Digest     uint64
-	Reached    []faultsearch.Situation
-	Simulated  microtime.Time
-	Events     uint64
-	Turns      uint64
-	Requests   int            // tries that the servers have answered
-	Answers    map[string]int // by kind
-	Replies    map[string]int // of the vault to calls, by status
-	Example    []string       // what was seen of a request that was served after its run had made a call
-	Asked      map[string]int // jobs, by class
-	Served     map[string]int
-	Worth      float64        // served within its aim, as a share of what was asked
-	Seen       map[string]int // situations that came about, by name
-	Panic      string         // the program's, with the violation that it is
+	Violations      []invariant.Violation
+	Digest          uint64
+	Situations      []faultsearch.Situation
+	Simulated       microtime.Time
+	Events          uint64
+	Turns           uint64
+	Requests        int            // tries that the servers have answered
+	Answers         map[string]int // by kind
+	Replies         map[string]int // of the vault to calls, by status
+	Example         []string       // what was seen of a request that was served after its run had made a call
+	Asked           map[string]int // jobs, by class
+	Served          map[string]int
+	Worth           float64        // served within its aim, as a share of what was asked
+	SituationCounts map[string]int // situations that came about, by name
+	Panic           string         // the program's, with the violation that it is
 }
 
 type world struct {
@@ -61,7 +61,7 @@
 	opts    Options
 	w       *simnet.World
 	net     *simnet.Net
-	st      *fakes.Stage
+	st      *fakes.Environment
 	vault   *fakes.Vault   // nil: requests call nothing
 	stop    microtime.Time // from the notice to leave until the process is killed
 	obs     *invariant.Observer
@@ -90,7 +90,7 @@
 
 // Play plays a script to its end. The same script gives the same outcome.
 func Play(script faults.Script, opts Options) (out Outcome, err error) {
-	if err := script.Check(); err != nil {
+	if err := script.Validate(); err != nil {
 		return out, err
 	}
 	deployment := deploymentOf(script)
@@ -118,16 +118,16 @@
 	ms := func(v float64) microtime.Time { return microtime.Time(v * 1000) }
 	l := &world{script: script, opts: opts, w: simnet.NewWorld(script.Seed), stop: deployment.stop, callers: map[string]*fakes.Caller{}}
 	l.net = simnet.NewNet(l.w, simnet.Quality{Latency: 500, Jitter: 300, Bandwidth: 50 << 20})
-	l.obs = invariant.New(l.w, invariant.Rules{Settings: set, Grace: ms(figures.Rules.Grace), DrainMost: ms(figures.Rules.Stop), Cores: set.Cores,
-		Fall: figures.Rules.Fall, FallOver: ms(figures.Rules.TipMS), MemoryKB: figures.Extra.Memory, RunFactor: figures.Extra.Factor,
-		ColdFrom: figures.Rules.ColdFrom, Ramp: ms(figures.Rules.RampMS), Store: script.Store})
+	l.obs = invariant.New(l.w, invariant.Limits{Settings: set, AnswerGrace: ms(figures.Rules.Grace), DrainGrace: ms(figures.Rules.Stop), Cores: set.Cores,
+		MaxConcurrencyPerCore: figures.Rules.Fall, MaxConcurrencyWindow: ms(figures.Rules.TipMS), MemoryKB: figures.Extra.Memory, RunningMemoryFactor: figures.Extra.Factor,
+		WarmUpMinSpeed: figures.Rules.ColdFrom, WarmUpTime: ms(figures.Rules.RampMS), Store: script.Store})
 	if script.Edges > 0 {
-		l.obs.OnRequest = func(id, server, class string, body []byte) { l.st.Book.Add(id, server, class, body) }
-		l.obs.OnOver = func(id string) { l.st.Book.Over(id) }
+		l.obs.OnRequest = func(id, server, class string, body []byte) { l.st.Requests.Add(id, server, class, body) }
+		l.obs.OnRequestEnded = func(id string) { l.st.Requests.MarkEnded(id) }
 	}
 	l.net.Tap = l.obs.Tap
 	l.w.After = l.obs.Check
-	l.st = fakes.NewStage(l.net, set, deployment.traffic, script.Seed)
+	l.st = fakes.NewEnvironment(l.net, set, deployment.traffic, script.Seed)
 	l.base = config.Config{ShutdownTimeout: l.stop, MemoryLimit: memory, SocketLimit: sockets, Settings: set, Gauges: gauges,
 		AJP: config.AJP{Listen: "on", BodyTimeout: 2 * microtime.Second, MaxBody: 2 << 10, MaxConnections: officeMax}}
 	if script.Vault {
@@ -142,19 +142,19 @@
 	if opts.end != nil {
 		opts.end(l)
 	}
-	out.Violations, out.Digest, out.Reached = l.obs.Violations, l.w.Digest(), l.obs.Reached()
+	out.Violations, out.Digest, out.Situations = l.obs.Violations, l.w.Digest(), l.obs.Situations()
 	out.Simulated, out.Events, out.Answers = l.w.Since(), l.w.Events(), l.obs.Answers
 	out.Asked, out.Served = l.st.Asked, l.st.Served
 	out.Replies, out.Example = l.obs.Replies, l.obs.Example
-	out.Turns, out.Seen = l.turns, l.obs.Seen
+	out.Turns, out.SituationCounts = l.turns, l.obs.SituationCounts
 	for _, s := range append(slices.Clone(l.servers), l.edges...) {
 		out.Turns += s.host.Turns()
 	}
 	for _, n := range out.Answers {
 		out.Requests += n
 	}
-	if l.st.Wanted > 0 {
-		out.Worth = l.st.Worth / l.st.Wanted
+	if l.st.WeightAsked > 0 {
+		out.Worth = l.st.WeightServed / l.st.WeightAsked
 	}
 	return out, nil
 }
@@ -165,7 +165,7 @@
 		if p := recover(); p != nil {
 			out.Panic = fmt.Sprint(p)
 			l.obs.Violations = append(l.obs.Violations, invariant.Violation{Rule: "crash", Server: "?", At: l.w.Since(),
-				Text: "panic: " + out.Panic})
+				Message: "panic: " + out.Panic})
 			if l.opts.Log != nil {
 				l.opts.Log(stack())
 			}
@@ -183,7 +183,7 @@
 			next += microtime.Second
 			l.opts.Every(at - simnet.Start)
 		}
-		if at > end+2*microtime.Second && l.obs.Open() == 0 && l.quiet() {
+		if at > end+2*microtime.Second && l.obs.Unanswered() == 0 && l.quiet() {
 			return
 		}
 	}
@@ -225,7 +225,7 @@
 		for _, name := range list {
 			s.cfg.Fleet.Members = append(s.cfg.Fleet.Members, config.Member{Name: name, Address: name + "/thrift"})
 		}
-		if s.cfg.Fleet.GossipListen = s.name + "/exchange"; l.script.Advice {
+		if s.cfg.Fleet.GossipListen = s.name + "/exchange"; l.script.Gossip {
 			for j := range l.script.Edges {
 				if j != i {
 					s.cfg.Fleet.GossipPeers = append(s.cfg.Fleet.GossipPeers, fmt.Sprintf("e%d/exchange", j))
@@ -242,25 +242,25 @@
 		}
 	}
 	until := simnet.Start + l.script.Length
-	callers := l.script.Proxies + l.script.Offices
+	callers := l.script.Proxies + l.script.WebFrontends
 	for i := range callers {
 		name, isAJP := fmt.Sprintf("p%d", i), false
 		rate := l.script.Rate / float64(max(callers, 1))
-		if l.script.Proxies > 0 && l.script.Offices > 0 {
+		if l.script.Proxies > 0 && l.script.WebFrontends > 0 {
 			rate = 0.75 * l.script.Rate / float64(l.script.Proxies)
 		}
 		if i >= l.script.Proxies {
 			name, isAJP = fmt.Sprintf("o%d", i-l.script.Proxies), true
 			if l.script.Proxies > 0 {
-				rate = 0.25 * l.script.Rate / float64(l.script.Offices)
+				rate = 0.25 * l.script.Rate / float64(l.script.WebFrontends)
 			}
 		}
 		l.callers[name] = fakes.NewCaller(l.st, name, i+1, isAJP, rate, until, list, l.script.Seed)
 	}
 	for i := range callers {
-		if i < l.script.Proxies && l.script.Offices > 0 {
-			a, b := l.callers[fmt.Sprintf("p%d", i)], l.callers[fmt.Sprintf("o%d", i%l.script.Offices)]
-			a.Other, b.Other = b, a
+		if i < l.script.Proxies && l.script.WebFrontends > 0 {
+			a, b := l.callers[fmt.Sprintf("p%d", i)], l.callers[fmt.Sprintf("o%d", i%l.script.WebFrontends)]
+			a.OtherProtocol, b.OtherProtocol = b, a
 		}
 	}
 	for _, f := range l.script.Faults {
@@ -278,7 +278,7 @@
 		s.pool = fakes.NewPool(l.st, s.name, l.script.Seed, cold)
 		s.cfg.PoolAddress = s.pool.Addr()
 	}
-	rng := l.w.Fork(l.script.Seed, fmt.Sprintf("%s/%d", s.name, node.Life))
+	rng := l.w.Fork(l.script.Seed, fmt.Sprintf("%s/%d", s.name, node.Incarnation))
 	s.cfg.Settings.Seed = rng.Uint64()
 	logf := func(f string, a ...any) {
 		if l.opts.Log != nil {
@@ -286,16 +286,16 @@
 		}
 	}
 	var err error
-	if s.program, err = server.New(s.cfg, &simnet.Wall{}, logf); err != nil {
+	if s.program, err = server.New(s.cfg, &simnet.WallClock{}, logf); err != nil {
 		panic(err) // the settings are our own
 	}
-	l.obs.Boots(s.name, node.Life)
-	l.obs.CallsAt(s.name, s.cfg.VaultAddress)
+	l.obs.ServerStarted(s.name, node.Incarnation)
+	l.obs.CallsRoutedTo(s.name, s.cfg.VaultAddress)
 	srv := s.program
 	s.host = simnet.NewHost(node, transport.Options{MaxConns: sockets - 40, MaxBuffered: memory / 8, Logf: logf}, srv, rng,
 		simnet.Cost{Turn: 40, KB: 15}, func(t *transport.Loop) {
 			if s.store != nil {
-				if err := srv.UseStore(life{s.store, node, node.Life}, l.w.Now()); err != nil {
+				if err := srv.UseStore(life{s.store, node, node.Incarnation}, l.w.Now()); err != nil {
 					panic(err) // the stand-in loads what it has
 				}
 			}
@@ -311,9 +311,9 @@
 	}
 	s.host.OnStop = func() { s.gone(true, false) }
 	if s.edge || l.script.Edges == 0 {
-		l.st.Control.List(s.name)
+		l.st.Registry.List(s.name)
 	} else {
-		l.st.Control.Hide(s.name)
+		l.st.Registry.Hide(s.name)
 	}
 }
 
@@ -325,7 +325,7 @@
 }
 
 func (k life) Record(r store.Record, done func(error)) {
-	if k.node.Up() && k.node.Life == k.life {
+	if k.node.Up() && k.node.Incarnation == k.life {
 		k.Store.Record(r, done)
 	}
 }
@@ -334,7 +334,7 @@
 func (s *simServer) gone(itself, machine bool) {
 	l := s.l
 	l.turns += s.host.Turns()
-	l.obs.Gone(s.name, itself)
+	l.obs.ServerStopped(s.name, itself)
 	if s.pool != nil {
 		s.pool.Kill(machine)
 	}
@@ -368,7 +368,7 @@
 		})
 		return
 	}
-	l.obs.Noticed(s.name)
+	l.obs.DrainSent(s.name)
 	_ = host.Queue(func() {}) // the signal wakes the process
 	_ = host.Loop().Execute(func() { srv.Drain(l.w.Now()) })
 	l.w.In(l.stop, func() {
@@ -384,7 +384,7 @@
 	if s.host.Ended {
 		return
 	}
-	s.pool.Move()
+	s.pool.ChangeAddress()
 	s.moves++
 	at := string(rune('a' + s.moves%2))
 	next := s.cfg
@@ -398,7 +398,7 @@
 		if err := srv.Reload(next); err != nil {
 			s.l.log("%s: %v", s.name, err)
 		} else {
-			s.l.obs.CallsAt(s.name, next.VaultAddress)
+			s.l.obs.CallsRoutedTo(s.name, next.VaultAddress)
 		}
 	})
 }
--- a/internal/testbed/sim/lab_test.go
+++ b/internal/testbed/sim/sim_test.go
@@ -71,7 +71,7 @@
 	t.Parallel()
 	answers := 0
 	for seed := uint64(1); seed <= 60; seed++ {
-		s, err := faults.DrawWith(seed, []string{"worst", "release", "noon"}[seed%3], 3, 3, 2, 6*microtime.Second, 0)
+		s, err := faults.DrawWithEdges(seed, []string{"worst", "release", "noon"}[seed%3], 3, 3, 2, 6*microtime.Second, 0)
 		require.NoError(t, err)
 		out, err := Play(s, Options{})
 		require.NoError(t, err)
@@ -132,7 +132,7 @@
 		out, err := Play(s, Options{begin: begin})
 		require.NoError(t, err)
 		clean(t, s, out)
-		for k, n := range out.Seen {
+		for k, n := range out.SituationCounts {
 			seen[k] += n
 		}
 	}
@@ -168,7 +168,7 @@
 		l.w.In(2*microtime.Second, func() {
 			n := l.net.Node("x1")
 			n.Boot()
-			n.Dial("s0/thrift", func(e *simnet.End, err error) {
+			n.Dial("s0/thrift", func(e *simnet.Stream, err error) {
 				e.SetHandler(&teller{errors: &errors, ended: &ended})
 				for _, p := range [][]byte{call(l, 1, "1"), thrift.AppendGiveUp(nil, 1), call(l, 1, "2"), thrift.AppendGiveUp(nil, 1)} {
 					e.Write(p)
@@ -180,7 +180,7 @@
 }
 
 func call(l *world, seq int32, id string) []byte {
-	at := fmt.Sprint((&simnet.Wall{}).UnixMilli(l.w.Now()))
+	at := fmt.Sprint((&simnet.WallClock{}).UnixMilli(l.w.Now()))
 	return thrift.AppendCall(nil, seq, []thrift.Field{{Name: "class", Value: "block-view"}, {Name: "id", Value: "00000000000000f" + id}, {Name: "at", Value: at},
 		{Name: "from", Value: "9"}, {Name: "tenant", Value: "hill-estate"}, {Name: "kb", Value: "20"}, {Name: "rank", Value: "0.2"}}, nil)
 }
@@ -191,7 +191,7 @@
 	errors, ended *int
 }
 
-func (t *teller) Data(_ *simnet.End, p []byte) {
+func (t *teller) Received(_ *simnet.Stream, p []byte) {
 	t.in = append(t.in, p...)
 	for {
 		payload, n, err := thrift.SplitFrame(t.in)
@@ -204,8 +204,8 @@
 		}
 	}
 }
-func (t *teller) EOF(e *simnet.End) { *t.ended++; e.Close() }
-func (t *teller) Gone(*simnet.End)  { *t.ended++ }
+func (t *teller) EOF(e *simnet.Stream) { *t.ended++; e.Close() }
+func (t *teller) Reset(*simnet.Stream)  { *t.ended++ }
 
 // The worker pool's link breaks inside a notice while SIGHUP moves it to another address and a drain begins.
 func TestHardLinkBreaksInANoticeInTheMove(t *testing.T) {
@@ -239,28 +239,28 @@
 func TestHardReleaseOfHalfTheFleet(t *testing.T) {
 	t.Parallel()
 	for seed := uint64(1); seed <= 2; seed++ {
-		s := faults.Script{Seed: seed, Servers: 120, Proxies: 30, Offices: 4, Length: 10 * microtime.Second, Rate: 2400}
+		s := faults.Script{Seed: seed, Servers: 120, Proxies: 30, WebFrontends: 4, Length: 10 * microtime.Second, Rate: 2400}
 		for i := range s.Servers / 2 {
-			f := faults.Fault{At: microtime.Second + microtime.Time(i/10)*microtime.Second, Kind: faults.Term, Node: fmt.Sprintf("s%d", 2*i), For: 300 * microtime.Millisecond}
+			f := faults.Fault{At: microtime.Second + microtime.Time(i/10)*microtime.Second, Kind: faults.Terminate, Node: fmt.Sprintf("s%d", 2*i), For: 300 * microtime.Millisecond}
 			if i%10 == 9 { // some die in place of leaving, in the middle of a turn
 				f.Kind, f.Amount = faults.Kill, 5
 			}
 			s.Faults = append(s.Faults, f)
 		}
 		for i := range s.Proxies * 7 / 10 {
-			s.Faults = append(s.Faults, faults.Fault{At: 3 * microtime.Second, Kind: faults.Die, Node: fmt.Sprintf("p%d", i), For: 400 * microtime.Millisecond})
+			s.Faults = append(s.Faults, faults.Fault{At: 3 * microtime.Second, Kind: faults.CallerCrash, Node: fmt.Sprintf("p%d", i), For: 400 * microtime.Millisecond})
 		}
-		s.Faults = append(s.Faults, faults.Fault{At: 3 * microtime.Second, Kind: faults.Mute, For: 3 * microtime.Second})
+		s.Faults = append(s.Faults, faults.Fault{At: 3 * microtime.Second, Kind: faults.RegistryDown, For: 3 * microtime.Second})
 		for i := range s.Servers / 4 {
-			s.Faults = append(s.Faults, faults.Fault{At: 5 * microtime.Second, Kind: faults.Hup, Node: fmt.Sprintf("s%d", 4*i+1)})
+			s.Faults = append(s.Faults, faults.Fault{At: 5 * microtime.Second, Kind: faults.ReloadConfig, Node: fmt.Sprintf("s%d", 4*i+1)})
 		}
-		s.Sort()
+		s.SortFaults()
 		out, err := Play(s, Options{})
 		require.NoError(t, err)
 		clean(t, s, out)
 		require.Greater(t, out.Requests, 15_000)
-		require.Greater(t, out.Seen["boot life2"], 50)
-		require.Positive(t, out.Seen["tried nobody"])
+		require.Greater(t, out.SituationCounts["boot life2"], 50)
+		require.Positive(t, out.SituationCounts["tried nobody"])
 		t.Logf("seed %d: worth %.3f, %d requests, %v", seed, out.Worth, out.Requests, out.Answers)
 	}
 }
@@ -286,15 +286,15 @@
 
 // The hunt asks, plays and learns in a fixed order: with the same seeds it is the same, however it is spread.
 func TestHuntIsRepeatable(t *testing.T) {
-	h := Hunt{First: 1, Last: 40, Profile: "worst", Servers: 2, Proxies: 2, Length: 2 * microtime.Second, Guided: true, Jobs: 4}
+	h := Search{FirstSeed: 1, LastSeed: 40, Profile: "worst", Servers: 2, Proxies: 2, Length: 2 * microtime.Second, Guided: true, Jobs: 4}
 	a, err := h.Run()
 	require.NoError(t, err)
 	b, err := h.Run()
 	require.NoError(t, err)
-	require.Equal(t, []int{a.Runs, a.Situations, a.Kept}, []int{b.Runs, b.Situations, b.Kept})
+	require.Equal(t, []int{a.Runs, a.Situations, a.CorpusSize}, []int{b.Runs, b.Situations, b.CorpusSize})
 	require.Equal(t, 40, a.Runs)
 	require.Greater(t, a.Situations, 100)
-	require.Empty(t, a.Finds)
+	require.Empty(t, a.Findings)
 }
 
 // A failing script is made small as long as it fails in the same way.
--- a/internal/testbed/sim/tables_test.go
+++ b/internal/testbed/sim/tables_test.go
@@ -69,17 +69,17 @@
 func TestTablesStayFlatFor45Minutes(t *testing.T) {
 	t.Parallel()
 	const minutes = 45
-	s := faults.Script{Seed: 45, Servers: 1, Proxies: 4, Offices: 2, Length: minutes * 60 * microtime.Second, Rate: 16}
+	s := faults.Script{Seed: 45, Servers: 1, Proxies: 4, WebFrontends: 2, Length: minutes * 60 * microtime.Second, Rate: 16}
 	for at := 20 * microtime.Second; at < s.Length-60*microtime.Second; at += 60 * microtime.Second {
 		s.Faults = append(s.Faults,
-			faults.Fault{At: at, Kind: faults.Flood, What: "hill-estate", For: 8 * microtime.Second, Amount: 4},
-			faults.Fault{At: at + 12*microtime.Second, Kind: faults.Cut, Node: "w0", Peer: "s0", Amount: 200},
-			faults.Fault{At: at + 14*microtime.Second, Kind: faults.Strangers, Node: "s0", Amount: 40},
-			faults.Fault{At: at + 16*microtime.Second, Kind: faults.Die, Node: "p1", For: 2 * microtime.Second},
-			faults.Fault{At: at + 20*microtime.Second, Kind: faults.Hasty, Node: "p2", For: 5 * microtime.Second, Amount: 300},
-			faults.Fault{At: at + 26*microtime.Second, Kind: faults.Hup, Node: "s0"},
-			faults.Fault{At: at + 30*microtime.Second, Kind: faults.Doubled, Node: "w0", For: 5 * microtime.Second},
-			faults.Fault{At: at + 36*microtime.Second, Kind: faults.Slow, Node: "w0", For: 5 * microtime.Second, Amount: 4})
+			faults.Fault{At: at, Kind: faults.TrafficSurge, What: "hill-estate", For: 8 * microtime.Second, Amount: 4},
+			faults.Fault{At: at + 12*microtime.Second, Kind: faults.CutConnection, Node: "w0", Peer: "s0", Amount: 200},
+			faults.Fault{At: at + 14*microtime.Second, Kind: faults.UnidentifiedConnections, Node: "s0", Amount: 40},
+			faults.Fault{At: at + 16*microtime.Second, Kind: faults.CallerCrash, Node: "p1", For: 2 * microtime.Second},
+			faults.Fault{At: at + 20*microtime.Second, Kind: faults.ImpatientCaller, Node: "p2", For: 5 * microtime.Second, Amount: 300},
+			faults.Fault{At: at + 26*microtime.Second, Kind: faults.ReloadConfig, Node: "s0"},
+			faults.Fault{At: at + 30*microtime.Second, Kind: faults.DuplicateNotices, Node: "w0", For: 5 * microtime.Second},
+			faults.Fault{At: at + 36*microtime.Second, Kind: faults.SlowPool, Node: "w0", For: 5 * microtime.Second, Amount: 4})
 	}
 	flat(t, s, 30_000, "control.Controller.keys", "control.Controller.live", "control.Controller.heard", "control.class.lat",
 		"dispatch.keyTable.byName", "dispatch.keyTable.byID", "dispatch.Core.wakes", "workerpool.Backend.runs", "transport.room.conns", "transport.Connection.buf")
@@ -88,19 +88,19 @@
 // The same over 30 minutes of calls that are given up, cut off, silent, and moved.
 func TestTablesStayFlatWithAVault(t *testing.T) {
 	t.Parallel()
-	s := faults.Script{Seed: 45, Servers: 1, Proxies: 4, Offices: 2, Vault: true, Length: 30 * 60 * microtime.Second, Rate: 16}
+	s := faults.Script{Seed: 45, Servers: 1, Proxies: 4, WebFrontends: 2, Vault: true, Length: 30 * 60 * microtime.Second, Rate: 16}
 	for at := 20 * microtime.Second; at < s.Length-60*microtime.Second; at += 60 * microtime.Second {
 		s.Faults = append(s.Faults,
 			faults.Fault{At: at, Kind: faults.VaultSlow, Node: "v0", For: 10 * microtime.Second, Amount: 8},
-			faults.Fault{At: at + microtime.Second, Kind: faults.Hasty, Node: "p2", For: 8 * microtime.Second, Amount: 150},
+			faults.Fault{At: at + microtime.Second, Kind: faults.ImpatientCaller, Node: "p2", For: 8 * microtime.Second, Amount: 150},
 			faults.Fault{At: at + 12*microtime.Second, Kind: faults.VaultSilent, Node: "v0", For: 4 * microtime.Second},
 			faults.Fault{At: at + 18*microtime.Second, Kind: faults.VaultDown, Node: "v0", For: 2 * microtime.Second},
-			faults.Fault{At: at + 24*microtime.Second, Kind: faults.VaultBreak, Node: "v0", For: 3 * microtime.Second, Amount: 0.3},
+			faults.Fault{At: at + 24*microtime.Second, Kind: faults.VaultBreakReply, Node: "v0", For: 3 * microtime.Second, Amount: 0.3},
 			faults.Fault{At: at + 28*microtime.Second, Kind: faults.VaultHang, Node: "v0", For: 3 * microtime.Second},
-			faults.Fault{At: at + 32*microtime.Second, Kind: faults.VaultStray, Node: "v0", For: 3 * microtime.Second, Amount: 0.5},
-			faults.Fault{At: at + 36*microtime.Second, Kind: faults.Hup, Node: "s0"},
-			faults.Fault{At: at + 38*microtime.Second, Kind: faults.Cut, Node: "w0", Peer: "s0", Amount: 200},
-			faults.Fault{At: at + 42*microtime.Second, Kind: faults.Stall, Node: "s0", Peer: "w0", For: 2 * microtime.Second})
+			faults.Fault{At: at + 32*microtime.Second, Kind: faults.VaultStrayReply, Node: "v0", For: 3 * microtime.Second, Amount: 0.5},
+			faults.Fault{At: at + 36*microtime.Second, Kind: faults.ReloadConfig, Node: "s0"},
+			faults.Fault{At: at + 38*microtime.Second, Kind: faults.CutConnection, Node: "w0", Peer: "s0", Amount: 200},
+			faults.Fault{At: at + 42*microtime.Second, Kind: faults.StallPath, Node: "s0", Peer: "w0", For: 2 * microtime.Second})
 	}
 	flat(t, s, 20_000, "calls.Pool.calls", "calls.link.givenUp", "vaultclient.Client.links", "workerpool.Backend.runs")
 }
@@ -110,7 +110,7 @@
 	peaks := [3]map[string]int{{}, {}, {}}
 	samples := 0
 	out, err := Play(s, Options{begin: func(l *world) {
-		l.callers["p3"].Insist(s.Length)
+		l.callers["p3"].RetryAtOnce(s.Length)
 		var look func()
 		look = func() {
 			third := int(l.w.Since() * 3 / s.Length)
--- a/internal/testbed/simnet/host.go
+++ b/internal/testbed/simnet/host.go
@@ -48,14 +48,14 @@
 // hostConn is one connection of a host's program.
 type hostConn struct {
 	h      *Host
-	e      *End
+	e      *Stream
 	conn   *transport.Connection
 	queued bool
 }
 
 // NewHost returns a host on a node that has been booted; the program is Loop's to begin.
 func NewHost(n *Node, o transport.Options, h transport.Handler, rng *rand.Rand, cost Cost, begin func(*transport.Loop)) *Host {
-	host := &Host{node: n, life: n.Life, rng: rng, cost: cost, refused: o.Logf, listens: map[int]*Listener{}}
+	host := &Host{node: n, life: n.Incarnation, rng: rng, cost: cost, refused: o.Logf, listens: map[int]*Listener{}}
 	host.loop = transport.New(o, host, h, begin)
 	host.tasks = append(host.tasks, host.loop.Begin)
 	host.wakeTurn()
@@ -201,7 +201,7 @@
 }
 
 // accept takes up a connection to one of the listeners, in a turn.
-func (h *Host) accept(l *Listener, e *End) {
+func (h *Host) accept(l *Listener, e *Stream) {
 	c := &hostConn{h: h, e: e}
 	e.host = c
 	_ = h.Queue(func() {
@@ -285,7 +285,7 @@
 	if h.Ended {
 		return
 	}
-	h.node.Dial(d.Addr(), func(e *End, err error) {
+	h.node.Dial(d.Addr(), func(e *Stream, err error) {
 		if err != nil {
 			_ = h.Queue(func() { h.loop.DialFailed(d) })
 			return
@@ -308,7 +308,7 @@
 // SendDatagram is part of transport.Driver.
 func (h *Host) SendDatagram(p []byte) {
 	if h.peer != "" && h.op() {
-		h.node.Send(h.peer, p)
+		h.node.SendDatagram(h.peer, p)
 	}
 }
 
--- a/internal/testbed/simnet/host_test.go
+++ b/internal/testbed/simnet/host_test.go
@@ -53,14 +53,14 @@
 
 // peer is a client on the virtual network.
 type peer struct {
-	e     *simnet.End
+	e     *simnet.Stream
 	got   bytes.Buffer
 	ended bool
 }
 
-func (p *peer) Data(_ *simnet.End, in []byte) { p.got.Write(in) }
-func (p *peer) EOF(e *simnet.End)             { p.ended = true; e.Close() }
-func (p *peer) Gone(*simnet.End)              { p.ended = true }
+func (p *peer) Received(_ *simnet.Stream, in []byte) { p.got.Write(in) }
+func (p *peer) EOF(e *simnet.Stream)             { p.ended = true; e.Close() }
+func (p *peer) Reset(*simnet.Stream)              { p.ended = true }
 
 // rig is a program on a host, with the guards of transport on the virtual clock.
 type rig struct {
@@ -88,7 +88,7 @@
 	r.n++
 	n.Boot()
 	p := &peer{}
-	n.Dial("s0/x", func(e *simnet.End, err error) {
+	n.Dial("s0/x", func(e *simnet.Stream, err error) {
 		require.NoError(r.t, err)
 		p.e = e
 		e.SetHandler(p)
@@ -140,7 +140,7 @@
 	r := newRig(t, transport.Options{MaxConns: 9})
 	r.p.answer = make([]byte, 32<<10)
 	slow, other := r.connect(), r.connect()
-	slow.e.Hold(true)
+	slow.e.PauseReading(true)
 	for range 12 {
 		r.says(slow, "v")
 	}
@@ -156,7 +156,7 @@
 	w0.Boot()
 	var tries []microtime.Time
 	r.net.Tap = func(v simnet.Event) {
-		if v.Kind == simnet.Tried && v.Addr == "w0/x" {
+		if v.Kind == simnet.ConnectAttempted && v.Addr == "w0/x" {
 			tries = append(tries, v.At)
 		}
 	}
@@ -174,7 +174,7 @@
 		require.LessOrEqual(t, tries[i]-tries[i-1], 510*microtime.Millisecond)
 		require.GreaterOrEqual(t, tries[i]-tries[i-1]+10, tries[i-1]-tries[i-2])
 	}
-	_, err := w0.Listen("w0/x", simnet.Listener{Accept: func(*simnet.End) simnet.Handler { return &peer{} }})
+	_, err := w0.Listen("w0/x", simnet.Listener{Accept: func(*simnet.Stream) simnet.Handler { return &peer{} }})
 	require.NoError(t, err)
 	r.after(microtime.Second)
 	require.Equal(t, 1, opened)
--- a/internal/testbed/simnet/net.go
+++ b/internal/testbed/simnet/net.go
@@ -27,7 +27,7 @@
 	Jitter    microtime.Time // added at random, up to this
 	Bandwidth int            // bytes a second in each direction; 0: no bound
 	Loss      float64        // chance of a datagram
-	Double    float64        // chance of a datagram
+	Duplicate float64        // chance of a datagram
 }
 
 // Path is the way between two nodes. Faults change it.
@@ -42,38 +42,38 @@
 
 // The kinds of event.
 const (
-	Opened  EventKind = iota // a connection that Node dialled has reached Peer at Addr
-	Written                  // Node has handed Bytes to the network
-	Arrived                  // Bytes have reached Node's machine
-	Ended                    // Node has no more of the connection; Why tells
-	Packet                   // a datagram with Bytes has reached Node
-	Halved                   // Node sends no more, and still reads; Why tells
-	Tried                    // Node tries to connect to Addr
+	Opened           EventKind = iota // a connection that Node dialled has reached Peer at Addr
+	Written                           // Node has handed Bytes to the network
+	Arrived                           // Bytes have reached Node's machine
+	Closed                            // Node has no more of the connection; Why tells
+	DatagramArrived                   // a datagram with Bytes has reached Node
+	HalfClosed                        // Node sends no more, and still reads; Why tells
+	ConnectAttempted                  // Node tries to connect to Addr
 )
 
-// Why tells how an end of a connection came about.
-type Why uint8
+// Cause tells how an end of a connection came about.
+type Cause uint8
 
 // The ways to end.
 const (
-	ByItself Why = iota // Node closed it
-	ByReset             // a reset came, or Node sent one
-	ByKill              // Node's process is gone
-	ByCut               // a fault of the network
+	CauseClosed Cause = iota // Node closed it
+	CauseReset               // a reset came, or Node sent one
+	CauseKilled              // Node's process is gone
+	CauseCut                 // a fault of the network
 )
 
 // Event is one thing that a tap sees: bytes and times, and nothing else.
 type Event struct {
-	At     microtime.Time
-	Kind   EventKind
-	Conn   uint64 // the same for both ends
-	Node   string
-	Life   int // of Node
-	Peer   string
-	Addr   string
-	Dialer bool // Node is the one that dialled
-	Why    Why
-	Bytes  []byte // lent
+	At          microtime.Time
+	Kind        EventKind
+	Conn        uint64 // the same for both ends
+	Node        string
+	Incarnation int // of Node
+	Peer        string
+	Addr        string
+	Dialer      bool // Node is the one that dialled
+	Cause       Cause
+	Bytes       []byte // lent
 }
 
 // Net joins nodes.
@@ -82,7 +82,7 @@
 	Default Quality
 	Tap     func(Event) // nil: none
 	// Mangle, where a test sets it, changes what an end writes before anything sees it: a saboteur between a program and the network.
-	Mangle    func(e *End, p []byte) []byte
+	Intercept func(e *Stream, p []byte) []byte
 	nodes     map[string]*Node
 	paths     map[[2]string]*Path
 	listeners map[string]*Listener
@@ -112,19 +112,19 @@
 
 // Node is a machine with one process at a time.
 type Node struct {
-	Name    string
-	Life    int // of its process, from 1 on
-	MaxOpen int // connections that it can hold; one more waits to be accepted
-	net     *Net
-	up      bool
-	ends    []*End // open, in no order that a map gives
-	waiting []*End // for room
+	Name           string
+	Incarnation    int // of its process, from 1 on
+	MaxConnections int // connections that it can hold; one more waits to be accepted
+	net            *Net
+	up             bool
+	ends           []*Stream // open, in no order that a map gives
+	waiting        []*Stream // for room
 }
 
 // Node returns the node of a name, which is made at first.
 func (n *Net) Node(name string) *Node {
 	if n.nodes[name] == nil {
-		n.nodes[name] = &Node{Name: name, net: n, MaxOpen: math.MaxInt}
+		n.nodes[name] = &Node{Name: name, net: n, MaxConnections: math.MaxInt}
 	}
 	return n.nodes[name]
 }
@@ -132,14 +132,14 @@
 // Boot starts the node's process anew.
 func (n *Node) Boot() {
 	n.up = true
-	n.Life++
+	n.Incarnation++
 }
 
 // Up tells whether its process runs.
 func (n *Node) Up() bool { return n.up }
 
-// Open counts its connections.
-func (n *Node) Open() int { return len(n.ends) }
+// OpenConnections counts its connections.
+func (n *Node) OpenConnections() int { return len(n.ends) }
 
 // Kill ends the process. What was handed to the network still arrives, unless the machine goes with it: then peers
 // hear nothing.
@@ -159,10 +159,10 @@
 		if machine {
 			e.flight = nil
 			e.timer.Stop()
-			e.end(ByKill)
+			e.end(CauseKilled)
 			continue
 		}
-		e.finish(ByKill)
+		e.finish(CauseKilled)
 	}
 	n.waiting = nil
 }
@@ -171,7 +171,7 @@
 type Listener struct {
 	node     *Node
 	addr     string
-	Accept   func(*End) Handler // nil Handler: the connection is closed
+	Accept   func(*Stream) Handler // nil Handler: the connection is closed
 	Datagram func(from string, p []byte)
 	host     *Host
 	index    int
@@ -196,9 +196,9 @@
 
 // Handler is what an end of a stream is for.
 type Handler interface {
-	Data(e *End, p []byte) // p is lent
-	EOF(e *End)            // the peer sends no more
-	Gone(e *End)           // the connection was reset
+	Received(e *Stream, p []byte) // p is lent
+	EOF(e *Stream)                // the peer sends no more
+	Reset(e *Stream)              // the connection was reset
 }
 
 // segment is bytes under way; fin marks the end of the stream, reset its breaking.
@@ -208,11 +208,11 @@
 	fin, reset bool
 }
 
-// End is one of the two ends of a stream.
-type End struct {
+// Stream is one of the two ends of a stream.
+type Stream struct {
 	node    *Node
 	life    int
-	peer    *End
+	peer    *Stream
 	conn    uint64
 	addr    string // that was dialled
 	dialer  bool
@@ -235,30 +235,30 @@
 	backlog bool // its node has no room for it yet
 }
 
-// Conn numbers the connection; both ends have the same.
-func (e *End) Conn() uint64 { return e.conn }
+// ConnID numbers the connection; both ends have the same.
+func (e *Stream) ConnID() uint64 { return e.conn }
 
 // Node names its own node.
-func (e *End) Node() string { return e.node.Name }
+func (e *Stream) Node() string { return e.node.Name }
 
 // Peer names the other node.
-func (e *End) Peer() string { return e.peer.node.Name }
+func (e *Stream) Peer() string { return e.peer.node.Name }
 
 // Addr is what was dialled.
-func (e *End) Addr() string { return e.addr }
+func (e *Stream) Addr() string { return e.addr }
 
 // IsOpen tells whether this end is still of use.
-func (e *End) IsOpen() bool { return e.open }
+func (e *Stream) IsOpen() bool { return e.open }
 
 // Dial connects to an address; done is called once, with an end or an error. Where the handler is nil, done gives
 // it by SetHandler.
-func (n *Node) Dial(addr string, done func(*End, error)) {
-	w, life := n.net.w, n.Life
-	answer := func(d microtime.Time, e *End, err error) {
+func (n *Node) Dial(addr string, done func(*Stream, error)) {
+	w, life := n.net.w, n.Incarnation
+	answer := func(d microtime.Time, e *Stream, err error) {
 		w.In(d, func() {
-			if !n.up || n.Life != life {
+			if !n.up || n.Incarnation != life {
 				if e != nil {
-					e.finish(ByKill)
+					e.finish(CauseKilled)
 				}
 				return
 			}
@@ -267,7 +267,7 @@
 	}
 	host, _, _ := strings.Cut(addr, "/")
 	if n.net.Tap != nil {
-		n.net.Tap(Event{At: w.now, Kind: Tried, Node: n.Name, Life: n.Life, Peer: host, Addr: addr, Dialer: true})
+		n.net.Tap(Event{At: w.now, Kind: ConnectAttempted, Node: n.Name, Incarnation: n.Incarnation, Peer: host, Addr: addr, Dialer: true})
 	}
 	to := n.net.nodes[host]
 	if to == nil { // nobody holds this address
@@ -285,16 +285,16 @@
 			answer(p.Latency, nil, ErrRefused)
 			return
 		}
-		if !n.up || n.Life != life {
+		if !n.up || n.Incarnation != life {
 			return
 		}
 		n.net.conns++
-		ours := &End{node: n, life: life, conn: n.net.conns, addr: addr, dialer: true, path: p, cut: -1, open: true}
-		theirs := &End{node: to, life: to.Life, conn: n.net.conns, addr: addr, path: p, cut: -1, open: true}
+		ours := &Stream{node: n, life: life, conn: n.net.conns, addr: addr, dialer: true, path: p, cut: -1, open: true}
+		theirs := &Stream{node: to, life: to.Incarnation, conn: n.net.conns, addr: addr, path: p, cut: -1, open: true}
 		ours.peer, theirs.peer = theirs, ours
 		n.seat(ours)
 		n.net.tap(ours, Event{Kind: Opened})
-		if len(to.ends) >= to.MaxOpen { // it is held in the backlog, as a full table of descriptors does
+		if len(to.ends) >= to.MaxConnections { // it is held in the backlog, as a full table of descriptors does
 			theirs.backlog = true
 			to.waiting = append(to.waiting, theirs)
 		} else {
@@ -304,13 +304,13 @@
 	})
 }
 
-func (n *Node) seat(e *End) {
+func (n *Node) seat(e *Stream) {
 	e.place = len(n.ends)
 	n.ends = append(n.ends, e)
 }
 
 // take accepts a connection.
-func (n *Node) take(l *Listener, e *End) {
+func (n *Node) take(l *Listener, e *Stream) {
 	n.seat(e)
 	if e.backlog { // only now it is accepted, with what has come before
 		e.backlog = false
@@ -329,7 +329,7 @@
 
 // room accepts what waits, as far as there is room now.
 func (n *Node) room() {
-	for len(n.waiting) > 0 && len(n.ends) < n.MaxOpen && n.up {
+	for len(n.waiting) > 0 && len(n.ends) < n.MaxConnections && n.up {
 		e := n.waiting[0]
 		n.waiting = n.waiting[1:]
 		l := n.net.listeners[e.addr]
@@ -344,14 +344,14 @@
 	}
 }
 
-// SetMaxOpen bounds the node's connections from now on.
-func (n *Node) SetMaxOpen(most int) {
-	n.MaxOpen = most
+// SetMaxConnections bounds the node's connections from now on.
+func (n *Node) SetMaxConnections(most int) {
+	n.MaxConnections = most
 	n.room()
 }
 
 // SetHandler says what the end is for.
-func (e *End) SetHandler(h Handler) {
+func (e *Stream) SetHandler(h Handler) {
 	e.handler = h
 	e.read()
 }
@@ -364,18 +364,18 @@
 	return d
 }
 
-func (n *Net) tap(e *End, v Event) {
-	v.At, v.Conn, v.Node, v.Life, v.Peer, v.Addr, v.Dialer = n.w.now, e.conn, e.node.Name, e.life, e.peer.node.Name, e.addr, e.dialer
-	n.w.Note(v.Node, v.Bytes)
+func (n *Net) tap(e *Stream, v Event) {
+	v.At, v.Conn, v.Node, v.Incarnation, v.Peer, v.Addr, v.Dialer = n.w.now, e.conn, e.node.Name, e.life, e.peer.node.Name, e.addr, e.dialer
+	n.w.Record(v.Node, v.Bytes)
 	if n.Tap != nil {
 		n.Tap(v)
 	}
 }
 
 // Write hands p to the network. What the peer does not take yet is kept.
-func (e *End) Write(p []byte) {
-	if e.node.net.Mangle != nil {
-		p = e.node.net.Mangle(e, p)
+func (e *Stream) Write(p []byte) {
+	if e.node.net.Intercept != nil {
+		p = e.node.net.Intercept(e, p)
 	}
 	if !e.open || e.fin || len(p) == 0 {
 		return
@@ -386,9 +386,9 @@
 }
 
 // Unsent counts the bytes that are kept.
-func (e *End) Unsent() int { return len(e.unsent) }
+func (e *Stream) Unsent() int { return len(e.unsent) }
 
-func (e *End) pump() {
+func (e *Stream) pump() {
 	for len(e.unsent) > 0 && e.sent < window {
 		n := min(segmentMost, window-e.sent, len(e.unsent))
 		if e.cut >= 0 {
@@ -410,7 +410,7 @@
 	}
 }
 
-func (e *End) send(s segment) {
+func (e *Stream) send(s segment) {
 	net := e.node.net
 	s.at = max(net.w.now+net.delay(e.path), e.last)
 	if bw := e.path.Bandwidth; bw > 0 {
@@ -423,13 +423,13 @@
 	}
 }
 
-func (e *End) arm() {
+func (e *Stream) arm() {
 	e.timer.Stop()
 	e.timer = e.node.net.w.At(max(e.flight[0].at, e.path.StalledUntil), e.arrive)
 }
 
 // arrive has what is due reach the peer's machine.
-func (e *End) arrive() {
+func (e *Stream) arrive() {
 	w := e.node.net.w
 	for len(e.flight) > 0 && max(e.flight[0].at, e.path.StalledUntil) <= w.now {
 		s := e.flight[0]
@@ -443,11 +443,11 @@
 	}
 }
 
-func (e *End) receive(s segment) {
+func (e *Stream) receive(s segment) {
 	switch {
 	case s.reset:
-		e.broken(ByCut)
-		e.peer.broken(ByCut)
+		e.broken(CauseCut)
+		e.peer.broken(CauseCut)
 		return
 	case !e.open:
 		if len(s.data) > 0 && e.node.up { // nobody is there to read it; a machine that is gone says nothing
@@ -465,14 +465,14 @@
 	e.read()
 }
 
-// Hold has the end take nothing for a while, or go on: a reader that is slow.
-func (e *End) Hold(on bool) {
+// PauseReading has the end take nothing for a while, or go on: a reader that is slow.
+func (e *Stream) PauseReading(on bool) {
 	e.holding = on
 	e.read()
 }
 
 // read hands on what has arrived.
-func (e *End) read() {
+func (e *Stream) read() {
 	if e.host != nil {
 		e.host.rouse()
 		return
@@ -483,7 +483,7 @@
 	if n := len(e.unread); n > 0 {
 		p := e.unread
 		e.unread = nil
-		e.handler.Data(e, p)
+		e.handler.Received(e, p)
 		e.took(n)
 		if e.unread == nil && e.open {
 			e.unread = p[:0]
@@ -496,7 +496,7 @@
 }
 
 // took makes room in the window for what was read.
-func (e *End) took(n int) {
+func (e *Stream) took(n int) {
 	e.peer.sent -= n
 	if e.peer.open || e.peer.fin {
 		e.peer.pump2()
@@ -504,42 +504,42 @@
 }
 
 // pump2 goes on with what was kept, and does not send the end of the stream twice.
-func (e *End) pump2() {
+func (e *Stream) pump2() {
 	if len(e.unsent) > 0 {
 		e.pump()
 	}
 }
 
 // CutAfter has the connection break once so many more bytes have been sent from this end; 0: now.
-func (e *End) CutAfter(n int) {
+func (e *Stream) CutAfter(n int) {
 	if n <= 0 {
-		e.broken(ByCut)
-		e.peer.broken(ByCut)
+		e.broken(CauseCut)
+		e.peer.broken(CauseCut)
 		return
 	}
 	e.cut = n
 }
 
 // Close ends the stream from this side. Where something has arrived unread, that is a reset, as with TCP.
-func (e *End) Close() { e.finish(ByItself) }
+func (e *Stream) Close() { e.finish(CauseClosed) }
 
 // CloseWrite sends the end of the stream, and goes on reading. CutWrite is the same as a fault of the network.
-func (e *End) CloseWrite() { e.halve(ByItself) }
+func (e *Stream) CloseWrite() { e.halve(CauseClosed) }
 
 // CutWrite has the network end the stream from this end, which goes on reading and knows nothing of it.
-func (e *End) CutWrite() { e.halve(ByCut) }
+func (e *Stream) CutWrite() { e.halve(CauseCut) }
 
-func (e *End) halve(why Why) {
+func (e *Stream) halve(why Cause) {
 	if e.open && !e.fin {
 		e.fin = true
-		e.node.net.tap(e, Event{Kind: Halved, Why: why})
+		e.node.net.tap(e, Event{Kind: HalfClosed, Cause: why})
 		if len(e.unsent) == 0 {
 			e.send(segment{fin: true})
 		}
 	}
 }
 
-func (e *End) finish(why Why) {
+func (e *Stream) finish(why Cause) {
 	if !e.open {
 		return
 	}
@@ -556,9 +556,9 @@
 }
 
 // Reset breaks the connection: the peer hears of it, and what is under way to it is lost.
-func (e *End) Reset() { e.resetAs(ByReset) }
+func (e *Stream) Reset() { e.resetAs(CauseReset) }
 
-func (e *End) resetAs(why Why) {
+func (e *Stream) resetAs(why Cause) {
 	if !e.open {
 		return
 	}
@@ -566,35 +566,35 @@
 	e.flight, e.unsent = nil, nil
 	e.timer.Stop()
 	peer := e.peer
-	e.node.net.w.At(max(e.node.net.w.now, e.path.StalledUntil)+e.path.Latency, func() { peer.broken(ByReset) })
+	e.node.net.w.At(max(e.node.net.w.now, e.path.StalledUntil)+e.path.Latency, func() { peer.broken(CauseReset) })
 }
 
 // broken says that the connection was reset from elsewhere.
-func (e *End) broken(why Why) {
+func (e *Stream) broken(why Cause) {
 	if !e.open {
 		return
 	}
 	e.reset, e.flight, e.unsent, e.unread = true, nil, nil, nil
 	e.timer.Stop()
 	if e.host != nil {
-		e.node.net.tap(e, Event{Kind: Ended, Why: why})
+		e.node.net.tap(e, Event{Kind: Closed, Cause: why})
 		e.host.rouse() // it hears in a turn of its own
 		return
 	}
 	e.end(why)
 	if e.handler != nil {
-		e.handler.Gone(e)
+		e.handler.Reset(e)
 	}
 }
 
 // end takes the end out of its node.
-func (e *End) end(why Why) {
+func (e *Stream) end(why Cause) {
 	if !e.open {
 		return
 	}
 	e.open = false
 	if !e.reset || e.host == nil {
-		e.node.net.tap(e, Event{Kind: Ended, Why: why})
+		e.node.net.tap(e, Event{Kind: Closed, Cause: why})
 	}
 	n := e.node
 	if e.place < len(n.ends) && n.ends[e.place] == e {
@@ -606,15 +606,15 @@
 	n.room()
 }
 
-// Ends are the node's open connections, those that it dialled or that came to it.
-func (n *Node) Ends() []*End { return n.ends }
+// Streams are the node's open connections, those that it dialled or that came to it.
+func (n *Node) Streams() []*Stream { return n.ends }
 
-// Send sends a datagram to an address.
-func (n *Node) Send(addr string, p []byte) {
+// SendDatagram sends a datagram to an address.
+func (n *Node) SendDatagram(addr string, p []byte) {
 	host, _, _ := strings.Cut(addr, "/")
 	net, path := n.net, n.net.Path(n.Name, host)
 	times := 1
-	if path.Double > 0 && net.w.rng.Float64() < path.Double {
+	if path.Duplicate > 0 && net.w.rng.Float64() < path.Duplicate {
 		times = 2
 	}
 	if path.Loss > 0 && net.w.rng.Float64() < path.Loss || path.LostUntil > net.w.now {
@@ -627,8 +627,8 @@
 			if l == nil || !l.node.up || l.Datagram == nil {
 				return
 			}
-			v := Event{At: net.w.now, Kind: Packet, Node: l.node.Name, Life: l.node.Life, Peer: n.Name, Addr: addr, Bytes: data}
-			net.w.Note(v.Node, data)
+			v := Event{At: net.w.now, Kind: DatagramArrived, Node: l.node.Name, Incarnation: l.node.Incarnation, Peer: n.Name, Addr: addr, Bytes: data}
+			net.w.Record(v.Node, data)
 			if net.Tap != nil {
 				net.Tap(v)
 			}
--- a/internal/testbed/simnet/virtual_test.go
+++ b/internal/testbed/simnet/simnet_test.go
@@ -20,22 +20,22 @@
 func (d *diary) note(s string) {
 	d.lines = append(d.lines, s)
 }
-func (d *diary) Data(_ *End, p []byte) { d.text += string(p) }
-func (d *diary) EOF(e *End) {
+func (d *diary) Received(_ *Stream, p []byte) { d.text += string(p) }
+func (d *diary) EOF(e *Stream) {
 	d.note("eof")
 	if !d.keep {
 		e.Close()
 	}
 }
-func (d *diary) Gone(*End) { d.note("gone") }
+func (d *diary) Reset(*Stream) { d.note("gone") }
 
 // pair is a connection from a to b, both with a diary.
 type pair struct {
 	w          *World
 	net        *Net
 	a, b       *Node
-	ours       *End
-	theirs     *End
+	ours       *Stream
+	theirs     *Stream
 	near, far  *diary
 	opened     microtime.Time
 	dialledErr error
@@ -48,9 +48,9 @@
 	p.a.Boot()
 	p.b.Boot()
 	p.near, p.far = &diary{w: p.w}, &diary{w: p.w}
-	_, err := p.b.Listen("b/x", Listener{Accept: func(e *End) Handler { p.theirs = e; return p.far }})
+	_, err := p.b.Listen("b/x", Listener{Accept: func(e *Stream) Handler { p.theirs = e; return p.far }})
 	require.NoError(t, err)
-	p.a.Dial("b/x", func(e *End, err error) {
+	p.a.Dial("b/x", func(e *Stream, err error) {
 		p.ours, p.opened = e, p.w.Since()
 		p.dialledErr = err
 		e.SetHandler(p.near)
@@ -93,7 +93,7 @@
 		require.Equal(t, "abcdefghij"[:cut], p.far.text)
 		require.Equal(t, []string{"gone"}, p.far.lines)
 		require.Equal(t, []string{"gone"}, p.near.lines)
-		require.Zero(t, p.a.Open()+p.b.Open())
+		require.Zero(t, p.a.OpenConnections()+p.b.OpenConnections())
 	}
 }
 
@@ -111,7 +111,7 @@
 
 func TestCloseWithInputUnreadIsAReset(t *testing.T) {
 	p := connected(t, Quality{Latency: microtime.Millisecond})
-	p.theirs.Hold(true)
+	p.theirs.PauseReading(true)
 	p.ours.Write([]byte("unread"))
 	p.after(10 * microtime.Millisecond)
 	p.theirs.Close()
@@ -122,11 +122,11 @@
 // A reader that takes nothing leaves the rest with the sender, and gets all of it in the end.
 func TestSlowReaderHoldsTheSenderBack(t *testing.T) {
 	p := connected(t, Quality{Latency: microtime.Millisecond})
-	p.theirs.Hold(true)
+	p.theirs.PauseReading(true)
 	p.ours.Write(make([]byte, 3*window))
 	p.after(microtime.Second)
 	require.Equal(t, 2*window, p.ours.Unsent())
-	p.theirs.Hold(false)
+	p.theirs.PauseReading(false)
 	p.ours.Close()
 	p.after(microtime.Second)
 	require.Len(t, p.far.text, 3*window)
@@ -137,7 +137,7 @@
 	p := connected(t, Quality{Latency: microtime.Millisecond})
 	results := map[string]error{}
 	try := func(addr string) {
-		p.a.Dial(addr, func(_ *End, err error) { results[addr] = err })
+		p.a.Dial(addr, func(_ *Stream, err error) { results[addr] = err })
 		p.after(1100 * microtime.Millisecond)
 	}
 	try("b/nobody")
@@ -156,9 +156,9 @@
 			arrived++
 		}
 	}
-	p.b.SetMaxOpen(1)
+	p.b.SetMaxConnections(1)
 	first := p.ours
-	p.a.Dial("b/x", func(e *End, _ error) { e.Write([]byte("patience")) })
+	p.a.Dial("b/x", func(e *Stream, _ error) { e.Write([]byte("patience")) })
 	p.after(microtime.Second)
 	require.Zero(t, arrived)
 	first.Close()
@@ -188,9 +188,9 @@
 	count := func(loss, double float64) int {
 		got = 0
 		path := p.net.Path("a", "b")
-		path.Loss, path.Double = loss, double
+		path.Loss, path.Duplicate = loss, double
 		for range 1000 {
-			p.a.Send("b/d", []byte("x"))
+			p.a.SendDatagram("b/d", []byte("x"))
 		}
 		p.after(microtime.Second)
 		return got
@@ -220,7 +220,7 @@
 
 func TestWallClocks(t *testing.T) {
 	for _, off := range []microtime.Time{0, microtime.Second, -3 * microtime.Second} {
-		c := Wall{Off: off}
+		c := WallClock{Offset: off}
 		at := Start + 1234*microtime.Millisecond
 		require.Equal(t, at, c.FromUnixMilli(c.UnixMilli(at)))
 		require.Equal(t, int64(unixStart)+1234+int64(off/microtime.Millisecond), c.UnixMilli(at))
--- a/internal/testbed/simnet/world.go
+++ b/internal/testbed/simnet/world.go
@@ -109,8 +109,8 @@
 	}
 }
 
-// Note puts a fact, with the time, into the digest.
-func (w *World) Note(what string, p []byte) {
+// Record puts a fact, with the time, into the digest.
+func (w *World) Record(what string, p []byte) {
 	var head [16]byte
 	binary.LittleEndian.PutUint64(head[:], uint64(w.now))
 	binary.LittleEndian.PutUint64(head[8:], uint64(len(p)))
@@ -156,19 +156,19 @@
 	}
 }
 
-// Wall is a node's wall clock, which may be off.
-type Wall struct {
-	Off microtime.Time // ahead of the true time
+// WallClock is a node's wall clock, which may be off.
+type WallClock struct {
+	Offset microtime.Time // ahead of the true time
 }
 
 // FromUnixMilli is the instant of a wall clock time.
-func (c *Wall) FromUnixMilli(ms int64) microtime.Time {
-	return Start + microtime.Time(ms-unixStart)*microtime.Millisecond - c.Off
+func (c *WallClock) FromUnixMilli(ms int64) microtime.Time {
+	return Start + microtime.Time(ms-unixStart)*microtime.Millisecond - c.Offset
 }
 
 // UnixMilli is the wall clock time of an instant, to the nearest millisecond.
-func (c *Wall) UnixMilli(t microtime.Time) int64 {
-	since := t - Start + c.Off + microtime.Millisecond/2
+func (c *WallClock) UnixMilli(t microtime.Time) int64 {
+	since := t - Start + c.Offset + microtime.Millisecond/2
 	if since < 0 { // round down there too
 		since -= microtime.Millisecond - 1
 	}
