--- /dev/null
+++ b/internal/protocol/upgrade/format_test.go
@@ -0,0 +1,78 @@
+package upgrade
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"pewterline/control"
+	"pewterline/internal/testbed/golden"
+)
+
+// learned is what the old process of the recorded stream had learned.
+var learned = control.LearnedState{
+	Limit: 12.5, Alpha: 0.1, Said: 3,
+	Usual:    control.MeanEstimate{N: 20, V: 0.0123},
+	SlotTime: control.MeanEstimate{N: 1, V: 1.0 / 3},
+	CallTime: control.MeanEstimate{N: 2, V: 0.25},
+	Classes: []control.LearnedClassState{
+		{
+			Name:    "lot-intake",
+			Service: control.MeanEstimate{N: 3, V: 0.1},
+			Slot:    control.MeanEstimate{N: 4, V: 0.2},
+			Away:    control.MeanEstimate{N: 5, V: 0.3},
+			Calls:   control.MeanEstimate{N: 6, V: 0.4},
+		},
+		{Name: "empty"},
+	},
+}
+
+const recordedMilli = 1764576000123
+
+// recordedMessages are the messages whose frames testdata/stream.hex holds behind the preamble, one of each kind at least.
+var recordedMessages = map[string]Message{
+	"hello":                   {Kind: Hello, Name: "n0"},
+	"welcome":                 {Kind: Welcome, OutOfService: true, Learned: &learned},
+	"welcome-nothing-learned": {Kind: Welcome, Learned: &control.LearnedState{}},
+	"welcome-bare":            {Kind: Welcome},
+	"reject":                  {Kind: Reject, Reason: "an upgrade is under way"},
+	"next-chunk":              {Kind: NextChunk},
+	"synced":                  {Kind: Synced},
+	"ownership-transferred":   {Kind: OwnershipTransferred},
+	"service-out":             {Kind: ServiceChanged, OutOfService: true},
+	"service-in":              {Kind: ServiceChanged},
+	"connection-count":        {Kind: ConnectionCount, Connections: 384},
+	"claim": {Kind: Claim, Class: "lot-intake", Tenant: "hill-estate", IdempotencyKey: "k\x00 1",
+		ArrivedAtMilli: recordedMilli},
+	"grant":   {Kind: Grant, Class: "lot-intake", Tenant: "hill-estate", IdempotencyKey: "k", ArrivedAtMilli: recordedMilli},
+	"started": {Kind: Started, Class: "lot-intake", IdempotencyKey: "k", ArrivedAtMilli: -1},
+	"succeeded": {Kind: Succeeded, Class: "lot-intake", Tenant: "t", IdempotencyKey: "k", ArrivedAtMilli: recordedMilli,
+		Result: []byte("did \xff it")},
+	"succeeded-empty": {Kind: Succeeded, Class: "lot-intake", Tenant: "t", IdempotencyKey: "k", ArrivedAtMilli: recordedMilli},
+	"failed":          {Kind: Failed, Class: "lot-intake", Tenant: "t", IdempotencyKey: "k", ArrivedAtMilli: recordedMilli},
+	"released":        {Kind: Released, Class: "lot-intake", Tenant: "t", IdempotencyKey: "k", ArrivedAtMilli: recordedMilli},
+}
+
+// Guards an upgrade from the release whose stream was recorded, and one back to it: both processes write and read the same bytes.
+func TestStreamIsAsRecorded(t *testing.T) {
+	frames := golden.Frames(t, "testdata/stream.hex")
+	require.Equal(t, golden.Frame{Name: "preamble", Bytes: Preamble[:]}, frames[0])
+	whole, err := CheckPreamble(frames[0].Bytes)
+	require.NoError(t, err)
+	require.True(t, whole)
+	require.Len(t, frames[1:], len(recordedMessages))
+	kinds := map[Kind]bool{}
+	for _, frame := range frames[1:] {
+		t.Run(frame.Name, func(t *testing.T) {
+			message, known := recordedMessages[frame.Name]
+			require.True(t, known)
+			kinds[message.Kind] = true
+			require.Equal(t, frame.Bytes, Append(nil, message))
+			read, size, err := Parse(frame.Bytes)
+			require.NoError(t, err)
+			require.Len(t, frame.Bytes, size)
+			require.Equal(t, message, read)
+		})
+	}
+	require.Len(t, kinds, int(Released), "a kind has no recorded frame")
+}
--- /dev/null
+++ b/internal/store/format_test.go
@@ -0,0 +1,110 @@
+package store
+
+import (
+	"database/sql"
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+)
+
+// recordedRows are what the database of testdata/intakes.sql was made of, in the order in which it was written.
+func recordedRows() []Record {
+	row := func(tenant, key string, at int64, result string) Record {
+		return Record{Class: "lot-intake", Tenant: tenant, IdempotencyKey: key, ArrivedAtMilli: at, Result: []byte(result)}
+	}
+	intent := func(tenant, key string, at int64) Record {
+		return Record{Class: "lot-intake", Tenant: tenant, IdempotencyKey: key, ArrivedAtMilli: at, Intent: true}
+	}
+	return []Record{
+		row("hill-estate", "k0", 1000, "old"),
+		intent("hill-estate", "k1", 5000),
+		row("hill-estate", "k1", 5000, "\x00first'\xff"),
+		intent("hill-estate", "k0", 6000),
+		{Class: "lot-intake", Tenant: "hill-estate", IdempotencyKey: "k0", ArrivedAtMilli: 6000},
+		intent("hill-estate", "k2", 5500),
+		intent("", "k3", 5600).Cancelled(),
+		{Class: "press-run", IdempotencyKey: "k4", ArrivedAtMilli: 1764547200000, Result: []byte("wide")},
+	}
+}
+
+// dump returns the statements that make a database: its schema, and its rows in the order of their keys.
+func dump(t *testing.T, file string) string {
+	t.Helper()
+	db, err := sql.Open("sqlite", file)
+	require.NoError(t, err)
+	t.Cleanup(func() { require.NoError(t, db.Close()) })
+	var out strings.Builder
+	each := func(query string) {
+		rows, err := db.QueryContext(t.Context(), query)
+		require.NoError(t, err)
+		for rows.Next() {
+			var text string
+			require.NoError(t, rows.Scan(&text))
+			fmt.Fprintf(&out, "%s;\n", text)
+		}
+		require.NoError(t, rows.Err())
+	}
+	each(`SELECT sql FROM sqlite_master WHERE sql IS NOT NULL ORDER BY name`)
+	for _, table := range []struct{ name, columns string }{
+		{"intakes", "server class tenant once at_ms result"},
+		{"intents", "server class tenant once at_ms"},
+	} {
+		var values []string
+		for column := range strings.FieldsSeq(table.columns) {
+			values = append(values, "quote("+column+")")
+		}
+		each(fmt.Sprintf(`SELECT 'INSERT INTO %s VALUES (' || %s || ')' FROM %[1]s ORDER BY server, class, tenant, once`,
+			table.name, strings.Join(values, " || ', ' || ")))
+	}
+	return out.String()
+}
+
+// Guards a database that an earlier release has written: this one reads its rows, changes nothing of its schema, and writes
+// on in it.
+func TestRecordedDatabaseIsRead(t *testing.T) {
+	recorded, err := os.ReadFile("testdata/intakes.sql")
+	require.NoError(t, err)
+	file := filepath.Join(t.TempDir(), "intakes.db")
+	db, err := sql.Open("sqlite", file)
+	require.NoError(t, err)
+	_, err = db.ExecContext(t.Context(), string(recorded))
+	require.NoError(t, err)
+	require.NoError(t, db.Close())
+
+	s, err := Open(SQLite, file, "n0", patience)
+	require.NoError(t, err)
+	got, err := s.Load(1)
+	require.NoError(t, err)
+	rows := recordedRows()
+	latest := rows[4]
+	latest.Result = []byte{}
+	require.Equal(t, []Record{rows[2], rows[5], latest, rows[7]}, got, "results, and the one intent that is not settled")
+	require.NoError(t, s.Close())
+	require.Equal(t, string(recorded), dump(t, file), "reading changes nothing")
+
+	s, err = Open(SQLite, file, "n0", patience)
+	require.NoError(t, err)
+	for _, r := range rows {
+		require.NoError(t, record(t, s, r))
+	}
+	require.NoError(t, s.Close())
+	require.Equal(t, string(recorded), dump(t, file), "the same rows, written again")
+}
+
+// Guards an earlier release that comes back on a database of this one: the same records make the same schema and rows.
+func TestDatabaseIsWrittenAsRecorded(t *testing.T) {
+	file := filepath.Join(t.TempDir(), "intakes.db")
+	s, err := Open(SQLite, file, "n0", patience)
+	require.NoError(t, err)
+	for _, r := range recordedRows() {
+		require.NoError(t, record(t, s, r))
+	}
+	require.NoError(t, s.Close())
+	recorded, err := os.ReadFile("testdata/intakes.sql")
+	require.NoError(t, err)
+	require.Equal(t, string(recorded), dump(t, file))
+}
