--- a/cmd/pewterline/main.go
+++ b/cmd/pewterline/main.go
@@ -80,7 +80,16 @@
 		}
 	}
 	if cfg.Copies.ID != 0 {
-		held, err := replication.Open(replication.Config(cfg.Copies), wall.UnixMilli, srv.LongestRetention(), logf)
+		held, err := replication.Open(replication.Config{
+			ID:                cfg.Copies.ID,
+			Directory:         cfg.Copies.Folder,
+			ReplicationFactor: cfg.Copies.Copies,
+			Consensus:         cfg.Copies.Decide,
+			Peers:             cfg.Copies.Peers,
+			Retention:         srv.LongestRetention(),
+			UnixMilli:         wall.UnixMilli,
+			Logf:              logf,
+		})
 		if err != nil {
 			return err
 		}
--- a/internal/replication/holdings.go
+++ b/internal/replication/holdings.go
@@ -19,14 +19,20 @@
 	"pewterline/internal/transport"
 )
 
-// Config is how a server takes its part; package config checks it.
+// Config says how a server takes part in its replication group.
 type Config struct {
-	ID     uint32 // of this server; 0: off
-	Listen string
-	Folder string
-	Copies int // of a group that is founded here
-	Decide consensus.Config
-	Peers  []consensus.Member // of the group to be, or where members of it are reached from here
+	ID                uint32             // of this server, unique in its group
+	Directory         string             // of the write-ahead log; created if it is missing
+	ReplicationFactor int                // of a group that is bootstrapped by this server
+	Consensus         consensus.Config   // timeouts and limits of proposals and repairs
+	Peers             []consensus.Member // members of the group to come, or other addresses of present members
+
+	// Retention is the longest that the outcome of any key is kept.
+	Retention microtime.Time
+	// UnixMilli converts a time of the event loop to Unix milliseconds.
+	UnixMilli func(microtime.Time) int64
+	// Logf writes a line to the server's log.
+	Logf func(format string, args ...any)
 }
 
 const (
@@ -114,11 +120,12 @@
 	touched int64
 }
 
-// Open reads what this server holds. wall converts the loop's time to Unix milliseconds; window is the longest of any key.
-func Open(cfg Config, wall func(microtime.Time) int64, window microtime.Time, logf func(string, ...any)) (*Replica, error) {
-	h := &Replica{cfg: cfg, logf: logf, wall: wall, window: int64(window / microtime.Millisecond), keys: map[string]*entry{}, active: map[*entry]struct{}{}, ops: map[uint64]*entry{}}
+// Open reads what this server holds.
+func Open(cfg Config) (*Replica, error) {
+	logf := cfg.Logf
+	h := &Replica{cfg: cfg, logf: logf, wall: cfg.UnixMilli, window: int64(cfg.Retention / microtime.Millisecond), keys: map[string]*entry{}, active: map[*entry]struct{}{}, ops: map[uint64]*entry{}}
 	var err error
-	if h.disk, err = openDisk(cfg.Folder); err != nil {
+	if h.disk, err = openDisk(cfg.Directory); err != nil {
 		return nil, err
 	}
 	process, err := random()
@@ -126,7 +133,7 @@
 		return nil, err
 	}
 	self := consensus.Identity{ID: cfg.ID, Incarnation: h.disk.life}
-	if h.node, err = consensus.NewNode(self, process, cfg.Decide, h.disk.group, clone(h.disk.slots), process, xxhash.Sum64String); err != nil {
+	if h.node, err = consensus.NewNode(self, process, cfg.Consensus, h.disk.group, clone(h.disk.slots), process, xxhash.Sum64String); err != nil {
 		return nil, errors.Join(fmt.Errorf("holdings: %w", err), h.disk.log.Close())
 	}
 	logf("holdings: server %d, life %x, process %x, group %v, %d keys held", cfg.ID, self.Incarnation, process, h.disk.group, h.node.KeyCount())
@@ -358,13 +365,13 @@
 func (h *Replica) mend(now microtime.Time) {
 	h.reopen = now + reopenEvery
 	_ = h.disk.log.Close() // it has failed
-	d, err := openDisk(h.cfg.Folder)
+	d, err := openDisk(h.cfg.Directory)
 	if err != nil {
 		h.logf("holdings: %v", err)
 		return
 	}
 	if d.life != h.node.AcceptorID.Incarnation {
-		h.logf("holdings: %s holds another life; this server does not vote until it is started anew", h.cfg.Folder)
+		h.logf("holdings: %s holds another life; this server does not vote until it is started anew", h.cfg.Directory)
 		_ = d.log.Close()
 		return
 	}
@@ -392,16 +399,24 @@
 	}
 }
 
-// AcquireLease asks whether a try of a key, which came at a time, may run; the window is in milliseconds. done is called once, on the
-// loop, by due or soon after.
-func (h *Replica) AcquireLease(key string, at, window int64, due microtime.Time, done func(Outcome)) {
+// Attempt is an attempt to run the request of an idempotency key.
+type Attempt struct {
+	Key            string
+	ArrivedAtMilli int64          // when it arrived, in Unix milliseconds
+	RetentionMilli int64          // how long an outcome of this key is kept, counted from the arrival of the attempt that ran
+	Deadline       microtime.Time // by which whoever waits needs an answer
+}
+
+// AcquireLease asks whether an attempt may run. done is called once, on the loop, by the deadline or soon after it.
+func (h *Replica) AcquireLease(a Attempt, done func(Outcome)) {
+	key, at := a.Key, a.ArrivedAtMilli
 	e := h.keys[key]
 	if e == nil {
 		h.last++
 		e = &entry{name: key, number: h.last, wait: lookEvery}
 		h.keys[key] = e
 	}
-	e.at, e.window, e.due, e.done, e.touched = at, window, due, done, max(at, e.touched)
+	e.at, e.window, e.due, e.done, e.touched = at, a.RetentionMilli, a.Deadline, done, max(at, e.touched)
 	if e.State != execution.StateIdle && e.State != execution.StateReleasing && e.State != execution.StateRecorded { // the core has one run of a key at a time
 		h.logf("holdings: %q is asked for while it is in state %d", key, e.State)
 		h.say(e, execution.ActionReportIndeterminate, consensus.Value{})
@@ -410,9 +425,9 @@
 	h.move(e, execution.EventAttemptArrived, consensus.Value{})
 }
 
-// ReleaseLease says whether a leave that was given leads to a run. One that does not is taken back.
-func (h *Replica) ReleaseLease(key string, begun bool) {
-	if e := h.keys[key]; e != nil && !begun {
+// ReleaseLease gives back a lease that was granted and does not lead to a run.
+func (h *Replica) ReleaseLease(key string) {
+	if e := h.keys[key]; e != nil {
 		h.move(e, execution.EventRunNotStarted, consensus.Value{})
 	}
 }
@@ -437,15 +452,15 @@
 
 // Lookup asks what is agreed on a key, without a wish to run it. done is called once, on the loop: with Start where nothing stands in
 // a run's way, Serve, SayFailed, or SayUnknown.
-func (h *Replica) Lookup(key string, at, window int64, due microtime.Time, done func(Outcome)) {
+func (h *Replica) Lookup(a Attempt, done func(Outcome)) {
 	h.last++
-	h.move(&entry{name: key, number: h.last, looks: true, wait: lookEvery, at: at, window: window, due: due, done: done, Lifecycle: execution.Lifecycle{State: execution.StateHeldByOther}}, execution.EventRetryDue, consensus.Value{})
+	h.move(&entry{name: a.Key, number: h.last, looks: true, wait: lookEvery, at: a.ArrivedAtMilli, window: a.RetentionMilli, due: a.Deadline, done: done, Lifecycle: execution.Lifecycle{State: execution.StateHeldByOther}}, execution.EventRetryDue, consensus.Value{})
 }
 
-// HasRecord says that this server holds something of a key that a try of that time has to hear of.
-func (h *Replica) HasRecord(key string, at, window int64) bool {
-	v := h.node.Register(key).Value
-	return v.Kind != consensus.KindNone && at < v.AttemptedAt+window
+// HasRecord says whether this server holds something of the key that is within its retention when the attempt arrives.
+func (h *Replica) HasRecord(a Attempt) bool {
+	v := h.node.Register(a.Key).Value
+	return v.Kind != consensus.KindNone && a.ArrivedAtMilli < v.AttemptedAt+a.RetentionMilli
 }
 
 // move takes an intake a step on.
--- a/internal/replication/operate.go
+++ b/internal/replication/operate.go
@@ -65,7 +65,7 @@
 	if err != nil {
 		return err
 	}
-	g := consensus.Membership{ClusterID: name, ReplicationFactor: h.cfg.Copies, Reason: "founded"}
+	g := consensus.Membership{ClusterID: name, ReplicationFactor: h.cfg.ReplicationFactor, Reason: "founded"}
 	var missing []error
 	for _, p := range h.cfg.Peers {
 		life, ok := h.life(p.ID)
--- a/internal/server/copies.go
+++ b/internal/server/copies.go
@@ -64,6 +64,15 @@
 	return in.ArrivedAt + microtime.FromDuration(c.s.cfg.Settings.Classes[in.Class].Deadline) - leaveLead
 }
 
+func (c *copier) attempt(in dispatch.KeyedRequest) replication.Attempt {
+	return replication.Attempt{
+		Key:            c.key(in),
+		ArrivedAtMilli: c.at(in),
+		RetentionMilli: c.window(in),
+		Deadline:       c.due(in),
+	}
+}
+
 // leave is what an outcome means for the core.
 func (c *copier) leave(in dispatch.KeyedRequest, o replication.Outcome) dispatch.LeaseResult {
 	switch o.Action {
@@ -86,22 +95,22 @@
 
 // Lookup is part of routing.Recorder. Callers mark further tries; what this server holds itself it need not be told.
 func (c *copier) Lookup(in dispatch.KeyedRequest, done func(dispatch.LeaseResult)) bool {
-	key, at, window := c.key(in), c.at(in), c.window(in)
-	if !in.Retry && !c.h.HasRecord(key, at, window) {
+	attempt := c.attempt(in)
+	if !in.Retry && !c.h.HasRecord(attempt) {
 		return false
 	}
-	c.h.Lookup(key, at, window, c.due(in), func(o replication.Outcome) { done(c.leave(in, o)) })
+	c.h.Lookup(attempt, func(o replication.Outcome) { done(c.leave(in, o)) })
 	return true
 }
 
 // Acquire is part of routing.Recorder. A leave that comes when the try is past its deadline is none: guards the window against a
 // server that was stalled, and whose leave another has waited out since.
 func (c *copier) Acquire(in dispatch.KeyedRequest, done func(dispatch.LeaseResult)) {
-	key := c.key(in)
-	c.h.AcquireLease(key, c.at(in), c.window(in), c.due(in), func(o replication.Outcome) {
+	attempt := c.attempt(in)
+	c.h.AcquireLease(attempt, func(o replication.Outcome) {
 		l := c.leave(in, o)
 		if now := c.s.loop.Now(); l.Verdict == dispatch.VerdictGranted && now >= c.due(in)+leaveLead {
-			c.h.ReleaseLease(key, false)
+			c.h.ReleaseLease(attempt.Key)
 			l = dispatch.LeaseResult{Verdict: dispatch.VerdictIndeterminate}
 		}
 		done(l)
@@ -109,7 +118,7 @@
 }
 
 // Release is part of routing.Recorder.
-func (c *copier) Release(in dispatch.KeyedRequest) { c.h.ReleaseLease(c.key(in), false) }
+func (c *copier) Release(in dispatch.KeyedRequest) { c.h.ReleaseLease(c.key(in)) }
 
 // RecordFailure is part of routing.Recorder.
 func (c *copier) RecordFailure(in dispatch.KeyedRequest) {
