--- /dev/null
+++ b/cmd/pewterline-sim/gossip.go
@@ -0,0 +1,90 @@
+package main
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"runtime"
+	"sync"
+
+	"pewterline/internal/testbed/sim"
+)
+
+// exchangeSeconds is how long the instances of one run of a sim.GossipExperiment exchange gossip.
+const exchangeSeconds = 19
+
+type gossipCommand struct {
+	Edges   int     `default:"3" help:"Instances before the servers."`
+	Servers int     `default:"12" help:"Log servers."`
+	Dead    int     `default:"3" help:"Servers whose machine is gone."`
+	Slow    int     `default:"1" help:"Servers whose work takes five times as long."`
+	Rate    float64 `default:"120" help:"First attempts a second in all."`
+	Seeds   int     `default:"100" help:"Runs of each, from seed 1 on."`
+	Worst   bool    `help:"Draw faults of the profile worst from each seed as well."`
+}
+
+// Run plays the experiment without gossip and with it, and prints a table of quantiles over all seeds.
+func (c *gossipCommand) Run(out io.Writer) (int, error) {
+	code := exitClean
+	fmt.Fprintf(out, "%-8s %28s %28s %24s %10s\n",
+		"gossip", "tries wasted (50% 90%)", "in the first 2 s (50% 90%)", "worth (10% 50%)", "bytes/s")
+	for _, isOn := range []bool{false, true} {
+		results, err := c.play(isOn)
+		if err != nil {
+			return exitUsage, err
+		}
+		c.print(out, isOn, results)
+		for _, result := range results {
+			if result.Violations > 0 {
+				code = exitBroken
+			}
+		}
+	}
+	return code, nil
+}
+
+// play runs all seeds, as many at once as there are cores.
+func (c *gossipCommand) play(isOn bool) ([]sim.GossipResult, error) {
+	results := make([]sim.GossipResult, c.Seeds)
+	errs := make([]error, c.Seeds)
+	slots := make(chan struct{}, runtime.GOMAXPROCS(0))
+	var running sync.WaitGroup
+	for i := range c.Seeds {
+		running.Go(func() {
+			slots <- struct{}{}
+			defer func() { <-slots }()
+			experiment := sim.GossipExperiment{
+				Seed:       uint64(i + 1),
+				Edges:      c.Edges,
+				Servers:    c.Servers,
+				Dead:       c.Dead,
+				Slow:       c.Slow,
+				Rate:       c.Rate,
+				Gossip:     isOn,
+				DrawFaults: c.Worst,
+			}
+			results[i], errs[i] = experiment.Run()
+		})
+	}
+	running.Wait()
+	return results, errors.Join(errs...)
+}
+
+func (c *gossipCommand) print(out io.Writer, isOn bool, results []sim.GossipResult) {
+	at := func(q float64, figure func(sim.GossipResult) float64) float64 {
+		var values []float64
+		for _, result := range results {
+			values = append(values, figure(result))
+		}
+		return quantile(values, q)
+	}
+	wasted := func(r sim.GossipResult) float64 { return float64(r.Wasted) }
+	early := func(r sim.GossipResult) float64 { return float64(r.Early) }
+	served := func(r sim.GossipResult) float64 { return r.Worth }
+	bytesPerSecond := func(r sim.GossipResult) float64 {
+		return float64(r.Exchanged) / exchangeSeconds / float64(c.Edges)
+	}
+	fmt.Fprintf(out, "%-8v %20.0f %7.0f %22.0f %7.0f %17.3f %6.3f %10.0f\n", isOn,
+		at(0.5, wasted), at(0.9, wasted), at(0.5, early), at(0.9, early),
+		at(0.1, served), at(0.5, served), at(0.5, bytesPerSecond))
+}
--- a/cmd/pewterline-sim/main_test.go
+++ b/cmd/pewterline-sim/main_test.go
@@ -22,31 +22,37 @@
 	bad, good := filepath.Join(dir, "bad.txt"), filepath.Join(dir, "good.txt")
 	require.NoError(t, os.WriteFile(bad, []byte("world seed=1 servers=1 seconds=1\nfault at=1s kind=quake\n"), 0o600))
 	require.NoError(t, os.WriteFile(good, []byte("world seed=1 servers=1 proxies=1 seconds=1 rate=5\nfault at=500ms kind=hup node=s0\n"), 0o600))
-	for _, c := range []struct {
+	for _, test := range []struct {
 		args []string
 		code int
 		says string
 	}{
-		{[]string{"run", "--script", good}, clean, "simulated"},
-		{[]string{"run", "--seed", "3", "--profile", "calm", "--seconds", "1", "--print"}, clean, "world seed=3 profile=calm"},
-		{[]string{"run", "--seed", "3", "--profile", "calm", "--seconds", "1", "--vault"}, clean, "call's reply: yes"},
-		{[]string{"run", "--vault", "--edges", "2"}, faulty, "vault: edges pass work on"},
-		{[]string{"run", "--script", bad}, faulty, "line 2: kind: unknown \"quake\""},
-		{[]string{"run", "--script", filepath.Join(dir, "none")}, faulty, "none"},
-		{[]string{"run", "--profile", "tea"}, faulty, "profile: unknown"},
-		{[]string{"run", "--servers", "0"}, faulty, "servers: 0 is not within"},
-		{[]string{"run", "--colour"}, faulty, "--colour"},
-		{[]string{"hunt", "--seeds", "5"}, faulty, "--seeds"},
-		{[]string{"hunt", "--seeds", "5..4"}, faulty, "--seeds"},
-		{[]string{"hunt", "--seeds", "5.."}, faulty, "--for or --most"},
-		{[]string{"hunt", "--seeds", "1..4", "--seconds", "1", "--servers", "1"}, clean, "4 runs"},
-		{[]string{"shrink", "--script", good}, clean, "no rule is broken"},
-		{[]string{"planted"}, faulty, "-tags planted"},
-		{[]string{"--help"}, clean, "Plays the log server"},
+		{[]string{"run", "--script", good}, exitClean, "simulated"},
+		{[]string{"run", "--seed", "3", "--profile", "calm", "--seconds", "1", "--print"},
+			exitClean, "world seed=3 profile=calm"},
+		{[]string{"run", "--seed", "3", "--profile", "calm", "--seconds", "1", "--vault"}, exitClean, "call's reply: yes"},
+		{[]string{"run", "--vault", "--edges", "2"}, exitUsage, "vault: edges pass work on"},
+		{[]string{"run", "--script", bad}, exitUsage, "line 2: kind: unknown \"quake\""},
+		{[]string{"run", "--script", filepath.Join(dir, "none")}, exitUsage, "none"},
+		{[]string{"run", "--profile", "tea"}, exitUsage, "profile: unknown"},
+		{[]string{"run", "--servers", "0"}, exitUsage, "servers: 0 is not within"},
+		{[]string{"run", "--colour"}, exitUsage, "--colour"},
+		{[]string{"search", "--seeds", "5"}, exitUsage, "--seeds"},
+		{[]string{"search", "--seeds", "5..4"}, exitUsage, "--seeds"},
+		{[]string{"search", "--seeds", "5.."}, exitUsage, "--duration or --max-findings"},
+		{[]string{"search", "--seeds", "1..4", "--seconds", "1", "--servers", "1"}, exitClean, "4 runs"},
+		{[]string{"hunt", "--seeds", "5..4"}, exitUsage, "--seeds"},
+		{[]string{"hunt", "--seeds", "1..", "--for", "1ns", "--most", "1", "--seconds", "1"}, exitClean, "0 broke a rule"},
+		{[]string{"routes", "--trouble", "none", "--seeds", "1", "--seconds", "1"}, exitClean, "round robin"},
+		{[]string{"learn", "--seeds", "1", "--dead", "0", "--rate", "10"}, exitClean, "bytes/s"},
+		{[]string{"procs", "hunt", "--config", "../../example/config.json", "--seeds", "5..4"}, exitUsage, "--seeds"},
+		{[]string{"shrink", "--script", good}, exitClean, "no rule is broken"},
+		{[]string{"planted"}, exitUsage, "-tags planted"},
+		{[]string{"--help"}, exitClean, "Plays the log server"},
 	} {
-		code, out, errs := call(t, c.args...)
-		require.Equal(t, c.code, code, "%v: %s%s", c.args, out, errs)
-		require.Contains(t, out+errs, c.says, "%v", c.args)
+		code, out, errs := call(t, test.args...)
+		require.Equal(t, test.code, code, "%v: %s%s", test.args, out, errs)
+		require.Contains(t, out+errs, test.says, "%v", test.args)
 	}
 }
 
@@ -54,7 +60,7 @@
 func TestDigest(t *testing.T) {
 	args := []string{"--seed", "7", "--seconds", "2", "--servers", "2"}
 	code, one, _ := call(t, append([]string{"run", "--digest"}, args...)...)
-	require.Equal(t, clean, code)
+	require.Equal(t, exitClean, code)
 	require.Regexp(t, `^digest: [0-9a-f]{16}\n$`, one)
 	_, text, _ := call(t, append([]string{"run", "--print", "--digest"}, args...)...)
 	file := filepath.Join(t.TempDir(), "s.txt")
--- a/cmd/pewterline-sim/planted.go
+++ b/cmd/pewterline-sim/planted.go
@@ -14,7 +14,7 @@
 	"pewterline/internal/testbed/sim"
 )
 
-type plantedCmd struct {
+type plantedCommand struct {
 	worldFlags
 	Bug    string        `help:"One bug alone; else all."`
 	Series int           `default:"5" help:"Series of seeds, each hunted at random and guided."`
@@ -25,19 +25,19 @@
 
 // Run hunts each planted bug in several series of seeds, at random and guided, and prints how many scripts and how
 // long that took.
-func (c *plantedCmd) Run(out io.Writer) (int, error) {
+func (c *plantedCommand) Run(out io.Writer) (int, error) {
 	if !planted.Built {
-		return faulty, fmt.Errorf("planted: this program has no planted bugs; build it with: go build -tags planted -o bin/ ./cmd/pewterline-sim")
+		return exitUsage, fmt.Errorf("planted: this program has no planted bugs; build it with: go build -tags planted -o bin/ ./cmd/pewterline-sim")
 	}
 	bugs := planted.All
 	if c.Bug != "" {
 		if !slices.Contains(bugs, planted.ID(c.Bug)) {
-			return faulty, fmt.Errorf("--bug: %q is none of %v", c.Bug, bugs)
+			return exitUsage, fmt.Errorf("--bug: %q is none of %v", c.Bug, bugs)
 		}
 		bugs = []planted.ID{planted.ID(c.Bug)}
 	}
 	defer planted.Set(planted.None)
-	code := clean
+	code := exitClean
 	fmt.Fprintf(out, "%-18s %-8s %s\n", "bug", "search", "runs until found (seconds), one pair for each series; then the median")
 	var all [2][]float64
 	for _, bug := range bugs {
@@ -50,17 +50,17 @@
 					Length: c.length(), Rate: c.Rate, Guided: mode == 1, Jobs: c.Jobs, MaxFindings: 1}
 				p, err := h.Run()
 				if err != nil {
-					return faulty, err
+					return exitUsage, err
 				}
 				if len(p.Findings) == 0 {
 					text += fmt.Sprintf(" none in %d (%.0f)", p.Runs, p.Took.Seconds())
-					runs, secs, code = append(runs, math.Inf(1)), append(secs, math.Inf(1)), broken
+					runs, secs, code = append(runs, math.Inf(1)), append(secs, math.Inf(1)), exitBroken
 					continue
 				}
 				f := p.Findings[0]
 				if c.Out != "" && series == 0 && mode == 0 {
 					if err := c.keep(bug, f.Script); err != nil {
-						return faulty, err
+						return exitUsage, err
 					}
 				}
 				text += fmt.Sprintf(" %d (%.1f)", f.Run, f.After.Seconds())
@@ -81,7 +81,7 @@
 }
 
 // keep writes a small script that shows the bug.
-func (c *plantedCmd) keep(bug planted.ID, s faults.Script) error {
+func (c *plantedCommand) keep(bug planted.ID, s faults.Script) error {
 	least, v, err := sim.Shrink(s, 1000, nil)
 	if err != nil {
 		return err
@@ -89,8 +89,3 @@
 	text := fmt.Sprintf("# %s: %s\n%s", bug, v.Key(), least.String())
 	return os.WriteFile(filepath.Join(c.Out, string(bug)+".txt"), []byte(text), 0o644)
 }
-
-func median(v []float64) float64 {
-	v = slices.Sorted(slices.Values(v))
-	return v[len(v)/2]
-}
