--- a/internal/decide/consensus/copies.go
+++ b/internal/decide/consensus/copies.go
@@ -10,8 +10,6 @@
 	"cmp"
 	"maps"
 	"slices"
-
-	"pewterline/internal/planted"
 )
 
 // Ballot orders attempts to change a key. No two attempts have the same one: a server that starts anew may not know which
@@ -120,7 +118,7 @@
 		out.OK, out.Accepted, out.Value = true, s.Accepted, s.Value
 		return out, false, true
 	}
-	if r.Ballot.Less(s.Promised) && !(planted.Bug(planted.CopyPromise) && r.Accept) {
+	if r.Ballot.Less(s.Promised) {
 		out.Promised = s.Promised
 		return out, false, true
 	}
@@ -319,15 +317,8 @@
 
 // agreed says that a majority of each set has voted, or all.
 func (o *Proposal) agreed(all bool) bool {
-	for i, set := range o.sets {
+	for _, set := range o.sets {
 		n, want := 0, len(set)/2+1
-		if planted.Bug(planted.CopyMinority) {
-			want = (len(set) + 1) / 2
-			want -= len(set) % 2
-		}
-		if planted.Bug(planted.CopyOneSet) && i < len(o.sets)-1 {
-			continue
-		}
 		if all {
 			want = max(want, len(slices.DeleteFunc(slices.Clone(set), func(m Identity) bool { return slices.Contains(o.absent, m) })))
 		}
@@ -360,7 +351,7 @@
 	if o.peek {
 		return o.peeked(r)
 	}
-	if !o.accept && o.newest.Less(r.Accepted) && !(planted.Bug(planted.CopyFirst) && o.value.Kind != KindNone) {
+	if !o.accept && o.newest.Less(r.Accepted) {
 		o.newest, o.value = r.Accepted, r.Value
 	}
 	switch {
--- a/internal/decide/consensus/node.go
+++ b/internal/decide/consensus/node.go
@@ -7,7 +7,6 @@
 	"slices"
 
 	"pewterline/internal/microtime"
-	"pewterline/internal/planted"
 )
 
 // Config says how a Node goes about its changes.
@@ -579,7 +578,7 @@
 		n.decide(now, g.back())
 		return n.rejoin
 	}
-	if (len(n.owed) > 0 || n.scansOwed()) && !planted.Bug(planted.CopyEarly) {
+	if len(n.owed) > 0 || n.scansOwed() {
 		return microtime.Never // repairs have a time of their own
 	}
 	if now < n.nextMark {
--- a/internal/decide/consensus/node_test.go
+++ b/internal/decide/consensus/node_test.go
@@ -22,17 +22,20 @@
 // each other, nodes die and come back with what they had made durable, or without it and as another life, which takes its old
 // self's place; members come and go.
 type cluster struct {
-	rng     *rand.Rand
-	now     microtime.Time
-	nodes   []*sim
-	net     []sending
-	cut     map[int]bool // on the one side of a partition
-	history []porcupine.Operation
-	runs    map[string]int
-	known   int
-	lossy   bool
-	wipes   int
-	changes int
+	t *testing.T
+	// override takes the place of deliver, for a planted bug; nil: there is none.
+	override func(*cluster, *sim, sending)
+	rng      *rand.Rand
+	now      microtime.Time
+	nodes    []*sim
+	net      []sending
+	cut      map[int]bool // on the one side of a partition
+	history  []porcupine.Operation
+	runs     map[string]int
+	known    int
+	lossy    bool
+	wipes    int
+	changes  int
 }
 
 type sim struct {
@@ -78,7 +81,7 @@
 
 // newCluster is a group of members and some servers that are not of it.
 func newCluster(t *testing.T, seed uint64, copies, size, spares int) *cluster {
-	c := &cluster{rng: rand.New(rand.NewPCG(seed, 9)), cut: map[int]bool{}, runs: map[string]int{}, lossy: true}
+	c := &cluster{t: t, rng: rand.New(rand.NewPCG(seed, 9)), cut: map[int]bool{}, runs: map[string]int{}, lossy: true}
 	g := Membership{ClusterID: 7, Epoch: 1, ReplicationFactor: copies}
 	for i := range size {
 		g.Current = append(g.Current, peer(i+1, 1))
@@ -204,6 +207,26 @@
 	return n
 }
 
+// deliver hands a message to its receiver.
+func (c *cluster) deliver(s *sim, m sending) {
+	switch k := m.m.(type) {
+	case Request:
+		s.HandleRequest(m.who, k)
+	case Reply:
+		if k.Ballot.Proposer == s.ProposerID {
+			s.HandleReply(c.now, k)
+		}
+	case Membership:
+		require.NoError(c.t, s.AdoptMembership(c.now, k))
+	case TransferAck:
+		s.HandleTransferAck(k)
+	case hello:
+		if uint64(k) < s.Membership().Epoch {
+			c.post(m.to, m.from, s.Membership(), s.AcceptorID)
+		}
+	}
+}
+
 func (c *cluster) step(t *testing.T) {
 	c.now += 500
 	for i := 0; i < len(c.net); i++ {
@@ -214,21 +237,10 @@
 		c.net = slices.Delete(c.net, i, i+1)
 		i--
 		if s := c.nodes[m.to]; !s.dead && c.cut[m.from] == c.cut[m.to] {
-			switch k := m.m.(type) {
-			case Request:
-				s.HandleRequest(m.who, k)
-			case Reply:
-				if k.Ballot.Proposer == s.ProposerID {
-					s.HandleReply(c.now, k)
-				}
-			case Membership:
-				require.NoError(t, s.AdoptMembership(c.now, k))
-			case TransferAck:
-				s.HandleTransferAck(k)
-			case hello:
-				if uint64(k) < s.Membership().Epoch {
-					c.post(m.to, m.from, s.Membership(), s.AcceptorID)
-				}
+			if c.override != nil {
+				c.override(c, s, m)
+			} else {
+				c.deliver(s, m)
 			}
 			s.due = 0
 		}
@@ -327,7 +339,7 @@
 			t.Run(fmt.Sprint(w), func(t *testing.T) {
 				t.Parallel()
 				for seed := uint64(w); seed < uint64(*seedsMost); seed += 6 {
-					c, wrong := playGroup(t, seed)
+					c, wrong := playGroup(t, seed, nil)
 					require.Empty(t, wrong, "seed %d", seed)
 					mu.Lock()
 					for range c.runs {
@@ -351,9 +363,10 @@
 }
 
 // playGroup plays a group from a seed; it returns what is wrong, if anything is.
-func playGroup(t *testing.T, seed uint64) (*cluster, string) {
+func playGroup(t *testing.T, seed uint64, override func(*cluster, *sim, sending)) (*cluster, string) {
 	copies := 3 + 2*int(seed%2)
 	c := newCluster(t, seed, copies, copies+int(seed/2%3), 2)
+	c.override = override
 	load := func(n int) {
 		if c.rng.IntN(25) == 0 {
 			if i := c.rng.IntN(len(c.nodes)); !c.nodes[i].dead {
