--- a/internal/dispatch/calls.go
+++ b/internal/dispatch/calls.go
@@ -1,140 +1,138 @@
 package dispatch
 
 import (
-	"fmt"
-
 	"pewterline/control"
 	"pewterline/internal/decide/calls"
 	"pewterline/internal/microtime"
 )
 
-// Downstream carries out the calls that runs wait for. Each Ask is followed by one Core.CallEnded with its id, unless GiveUp or
-// another Ask with that id comes first; none of them is called before Ask or GiveUp returns.
+// Downstream carries out the calls that runs wait for. Each Call is followed by one Core.CallEnded with its ID, unless
+// Abandon or another Call with that ID comes first; none of them comes before Call or Abandon has returned.
 type Downstream interface {
-	// Ask makes a call. Its body is not changed.
+	// Call makes a call. Its body is not changed.
 	Call(calls.Request)
-	// GiveUp ends the wait for a call; its effect is not known.
+	// Abandon ends the wait for a call, whose effect is not known then.
 	Abandon(id string)
 }
 
-// CallingBackend is a Runner whose runs may wait for calls: it tells so by Core.Blocked.
-type CallingBackend interface {
-	Backend
-	// Supply hands a run the reply that it waits for. reply is not changed.
-	DeliverReply(id string, reply []byte)
-}
-
 // call is what a run waits for.
 type call struct {
-	body  []byte
-	asked microtime.Time // while it is in hand
-	// last is how this call ended before, where it was made: what follows depends on it.
-	last calls.Outcome
-	made bool
+	body   []byte
+	sentAt microtime.Time // while it is in flight
+	// lastOutcome is how the call ended before, where it was made: what may follow depends on it.
+	lastOutcome calls.Outcome
+	made        bool
 }
 
-// ended notes an end of the call; what one end has left open, no later one proves.
+// ended notes an end of the call. What one end has left open, no later one proves.
 func (k *call) ended(outcome calls.Outcome) {
-	if !k.made || k.last.Effect() == calls.NotExecuted {
-		k.last = outcome
+	if !k.made || k.lastOutcome.Effect() == calls.NotExecuted {
+		k.lastOutcome = outcome
 	}
 	k.made = true
 }
 
-// checkCalls turns down settings whose calls this runner cannot carry out.
-func checkCalls(s control.Settings, runner Backend) error {
-	if s.Dependency == control.DependencyNone {
+// checkCalls turns down settings whose calls the backend cannot carry out.
+func checkCalls(settings control.Settings, backend Backend) error {
+	if settings.Dependency == control.DependencyNone {
 		return nil
 	}
-	if _, ok := runner.(CallingBackend); !ok {
-		return fmt.Errorf("routing: settings.extra.downstream: calls need a worker pool to do the work")
+	if _, ok := backend.(CallingBackend); !ok {
+		return ErrCallsUnsupported
 	}
 	return nil
 }
 
-// UseDownstream has runs call by way of e.
-func (c *Core) UseDownstream(e Downstream) { c.callee = e }
+// UseDownstream has runs make their calls by way of downstream.
+func (c *Core) UseDownstream(downstream Downstream) { c.downstream = downstream }
 
-// RunBlocked says that the run of id waits for a call with this body. The core keeps body.
+// RunBlocked says that the run of an attempt waits for a call with this body. The core keeps body.
 func (c *Core) RunBlocked(id string, body []byte) {
-	r := c.runs[id]
-	if r == nil || !r.state.started() {
+	req := c.requests.byRunID[id]
+	if req == nil || !req.state.started() {
 		return
 	}
-	was := r.state
-	c.giveUpCall(r)
-	r.state = blocked
-	if r.call == nil { // else the run has had no reply, and cannot have gone on: what became of its call before still counts
-		r.call = &call{}
-	}
-	r.call.body = body
-	switch was {
-	case running:
-		c.events = append(c.events, control.CallNeeded{ID: r.id})
-	case calling:
-		c.events = append(c.events, control.CallFinished{ID: r.id, Outcome: calls.ConnectionLost.ControlOutcome()})
+	before := req.state
+	c.abandonCall(req)
+	req.state = stateBlocked
+	if req.call == nil {
+		req.call = &call{}
+	} // Else the run has had no reply, and cannot have gone on: what became of its call before still counts.
+	req.call.body = body
+	switch before {
+	case stateRunning:
+		c.events = append(c.events, control.CallNeeded{ID: req.id})
+	case stateCalling:
+		outcome := calls.ConnectionLost.ControlOutcome()
+		c.events = append(c.events, control.CallFinished{ID: req.id, Outcome: outcome})
+	default: // It was told before, and the decision module knows.
 	}
 }
 
-// makeCall carries out the module's leave. Guards the rule on effects itself, whatever the decisions were: a call that may have
-// had its effect is not made again for a request that may run once.
-func (c *Core) makeCall(r *request, wait microtime.Time) {
-	if r == nil || r.state != blocked || r.answered || c.callee == nil {
+// makeCall makes the call that a run waits for. A call that may have had its effect is not made again for a request
+// that may run once, whatever was decided.
+func (c *Core) makeCall(req *request, timeout microtime.Time) {
+	if req == nil || req.state != stateBlocked || req.answered || c.downstream == nil {
 		return
 	}
-	class := c.settings.Classes[r.Class]
-	if r.call.made && !calls.MayRepeat(class.Idempotency, r.call.last) {
-		c.logf("routing: call of %s withheld: the one before may have run", r.RunID)
-		c.answer(r, Response{Status: StatusFailed, Reason: "whether its call ran is not known"})
-		c.events = append(c.events, control.RequestCancelled{ID: r.id}) // the module takes the call for made
+	class := c.class(req)
+	if req.call.made && !calls.MayRepeat(class.Idempotency, req.call.lastOutcome) {
+		c.logf("dispatch: call of %s withheld: the one before may have run", req.RunID)
+		c.respond(req, failed(reasonCallUncertain))
+		// The decision module takes the call for made.
+		c.events = append(c.events, control.RequestCancelled{ID: req.id})
 		return
 	}
-	if wait <= 0 {
-		wait = microtime.FromDuration(class.Deadline)
+	if timeout <= 0 {
+		timeout = microtime.FromDuration(class.Deadline)
 	}
-	r.state, r.call.asked = calling, c.now
-	repeatable := calls.MayRepeat(class.Idempotency, calls.Abandoned)
-	c.callee.Call(calls.Request{ID: r.RunID, Timeout: wait, Idempotent: repeatable, Body: r.call.body})
+	req.state, req.call.sentAt = stateCalling, c.now
+	c.downstream.Call(calls.Request{
+		ID:         req.RunID,
+		Timeout:    timeout,
+		Idempotent: calls.MayRepeat(class.Idempotency, calls.Abandoned),
+		Body:       req.call.body,
+	})
 }
 
 // skipCall lets a run go on without its call. The worker pool has no word for it: an empty reply has the run go on.
-func (c *Core) skipCall(r *request) {
-	if r == nil || r.state != blocked || r.answered {
+func (c *Core) skipCall(req *request) {
+	if req == nil || req.state != stateBlocked || req.answered {
 		return
 	}
-	c.resume(r, nil)
+	c.resume(req, nil)
 }
 
-// CallEnded says how a call ended that Callee.Ask made. The core keeps reply, which only calls.Answered has.
+// CallEnded says how a call ended that Downstream.Call made. The core keeps reply, which only calls.Answered has.
 func (c *Core) CallEnded(now microtime.Time, id string, outcome calls.Outcome, reply []byte) {
-	r := c.runs[id]
-	if r == nil || r.state != calling {
+	req := c.requests.byRunID[id]
+	if req == nil || req.state != stateCalling {
 		return
 	}
-	took := max(now-r.call.asked, 0)
-	c.events = append(c.events, control.CallFinished{ID: r.id, Outcome: outcome.ControlOutcome(), Took: took.Duration()})
+	took := max(now-req.call.sentAt, 0).Duration()
+	c.events = append(c.events, control.CallFinished{ID: req.id, Outcome: outcome.ControlOutcome(), Took: took})
 	if outcome == calls.Answered {
-		c.resume(r, reply)
+		c.resume(req, reply)
 		return
 	}
-	r.state = blocked
-	r.call.ended(outcome)
+	req.state = stateBlocked
+	req.call.ended(outcome)
 }
 
 // resume hands a run the reply to its call.
-func (c *Core) resume(r *request, reply []byte) {
-	r.state, r.call = running, nil
-	if runner, ok := c.runner.(CallingBackend); ok {
-		runner.DeliverReply(r.RunID, reply)
+func (c *Core) resume(req *request, reply []byte) {
+	req.state, req.call = stateRunning, nil
+	if backend, ok := c.backend.(CallingBackend); ok {
+		backend.DeliverReply(req.RunID, reply)
 	}
 }
 
-// giveUpCall ends the wait for a call of a request that is over, or whose run has ended or is stopped.
-func (c *Core) giveUpCall(r *request) {
-	if r.state != calling {
+// abandonCall ends the wait for a call in flight, of a request that is over or whose run has ended or is stopped.
+func (c *Core) abandonCall(req *request) {
+	if req.state != stateCalling {
 		return
 	}
-	r.state = blocked
-	r.call.ended(calls.Abandoned)
-	c.callee.Abandon(r.RunID)
+	req.state = stateBlocked
+	req.call.ended(calls.Abandoned)
+	c.downstream.Abandon(req.RunID)
 }
--- /dev/null
+++ b/internal/dispatch/core.go
@@ -0,0 +1,266 @@
+package dispatch
+
+import (
+	"fmt"
+	"slices"
+	"time"
+
+	"pewterline/control"
+	"pewterline/internal/decide/handoff"
+	"pewterline/internal/microtime"
+	"pewterline/internal/planted"
+)
+
+// Controller is the decision module as the core uses it; control.Controller describes each method.
+type Controller interface {
+	Step(now time.Duration, events []control.Event) []control.Action
+	Reconfigure(control.Settings) error
+	LearnedState() control.LearnedState
+	RestoreLearned(control.LearnedState)
+}
+
+// Config is what a Core is made of.
+type Config struct {
+	Settings control.Settings
+	Backend  Backend
+	// Logf takes lines for the operators.
+	Logf func(format string, args ...any)
+	// NewController makes the decision module; nil for control.New.
+	NewController func(control.Settings) (Controller, error)
+}
+
+// Core carries requests between the frontends, the decision module and the backend.
+type Core struct {
+	settings      control.Settings
+	newController func(control.Settings) (Controller, error)
+	controller    Controller            // nil until Start
+	learned       *control.LearnedState // of a predecessor; nil where there was none
+	backend       Backend
+	downstream    Downstream     // nil: runs make no calls
+	store         ExecutionStore // nil: results are kept in memory only
+	peer          PeerProcess    // nil: this process is alone
+	role          handoff.Role
+	logf          func(format string, args ...any)
+
+	now      microtime.Time
+	requests registry
+	keys     keyTable
+	parked   parkedRequests
+	events   []control.Event // for the next step of the decision module
+	deferred []deferredResponse
+	ticks    tickSchedule
+	gauges   control.Gauges
+	counters counterTable
+	drain    drainNotice
+
+	health      healthStatus
+	signal      loadSignal
+	idleTimeout microtime.Time
+}
+
+// deferredResponse goes out with the next step, without the decision module.
+type deferredResponse struct {
+	request  *request
+	response Response
+}
+
+// drainNotice is the notice to leave.
+type drainNotice struct {
+	received bool
+	at       microtime.Time
+}
+
+// New returns a core whose decision module starts with Start. An error wraps that of the module where the settings make
+// no sense, or is ErrCallsUnsupported.
+func New(config Config) (*Core, error) {
+	if err := checkCalls(config.Settings, config.Backend); err != nil {
+		return nil, err
+	}
+	core := &Core{
+		settings:      config.Settings,
+		newController: config.NewController,
+		backend:       config.Backend,
+		logf:          config.Logf,
+		requests:      newRegistry(),
+		keys:          newKeyTable(),
+		counters:      newCounterTable(),
+		gauges:        control.Gauges{CPUUtilization: -1, Runnable: -1, Memory: -1, Connections: -1},
+		health:        healthStatus{healthy: true},
+	}
+	if core.newController == nil {
+		core.newController = newControlModule
+	}
+	// A trial, so that settings that make no sense fail early: whether the machine is cold is known at Start alone.
+	if _, err := core.newController(config.Settings); err != nil {
+		return nil, fmt.Errorf("dispatch: settings: %w", err)
+	}
+	core.counters.assign(config.Settings.Classes)
+	return core, nil
+}
+
+func newControlModule(settings control.Settings) (Controller, error) { return control.New(settings) }
+
+// Start starts the decision module, on a machine that has been up for age; cold says that the machine started cold.
+// Only the first call counts. The module dates the start of its machine by its first step, so that step is dated
+// back.
+func (c *Core) Start(now, age microtime.Time, cold bool) {
+	if c.controller != nil {
+		return
+	}
+	settings := c.settings
+	settings.ColdStart = settings.ColdStart || cold
+	controller, err := c.newController(settings)
+	if err != nil { // New and Reload have tried the same settings.
+		panic(fmt.Sprintf("dispatch: settings: %v", err))
+	}
+	c.controller = controller
+	if c.learned != nil {
+		controller.RestoreLearned(*c.learned)
+		// A predecessor that has advertised nothing yet has learned 0, which an allowance would take for "send nothing".
+		c.signal.value = c.learned.Said
+		c.signal.known = settings.LoadSignal != control.LoadSignalNone && c.learned.Said > 0
+	}
+	bornAt := max(now-age, 0)
+	c.apply(now, controller.Step(bornAt.Duration(), nil))
+	c.ticks.postponeTo(now) // The tick that the dated step has asked for counts from now on.
+}
+
+// SetGauges notes the latest readings of the backend's machine.
+func (c *Core) SetGauges(gauges control.Gauges) { c.gauges = gauges }
+
+// OpenRequests counts the requests that are owed a response.
+func (c *Core) OpenRequests() int { return c.requests.unanswered }
+
+// LearnedState is what the decision module has found out about its machine.
+func (c *Core) LearnedState() control.LearnedState {
+	if c.controller == nil {
+		return control.LearnedState{}
+	}
+	return c.controller.LearnedState()
+}
+
+// RestoreLearned has the decision module start with what a predecessor has found out. It counts before Start alone.
+func (c *Core) RestoreLearned(learned control.LearnedState) { c.learned = &learned }
+
+// Drain is the notice to leave, which came at a time up to now; the process is stopped at stopAt.
+func (c *Core) Drain(now, at, stopAt microtime.Time) {
+	if c.drain.received {
+		return
+	}
+	c.Start(now, 0, false)
+	c.drain = drainNotice{received: true, at: at}
+	if !planted.Bug(planted.LateStart) {
+		c.events = append(c.events, control.DrainRequested{StopAt: stopAt.Duration(), Age: (now - at).Duration()})
+	}
+}
+
+// Drained says that the notice to leave has come and no request is owed a response.
+func (c *Core) Drained() bool { return c.drain.received && c.requests.unanswered == 0 }
+
+// NextWakeup is when Step has something to do, whatever happens before that.
+func (c *Core) NextWakeup() microtime.Time {
+	if len(c.events)+len(c.deferred) > 0 {
+		return c.now
+	}
+	next := c.ticks.next()
+	for _, req := range c.parked.requests {
+		next = min(next, c.parkedDeadline(req))
+	}
+	return next
+}
+
+// Step hands all that has come in since the last step to the decision module, and carries out its actions.
+func (c *Core) Step(now microtime.Time) {
+	c.now = now
+	if c.controller == nil {
+		return
+	}
+	for _, d := range c.deferred {
+		c.respond(d.request, d.response)
+		c.forget(d.request)
+	}
+	c.deferred = nil
+	c.expireParked(now)
+	c.notifyReleasedKeys()
+	due := c.ticks.takeDue(now)
+	for _, token := range due {
+		c.events = append(c.events, control.Tick{Token: token, Gauges: c.gauges})
+	}
+	if len(c.events) == 0 {
+		return
+	}
+	events := c.events
+	c.events = nil
+	c.apply(now, c.controller.Step(now.Duration(), events))
+	c.notifyReleasedKeys()
+	if len(due) > 0 {
+		c.backend.RequestGauges()
+		c.keys.sweep(now)
+	}
+}
+
+// respondLater has a response go out with the next step.
+func (c *Core) respondLater(req *request, response Response) {
+	c.deferred = append(c.deferred, deferredResponse{req, response})
+}
+
+// respond sends the one response to a request. It goes nowhere where the caller has one already, or has left.
+func (c *Core) respond(req *request, response Response) {
+	if req.answered && !planted.Bug(planted.AnswerTwice) {
+		return
+	}
+	c.settle(req)
+	c.counters.count(req.Class, response.Status)
+	req.Responder.Respond(response)
+}
+
+// settle notes that no response is owed any more.
+func (c *Core) settle(req *request) {
+	if req.answered {
+		return
+	}
+	req.answered = true
+	c.requests.unanswered--
+	c.abandonCall(req)
+}
+
+// forget drops a request that is over.
+func (c *Core) forget(req *request) {
+	c.requests.remove(req)
+	c.parked.remove(req)
+	if req.entry != nil {
+		req.entry.removeWaiter(req)
+	}
+}
+
+// FailAll fails all requests that are owed a response: the process ends now.
+func (c *Core) FailAll() {
+	ids := make([]control.RequestID, 0, len(c.requests.byID))
+	for id := range c.requests.byID {
+		ids = append(ids, id)
+	}
+	slices.Sort(ids)
+	for _, id := range ids {
+		req := c.requests.byID[id]
+		c.respond(req, failed(reasonProcessShutdown))
+		c.events = append(c.events, control.RequestCancelled{ID: id})
+		if !req.state.started() {
+			c.forget(req)
+		}
+	}
+}
+
+// class is the settings of a request's class.
+func (c *Core) class(req *request) control.Class { return c.settings.Classes[req.Class] }
+
+// deadline is when the caller of a request waits no longer.
+func (c *Core) deadline(req *request) microtime.Time {
+	return req.ArrivedAt + microtime.FromDuration(c.class(req).Deadline)
+}
+
+// retentionWindow is how long after arriving a request of a class may come again.
+func (c *Core) retentionWindow(class int) microtime.Time {
+	return microtime.FromDuration(c.settings.Classes[class].RetentionWindow)
+}
+
+func (c *Core) knownClass(class int) bool { return class >= 0 && class < len(c.settings.Classes) }
--- /dev/null
+++ b/internal/dispatch/harness_test.go
@@ -0,0 +1,105 @@
+package dispatch
+
+import (
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"pewterline/control"
+	"pewterline/internal/microtime"
+)
+
+// harness is a core whose backend and execution store the test plays.
+type harness struct {
+	t     *testing.T
+	core  *Core
+	now   microtime.Time
+	tried int
+
+	started []string
+
+	lookups       bool // the store asks others
+	lookupDone    []func(LeaseResult)
+	lookupAtOnce  *LeaseResult // what the store answers before Lookup returns
+	acquired      []KeyedRequest
+	acquireDone   []func(LeaseResult)
+	holdAcquires  bool // leases are not durable before the test says so
+	recorded      []KeyedRequest
+	recordDone    []func(error)
+	releasedKeys  []string
+	failureOfKeys []string
+}
+
+func (h *harness) Start(run Run)  { h.started = append(h.started, run.ID) }
+func (h *harness) Cancel(string)  {}
+func (h *harness) RequestGauges() {}
+
+func (h *harness) Lookup(_ KeyedRequest, done func(LeaseResult)) bool {
+	switch {
+	case h.lookupAtOnce != nil:
+		done(*h.lookupAtOnce)
+	case h.lookups:
+		h.lookupDone = append(h.lookupDone, done)
+	}
+	return h.lookups
+}
+
+func (h *harness) Acquire(request KeyedRequest, done func(LeaseResult)) {
+	h.acquired = append(h.acquired, request)
+	if h.holdAcquires {
+		h.acquireDone = append(h.acquireDone, done)
+		return
+	}
+	done(LeaseResult{})
+}
+
+func (h *harness) Release(request KeyedRequest) {
+	h.releasedKeys = append(h.releasedKeys, request.IdempotencyKey)
+}
+
+func (h *harness) RecordFailure(request KeyedRequest) {
+	h.failureOfKeys = append(h.failureOfKeys, request.IdempotencyKey)
+}
+
+func (h *harness) RecordResult(request KeyedRequest, done func(error)) {
+	h.recorded = append(h.recorded, request)
+	h.recordDone = append(h.recordDone, done)
+}
+
+func newHarness(t *testing.T) *harness {
+	h := &harness{t: t, now: 100 * microtime.Second}
+	settings := control.Settings{Cores: 2, MaxRetryAfter: time.Second, Classes: []control.Class{
+		{Name: "view", LatencyObjective: time.Second, Deadline: 4 * time.Second, Weight: 1},
+		{Name: "intake", LatencyObjective: time.Second, Deadline: 4 * time.Second, Weight: 10,
+			Idempotency: control.IdempotentByKey, RetentionWindow: 13 * time.Second},
+	}}
+	var err error
+	h.core, err = New(Config{Settings: settings, Backend: h, Logf: t.Logf})
+	require.NoError(t, err)
+	return h
+}
+
+// recordingResponder keeps the responses to a request.
+type recordingResponder struct{ got []Response }
+
+func (r *recordingResponder) Respond(response Response) { r.got = append(r.got, response) }
+
+// try submits one attempt of a keyed request and ends the turn.
+func (h *harness) try(key string) (response *recordingResponder, runID string) {
+	h.t.Helper()
+	h.tried++
+	response, runID = &recordingResponder{}, string(rune('a'+h.tried))
+	_, err := h.core.Submit(h.now, Request{
+		RunID: runID, Class: 1, IdempotencyKey: key, ArrivedAt: h.now, QueuedKB: 1, Responder: response,
+	})
+	require.NoError(h.t, err)
+	h.endTurn()
+	return response, runID
+}
+
+func (h *harness) endTurn() {
+	for range 3 {
+		h.core.Step(h.now)
+	}
+}
--- a/internal/dispatch/keys.go
+++ b/internal/dispatch/keys.go
@@ -1,9 +1,10 @@
 package dispatch
 
 import (
-	"fmt"
+	"cmp"
 	"hash/maphash"
 	"maps"
+	"slices"
 
 	"pewterline/control"
 	"pewterline/internal/decide/handoff"
@@ -11,179 +12,260 @@
 	"pewterline/internal/planted"
 )
 
-// lateRead is how long past its window an entry stays to be found: a repeat that arrived within the window may
-// be read, or waited for, that much later.
-const lateRead = 10 * microtime.Second
+const (
+	// expiredEntryGrace is how long past its window an entry stays to be found: a repeat that arrived within the window
+	// may be read, or waited for, that much later.
+	expiredEntryGrace = 10 * microtime.Second
+	// sweepInterval is how often expired entries are dropped.
+	sweepInterval = microtime.Second
+)
 
-// idempotencyKey names a request over all its tries. The same text from another tenant is another request.
-type idempotencyKey struct {
+// IdempotencyKey names a request over all its attempts. The same text from another tenant is another request.
+type IdempotencyKey struct {
 	tenant int
-	once   string
+	text   string
+}
+
+// compareKeys orders keys by nothing but themselves.
+func compareKeys(a, b IdempotencyKey) int {
+	return cmp.Or(cmp.Compare(a.tenant, b.tenant), cmp.Compare(a.text, b.text))
 }
 
-// keyEntry is what is known of one keyed request.
+// keyEntry is what is known of one request with an idempotency key.
 type keyEntry struct {
-	name    idempotencyKey
-	class   int
-	sum     uint64            // of the body; all tries have the same
-	holder  control.RequestID // the try that the module knows as the original
-	expires microtime.Time    // of the module's Keep
-	kept    bool              // false: only seen in this turn
-
-	ran     bool
-	runner  control.RequestID // the try that ran
-	at      microtime.Time    // when that try came
-	atMilli int64             // the same by its caller
-	over    bool              // that run has ended, in end with result
-	end     RunOutcome
-	result  []byte
-	waiters []*request
-
-	unsaved  bool // the run has ended, but its result is not on record
-	saving   bool // it is on its way there
-	restored bool // from the store of record, or from another process: the module has not seen its run
-
-	side   handoff.State // Asked, Away or Doubt where the other process has a say; else Free
-	wanted bool          // the other process waits for its end
-}
-
-// claim marks the key as run by r, unless another try has run.
-func (e *keyEntry) claim(r *request) bool {
-	if e.ran && e.runner != r.id {
+	key      IdempotencyKey
+	class    int
+	bodyHash uint64            // all attempts have the same body
+	holder   control.RequestID // the attempt that the decision module knows as the original
+	expires  microtime.Time    // the end of the retention that the module has asked for
+	retained bool              // false: only seen in this turn
+
+	ran                bool
+	runner             control.RequestID // the attempt that ran
+	arrivedAt          microtime.Time    // when that attempt came
+	arrivedAtUnixMilli int64             // the same by its caller
+	finished           bool              // that run has ended, with outcome and result
+	outcome            RunOutcome
+	result             []byte
+	waiters            []*request
+
+	unrecorded bool // the run has ended, but its result is not on record
+	recording  bool // the result is on its way there
+	restored   bool // from the store or the peer process: the decision module has not seen its run
+
+	peerState   handoff.State // Requested, Remote or Indeterminate where the peer process has a say; else Free
+	peerWaiting bool          // the peer process waits for the end of the run
+}
+
+// claim marks the key as run by req, unless another attempt has run.
+func (e *keyEntry) claim(req *request) bool {
+	if e.ran && e.runner != req.id {
 		return false
 	}
-	e.ran, e.runner, e.at, e.atMilli = true, r.id, r.ArrivedAt, r.ArrivedAtUnixMilli
+	e.ran = true
+	e.runner = req.id
+	e.arrivedAt = req.ArrivedAt
+	e.arrivedAtUnixMilli = req.ArrivedAtUnixMilli
 	return true
 }
 
-// keyTable is the one table of once-keys, whatever front a try came by.
+// finish notes how the run of the key ended.
+func (e *keyEntry) finish(outcome RunOutcome, result []byte) {
+	e.finished = true
+	e.outcome = outcome
+	e.result = result
+}
+
+// moveWindow has the retention window count from another attempt, which runs in the place of the one before.
+func (e *keyEntry) moveWindow(before, attempt *request) {
+	e.expires += max(attempt.ArrivedAt-before.ArrivedAt, 0)
+	if attempt.ArrivedAt > e.arrivedAt {
+		e.arrivedAt = attempt.ArrivedAt
+		e.arrivedAtUnixMilli = attempt.ArrivedAtUnixMilli
+	}
+}
+
+func (e *keyEntry) removeWaiter(req *request) {
+	e.waiters = slices.DeleteFunc(e.waiters, func(waiter *request) bool { return waiter == req })
+}
+
+// response is what an attempt gets from a run that has ended.
+func (e *keyEntry) response() Response {
+	if e.outcome == RunSucceeded {
+		return succeeded(e.result)
+	}
+	return failed(reasonRunFailed)
+}
+
+// keyedRequest describes the attempt that ran to the execution store and to the peer process.
+func (e *keyEntry) keyedRequest() KeyedRequest {
+	return KeyedRequest{
+		Class: e.class, Tenant: e.key.tenant, IdempotencyKey: e.key.text,
+		ArrivedAt: e.arrivedAt, ArrivedAtUnixMilli: e.arrivedAtUnixMilli, Result: e.result,
+	}
+}
+
+// keyTable is the one table of idempotency keys, whatever frontend an attempt came by.
 type keyTable struct {
-	byName map[idempotencyKey]*keyEntry
-	byID   map[control.RequestID]*keyEntry // by holder
-	fresh  []*keyEntry                     // seen in this turn and not yet kept
-	seed   maphash.Seed
-	swept  microtime.Time
-	freed  []*keyEntry // held no more, without a run, since the last step
-	// Intakes that a runner lost sight of: they may have run, until then. Their repeats go to the runner again, but
-	// none is told that it was turned away.
-	doubts map[idempotencyKey]microtime.Time
+	byKey      map[IdempotencyKey]*keyEntry
+	byHolder   map[control.RequestID]*keyEntry
+	unretained []*keyEntry // first seen in this turn
+	// released are the entries that were dropped without a run since the last step.
+	released []*keyEntry
+	// indeterminate are keys that the backend has lost sight of: they may have run, until the time given. Their repeats go
+	// to the backend again, but none is told that it was turned away.
+	indeterminate map[IdempotencyKey]microtime.Time
+	hashSeed      maphash.Seed
+	sweptAt       microtime.Time
 }
 
 func newKeyTable() keyTable {
-	return keyTable{byName: map[idempotencyKey]*keyEntry{}, byID: map[control.RequestID]*keyEntry{}, doubts: map[idempotencyKey]microtime.Time{}, seed: maphash.MakeSeed()}
+	return keyTable{
+		byKey:         map[IdempotencyKey]*keyEntry{},
+		byHolder:      map[control.RequestID]*keyEntry{},
+		indeterminate: map[IdempotencyKey]microtime.Time{},
+		hashSeed:      maphash.MakeSeed(),
+	}
 }
 
-// check refuses a request whose key is another request's. Guards against an answer with the result of what was
-// never asked for: all tries of one request have its class and body. An entry of an earlier life has no sum.
-func (t *keyTable) check(r *Request, classes []control.Class) error {
-	e := t.byName[idempotencyKey{r.Tenant, r.IdempotencyKey}]
+// checkSameRequest turns down an attempt whose key is another request's, so that nobody gets the result of what was
+// never asked for: all attempts of one request have its class and body. An entry that was restored has no hash.
+func (t *keyTable) checkSameRequest(attempt *Request, classes []control.Class) error {
+	entry := t.byKey[attempt.scopedKey()]
 	switch {
-	case e == nil || r.IdempotencyKey == "":
+	case entry == nil || attempt.IdempotencyKey == "":
 		return nil
-	case classes[e.class].Name != classes[r.Class].Name: // its figures may have changed since
-		return fmt.Errorf("once: the key is of a request of another class")
-	case !e.restored && e.sum != maphash.Bytes(t.seed, r.Body):
-		return fmt.Errorf("once: the key is of a request with another body")
+	case classes[entry.class].Name != classes[attempt.Class].Name: // Its settings may have changed since.
+		return &RequestError{"once", "the key is of a request of another class"}
+	case !entry.restored && entry.bodyHash != maphash.Bytes(t.hashSeed, attempt.Body):
+		return &RequestError{"once", "the key is of a request with another body"}
 	}
 	return nil
 }
 
-// arrive finds the entry of a request, or makes one that lasts for this turn unless the module keeps it. The
-// ID is that of the try it repeats, 0 for none. What counts is when the repeat arrived, not when it is read.
-func (t *keyTable) arrive(r *request) (*keyEntry, control.RequestID) {
-	name := idempotencyKey{r.Tenant, r.IdempotencyKey}
-	if e := t.current(name, r.ArrivedAt); e != nil {
-		if !(planted.Bug(planted.KeyTwice) && e.ran && !e.over) {
-			return e, e.holder
+// attach finds the entry of a request, or makes one that lasts for this turn unless the decision module retains it.
+// The ID is that of the attempt it repeats, 0 for none. What counts is when the repeat arrived, not when it is read.
+func (t *keyTable) attach(req *request) (*keyEntry, control.RequestID) {
+	key := req.scopedKey()
+	if entry := t.current(key, req.ArrivedAt); entry != nil {
+		if !planted.Bug(planted.KeyTwice) || !entry.ran || entry.finished {
+			return entry, entry.holder
 		}
-		t.remove(e)
+		t.remove(entry)
+	}
+	entry := &keyEntry{
+		key: key, class: req.Class, bodyHash: maphash.Bytes(t.hashSeed, req.Body), holder: req.id,
+		arrivedAt: req.ArrivedAt, arrivedAtUnixMilli: req.ArrivedAtUnixMilli,
 	}
-	e := &keyEntry{name: name, class: r.Class, at: r.ArrivedAt, atMilli: r.ArrivedAtUnixMilli, sum: maphash.Bytes(t.seed, r.Body), holder: r.id}
-	t.byName[name], t.byID[r.id] = e, e
-	t.fresh = append(t.fresh, e)
-	return e, 0
+	t.byKey[key] = entry
+	t.byHolder[req.id] = entry
+	t.unretained = append(t.unretained, entry)
+	return entry, 0
 }
 
-// current is the entry that counts for a try that arrived at a time; one whose window is over is removed.
-func (t *keyTable) current(name idempotencyKey, at microtime.Time) *keyEntry {
-	e := t.byName[name]
-	if e == nil || !e.kept || at < e.expires || e.ran && !e.over || e.side == handoff.Requested || e.side == handoff.Remote {
-		return e
+// current is the entry that counts for an attempt that arrived at a time; one whose window is over is removed.
+func (t *keyTable) current(key IdempotencyKey, arrivedAt microtime.Time) *keyEntry {
+	entry := t.byKey[key]
+	switch {
+	case entry == nil, !entry.retained, arrivedAt < entry.expires:
+		return entry
+	case entry.ran && !entry.finished:
+		return entry
+	case entry.peerState == handoff.Requested, entry.peerState == handoff.Remote:
+		return entry
 	}
-	t.remove(e)
+	t.remove(entry)
 	return nil
 }
 
-// keep makes r the holder of its entry until expires.
-func (t *keyTable) keep(r *request, expires microtime.Time) {
-	e := r.key
-	if t.byName[e.name] != e { // dropped while r was held
-		if t.byName[e.name] != nil {
+// retain makes req the holder of its entry until expires.
+func (t *keyTable) retain(req *request, expires microtime.Time) {
+	entry := req.entry
+	if known := t.byKey[entry.key]; known != entry { // It was dropped while req was queued.
+		if known != nil {
 			return
 		}
-		t.byName[e.name] = e
+		t.byKey[entry.key] = entry
 	}
-	delete(t.byID, e.holder)
-	e.holder, e.kept, e.expires = r.id, true, expires
-	t.byID[r.id] = e
+	delete(t.byHolder, entry.holder)
+	entry.holder = req.id
+	entry.retained = true
+	entry.expires = expires
+	t.byHolder[req.id] = entry
 }
 
-// drop ends the entry that id holds, unless a try of it has run.
-func (t *keyTable) drop(id control.RequestID) {
-	if e := t.byID[id]; e != nil && !e.ran {
-		t.remove(e)
-		t.freed = append(t.freed, e)
+// release drops the entry of a holder, unless an attempt of it has run.
+func (t *keyTable) release(holder control.RequestID) {
+	if entry := t.byHolder[holder]; entry != nil && !entry.ran {
+		t.drop(entry)
 	}
 }
 
-// doubt forgets a run whose outcome the runner does not know, but for that it may have been one.
-func (t *keyTable) doubt(e *keyEntry, until microtime.Time) {
-	t.doubts[e.name] = max(t.doubts[e.name], until)
-	t.unrun(e)
+// markIndeterminate forgets a run whose outcome the backend does not know, except that it may have been one.
+func (t *keyTable) markIndeterminate(entry *keyEntry, until microtime.Time) {
+	t.indeterminate[entry.key] = max(t.indeterminate[entry.key], until)
+	t.markNotRun(entry)
+}
+
+// mayHaveRun says that the key of a request may have run, and nobody here knows.
+func (t *keyTable) mayHaveRun(req *request, now microtime.Time) bool {
+	return now < t.indeterminate[req.scopedKey()]
 }
 
-// doubtful says that an intake may have run, and nobody here knows.
-func (t *keyTable) doubtful(r *request, now microtime.Time) bool {
-	return now < t.doubts[idempotencyKey{r.Tenant, r.IdempotencyKey}]
+// markNotRun forgets that an attempt has run: proof came that nothing was started.
+func (t *keyTable) markNotRun(entry *keyEntry) {
+	entry.ran = false
+	t.drop(entry)
 }
 
-// unrun forgets that a try has run: proof came that nothing was started.
-func (t *keyTable) unrun(e *keyEntry) {
-	e.ran = false
-	t.remove(e)
-	t.freed = append(t.freed, e)
+// drop removes an entry without a run, of which the peer process is to hear.
+func (t *keyTable) drop(entry *keyEntry) {
+	t.remove(entry)
+	t.released = append(t.released, entry)
 }
 
-func (t *keyTable) remove(e *keyEntry) {
-	if t.byName[e.name] == e {
-		delete(t.byName, e.name)
+func (t *keyTable) remove(entry *keyEntry) {
+	if t.byKey[entry.key] == entry {
+		delete(t.byKey, entry.key)
 	}
-	if t.byID[e.holder] == e {
-		delete(t.byID, e.holder)
+	if t.byHolder[entry.holder] == entry {
+		delete(t.byHolder, entry.holder)
 	}
 }
 
-// settle ends the entries that the module did not keep in the turn that brought them.
-func (t *keyTable) settle() {
-	for _, e := range t.fresh {
-		if !e.kept && !e.ran {
-			t.remove(e)
-			t.freed = append(t.freed, e)
+// takeReleased returns the entries that were dropped without a run since the last call.
+func (t *keyTable) takeReleased() []*keyEntry {
+	released := t.released
+	t.released = nil
+	return released
+}
+
+// endTurn drops the entries that the decision module did not retain in the turn that brought them.
+func (t *keyTable) endTurn() {
+	for _, entry := range t.unretained {
+		if !entry.retained && !entry.ran {
+			t.drop(entry)
 		}
 	}
-	t.fresh = t.fresh[:0]
+	t.unretained = t.unretained[:0]
 }
 
-// sweep drops what has run out, about once a second.
+// sweep drops what has expired.
 func (t *keyTable) sweep(now microtime.Time) {
-	if now < t.swept+microtime.Second {
+	if now < t.sweptAt+sweepInterval {
 		return
 	}
-	t.swept = now
-	maps.DeleteFunc(t.doubts, func(_ idempotencyKey, until microtime.Time) bool { return now >= until })
-	for _, e := range t.byName { // in any order: each goes or stays by itself
-		if now > e.expires+lateRead && (e.over || !e.ran || e.unsaved) && !e.saving {
-			t.remove(e)
+	t.sweptAt = now
+	maps.DeleteFunc(t.indeterminate, func(_ IdempotencyKey, until microtime.Time) bool { return now >= until })
+	for _, entry := range t.byKey { // In any order: each stays or goes by itself.
+		inUse := entry.recording || entry.ran && !entry.finished && !entry.unrecorded
+		if now > entry.expires+expiredEntryGrace && !inUse {
+			t.remove(entry)
 		}
 	}
 }
+
+// sorted are all keys, in an order that depends on nothing but themselves.
+func (t *keyTable) sorted() []IdempotencyKey {
+	return slices.SortedFunc(maps.Keys(t.byKey), compareKeys)
+}
--- /dev/null
+++ b/internal/dispatch/parked.go
@@ -0,0 +1,48 @@
+package dispatch
+
+import (
+	"slices"
+
+	"pewterline/internal/microtime"
+)
+
+// parkedResponseLead is how long before its deadline a request that is still parked is answered.
+const parkedResponseLead = 10 * microtime.Millisecond
+
+// parkedRequests wait for the word of the peer process or of the execution store, oldest first.
+type parkedRequests struct{ requests []*request }
+
+func (p *parkedRequests) add(req *request) { p.requests = append(p.requests, req) }
+
+func (p *parkedRequests) remove(req *request) {
+	p.requests = slices.DeleteFunc(p.requests, func(parked *request) bool { return parked == req })
+}
+
+// of are the requests that wait for an entry; nil for no entry.
+func (p *parkedRequests) of(entry *keyEntry) []*request {
+	if entry == nil {
+		return nil
+	}
+	var waiting []*request
+	for _, req := range p.requests {
+		if req.entry == entry {
+			waiting = append(waiting, req)
+		}
+	}
+	return waiting
+}
+
+// parkedDeadline is when a request is parked no longer.
+func (c *Core) parkedDeadline(req *request) microtime.Time {
+	return c.deadline(req) - parkedResponseLead
+}
+
+// expireParked answers the requests that have been parked until their deadline.
+func (c *Core) expireParked(now microtime.Time) {
+	for _, req := range slices.Clone(c.parked.requests) {
+		if now >= c.parkedDeadline(req) {
+			c.respond(req, expired())
+			c.forget(req)
+		}
+	}
+}
--- /dev/null
+++ b/internal/dispatch/submit.go
@@ -0,0 +1,91 @@
+package dispatch
+
+import (
+	"fmt"
+
+	"pewterline/control"
+	"pewterline/internal/microtime"
+)
+
+// maxQueuedKB bounds the memory that a request may say to take; more is a slip of its caller.
+const maxQueuedKB = 2000
+
+// Submit takes a request that a frontend has read. The returned ID is for Abandon; the response comes by the
+// request's Responder, never before Submit has returned. The error is a *RequestError; the core knows nothing of the
+// request then.
+func (c *Core) Submit(now microtime.Time, attempt Request) (control.RequestID, error) {
+	if err := c.validate(&attempt); err != nil {
+		return 0, err
+	}
+	c.Start(now, 0, false)
+	req := c.requests.add(now, attempt)
+	if !c.keyed(req) || !c.deferToPeer(req) && !c.deferToStore(req) {
+		c.admit(req)
+	}
+	return req.id, nil
+}
+
+// validate checks what the decision module and the key table rely on.
+func (c *Core) validate(attempt *Request) error {
+	switch {
+	case !c.knownClass(attempt.Class):
+		return &RequestError{"class", "none of that number"}
+	case c.requests.byRunID[attempt.RunID] != nil:
+		return &RequestError{"id", fmt.Sprintf("%q is open already", attempt.RunID)}
+	case !(attempt.QueuedKB > 0 && attempt.QueuedKB < maxQueuedKB): // Also false for what is no number.
+		return &RequestError{"kb", fmt.Sprintf("%v is not within 0 to %d", attempt.QueuedKB, maxQueuedKB)}
+	case !(attempt.Rank >= 0 && attempt.Rank < 1):
+		return &RequestError{"rank", fmt.Sprintf("%v is not within 0 to 1", attempt.Rank)}
+	case c.idempotency(attempt) == control.IdempotentByKey && attempt.IdempotencyKey == "":
+		return &RequestError{"once", "missing in a keyed class"}
+	}
+	return c.keys.checkSameRequest(attempt, c.settings.Classes)
+}
+
+func (c *Core) idempotency(attempt *Request) control.Idempotency {
+	return c.settings.Classes[attempt.Class].Idempotency
+}
+
+// keyed says that a request has an idempotency key that counts.
+func (c *Core) keyed(req *request) bool {
+	return c.idempotency(&req.Request) == control.IdempotentByKey
+}
+
+// admit hands a request to the decision module.
+func (c *Core) admit(req *request) {
+	event := control.RequestArrived{
+		ID:       req.id,
+		Class:    req.Class,
+		Tenant:   req.Tenant,
+		Key:      req.SubjectKey,
+		Age:      max(c.now-req.ArrivedAt, req.readAt-req.ArrivedAt, 0).Duration(),
+		CostHint: req.CostHint.Duration(),
+		QueuedKB: req.QueuedKB,
+		Rank:     req.Rank,
+		Retry:    req.Retry,
+		Caller:   req.CallerID,
+	}
+	if c.keyed(req) {
+		req.entry, event.Original = c.keys.attach(req)
+		event.Key = 0
+		if req.entry.restored { // The module has not seen its run.
+			req.state = stateJoined
+			c.respondLater(req, req.entry.response())
+			return
+		}
+	}
+	c.events = append(c.events, event)
+}
+
+// Abandon says that the caller of a request has left: no response is owed.
+func (c *Core) Abandon(id control.RequestID) {
+	req := c.requests.byID[id]
+	if req == nil || req.answered {
+		return
+	}
+	c.settle(req)
+	c.events = append(c.events, control.RequestCancelled{ID: id})
+	if !req.state.started() {
+		c.forget(req)
+	}
+}
--- a/internal/server/edge.go
+++ b/internal/server/edge.go
@@ -117,7 +117,7 @@
 		runner = s.pool
 	}
 	var err error
-	if s.core, err = dispatch.New(cfg.Settings, runner, logf); err != nil {
+	if s.core, err = dispatch.New(dispatch.Config{Settings: cfg.Settings, Backend: runner, Logf: logf}); err != nil {
 		return nil, fmt.Errorf("edge: %w", err)
 	}
 	if s.vault != nil {
