--- a/internal/testbed/fakes/environment.go
+++ b/internal/testbed/fakes/environment.go
@@ -204,5 +204,5 @@
 type silent struct{}
 
 func (silent) Received(*simnet.Stream, []byte) {}
-func (silent) EOF(e *simnet.Stream)        { e.Close() }
-func (silent) Reset(*simnet.Stream)         {}
+func (silent) EOF(e *simnet.Stream)            { e.Close() }
+func (silent) Reset(*simnet.Stream)            {}
--- a/internal/testbed/sim/sim.go
+++ b/internal/testbed/sim/sim.go
@@ -292,8 +292,12 @@
 	l.obs.ServerStarted(s.name, node.Incarnation)
 	l.obs.CallsRoutedTo(s.name, s.cfg.VaultAddress)
 	srv := s.program
-	s.host = simnet.NewHost(node, transport.Options{MaxConns: sockets - 40, MaxBuffered: memory / 8, Logf: logf}, srv, rng,
-		simnet.Cost{Turn: 40, KB: 15}, func(t *transport.Loop) {
+	s.host = simnet.NewHost(node, simnet.HostConfig{
+		Options: transport.Options{MaxConns: sockets - 40, MaxBuffered: memory / 8, Logf: logf},
+		Handler: srv,
+		Rand:    rng,
+		Cost:    simnet.Cost{Turn: 40, KB: 15},
+		Begin: func(t *transport.Loop) {
 			if s.store != nil {
 				if err := srv.UseStore(life{s.store, node, node.Incarnation}, l.w.Now()); err != nil {
 					panic(err) // the stand-in loads what it has
@@ -303,7 +307,8 @@
 				panic(err) // a virtual host takes any
 			}
 			srv.Attach(t)
-		})
+		},
+	})
 	for i, a := range []string{"thrift", "ajp", "exchange"} {
 		if err := s.host.Listen(s.name+"/"+a, i); err != nil {
 			panic(err) // the life before has closed them
--- a/internal/testbed/sim/sim_test.go
+++ b/internal/testbed/sim/sim_test.go
@@ -205,7 +205,7 @@
 	}
 }
 func (t *teller) EOF(e *simnet.Stream) { *t.ended++; e.Close() }
-func (t *teller) Reset(*simnet.Stream)  { *t.ended++ }
+func (t *teller) Reset(*simnet.Stream) { *t.ended++ }
 
 // The worker pool's link breaks inside a notice while SIGHUP moves it to another address and a drain begins.
 func TestHardLinkBreaksInANoticeInTheMove(t *testing.T) {
--- a/internal/testbed/simnet/host.go
+++ b/internal/testbed/simnet/host.go
@@ -2,17 +2,16 @@
 
 import (
 	"errors"
-	"fmt"
 	"math/rand/v2"
 
 	"pewterline/internal/microtime"
 	"pewterline/internal/transport"
 )
 
-// tasksMost is how many queued tasks a turn runs before it looks at connections again.
-const tasksMost = 256
+// maxTasksPerTurn is how many queued tasks a turn runs before it looks at connections again.
+const maxTasksPerTurn = 256
 
-var errEnded = errors.New("virtual: the loop has ended")
+var errEnded = errors.New("simnet: the loop has ended")
 
 // Cost is what a turn takes of a host's processor. Whatever becomes ready meanwhile waits for the next turn.
 type Cost struct {
@@ -22,43 +21,49 @@
 
 // Host is a transport.Driver on a node: it runs one program until Stop or Kill.
 type Host struct {
-	node    *Node
-	life    int
-	loop    *transport.Loop
-	rng     *rand.Rand
-	cost    Cost
-	ready   []*hostConn
-	tasks   []func()
-	woken   *Timer
-	next    *Timer // the turn to come
-	busy    microtime.Time
-	paused  microtime.Time
-	bytes   int
-	inTurn  bool
-	killIn  int // calls into the program, and writes of it, until it is killed; 0: never
-	onKill  func()
-	peer    string // of datagrams
-	Ended   bool
-	OnStop  func() // the program has ended of itself
-	listens map[int]*Listener
-	turns   uint64
-	refused func(string, ...any)
-}
-
-// hostConn is one connection of a host's program.
-type hostConn struct {
-	h      *Host
-	e      *Stream
-	conn   *transport.Connection
-	queued bool
+	node           *Node
+	incarnation    int
+	loop           *transport.Loop
+	rng            *rand.Rand
+	cost           Cost
+	ready          []*hostConn
+	tasks          []func()
+	wakeTimer      *Timer
+	turnTimer      *Timer // the turn to come
+	busyUntil      microtime.Time
+	pausedUntil    microtime.Time
+	bytes          int
+	inTurn         bool
+	callsUntilKill int // calls into the program, and writes of it, until it is killed; 0: never
+	onKill         func()
+	datagramPeer   string // of datagrams
+	Ended          bool
+	OnStop         func() // the program has ended of itself
+	listeners      map[int]*Listener
+	turns          uint64
+}
+
+// HostConfig is what a host runs.
+type HostConfig struct {
+	Options transport.Options
+	Handler transport.Handler
+	Begin   func(*transport.Loop) // is called first, on the loop
+	Rand    *rand.Rand
+	Cost    Cost
 }
 
 // NewHost returns a host on a node that has been booted; the program is Loop's to begin.
-func NewHost(n *Node, o transport.Options, h transport.Handler, rng *rand.Rand, cost Cost, begin func(*transport.Loop)) *Host {
-	host := &Host{node: n, life: n.Incarnation, rng: rng, cost: cost, refused: o.Logf, listens: map[int]*Listener{}}
-	host.loop = transport.New(o, host, h, begin)
+func NewHost(node *Node, config HostConfig) *Host {
+	host := &Host{
+		node:        node,
+		incarnation: node.Incarnation,
+		rng:         config.Rand,
+		cost:        config.Cost,
+		listeners:   map[int]*Listener{},
+	}
+	host.loop = transport.New(config.Options, host, config.Handler, config.Begin)
 	host.tasks = append(host.tasks, host.loop.Begin)
-	host.wakeTurn()
+	host.scheduleTurn()
 	return host
 }
 
@@ -71,21 +76,21 @@
 // Listen opens an address as the listener of that index.
 func (h *Host) Listen(addr string, index int) error {
 	l, err := h.node.Listen(addr, Listener{host: h, index: index})
-	h.listens[index] = l
+	h.listeners[index] = l
 	return err
 }
 
 // Pause has the program stand still until a time; its machine goes on taking what arrives.
 func (h *Host) Pause(until microtime.Time) {
-	h.busy, h.paused = max(h.busy, until), max(h.paused, until)
+	h.busyUntil, h.pausedUntil = max(h.busyUntil, until), max(h.pausedUntil, until)
 }
 
 // PausedUntil is when it goes on; a past time where it does not stand still.
-func (h *Host) PausedUntil() microtime.Time { return h.paused }
+func (h *Host) PausedUntil() microtime.Time { return h.pausedUntil }
 
 // KillIn has the process killed after so many further calls into the program or writes of it, in the middle of
 // whatever it does then; done is called at that moment.
-func (h *Host) KillIn(calls int, done func()) { h.killIn, h.onKill = max(calls, 1), done }
+func (h *Host) KillIn(calls int, done func()) { h.callsUntilKill, h.onKill = max(calls, 1), done }
 
 // Kill ends the process at once, or with its machine.
 func (h *Host) Kill(machine bool) {
@@ -93,19 +98,19 @@
 		return
 	}
 	h.Ended = true
-	h.woken.Stop()
-	h.next.Stop()
+	h.wakeTimer.Stop()
+	h.turnTimer.Stop()
 	h.tasks, h.ready = nil, nil
 	h.node.Kill(machine)
 }
 
-// op counts one call; false: the process is gone, and what the program does from here on has no effect.
-func (h *Host) op() bool {
+// countCall counts one call; false: the process is gone, and what the program does from here on has no effect.
+func (h *Host) countCall() bool {
 	if h.Ended {
 		return false
 	}
-	if h.killIn > 0 {
-		if h.killIn--; h.killIn == 0 {
+	if h.callsUntilKill > 0 {
+		if h.callsUntilKill--; h.callsUntilKill == 0 {
 			h.Kill(false)
 			h.onKill()
 			return false
@@ -114,20 +119,20 @@
 	return true
 }
 
-func (h *Host) wakeTurn() {
-	if h.Ended || h.next != nil || h.inTurn {
+func (h *Host) scheduleTurn() {
+	if h.Ended || h.turnTimer != nil || h.inTurn {
 		return
 	}
-	w := h.node.net.w
-	h.next = w.At(max(w.now, h.busy), h.turn)
+	w := h.node.net.world
+	h.turnTimer = w.At(max(w.now, h.busyUntil), h.turn)
 }
 
 // turn is one round of the poller: first what is ready, then the tasks that were queued.
 func (h *Host) turn() {
-	w := h.node.net.w
-	h.next = nil
-	if h.busy > w.now { // paused since this turn was planned
-		h.wakeTurn()
+	world := h.node.net.world
+	h.turnTimer = nil
+	if h.busyUntil > world.now { // paused since this turn was planned
+		h.scheduleTurn()
 		return
 	}
 	h.inTurn, h.bytes = true, 0
@@ -136,73 +141,26 @@
 	h.ready = nil
 	for _, c := range ready {
 		c.queued = false
-		c.take()
+		c.process()
 	}
-	for n := 0; n < tasksMost && len(h.tasks) > 0; n++ {
+	for n := 0; n < maxTasksPerTurn && len(h.tasks) > 0; n++ {
 		f := h.tasks[0]
 		h.tasks = h.tasks[1:]
-		if !h.op() {
+		if !h.countCall() {
 			break
 		}
 		f()
 	}
 	h.inTurn = false
-	h.busy = max(h.busy, w.now+h.cost.Turn+h.cost.KB*microtime.Time(h.bytes)/1024)
+	h.busyUntil = max(h.busyUntil, world.now+h.cost.Turn+h.cost.KB*microtime.Time(h.bytes)/1024)
 	if len(h.ready)+len(h.tasks) > 0 {
-		h.wakeTurn()
-	}
-}
-
-func (c *hostConn) rouse() {
-	if c.queued || c.h.Ended || c.conn == nil {
-		return
-	}
-	c.queued = true
-	c.h.ready = append(c.h.ready, c)
-	c.h.wakeTurn()
-}
-
-const readMost = 64 << 10
-
-// take hands what has arrived to the program, and its end after it.
-func (c *hostConn) take() {
-	h, e := c.h, c.e
-	if !e.open || !h.op() {
-		return
-	}
-	if e.reset {
-		c.Close()
-		return
-	}
-	if n := min(len(e.unread), readMost); n > 0 {
-		in := e.unread[:n:n]
-		e.unread = e.unread[n:]
-		h.bytes += n
-		ok := c.conn.Received(in)
-		if len(e.unread) == 0 {
-			e.unread = nil
-		}
-		if !e.open {
-			return
-		}
-		e.took(n)
-		if !ok {
-			c.Close()
-			return
-		}
-		if len(e.unread) > 0 {
-			c.rouse()
-			return
-		}
-	}
-	if e.eof { // gnet closes what its peer has half closed
-		c.Close()
+		h.scheduleTurn()
 	}
 }
 
 // accept takes up a connection to one of the listeners, in a turn.
 func (h *Host) accept(l *Listener, e *Stream) {
-	c := &hostConn{h: h, e: e}
+	c := &hostConn{host: h, stream: e}
 	e.host = c
 	_ = h.Queue(func() {
 		if !e.open {
@@ -213,53 +171,8 @@
 	})
 }
 
-func (c *hostConn) opened() {
-	if c.conn == nil {
-		c.e.Close()
-		return
-	}
-	if len(c.e.unread) > 0 || c.e.eof || c.e.reset {
-		c.rouse()
-	}
-}
-
-// Write is part of transport.Wire.
-func (c *hostConn) Write(p []byte) error {
-	if !c.h.op() || !c.e.open || c.e.reset {
-		if !c.h.Ended {
-			c.Close()
-		}
-		return errEnded
-	}
-	c.h.bytes += len(p)
-	c.e.Write(p)
-	return nil
-}
-
-// Unsent is part of transport.Wire.
-func (c *hostConn) Unsent() int { return c.e.Unsent() }
-
-// CloseWrite is part of transport.Wire.
-func (c *hostConn) CloseWrite() {
-	if !c.h.Ended && c.e.Unsent() == 0 {
-		c.e.CloseWrite()
-	}
-}
-
-// Close is part of transport.Wire.
-func (c *hostConn) Close() {
-	if c.h.Ended {
-		return
-	}
-	c.e.Close()
-	c.conn.Ended()
-}
-
-// Remote is part of transport.Wire.
-func (c *hostConn) Remote() string { return fmt.Sprintf("%s#%d", c.e.Peer(), c.e.conn) }
-
 // Now is part of transport.Driver.
-func (h *Host) Now() microtime.Time { return h.node.net.w.now }
+func (h *Host) Now() microtime.Time { return h.node.net.world.now }
 
 // Queue is part of transport.Driver.
 func (h *Host) Queue(f func()) error {
@@ -267,33 +180,33 @@
 		return errEnded
 	}
 	h.tasks = append(h.tasks, f)
-	h.wakeTurn()
+	h.scheduleTurn()
 	return nil
 }
 
 // SetTimer is part of transport.Driver.
 func (h *Host) SetTimer(at microtime.Time) {
-	h.woken.Stop()
-	h.woken = nil
+	h.wakeTimer.Stop()
+	h.wakeTimer = nil
 	if at != microtime.Never && !h.Ended {
-		h.woken = h.node.net.w.At(at, func() { _ = h.Queue(h.loop.TimerFired) })
+		h.wakeTimer = h.node.net.world.At(at, func() { _ = h.Queue(h.loop.TimerFired) })
 	}
 }
 
 // Dial is part of transport.Driver.
-func (h *Host) Dial(d *transport.Dial) {
+func (h *Host) Dial(dial *transport.Dial) {
 	if h.Ended {
 		return
 	}
-	h.node.Dial(d.Addr(), func(e *Stream, err error) {
+	h.node.Dial(dial.Addr(), func(e *Stream, err error) {
 		if err != nil {
-			_ = h.Queue(func() { h.loop.DialFailed(d) })
+			_ = h.Queue(func() { h.loop.DialFailed(dial) })
 			return
 		}
-		c := &hostConn{h: h, e: e}
+		c := &hostConn{host: h, stream: e}
 		e.host = c
 		_ = h.Queue(func() {
-			c.conn = h.loop.Connected(d, c)
+			c.conn = h.loop.Connected(dial, c)
 			c.opened()
 		})
 	})
@@ -301,14 +214,14 @@
 
 // SetDatagramPeer is part of transport.Driver.
 func (h *Host) SetDatagramPeer(addr string) error {
-	h.peer = addr
+	h.datagramPeer = addr
 	return nil
 }
 
 // SendDatagram is part of transport.Driver.
 func (h *Host) SendDatagram(p []byte) {
-	if h.peer != "" && h.op() {
-		h.node.SendDatagram(h.peer, p)
+	if h.datagramPeer != "" && h.countCall() {
+		h.node.SendDatagram(h.datagramPeer, p)
 	}
 }
 
@@ -317,7 +230,7 @@
 
 // CloseListener is part of transport.Driver. Who waits is a task ahead of done.
 func (h *Host) CloseListener(listener int, done func()) {
-	if l := h.listens[listener]; l != nil {
+	if l := h.listeners[listener]; l != nil {
 		l.Close()
 	}
 	_ = h.Queue(done)
--- a/internal/testbed/simnet/host_test.go
+++ b/internal/testbed/simnet/host_test.go
@@ -59,8 +59,8 @@
 }
 
 func (p *peer) Received(_ *simnet.Stream, in []byte) { p.got.Write(in) }
-func (p *peer) EOF(e *simnet.Stream)             { p.ended = true; e.Close() }
-func (p *peer) Reset(*simnet.Stream)              { p.ended = true }
+func (p *peer) EOF(e *simnet.Stream)                 { p.ended = true; e.Close() }
+func (p *peer) Reset(*simnet.Stream)                 { p.ended = true }
 
 // rig is a program on a host, with the guards of transport on the virtual clock.
 type rig struct {
@@ -73,14 +73,20 @@
 }
 
 func newRig(t *testing.T, o transport.Options) *rig {
-	r := &rig{t: t, w: simnet.NewWorld(3), p: &program{answer: []byte("r")}}
-	r.net = simnet.NewNet(r.w, simnet.Quality{Latency: microtime.Millisecond})
-	n := r.net.Node("s0")
+	env := &rig{t: t, w: simnet.NewWorld(3), p: &program{answer: []byte("r")}}
+	env.net = simnet.NewNet(env.w, simnet.Quality{Latency: microtime.Millisecond})
+	n := env.net.Node("s0")
 	n.Boot()
 	o.Logf = t.Logf
-	r.host = simnet.NewHost(n, o, r.p, r.w.Fork(3, "s0"), simnet.Cost{Turn: 20, KB: 10}, func(*transport.Loop) {})
-	require.NoError(t, r.host.Listen("s0/x", 0))
-	return r
+	env.host = simnet.NewHost(n, simnet.HostConfig{
+		Options: o,
+		Handler: env.p,
+		Begin:   func(*transport.Loop) {},
+		Rand:    env.w.Fork(3, "s0"),
+		Cost:    simnet.Cost{Turn: 20, KB: 10},
+	})
+	require.NoError(t, env.host.Listen("s0/x", 0))
+	return env
 }
 
 func (r *rig) connect() *peer {
@@ -151,24 +157,24 @@
 
 // A link that is refused is tried again after waits that grow, until its peer listens; one that was dropped is not.
 func TestRedialOnTheVirtualClock(t *testing.T) {
-	r := newRig(t, transport.Options{MaxConns: 9})
-	w0 := r.net.Node("w0")
+	env := newRig(t, transport.Options{MaxConns: 9})
+	w0 := env.net.Node("w0")
 	w0.Boot()
 	var tries []microtime.Time
-	r.net.Tap = func(v simnet.Event) {
+	env.net.Tap = func(v simnet.Event) {
 		if v.Kind == simnet.ConnectAttempted && v.Addr == "w0/x" {
 			tries = append(tries, v.At)
 		}
 	}
 	opened := 0
 	var drop func()
-	require.NoError(t, r.host.Loop().Execute(func() {
-		drop = r.host.Loop().Dial("w0/x", func(l transport.Conn) transport.Session {
+	require.NoError(t, env.host.Loop().Execute(func() {
+		drop = env.host.Loop().Dial("w0/x", func(l transport.Conn) transport.Session {
 			opened++
-			return &session{p: r.p, link: l}
+			return &session{p: env.p, link: l}
 		})
 	}))
-	r.after(5 * microtime.Second)
+	env.after(5 * microtime.Second)
 	require.Greater(t, len(tries), 10)
 	for i := 2; i < len(tries); i++ {
 		require.LessOrEqual(t, tries[i]-tries[i-1], 510*microtime.Millisecond)
@@ -176,11 +182,11 @@
 	}
 	_, err := w0.Listen("w0/x", simnet.Listener{Accept: func(*simnet.Stream) simnet.Handler { return &peer{} }})
 	require.NoError(t, err)
-	r.after(microtime.Second)
+	env.after(microtime.Second)
 	require.Equal(t, 1, opened)
 	drop()
 	n := len(tries)
-	r.after(5 * microtime.Second)
+	env.after(5 * microtime.Second)
 	require.Len(t, tries, n)
 }
 
--- a/internal/testbed/simnet/simnet_test.go
+++ b/internal/testbed/simnet/simnet_test.go
@@ -42,22 +42,22 @@
 }
 
 func connected(t *testing.T, q Quality) *pair {
-	p := &pair{w: NewWorld(1)}
-	p.net = NewNet(p.w, q)
-	p.a, p.b = p.net.Node("a"), p.net.Node("b")
-	p.a.Boot()
-	p.b.Boot()
-	p.near, p.far = &diary{w: p.w}, &diary{w: p.w}
-	_, err := p.b.Listen("b/x", Listener{Accept: func(e *Stream) Handler { p.theirs = e; return p.far }})
+	env := &pair{w: NewWorld(1)}
+	env.net = NewNet(env.w, q)
+	env.a, env.b = env.net.Node("a"), env.net.Node("b")
+	env.a.Boot()
+	env.b.Boot()
+	env.near, env.far = &diary{w: env.w}, &diary{w: env.w}
+	_, err := env.b.Listen("b/x", Listener{Accept: func(e *Stream) Handler { env.theirs = e; return env.far }})
 	require.NoError(t, err)
-	p.a.Dial("b/x", func(e *Stream, err error) {
-		p.ours, p.opened = e, p.w.Since()
-		p.dialledErr = err
-		e.SetHandler(p.near)
+	env.a.Dial("b/x", func(e *Stream, err error) {
+		env.ours, env.opened = e, env.w.Since()
+		env.dialledErr = err
+		e.SetHandler(env.near)
 	})
-	p.w.Run(Start + microtime.Second)
-	require.NoError(t, p.dialledErr)
-	return p
+	env.w.Run(Start + microtime.Second)
+	require.NoError(t, env.dialledErr)
+	return env
 }
 
 func (p *pair) after(d microtime.Time) { p.w.Run(p.w.Now() + d) }
@@ -123,13 +123,13 @@
 func TestSlowReaderHoldsTheSenderBack(t *testing.T) {
 	p := connected(t, Quality{Latency: microtime.Millisecond})
 	p.theirs.PauseReading(true)
-	p.ours.Write(make([]byte, 3*window))
+	p.ours.Write(make([]byte, 3*sendWindow))
 	p.after(microtime.Second)
-	require.Equal(t, 2*window, p.ours.Unsent())
+	require.Equal(t, 2*sendWindow, p.ours.Unsent())
 	p.theirs.PauseReading(false)
 	p.ours.Close()
 	p.after(microtime.Second)
-	require.Len(t, p.far.text, 3*window)
+	require.Len(t, p.far.text, 3*sendWindow)
 	require.Equal(t, []string{"eof"}, p.far.lines)
 }
 
@@ -149,22 +149,22 @@
 
 // A machine whose table is full takes a connection once there is room; what was sent on it counts from then on.
 func TestFullTableWaits(t *testing.T) {
-	p := connected(t, Quality{Latency: microtime.Millisecond})
+	env := connected(t, Quality{Latency: microtime.Millisecond})
 	arrived := 0
-	p.net.Tap = func(v Event) {
+	env.net.Tap = func(v Event) {
 		if v.Kind == Arrived && v.Node == "b" {
 			arrived++
 		}
 	}
-	p.b.SetMaxConnections(1)
-	first := p.ours
-	p.a.Dial("b/x", func(e *Stream, _ error) { e.Write([]byte("patience")) })
-	p.after(microtime.Second)
+	env.b.SetMaxConnections(1)
+	first := env.ours
+	env.a.Dial("b/x", func(e *Stream, _ error) { e.Write([]byte("patience")) })
+	env.after(microtime.Second)
 	require.Zero(t, arrived)
 	first.Close()
-	p.after(microtime.Second)
+	env.after(microtime.Second)
 	require.Equal(t, 1, arrived)
-	require.Contains(t, p.far.text, "patience")
+	require.Contains(t, env.far.text, "patience")
 }
 
 func TestKilledProcessAndLostMachine(t *testing.T) {
@@ -181,18 +181,18 @@
 }
 
 func TestDatagramsAreLostAndDoubled(t *testing.T) {
-	p := connected(t, Quality{Latency: microtime.Millisecond})
+	env := connected(t, Quality{Latency: microtime.Millisecond})
 	got := 0
-	_, err := p.b.Listen("b/d", Listener{Datagram: func(string, []byte) { got++ }})
+	_, err := env.b.Listen("b/d", Listener{Datagram: func(string, []byte) { got++ }})
 	require.NoError(t, err)
 	count := func(loss, double float64) int {
 		got = 0
-		path := p.net.Path("a", "b")
+		path := env.net.Path("a", "b")
 		path.Loss, path.Duplicate = loss, double
 		for range 1000 {
-			p.a.SendDatagram("b/d", []byte("x"))
+			env.a.SendDatagram("b/d", []byte("x"))
 		}
-		p.after(microtime.Second)
+		env.after(microtime.Second)
 		return got
 	}
 	require.Equal(t, 1000, count(0, 0))
--- a/internal/testbed/simnet/world.go
+++ b/internal/testbed/simnet/world.go
@@ -23,28 +23,28 @@
 
 // World is the clock, the events to come and the digest of what has happened.
 type World struct {
-	now    microtime.Time
-	heap   []*Timer
-	asked  uint64
-	events uint64
-	rng    *rand.Rand
-	digest *xxhash.Digest
+	now          microtime.Time
+	timers       []*Timer
+	lastSequence uint64
+	events       uint64
+	rng          *rand.Rand
+	digest       *xxhash.Digest
 	// Step's observer, called after every event.
 	After func()
 }
 
 // Timer is an event to come.
 type Timer struct {
-	at   microtime.Time
-	seq  uint64
-	f    func()
-	dead bool
+	at       microtime.Time
+	sequence uint64
+	run      func()
+	stopped  bool
 }
 
 // Stop has the event not happen, if it has not yet.
 func (t *Timer) Stop() {
 	if t != nil {
-		t.dead, t.f = true, nil
+		t.stopped, t.run = true, nil
 	}
 }
 
@@ -73,8 +73,8 @@
 
 // At has f happen at a time, at once if that is past.
 func (w *World) At(at microtime.Time, f func()) *Timer {
-	w.asked++
-	t := &Timer{at: max(at, w.now), seq: w.asked, f: f}
+	w.lastSequence++
+	t := &Timer{at: max(at, w.now), sequence: w.lastSequence, run: f}
 	w.push(t)
 	return t
 }
@@ -84,15 +84,15 @@
 
 // Step lets the next event happen; false if there is none up to the time until, to which the clock then moves.
 func (w *World) Step(until microtime.Time) bool {
-	for len(w.heap) > 0 && w.heap[0].at <= until {
+	for len(w.timers) > 0 && w.timers[0].at <= until {
 		t := w.pop()
-		if t.dead {
+		if t.stopped {
 			continue
 		}
 		w.now = t.at
 		w.events++
-		f := t.f
-		t.dead, t.f = true, nil
+		f := t.run
+		t.stopped, t.run = true, nil
 		f()
 		if w.After != nil {
 			w.After()
@@ -122,36 +122,36 @@
 // Digest is the sum over every byte and time so far.
 func (w *World) Digest() uint64 { return w.digest.Sum64() }
 
-func before(a, b *Timer) bool { return a.at < b.at || a.at == b.at && a.seq < b.seq }
+func before(a, b *Timer) bool { return a.at < b.at || a.at == b.at && a.sequence < b.sequence }
 
 func (w *World) push(t *Timer) {
-	w.heap = append(w.heap, t)
-	for i := len(w.heap) - 1; i > 0; {
+	w.timers = append(w.timers, t)
+	for i := len(w.timers) - 1; i > 0; {
 		up := (i - 1) / 4
-		if !before(w.heap[i], w.heap[up]) {
+		if !before(w.timers[i], w.timers[up]) {
 			break
 		}
-		w.heap[i], w.heap[up] = w.heap[up], w.heap[i]
+		w.timers[i], w.timers[up] = w.timers[up], w.timers[i]
 		i = up
 	}
 }
 
 func (w *World) pop() *Timer {
-	top, end := w.heap[0], len(w.heap)-1
-	w.heap[0] = w.heap[end]
-	w.heap[end] = nil
-	w.heap = w.heap[:end]
+	top, end := w.timers[0], len(w.timers)-1
+	w.timers[0] = w.timers[end]
+	w.timers[end] = nil
+	w.timers = w.timers[:end]
 	for i := 0; ; {
 		least := i
 		for c := 4*i + 1; c <= 4*i+4 && c < end; c++ {
-			if before(w.heap[c], w.heap[least]) {
+			if before(w.timers[c], w.timers[least]) {
 				least = c
 			}
 		}
 		if least == i {
 			return top
 		}
-		w.heap[i], w.heap[least] = w.heap[least], w.heap[i]
+		w.timers[i], w.timers[least] = w.timers[least], w.timers[i]
 		i = least
 	}
 }
