--- a/control/control.go
+++ b/control/control.go
@@ -1,4 +1,4 @@
-// The interface (settings, events, actions) is in api.go. This file holds every decision.
+// This file holds every decision.
 //
 // The ordinary path: held requests start by earliest due time, arrival plus their class's queue budget
 // Q = M - S. M is the largest mean latency at which a generalized exponential law, fitted to the class's
@@ -903,7 +903,7 @@
 	r.since = c.now + callPause<<min(r.failed, 6) // no storm of calls on what is already full
 	r.failed++
 	final := c.classes[r.Class].Idempotency != Idempotent || r.failed >= callTries
-	if !e.Outcome.provesUnrun() && final && !r.answered {
+	if !e.Outcome.provesNotRun() && final && !r.answered {
 		c.fail(r) // may have taken effect: never called again
 	}
 }
--- a/control/setup.go
+++ b/control/setup.go
@@ -11,28 +11,9 @@
 
 // This file builds a Controller from its settings, and anew when they change. It decides nothing about requests.
 
-func (s Settings) check() error {
-	times := min(s.AnswerGrace, s.DrainGrace, s.WarmUpTime, s.MaxConcurrencyWindow, s.CallConcurrencyWindow, s.AbandonedCallTime, s.MaxRetryAfter)
-	limits := min(s.MemoryKB, s.KeyKB, s.CallConcurrencyShare, s.MaxConcurrencyPerCore, s.RunningMemoryFactor, s.OverQuotaWeightShare)
-	if len(s.inUse()) == 0 || s.Cores <= 0 || times < 0 || limits < 0 {
-		return fmt.Errorf("control: %d classes, %d cores, or a negative figure", len(s.inUse()), s.Cores)
-	}
-	for _, k := range s.Classes {
-		if k.LatencyObjective <= 0 || k.Deadline <= 0 || k.RetentionWindow < 0 || k.Weight < 0 {
-			return fmt.Errorf("control: class %q: aim, deadline, window or worth out of range", k.Name)
-		}
-	}
-	return nil
-}
-
-// inUse are the classes that requests may still come of.
-func (s Settings) inUse() []Class {
-	return slices.DeleteFunc(slices.Clone(s.Classes), func(k Class) bool { return k.Retired })
-}
-
 // New checks the settings and returns a Controller at its start.
 func New(s Settings) (*Controller, error) {
-	if err := s.check(); err != nil {
+	if err := s.validate(); err != nil {
 		return nil, err
 	}
 	c := &Controller{
@@ -54,11 +35,11 @@
 // numbers: a class that is gone is retired, one whose number has gone over to another name is over. What was learned of a
 // class is kept under its name, and what is open stays as it was read. The seed and the cold start are those of New.
 func (c *Controller) Reconfigure(s Settings) error {
-	if err := s.check(); err != nil {
+	if err := s.validate(); err != nil {
 		return err
 	}
 	if len(s.Classes) < len(c.classes) || len(s.Tenants) < len(c.tokens) {
-		return fmt.Errorf("control: %d classes or %d tenants are fewer than there were", len(s.Classes), len(s.Tenants))
+		return fmt.Errorf("%w: %d classes or %d tenants are fewer than before", ErrInvalidSettings, len(s.Classes), len(s.Tenants))
 	}
 	s.Seed, s.ColdStart = c.s.Seed, c.s.ColdStart
 	c.settle(s)
@@ -81,7 +62,7 @@
 		c.tokens = append(c.tokens, 0)
 	}
 	ranks := func(a, b Class) int { return cmp.Compare(a.Weight, b.Weight) }
-	low, high := slices.MinFunc(s.inUse(), ranks).Weight, slices.MaxFunc(s.inUse(), ranks).Weight
+	low, high := slices.MinFunc(s.activeClasses(), ranks).Weight, slices.MaxFunc(s.activeClasses(), ranks).Weight
 	before := c.classes
 	c.classes, c.current = nil, nil
 	for i, k := range s.Classes {
