--- a/control/allowance_test.go
+++ b/control/allowance_test.go
@@ -16,11 +16,11 @@
 		running = nil
 		for caller, n := range senders {
 			for i := range n {
-				id := RequestID(c.now/tick)*1000 + RequestID(caller)*100 + RequestID(i) + 1
+				id := RequestID(c.now/tickInterval)*1000 + RequestID(caller)*100 + RequestID(i) + 1
 				events = append(events, RequestArrived{ID: id, Caller: uint32(caller), QueuedKB: 1, Age: age})
 			}
 		}
-		for _, action := range c.Step(c.now+tick, events) {
+		for _, action := range c.Step(c.now+tickInterval, events) {
 			if run, ok := action.(Start); ok {
 				running = append(running, run.ID)
 			}
@@ -38,8 +38,8 @@
 func TestAllowanceGrowsForTheCallerThatUsesIt(t *testing.T) {
 	c := allowanceController(t)
 	serveRounds(c, 500, 0.3, 0, 7, 1)
-	if c.said < 6 {
-		t.Errorf("allowance %v for a caller that has 7 requests open while the cores idle", c.said)
+	if c.loadSignalValue < 6 {
+		t.Errorf("allowance %v for a caller that has 7 requests open while the cores idle", c.loadSignalValue)
 	}
 }
 
@@ -47,8 +47,8 @@
 func TestAllowanceRestsWhileUnused(t *testing.T) {
 	c := allowanceController(t)
 	serveRounds(c, 500, 0.3, 0, 1, 1)
-	if c.said > 3 {
-		t.Errorf("allowance %v though no caller has more than one request open", c.said)
+	if c.loadSignalValue > 3 {
+		t.Errorf("allowance %v though no caller has more than one request open", c.loadSignalValue)
 	}
 }
 
@@ -56,14 +56,14 @@
 func TestAllowanceShrinksToItsFloor(t *testing.T) {
 	c := allowanceController(t)
 	serveRounds(c, 500, 0.3, 0, 7)
-	before, floor := c.said, allowLeast*float64(c.s.Cores)/float64(c.s.Callers)
+	before, floor := c.loadSignalValue, minAllowancePerCore*float64(c.settings.Cores)/float64(c.settings.Callers)
 	serveRounds(c, 250, 1, 3*time.Second, 7) // too late for their aim as they are read
-	if c.said >= before || c.said != floor {
-		t.Errorf("allowance %v after %v, want its floor %v", c.said, before, floor)
+	if c.loadSignalValue >= before || c.loadSignalValue != floor {
+		t.Errorf("allowance %v after %v, want its floor %v", c.loadSignalValue, before, floor)
 	}
-	c.Step(c.now+tick, []Event{DrainRequested{StopAt: c.now + time.Minute}})
+	c.Step(c.now+tickInterval, []Event{DrainRequested{StopAt: c.now + time.Minute}})
 	serveRounds(c, 250, 1, 0, 7)
-	if c.said != floor {
-		t.Errorf("allowance %v while draining, want %v: who hears nothing sends without bound", c.said, floor)
+	if c.loadSignalValue != floor {
+		t.Errorf("allowance %v while draining, want %v: who hears nothing sends without bound", c.loadSignalValue, floor)
 	}
 }
--- a/control/example_test.go
+++ b/control/example_test.go
@@ -10,8 +10,9 @@
 // A server with one core takes two requests: it runs one, holds the other, and runs it when the first is done.
 func Example() {
 	c, err := control.New(control.Settings{
-		Seed: 1, Cores: 1, RunningMemoryFactor: 8, MemoryKB: 100_000, MaxConcurrencyPerCore: 4, MaxConcurrencyWindow: 2 * time.Second,
-		Classes: []control.Class{{Name: "lookup", LatencyObjective: 2 * time.Second, Deadline: 8 * time.Second, Weight: 1}},
+		Seed: 1, Cores: 1, RunningMemoryFactor: 8, MemoryKB: 100_000, MaxConcurrencyPerCore: 4,
+		MaxConcurrencyWindow: 2 * time.Second,
+		Classes:              []control.Class{{Name: "lookup", LatencyObjective: 2 * time.Second, Deadline: 8 * time.Second, Weight: 1}},
 	})
 	if err != nil {
 		fmt.Println(err)
--- a/control/guards_test.go
+++ b/control/guards_test.go
@@ -7,9 +7,11 @@
 
 func testController(t *testing.T, change func(*Settings)) *Controller {
 	t.Helper()
-	s := Settings{Cores: 2, MemoryKB: 10_000, KeyKB: 100, RunningMemoryFactor: 4, MaxConcurrencyPerCore: 6, MaxRetryAfter: time.Second,
+	s := Settings{Cores: 2, MemoryKB: 10_000, KeyKB: 100, RunningMemoryFactor: 4, MaxConcurrencyPerCore: 6,
+		MaxRetryAfter: time.Second,
 		Classes: []Class{{LatencyObjective: 2 * time.Second, Deadline: 8 * time.Second, Weight: 1, MakesCalls: true},
-			{LatencyObjective: 2 * time.Second, Deadline: 8 * time.Second, Weight: 4, MakesCalls: true, Idempotency: IdempotentByKey, RetentionWindow: 30 * time.Second}}}
+			{LatencyObjective: 2 * time.Second, Deadline: 8 * time.Second, Weight: 4, MakesCalls: true,
+				Idempotency: IdempotentByKey, RetentionWindow: 30 * time.Second}}}
 	if change != nil {
 		change(&s)
 	}
@@ -41,7 +43,7 @@
 			calls += n
 			ev = append(ev, CallFinished{ID: 1, Outcome: OutcomeRejected})
 		}
-		now += tick
+		now += tickInterval
 		as = c.Step(now, ev)
 	}
 	if calls < 3 || calls > 6 { // pauses of 50, 100, 200, 400, 800 ms
@@ -54,22 +56,22 @@
 	c := testController(t, nil)
 	now := time.Duration(0)
 	beat := func(g Gauges, held bool) {
-		now += tick
+		now += tickInterval
 		c.Step(now, []Event{Tick{Gauges: g}})
-		c.wasBound = held
+		c.limitReached = held
 	}
 	for range 100 {
 		beat(Gauges{CPUUtilization: 0.5, Runnable: 1}, true)
 	}
-	high := c.limit
-	if high <= float64(c.s.Cores) {
+	high := c.concurrencyLimit
+	if high <= float64(c.settings.Cores) {
 		t.Fatalf("limit %v though cores idle and work waits", high)
 	}
 	for range 200 {
 		beat(Gauges{CPUUtilization: 1, Runnable: 8}, false)
 	}
-	if c.limit >= high/2 {
-		t.Errorf("limit %v, was %v, with four for each core", c.limit, high)
+	if c.concurrencyLimit >= high/2 {
+		t.Errorf("limit %v, was %v, with four for each core", c.concurrencyLimit, high)
 	}
 }
 
@@ -78,16 +80,16 @@
 	c := testController(t, nil)
 	now := time.Duration(0)
 	for id := RequestID(1); id < 400; id++ {
-		now += tick
+		now += tickInterval
 		as := c.Step(now, []Event{Tick{}, RequestArrived{ID: id, Class: 1, QueuedKB: 200}})
 		if count[Start](as) > 0 {
 			c.Step(now, []Event{RequestFinished{ID: id, Outcome: OutcomeOK}})
 		}
 	}
-	if c.memoryWith(2*200*4) > memoryFull {
-		t.Errorf("entries take %.2f of memory: no room for a run a core", c.memoryWith(0))
+	if c.memoryUse(2*200*4) > memoryHighWater {
+		t.Errorf("entries take %.2f of memory: no room for a run a core", c.memoryUse(0))
 	}
-	if as := c.Step(now+tick, []Event{RequestArrived{ID: 1000, QueuedKB: 200}}); count[Start](as) != 1 {
+	if as := c.Step(now+tickInterval, []Event{RequestArrived{ID: 1000, QueuedKB: 200}}); count[Start](as) != 1 {
 		t.Error("a safe request does not run beside the entries")
 	}
 }
@@ -97,13 +99,14 @@
 	c := testController(t, func(s *Settings) {
 		s.Dependency, s.CallConcurrencyShare, s.CallConcurrencyWindow = DependencyShared, 2, 5*time.Second
 	})
-	c.callTime = mean{100, 0.9} // one call in hand at 0.9 s each: a second one comes too late for an aim of 2 s
-	as := c.Step(0, []Event{RequestArrived{ID: 1, QueuedKB: 1}, RequestArrived{ID: 2, QueuedKB: 1}, RequestArrived{ID: 3, QueuedKB: 1},
+	c.callTime = runningMean{100, 0.9} // one call in hand at 0.9 s each: a second one comes too late for an aim of 2 s
+	as := c.Step(0, []Event{RequestArrived{ID: 1, QueuedKB: 1}, RequestArrived{ID: 2, QueuedKB: 1},
+		RequestArrived{ID: 3, QueuedKB: 1},
 		RequestArrived{ID: 4, Class: 1, QueuedKB: 1}})
 	if count[Reject](as) == 0 {
 		t.Error("nothing is turned away though the calls cannot be made in time")
 	}
-	if c.live[4] == nil || c.keys[4] == nil {
+	if c.requests[4] == nil || c.retainedKeys[4] == nil {
 		t.Error("the keyed request of most worth was turned away")
 	}
 }
@@ -112,25 +115,25 @@
 func TestOneErrorIsNotFailing(t *testing.T) {
 	c := testController(t, nil)
 	run := func(id RequestID, o Outcome) {
-		c.Step(c.now+tick, []Event{Tick{}, RequestArrived{ID: id, QueuedKB: 1}})
-		c.Step(c.now+tick, []Event{RequestFinished{ID: id, Outcome: o}, Tick{}})
+		c.Step(c.now+tickInterval, []Event{Tick{}, RequestArrived{ID: id, QueuedKB: 1}})
+		c.Step(c.now+tickInterval, []Event{RequestFinished{ID: id, Outcome: o}, Tick{}})
 	}
 	run(1, OutcomeOK)
 	run(2, OutcomeError)
 	run(3, OutcomeOK)
-	if c.sick != "" {
-		t.Fatalf("%s after one error", c.sick)
+	if c.unhealthyReason != "" {
+		t.Fatalf("%s after one error", c.unhealthyReason)
 	}
 	for id := RequestID(4); id < 10; id++ {
 		run(id, OutcomeError)
 	}
-	if c.sick != "failing" {
+	if c.unhealthyReason != "failing" {
 		t.Error("six errors in a row are not seen")
 	}
 	for range 600 {
-		c.Step(c.now+tick, []Event{Tick{}})
+		c.Step(c.now+tickInterval, []Event{Tick{}})
 	}
-	if c.sick != "" {
+	if c.unhealthyReason != "" {
 		t.Error("a machine without evidence stays shut out")
 	}
 }
@@ -140,17 +143,17 @@
 func TestSlowIsNotHung(t *testing.T) {
 	c := testController(t, nil)
 	c.Step(0, []Event{RequestArrived{ID: 1, QueuedKB: 1}, RequestArrived{ID: 2, QueuedKB: 1}})
-	mean := seconds(c.slotTime.v)
+	mean := seconds(c.slotTime.value)
 	for c.now < 8*mean {
-		c.Step(c.now+tick, []Event{Tick{}})
+		c.Step(c.now+tickInterval, []Event{Tick{}})
 	}
-	if c.sick != "" || c.n[running] != 2 {
-		t.Errorf("%q with %d running after 16 mean services of slot time", c.sick, c.n[running])
+	if c.unhealthyReason != "" || c.stateCounts[stateRunning] != 2 {
+		t.Errorf("%q with %d running after 16 mean services of slot time", c.unhealthyReason, c.stateCounts[stateRunning])
 	}
 	for c.now < 20*mean {
-		c.Step(c.now+tick, []Event{Tick{}})
+		c.Step(c.now+tickInterval, []Event{Tick{}})
 	}
-	if c.sick != "hung" {
+	if c.unhealthyReason != "hung" {
 		t.Error("a machine that gets nowhere is not seen")
 	}
 }
@@ -159,18 +162,18 @@
 // What two seconds of shedding raised, one second without any takes back.
 func TestLevelIsSoonTakenBack(t *testing.T) {
 	c := testController(t, func(s *Settings) { s.LoadSignal = LoadSignalThreshold })
-	for now := time.Duration(0); now <= 2*time.Second; now += tick {
-		c.readNow, c.shedNow = 10, 5
+	for now := time.Duration(0); now <= 2*time.Second; now += tickInterval {
+		c.signalArrivals, c.signalRejections = 10, 5
 		c.Step(now, []Event{Tick{}})
 	}
-	if c.said < 0.3 {
-		t.Fatalf("level %v after two seconds of shedding", c.said)
+	if c.loadSignalValue < 0.3 {
+		t.Fatalf("level %v after two seconds of shedding", c.loadSignalValue)
 	}
 	for end := c.now + time.Second; c.now < end; {
-		c.Step(c.now+tick, []Event{Tick{}})
+		c.Step(c.now+tickInterval, []Event{Tick{}})
 	}
-	if c.said > 0.2 {
-		t.Errorf("level %v a second later", c.said)
+	if c.loadSignalValue > 0.2 {
+		t.Errorf("level %v a second later", c.loadSignalValue)
 	}
 }
 
@@ -180,11 +183,11 @@
 	c := testController(t, func(s *Settings) { s.LoadSignal = LoadSignalThreshold })
 	said, moves := 0.0, 0
 	for c.now < 2*time.Second {
-		c.readNow, c.shedNow = 10, 5
+		c.signalArrivals, c.signalRejections = 10, 5
 		if c.now > time.Second {
-			c.shedNow = 0
+			c.signalRejections = 0
 		}
-		for _, a := range c.Step(c.now+tick, []Event{Tick{}}) {
+		for _, a := range c.Step(c.now+tickInterval, []Event{Tick{}}) {
 			if s, ok := a.(SetLoadSignal); ok {
 				if d := s.Value - said; d > 0.11 || d < -0.11 {
 					t.Errorf("at %v the level moves by %v", c.now, d)
@@ -220,7 +223,8 @@
 	if calm || len(refused) < 10 || len(refused) > 31 {
 		t.Errorf("%d of 40 refused, one within its share among them: %v", len(refused), calm)
 	}
-	if as := testController(t, nil).Step(0, []Event{RequestArrived{ID: 1, Tenant: 7, QueuedKB: 1}}); count[Start](as) != 1 {
+	if as := testController(t, nil).Step(0, []Event{RequestArrived{ID: 1, Tenant: 7,
+		QueuedKB: 1}}); count[Start](as) != 1 {
 		t.Error("a request of no known tenant is not run")
 	}
 }
@@ -234,9 +238,10 @@
 	for i := RequestID(2); i <= 30; i++ {
 		ev = append(ev, RequestArrived{ID: i, Class: 1, QueuedKB: 50, Original: 1})
 	}
-	as := c.Step(tick, ev)
-	if c.memoryWith(0) > 1 || count[Fail](as)+count[ReplayResult](as) != 29 || count[Reject](as) != 0 || count[ReplayResult](as) < 10 {
-		t.Errorf("%d joined and %d failed of 29, memory %.2f", count[ReplayResult](as), count[Fail](as), c.memoryWith(0))
+	as := c.Step(tickInterval, ev)
+	if c.memoryUse(0) > 1 || count[Fail](as)+count[ReplayResult](as) != 29 || count[Reject](as) != 0 ||
+		count[ReplayResult](as) < 10 {
+		t.Errorf("%d joined and %d failed of 29, memory %.2f", count[ReplayResult](as), count[Fail](as), c.memoryUse(0))
 	}
 }
 
@@ -247,7 +252,7 @@
 		runs  int
 	}{{1.4, 0}, {1.6, 1}} {
 		c := testController(t, nil)
-		age := 2*time.Second - seconds(left.means*c.slotTime.v)
+		age := 2*time.Second - seconds(left.means*c.slotTime.value)
 		if as := c.Step(time.Minute, []Event{RequestArrived{ID: 1, QueuedKB: 1, Age: age}}); count[Start](as) != left.runs {
 			t.Errorf("%d runs with %v mean services left", count[Start](as), left.means)
 		}
@@ -258,7 +263,8 @@
 func TestRepeatOfARepeat(t *testing.T) {
 	c := testController(t, nil)
 	c.Step(0, []Event{RequestArrived{ID: 1, Class: 1, QueuedKB: 1}})
-	as := c.Step(tick, []Event{RequestArrived{ID: 2, Class: 1, QueuedKB: 1, Original: 1}, RequestArrived{ID: 3, Class: 1, QueuedKB: 1, Original: 2}})
+	as := c.Step(tickInterval, []Event{RequestArrived{ID: 2, Class: 1, QueuedKB: 1, Original: 1}, RequestArrived{ID: 3,
+		Class: 1, QueuedKB: 1, Original: 2}})
 	if count[ReplayResult](as) != 2 || count[Start](as) != 0 {
 		t.Errorf("%d reuses and %d runs of two repeats", count[ReplayResult](as), count[Start](as))
 	}
@@ -270,7 +276,8 @@
 	last := func(callers int) (kept time.Duration) {
 		c := testController(t, func(s *Settings) { s.MaxKeepAlive = 30 * time.Second })
 		for i := range 1000 {
-			as := c.Step(c.now+tick, []Event{Tick{}, RequestArrived{ID: RequestID(i + 1), QueuedKB: 1, Caller: uint32(i % callers)}})
+			as := c.Step(c.now+tickInterval, []Event{Tick{}, RequestArrived{ID: RequestID(i + 1), QueuedKB: 1,
+				Caller: uint32(i % callers)}})
 			as = append(as, c.Step(c.now, []Event{RequestFinished{ID: RequestID(i + 1), Outcome: OutcomeOK}})...)
 			for _, a := range as {
 				if x, ok := a.(CloseIdleConnections); ok {
@@ -280,7 +287,7 @@
 		}
 		return kept
 	}
-	if d := last(1000); d != keepMin {
+	if d := last(1000); d != minKeepAlive {
 		t.Errorf("kept for %v though no caller returns", d)
 	}
 	if d := last(50); d < time.Second { // each returns after a second
@@ -293,20 +300,21 @@
 func TestCallsStayUnderAShareBelowOne(t *testing.T) {
 	for _, share := range []float64{0.3, 0.47, 0.9, 2.5} {
 		c := testController(t, func(s *Settings) {
-			s.Dependency, s.CallConcurrencyShare, s.CallConcurrencyWindow, s.AbandonedCallTime = DependencyShared, share, 5*time.Second, 200*time.Millisecond
+			s.Dependency, s.CallConcurrencyShare, s.CallConcurrencyWindow, s.AbandonedCallTime = DependencyShared, share,
+				5*time.Second, 200*time.Millisecond
 		})
 		ends, inHand := map[RequestID]time.Duration{}, []float64{}
 		calls := 0
 		for i := range 3000 {
 			ev := []Event{Tick{Gauges: Gauges{CPUUtilization: 0.5}}}
 			for id := RequestID(1); id <= RequestID(i); id++ {
-				if end, ok := ends[id]; ok && c.now+tick >= end {
+				if end, ok := ends[id]; ok && c.now+tickInterval >= end {
 					ev = append(ev, CallFinished{ID: id, Outcome: OutcomeTimeout})
 					delete(ends, id)
 				}
 			}
 			ev = append(ev, RequestArrived{ID: RequestID(i + 1), QueuedKB: 1})
-			as := c.Step(c.now+tick, ev)
+			as := c.Step(c.now+tickInterval, ev)
 			var need []Event
 			for _, a := range as {
 				switch a := a.(type) {
@@ -322,12 +330,12 @@
 					calls++
 				}
 			}
-			inHand = append(inHand, float64(len(ends)+len(c.lingers)))
-			sum, from := 0.0, max(0, len(inHand)-int(c.s.CallConcurrencyWindow/tick))
+			inHand = append(inHand, float64(len(ends)+len(c.abandonedUntil)))
+			sum, from := 0.0, max(0, len(inHand)-int(c.settings.CallConcurrencyWindow/tickInterval))
 			for _, x := range inHand[from:] {
 				sum += x
 			}
-			if m := sum * tick.Seconds() / c.s.CallConcurrencyWindow.Seconds(); m > share {
+			if m := sum * tickInterval.Seconds() / c.settings.CallConcurrencyWindow.Seconds(); m > share {
 				t.Fatalf("share %v: %.2f calls in the mean of a window at %v", share, m, c.now)
 			}
 		}
@@ -343,7 +351,8 @@
 	lasts := func(retries bool, age time.Duration) (last, all int) {
 		c := testController(t, func(s *Settings) { s.RetriesMarked = true })
 		for i := range 400 {
-			as := c.Step(c.now+tick, []Event{Tick{}, RequestArrived{ID: RequestID(i + 1), QueuedKB: 1, Age: age, Retry: retries && i%2 == 0}})
+			as := c.Step(c.now+tickInterval, []Event{Tick{}, RequestArrived{ID: RequestID(i + 1), QueuedKB: 1, Age: age,
+				Retry: retries && i%2 == 0}})
 			for _, a := range as {
 				if r, ok := a.(Reject); ok && i > 200 {
 					all++
@@ -384,11 +393,12 @@
 		c := testController(t, change)
 		runs := map[int]int{}
 		for i := range 2000 {
-			as := c.Step(c.now+tick, []Event{Tick{Gauges: Gauges{CPUUtilization: -1, Runnable: -1}}, RequestArrived{ID: RequestID(i + 1), Class: i % 2, QueuedKB: 1,
-				Tenant: i % 3}})
+			as := c.Step(c.now+tickInterval, []Event{Tick{Gauges: Gauges{CPUUtilization: -1, Runnable: -1}},
+				RequestArrived{ID: RequestID(i + 1), Class: i % 2, QueuedKB: 1,
+					Tenant: i % 3}})
 			for _, a := range as {
 				if r, ok := a.(Start); ok {
-					runs[c.live[r.ID].Class]++
+					runs[c.requests[r.ID].Class]++
 					c.Step(c.now, []Event{RequestFinished{ID: r.ID, Outcome: OutcomeOK}})
 				}
 			}
@@ -404,16 +414,16 @@
 func TestLimitStepsScaleWithCores(t *testing.T) {
 	for _, cores := range []int{1, 2, 6, 16} {
 		c := testController(t, func(s *Settings) { s.Cores, s.MaxConcurrencyPerCore = cores, 0 })
-		c.limit = 2 * float64(cores)
+		c.concurrencyLimit = 2 * float64(cores)
 		for range 200 {
-			before := c.limit
-			c.Step(c.now+tick, []Event{Tick{Gauges: Gauges{CPUUtilization: 1, Runnable: 4 * float64(cores)}}})
-			if step := before - c.limit; step > float64(cores)/8+1e-9 {
+			before := c.concurrencyLimit
+			c.Step(c.now+tickInterval, []Event{Tick{Gauges: Gauges{CPUUtilization: 1, Runnable: 4 * float64(cores)}}})
+			if step := before - c.concurrencyLimit; step > float64(cores)/8+1e-9 {
 				t.Fatalf("%d cores: a step of %.2f slots", cores, step)
 			}
 		}
-		if c.limit > float64(cores) {
-			t.Errorf("%d cores: limit %.2f though four for each want them", cores, c.limit)
+		if c.concurrencyLimit > float64(cores) {
+			t.Errorf("%d cores: limit %.2f though four for each want them", cores, c.concurrencyLimit)
 		}
 	}
 }
@@ -421,17 +431,23 @@
 // Guards against callers that make requests up: what the host could not run, as nobody had asked for it, leaves no
 // trace in the counts by which a server judges its load, nor in the shares of the tenants that it was sent for.
 func TestMadeUpRequestsAreNotCounted(t *testing.T) {
-	c := testController(t, func(s *Settings) { s.Tenants, s.Peers, s.OverQuotaWeightShare = []Tenant{{"hill", 10}}, 1, 0.05 })
+	c := testController(t, func(s *Settings) {
+		s.Tenants, s.Peers, s.OverQuotaWeightShare = []Tenant{{"hill", 10}}, 1,
+			0.05
+	})
 	c.Step(0, nil)
 	c.Step(time.Second, nil)
-	tokens, others := c.tokens[0], c.others
+	tokens, others := c.quotaTokens[0], c.priorityLoad
 	c.Step(c.now, []Event{RequestArrived{ID: 1, Class: 1, QueuedKB: 1}, RequestArrived{ID: 2, QueuedKB: 1, Retry: true}})
-	c.Step(c.now, []Event{RequestFinished{ID: 1, Outcome: OutcomeRejected}, RequestFinished{ID: 2, Outcome: OutcomeRejected}})
-	if c.read != 0 || c.readNow != 0 || c.again != 0 || c.classes[1].seen != 0 || c.runs != 0 {
-		t.Errorf("read %v and %v, again %v, seen %v, runs %v; want none", c.read, c.readNow, c.again, c.classes[1].seen, c.runs)
+	c.Step(c.now, []Event{RequestFinished{ID: 1, Outcome: OutcomeRejected}, RequestFinished{ID: 2,
+		Outcome: OutcomeRejected}})
+	if c.recentArrivals != 0 || c.signalArrivals != 0 || c.recentRetries != 0 || c.classes[1].recentOutcomes != 0 ||
+		c.recentRuns != 0 {
+		t.Errorf("read %v and %v, again %v, seen %v, runs %v; want none", c.recentArrivals, c.signalArrivals,
+			c.recentRetries, c.classes[1].recentOutcomes, c.recentRuns)
 	}
-	if c.tokens[0] != tokens || c.others != others {
-		t.Errorf("tokens %v of %v, others %v of %v", c.tokens[0], tokens, c.others, others)
+	if c.quotaTokens[0] != tokens || c.priorityLoad != others {
+		t.Errorf("tokens %v of %v, others %v of %v", c.quotaTokens[0], tokens, c.priorityLoad, others)
 	}
 }
 
@@ -442,8 +458,8 @@
 	good := true
 	slow := 1.0
 	beat := func(ev ...Event) {
-		c.spent, c.yield = 100*slow, 100
-		for _, a := range c.Step(c.now+tick, append(ev, Tick{})) {
+		c.spentSeconds, c.expectedSeconds = 100*slow, 100
+		for _, a := range c.Step(c.now+tickInterval, append(ev, Tick{})) {
 			if h, ok := a.(SetHealth); ok {
 				good = h.Healthy
 			}
@@ -470,8 +486,8 @@
 	for range 50 {
 		beat(arrive(2 * time.Second))
 	}
-	if good || c.said != 1 {
-		t.Fatalf("good %v, level %v, while all of the worthiest work is turned away", good, c.said)
+	if good || c.loadSignalValue != 1 {
+		t.Fatalf("good %v, level %v, while all of the worthiest work is turned away", good, c.loadSignalValue)
 	}
 	for range 250 {
 		beat()
@@ -488,21 +504,22 @@
 	id := RequestID(0)
 	run := func(ticks int) {
 		id += 2
-		c.Step(c.now+tick, []Event{Tick{}, RequestArrived{ID: id, QueuedKB: 1}, RequestArrived{ID: id + 1, QueuedKB: 1}})
+		c.Step(c.now+tickInterval, []Event{Tick{}, RequestArrived{ID: id, QueuedKB: 1}, RequestArrived{ID: id + 1,
+			QueuedKB: 1}})
 		for range ticks {
-			c.Step(c.now+tick, []Event{Tick{}})
+			c.Step(c.now+tickInterval, []Event{Tick{}})
 		}
 		c.Step(c.now, []Event{RequestFinished{ID: id, Outcome: OutcomeOK}, RequestFinished{ID: id + 1, Outcome: OutcomeOK}})
 	}
 	for range 300 {
 		run(5)
 	}
-	usual := c.classes[0].slot.v
+	usual := c.classes[0].slot.value
 	for range 20 {
 		run(50)
 	}
-	if c.pace < 3 || c.classes[0].slot.v > 1.3*usual {
-		t.Errorf("pace %v, slot %v after a spell ten times as slow, %v before it", c.pace, c.classes[0].slot.v, usual)
+	if c.slowdown < 3 || c.classes[0].slot.value > 1.3*usual {
+		t.Errorf("pace %v, slot %v after a spell ten times as slow, %v before it", c.slowdown, c.classes[0].slot.value, usual)
 	}
 }
 
@@ -513,10 +530,10 @@
 		class, waits, want int
 	}{{0, 1, 1}, {0, 0, 0}, {1, 1, 0}} {
 		m := testController(t, func(s *Settings) { s.Preemption = PreemptDiscard })
-		m.limit = 1
+		m.concurrencyLimit = 1
 		m.Step(0, []Event{RequestArrived{ID: 1, Class: c.class, QueuedKB: 1, Age: 1500 * time.Millisecond}})
 		m.Step(450*time.Millisecond, nil)
-		before := m.classes[c.class].slot.v
+		before := m.classes[c.class].slot.value
 		for i := range c.waits {
 			m.Step(m.now, []Event{RequestArrived{ID: RequestID(2 + i), QueuedKB: 1}})
 		}
@@ -525,8 +542,8 @@
 		if fails, stops := count[Fail](as), count[Preempt](as); fails != c.want || stops != c.want {
 			t.Errorf("%+v: %d failed, %d stopped, want %d", c, fails, stops, c.want)
 		}
-		if learned := m.classes[c.class].slot.v > before; learned != (c.want == 1) {
-			t.Errorf("%+v: slot %v, before %v", c, m.classes[c.class].slot.v, before)
+		if learned := m.classes[c.class].slot.value > before; learned != (c.want == 1) {
+			t.Errorf("%+v: slot %v, before %v", c, m.classes[c.class].slot.value, before)
 		}
 	}
 }
@@ -548,7 +565,7 @@
 func TestDearWorkIsGivenItsChance(t *testing.T) {
 	for class, want := range []int{0, 1} {
 		c := testController(t, nil)
-		age := 2*time.Second - seconds(0.8*c.classes[class].slot.v)
+		age := 2*time.Second - seconds(0.8*c.classes[class].slot.value)
 		if ran := count[Start](c.Step(0, []Event{RequestArrived{ID: 1, Class: class, QueuedKB: 1, Age: age}})); ran != want {
 			t.Errorf("class %d with four fifths of its mean service left: %d run, want %d", class, ran, want)
 		}
@@ -561,12 +578,12 @@
 	for _, over := range []bool{false, true} {
 		c := testController(t, func(s *Settings) { s.LoadSignal = LoadSignalThreshold })
 		for id := RequestID(1); c.now < time.Second; id++ {
-			c.Step(c.now+tick, []Event{Tick{}, RequestArrived{ID: id, QueuedKB: 1}})
-			c.live[id].over = over
-			c.refuse(c.live[id], false)
+			c.Step(c.now+tickInterval, []Event{Tick{}, RequestArrived{ID: id, QueuedKB: 1}})
+			c.requests[id].overQuota = over
+			c.reject(c.requests[id], false)
 		}
-		if raised := c.said > 0; raised == over {
-			t.Errorf("beyond a share %v: level %v", over, c.said)
+		if raised := c.loadSignalValue > 0; raised == over {
+			t.Errorf("beyond a share %v: level %v", over, c.loadSignalValue)
 		}
 	}
 }
@@ -579,7 +596,8 @@
 	if n := count[Start](c.Step(2400*time.Millisecond, []Event{RequestArrived{ID: 1, QueuedKB: 1}})); n != 1 {
 		t.Errorf("read within the limit: %d runs", n)
 	}
-	as := c.Step(2600*time.Millisecond, []Event{RequestArrived{ID: 2, QueuedKB: 1, Age: time.Second}, RequestArrived{ID: 3, QueuedKB: 1}})
+	as := c.Step(2600*time.Millisecond, []Event{RequestArrived{ID: 2, QueuedKB: 1, Age: time.Second},
+		RequestArrived{ID: 3, QueuedKB: 1}})
 	if n, refused := count[Start](as), count[Reject](as); n != 0 || refused != 2 {
 		t.Errorf("read past the limit: %d runs, %d refusals", n, refused)
 	}
--- a/control/lanes_test.go
+++ b/control/lanes_test.go
@@ -12,9 +12,10 @@
 // class that is worth ten of the other, and returns what share of each class was turned away in the last quarter.
 func overload(t *testing.T, span time.Duration) (low, high float64) {
 	const cores, mean, step = 4, 0.05, 5 * time.Millisecond
-	c, err := New(Settings{Seed: 3, Cores: cores, MaxConcurrencyPerCore: 8, MaxConcurrencyWindow: 3 * time.Second, Classes: []Class{
-		{LatencyObjective: 360 * time.Millisecond, Deadline: 900 * time.Millisecond, Weight: 1},
-		{LatencyObjective: 360 * time.Millisecond, Deadline: 900 * time.Millisecond, Weight: 10}}})
+	c, err := New(Settings{Seed: 3, Cores: cores, MaxConcurrencyPerCore: 8, MaxConcurrencyWindow: 3 * time.Second,
+		Classes: []Class{
+			{LatencyObjective: 360 * time.Millisecond, Deadline: 900 * time.Millisecond, Weight: 1},
+			{LatencyObjective: 360 * time.Millisecond, Deadline: 900 * time.Millisecond, Weight: 10}}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/control/learned.go
+++ b/control/learned.go
@@ -1,72 +1,75 @@
 package control
 
-// LearnedState is what a Controller has found out about its machine and its classes: what a successor on the same machine
-// need not find out anew. It holds no decisions. Times are in seconds.
+// LearnedState is what a Controller has learned of its machine and its classes, so that a successor on the same machine
+// need not learn it anew. It holds no decisions. Times are in seconds.
 type LearnedState struct {
-	Limit, Alpha, Said float64 // of running requests; of the lanes; the free value
-	Usual, SlotTime    MeanEstimate
-	CallTime           MeanEstimate // of calls below
-	Classes            []LearnedClassState
+	ConcurrencyLimit, PriorityShare, LoadSignal float64 // of running requests; of the lanes; the free value
+	UsualSlowdown, SlotTime                     MeanEstimate
+	CallTime                                    MeanEstimate // of calls below
+	Classes                                     []LearnedClassState
 }
 
 // MeanEstimate is a mean and the completions behind it.
-type MeanEstimate struct{ N, V float64 }
+type MeanEstimate struct{ Count, Value float64 }
 
 // LearnedClassState is what is known of the class of that name.
 type LearnedClassState struct {
-	Name                string
-	Service, Slot, Away MeanEstimate
-	Calls               MeanEstimate // of a request
+	Name                                 string
+	ServiceTime, SlotTime, RejectedShare MeanEstimate
+	CallsPerRequest                      MeanEstimate // of a request
 }
 
 // LearnedState tells what has been found out.
 func (c *Controller) LearnedState() LearnedState {
-	l := LearnedState{Limit: c.limit, Alpha: c.alpha, Said: c.said, Usual: MeanEstimate{c.usual.n, c.usual.v}, SlotTime: MeanEstimate{c.slotTime.n, c.slotTime.v},
-		CallTime: MeanEstimate{c.callTime.n, c.callTime.v}}
+	l := LearnedState{ConcurrencyLimit: c.concurrencyLimit, PriorityShare: c.priorityShare,
+		LoadSignal: c.loadSignalValue, UsualSlowdown: MeanEstimate{c.usualSlowdown.count, c.usualSlowdown.value},
+		SlotTime: MeanEstimate{c.slotTime.count, c.slotTime.value},
+		CallTime: MeanEstimate{c.callTime.count, c.callTime.value}}
 	for _, k := range c.classes {
-		l.Classes = append(l.Classes, LearnedClassState{k.Name, MeanEstimate{k.service.n, k.service.v}, MeanEstimate{k.slot.n, k.slot.v}, MeanEstimate{k.away.n, k.away.v},
-			MeanEstimate{k.calls.n, k.calls.v}})
+		l.Classes = append(l.Classes, LearnedClassState{k.Name, MeanEstimate{k.service.count, k.service.value},
+			MeanEstimate{k.slot.count, k.slot.value}, MeanEstimate{k.rejectedShare.count, k.rejectedShare.value},
+			MeanEstimate{k.callsPerRequest.count, k.callsPerRequest.value}})
 	}
 	return l
 }
 
-// RestoreLearned takes up what a predecessor on the same machine has found out. Figures that make no sense are passed over: they come
-// from another process.
+// RestoreLearned takes up what a predecessor on the same machine has learned. Figures that make no sense are skipped one
+// by one, as they come from another process.
 func (c *Controller) RestoreLearned(l LearnedState) {
-	take := func(m *mean, from MeanEstimate, most float64) {
-		if from.N > 0 && from.N <= most && from.V > 0 && from.V < 3600 {
-			m.n, m.v = from.N, from.V
+	take := func(m *runningMean, from MeanEstimate, most float64) {
+		if from.Count > 0 && from.Count <= most && from.Value > 0 && from.Value < 3600 {
+			m.count, m.value = from.Count, from.Value
 		}
 	}
-	cores := float64(c.s.Cores)
-	if l.Limit >= limitMin*cores && l.Limit <= 100*cores {
-		c.limit = l.Limit
+	cores := float64(c.settings.Cores)
+	if l.ConcurrencyLimit >= minLimitPerCore*cores && l.ConcurrencyLimit <= 100*cores {
+		c.concurrencyLimit = l.ConcurrencyLimit
 	}
-	if l.Alpha >= alphaMin && l.Alpha <= alphaMax {
-		c.alpha = l.Alpha
+	if l.PriorityShare >= minPriorityShare && l.PriorityShare <= maxPriorityShare {
+		c.priorityShare = l.PriorityShare
 	}
-	if most := c.mostSaid(); l.Said >= 0 && l.Said <= most {
-		c.said = l.Said
+	if most := c.maxLoadSignal(); l.LoadSignal >= 0 && l.LoadSignal <= most {
+		c.loadSignalValue = l.LoadSignal
 	}
-	take(&c.usual, l.Usual, usualRuns)
-	take(&c.slotTime, l.SlotTime, window)
-	take(&c.callTime, l.CallTime, window)
+	take(&c.usualSlowdown, l.UsualSlowdown, usualSlowdownSamples)
+	take(&c.slotTime, l.SlotTime, sampleWindow)
+	take(&c.callTime, l.CallTime, sampleWindow)
 	for _, from := range l.Classes {
 		for _, k := range c.classes {
 			if k.Name == from.Name {
-				take(&k.service, from.Service, window)
-				take(&k.slot, from.Slot, window)
-				take(&k.away, from.Away, window)
-				take(&k.calls, from.Calls, window)
+				take(&k.service, from.ServiceTime, sampleWindow)
+				take(&k.slot, from.SlotTime, sampleWindow)
+				take(&k.rejectedShare, from.RejectedShare, sampleWindow)
+				take(&k.callsPerRequest, from.CallsPerRequest, sampleWindow)
 			}
 		}
 	}
 }
 
-// mostSaid is the highest free value that makes sense.
-func (c *Controller) mostSaid() float64 {
-	if c.s.LoadSignal == LoadSignalAllowance {
-		return allowMost * c.limit
+// maxLoadSignal is the highest free value that makes sense.
+func (c *Controller) maxLoadSignal() float64 {
+	if c.settings.LoadSignal == LoadSignalAllowance {
+		return maxAllowancePerSlot * c.concurrencyLimit
 	}
 	return 1
 }
--- a/control/mechanism_test.go
+++ b/control/mechanism_test.go
@@ -9,7 +9,7 @@
 
 // At CV 1 the law is the exponential: shape 1, mean equal to scale.
 func TestShapeOfExponential(t *testing.T) {
-	if phi := shape(1); math.Abs(phi-1) > 1e-6 {
+	if phi := lawShape(1); math.Abs(phi-1) > 1e-6 {
 		t.Errorf("shape at CV 1 is %v, want 1", phi)
 	}
 	if m, v := unitMoments(1); math.Abs(m-1) > 1e-9 || math.Abs(v-1) > 1e-9 {
@@ -20,8 +20,8 @@
 // The fitted law, sampled by inversion, has the CV it was fitted to, at the extremes too.
 func TestShapeAgainstSamples(t *testing.T) {
 	rng := rand.New(rand.NewPCG(7, 7))
-	for _, cv := range []float64{cvMin, 0.3, 0.7, 1, 1.5, 2.5} {
-		phi := shape(cv)
+	for _, cv := range []float64{minCV, 0.3, 0.7, 1, 1.5, 2.5} {
+		phi := lawShape(cv)
 		var sum, sq float64
 		const n = 400_000
 		for range n {
@@ -40,7 +40,7 @@
 	a, d := 2*time.Second, 8*time.Second
 	for _, w := range []float64{0.3, 0.6, 1, 2} {
 		want := w / 6 * (math.Exp(-2/w) - math.Exp(-8/w))
-		if got := disengaged(1, w, a, d); math.Abs(got-want) > 0.02*want {
+		if got := disengagement(1, w, a, d); math.Abs(got-want) > 0.02*want {
 			t.Errorf("scale %v: %v, want %v", w, got, want)
 		}
 	}
@@ -51,13 +51,13 @@
 	aim, deadline := 2500*time.Millisecond, 9*time.Second
 	last := time.Duration(math.MaxInt64)
 	for _, cv := range []float64{0.2, 0.5, 0.8, 1, 1.5, 2.5} {
-		m := meanBudget(cv, aim, deadline)
-		phi := shape(cv)
+		m := meanLatencyBudget(cv, aim, deadline)
+		phi := lawShape(cv)
 		unit, _ := unitMoments(phi)
-		step := precision * deadline.Seconds()
-		over := disengaged(phi, (m.Seconds()+2*step)/unit, aim, deadline)
-		under := disengaged(phi, math.Max(m.Seconds()-2*step, 1e-9)/unit, aim, deadline)
-		if over < zeta*target || under > theta*target {
+		step := bisectionPrecision * deadline.Seconds()
+		over := disengagement(phi, (m.Seconds()+2*step)/unit, aim, deadline)
+		under := disengagement(phi, math.Max(m.Seconds()-2*step, 1e-9)/unit, aim, deadline)
+		if over < minTargetRatio*disengagementTarget || under > maxTargetRatio*disengagementTarget {
 			t.Errorf("CV %v: M %v is off the target: %v to %v", cv, m, under, over)
 		}
 		if m >= last {
@@ -76,13 +76,13 @@
 		t.Fatal(err)
 	}
 	for _, k := range c.classes {
-		for i := range int(fitPrior) {
-			k.lat = append(k.lat, 1+float64(i%10))
+		for i := range int(priorSamples) {
+			k.latencies = append(k.latencies, 1+float64(i%10))
 		}
-		k.service.v = 6
+		k.service.value = 6
 	}
-	c.fit()
-	if a, b := c.classes[0].budget, c.classes[1].budget; a <= 0 || b <= a {
+	c.fitBudgets()
+	if a, b := c.classes[0].queueBudget, c.classes[1].queueBudget; a <= 0 || b <= a {
 		t.Errorf("budgets %v and %v: want both positive and in the order of the aims", a, b)
 	}
 }
@@ -92,48 +92,49 @@
 	c, _ := New(Settings{Cores: 2, Classes: []Class{
 		{LatencyObjective: time.Second, Deadline: 4 * time.Second, Weight: 1},
 		{LatencyObjective: time.Second, Deadline: 4 * time.Second, Weight: 2}}})
-	if !c.classes[0].best || c.classes[1].best {
+	if !c.classes[0].bestEffort || c.classes[1].bestEffort {
 		t.Fatal("the lowest worth is best effort, the other is not")
 	}
 	k := c.classes[1]
-	for i := range int(fitPrior) {
-		k.lat = append(k.lat, 0.1+0.1*float64(i%2))
+	for i := range int(priorSamples) {
+		k.latencies = append(k.latencies, 0.1+0.1*float64(i%2))
 	}
-	before := c.alpha
-	c.fit()
+	before := c.priorityShare
+	c.fitBudgets()
 	// A tenth of the window is filled: a tenth of a step.
-	if want := before - alphaDown/k.cv/10; math.Abs(c.alpha-want) > 1e-9 {
-		t.Errorf("alpha %v after spare time, want %v", c.alpha, want)
+	if want := before - priorityShareStep/k.cv/10; math.Abs(c.priorityShare-want) > 1e-9 {
+		t.Errorf("alpha %v after spare time, want %v", c.priorityShare, want)
 	}
-	for i := range k.lat {
-		k.lat[i] = 3
+	for i := range k.latencies {
+		k.latencies[i] = 3
 	}
-	c.alpha, before = 0.5, 0.5
-	c.fit()
-	if want := before * (1 + alphaUp/10); math.Abs(c.alpha-want) > 1e-9 {
-		t.Errorf("alpha %v after a missed target, want %v", c.alpha, want)
+	c.priorityShare, before = 0.5, 0.5
+	c.fitBudgets()
+	if want := before * (1 + priorityShareGrowth/10); math.Abs(c.priorityShare-want) > 1e-9 {
+		t.Errorf("alpha %v after a missed target, want %v", c.priorityShare, want)
 	}
 	// Who is turned away has missed the target, however good the latencies of the others are.
-	for i := range k.lat {
-		k.lat[i] = 0.1 + 0.1*float64(i%2)
+	for i := range k.latencies {
+		k.latencies[i] = 0.1 + 0.1*float64(i%2)
 	}
-	c.alpha, before = 0.6, 0.6
+	c.priorityShare, before = 0.6, 0.6
 	for id := RequestID(1); id <= 4; id++ {
-		c.take(RequestArrived{ID: id, Class: 1, QueuedKB: 1})
-		c.refuse(c.live[id], false)
+		c.handle(RequestArrived{ID: id, Class: 1, QueuedKB: 1})
+		c.reject(c.requests[id], false)
 	}
-	c.fit()
-	if want := before * (1 + alphaUp/10); math.Abs(c.alpha-want) > 1e-9 {
-		t.Errorf("alpha %v after four were turned away, want %v", c.alpha, want)
+	c.fitBudgets()
+	if want := before * (1 + priorityShareGrowth/10); math.Abs(c.priorityShare-want) > 1e-9 {
+		t.Errorf("alpha %v after four were turned away, want %v", c.priorityShare, want)
 	}
 }
 
 // Where all classes tie none is best effort: a single lane by due time.
 func TestNoBestEffortAmongEquals(t *testing.T) {
 	c, _ := New(Settings{Cores: 1, Classes: []Class{
-		{LatencyObjective: time.Second, Deadline: 4 * time.Second, Weight: 1}, {LatencyObjective: time.Second, Deadline: 4 * time.Second, Weight: 1}}})
+		{LatencyObjective: time.Second, Deadline: 4 * time.Second, Weight: 1}, {LatencyObjective: time.Second,
+			Deadline: 4 * time.Second, Weight: 1}}})
 	for i, k := range c.classes {
-		if k.best {
+		if k.bestEffort {
 			t.Errorf("class %d is best effort among equals", i)
 		}
 	}
@@ -142,20 +143,22 @@
 // The fitted law decides from the first completion: a thin class rests on the prior, near-exponential latency, and
 // moves to its own CV as completions come.
 func TestThinClassIsFitted(t *testing.T) {
-	c, _ := New(Settings{Cores: 2, Classes: []Class{{LatencyObjective: 2 * time.Second, Deadline: 8 * time.Second, Weight: 1}}})
+	c, _ := New(Settings{Cores: 2, Classes: []Class{{LatencyObjective: 2 * time.Second, Deadline: 8 * time.Second,
+		Weight: 1}}})
 	k := c.classes[0]
-	c.fit()
-	if want := meanBudget(1, k.LatencyObjective, k.Deadline) - seconds(k.service.v); k.budget != want || want >= k.LatencyObjective {
-		t.Fatalf("budget %v without completions, want %v, under the aim", k.budget, want)
-	}
-	for n, last := 1, k.budget; n <= window; n *= 10 {
-		for len(k.lat) < n {
-			k.lat = append(k.lat, 0.9+0.2*float64(len(k.lat)%2)) // CV about 0.1
+	c.fitBudgets()
+	if want := meanLatencyBudget(1, k.LatencyObjective,
+		k.Deadline) - seconds(k.service.value); k.queueBudget != want || want >= k.LatencyObjective {
+		t.Fatalf("budget %v without completions, want %v, under the aim", k.queueBudget, want)
+	}
+	for n, last := 1, k.queueBudget; n <= sampleWindow; n *= 10 {
+		for len(k.latencies) < n {
+			k.latencies = append(k.latencies, 0.9+0.2*float64(len(k.latencies)%2)) // CV about 0.1
 		}
-		c.fit()
-		if k.budget <= last {
-			t.Errorf("%d completions of little spread leave the budget at %v, was %v", n, k.budget, last)
+		c.fitBudgets()
+		if k.queueBudget <= last {
+			t.Errorf("%d completions of little spread leave the budget at %v, was %v", n, k.queueBudget, last)
 		}
-		last = k.budget
+		last = k.queueBudget
 	}
 }
--- a/control/rules_test.go
+++ b/control/rules_test.go
@@ -17,7 +17,7 @@
 	t       *rapid.T
 	s       control.Settings
 	now     time.Duration
-	reqs    map[control.RequestID]*entry
+	reqs    map[control.RequestID]*retainedKey
 	next    control.RequestID
 	drainAt time.Duration
 	stop    time.Duration
@@ -32,32 +32,40 @@
 const step = 20 * time.Millisecond
 
 // callOutcomes are how a call can end.
-var callOutcomes = []control.Outcome{control.OutcomeOK, control.OutcomeError, control.OutcomeRejected, control.OutcomeTimeout,
+var callOutcomes = []control.Outcome{control.OutcomeOK, control.OutcomeError, control.OutcomeRejected,
+	control.OutcomeTimeout,
 	control.OutcomeUnreachable, control.OutcomeReset, control.OutcomeAlreadyEnded}
 
-type entry struct {
-	a                    control.RequestArrived
-	at, due              time.Duration
-	state                string // held, run, atcall, call, joined, over
-	answered, ran, maybe bool   // maybe: a call of it may have taken effect
-	timeout              time.Duration
+type retainedKey struct {
+	a                        control.RequestArrived
+	at, due                  time.Duration
+	state                    string // held, run, atcall, call, joined, over
+	answered, started, maybe bool   // maybe: a call of it may have taken effect
+	timeout                  time.Duration
 }
 
 func settings(t *rapid.T) control.Settings {
 	b := func(name string) bool { return rapid.Bool().Draw(t, name) }
 	s := control.Settings{
-		Seed: rapid.Uint64().Draw(t, "seed"), Cores: rapid.IntRange(1, 16).Draw(t, "cores"), Peers: rapid.IntRange(1, 500).Draw(t, "peers"), Callers: 900, MaxKeepAlive: 30 * time.Second,
+		Seed: rapid.Uint64().Draw(t, "seed"), Cores: rapid.IntRange(1, 16).Draw(t, "cores"), Peers: rapid.IntRange(1,
+			500).Draw(t, "peers"), Callers: 900, MaxKeepAlive: 30 * time.Second,
 		ColdStart: b("cold"), MemoryKB: rapid.Float64Range(500, 2e4).Draw(t, "memory"), KeyKB: 20,
-		RunningMemoryFactor: rapid.Float64Range(2, 16).Draw(t, "factor"), MaxConcurrencyPerCore: rapid.Float64Range(2, 8).Draw(t, "crowd"),
-		MaxConcurrencyWindow: 2 * time.Second, WarmUpMinSpeed: 0.2, WarmUpTime: 10 * time.Second, Dependency: control.Dependency(rapid.IntRange(0, 2).Draw(t, "below")),
-		CallConcurrencyShare: rapid.Float64Range(0.3, 8).Draw(t, "share"), CallConcurrencyWindow: 5 * time.Second, AbandonedCallTime: 200 * time.Millisecond,
-		AnswerGrace: 80 * time.Millisecond, DrainGrace: 2 * time.Second, DeadlinePropagated: b("deadline"),
-		WeightPerWork: b("by work"), OverQuotaWeightShare: 0.1, Preemption: control.PreemptionMode(rapid.IntRange(0, 2).Draw(t, "stop")),
+		RunningMemoryFactor: rapid.Float64Range(2, 16).Draw(t, "factor"), MaxConcurrencyPerCore: rapid.Float64Range(2,
+			8).Draw(t, "crowd"),
+		MaxConcurrencyWindow: 2 * time.Second, WarmUpMinSpeed: 0.2, WarmUpTime: 10 * time.Second,
+		Dependency:           control.Dependency(rapid.IntRange(0, 2).Draw(t, "below")),
+		CallConcurrencyShare: rapid.Float64Range(0.3, 8).Draw(t, "share"), CallConcurrencyWindow: 5 * time.Second,
+		AbandonedCallTime: 200 * time.Millisecond,
+		AnswerGrace:       80 * time.Millisecond, DrainGrace: 2 * time.Second, DeadlinePropagated: b("deadline"),
+		WeightPerWork: b("by work"), OverQuotaWeightShare: 0.1, Preemption: control.PreemptionMode(rapid.IntRange(0,
+			2).Draw(t, "stop")),
 		LoadSignal: control.LoadSignalKind(rapid.IntRange(0, 3).Draw(t, "signal")), MaxRetryAfter: time.Second,
 	}
 	for i := range rapid.IntRange(1, 4).Draw(t, "classes") {
-		s.Classes = append(s.Classes, control.Class{LatencyObjective: time.Duration(1+i) * time.Second, Deadline: 6 * time.Second,
-			RetentionWindow: 20 * time.Second, Weight: float64(1 + i%3), Idempotency: control.Idempotency(rapid.IntRange(0, 2).Draw(t, "effect")),
+		s.Classes = append(s.Classes, control.Class{LatencyObjective: time.Duration(1+i) * time.Second,
+			Deadline:        6 * time.Second,
+			RetentionWindow: 20 * time.Second, Weight: float64(1 + i%3), Idempotency: control.Idempotency(rapid.IntRange(0,
+				2).Draw(t, "effect")),
 			MakesCalls: s.Dependency != control.DependencyNone && b("calls")})
 	}
 	if b("tenants") {
@@ -70,15 +78,16 @@
 	b.t.Fatalf("at %v: "+format, append([]any{b.now}, args...)...)
 }
 
-func (b *book) class(e *entry) control.Class { return b.s.Classes[e.a.Class] }
+func (b *book) class(e *retainedKey) control.Class { return b.s.Classes[e.a.Class] }
 
 func (b *book) arrive() control.Event {
 	t := b.t
 	b.next++
 	a := control.RequestArrived{ID: b.next, Class: rapid.IntRange(0, len(b.s.Classes)-1).Draw(t, "class"), Tenant: 1,
-		Age: time.Duration(rapid.IntRange(0, 900).Draw(t, "age")) * time.Millisecond, QueuedKB: rapid.Float64Range(1, 60).Draw(t, "kb"),
+		Age: time.Duration(rapid.IntRange(0, 900).Draw(t, "age")) * time.Millisecond, QueuedKB: rapid.Float64Range(1,
+			60).Draw(t, "kb"),
 		Key: uint64(rapid.IntRange(1, 5).Draw(t, "subject")), Caller: uint32(rapid.IntRange(0, 900).Draw(t, "caller"))}
-	e := &entry{a: a, at: b.now - a.Age, state: "held"}
+	e := &retainedKey{a: a, at: b.now - a.Age, state: "held"}
 	e.due = e.at + b.s.Classes[a.Class].Deadline
 	if b.s.DeadlinePropagated {
 		e.due = b.now + time.Duration(rapid.IntRange(1, 5000).Draw(t, "patience"))*time.Millisecond
@@ -101,7 +110,7 @@
 }
 
 // happen draws one event for a live request, legal in its state.
-func (b *book) happen(id control.RequestID, e *entry) control.Event {
+func (b *book) happen(id control.RequestID, e *retainedKey) control.Event {
 	t := b.t
 	switch e.state {
 	case "run":
@@ -125,7 +134,8 @@
 		e.state = "run"
 		if o != control.OutcomeOK {
 			e.state = "atcall"
-			e.maybe = e.maybe || o != control.OutcomeRejected && o != control.OutcomeUnreachable && o != control.OutcomeAlreadyEnded
+			e.maybe = e.maybe || o != control.OutcomeRejected && o != control.OutcomeUnreachable &&
+				o != control.OutcomeAlreadyEnded
 		}
 		return control.CallFinished{ID: id, Outcome: o, Took: 100 * time.Millisecond}
 	case "atcall":
@@ -146,7 +156,7 @@
 }
 
 func (b *book) carry(a control.Action) {
-	get := func(id control.RequestID) *entry {
+	get := func(id control.RequestID) *retainedKey {
 		e := b.reqs[id]
 		if e == nil {
 			b.fault("action on unknown request %d", id)
@@ -156,8 +166,8 @@
 	switch a := a.(type) {
 	case control.Start:
 		e := get(a.ID)
-		if e.state != "held" || e.ran {
-			b.fault("run of %d in state %s, ran %v", a.ID, e.state, e.ran)
+		if e.state != "held" || e.started {
+			b.fault("run of %d in state %s, ran %v", a.ID, e.state, e.started)
 		}
 		if b.drainAt > 0 && e.at > b.drainAt+b.s.DrainGrace {
 			b.fault("run of %d after the grace", a.ID)
@@ -171,11 +181,11 @@
 			}
 			b.arrived[e.a.Key] = e.at
 		}
-		e.state, e.ran = "run", true
+		e.state, e.started = "run", true
 	case control.Reject:
 		e := get(a.ID)
-		if e.answered || e.ran || e.state == "over" || e.state == "joined" {
-			b.fault("refusal of %d: answered %v, ran %v, %s", a.ID, e.answered, e.ran, e.state)
+		if e.answered || e.started || e.state == "over" || e.state == "joined" {
+			b.fault("refusal of %d: answered %v, ran %v, %s", a.ID, e.answered, e.started, e.state)
 		}
 		e.state, e.answered = "over", true
 	case control.Fail:
@@ -204,7 +214,7 @@
 		b.keepID[e.a.Key], b.keepEnd[e.a.Key] = a.ID, b.now+a.TTL
 	case control.ReleaseKey:
 		e := get(a.ID)
-		if e.ran {
+		if e.started {
 			b.fault("entry of %d forgotten though it ran", a.ID)
 		}
 		if b.keepID[e.a.Key] == a.ID {
@@ -277,7 +287,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		b := &book{t: t, s: s, reqs: map[control.RequestID]*entry{}, arrived: map[uint64]time.Duration{},
+		b := &book{t: t, s: s, reqs: map[control.RequestID]*retainedKey{}, arrived: map[uint64]time.Duration{},
 			keepEnd: map[uint64]time.Duration{}, keepID: map[uint64]control.RequestID{}}
 		for range rapid.IntRange(1, 300).Draw(t, "steps") {
 			if b.stop > 0 && b.now+40*time.Millisecond >= b.stop {
@@ -288,7 +298,8 @@
 				dt = 700 * time.Millisecond // the process stood still
 			}
 			b.now += dt
-			events := []control.Event{control.Tick{Gauges: control.Gauges{CPUUtilization: rapid.Float64Range(0, 1).Draw(t, "busy"), Runnable: 1}}}
+			events := []control.Event{control.Tick{Gauges: control.Gauges{CPUUtilization: rapid.Float64Range(0, 1).Draw(t,
+				"busy"), Runnable: 1}}}
 			for id := control.RequestID(1); id <= b.next; id++ {
 				e := b.reqs[id]
 				if e.state == "call" && b.now >= e.timeout {
@@ -321,11 +332,13 @@
 func TestDeterminism(t *testing.T) {
 	run := func() (all []control.Action) {
 		s := control.Settings{Seed: 3, Cores: 2, Classes: []control.Class{
-			{LatencyObjective: time.Second, Deadline: 4 * time.Second, Weight: 1, RetentionWindow: time.Minute, Idempotency: control.IdempotentByKey},
+			{LatencyObjective: time.Second, Deadline: 4 * time.Second, Weight: 1, RetentionWindow: time.Minute,
+				Idempotency: control.IdempotentByKey},
 			{LatencyObjective: time.Second, Deadline: 4 * time.Second, Weight: 2}}}
 		c, _ := control.New(s)
 		for i := range 300 {
-			ev := []control.Event{control.RequestArrived{ID: control.RequestID(i + 1), Class: i % 2, QueuedKB: 1, Key: uint64(i)}, control.Tick{}}
+			ev := []control.Event{control.RequestArrived{ID: control.RequestID(i + 1), Class: i % 2, QueuedKB: 1,
+				Key: uint64(i)}, control.Tick{}}
 			if i > 20 {
 				ev = append(ev, control.RequestFinished{ID: control.RequestID(i - 19)})
 			}
--- a/control/size_test.go
+++ b/control/size_test.go
@@ -3,29 +3,62 @@
 import (
 	"bufio"
 	"os"
+	"path"
+	"path/filepath"
+	"regexp"
+	"slices"
 	"strings"
 	"testing"
 	"unicode/utf8"
+
+	"github.com/stretchr/testify/require"
 )
 
-// The module is read aloud line by line after outages: its size is part of what it must keep.
+// sourceFiles are the package's files outside tests.
+func sourceFiles(t *testing.T) []string {
+	t.Helper()
+	files, err := filepath.Glob("*.go")
+	require.NoError(t, err)
+	files = slices.DeleteFunc(files, func(name string) bool { return strings.HasSuffix(name, "_test.go") })
+	require.NotEmpty(t, files)
+	return files
+}
+
+// The package is read file by file after outages: each has one job and is short, and so are its lines.
 func TestModuleSize(t *testing.T) {
-	f, err := os.Open("control.go")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer f.Close()
-	lines, n := 0, 0
-	for sc := bufio.NewScanner(f); sc.Scan(); {
-		n++
-		if strings.TrimSpace(sc.Text()) != "" {
+	const maxLines, maxWidth = 400, 120
+	for _, name := range sourceFiles(t) {
+		file, err := os.Open(name)
+		require.NoError(t, err)
+		t.Cleanup(func() { require.NoError(t, file.Close()) })
+		lines := 0
+		scanner := bufio.NewScanner(file)
+		for scanner.Scan() {
 			lines++
+			if width := utf8.RuneCountInString(scanner.Text()); width > maxWidth {
+				t.Errorf("%s:%d is %d characters wide, over %d", name, lines, width, maxWidth)
+			}
 		}
-		if w := utf8.RuneCountInString(sc.Text()); w > 110 {
-			t.Errorf("line %d is %d characters wide, over 110", n, w)
+		require.NoError(t, scanner.Err())
+		if lines > maxLines {
+			t.Errorf("%s has %d lines, over %d", name, lines, maxLines)
 		}
 	}
-	if lines > 940 {
-		t.Errorf("control.go has %d lines that are not blank, over 940", lines)
+}
+
+// The deploy file names the files that hold the decisions: all of this package, so that none is overlooked.
+func TestDeployFileListsThePackage(t *testing.T) {
+	text, err := os.ReadFile("../deploy/balancer.toml")
+	require.NoError(t, err)
+	policy := regexp.MustCompile(`(?m)^policy = \[(.*)\]`).FindSubmatch(text)
+	require.NotNil(t, policy, "no policy in the deploy file")
+	var listed []string
+	for _, quoted := range regexp.MustCompile(`"([^"]*)"`).FindAllSubmatch(policy[1], -1) {
+		listed = append(listed, string(quoted[1]))
+	}
+	var want []string
+	for _, name := range sourceFiles(t) {
+		want = append(want, path.Join("control", name))
 	}
+	require.Equal(t, want, listed)
 }
--- a/internal/dispatch/routing.go
+++ b/internal/dispatch/routing.go
@@ -193,7 +193,7 @@
 	if c.learned != nil {
 		ctl.RestoreLearned(*c.learned)
 		// A predecessor that has said nothing yet has learned 0, which an allowance would take for "send nothing".
-		c.say, c.saying = c.learned.Said, s.LoadSignal != control.LoadSignalNone && c.learned.Said > 0
+		c.say, c.saying = c.learned.LoadSignal, s.LoadSignal != control.LoadSignalNone && c.learned.LoadSignal > 0
 	}
 	born := max(now-age, 0)
 	c.carryOut(now, c.ctl.Step(born.Duration(), nil))
--- a/internal/protocol/upgrade/upgrade_test.go
+++ b/internal/protocol/upgrade/upgrade_test.go
@@ -10,7 +10,7 @@
 
 func TestReadBack(t *testing.T) {
 	all := []Message{
-		{Kind: Hello, Name: "n0"}, {Kind: Welcome, OutOfService: true, Learned: &control.LearnedState{Limit: 2, Classes: []control.LearnedClassState{{Name: "a", Slot: control.MeanEstimate{N: 3, V: 0.1}}}}},
+		{Kind: Hello, Name: "n0"}, {Kind: Welcome, OutOfService: true, Learned: &control.LearnedState{ConcurrencyLimit: 2, Classes: []control.LearnedClassState{{Name: "a", SlotTime: control.MeanEstimate{Count: 3, Value: 0.1}}}}},
 		{Kind: Succeeded, Class: "lot-intake", Tenant: "t", IdempotencyKey: "k", ArrivedAtMilli: 1764576000123, Result: make([]byte, MaxResult)}, {Kind: ConnectionCount, Connections: 7},
 	}
 	var out []byte
--- a/internal/protocol/upgrade/wire.go
+++ b/internal/protocol/upgrade/wire.go
@@ -30,8 +30,8 @@
 
 // wireMean is control.MeanEstimate as it is encoded.
 type wireMean struct {
-	N float64 `cbor:"N"`
-	V float64 `cbor:"V"`
+	Count float64 `cbor:"N"`
+	Value float64 `cbor:"V"`
 }
 
 // wireClass is control.LearnedClassState as it is encoded.
@@ -49,20 +49,20 @@
 		return nil
 	}
 	w := &wireLearned{
-		Limit:    l.Limit,
-		Alpha:    l.Alpha,
-		Said:     l.Said,
-		Usual:    wireMean(l.Usual),
+		Limit:    l.ConcurrencyLimit,
+		Alpha:    l.PriorityShare,
+		Said:     l.LoadSignal,
+		Usual:    wireMean(l.UsualSlowdown),
 		SlotTime: wireMean(l.SlotTime),
 		CallTime: wireMean(l.CallTime),
 	}
 	for _, class := range l.Classes {
 		w.Classes = append(w.Classes, wireClass{
 			Name:    class.Name,
-			Service: wireMean(class.Service),
-			Slot:    wireMean(class.Slot),
-			Away:    wireMean(class.Away),
-			Calls:   wireMean(class.Calls),
+			Service: wireMean(class.ServiceTime),
+			Slot:    wireMean(class.SlotTime),
+			Away:    wireMean(class.RejectedShare),
+			Calls:   wireMean(class.CallsPerRequest),
 		})
 	}
 	return w
@@ -74,20 +74,20 @@
 		return nil
 	}
 	l := &control.LearnedState{
-		Limit:    w.Limit,
-		Alpha:    w.Alpha,
-		Said:     w.Said,
-		Usual:    control.MeanEstimate(w.Usual),
-		SlotTime: control.MeanEstimate(w.SlotTime),
-		CallTime: control.MeanEstimate(w.CallTime),
+		ConcurrencyLimit: w.Limit,
+		PriorityShare:    w.Alpha,
+		LoadSignal:       w.Said,
+		UsualSlowdown:    control.MeanEstimate(w.Usual),
+		SlotTime:         control.MeanEstimate(w.SlotTime),
+		CallTime:         control.MeanEstimate(w.CallTime),
 	}
 	for _, class := range w.Classes {
 		l.Classes = append(l.Classes, control.LearnedClassState{
-			Name:    class.Name,
-			Service: control.MeanEstimate(class.Service),
-			Slot:    control.MeanEstimate(class.Slot),
-			Away:    control.MeanEstimate(class.Away),
-			Calls:   control.MeanEstimate(class.Calls),
+			Name:            class.Name,
+			ServiceTime:     control.MeanEstimate(class.Service),
+			SlotTime:        control.MeanEstimate(class.Slot),
+			RejectedShare:   control.MeanEstimate(class.Away),
+			CallsPerRequest: control.MeanEstimate(class.Calls),
 		})
 	}
 	return l
