--- a/control/controller.go
+++ b/control/controller.go
@@ -98,9 +98,9 @@
 }
 
 // Reconfigure takes up other settings while serving; an error says that nothing has changed. Classes and tenants keep
-// their numbers: a class that is gone is retired, and one whose number has gone over to another name has ended. What was
-// learned of a class is kept under its name, and open requests stay as they were read. Seed and cold start are those of
-// New.
+// their numbers: a class that is gone is retired, and one whose number has gone over to another name has ended. What
+// was learned of a class is kept under its name, and open requests stay as they were read. Seed and cold start are
+// those of New.
 func (c *Controller) Reconfigure(s Settings) error {
 	if err := s.validate(); err != nil {
 		return err
--- a/control/learned.go
+++ b/control/learned.go
@@ -1,5 +1,12 @@
 package control
 
+const (
+	// maxRestoredLimitPerCore bounds a restored concurrency limit for each core.
+	maxRestoredLimitPerCore = 100
+	// maxRestoredMean bounds a restored mean: no time and no count of a request comes near it.
+	maxRestoredMean = 3600
+)
+
 // LearnedState is what a Controller has learned of its machine and its classes, so that a successor on the same machine
 // need not learn it anew. It holds no decisions. Times are in seconds.
 type LearnedState struct {
@@ -19,54 +26,68 @@
 	CallsPerRequest                      MeanEstimate // of a request
 }
 
-// LearnedState tells what has been found out.
+// LearnedState returns what has been learned.
 func (c *Controller) LearnedState() LearnedState {
-	l := LearnedState{ConcurrencyLimit: c.concurrencyLimit, PriorityShare: c.priorityShare,
-		LoadSignal: c.loadSignalValue, UsualSlowdown: MeanEstimate{c.usualSlowdown.count, c.usualSlowdown.value},
-		SlotTime: MeanEstimate{c.slotTime.count, c.slotTime.value},
-		CallTime: MeanEstimate{c.callTime.count, c.callTime.value}}
-	for _, k := range c.classes {
-		l.Classes = append(l.Classes, LearnedClassState{k.Name, MeanEstimate{k.service.count, k.service.value},
-			MeanEstimate{k.slot.count, k.slot.value}, MeanEstimate{k.rejectedShare.count, k.rejectedShare.value},
-			MeanEstimate{k.callsPerRequest.count, k.callsPerRequest.value}})
+	learned := LearnedState{
+		ConcurrencyLimit: c.concurrencyLimit,
+		PriorityShare:    c.priorityShare,
+		LoadSignal:       c.loadSignalValue,
+		UsualSlowdown:    c.usualSlowdown.estimate(),
+		SlotTime:         c.slotTime.estimate(),
+		CallTime:         c.callTime.estimate(),
+	}
+	for _, class := range c.classes {
+		learned.Classes = append(learned.Classes, LearnedClassState{
+			Name:            class.Name,
+			ServiceTime:     class.service.estimate(),
+			SlotTime:        class.slot.estimate(),
+			RejectedShare:   class.rejectedShare.estimate(),
+			CallsPerRequest: class.callsPerRequest.estimate(),
+		})
 	}
-	return l
+	return learned
 }
 
-// RestoreLearned takes up what a predecessor on the same machine has learned. Figures that make no sense are skipped one
-// by one, as they come from another process.
-func (c *Controller) RestoreLearned(l LearnedState) {
-	take := func(m *runningMean, from MeanEstimate, most float64) {
-		if from.Count > 0 && from.Count <= most && from.Value > 0 && from.Value < 3600 {
-			m.count, m.value = from.Count, from.Value
-		}
-	}
+// RestoreLearned takes up what a predecessor on the same machine has learned. Figures that make no sense are skipped
+// one by one, as they come from another process.
+func (c *Controller) RestoreLearned(learned LearnedState) {
 	cores := float64(c.settings.Cores)
-	if l.ConcurrencyLimit >= minLimitPerCore*cores && l.ConcurrencyLimit <= 100*cores {
-		c.concurrencyLimit = l.ConcurrencyLimit
+	limit := learned.ConcurrencyLimit
+	if limit >= minLimitPerCore*cores && limit <= maxRestoredLimitPerCore*cores {
+		c.concurrencyLimit = limit
 	}
-	if l.PriorityShare >= minPriorityShare && l.PriorityShare <= maxPriorityShare {
-		c.priorityShare = l.PriorityShare
+	if learned.PriorityShare >= minPriorityShare && learned.PriorityShare <= maxPriorityShare {
+		c.priorityShare = learned.PriorityShare
 	}
-	if most := c.maxLoadSignal(); l.LoadSignal >= 0 && l.LoadSignal <= most {
-		c.loadSignalValue = l.LoadSignal
+	if learned.LoadSignal >= 0 && learned.LoadSignal <= c.maxLoadSignal() {
+		c.loadSignalValue = learned.LoadSignal
 	}
-	take(&c.usualSlowdown, l.UsualSlowdown, usualSlowdownSamples)
-	take(&c.slotTime, l.SlotTime, sampleWindow)
-	take(&c.callTime, l.CallTime, sampleWindow)
-	for _, from := range l.Classes {
-		for _, k := range c.classes {
-			if k.Name == from.Name {
-				take(&k.service, from.ServiceTime, sampleWindow)
-				take(&k.slot, from.SlotTime, sampleWindow)
-				take(&k.rejectedShare, from.RejectedShare, sampleWindow)
-				take(&k.callsPerRequest, from.CallsPerRequest, sampleWindow)
+	c.usualSlowdown.restore(learned.UsualSlowdown, usualSlowdownSamples)
+	c.slotTime.restore(learned.SlotTime, sampleWindow)
+	c.callTime.restore(learned.CallTime, sampleWindow)
+	for _, from := range learned.Classes {
+		for _, class := range c.classes {
+			if class.Name == from.Name {
+				class.service.restore(from.ServiceTime, sampleWindow)
+				class.slot.restore(from.SlotTime, sampleWindow)
+				class.rejectedShare.restore(from.RejectedShare, sampleWindow)
+				class.callsPerRequest.restore(from.CallsPerRequest, sampleWindow)
 			}
 		}
 	}
 }
 
-// maxLoadSignal is the highest free value that makes sense.
+// estimate returns the mean for a LearnedState.
+func (m *runningMean) estimate() MeanEstimate { return MeanEstimate{Count: m.count, Value: m.value} }
+
+// restore takes up a predecessor's mean of at most maxCount samples, if it makes sense.
+func (m *runningMean) restore(from MeanEstimate, maxCount float64) {
+	if from.Count > 0 && from.Count <= maxCount && from.Value > 0 && from.Value < maxRestoredMean {
+		m.count, m.value = from.Count, from.Value
+	}
+}
+
+// maxLoadSignal is the highest load signal that makes sense.
 func (c *Controller) maxLoadSignal() float64 {
 	if c.settings.LoadSignal == LoadSignalAllowance {
 		return maxAllowancePerSlot * c.concurrencyLimit
