--- a/internal/decide/calls/calls_test.go
+++ b/internal/decide/calls/calls_test.go
@@ -8,15 +8,15 @@
 	"pewterline/control"
 )
 
-// Every outcome against what it proves, what each effect allows after it, and what the module is told. The rows are written
-// out here rather than computed, so that a change of the rules has to be made twice.
+// Every outcome against what it proves, what each idempotency allows after it, and what the decision module is told.
+// The rows are written out here rather than computed, so that a change of the rules has to be made twice.
 func TestEveryOutcome(t *testing.T) {
 	const again, never = true, false
 	rows := []struct {
-		outcome             Outcome
-		proof               Effect
-		safe, keyed, unsafe bool
-		module              control.Outcome
+		outcome                          Outcome
+		effect                           Effect
+		idempotent, byKey, nonIdempotent bool
+		control                          control.Outcome
 	}{
 		{Answered, Executed, never, never, never, control.OutcomeOK},
 		{Rejected, NotExecuted, again, again, again, control.OutcomeRejected},
@@ -30,31 +30,40 @@
 	}
 	require.Len(t, rows, int(outcomeCount), "a row for each outcome")
 	for at, row := range rows {
-		require.Equal(t, Outcome(at), row.outcome, "the rows' order")
-		require.Equal(t, row.proof, row.outcome.Effect(), "proof of %d", at)
-		require.Equal(t, row.safe, MayRepeat(control.Idempotent, row.outcome), "safe after %d", at)
-		require.Equal(t, row.keyed, MayRepeat(control.IdempotentByKey, row.outcome), "keyed after %d", at)
-		require.Equal(t, row.unsafe, MayRepeat(control.NonIdempotent, row.outcome), "unsafe after %d", at)
-		require.Equal(t, row.module, row.outcome.ControlOutcome(), "module's outcome of %d", at)
+		t.Run(row.outcome.String(), func(t *testing.T) {
+			require.Equal(t, Outcome(at), row.outcome, "the rows' order")
+			require.Equal(t, row.effect, row.outcome.Effect())
+			require.Equal(t, row.idempotent, MayRepeat(control.Idempotent, row.outcome), "idempotent")
+			require.Equal(t, row.byKey, MayRepeat(control.IdempotentByKey, row.outcome), "idempotent by key")
+			require.Equal(t, row.nonIdempotent, MayRepeat(control.NonIdempotent, row.outcome), "not idempotent")
+			require.Equal(t, row.control, row.outcome.ControlOutcome())
+		})
 	}
 }
 
-// The module repeats a call on the strength of control.Outcome alone: what that says must be what the outcome proves.
-func TestModuleIsToldWhatIsProven(t *testing.T) {
-	proof := map[control.Outcome]Effect{
-		control.OutcomeOK:    Executed,
-		control.OutcomeError: MaybeExecuted, control.OutcomeTimeout: MaybeExecuted, control.OutcomeReset: MaybeExecuted,
-		control.OutcomeRejected: NotExecuted, control.OutcomeUnreachable: NotExecuted, control.OutcomeAlreadyEnded: NotExecuted,
+// The decision module repeats a call on the strength of control.Outcome alone: what that says must be what the outcome
+// proves.
+func TestControlOutcomeTellsTheEffect(t *testing.T) {
+	effects := map[control.Outcome]Effect{
+		control.OutcomeOK:           Executed,
+		control.OutcomeError:        MaybeExecuted,
+		control.OutcomeTimeout:      MaybeExecuted,
+		control.OutcomeReset:        MaybeExecuted,
+		control.OutcomeRejected:     NotExecuted,
+		control.OutcomeUnreachable:  NotExecuted,
+		control.OutcomeAlreadyEnded: NotExecuted,
 	}
 	for outcome := range outcomeCount {
-		require.Contains(t, proof, outcome.ControlOutcome(), "outcome %d", outcome)
-		require.Equal(t, outcome.Effect(), proof[outcome.ControlOutcome()], "outcome %d", outcome)
+		require.Contains(t, effects, outcome.ControlOutcome(), outcome)
+		require.Equal(t, outcome.Effect(), effects[outcome.ControlOutcome()], outcome)
 	}
 }
 
-// An outcome or effect that is not known, as after a change elsewhere, proves nothing and allows nothing.
+// An outcome or idempotency that is not known, as after a change elsewhere, proves nothing and allows nothing.
 func TestUnknownProvesNothing(t *testing.T) {
 	require.Equal(t, MaybeExecuted, outcomeCount.Effect())
 	require.Equal(t, control.OutcomeError, outcomeCount.ControlOutcome())
 	require.False(t, MayRepeat(control.NonIdempotent+1, Failed))
+	require.Equal(t, "Outcome(9)", outcomeCount.String())
+	require.Equal(t, "Effect(3)", (MaybeExecuted + 1).String())
 }
