--- a/internal/microtime/microtime.go
+++ b/internal/microtime/microtime.go
@@ -1,4 +1,8 @@
-// Package microtime holds the program's time: whole microseconds on the monotonic clock.
+// Package microtime holds the time of the program: whole microseconds on the monotonic clock. All packages count in
+// Time; the decision module and the standard library, which count in time.Duration, are converted at their edges.
+//
+// Time and its arithmetic are pure. Clock alone reads the system's clocks, and only the program's main and the
+// transport use it: whatever decides is handed the time.
 package microtime
 
 import "time"
@@ -35,11 +39,13 @@
 // FromUnixMilli is the instant of a wall clock time; the wall clock's offset is read at that moment.
 func (c Clock) FromUnixMilli(ms int64) Time {
 	now := time.Now()
-	return FromDuration(now.Sub(c.origin)) - Time(now.UnixMicro()-ms*1000)
+	sinceInstant := Time(now.UnixMicro()) - Time(ms)*Millisecond
+	return FromDuration(now.Sub(c.origin)) - sinceInstant
 }
 
 // UnixMilli is the wall clock time of an instant, to the nearest Unix millisecond.
 func (c Clock) UnixMilli(t Time) int64 {
 	now := time.Now()
-	return int64((Time(now.UnixMicro()) - FromDuration(now.Sub(c.origin)) + t + Millisecond/2) / Millisecond)
+	originUnix := Time(now.UnixMicro()) - FromDuration(now.Sub(c.origin))
+	return int64((originUnix + t + Millisecond/2) / Millisecond)
 }
--- a/internal/orderedset/set.go
+++ b/internal/orderedset/set.go
@@ -1,8 +1,11 @@
-// Package orderedset has a set that is iterated in an order that depends on nothing but the calls made to it. A map's random order
-// would make replays of the same events differ.
+// Package orderedset has a set that is iterated in an order that depends on nothing but the calls made to it. The
+// random order of a map would make replays of the same events differ.
+//
+// The frontends and backends keep their sessions, connections and runs in it. It is not safe for concurrent use.
 package orderedset
 
-// Position is an element's place in a set. A type whose pointers are to be elements embeds it; each element is in one set at most.
+// Position is the place of an element in its set. A type whose pointers are to be elements embeds it; each element is
+// in one set at most.
 type Position struct{ index int }
 
 func (p *Position) position() *Position { return p }
@@ -21,11 +24,12 @@
 
 // Remove removes an element that is in the set; the last one takes its place.
 func (s *Set[E]) Remove(element E) {
-	index, last := element.position().index, len(s.items)-1
+	index := element.position().index
+	last := len(s.items) - 1
 	s.items[index] = s.items[last]
 	s.items[index].position().index = index
 	var none E
-	s.items[last] = none
+	s.items[last] = none // So that the element can be collected.
 	s.items = s.items[:last]
 }
 
