--- a/internal/protocol/upgrade/format_test.go
+++ b/internal/protocol/upgrade/format_test.go
@@ -11,17 +11,17 @@
 
 // learned is what the old process of the recorded stream had learned.
 var learned = control.LearnedState{
-	Limit: 12.5, Alpha: 0.1, Said: 3,
-	Usual:    control.MeanEstimate{N: 20, V: 0.0123},
-	SlotTime: control.MeanEstimate{N: 1, V: 1.0 / 3},
-	CallTime: control.MeanEstimate{N: 2, V: 0.25},
+	ConcurrencyLimit: 12.5, PriorityShare: 0.1, LoadSignal: 3,
+	UsualSlowdown: control.MeanEstimate{Count: 20, Value: 0.0123},
+	SlotTime:      control.MeanEstimate{Count: 1, Value: 1.0 / 3},
+	CallTime:      control.MeanEstimate{Count: 2, Value: 0.25},
 	Classes: []control.LearnedClassState{
 		{
-			Name:    "lot-intake",
-			Service: control.MeanEstimate{N: 3, V: 0.1},
-			Slot:    control.MeanEstimate{N: 4, V: 0.2},
-			Away:    control.MeanEstimate{N: 5, V: 0.3},
-			Calls:   control.MeanEstimate{N: 6, V: 0.4},
+			Name:            "lot-intake",
+			ServiceTime:     control.MeanEstimate{Count: 3, Value: 0.1},
+			SlotTime:        control.MeanEstimate{Count: 4, Value: 0.2},
+			RejectedShare:   control.MeanEstimate{Count: 5, Value: 0.3},
+			CallsPerRequest: control.MeanEstimate{Count: 6, Value: 0.4},
 		},
 		{Name: "empty"},
 	},
