--- a/internal/backend/upstream/tries.go
+++ b/internal/backend/upstream/tries.go
@@ -122,7 +122,7 @@
 		if o == loadbalancer.Cancelled {
 			o = loadbalancer.TimedOut // it may have run, and nobody waits to hear
 		}
-		r.attempts.RecordOutcome(now, q.key, o)
+		r.attempts.RecordOutcome(q.key, o)
 	}
 }
 
--- /dev/null
+++ b/internal/decide/loadbalancer/endpoint.go
@@ -0,0 +1,90 @@
+package loadbalancer
+
+import (
+	"math/rand/v2"
+
+	"pewterline/internal/microtime"
+)
+
+// never marks an instant that has not been seen.
+const never microtime.Time = -1
+
+// endpoint is what one instance knows of an upstream endpoint by its own attempts.
+type endpoint struct {
+	name                string
+	state               State
+	stateSince          microtime.Time
+	consecutiveFailures int
+	lastFailureAt       microtime.Time
+	probe               probeSchedule
+	// retryAfter is the instant before which the endpoint asked to get no attempts.
+	retryAfter microtime.Time
+	inFlight   int
+	// busySince is when the number of attempts in flight last rose from 0.
+	busySince    microtime.Time
+	concurrency  concurrencyLimit
+	latency      []latencyStats // by class
+	lastAnswerAt microtime.Time
+	// recoveredAt is when it came back from Down, as far as this instance saw it; never otherwise.
+	recoveredAt  microtime.Time
+	observations int
+}
+
+func newEndpoint(now microtime.Time, name string, config *Config) *endpoint {
+	e := &endpoint{name: name, stateSince: now, recoveredAt: never}
+	e.resetStatistics(config)
+	return e
+}
+
+// resetStatistics forgets what was learned of an earlier incarnation.
+func (e *endpoint) resetStatistics(config *Config) {
+	e.latency = make([]latencyStats, config.Classes)
+	e.concurrency = concurrencyLimit{limit: config.InitialConcurrency}
+}
+
+func (e *endpoint) setState(now microtime.Time, state State) {
+	if e.state != state {
+		e.state = state
+		e.stateSince = now
+	}
+}
+
+// overallLatency merges the latency statistics of all classes.
+func (e *endpoint) overallLatency() latencyStats {
+	var overall latencyStats
+	for class := range e.latency {
+		overall.merge(&e.latency[class])
+	}
+	return overall
+}
+
+// slowStartFactor is the part of its full share that the endpoint gets: less than 1 while it is warming up.
+func (e *endpoint) slowStartFactor(now microtime.Time, config *Config) float64 {
+	if e.state != Warming {
+		return 1
+	}
+	progress := float64(now-e.stateSince) / float64(config.SlowStart)
+	return min(1, config.SlowStartShare+(1-config.SlowStartShare)*progress)
+}
+
+// atConcurrencyLimit reports whether the endpoint takes no further attempt for now. One attempt is always allowed.
+func (e *endpoint) atConcurrencyLimit(now microtime.Time, config *Config) bool {
+	return float64(e.inFlight) >= e.concurrency.limit*e.slowStartFactor(now, config) && e.inFlight > 0
+}
+
+// probeSchedule says when an endpoint that is Suspect or Down is probed next.
+type probeSchedule struct {
+	at       microtime.Time
+	backoff  microtime.Time
+	inFlight bool
+}
+
+// backOff doubles the mean wait within its bounds and draws the next probe from half to one and a half times of it, so
+// that many instances do not probe at once.
+func (p *probeSchedule) backOff(now microtime.Time, config *Config, rng *rand.Rand, confirmedByGossip bool) {
+	p.backoff = min(max(2*p.backoff, config.InitialProbeBackoff), config.MaxProbeBackoff)
+	if confirmedByGossip {
+		p.backoff = max(p.backoff, config.MaxProbeBackoff/2)
+	}
+	p.at = now + p.backoff/2 + microtime.Time(rng.Int64N(int64(p.backoff)))
+}
--- /dev/null
+++ b/internal/decide/loadbalancer/gossip_table.go
@@ -0,0 +1,194 @@
+package loadbalancer
+
+import (
+	"cmp"
+	"math"
+	"slices"
+
+	"github.com/benbjohnson/immutable"
+
+	"pewterline/internal/microtime"
+)
+
+const (
+	// maxSources bounds the observations of one kind about one endpoint.
+	maxSources = 4
+	// contemporary is the span within which two observations of an endpoint count as made at the same time.
+	contemporary = microtime.Second
+	// minWeight is the weight below which an observation is dropped.
+	minWeight = 0.001
+	// minLatencyWeight is the weight from which on what is told about a latency counts.
+	minLatencyWeight = 0.05
+)
+
+// GossipTable holds the observations that other instances have told. It is a value: a copy is a snapshot that stays as
+// it is while the event loop goes on with its own, because the map inside is persistent.
+type GossipTable struct {
+	hopFactor    float64
+	observations *immutable.SortedMap[observationKey, heldObservation]
+}
+
+// observationKey identifies an observation: each source has one of a kind about an endpoint, so that what many
+// instances repeat stays one observation.
+type observationKey struct {
+	endpoint string
+	kind     ObservationKind
+	source   string
+}
+
+// observationOrder sorts observations by endpoint, kind and source.
+type observationOrder struct{}
+
+// Compare implements immutable.Comparer.
+func (observationOrder) Compare(a, b observationKey) int {
+	return cmp.Or(cmp.Compare(a.endpoint, b.endpoint), cmp.Compare(a.kind, b.kind), cmp.Compare(a.source, b.source))
+}
+
+// heldObservation is an observation with the instant, on this instance's clock, when it was made.
+type heldObservation struct {
+	observation Observation
+	madeAt      microtime.Time
+}
+
+func (h *heldObservation) key() observationKey {
+	return observationKey{endpoint: h.observation.Endpoint, kind: h.observation.Kind, source: h.observation.Source}
+}
+
+// NewGossipTable returns an empty table. hopFactor is the part of its weight that an observation keeps with each hop.
+func NewGossipTable(hopFactor float64) GossipTable {
+	return GossipTable{
+		hopFactor:    hopFactor,
+		observations: immutable.NewSortedMap[observationKey, heldObservation](observationOrder{}),
+	}
+}
+
+// Len returns the number of observations.
+func (g GossipTable) Len() int { return g.observations.Len() }
+
+// weight is what an observation counts now: its evidence, halved with each half-life of its kind, and discounted by the
+// hops that it has gone.
+func (g GossipTable) weight(now microtime.Time, held *heldObservation) float64 {
+	age := float64(now - held.madeAt)
+	decay := math.Exp2(-age / float64(held.observation.Kind.halfLife()))
+	return held.observation.Evidence * decay * math.Pow(g.hopFactor, float64(held.observation.Hops))
+}
+
+// about lists the observations of a kind about an endpoint, by source.
+func (g GossipTable) about(endpoint string, kind ObservationKind) []heldObservation {
+	var found []heldObservation
+	iterator := g.observations.Iterator()
+	iterator.Seek(observationKey{endpoint: endpoint, kind: kind})
+	for !iterator.Done() {
+		key, held, _ := iterator.Next()
+		if key.endpoint != endpoint || key.kind != kind {
+			break
+		}
+		found = append(found, held)
+	}
+	return found
+}
+
+// FailureWeight is the weight of what was told against an endpoint, less what was told for it since; never below 0.
+func (g GossipTable) FailureWeight(now microtime.Time, endpoint string) float64 {
+	sum := 0.0
+	last := never
+	for _, held := range g.about(endpoint, Unreachable) {
+		sum += g.weight(now, &held)
+		last = max(last, held.madeAt)
+	}
+	if sum == 0 {
+		return 0
+	}
+	for _, held := range g.about(endpoint, Reachable) {
+		// An instance that reached it well before it failed does not know better.
+		if held.madeAt > last-contemporary {
+			sum -= g.weight(now, &held)
+		}
+	}
+	return max(sum, 0)
+}
+
+// Latency is the latency that was told of an endpoint, in microseconds: the mean of the sources by weight. It returns
+// false if what was told has too little weight.
+func (g GossipTable) Latency(now microtime.Time, endpoint string) (float64, bool) {
+	sum := 0.0
+	weights := 0.0
+	for _, held := range g.about(endpoint, TypicalLatency) {
+		weight := g.weight(now, &held)
+		sum += weight * held.observation.Value
+		weights += weight
+	}
+	return sum / weights, weights > minLatencyWeight
+}
+
+// lastRecovery is when an endpoint last recovered as far as anybody told; never if nobody did.
+func (g GossipTable) lastRecovery(endpoint string) microtime.Time {
+	last := never
+	for _, held := range g.about(endpoint, Recovered) {
+		last = max(last, held.madeAt)
+	}
+	return last
+}
+
+// insert returns the table with a valid observation. It returns false, with the table as it was, if something newer is
+// known.
+func (g GossipTable) insert(now microtime.Time, observation Observation) (GossipTable, bool) {
+	added := heldObservation{observation: observation, madeAt: now - observation.Age}
+	// What was observed before the endpoint recovered is about an incarnation that has ended.
+	if observation.Kind != Recovered && added.madeAt < g.lastRecovery(observation.Endpoint) {
+		return g, false
+	}
+	if known, ok := g.observations.Get(added.key()); ok && !added.supersedes(&known) {
+		return g, false
+	}
+	g.observations = g.observations.Set(added.key(), added)
+	if observation.Kind == Recovered {
+		g = g.withoutEarlierIncarnations(&added)
+	}
+	return g.withBoundedSources(now, observation.Endpoint, observation.Kind), true
+}
+
+// supersedes reports whether an observation is newer than a known one of the same key, or the same over fewer hops.
+func (h *heldObservation) supersedes(known *heldObservation) bool {
+	if h.madeAt != known.madeAt {
+		return h.madeAt > known.madeAt
+	}
+	return h.observation.Hops < known.observation.Hops
+}
+
+// withoutEarlierIncarnations drops what was observed of an endpoint before it recovered.
+func (g GossipTable) withoutEarlierIncarnations(recovery *heldObservation) GossipTable {
+	for _, kind := range []ObservationKind{Unreachable, Reachable, TypicalLatency} {
+		for _, held := range g.about(recovery.observation.Endpoint, kind) {
+			if held.madeAt < recovery.madeAt {
+				g.observations = g.observations.Delete(held.key())
+			}
+		}
+	}
+	return g
+}
+
+// withBoundedSources drops the observation of the lowest weight where an endpoint has too many of a kind.
+func (g GossipTable) withBoundedSources(now microtime.Time, endpoint string, kind ObservationKind) GossipTable {
+	all := g.about(endpoint, kind)
+	if len(all) <= maxSources {
+		return g
+	}
+	lightest := slices.MinFunc(all, func(a, b heldObservation) int {
+		return cmp.Compare(g.weight(now, &a), g.weight(now, &b))
+	})
+	g.observations = g.observations.Delete(lightest.key())
+	return g
+}
+
+// expire returns the table without what has lost its weight and what is about endpoints that are not known.
+func (g GossipTable) expire(now microtime.Time, known func(endpoint string) bool) GossipTable {
+	for iterator := g.observations.Iterator(); !iterator.Done(); {
+		key, held, _ := iterator.Next()
+		light := g.weight(now, &held) < minWeight && key.kind != Recovered
+		if now-held.madeAt > MaxAge || !known(key.endpoint) || light {
+			g.observations = g.observations.Delete(key)
+		}
+	}
+	return g
+}
--- /dev/null
+++ b/internal/decide/loadbalancer/latency.go
@@ -0,0 +1,104 @@
+package loadbalancer
+
+import (
+	"math"
+
+	"pewterline/internal/microtime"
+)
+
+// The histogram has logarithmic buckets: four to each doubling, from 64 microseconds on.
+const (
+	histogramBuckets   = 72
+	firstBucketLog2    = 6
+	bucketsPerDoubling = 4.0
+)
+
+const (
+	// histogramRetention is the part of the counts that is kept from one observation to the next.
+	histogramRetention = 0.98
+	// maxHistogramWeight is the weight of an observation at which all counts are scaled down to keep their precision.
+	maxHistogramWeight = 1e6
+	// meanSmoothing is the part of a new observation in the mean.
+	meanSmoothing = 0.1
+	// peakDecay is the part of the way that the peak falls towards a lower observation.
+	peakDecay = 0.05
+)
+
+// latencyStats describes recent latencies: a mean, a peak that rises at once and falls slowly (as in Finagle's peak
+// EWMA balancer), and a histogram whose counts fade exponentially.
+type latencyStats struct {
+	count int
+	mean  float64 // microseconds
+	peak  float64 // microseconds
+	// weight is that of the next observation: it grows, in place of all counts fading.
+	weight float32
+	total  float32 // sum of the buckets
+	bucket [histogramBuckets]float32
+}
+
+func bucketIndex(micros float64) int {
+	return min(max(int(bucketsPerDoubling*(math.Log2(max(micros, 1))-firstBucketLog2)), 0), histogramBuckets-1)
+}
+
+// bucketEnd is the upper bound of a bucket.
+func bucketEnd(index int) microtime.Time {
+	return microtime.Time(math.Exp2(firstBucketLog2 + float64(index+1)/bucketsPerDoubling))
+}
+
+// add records an observation in microseconds.
+func (s *latencyStats) add(micros float64) {
+	if s.count == 0 {
+		s.mean = micros
+		s.peak = micros
+		s.weight = 1
+	}
+	s.count++
+	s.mean += meanSmoothing * (micros - s.mean)
+	if micros > s.peak {
+		s.peak = micros
+	} else {
+		s.peak += peakDecay * (micros - s.peak)
+	}
+	s.weight /= histogramRetention
+	if s.weight > maxHistogramWeight {
+		s.rescale()
+	}
+	s.bucket[bucketIndex(micros)] += s.weight
+	s.total += s.weight
+}
+
+// rescale divides all counts by the weight, which becomes 1.
+func (s *latencyStats) rescale() {
+	for i := range s.bucket {
+		s.bucket[i] /= s.weight
+	}
+	s.total /= s.weight
+	s.weight = 1
+}
+
+// merge adds the histogram and the count of another. The mean and the peak stay.
+func (s *latencyStats) merge(other *latencyStats) {
+	if other.count == 0 {
+		return
+	}
+	s.count += other.count
+	for i, weighted := range other.bucket {
+		s.bucket[i] += weighted / other.weight
+		s.total += weighted / other.weight
+	}
+}
+
+// quantile returns the upper bound of the bucket that holds the quantile; 0 if nothing was observed.
+func (s *latencyStats) quantile(quantile float64) microtime.Time {
+	if s.count == 0 {
+		return 0
+	}
+	remaining := float32(quantile) * s.total
+	for i, weighted := range s.bucket {
+		remaining -= weighted
+		if remaining <= 0 && weighted > 0 {
+			return bucketEnd(i)
+		}
+	}
+	return bucketEnd(histogramBuckets - 1)
+}
--- /dev/null
+++ b/internal/decide/loadbalancer/observation.go
@@ -0,0 +1,125 @@
+package loadbalancer
+
+import (
+	"errors"
+	"fmt"
+	"math"
+
+	"pewterline/internal/microtime"
+)
+
+// ObservationKind is what an observation says of an endpoint. The numbers go over the wire.
+type ObservationKind uint8
+
+// The kinds of observation.
+const (
+	Unreachable    ObservationKind = iota + 1 // attempts there failed
+	Reachable                                 // it answered
+	TypicalLatency                            // Value is the latency of a request there in microseconds
+	Recovered                                 // it came back: what is older is about an incarnation that has ended
+	endOfKinds
+)
+
+// String names the kind.
+func (k ObservationKind) String() string {
+	switch k {
+	case Unreachable:
+		return "unreachable"
+	case Reachable:
+		return "reachable"
+	case TypicalLatency:
+		return "typical latency"
+	case Recovered:
+		return "recovered"
+	default:
+		return fmt.Sprintf("ObservationKind(%d)", uint8(k))
+	}
+}
+
+// halfLife is after how long an observation of each kind has half of its weight.
+func (k ObservationKind) halfLife() microtime.Time {
+	switch k {
+	case Unreachable, Reachable:
+		return 10 * microtime.Second
+	case TypicalLatency:
+		return 20 * microtime.Second
+	default:
+		return 120 * microtime.Second
+	}
+}
+
+// Observation is what some instance has observed of an endpoint. It goes from instance to instance with its age, never
+// with a time, because clocks disagree.
+type Observation struct {
+	Endpoint string
+	Kind     ObservationKind
+	Value    float64        // by kind
+	Evidence float64        // number of attempts behind it, over 0
+	Age      microtime.Time // since it was made
+	Source   string         // the instance that made it
+	Hops     int            // instances that have passed it on; 1 when its source tells it
+}
+
+// GossipSender is the instance that sent a gossip message.
+type GossipSender struct {
+	Name   string
+	Uptime microtime.Time // what it tells cannot rest on more than it can have observed
+}
+
+// The bounds of what is accepted from others.
+const (
+	MaxHops = 4
+	MaxAge  = 600 * microtime.Second
+	// maxObservedLatency bounds the value of TypicalLatency, in microseconds.
+	maxObservedLatency = float64(60 * microtime.Second)
+	// maxNameLength bounds the names of endpoints and instances, in bytes.
+	maxNameLength = 64
+)
+
+// ErrInvalidGossip is wrapped by the errors about gossip that is out of bounds.
+var ErrInvalidGossip = errors.New("loadbalancer: invalid gossip")
+
+func invalidGossip(field, format string, args ...any) error {
+	return fmt.Errorf("%w: %s: %s", ErrInvalidGossip, field, fmt.Sprintf(format, args...))
+}
+
+// ValidateObservation returns an error that wraps ErrInvalidGossip if a field of the observation is out of bounds.
+func ValidateObservation(observation Observation) error {
+	evidenceOK := observation.Evidence > 0 && !math.IsInf(observation.Evidence, 0)
+	latencyOK := observation.Value > 0 && observation.Value <= maxObservedLatency
+	switch {
+	case !validName(observation.Endpoint):
+		return invalidGossip("endpoint", "a name of %d bytes", len(observation.Endpoint))
+	case !validName(observation.Source):
+		return invalidGossip("source", "a name of %d bytes", len(observation.Source))
+	case observation.Kind == 0 || observation.Kind >= endOfKinds:
+		return invalidGossip("kind", "unknown %d", observation.Kind)
+	case observation.Age < 0 || observation.Age > MaxAge:
+		return invalidGossip("age", "%v is not within 0 to %v", observation.Age.Duration(), MaxAge.Duration())
+	case observation.Hops < 0 || observation.Hops > MaxHops:
+		return invalidGossip("hops", "%d is not within 0 to %d", observation.Hops, MaxHops)
+	case !evidenceOK:
+		return invalidGossip("evidence", "%v is not over 0", observation.Evidence)
+	case observation.Kind == TypicalLatency && !latencyOK:
+		return invalidGossip("value", "%v is not within 0 to %v", observation.Value, maxObservedLatency)
+	}
+	return nil
+}
+
+func validName(name string) bool { return name != "" && len(name) <= maxNameLength }
+
+func (s *GossipSender) validate() error {
+	if s.Uptime < 0 || !validName(s.Name) {
+		return invalidGossip("sender", "%q with an uptime of %v", s.Name, s.Uptime.Duration())
+	}
+	return nil
+}
+
+// validateOwn checks what a sender says of its own observations: they come from it directly, and it was up.
+func (s *GossipSender) validateOwn(observation *Observation) error {
+	if observation.Source != s.Name || observation.Hops == 1 && observation.Age <= s.Uptime {
+		return nil
+	}
+	return invalidGossip("age", "%s tells of %v ago, over %d hops, and is up for %v",
+		s.Name, observation.Age.Duration(), observation.Hops, s.Uptime.Duration())
+}
--- /dev/null
+++ b/internal/decide/loadbalancer/state.go
@@ -0,0 +1,73 @@
+package loadbalancer
+
+import "fmt"
+
+// State is the health of an endpoint as one instance sees it.
+type State uint8
+
+// The states of an endpoint.
+const (
+	Unobserved State = iota // no attempt of this instance has ended there
+	Up                      // it answers
+	Warming                 // it has recovered, and gets a growing share of the traffic (slow start)
+	Suspect                 // it failed lately; idempotent and cheap requests probe it
+	Down                    // it accepts no connection, or several attempts in a row failed
+	Draining                // it takes no new requests
+)
+
+// String names the state.
+func (s State) String() string {
+	switch s {
+	case Unobserved:
+		return "unobserved"
+	case Up:
+		return "up"
+	case Warming:
+		return "warming"
+	case Suspect:
+		return "suspect"
+	case Down:
+		return "down"
+	case Draining:
+		return "draining"
+	}
+	return fmt.Sprintf("State(%d)", uint8(s))
+}
+
+// Outcome is how an attempt at an endpoint ended.
+type Outcome uint8
+
+// The outcomes of an attempt.
+const (
+	Succeeded      Outcome = iota
+	Rejected               // the endpoint did not execute it; RetryAfter and NoRetry may come with it
+	Failed                 // the endpoint reported a failure; it may have executed it
+	TimedOut               // no answer came in time; it may have been executed
+	ConnectionLost         // the connection ended after the request was written; it may have been executed
+	ConnectFailed          // no connection could be opened: nothing was written
+	Cancelled              // this instance gave the attempt up; it says nothing about the endpoint
+)
+
+// String names the outcome.
+func (o Outcome) String() string {
+	switch o {
+	case Succeeded:
+		return "succeeded"
+	case Rejected:
+		return "rejected"
+	case Failed:
+		return "failed"
+	case TimedOut:
+		return "timed out"
+	case ConnectionLost:
+		return "connection lost"
+	case ConnectFailed:
+		return "connect failed"
+	case Cancelled:
+		return "cancelled"
+	}
+	return fmt.Sprintf("Outcome(%d)", uint8(o))
+}
+
+// ProvesNotExecuted reports whether the outcome proves that the endpoint did not execute the request.
+func (o Outcome) ProvesNotExecuted() bool { return o == Rejected || o == ConnectFailed }
--- /dev/null
+++ b/internal/decide/loadbalancer/sticky_keys.go
@@ -0,0 +1,106 @@
+package loadbalancer
+
+import "pewterline/internal/microtime"
+
+// IdempotencyKey identifies a request over all its attempts.
+type IdempotencyKey struct {
+	Tenant int
+	Value  string
+}
+
+// stickyKeys remembers which endpoint may have executed a request with an idempotency key, until the retention window
+// of the key ends. Within it the request goes to no other endpoint, as it could then be executed twice.
+type stickyKeys struct {
+	maxKeys int
+	byKey   map[IdempotencyKey]*stickyKey
+	// byExpiry is in the order in which the keys were added. That is about the order in which they expire, as the windows
+	// of one class come in order.
+	byExpiry []*stickyKey
+}
+
+// stickyKey is a request that may have been executed at an endpoint.
+type stickyKey struct {
+	key             IdempotencyKey
+	endpoint        string
+	expiresAt       microtime.Time
+	inFlight        int
+	mayHaveExecuted bool // an attempt ended without proof that it was not executed
+	indeterminate   bool // the outcome of an attempt is not known
+	removed         bool // it is no longer in byKey
+}
+
+func newStickyKeys(maxKeys int) stickyKeys {
+	return stickyKeys{maxKeys: maxKeys, byKey: map[IdempotencyKey]*stickyKey{}}
+}
+
+// full reports whether no further key can be remembered.
+func (s *stickyKeys) full() bool { return len(s.byKey) >= s.maxKeys }
+
+// lookup finds a key whose window has not ended; nil if there is none.
+func (s *stickyKeys) lookup(now microtime.Time, key IdempotencyKey) *stickyKey {
+	s.expire(now)
+	sticky := s.byKey[key]
+	if sticky != nil && sticky.expiresAt <= now { // It is behind one that lasts longer.
+		s.remove(sticky)
+		return nil
+	}
+	return sticky
+}
+
+// recordSent records that an attempt was written to an endpoint.
+func (s *stickyKeys) recordSent(now microtime.Time, key IdempotencyKey, endpoint string, window microtime.Time) {
+	sticky := s.lookup(now, key)
+	if sticky == nil {
+		sticky = &stickyKey{key: key, endpoint: endpoint}
+		s.byKey[key] = sticky
+		s.byExpiry = append(s.byExpiry, sticky)
+	}
+	sticky.inFlight++
+	sticky.expiresAt = max(sticky.expiresAt, now+window)
+}
+
+// recordOutcome records how an attempt ended. What proves that it was not executed frees the key, unless another
+// attempt may have been: one in flight, or one that ended without proof, whichever request of the caller's it
+// belonged to. Found by the fault search: an endpoint that had executed a request and restarted rejected a repeat,
+// and the next one was executed elsewhere.
+func (s *stickyKeys) recordOutcome(key IdempotencyKey, outcome Outcome) {
+	sticky := s.byKey[key]
+	if sticky == nil {
+		return
+	}
+	sticky.inFlight = max(sticky.inFlight-1, 0)
+	switch outcome {
+	case Rejected, ConnectFailed:
+		if !sticky.mayHaveExecuted && sticky.inFlight == 0 {
+			s.remove(sticky)
+		}
+	case ConnectionLost, TimedOut:
+		sticky.mayHaveExecuted = true
+		sticky.indeterminate = true
+	case Succeeded:
+		sticky.mayHaveExecuted = true
+		sticky.indeterminate = false
+	default:
+		sticky.mayHaveExecuted = true
+	}
+}
+
+func (s *stickyKeys) remove(sticky *stickyKey) {
+	sticky.removed = true
+	delete(s.byKey, sticky.key)
+}
+
+// expire forgets keys whose window has ended, as far as those added before them have expired.
+func (s *stickyKeys) expire(now microtime.Time) {
+	expired := 0
+	for expired < len(s.byExpiry) && (s.byExpiry[expired].removed || s.byExpiry[expired].expiresAt <= now) {
+		if sticky := s.byExpiry[expired]; !sticky.removed {
+			delete(s.byKey, sticky.key)
+		}
+		expired++
+	}
+	if expired > 0 {
+		clear(s.byExpiry[:expired])
+		s.byExpiry = s.byExpiry[expired:]
+	}
+}
