--- a/cmd/pewterline/signals_test.go
+++ b/cmd/pewterline/signals_test.go
@@ -40,19 +40,19 @@
 	running := w.ask(c, "lot-intake", "k1", "one")
 	require.NoError(t, p.Pool.Started("one"))
 	require.NoError(t, p.Signal(syscall.SIGTERM))
-	for !strings.Contains(p.Log(), "edge: draining") {
+	for !strings.Contains(p.Log(), "server: draining") {
 		require.False(t, p.Ended())
 	}
 	require.NoError(t, p.Signal(syscall.SIGTERM))
 	require.NoError(t, p.Signal(syscall.SIGHUP))
-	for !strings.Contains(p.Log(), "read anew") { // both have been heard
+	for !strings.Contains(p.Log(), "configuration reloaded") { // both have been heard
 		require.False(t, p.Ended())
 	}
 	p.Pool.Release()
 	w.served(running, "one")
 	c.Close()
 	require.NoError(t, p.Wait(), p.Log())
-	require.Equal(t, 1, strings.Count(p.Log(), "edge: draining"))
+	require.Equal(t, 1, strings.Count(p.Log(), "server: draining"))
 	w.once()
 }
 
--- a/cmd/pewterline/store_test.go
+++ b/cmd/pewterline/store_test.go
@@ -25,7 +25,7 @@
 	require.NoError(t, first.Signal(syscall.SIGKILL))
 	require.Error(t, first.Wait())
 	second := w.start()
-	require.Contains(t, second.Log(), "2 intakes restored, of 1 it is not known whether they ran")
+	require.Contains(t, second.Log(), "2 executions restored, of 1 it is not known whether they ran")
 	d := w.dial()
 	w.served(w.ask(d, "lot-intake", "k1", "one"), "one")
 	w.failed(w.ask(d, "lot-intake", "k2", "two"))
--- a/cmd/pewterline/upgrade_test.go
+++ b/cmd/pewterline/upgrade_test.go
@@ -536,7 +536,7 @@
 	require.NoError(t, old.Signal(syscall.SIGTERM))
 	third, err := w.Start(nil)
 	require.NoError(t, err)
-	require.Eventually(t, func() bool { return strings.Contains(next.Log(), "a successor is refused: an upgrade is under way") }, processtest.Patience, time.Millisecond)
+	require.Eventually(t, func() bool { return strings.Contains(next.Log(), "a successor is rejected: an upgrade is under way") }, processtest.Patience, time.Millisecond)
 	old.Pool.Release()
 	w.served(running, "one")
 	require.NoError(t, old.Wait())
--- /dev/null
+++ b/internal/server/backends.go
@@ -0,0 +1,100 @@
+package server
+
+import (
+	"pewterline/control"
+	"pewterline/internal/backend/ajpbackend"
+	"pewterline/internal/backend/upstream"
+	"pewterline/internal/backend/workerpool"
+	"pewterline/internal/config"
+	"pewterline/internal/dispatch"
+	"pewterline/internal/microtime"
+	"pewterline/internal/peers"
+	"pewterline/internal/vaultclient"
+)
+
+// backends holds the one backend that runs the requests of this server: other log servers, an AJP server or the worker
+// pool. The others are nil.
+type backends struct {
+	upstream *upstream.Backend
+	ajp      *ajpbackend.Backend
+	pool     *workerpool.Backend
+	vault    *vaultclient.Client // Goes with pool: its runs make calls to the vault.
+}
+
+// newBackends builds the backend that the configuration names.
+func newBackends(cfg config.Config, clock WallClock, logf func(format string, args ...any)) (backends, error) {
+	switch {
+	case len(cfg.Fleet.Members) > 0:
+		backend, err := upstream.New(upstream.Config{Fleet: cfg.Fleet, Name: cfg.Name, Settings: cfg.Settings}, clock, logf)
+		return backends{upstream: backend}, err
+	case cfg.AJP.BackendAddress != "":
+		runTimeout := longestUse(cfg.Settings.Classes)
+		return backends{ajp: ajpbackend.New(ajpbackend.Config{AJP: cfg.AJP, RunTimeout: runTimeout}, logf)}, nil
+	}
+	return backends{
+		pool:  workerpool.New(workerpool.Config{Address: cfg.PoolAddress, Gauges: cfg.Gauges}, logf),
+		vault: vaultclient.New(cfg.VaultAddress, logf),
+	}, nil
+}
+
+// longestUse is the longest time after its arrival for which a request's result can be of use: until its deadline, or
+// until no retry with its idempotency key is served any more.
+func longestUse(classes []control.Class) (longest microtime.Time) {
+	for _, class := range classes {
+		longest = max(longest, microtime.FromDuration(class.Deadline), microtime.FromDuration(class.RetentionWindow))
+	}
+	return longest
+}
+
+// active is the backend that runs requests.
+func (b *backends) active() dispatch.Backend {
+	switch {
+	case b.upstream != nil:
+		return b.upstream
+	case b.ajp != nil:
+		return b.ajp
+	}
+	return b.pool
+}
+
+// attach starts the backend on the loop, and with it the core.
+func (b *backends) attach(core *dispatch.Core, loop EventLoop) {
+	if b.upstream != nil {
+		b.upstream.Attach(core, loop)
+	}
+	if b.ajp != nil {
+		b.ajp.Attach(core, loop)
+	}
+	if b.pool == nil {
+		core.Start(loop.Now(), 0, false)
+		return
+	}
+	b.vault.Attach(loop, core.CallEnded)
+	b.pool.Attach(core, loop) // It starts the core once the pool has answered.
+}
+
+// exchange is the gossip with other instances; it is nil where there is none.
+func (b *backends) exchange() *peers.Exchange {
+	if b.upstream == nil {
+		return nil
+	}
+	return b.upstream.Exchange()
+}
+
+// expireCalls ends the calls to the vault that are due, before the core takes its step.
+func (b *backends) expireCalls(now microtime.Time) {
+	if b.vault != nil {
+		b.vault.Check(now)
+	}
+}
+
+// check does what is due in the backend. It returns when to check again.
+func (b *backends) check(now microtime.Time) microtime.Time {
+	switch {
+	case b.upstream != nil:
+		return b.upstream.Check(now)
+	case b.ajp != nil:
+		return b.ajp.ExpireTimeouts(now)
+	}
+	return min(b.pool.Check(now), b.vault.NextDue())
+}
--- a/internal/server/calls_test.go
+++ b/internal/server/calls_test.go
@@ -277,7 +277,7 @@
 	waiting := h.request(safeClass)
 	h.called(waiting).Reply(vault.NotNow, "")
 	h.do(func() { h.srv.Drain(h.Now()) })
-	h.later(h.srv.cfg.ShutdownTimeout - stopLead - microtime.Millisecond)
+	h.later(h.srv.cfg.ShutdownTimeout - maxKillMargin - microtime.Millisecond)
 	h.failed(inHand)
 	h.failed(waiting)
 	h.givenUp(inHand)
@@ -372,7 +372,7 @@
 			h.vault.Break()
 			refused := h.request(class)
 			for reached := true; reached; {
-				h.do(func() { reached = h.srv.vault.Status().Reachable })
+				h.do(func() { reached = h.srv.backends.vault.Status().Reachable })
 			}
 			require.NoError(t, h.vault.Accept())
 			h.called(refused)
--- a/internal/server/clients_test.go
+++ b/internal/server/clients_test.go
@@ -84,6 +84,6 @@
 		}
 		l.advance(l.now + 6*microtime.Second)
 		require.Zero(t, l.srv.core.OpenRequests(), name)
-		require.LessOrEqual(t, l.srv.thrift.Len(), 1, name+": the good one alone, if it is still open")
+		require.LessOrEqual(t, l.srv.clients.thrift.Len(), 1, name+": the good one alone, if it is still open")
 	}
 }
--- /dev/null
+++ b/internal/server/database_store.go
@@ -0,0 +1,185 @@
+package server
+
+import (
+	"fmt"
+
+	"pewterline/internal/decide/execution"
+	"pewterline/internal/dispatch"
+	"pewterline/internal/microtime"
+	"pewterline/internal/store"
+)
+
+// RecordStore is a database of executions. It is what store.Store implements.
+type RecordStore interface {
+	// Load reads the records since a time in Unix milliseconds, oldest first.
+	Load(sinceMilli int64) ([]store.Record, error)
+	// Record writes a record. done is called once, from any goroutine but never before Record returns, when the record
+	// is durable; an error says that this is not known.
+	Record(record store.Record, done func(error))
+}
+
+// UseStore restores what earlier incarnations of this server have recorded, and records executions of idempotency keys
+// from then on. It must be called before Attach, and may wait for the database.
+func (s *Server) UseStore(records RecordStore, now microtime.Time) error {
+	restored, err := records.Load(s.clock.UnixMilli(now - s.LongestRetention()))
+	if err != nil {
+		return fmt.Errorf("server: restore executions: %w", err)
+	}
+	indeterminate := 0
+	for _, record := range restored {
+		class, known := s.names.class(record.Class)
+		if !known {
+			continue // Of settings that have changed since.
+		}
+		tenant, _ := s.names.tenant(record.Tenant)
+		request := dispatch.KeyedRequest{
+			Class:          class,
+			Tenant:         tenant,
+			IdempotencyKey: record.IdempotencyKey,
+			ArrivedAt:      s.clock.FromUnixMilli(record.ArrivedAtMilli),
+			Result:         record.Result,
+		}
+		if record.Intent {
+			indeterminate++
+			s.core.RestoreLease(request)
+		} else {
+			s.core.Restore(request)
+		}
+	}
+	s.core.UseExecutionStore(&databaseStore{server: s, records: records, open: map[recordKey]*execution.Lifecycle{}})
+	s.logf("server: %d executions restored, of %d it is not known whether they ran", len(restored), indeterminate)
+	return nil
+}
+
+// recordKey identifies an execution in the database.
+type recordKey struct {
+	tenant         string
+	idempotencyKey string
+}
+
+// databaseStore is the core's dispatch.ExecutionStore on a database of this server's own, which works off the loop. It
+// keeps no results: the core does.
+type databaseStore struct {
+	server  *Server
+	records RecordStore
+	open    map[recordKey]*execution.Lifecycle // Executions that have not come to an end.
+}
+
+// Lookup is part of dispatch.ExecutionStore. Nobody else writes to this database, so there is nothing to look up.
+func (d *databaseStore) Lookup(dispatch.KeyedRequest, func(dispatch.LeaseResult)) bool { return false }
+
+// Acquire is part of dispatch.ExecutionStore.
+func (d *databaseStore) Acquire(request dispatch.KeyedRequest, done func(dispatch.LeaseResult)) {
+	d.apply(request, execution.EventAttemptArrived, func(action execution.Action, err error) {
+		if action == execution.ActionStart {
+			done(dispatch.LeaseResult{})
+			return
+		}
+		done(dispatch.LeaseResult{Verdict: dispatch.VerdictUnavailable, Err: err})
+	})
+}
+
+// Release is part of dispatch.ExecutionStore. Where the write is lost, a retry after a restart fails only because it is
+// not known that the request never ran.
+func (d *databaseStore) Release(request dispatch.KeyedRequest) {
+	d.apply(request, execution.EventRunNotStarted, func(execution.Action, error) {})
+}
+
+// RecordFailure is part of dispatch.ExecutionStore.
+func (d *databaseStore) RecordFailure(request dispatch.KeyedRequest) {
+	d.apply(request, execution.EventRunFailed, func(execution.Action, error) {})
+}
+
+// RecordResult is part of dispatch.ExecutionStore.
+func (d *databaseStore) RecordResult(request dispatch.KeyedRequest, done func(error)) {
+	d.apply(request, execution.EventRunSucceeded, func(_ execution.Action, err error) { done(err) })
+}
+
+// record is a request as the database has it.
+func (d *databaseStore) record(request dispatch.KeyedRequest) store.Record {
+	return store.Record{
+		Class:          d.server.cfg.Settings.Classes[request.Class].Name,
+		Tenant:         d.server.tenantName(request.Tenant),
+		IdempotencyKey: request.IdempotencyKey,
+		ArrivedAtMilli: d.server.clock.UnixMilli(request.ArrivedAt),
+		Result:         request.Result,
+	}
+}
+
+// apply applies an event to the lifecycle of a request's execution. notify gets the actions that are meant for whoever
+// caused the event.
+func (d *databaseStore) apply(
+	request dispatch.KeyedRequest, event execution.Event, notify func(execution.Action, error),
+) {
+	record := d.record(request)
+	key := recordKey{tenant: record.Tenant, idempotencyKey: record.IdempotencyKey}
+	lifecycle := d.open[key]
+	if lifecycle == nil {
+		lifecycle = &execution.Lifecycle{}
+		d.open[key] = lifecycle
+	}
+	change := &lifecycleChange{store: d, key: key, record: record, lifecycle: lifecycle, notify: notify}
+	change.step(event)
+}
+
+// lifecycleChange carries out one event of an execution, with the writes that it takes.
+type lifecycleChange struct {
+	store     *databaseStore
+	key       recordKey
+	record    store.Record
+	lifecycle *execution.Lifecycle
+	notify    func(execution.Action, error)
+	err       error // Of the last write.
+}
+
+// step carries out an event.
+func (c *lifecycleChange) step(event execution.Event) {
+	for _, action := range c.lifecycle.Step(event) {
+		switch action {
+		case execution.ActionAcquireLease:
+			intent := c.record
+			intent.Intent, intent.Result = true, nil
+			c.write(intent, execution.EventLeaseGranted)
+		case execution.ActionRecord:
+			if event == execution.EventRunFailed {
+				// The intent stays on record: a later incarnation takes the execution for one of unknown end.
+				c.step(execution.EventFailureFound)
+			} else {
+				c.write(c.record, execution.EventResultFound)
+			}
+		case execution.ActionReleaseLease:
+			c.write(c.record.Cancelled(), execution.EventVacant)
+		case execution.ActionRetryLater: // The client's next attempt retries it.
+		default:
+			c.notify(action, c.err)
+		}
+	}
+	c.forgetEnded()
+	if event == execution.EventUnavailable && c.lifecycle.State == execution.StateIdle {
+		c.store.server.logf("server: the intent of %q, which did not run, stays on record: %v",
+			c.key.idempotencyKey, c.err)
+	}
+}
+
+// forgetEnded drops the lifecycle once it has come to an end: the core keeps the result.
+func (c *lifecycleChange) forgetEnded() {
+	ended := c.lifecycle.State == execution.StateIdle || c.lifecycle.State == execution.StateRecorded
+	if ended && c.store.open[c.key] == c.lifecycle {
+		delete(c.store.open, c.key)
+	}
+}
+
+// write writes a record; the event follows on the loop once the record is durable.
+func (c *lifecycleChange) write(record store.Record, durable execution.Event) {
+	c.store.records.Record(record, func(err error) {
+		// An error of Execute says that the loop has ended: nobody is left to answer.
+		_ = c.store.server.loop.Execute(func() {
+			c.err = err
+			if err != nil {
+				c.step(execution.EventUnavailable)
+				return
+			}
+			c.step(durable)
+		})
+	})
+}
--- a/internal/server/end_test.go
+++ b/internal/server/end_test.go
@@ -136,7 +136,7 @@
 
 // fronts counts the proxies' connections.
 func (h *house) fronts() (n int) {
-	h.do(func() { n = h.srv.thrift.Len() })
+	h.do(func() { n = h.srv.clients.thrift.Len() })
 	return n
 }
 
@@ -317,8 +317,8 @@
 	h.pool.mu.Unlock()
 	for lost := false; !lost; {
 		h.do(func() {
-			if lost = !h.srv.pool.Status().Migrating; lost {
-				require.False(t, h.srv.pool.Status().Dialling, "a link is dialled though one waits to be bound")
+			if lost = !h.srv.backends.pool.Status().Migrating; lost {
+				require.False(t, h.srv.backends.pool.Status().Dialling, "a link is dialled though one waits to be bound")
 			}
 		})
 	}
--- a/internal/server/fleet_test.go
+++ b/internal/server/fleet_test.go
@@ -147,9 +147,9 @@
 	ask(3, "lot-intake", "k1")
 	require.Empty(t, n2.out, "it may have run on n1")
 	require.Equal(t, "a1", s.dials[0].addr)
-	known, removed := s.srv.servers.Lookup("n1")
+	known, removed := s.srv.backends.upstream.Lookup("n1")
 	require.True(t, known && removed)
-	s.srv.servers.ExpireRemoved(s.now + upstream.RemovedEndpointRetention + microtime.Second)
-	known, _ = s.srv.servers.Lookup("n1")
+	s.srv.backends.upstream.ExpireRemoved(s.now + upstream.RemovedEndpointRetention + microtime.Second)
+	known, _ = s.srv.backends.upstream.Lookup("n1")
 	require.True(t, known, "something is open there")
 }
--- a/internal/server/handover_test.go
+++ b/internal/server/handover_test.go
@@ -128,7 +128,7 @@
 	other.out = nil
 	require.Equal(t, "an upgrade is under way", l.say(other, upgrade.Message{Kind: upgrade.Hello, Name: "n0"})[0].Reason)
 	require.True(t, other.closed)
-	l.advance(l.now + hearMost + microtime.Second)
+	l.advance(l.now + keySyncTimeout + microtime.Second)
 	require.True(t, k.closed, "it has hung")
 	require.Equal(t, -1, h.shared[len(h.shared)-1], "all places are its own again")
 	stranger := l.connect("stranger", HandoffListener)
--- a/internal/server/link_test.go
+++ b/internal/server/link_test.go
@@ -117,7 +117,7 @@
 		if name == "notice" {
 			l.ask("00000000000000c3", "block-view", "")
 		}
-		l.srv.pool.RequestGauges()
+		l.srv.backends.pool.RequestGauges()
 		l.tell(proof)
 		l.ask("00000000000000d4", "block-view", "")
 		l.broken()
@@ -140,10 +140,10 @@
 	require.NotContains(t, l.ask("00000000000000a2", "lot-intake", "k1"), "spawn")
 	l.advance(l.now + 5*microtime.Second)
 	require.Equal(t, map[int32]thrift.ReplyKind{1: thrift.ReplyBroken}, l.replies())
-	require.Equal(t, 1, l.srv.pool.Status().Runs)
+	require.Equal(t, 1, l.srv.backends.pool.Status().Runs)
 	l.advance(l.now + 10*microtime.Second) // past the window
-	require.Zero(t, l.srv.pool.Status().Runs)
-	require.Zero(t, l.srv.pool.Status().Uncertain)
+	require.Zero(t, l.srv.backends.pool.Status().Runs)
+	require.Zero(t, l.srv.backends.pool.Status().Uncertain)
 	require.True(t, strings.Contains(strings.Join(l.logged, "\n"), "whether it ran is not known"))
 	l.caller, l.seq = l.stage.connect("c3", 0), 0
 	require.Contains(t, l.ask("00000000000000a3", "lot-intake", "k1"), "spawn 00000000000000a3")
@@ -183,7 +183,7 @@
 		require.NotContains(t, string(l.caller.out), "bad", name)
 		require.NotContains(t, string(l.caller.out), "else", name)
 		require.Equal(t, map[int32]thrift.ReplyKind{1: thrift.ReplyAnswer, 2: thrift.ReplyAnswer}, l.replies(), name)
-		require.Zero(t, l.srv.pool.Status().Runs, name)
+		require.Zero(t, l.srv.backends.pool.Status().Runs, name)
 		require.NotNil(t, l.pool.session, name)
 	}
 }
--- a/internal/server/overload_test.go
+++ b/internal/server/overload_test.go
@@ -86,7 +86,7 @@
 	t.Cleanup(func() { c.pool.Close() })
 	c.poolIn = bufio.NewReader(c.pool)
 	c.command() // bind
-	c.await(func() bool { return c.srv.pool.Status().Bound || c.poolMark() })
+	c.await(func() bool { return c.srv.backends.pool.Status().Bound || c.poolMark() })
 	c.desk = dial(t, c.loop.Addr(0).String(), thrift.SplitFrame)
 	go c.readDesk()
 	return c
@@ -111,7 +111,7 @@
 
 // poolMark answers the poll that follows bound; it is always false, so that await looks again.
 func (c *crowd) poolMark() bool {
-	if c.srv.pool.Status().Links == 1 && c.marks == 0 {
+	if c.srv.backends.pool.Status().Links == 1 && c.marks == 0 {
 		c.marks = 1
 		_, err := c.pool.Write([]byte("polled sync1 0 0 0 0\r\n"))
 		require.NoError(c.t, err)
@@ -154,7 +154,7 @@
 func (c *crowd) work() {
 	c.marks++
 	mark := fmt.Sprintf("mark%d", c.marks)
-	c.onLoop(func() { c.srv.pool.PollTagged(mark) })
+	c.onLoop(func() { c.srv.backends.pool.PollTagged(mark) })
 	for c.command() != mark {
 	}
 	for _, id := range slices.Sorted(maps.Keys(c.ends)) {
@@ -173,7 +173,7 @@
 	_, err := c.pool.Write(c.out) // at once, so that they are read in one turn
 	require.NoError(c.t, err)
 	c.out = c.out[:0]
-	c.await(func() bool { return c.srv.pool.Status().Notice == c.notices })
+	c.await(func() bool { return c.srv.backends.pool.Status().Notice == c.notices })
 }
 
 func (c *crowd) readDesk() {
@@ -236,7 +236,7 @@
 		p.write(out)
 		go c.readOffice(p, c.asked)
 	}
-	c.await(func() bool { return c.srv.requests == c.asked })
+	c.await(func() bool { return c.srv.clients.submitted == c.asked })
 }
 
 // overload plays half a minute of four times what the pool can do, both protocols mixed; it returns how many
--- /dev/null
+++ b/internal/server/peer_session.go
@@ -0,0 +1,282 @@
+package server
+
+import (
+	"fmt"
+
+	"pewterline/internal/decide/handoff"
+	"pewterline/internal/dispatch"
+	"pewterline/internal/microtime"
+	"pewterline/internal/protocol/upgrade"
+	"pewterline/internal/transport"
+)
+
+const (
+	// connectionCountInterval is the time between two messages about the number of open connections.
+	connectionCountInterval = 100 * microtime.Millisecond
+	// keySyncTimeout is how long a successor may take to receive all keys. Its operators give up on one that is not
+	// ready within 6 s: one that takes longer has hung.
+	keySyncTimeout = 6 * microtime.Second
+)
+
+// peerSession is the link between an old process and its successor, on either side. It implements transport.Session
+// towards the loop and dispatch.PeerProcess towards the core.
+type peerSession struct {
+	server    *Server
+	conn      transport.Conn // Nil on the successor's side until the loop runs.
+	successor bool           // The other process is the successor.
+
+	preambleRead    bool
+	ownershipPassed bool
+	keysSent        bool                      // All keys are known on the other side.
+	unsentKeys      []dispatch.IdempotencyKey // Those that a successor has yet to receive.
+	startedAt       microtime.Time
+	connections     int // The number that was sent last.
+	connectionsAt   microtime.Time
+	writeBuffer     []byte
+}
+
+// Receive is part of transport.Session.
+func (p *peerSession) Receive(in []byte) (int, error) {
+	read := 0
+	if !p.preambleRead {
+		ok, err := upgrade.CheckPreamble(in)
+		if err != nil || !ok {
+			return 0, err
+		}
+		p.preambleRead, read = true, len(upgrade.Preamble)
+		p.conn.Write(upgrade.Preamble[:])
+	}
+	for {
+		message, size, err := upgrade.Parse(in[read:])
+		if err != nil || size == 0 {
+			return read, err
+		}
+		read += size
+		if err := p.handle(message); err != nil {
+			return read, err
+		}
+	}
+}
+
+// Idle is part of transport.Session.
+func (p *peerSession) Idle() bool { return false }
+
+// Closed is part of transport.Session: the other process has ended, or is out of reach.
+func (p *peerSession) Closed() {
+	s := p.server
+	if s.handoff.peer != p {
+		return
+	}
+	s.handoff.peer = nil
+	s.logf("server: the %s is gone, ownership passed: %v", p.role(), p.ownershipPassed)
+	s.core.PeerLost()
+	s.handoff.host.ShareLimits(-1)
+	if !p.successor && !p.ownershipPassed {
+		s.handoff.host.Orphaned()
+	}
+}
+
+// role names the other process.
+func (p *peerSession) role() string {
+	if p.successor {
+		return "successor"
+	}
+	return "predecessor"
+}
+
+func (p *peerSession) send(message upgrade.Message) {
+	if p.conn != nil {
+		p.writeBuffer = upgrade.Append(p.writeBuffer[:0], message)
+		p.conn.Write(p.writeBuffer)
+	}
+}
+
+// handle carries out one message. An error says that the other side does not keep to the protocol.
+func (p *peerSession) handle(message upgrade.Message) error {
+	switch {
+	case p.server.handoff.peer == p && message.Kind >= upgrade.Claim:
+		p.handleKey(message)
+	case p.server.handoff.peer == p:
+		p.handleProcess(message)
+	case message.Kind == upgrade.Hello && p.successor:
+		p.greet(message)
+	default: // It is unidentified until its hello.
+		return fmt.Errorf("%w: kind %d before hello", upgrade.ErrFrame, message.Kind)
+	}
+	return nil
+}
+
+// handleProcess carries out a message about the process. Kinds that have no meaning here are ignored.
+func (p *peerSession) handleProcess(message upgrade.Message) {
+	server := p.server
+	switch message.Kind {
+	case upgrade.Welcome:
+		server.outOfService = message.OutOfService
+		if message.Learned != nil {
+			server.core.RestoreLearned(*message.Learned)
+		}
+	case upgrade.NextChunk:
+		p.sendKeys()
+	case upgrade.OwnershipTransferred:
+		p.ownershipPassed = true
+		server.logf("server: the predecessor has handed over")
+		server.core.TakeOwnership()
+	case upgrade.ServiceChanged:
+		server.outOfService = message.OutOfService
+		server.logf("server: in service: %v, by a command to the %s", !message.OutOfService, p.role())
+	case upgrade.ConnectionCount:
+		server.handoff.host.ShareLimits(message.Connections)
+	default:
+	}
+}
+
+// handleKey carries out a message about an idempotency key. One of a class or tenant that this process does not have
+// is ignored: no attempt of it can come here.
+func (p *peerSession) handleKey(message upgrade.Message) {
+	server := p.server
+	class, classKnown := server.names.class(message.Class)
+	tenant, tenantKnown := server.names.tenant(message.Tenant)
+	if !classKnown || !tenantKnown {
+		return
+	}
+	request := dispatch.KeyedRequest{
+		Class:          class,
+		Tenant:         tenant,
+		IdempotencyKey: message.IdempotencyKey,
+		ArrivedAt:      server.clock.FromUnixMilli(message.ArrivedAtMilli),
+		Result:         message.Result,
+	}
+	switch message.Kind {
+	case upgrade.Claim:
+		server.core.PeerClaimed(request)
+	case upgrade.Grant:
+		server.core.PeerGranted(request)
+	case upgrade.Started:
+		server.core.PeerStarted(request)
+	case upgrade.Succeeded:
+		server.core.PeerFinished(request, dispatch.RunSucceeded)
+	case upgrade.Failed:
+		server.core.PeerFinished(request, dispatch.RunFailed)
+	case upgrade.Released:
+		server.core.PeerReleased(request)
+	default:
+	}
+}
+
+// greet accepts a process as the successor, unless this one is about to end or has a peer already.
+func (p *peerSession) greet(hello upgrade.Message) {
+	server := p.server
+	p.conn.MarkIdentified()
+	if reason := server.rejectSuccessor(hello.Name); reason != "" {
+		server.logf("server: a successor is rejected: %s", reason)
+		p.send(upgrade.Message{Kind: upgrade.Reject, Reason: reason})
+		p.conn.Close()
+		return
+	}
+	server.handoff.peer, p.startedAt = p, server.loop.Now()
+	server.logf("server: a successor has connected")
+	server.handoff.host.SteerListeners(0)
+	server.handoff.host.ShareLimits(0) // The successor gets no connections yet.
+	server.core.JoinPeer(p, handoff.Owner)
+	learned := server.core.LearnedState()
+	p.send(upgrade.Message{Kind: upgrade.Welcome, OutOfService: server.outOfService, Learned: &learned})
+	p.sendConnectionCount()
+	p.unsentKeys = server.core.Keys()
+	p.sendKeys()
+}
+
+// rejectSuccessor is the reason to reject a successor of that name; it is empty where there is none.
+func (s *Server) rejectSuccessor(name string) string {
+	switch {
+	case name != s.cfg.Name:
+		return "this is " + s.cfg.Name
+	case s.shutdown.stage != serving:
+		return "leaving"
+	case s.handoff.peer != nil:
+		return "an upgrade is under way"
+	}
+	return ""
+}
+
+// sendKeys sends the next chunk of keys, or that there are no more.
+func (p *peerSession) sendKeys() {
+	if p.keysSent {
+		return
+	}
+	count := min(len(p.unsentKeys), upgrade.ChunkKeys)
+	for _, key := range p.unsentKeys[:count] {
+		p.server.core.AnnounceKey(key)
+	}
+	p.unsentKeys = p.unsentKeys[count:]
+	if count > 0 {
+		p.send(upgrade.Message{Kind: upgrade.NextChunk})
+		return
+	}
+	p.keysSent = true
+	p.send(upgrade.Message{Kind: upgrade.Synced})
+}
+
+// check does what is due; it returns when to check again. A successor that hangs while it receives the keys is cut
+// off: it would block the next upgrade for as long as it lives.
+func (p *peerSession) check(now microtime.Time) microtime.Time {
+	if !p.keysSent && now >= p.startedAt+keySyncTimeout {
+		p.server.logf("server: the successor has not received all keys within %v", keySyncTimeout.Duration())
+		p.conn.Close()
+		return microtime.Never
+	}
+	if now >= p.connectionsAt {
+		p.connectionsAt = now + connectionCountInterval
+		p.sendConnectionCount()
+	}
+	return p.connectionsAt
+}
+
+// sendConnectionCount tells the successor how many connections are open, so that both keep to one limit.
+func (p *peerSession) sendConnectionCount() {
+	if open := p.server.clients.connections(); p.connections != open {
+		p.connections = open
+		p.send(upgrade.Message{Kind: upgrade.ConnectionCount, Connections: open})
+	}
+}
+
+func (p *peerSession) sendKey(kind upgrade.Kind, request dispatch.KeyedRequest) {
+	s := p.server
+	message := upgrade.Message{
+		Kind:           kind,
+		Class:          s.cfg.Settings.Classes[request.Class].Name,
+		Tenant:         s.tenantName(request.Tenant),
+		IdempotencyKey: request.IdempotencyKey,
+		ArrivedAtMilli: s.clock.UnixMilli(request.ArrivedAt),
+	}
+	if kind == upgrade.Succeeded {
+		message.Result = request.Result
+	}
+	p.send(message)
+}
+
+// Claim is part of dispatch.PeerProcess.
+func (p *peerSession) Claim(request dispatch.KeyedRequest) { p.sendKey(upgrade.Claim, request) }
+
+// Grant is part of dispatch.PeerProcess.
+func (p *peerSession) Grant(request dispatch.KeyedRequest) { p.sendKey(upgrade.Grant, request) }
+
+// NotifyStarted is part of dispatch.PeerProcess.
+func (p *peerSession) NotifyStarted(request dispatch.KeyedRequest) {
+	p.sendKey(upgrade.Started, request)
+}
+
+// NotifyReleased is part of dispatch.PeerProcess.
+func (p *peerSession) NotifyReleased(request dispatch.KeyedRequest) {
+	p.sendKey(upgrade.Released, request)
+}
+
+// NotifyFinished is part of dispatch.PeerProcess.
+func (p *peerSession) NotifyFinished(request dispatch.KeyedRequest, outcome dispatch.RunOutcome) {
+	// A result that is too long for a message comes from a run all the same: the other process must not run it again,
+	// and cannot serve it.
+	if outcome == dispatch.RunSucceeded && len(request.Result) <= upgrade.MaxResult {
+		p.sendKey(upgrade.Succeeded, request)
+		return
+	}
+	p.sendKey(upgrade.Failed, request)
+}
--- /dev/null
+++ b/internal/server/replicated_store.go
@@ -0,0 +1,132 @@
+package server
+
+import (
+	"errors"
+
+	"pewterline/internal/decide/execution"
+	"pewterline/internal/dispatch"
+	"pewterline/internal/microtime"
+	"pewterline/internal/replication"
+)
+
+// leaseAnswerLead is how long before its deadline an attempt is answered with what is known by then.
+const leaseAnswerLead = 150 * microtime.Millisecond
+
+// The errors of a replication group that is out of reach.
+var (
+	errLeaseNoQuorum  = errors.New("replication: lease: no quorum of the key's replicas answered in time")
+	errResultNoQuorum = errors.New("replication: record result: no quorum of the key's replicas accepted it in time")
+)
+
+// replicatedStore is the core's dispatch.ExecutionStore on a replication group.
+type replicatedStore struct {
+	server  *Server
+	replica *replication.Replica
+}
+
+// key identifies an execution to all members, whose settings may have the tenants at other places.
+func (r *replicatedStore) key(request dispatch.KeyedRequest) string {
+	return r.server.tenantName(request.Tenant) + "\x00" + request.IdempotencyKey
+}
+
+// arrivedAtMilli is when the request came, as its caller says if it does.
+func (r *replicatedStore) arrivedAtMilli(request dispatch.KeyedRequest) int64 {
+	if request.ArrivedAtUnixMilli != 0 {
+		return request.ArrivedAtUnixMilli
+	}
+	return r.server.clock.UnixMilli(request.ArrivedAt)
+}
+
+func (r *replicatedStore) retentionMilli(request dispatch.KeyedRequest) int64 {
+	class := &r.server.cfg.Settings.Classes[request.Class]
+	return int64(microtime.FromDuration(class.RetentionWindow) / microtime.Millisecond)
+}
+
+func (r *replicatedStore) deadline(request dispatch.KeyedRequest) microtime.Time {
+	class := &r.server.cfg.Settings.Classes[request.Class]
+	return request.ArrivedAt + microtime.FromDuration(class.Deadline)
+}
+
+// answerBy is when an attempt is answered with what is known by then.
+func (r *replicatedStore) answerBy(request dispatch.KeyedRequest) microtime.Time {
+	return r.deadline(request) - leaseAnswerLead
+}
+
+// leaseResult is what an outcome of the group means for the core.
+func (r *replicatedStore) leaseResult(
+	request dispatch.KeyedRequest, outcome replication.Outcome,
+) dispatch.LeaseResult {
+	switch outcome.Action {
+	case execution.ActionStart:
+		return dispatch.LeaseResult{Verdict: dispatch.VerdictGranted}
+	case execution.ActionServe:
+		return dispatch.LeaseResult{
+			Verdict:   dispatch.VerdictSucceeded,
+			ArrivedAt: r.server.clock.FromUnixMilli(outcome.Value.AttemptedAt),
+			Result:    []byte(outcome.Value.Result),
+		}
+	case execution.ActionReportFailed:
+		return dispatch.LeaseResult{Verdict: dispatch.VerdictFailed}
+	case execution.ActionReject, execution.ActionReportCancelled:
+		if request.Retry {
+			// An earlier attempt may have run on a member that is out of reach: this one must not say that the request
+			// was rejected.
+			return dispatch.LeaseResult{Verdict: dispatch.VerdictIndeterminate}
+		}
+		return dispatch.LeaseResult{Verdict: dispatch.VerdictUnavailable, Err: errLeaseNoQuorum}
+	default:
+		r.server.logf("replication: %q: not known whether it ran, until %d",
+			request.IdempotencyKey, outcome.RetryAtMilli)
+		return dispatch.LeaseResult{Verdict: dispatch.VerdictIndeterminate}
+	}
+}
+
+// Lookup is part of dispatch.ExecutionStore. The group is asked about retries, which their callers mark, and about what
+// this server has a record of.
+func (r *replicatedStore) Lookup(request dispatch.KeyedRequest, done func(dispatch.LeaseResult)) bool {
+	key, arrivedAt, retention := r.key(request), r.arrivedAtMilli(request), r.retentionMilli(request)
+	if !request.Retry && !r.replica.HasRecord(key, arrivedAt, retention) {
+		return false
+	}
+	r.replica.Lookup(key, arrivedAt, retention, r.answerBy(request), func(outcome replication.Outcome) {
+		done(r.leaseResult(request, outcome))
+	})
+	return true
+}
+
+// Acquire is part of dispatch.ExecutionStore. A lease that comes after the attempt's deadline is given back unused:
+// this server may have been stalled, and another may have waited until the lease was over and run the request since.
+func (r *replicatedStore) Acquire(request dispatch.KeyedRequest, done func(dispatch.LeaseResult)) {
+	key := r.key(request)
+	arrivedAt, retention, answerBy := r.arrivedAtMilli(request), r.retentionMilli(request), r.answerBy(request)
+	r.replica.AcquireLease(key, arrivedAt, retention, answerBy, func(outcome replication.Outcome) {
+		result := r.leaseResult(request, outcome)
+		late := r.server.loop.Now() >= r.deadline(request)
+		if result.Verdict == dispatch.VerdictGranted && late {
+			r.replica.ReleaseLease(key, false)
+			result = dispatch.LeaseResult{Verdict: dispatch.VerdictIndeterminate}
+		}
+		done(result)
+	})
+}
+
+// Release is part of dispatch.ExecutionStore.
+func (r *replicatedStore) Release(request dispatch.KeyedRequest) {
+	r.replica.ReleaseLease(r.key(request), false)
+}
+
+// RecordFailure is part of dispatch.ExecutionStore.
+func (r *replicatedStore) RecordFailure(request dispatch.KeyedRequest) {
+	r.replica.Complete(r.key(request), false, nil, func(replication.Outcome) {})
+}
+
+// RecordResult is part of dispatch.ExecutionStore.
+func (r *replicatedStore) RecordResult(request dispatch.KeyedRequest, done func(error)) {
+	r.replica.Complete(r.key(request), true, request.Result, func(outcome replication.Outcome) {
+		if outcome.Action != execution.ActionServe {
+			done(errResultNoQuorum)
+			return
+		}
+		done(nil)
+	})
+}
--- /dev/null
+++ b/internal/server/server.go
@@ -0,0 +1,195 @@
+package server
+
+import (
+	"fmt"
+
+	"pewterline/control"
+	"pewterline/internal/admin"
+	"pewterline/internal/config"
+	"pewterline/internal/dispatch"
+	"pewterline/internal/microtime"
+	"pewterline/internal/replication"
+	"pewterline/internal/transport"
+)
+
+// The listeners, as indices into the list of addresses that the event loop is started with.
+const (
+	// ThriftListener is for proxies.
+	ThriftListener = iota
+	// AJPListener is for web servers.
+	AJPListener
+	// ExchangeListener is for the gossip of other instances.
+	ExchangeListener
+	// AdminListener is for operators.
+	AdminListener
+	// HandoffListener is for a successor.
+	HandoffListener
+	// ReplicationListener is for the other members of the replication group.
+	ReplicationListener
+)
+
+// idleSweepInterval is the time between two searches for idle client connections.
+const idleSweepInterval = 250 * microtime.Millisecond
+
+// EventLoop is what the server needs of the event loop.
+type EventLoop interface {
+	Now() microtime.Time
+	Dial(addr string, open func(transport.Conn) transport.Session) (drop func())
+	DialOnce(addr string, open func(transport.Conn) transport.Session, failed func()) (drop func())
+	SetDatagramPeer(addr string) error
+	SendDatagram([]byte)
+	Execute(func()) error
+	Rand() uint64 // need not be secret
+	CloseListener(listener int, done func())
+	Shutdown(by microtime.Time)
+}
+
+// WallClock converts between the wall clock, in Unix milliseconds, and the program's time.
+type WallClock interface {
+	FromUnixMilli(ms int64) microtime.Time
+	UnixMilli(t microtime.Time) int64
+}
+
+// Server is one log server. It is not for concurrent use: all its methods run on its event loop once it is attached.
+type Server struct {
+	cfg   config.Config // Its classes have the places that they were given over all reloads.
+	loop  EventLoop     // Nil until Attach.
+	clock WallClock
+	logf  func(format string, args ...any)
+
+	core      *dispatch.Core
+	clients   clients
+	backends  backends
+	replica   *replication.Replica // Nil unless executions are recorded with a replication group.
+	operators *admin.Handler
+
+	names        nameIndex
+	fileSettings control.Settings // The settings as the file has them.
+	reloads      reloadCounts
+	health       healthReporter
+	outOfService bool // By an operator's command.
+	handoff      handoffState
+	shutdown     shutdownState
+	nextSweepAt  microtime.Time
+}
+
+// New builds a server. Attach must follow, on its loop.
+func New(cfg config.Config, clock WallClock, logf func(format string, args ...any)) (*Server, error) {
+	backends, err := newBackends(cfg, clock, logf)
+	if err != nil {
+		return nil, fmt.Errorf("server: %w", err)
+	}
+	core, err := dispatch.New(cfg.Settings, backends.active(), logf)
+	if err != nil {
+		return nil, fmt.Errorf("server: %w", err)
+	}
+	if backends.vault != nil {
+		core.UseDownstream(backends.vault)
+	}
+	server := &Server{
+		cfg:          cfg,
+		clock:        clock,
+		logf:         logf,
+		core:         core,
+		backends:     backends,
+		names:        newNameIndex(cfg.Settings),
+		fileSettings: cfg.Settings,
+		health:       newHealthReporter(),
+	}
+	server.clients = newClients(frontendServer{server}, cfg.AJP)
+	server.operators = admin.New(operatorServer{server}, logf)
+	return server, nil
+}
+
+// UseReplication records executions of idempotency keys with a replication group. It must be called before Attach.
+func (s *Server) UseReplication(replica *replication.Replica) {
+	s.replica = replica
+	s.operators.UseReplication(replica)
+	s.core.UseExecutionStore(&replicatedStore{server: s, replica: replica})
+}
+
+// Attach starts the server on its loop; it is called there.
+func (s *Server) Attach(loop EventLoop) {
+	s.loop = loop
+	if s.replica != nil {
+		s.replica.Attach(loop)
+	}
+	s.backends.attach(s.core, loop)
+}
+
+// Accept gives a new connection its session, by the listener that it came to.
+func (s *Server) Accept(listener int, conn transport.Conn) transport.Session {
+	switch listener {
+	case AJPListener:
+		return s.clients.ajp.Accept(conn)
+	case HandoffListener:
+		return s.acceptSuccessor(conn)
+	case AdminListener:
+		return s.operators.Accept(conn)
+	case ReplicationListener:
+		if s.replica != nil {
+			return s.replica.Accept(conn)
+		}
+	case ExchangeListener:
+		if exchange := s.backends.exchange(); exchange != nil {
+			return exchange.Accept(conn)
+		}
+	}
+	return s.clients.thrift.Accept(conn)
+}
+
+// Turn ends a turn of the loop: one step of the core, then everything that is due by the clock. It returns when the
+// next turn is due.
+func (s *Server) Turn(now microtime.Time) microtime.Time {
+	if s.loop == nil {
+		return microtime.Never
+	}
+	s.backends.expireCalls(now)
+	s.core.Step(now)
+	next := s.reportHealth(now)
+	next = min(next, s.closeIdleClients(now))
+	next = min(next, s.core.NextWakeup())
+	next = min(next, s.checkSuccessor(now))
+	next = min(next, s.finishHandoff(now))
+	next = min(next, s.names.expireRetired(s.cfg.Settings, now))
+	next = min(next, s.clients.ajp.ExpireTimeouts(now))
+	next = min(next, s.backends.check(now))
+	next = min(next, s.continueDrain(now))
+	if s.replica != nil { // Last, so that the requests of the whole turn go out together.
+		next = min(next, s.replica.Tick(now))
+	}
+	return max(next, now)
+}
+
+// closeIdleClients closes idle connections whenever a sweep is due. It returns when the next one is.
+func (s *Server) closeIdleClients(now microtime.Time) microtime.Time {
+	if now >= s.nextSweepAt {
+		s.nextSweepAt = now + idleSweepInterval
+		s.clients.thrift.CloseIdle(now, s.core.IdleTimeout())
+	}
+	return s.nextSweepAt
+}
+
+// WastedAttempts counts the attempts that failed because their log server was gone. It is 0 where requests run here.
+func (s *Server) WastedAttempts() int {
+	if s.backends.upstream == nil {
+		return 0
+	}
+	return s.backends.upstream.WastedAttempts()
+}
+
+// LongestRetention is the longest time for which any idempotency key is kept.
+func (s *Server) LongestRetention() (longest microtime.Time) {
+	for _, class := range s.cfg.Settings.Classes {
+		longest = max(longest, microtime.FromDuration(class.RetentionWindow))
+	}
+	return longest
+}
+
+// tenantName is the name of a tenant by its place; it is empty where the settings name no tenants.
+func (s *Server) tenantName(place int) string {
+	if place >= len(s.cfg.Settings.Tenants) {
+		return ""
+	}
+	return s.cfg.Settings.Tenants[place].Name
+}
