--- a/internal/planted/planted.go
+++ b/internal/planted/planted.go
@@ -19,14 +19,13 @@
 	NoRedial        ID = "no-redial"        // a link refused twice is never dialled again
 	StrangerVouched ID = "stranger-vouched" // who has sent something valid is closed as a stranger all the same
 	SentBefore      ID = "sent-before"      // all commands are sent again, before the missed notices are read
-	LeaveOpen       ID = "leave-open"       // the drained program ends with requests unanswered
 	PassLate        ID = "pass-late"        // a run that was not started is passed on to whoever came past the drain limit
 	RefuseRun       ID = "refuse-run"       // a run that is given up is refused, not failed
 )
 
 // All are the planted bugs in a fixed order.
 var All = []ID{KeyTwice, AnswerTwice, LateStart, WrongTry, NoticesPast, GiveUpOther, RoomOpen, NoRedial, StrangerVouched,
-	SentBefore, LeaveOpen, PassLate, RefuseRun}
+	SentBefore, PassLate, RefuseRun}
 
 // The planted bugs of internal/decide/copies, which its own simulated group finds.
 const (
--- /dev/null
+++ b/internal/testbed/sim/planted_server_test.go
@@ -0,0 +1,57 @@
+package sim
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"pewterline/internal/microtime"
+	"pewterline/internal/testbed/simnet"
+)
+
+// plantEarlyStop ends each draining server once its grace is over, whatever is unanswered. The server itself would wait:
+// its event loop is stopped behind its back.
+func plantEarlyStop(l *world) {
+	const farewellTime = 10 * microtime.Millisecond // The server has told its clients to close by then.
+	const closeTime = 500 * microtime.Millisecond   // They get this long, as from the server.
+	planted := map[*simnet.Host]bool{}
+	check := l.w.After
+	l.w.After = func() {
+		check()
+		for _, s := range l.servers {
+			host := s.host
+			if !s.leaving || host.Ended || planted[host] {
+				continue
+			}
+			planted[host] = true
+			l.w.In(microtime.FromDuration(s.cfg.Settings.DrainGrace)+farewellTime, func() {
+				// An error says that the server has ended by itself.
+				_ = host.Loop().Execute(func() { host.Loop().Shutdown(l.w.Now() + closeTime) })
+			})
+		}
+	}
+}
+
+// A server that ends its drain with requests unanswered is seen on the kept script, and the server as it is keeps all
+// rules there.
+func TestEarlyStopIsSeen(t *testing.T) {
+	script := read(t, "testdata/planted/leave-open.txt")
+	out, err := Play(script, Options{})
+	require.NoError(t, err)
+	clean(t, script, out)
+	out, err = Play(script, Options{StopAtFirst: true, begin: plantEarlyStop})
+	require.NoError(t, err)
+	require.NotEmpty(t, out.Violations)
+	require.Equal(t, "lost/closed by the server", out.Violations[0].Key(), out.Violations[0].String())
+}
+
+// The search finds a server that ends its drain with requests unanswered.
+func TestHuntFindsEarlyStop(t *testing.T) {
+	hunt := Hunt{First: 1, Last: 300, Profile: "worst", Servers: 2, Proxies: 3, Length: 8 * microtime.Second,
+		Jobs: 2, Most: 1, begin: plantEarlyStop}
+	progress, err := hunt.Run()
+	require.NoError(t, err)
+	require.NotEmpty(t, progress.Finds)
+	t.Logf("script %d, after %v: %s", progress.Finds[0].Run, progress.Finds[0].After, progress.Finds[0].Violation)
+	require.Equal(t, "lost/closed by the server", progress.Finds[0].Violation.Key())
+}
