--- a/internal/server/replicated_store.go
+++ b/internal/server/replicated_store.go
@@ -37,19 +37,20 @@
 	return r.server.clock.UnixMilli(request.ArrivedAt)
 }
 
-func (r *replicatedStore) retentionMilli(request dispatch.KeyedRequest) int64 {
-	class := &r.server.cfg.Settings.Classes[request.Class]
-	return int64(microtime.FromDuration(class.RetentionWindow) / microtime.Millisecond)
-}
-
 func (r *replicatedStore) deadline(request dispatch.KeyedRequest) microtime.Time {
 	class := &r.server.cfg.Settings.Classes[request.Class]
 	return request.ArrivedAt + microtime.FromDuration(class.Deadline)
 }
 
-// answerBy is when an attempt is answered with what is known by then.
-func (r *replicatedStore) answerBy(request dispatch.KeyedRequest) microtime.Time {
-	return r.deadline(request) - leaseAnswerLead
+// attempt is the request as the group sees it. It is answered with what is known some time before its deadline.
+func (r *replicatedStore) attempt(request dispatch.KeyedRequest) replication.Attempt {
+	class := &r.server.cfg.Settings.Classes[request.Class]
+	return replication.Attempt{
+		Key:            r.key(request),
+		ArrivedAtMilli: r.arrivedAtMilli(request),
+		RetentionMilli: int64(microtime.FromDuration(class.RetentionWindow) / microtime.Millisecond),
+		Deadline:       r.deadline(request) - leaseAnswerLead,
+	}
 }
 
 // leaseResult is what an outcome of the group means for the core.
@@ -84,11 +85,11 @@
 // Lookup is part of dispatch.ExecutionStore. The group is asked about retries, which their callers mark, and about what
 // this server has a record of.
 func (r *replicatedStore) Lookup(request dispatch.KeyedRequest, done func(dispatch.LeaseResult)) bool {
-	key, arrivedAt, retention := r.key(request), r.arrivedAtMilli(request), r.retentionMilli(request)
-	if !request.Retry && !r.replica.HasRecord(key, arrivedAt, retention) {
+	attempt := r.attempt(request)
+	if !request.Retry && !r.replica.HasRecord(attempt) {
 		return false
 	}
-	r.replica.Lookup(key, arrivedAt, retention, r.answerBy(request), func(outcome replication.Outcome) {
+	r.replica.Lookup(attempt, func(outcome replication.Outcome) {
 		done(r.leaseResult(request, outcome))
 	})
 	return true
@@ -97,13 +98,12 @@
 // Acquire is part of dispatch.ExecutionStore. A lease that comes after the attempt's deadline is given back unused:
 // this server may have been stalled, and another may have waited until the lease was over and run the request since.
 func (r *replicatedStore) Acquire(request dispatch.KeyedRequest, done func(dispatch.LeaseResult)) {
-	key := r.key(request)
-	arrivedAt, retention, answerBy := r.arrivedAtMilli(request), r.retentionMilli(request), r.answerBy(request)
-	r.replica.AcquireLease(key, arrivedAt, retention, answerBy, func(outcome replication.Outcome) {
+	attempt := r.attempt(request)
+	r.replica.AcquireLease(attempt, func(outcome replication.Outcome) {
 		result := r.leaseResult(request, outcome)
 		late := r.server.loop.Now() >= r.deadline(request)
 		if result.Verdict == dispatch.VerdictGranted && late {
-			r.replica.ReleaseLease(key, false)
+			r.replica.ReleaseLease(attempt.Key)
 			result = dispatch.LeaseResult{Verdict: dispatch.VerdictIndeterminate}
 		}
 		done(result)
@@ -112,7 +112,7 @@
 
 // Release is part of dispatch.ExecutionStore.
 func (r *replicatedStore) Release(request dispatch.KeyedRequest) {
-	r.replica.ReleaseLease(r.key(request), false)
+	r.replica.ReleaseLease(r.key(request))
 }
 
 // RecordFailure is part of dispatch.ExecutionStore.
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -79,7 +79,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("server: %w", err)
 	}
-	core, err := dispatch.New(cfg.Settings, backends.active(), logf)
+	core, err := dispatch.New(dispatch.Config{Settings: cfg.Settings, Backend: backends.active(), Logf: logf})
 	if err != nil {
 		return nil, fmt.Errorf("server: %w", err)
 	}
