--- a/internal/testbed/sim/tables_test.go
+++ b/internal/testbed/sim/tables_test.go
@@ -82,7 +82,7 @@
 			faults.Fault{At: at + 36*microtime.Second, Kind: faults.Slow, Node: "w0", For: 5 * microtime.Second, Amount: 4})
 	}
 	flat(t, s, 30_000, "control.Controller.keys", "control.Controller.live", "control.Controller.heard", "control.class.lat",
-		"dispatch.keyTable.byName", "dispatch.keyTable.byID", "dispatch.Core.wakes", "workerpool.Backend.runs", "transport.room.conns", "transport.Connection.buf")
+		"dispatch.keyTable.byName", "dispatch.keyTable.byID", "dispatch.Core.wakes", "workerpool.Backend.runs", "transport.connGroup.conns", "transport.Connection.received")
 }
 
 // The same over 30 minutes of calls that are given up, cut off, silent, and moved.
--- /dev/null
+++ b/internal/transport/buffers.go
@@ -0,0 +1,47 @@
+package transport
+
+// bufferBudget limits the bytes in the buffers of all connections together. It protects the memory of a small machine,
+// which many connections could exhaust with little each.
+type bufferBudget struct {
+	limit int // 0: none
+	used  int
+}
+
+// exceeded reports that the buffers hold more than the limit.
+func (b *bufferBudget) exceeded() bool { return b.limit > 0 && b.used > b.limit }
+
+// accountBuffers updates this connection's share of the buffered bytes. Over the limit, the connection with the most
+// buffered bytes is closed.
+func (c *Connection) accountBuffers() {
+	loop := c.loop
+	size := cap(c.received) + cap(c.outgoing)
+	if !c.ended {
+		size += c.raw.Unsent()
+	}
+	loop.buffers.used += size - c.buffered
+	c.buffered = size
+	if !loop.buffers.exceeded() || c.closed {
+		return
+	}
+	loop.lingering.closeBuffered() // what nobody may read any more goes first
+	if loop.buffers.exceeded() {
+		loop.closeMostBuffered(c)
+	}
+}
+
+// closeMostBuffered closes the connection under the shared limit that has the most buffered bytes, or c where none has
+// more. Connections under dedicated limits are few, and their sessions buffer little.
+func (l *Loop) closeMostBuffered(c *Connection) {
+	largest := c
+	for _, other := range l.accepted.shared.conns {
+		if !other.closing && other.buffered > largest.buffered {
+			largest = other
+		}
+	}
+	if largest.group == nil || largest.closing {
+		return
+	}
+	l.logf("transport: %s closed: it has %d of %d buffered bytes", largest.Remote(), largest.buffered, l.buffers.used)
+	largest.outgoing = nil
+	largest.Close()
+}
--- /dev/null
+++ b/internal/transport/identification.go
@@ -0,0 +1,54 @@
+package transport
+
+import (
+	"pewterline/internal/microtime"
+	"pewterline/internal/planted"
+)
+
+// identificationQueue is the accepted connections that were unidentified when last looked at, oldest first. It protects
+// the proxies' connections against peers that connect and send nothing, or nothing valid, or half a message.
+type identificationQueue struct {
+	conns []*Connection
+}
+
+func (q *identificationQueue) add(c *Connection) { q.conns = append(q.conns, c) }
+
+// oldest returns the first connection of a group that is still unidentified; nil: there is none.
+func (q *identificationQueue) oldest(group *connGroup) *Connection {
+	for _, c := range q.conns {
+		if !c.closing && !c.identified && c.group == group {
+			return c
+		}
+	}
+	return nil
+}
+
+// popOverdue takes off the queue the first connection whose IdentificationTimeout is over. Connections before it that
+// are identified or closed go as well. Where none is overdue it returns nil and the time at which the next one will be.
+func (q *identificationQueue) popOverdue(now microtime.Time) (overdue *Connection, next microtime.Time) {
+	for len(q.conns) > 0 {
+		c := q.conns[0]
+		pending := !c.closed && (!c.identified || planted.Bug(planted.StrangerVouched))
+		if deadline := c.acceptedAt + IdentificationTimeout; pending && now < deadline {
+			return nil, deadline
+		}
+		q.conns = q.conns[1:]
+		if pending {
+			return c, now
+		}
+	}
+	q.conns = nil
+	return nil, microtime.Never
+}
+
+// closeUnidentified closes the connections whose IdentificationTimeout is over; it returns when the next one's will be.
+func (l *Loop) closeUnidentified() microtime.Time {
+	for {
+		overdue, next := l.unidentified.popOverdue(l.now)
+		if overdue == nil {
+			return next
+		}
+		l.logf("transport: %s closed: no valid message within the identification timeout", overdue.Remote())
+		overdue.Close()
+	}
+}
--- /dev/null
+++ b/internal/transport/limits.go
@@ -0,0 +1,131 @@
+package transport
+
+import "pewterline/internal/planted"
+
+// connGroup is the accepted connections that share one limit. A connection knows its index in the group. A lingering
+// connection stays in the group while it can, as it holds a descriptor, but does not count against the limit.
+type connGroup struct {
+	conns     []*Connection
+	limit     int
+	lingering int // of conns
+}
+
+// inUse counts the connections that are not lingering.
+func (g *connGroup) inUse() int { return len(g.conns) - g.lingering }
+
+// full reports that a further connection needs an eviction.
+func (g *connGroup) full() bool { return g.inUse() >= g.limit }
+
+// add puts a connection last.
+func (g *connGroup) add(c *Connection) {
+	c.group = g
+	c.index = len(g.conns)
+	g.conns = append(g.conns, c)
+}
+
+// remove takes a connection out; the last one gets its index.
+func (g *connGroup) remove(c *Connection) {
+	if c.closed {
+		g.lingering--
+	}
+	last := g.conns[len(g.conns)-1]
+	g.conns[c.index], last.index = last, c.index
+	g.conns[len(g.conns)-1] = nil
+	g.conns = g.conns[:len(g.conns)-1]
+}
+
+// connLimits is the connection limits of all listeners. A listener with a dedicated limit protects both sides: no
+// number of silent operators costs a proxy its connection, and no crowd of proxies shuts the operators out.
+type connLimits struct {
+	shared    connGroup
+	dedicated map[int]*connGroup // by the index of the listener
+}
+
+func newConnLimits(maxConns int, dedicated map[int]int) connLimits {
+	limits := connLimits{shared: connGroup{limit: maxConns}, dedicated: map[int]*connGroup{}}
+	for listener, limit := range dedicated {
+		limits.dedicated[listener] = &connGroup{limit: limit}
+	}
+	return limits
+}
+
+// of returns the group that connections to a listener belong to.
+func (l *connLimits) of(listener int) *connGroup {
+	if group := l.dedicated[listener]; group != nil {
+		return group
+	}
+	return &l.shared
+}
+
+// each calls f for all accepted connections: first those under the shared limit, then the others in any order.
+func (l *connLimits) each(f func(*Connection)) {
+	for _, c := range l.shared.conns {
+		f(c)
+	}
+	for _, group := range l.dedicated {
+		for _, c := range group.conns {
+			f(c)
+		}
+	}
+}
+
+// SetLimits replaces the shared connection limit and the limit of the buffered bytes. Unidentified and idle
+// connections beyond the first are closed now; connections in use stay.
+func (l *Loop) SetLimits(maxConns, maxBuffered int) {
+	shared := &l.accepted.shared
+	shared.limit, l.buffers.limit = maxConns, maxBuffered
+	for shared.inUse() > maxConns && l.evict(shared) {
+	}
+}
+
+// Accept takes a connection to the listener of that index. It returns nil where the driver is to close it.
+func (l *Loop) Accept(raw RawConn, listener int) *Connection {
+	l.beginTurn()
+	if l.shuttingDown {
+		return nil
+	}
+	// The limit protects the descriptors: without any left the driver may have to give up listening altogether.
+	group := l.accepted.of(listener)
+	if group.full() && !l.evict(group) {
+		l.logf("transport: %s rejected: %d connections are open, all in use", raw.Remote(), group.inUse())
+		return nil
+	}
+	if len(group.conns) >= group.limit+maxLingeringConns {
+		l.lingering.closeOldest(group)
+	}
+	c := &Connection{loop: l, raw: raw, acceptedAt: l.now, lastActive: l.now}
+	group.add(c)
+	l.unidentified.add(c)
+	c.session = l.handler.Accept(listener, c)
+	return c
+}
+
+// evict closes one connection of a group: the oldest unidentified one, or else the one that has been idle the longest.
+func (l *Loop) evict(group *connGroup) bool {
+	victim := l.unidentified.oldest(group)
+	if victim == nil {
+		victim = l.longestIdle(group)
+	}
+	if victim == nil {
+		return false
+	}
+	l.logf("transport: %s evicted: %d connections are open", victim.Remote(), group.inUse())
+	victim.Close()
+	victim.flush() // now, as its place is needed
+	return true
+}
+
+// longestIdle returns the idle connection of a group that was active the longest ago; nil: there is none.
+func (l *Loop) longestIdle(group *connGroup) *Connection {
+	var oldest *Connection
+	for _, c := range group.conns {
+		idle := c.session.Idle() || planted.Bug(planted.RoomOpen)
+		if c.closing || !idle || c.lastActive+EvictionGrace > l.now {
+			continue
+		}
+		if oldest == nil || c.lastActive < oldest.lastActive {
+			oldest = c
+		}
+	}
+	return oldest
+}
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -6,14 +6,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-// What a session leaves in its buffer stays there, compacted, until it is whole.
-func TestCompact(t *testing.T) {
-	c := &Connection{buf: []byte("abcdef")}
-	c.compact(2)
-	require.Equal(t, "cdef", string(c.buf))
-	c.compact(4)
-	require.Empty(t, c.buf)
-	c.buf = make([]byte, keepBuffer+1)
-	c.compact(len(c.buf))
-	require.Nil(t, c.buf)
+// What a session leaves in its buffer stays there, at the front, until the message is complete.
+func TestConsume(t *testing.T) {
+	c := &Connection{received: []byte("abcdef")}
+	c.consume(2)
+	require.Equal(t, "cdef", string(c.received))
+	c.consume(4)
+	require.Empty(t, c.received)
+	c.received = make([]byte, retainedCapacity+1)
+	c.consume(len(c.received))
+	require.Nil(t, c.received)
 }
