--- /dev/null
+++ b/internal/transport/loop_test.go
@@ -0,0 +1,93 @@
+package transport
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"pewterline/internal/microtime"
+)
+
+// turnRecorder is a Handler that notes the turns and says when the next one is due.
+type turnRecorder struct {
+	bench
+	turns []microtime.Time
+	next  microtime.Time
+}
+
+func (r *turnRecorder) Turn(now microtime.Time) microtime.Time {
+	r.turns = append(r.turns, now)
+	return r.next
+}
+
+func newTurnRecorder(t *testing.T) *turnRecorder {
+	t.Helper()
+	r := &turnRecorder{next: microtime.Never}
+	r.fakeDriver = &fakeDriver{t: t, now: microtime.Second, timerAt: microtime.Never}
+	r.loop = New(Options{MaxConns: 9, Logf: r.logf}, r.fakeDriver, r, func(*Loop) {})
+	return r
+}
+
+// A turn reads the clock once and ends behind all that was ready with its first event.
+func TestTurn(t *testing.T) {
+	recorder := newTurnRecorder(t)
+	recorder.loop.Begin()
+	recorder.run()
+	recorder.turns = nil
+	seen := []microtime.Time{}
+	for range 3 {
+		require.NoError(t, recorder.loop.Execute(func() {
+			recorder.now++ // the clock goes on meanwhile
+			seen = append(seen, recorder.loop.Now())
+		}))
+	}
+	start := recorder.now
+	recorder.run()
+	require.Equal(t, []microtime.Time{start, start, start}, seen)
+	require.Equal(t, []microtime.Time{start}, recorder.turns)
+}
+
+// The timer is set to when the handler's next turn is due, and not at all while that is never.
+func TestTimer(t *testing.T) {
+	recorder := newTurnRecorder(t)
+	recorder.loop.Begin()
+	recorder.run()
+	require.Equal(t, microtime.Never, recorder.timerAt)
+	recorder.next = recorder.now + microtime.Second
+	require.NoError(t, recorder.loop.Execute(func() {}))
+	recorder.run()
+	require.Equal(t, recorder.next, recorder.timerAt)
+	due := recorder.next
+	recorder.next = microtime.Never
+	recorder.advance(microtime.Second)
+	require.Equal(t, due, recorder.turns[len(recorder.turns)-1])
+	require.Equal(t, microtime.Never, recorder.timerAt)
+}
+
+// The program begins once, before any session.
+func TestBegin(t *testing.T) {
+	recorder := newTurnRecorder(t)
+	begins := 0
+	recorder.loop.begin = func(l *Loop) {
+		begins++
+		require.Equal(t, recorder.now, l.Now())
+	}
+	recorder.loop.Begin()
+	recorder.loop.Begin()
+	require.Equal(t, 1, begins)
+}
+
+// The listener's end is reported in a turn.
+func TestCloseListener(t *testing.T) {
+	recorder := newTurnRecorder(t)
+	recorder.loop.Begin()
+	recorder.run()
+	recorder.now += microtime.Second
+	done := false
+	recorder.loop.CloseListener(0, func() {
+		done = true
+		require.Equal(t, recorder.now, recorder.loop.Now())
+	})
+	recorder.run()
+	require.True(t, done)
+}
