--- a/internal/backend/workerpool/link.go
+++ b/internal/backend/workerpool/link.go
@@ -6,7 +6,6 @@
 
 	"pewterline/internal/dispatch"
 	"pewterline/internal/microtime"
-	"pewterline/internal/planted"
 	"pewterline/internal/protocol/pool"
 	"pewterline/internal/transport"
 )
@@ -35,11 +34,7 @@
 	if p.next = c; p.conn == nil {
 		p.use()
 	}
-	seen := p.notice
-	if planted.Bug(planted.NoticesPast) && seen > 0 {
-		seen++
-	}
-	p.out = pool.AppendBind(p.out[:0], seen)
+	p.out = pool.AppendBind(p.out[:0], p.notice)
 	c.Write(p.out)
 	return &link{p, c}
 }
@@ -119,9 +114,6 @@
 		// Only now: a pool that is not up yet does not carry out what follows bind, and this poll marks the end of the
 		// missed notices.
 		p.write(pool.AppendPoll(p.out[:0], p.syncTag()))
-		if planted.Bug(planted.SentBefore) {
-			p.resync()
-		}
 	case pool.Finished, pool.Blocked:
 		return p.takeNotice(m)
 	case pool.Chatter:
@@ -181,9 +173,6 @@
 
 // keep copies a result out of the link's buffer.
 func (p *Backend) keep(result []byte) []byte {
-	if planted.Bug(planted.WrongTry) {
-		return result
-	}
 	return append([]byte(nil), result...)
 }
 
--- a/internal/backend/workerpool/resync.go
+++ b/internal/backend/workerpool/resync.go
@@ -7,7 +7,6 @@
 
 	"pewterline/internal/dispatch"
 	"pewterline/internal/microtime"
-	"pewterline/internal/planted"
 	"pewterline/internal/protocol/pool"
 )
 
@@ -22,7 +21,7 @@
 	for _, r := range slices.SortedFunc(maps.Values(p.runs), byOrder) {
 		r.arrived = r.arrived || p.hasArrived(r.link, r.order)
 		switch {
-		case r.link == 0 || !r.arrived && !r.AtMostOnce || planted.Bug(planted.SentBefore):
+		case r.link == 0 || !r.arrived && !r.AtMostOnce:
 			p.send(r)
 			continue
 		case !r.arrived:
--- a/internal/planted/planted.go
+++ b/internal/planted/planted.go
@@ -8,25 +8,18 @@
 
 // The planted bugs.
 const (
-	None            ID = ""
-	KeyTwice        ID = "key-twice"        // a key is forgotten while its run goes on: a repeat runs it again
-	AnswerTwice     ID = "answer-twice"     // what was failed by its due time is answered by its run as well
-	LateStart       ID = "late-start"       // the notice to drain does not reach the decisions
-	WrongTry        ID = "wrong-try"        // a result keeps the memory of the link's buffer, which the next one overwrites
-	NoticesPast     ID = "notices-past"     // a new link is bound one notice too far
-	GiveUpOther     ID = "give-up-other"    // a give-up for what is not open frees another request
-	RoomOpen        ID = "room-open"        // room is made by closing a connection with open requests
-	NoRedial        ID = "no-redial"        // a link refused twice is never dialled again
-	StrangerVouched ID = "stranger-vouched" // who has sent something valid is closed as a stranger all the same
-	SentBefore      ID = "sent-before"      // all commands are sent again, before the missed notices are read
-	LeaveOpen       ID = "leave-open"       // the drained program ends with requests unanswered
-	PassLate        ID = "pass-late"        // a run that was not started is passed on to whoever came past the drain limit
-	RefuseRun       ID = "refuse-run"       // a run that is given up is refused, not failed
+	None        ID = ""
+	KeyTwice    ID = "key-twice"     // a key is forgotten while its run goes on: a repeat runs it again
+	AnswerTwice ID = "answer-twice"  // what was failed by its due time is answered by its run as well
+	LateStart   ID = "late-start"    // the notice to drain does not reach the decisions
+	GiveUpOther ID = "give-up-other" // a give-up for what is not open frees another request
+	LeaveOpen   ID = "leave-open"    // the drained program ends with requests unanswered
+	PassLate    ID = "pass-late"     // a run that was not started is passed on to whoever came past the drain limit
+	RefuseRun   ID = "refuse-run"    // a run that is given up is refused, not failed
 )
 
 // All are the planted bugs in a fixed order.
-var All = []ID{KeyTwice, AnswerTwice, LateStart, WrongTry, NoticesPast, GiveUpOther, RoomOpen, NoRedial, StrangerVouched,
-	SentBefore, LeaveOpen, PassLate, RefuseRun}
+var All = []ID{KeyTwice, AnswerTwice, LateStart, GiveUpOther, LeaveOpen, PassLate, RefuseRun}
 
 // The planted bugs of internal/decide/copies, which its own simulated group finds.
 const (
--- a/internal/testbed/sim/search.go
+++ b/internal/testbed/sim/search.go
@@ -25,7 +25,8 @@
 	Jobs                int // scripts that are played at once
 	MaxFindings         int // finds after which it ends; 0: none
 	Progress            func(Progress)
-	begin               func(*world) // of a test: what it adds to each world
+	begin               func(*world)      // of a test: what it adds to each world
+	interpose           func() interposer // of a test: as in Options
 }
 
 // Progress is how far a hunt has come.
@@ -70,7 +71,9 @@
 		outs := make([]Outcome, len(batch))
 		var wait sync.WaitGroup
 		for i := range batch {
-			wait.Go(func() { outs[i], _ = Play(batch[i], Options{StopAtFirst: true, begin: h.begin}) }) // drawn scripts pass their checks
+			wait.Go(func() {
+				outs[i], _ = Play(batch[i], Options{StopAtFirst: true, begin: h.begin, interpose: h.interpose})
+			}) // drawn scripts pass their checks
 		}
 		wait.Wait()
 		for i, out := range outs {
--- a/internal/testbed/sim/sim.go
+++ b/internal/testbed/sim/sim.go
@@ -35,6 +35,8 @@
 	// Stop at the first violation; else all go on to be counted.
 	StopAtFirst bool
 	begin, end  func(*world) // of a test: they may add to the world, and look at what has become of it
+	// Of a test: returns what stands between one process of a server and its event loop; nil: nothing does.
+	interpose func() interposer
 }
 
 // Outcome is what became of a run.
@@ -292,7 +294,8 @@
 	l.obs.ServerStarted(s.name, node.Incarnation)
 	l.obs.CallsRoutedTo(s.name, s.cfg.VaultAddress)
 	srv := s.program
-	s.host = simnet.NewHost(node, transport.Options{MaxConns: sockets - 40, MaxBuffered: memory / 8, Logf: logf}, srv, rng,
+	between := l.opts.interposer()
+	s.host = simnet.NewHost(node, transport.Options{MaxConns: sockets - 40, MaxBuffered: memory / 8, Logf: logf}, between.handler(srv), rng,
 		simnet.Cost{Turn: 40, KB: 15}, func(t *transport.Loop) {
 			if s.store != nil {
 				if err := srv.UseStore(life{s.store, node, node.Incarnation}, l.w.Now()); err != nil {
@@ -302,7 +305,7 @@
 			if err := t.SetDatagramPeer(s.cfg.ControlAddress); err != nil {
 				panic(err) // a virtual host takes any
 			}
-			srv.Attach(t)
+			srv.Attach(between.eventLoop(t))
 		})
 	for i, a := range []string{"thrift", "ajp", "exchange"} {
 		if err := s.host.Listen(s.name+"/"+a, i); err != nil {
--- a/internal/transport/dial.go
+++ b/internal/transport/dial.go
@@ -1,9 +1,6 @@
 package transport
 
-import (
-	"pewterline/internal/microtime"
-	"pewterline/internal/planted"
-)
+import "pewterline/internal/microtime"
 
 const (
 	// The backoff before the second attempt to dial; it doubles with each failure.
@@ -61,7 +58,7 @@
 // DialFailed reports that an attempt to dial has failed.
 func (l *Loop) DialFailed(d *Dial) {
 	l.beginTurn()
-	if d.dropped || planted.Bug(planted.NoRedial) && d.backoff > initialRedialBackoff {
+	if d.dropped {
 		return
 	}
 	if d.failed != nil {
--- a/internal/transport/identification.go
+++ b/internal/transport/identification.go
@@ -1,9 +1,6 @@
 package transport
 
-import (
-	"pewterline/internal/microtime"
-	"pewterline/internal/planted"
-)
+import "pewterline/internal/microtime"
 
 // identificationQueue is the accepted connections that were unidentified when last looked at, oldest first. It protects
 // the proxies' connections against peers that connect and send nothing, or nothing valid, or half a message.
@@ -28,7 +25,7 @@
 func (q *identificationQueue) popOverdue(now microtime.Time) (overdue *Connection, next microtime.Time) {
 	for len(q.conns) > 0 {
 		c := q.conns[0]
-		pending := !c.closed && (!c.identified || planted.Bug(planted.StrangerVouched))
+		pending := !c.closed && !c.identified
 		if deadline := c.acceptedAt + IdentificationTimeout; pending && now < deadline {
 			return nil, deadline
 		}
--- a/internal/transport/limits.go
+++ b/internal/transport/limits.go
@@ -1,7 +1,5 @@
 package transport
 
-import "pewterline/internal/planted"
-
 // connGroup is the accepted connections that share one limit. A connection knows its index in the group. A lingering
 // connection stays in the group while it can, as it holds a descriptor, but does not count against the limit.
 type connGroup struct {
@@ -119,8 +117,7 @@
 func (l *Loop) longestIdle(group *connGroup) *Connection {
 	var oldest *Connection
 	for _, c := range group.conns {
-		idle := c.session.Idle() || planted.Bug(planted.RoomOpen)
-		if c.closing || !idle || c.lastActive+EvictionGrace > l.now {
+		if c.closing || !c.session.Idle() || c.lastActive+EvictionGrace > l.now {
 			continue
 		}
 		if oldest == nil || c.lastActive < oldest.lastActive {
