--- a/internal/testbed/sim/tables_test.go
+++ b/internal/testbed/sim/tables_test.go
@@ -81,8 +81,8 @@
 			faults.Fault{At: at + 30*microtime.Second, Kind: faults.DuplicateNotices, Node: "w0", For: 5 * microtime.Second},
 			faults.Fault{At: at + 36*microtime.Second, Kind: faults.SlowPool, Node: "w0", For: 5 * microtime.Second, Amount: 4})
 	}
-	flat(t, s, 30_000, "control.Controller.keys", "control.Controller.live", "control.Controller.heard", "control.class.lat",
-		"dispatch.keyTable.byName", "dispatch.keyTable.byID", "dispatch.Core.wakes", "workerpool.Backend.runs", "transport.connGroup.conns", "transport.Connection.received")
+	flat(t, s, 30_000, "control.Controller.retainedKeys", "control.Controller.requests", "control.Controller.callerLastSeen", "control.classState.latencies",
+		"dispatch.keyTable.byKey", "dispatch.keyTable.byHolder", "dispatch.tickSchedule.ticks", "workerpool.Backend.runs", "transport.connGroup.conns", "transport.Connection.received")
 }
 
 // The same over 30 minutes of calls that are given up, cut off, silent, and moved.
@@ -102,7 +102,7 @@
 			faults.Fault{At: at + 38*microtime.Second, Kind: faults.CutConnection, Node: "w0", Peer: "s0", Amount: 200},
 			faults.Fault{At: at + 42*microtime.Second, Kind: faults.StallPath, Node: "s0", Peer: "w0", For: 2 * microtime.Second})
 	}
-	flat(t, s, 20_000, "calls.Pool.calls", "calls.link.givenUp", "vaultclient.Client.links", "workerpool.Backend.runs")
+	flat(t, s, 20_000, "calls.Pool.inFlight", "calls.conn.abandoned", "vaultclient.Client.links", "workerpool.Backend.runs")
 }
 
 // flat plays a script and judges that no table's peak of the last third is above that of the first, but for a little.
