--- /dev/null
+++ b/internal/frontend/ajpfrontend/request.go
@@ -0,0 +1,158 @@
+package ajpfrontend
+
+import (
+	"crypto/subtle"
+	"fmt"
+	"strconv"
+	"strings"
+
+	"pewterline/internal/dispatch"
+	"pewterline/internal/frontend"
+	"pewterline/internal/microtime"
+	"pewterline/internal/protocol/ajp"
+)
+
+const (
+	// healthPath is the path of health checks.
+	healthPath = "/health"
+	// defaultQueuedKB is the memory to expect of a request that does not tell: of the 13 to 63 kB that a queued request
+	// takes on the platform.
+	defaultQueuedKB = 32
+)
+
+// receiveRequest takes the head of a request.
+func (s *session) receiveRequest(payload []byte) {
+	s.arrivedAt = s.frontend.server.Now()
+	s.body = nil
+	var err error
+	s.request, err = ajp.ParseForwardRequest(payload)
+	if err != nil {
+		// Whether a body follows is not known, so the connection cannot be kept.
+		s.reject(statusBadRequest, err.Error())
+		return
+	}
+	maxBody := s.frontend.config.MaxBody
+	switch {
+	case !s.secretMatches():
+		s.reject(statusForbidden, "the secret is not ours")
+	case s.request.URI == healthPath:
+		s.conn.MarkIdentified()
+		s.respondHealth()
+	case !servesMethod(s.request.Method):
+		s.reject(statusMethodNotAllowed, s.request.Method+" is not offered")
+	case s.request.ContentLength > int64(maxBody):
+		s.reject(statusPayloadTooLarge, fmt.Sprintf("a body of %d bytes is over %d", s.request.ContentLength, maxBody))
+	case s.request.ContentLength > 0:
+		s.awaitBody() // its first packet comes unasked
+	case s.request.IsChunked():
+		s.awaitBody()
+		s.write(ajp.AppendGetBodyChunk(s.scratch[:0], maxBody+1))
+	default:
+		s.submit()
+	}
+}
+
+func (s *session) secretMatches() bool {
+	secret := s.frontend.config.Secret
+	return secret == "" || subtle.ConstantTimeCompare([]byte(s.request.Secret), []byte(secret)) == 1
+}
+
+func servesMethod(method string) bool { return method == "POST" || method == "PUT" || method == "GET" }
+
+// awaitBody has the session wait for the body. From here on its deadline guards the connection.
+func (s *session) awaitBody() {
+	s.conn.MarkIdentified()
+	s.phase = awaitBody
+	s.deadline = s.arrivedAt + s.frontend.config.BodyTimeout
+}
+
+// receiveBody takes a part of the body, and asks for the next one or submits the request. An error closes the
+// connection.
+func (s *session) receiveBody(payload []byte) error {
+	chunk, err := ajp.ParseBodyChunk(payload)
+	if err != nil {
+		return err
+	}
+	s.body = append(s.body, chunk...)
+	received, announced := int64(len(s.body)), s.request.ContentLength
+	maxBody := int64(s.frontend.config.MaxBody)
+	lengthKnown, ended := announced >= 0, len(chunk) == 0
+	switch {
+	case received > maxBody:
+		s.reject(statusPayloadTooLarge, fmt.Sprintf("the body is over %d bytes", maxBody))
+	case lengthKnown && (received > announced || ended && received < announced):
+		s.reject(statusBadRequest, fmt.Sprintf("a body of %d bytes was told to have %d", received, announced))
+	case !lengthKnown && !ended:
+		s.write(ajp.AppendGetBodyChunk(s.scratch[:0], int(maxBody-received)+1))
+	case received < announced:
+		s.write(ajp.AppendGetBodyChunk(s.scratch[:0], int(announced-received)))
+	default:
+		s.submit()
+	}
+	return nil
+}
+
+// submit hands the request to the core.
+func (s *session) submit() {
+	request, err := s.readRequest()
+	if err == nil {
+		s.phase = awaitAnswer
+		if s.id, err = s.frontend.server.Submit(request); err == nil {
+			s.conn.MarkIdentified()
+			s.body = nil // the core has it
+			return
+		}
+		s.phase = awaitRequest
+	}
+	s.frontend.server.Logf("ajp: request rejected: peer=%s status=%d error=%v", s.conn.Remote(), statusBadRequest, err)
+	s.respond(response{status: statusBadRequest, body: textBody(err.Error()), keep: true})
+}
+
+// readRequest reads the headers as the fields of a request, with values for those that a web server does not know.
+func (s *session) readRequest() (dispatch.Request, error) {
+	server := s.frontend.server
+	now := server.Now()
+	request, err := frontend.ReadRequest(server, func(field string) string {
+		if value := strings.TrimSpace(s.fieldHeader(field)); value != "" {
+			return value
+		}
+		return s.defaultField(field)
+	})
+	if err != nil {
+		return request, err
+	}
+	if s.fieldHeader(frontend.FieldSentAt) == "" {
+		request.ArrivedAt = s.arrivedAt
+	}
+	// A time before the deadline's span can only be a web server's wrong clock, and would be rejected unseen.
+	classes := server.Classes()
+	request.ArrivedAt = max(request.ArrivedAt, now-microtime.FromDuration(classes[request.Class].Deadline))
+	if s.fieldHeader(frontend.FieldRank) == "" {
+		request.Rank = middleRank(classes, request.Class)
+	}
+	request.Body = s.body
+	request.Responder = s
+	return request, nil
+}
+
+// fieldHeader returns the header that carries a field; "" if there is none.
+func (s *session) fieldHeader(field string) string {
+	return s.request.Header(frontend.HeaderPrefix + field)
+}
+
+// defaultField returns the value of a field that is absent. The class is the last part of the path then. The values of
+// FieldSentAt and FieldRank are placeholders, which readRequest replaces.
+func (s *session) defaultField(field string) string {
+	switch field {
+	case frontend.FieldClass:
+		return s.request.URI[strings.LastIndexByte(s.request.URI, '/')+1:]
+	case frontend.FieldAttemptID:
+		return fmt.Sprintf("%016x", s.frontend.server.Rand())
+	case frontend.FieldSentAt, frontend.FieldCallerID, frontend.FieldRank:
+		return "0"
+	case frontend.FieldQueuedKB:
+		return strconv.Itoa(defaultQueuedKB)
+	default:
+		return ""
+	}
+}
--- /dev/null
+++ b/internal/frontend/ajpfrontend/response.go
@@ -0,0 +1,148 @@
+package ajpfrontend
+
+import (
+	"strconv"
+
+	"pewterline/internal/dispatch"
+	"pewterline/internal/frontend"
+	"pewterline/internal/protocol/ajp"
+)
+
+// The headers of answers that the platform's pages name.
+const (
+	headerAdmissionLevel = frontend.HeaderPrefix + "Say"
+	headerRetryAfterMS   = frontend.HeaderPrefix + "After-Ms"
+	headerNoRetry        = frontend.HeaderPrefix + "Last"
+)
+
+// The statuses of answers. The texts of some differ from those of net/http, and stay as they are on the wire.
+const (
+	statusOK                 = 200
+	statusBadRequest         = 400
+	statusForbidden          = 403
+	statusMethodNotAllowed   = 405
+	statusRequestTimeout     = 408
+	statusPayloadTooLarge    = 413
+	statusBadGateway         = 502
+	statusServiceUnavailable = 503
+	statusGatewayTimeout     = 504
+)
+
+func statusText(status int) string {
+	switch status {
+	case statusOK:
+		return "OK"
+	case statusBadRequest:
+		return "Bad Request"
+	case statusForbidden:
+		return "Forbidden"
+	case statusMethodNotAllowed:
+		return "Method Not Allowed"
+	case statusRequestTimeout:
+		return "Request Timeout"
+	case statusPayloadTooLarge:
+		return "Payload Too Large"
+	case statusBadGateway:
+		return "Bad Gateway"
+	case statusServiceUnavailable:
+		return "Service Unavailable"
+	case statusGatewayTimeout:
+		return "Gateway Timeout"
+	default:
+		return ""
+	}
+}
+
+// response is one HTTP response.
+type response struct {
+	status  int
+	headers []ajp.Header
+	body    []byte
+	keep    bool // the connection stays open
+}
+
+// textBody returns a line of text as a body.
+func textBody(text string) []byte { return []byte(text + "\n") }
+
+// Respond is part of dispatch.Responder.
+func (s *session) Respond(answer dispatch.Response) {
+	if s.closed || s.phase != awaitAnswer {
+		return
+	}
+	s.phase = awaitRequest
+	s.respond(responseTo(answer))
+	s.conn.Resume() // what came behind the request
+}
+
+// responseTo translates the core's answer.
+func responseTo(answer dispatch.Response) response {
+	switch answer.Status {
+	case dispatch.StatusSucceeded:
+		headers := []ajp.Header{{Name: "Content-Type", Value: "application/octet-stream"}}
+		return response{status: statusOK, headers: headers, body: answer.Result, keep: true}
+	case dispatch.StatusRejected:
+		body := textBody("turned away; it never ran")
+		return response{status: statusServiceUnavailable, headers: adviceHeaders(answer), body: body, keep: true}
+	case dispatch.StatusExpired:
+		return response{status: statusGatewayTimeout, body: textBody(answer.Reason), keep: true}
+	default:
+		return response{status: statusBadGateway, body: textBody(answer.Reason), keep: true}
+	}
+}
+
+// adviceHeaders tell when to come back, and whether another server should be tried. A web server that knows no more
+// than HTTP must not come back at once, so there is always a time.
+func adviceHeaders(answer dispatch.Response) []ajp.Header {
+	milliseconds := max(frontend.CeilMilliseconds(answer.RetryAfter), 1)
+	seconds := (milliseconds + 999) / 1000
+	headers := []ajp.Header{
+		{Name: "Retry-After", Value: strconv.FormatInt(seconds, 10)},
+		{Name: headerRetryAfterMS, Value: strconv.FormatInt(milliseconds, 10)},
+	}
+	if answer.NoRetry {
+		headers = append(headers, ajp.Header{Name: headerNoRetry, Value: "1"})
+	}
+	return headers
+}
+
+// respondHealth answers a health check.
+func (s *session) respondHealth() {
+	switch {
+	case s.request.ContentLength > 0 || s.request.IsChunked():
+		s.reject(statusBadRequest, "a health check has no body")
+	case s.frontend.server.Healthy():
+		s.respond(response{status: statusOK, body: textBody("good"), keep: true})
+	default:
+		s.respond(response{status: statusServiceUnavailable, body: textBody("not good"), keep: true})
+	}
+}
+
+// reject answers what the core never sees, and closes the connection: a body may be on its way.
+func (s *session) reject(status int, reason string) {
+	s.frontend.server.Logf("ajp: request rejected, the connection closes: peer=%s status=%d reason=%s",
+		s.conn.Remote(), status, reason)
+	s.body = nil
+	s.respond(response{status: status, body: textBody(reason)})
+}
+
+// respond writes a response. A connection that is not kept waits for the peer to close it: a close with input unread
+// would throw the response away.
+func (s *session) respond(r response) {
+	server := s.frontend.server
+	headers := r.headers
+	if text, known := frontend.AdmissionLevelText(server); known {
+		headers = append(headers, ajp.Header{Name: headerAdmissionLevel, Value: text})
+	}
+	headers = append(headers, ajp.Header{Name: "Content-Length", Value: strconv.Itoa(len(r.body))})
+	keep := r.keep && !server.Draining()
+	out := ajp.AppendSendHeaders(s.scratch[:0], r.status, statusText(r.status), headers)
+	out = ajp.AppendResponseBody(out, r.body)
+	s.write(ajp.AppendEndResponse(out, keep))
+	if keep {
+		s.phase = awaitRequest
+		s.deadline = server.Now() + idleTimeout
+		return
+	}
+	s.phase = awaitClose
+	s.deadline = server.Now() + frontend.LingerTimeout
+}
--- a/internal/frontend/request.go
+++ b/internal/frontend/request.go
@@ -1,6 +1,7 @@
 package frontend
 
 import (
+	"errors"
 	"fmt"
 	"math"
 	"strconv"
@@ -10,115 +11,174 @@
 	"pewterline/internal/microtime"
 )
 
+// The fields of a request, as the platform's pages name them on the wire.
+const (
+	FieldClass          = "class"
+	FieldTenant         = "tenant"
+	FieldAttemptID      = "id"
+	FieldSentAt         = "at"
+	FieldCallerID       = "from"
+	FieldRetry          = "retry"
+	FieldQueuedKB       = "kb"
+	FieldCost           = "cost"
+	FieldRank           = "rank"
+	FieldSubjectKey     = "key"
+	FieldIdempotencyKey = "once"
+)
+
 // The bounds of a request's fields.
 const (
-	maxClockLead            = 10 * microtime.Second  // that a request's own time may be ahead of ours
-	maxAge                  = 600 * microtime.Second // beyond any deadline and window; what came before that came then
-	attemptIDDigits         = 16
-	maxIdempotencyKeyLength = 128                                     // characters of a once-key
-	maxCost                 = microtime.Time(3600) * microtime.Second // of the work that a request may be said to take; more is taken for it
+	// maxClockLead bounds how far a request's own time may be ahead of this server's clock.
+	maxClockLead = 10 * microtime.Second
+	// maxAge is beyond any deadline and retention window: what was sent earlier counts as sent then.
+	maxAge = 600 * microtime.Second
+	// attemptIDDigits is the length of an attempt ID in hex digits.
+	attemptIDDigits = 16
+	// maxIdempotencyKeyLength is in bytes.
+	maxIdempotencyKeyLength = 128
+	// maxCost bounds the work that a request may announce; a larger figure counts as this one.
+	maxCost = microtime.Time(3600) * microtime.Second
+	// sentAtBits is the size of a time in milliseconds whose microseconds still fit an int64.
+	sentAtBits = 50
+	// retrySet is the value of FieldRetry that marks a retry; any other value is none.
+	retrySet = "1"
 )
 
-// ReadRequest reads the fields that all fronts share; get returns "" for one that is absent. The error names the field.
-func ReadRequest(server Server, get func(field string) string) (r dispatch.Request, err error) {
-	if err = readOwner(&r, server, get); err != nil {
-		return r, err
+// FieldError says what is wrong with one field of a request.
+type FieldError struct {
+	Field string // one of the Field constants
+	Err   error
+}
+
+// Error is part of error. Callers are sent this text.
+func (e *FieldError) Error() string { return e.Field + ": " + e.Err.Error() }
+
+// Unwrap is for errors.Is and errors.As.
+func (e *FieldError) Unwrap() error { return e.Err }
+
+func fieldErrorf(field, format string, args ...any) error {
+	return &FieldError{Field: field, Err: fmt.Errorf(format, args...)}
+}
+
+// ReadRequest reads the fields that all frontends share; get returns "" for one that is absent. Errors are FieldErrors.
+func ReadRequest(server Server, get func(field string) string) (dispatch.Request, error) {
+	var request dispatch.Request
+	err := readOwner(&request, server, get)
+	if err == nil {
+		err = readAttempt(&request, server, get)
 	}
-	if err = readAttempt(&r, server, get); err != nil {
-		return r, err
+	if err == nil {
+		err = readSize(&request, get)
 	}
-	if err = readSize(&r, get); err != nil {
-		return r, err
+	if err == nil {
+		err = readKeys(&request, get)
 	}
-	return r, readIdempotencyKey(&r, get)
+	return request, err
 }
 
 // readOwner reads the class and the tenant.
-func readOwner(r *dispatch.Request, server Server, get func(string) string) error {
+func readOwner(request *dispatch.Request, server Server, get func(string) string) error {
 	var known bool
-	if r.Class, known = server.Class(get("class")); !known {
-		return fmt.Errorf("%w %q", ErrUnknownClass, get("class"))
+	if request.Class, known = server.Class(get(FieldClass)); !known {
+		return fieldErrorf(FieldClass, "%w %q", ErrUnknownClass, get(FieldClass))
 	}
-	if r.Tenant, known = server.Tenant(get("tenant")); !known {
-		return fmt.Errorf("tenant: unknown %q", get("tenant"))
+	if request.Tenant, known = server.Tenant(get(FieldTenant)); !known {
+		return fieldErrorf(FieldTenant, "unknown %q", get(FieldTenant))
 	}
 	return nil
 }
 
-// readAttempt reads what names the try, when it was sent and by whom.
-func readAttempt(r *dispatch.Request, server Server, get func(string) string) error {
-	if r.RunID = get("id"); !isHex(r.RunID, attemptIDDigits) {
-		return fmt.Errorf("id: %q is not %d hex digits", r.RunID, attemptIDDigits)
+// readAttempt reads the attempt's ID, when it was sent and by whom.
+func readAttempt(request *dispatch.Request, server Server, get func(string) string) error {
+	request.RunID = get(FieldAttemptID)
+	if !isHex(request.RunID, attemptIDDigits) {
+		return fieldErrorf(FieldAttemptID, "%q is not %d hex digits", request.RunID, attemptIDDigits)
 	}
-	at, err := strconv.ParseUint(get("at"), 10, 50) // no sign; and its microseconds can be counted
-	if err != nil {
-		return fmt.Errorf("at: %q is not a time in milliseconds", get("at"))
+	if err := readSentAt(request, server, get(FieldSentAt)); err != nil {
+		return err
 	}
-	now := server.Now()
-	if r.ArrivedAt = server.FromUnixMilli(int64(at)); r.ArrivedAt > now+maxClockLead {
-		return fmt.Errorf("at: %d is over %v ahead", at, maxClockLead.Duration())
+	callerID, err := strconv.ParseUint(get(FieldCallerID), 10, 32)
+	if err != nil {
+		return fieldErrorf(FieldCallerID, "%q is not a number", get(FieldCallerID))
 	}
-	r.ArrivedAt, r.ArrivedAtUnixMilli = min(max(r.ArrivedAt, now-maxAge), now), int64(at)
-	from, err := strconv.ParseUint(get("from"), 10, 32)
+	request.CallerID = uint32(callerID)
+	request.Retry = get(FieldRetry) == retrySet
+	return nil
+}
+
+// readSentAt reads the caller's time in Unix milliseconds. Where clocks differ a little, or the request is very old,
+// it is moved into the span that the core works with.
+func readSentAt(request *dispatch.Request, server Server, text string) error {
+	milliseconds, err := strconv.ParseUint(text, 10, sentAtBits)
 	if err != nil {
-		return fmt.Errorf("from: %q is not a number", get("from"))
+		return fieldErrorf(FieldSentAt, "%q is not a time in milliseconds", text)
+	}
+	now := server.Now()
+	sentAt := server.FromUnixMilli(int64(milliseconds))
+	if sentAt > now+maxClockLead {
+		return fieldErrorf(FieldSentAt, "%d is over %v ahead", milliseconds, maxClockLead.Duration())
 	}
-	r.CallerID = uint32(from)
-	r.Retry = get("retry") == "1"
+	request.ArrivedAt = min(max(sentAt, now-maxAge), now)
+	request.ArrivedAtUnixMilli = int64(milliseconds)
 	return nil
 }
 
 // readSize reads the memory and the work to expect, and the rank.
-func readSize(r *dispatch.Request, get func(string) string) (err error) {
-	if r.QueuedKB, err = parseDecimal(get("kb")); err != nil {
-		return fmt.Errorf("kb: %q is not a number", get("kb"))
+func readSize(request *dispatch.Request, get func(string) string) (err error) {
+	if request.QueuedKB, err = parseDecimal(get(FieldQueuedKB)); err != nil {
+		return fieldErrorf(FieldQueuedKB, "%q is not a number", get(FieldQueuedKB))
 	}
-	if cost := get("cost"); cost != "" {
-		if r.CostHint, err = parseCost(cost); err != nil {
+	if cost := get(FieldCost); cost != "" {
+		if request.CostHint, err = parseCost(cost); err != nil {
 			return err
 		}
 	}
-	if r.Rank, err = parseDecimal(get("rank")); err != nil {
-		return fmt.Errorf("rank: %q is not a number", get("rank"))
+	if request.Rank, err = parseDecimal(get(FieldRank)); err != nil {
+		return fieldErrorf(FieldRank, "%q is not a number", get(FieldRank))
 	}
 	// Written with few digits, a rank just under 1 reads as 1.
-	if r.Rank == 1 {
-		r.Rank = math.Nextafter(1, 0)
+	if request.Rank == 1 {
+		request.Rank = math.Nextafter(1, 0)
 	}
 	return nil
 }
 
-// readIdempotencyKey reads what the request is about and its once-key.
-func readIdempotencyKey(r *dispatch.Request, get func(string) string) (err error) {
-	if key := get("key"); key != "" {
-		if r.SubjectKey, err = strconv.ParseUint(key, 16, 64); err != nil {
-			return fmt.Errorf("key: %q is not a hex number", key)
+// readKeys reads the key of what the request is about and its idempotency key.
+func readKeys(request *dispatch.Request, get func(string) string) error {
+	if text := get(FieldSubjectKey); text != "" {
+		key, err := strconv.ParseUint(text, 16, 64)
+		if err != nil {
+			return fieldErrorf(FieldSubjectKey, "%q is not a hex number", text)
 		}
+		request.SubjectKey = key
 	}
-	if r.IdempotencyKey = get("once"); len(r.IdempotencyKey) > maxIdempotencyKeyLength {
-		return fmt.Errorf("once: %d characters are too many", len(r.IdempotencyKey))
+	request.IdempotencyKey = get(FieldIdempotencyKey)
+	if length := len(request.IdempotencyKey); length > maxIdempotencyKeyLength {
+		return fieldErrorf(FieldIdempotencyKey, "%d characters are too many", length)
 	}
 	return nil
 }
 
 // parseCost reads the work to expect, in milliseconds on one core.
 func parseCost(text string) (microtime.Time, error) {
-	ms, err := parseDecimal(text)
+	milliseconds, err := parseDecimal(text)
 	if err != nil {
-		return 0, fmt.Errorf("cost: %q is not a number of milliseconds", text)
+		return 0, fieldErrorf(FieldCost, "%q is not a number of milliseconds", text)
 	}
-	return microtime.Time(math.Min(ms*float64(microtime.Millisecond), float64(maxCost))), nil
+	return microtime.Time(math.Min(milliseconds*float64(microtime.Millisecond), float64(maxCost))), nil
 }
 
+var errNotDecimal = errors.New("not a decimal number")
+
 // parseDecimal reads digits with at most one point among them: no sign, exponent or word, which ParseFloat takes too.
 func parseDecimal(text string) (float64, error) {
 	if strings.Trim(text, "0123456789.") != "" {
-		return 0, strconv.ErrSyntax
+		return 0, errNotDecimal
 	}
 	return strconv.ParseFloat(text, 64)
 }
 
-// isHex says whether text is that many hex digits.
+// isHex reports whether text is that many hex digits.
 func isHex(text string, digits int) bool {
 	for i := range len(text) {
 		if c := text[i] | 0x20; (c < '0' || c > '9') && (c < 'a' || c > 'f') {
--- /dev/null
+++ b/internal/frontend/thriftfrontend/calls.go
@@ -0,0 +1,123 @@
+package thriftfrontend
+
+import (
+	"errors"
+	"fmt"
+
+	"pewterline/internal/frontend"
+	"pewterline/internal/protocol/thrift"
+)
+
+// maxBody is the protocol's bound on a request's body.
+const maxBody = 2 << 10
+
+// The errors of calls. Callers are sent their texts.
+var (
+	errReusedSequenceID = fmt.Errorf("%w: two requests under one number", thrift.ErrInvalidFrame)
+	errUnknownMethod    = errors.New("no such method")
+	errOnewayRequest    = errors.New("a request must be a call")
+)
+
+// handle serves a call. An error closes the connection.
+func (s *session) handle(call thrift.Call) error {
+	s.lastActive = s.frontend.server.Now()
+	switch call.Method {
+	case thrift.MethodProcess:
+		return s.process(call)
+	case thrift.MethodGiveUp:
+		s.cancel(call.CancelledID)
+	case thrift.MethodProbe:
+		s.markIdentified()
+		s.checkHealth(call)
+	default:
+		s.sendException(call, thrift.ExceptionUnknownMethod, errUnknownMethod)
+	}
+	return nil
+}
+
+// cancel gives up a request that is in flight. One that is not may have been answered meanwhile.
+func (s *session) cancel(sequenceID int32) {
+	if id, ok := s.inFlight[sequenceID]; ok {
+		delete(s.inFlight, sequenceID)
+		s.frontend.server.Cancel(id)
+	}
+}
+
+// checkHealth answers a health check. A deep one waits, within a second, for the backend.
+func (s *session) checkHealth(call thrift.Call) {
+	server := s.frontend.server
+	if !call.Deep || !server.Healthy() {
+		s.answerHealthCheck(call, server.Healthy())
+		return
+	}
+	s.pendingHealthChecks++
+	server.CheckBackend(func(good bool) {
+		s.pendingHealthChecks--
+		if s.closed {
+			return
+		}
+		s.lastActive = server.Now()
+		s.answerHealthCheck(call, good && server.Healthy())
+	})
+}
+
+func (s *session) answerHealthCheck(call thrift.Call, good bool) {
+	s.write(thrift.AppendAnswer(s.scratch[:0], thrift.Answer{
+		MethodName: call.MethodName,
+		SequenceID: call.SequenceID,
+		Fields:     s.answerFields(),
+		Good:       good,
+	}))
+}
+
+// process takes a request. An error closes the connection.
+func (s *session) process(call thrift.Call) error {
+	if call.SequenceID <= s.highestSequenceID && !call.Oneway {
+		return s.rejectReused(call)
+	}
+	s.highestSequenceID = max(s.highestSequenceID, call.SequenceID)
+	err := s.submit(call)
+	if err == nil {
+		s.markIdentified()
+		return nil
+	}
+	s.sendException(call, thrift.ExceptionProtocolError, err)
+	// An unknown class is not the peer's fault, and must not cost it what else is in flight on the connection.
+	if errors.Is(err, frontend.ErrUnknownClass) {
+		s.consecutiveErrors--
+	}
+	return nil
+}
+
+// rejectReused ends a connection on which a sequence ID comes again. Sequence IDs only grow, so whoever sends it is no
+// proxy, and an answer under that ID would be taken for either request's. Neither is served: the one in flight is
+// cancelled, and the ID gets one error.
+func (s *session) rejectReused(call thrift.Call) error {
+	s.cancel(call.SequenceID)
+	s.sendException(call, thrift.ExceptionProtocolError, errReusedSequenceID)
+	return errReusedSequenceID
+}
+
+// submit hands a request to the core.
+func (s *session) submit(call thrift.Call) error {
+	switch {
+	case call.Oneway:
+		return errOnewayRequest
+	case len(s.inFlight) >= MaxInFlight:
+		return fmt.Errorf("%d requests are open already", len(s.inFlight))
+	case len(call.Body) > maxBody:
+		return fmt.Errorf("body of %d bytes is over %d", len(call.Body), maxBody)
+	}
+	request, err := frontend.ReadRequest(s.frontend.server, func(field string) string { return call.Fields[field] })
+	if err != nil {
+		return err
+	}
+	request.Body = append([]byte(nil), call.Body...) // the call's shares the connection's buffer
+	request.Responder = &responder{session: s, sequenceID: call.SequenceID}
+	id, err := s.frontend.server.Submit(request)
+	if err != nil {
+		return err
+	}
+	s.inFlight[call.SequenceID] = id
+	return nil
+}
--- /dev/null
+++ b/internal/frontend/thriftfrontend/frontend.go
@@ -0,0 +1,66 @@
+// Package thriftfrontend serves the platform's proxies over Thrift: they send requests, cancel them and check the
+// server's health. The server accepts the connections and calls the Frontend on its event loop.
+//
+// The package owns the sessions of these connections: what is in flight on each, its health checks, and when it is
+// asked to end. It never decides about a request; it parses it, hands it to the core and writes the answer.
+package thriftfrontend
+
+import (
+	"pewterline/control"
+	"pewterline/internal/frontend"
+	"pewterline/internal/microtime"
+	"pewterline/internal/orderedset"
+	"pewterline/internal/transport"
+)
+
+// Frontend holds the sessions of all proxies' connections. Its methods are called on the event loop.
+type Frontend struct {
+	server   frontend.Server
+	sessions orderedset.Set[*session]
+}
+
+// New returns a frontend without connections.
+func New(server frontend.Server) *Frontend { return &Frontend{server: server} }
+
+// Accept gives a new connection its session. Where the server is draining, the peer is told at once.
+func (f *Frontend) Accept(conn transport.Conn) transport.Session {
+	s := &session{
+		frontend:   f,
+		conn:       conn,
+		inFlight:   map[int32]control.RequestID{},
+		lastActive: f.server.Now(),
+	}
+	f.sessions.Add(s)
+	if f.server.Draining() {
+		s.sendFarewell(s.lastActive)
+	}
+	return s
+}
+
+// Len returns the number of connections.
+func (f *Frontend) Len() int { return f.sessions.Len() }
+
+// Drain tells all peers to send nothing new and to close their connections.
+func (f *Frontend) Drain(now microtime.Time) {
+	for _, s := range f.sessions.Items() {
+		s.sendFarewell(now)
+	}
+}
+
+// CloseIdle tells the peers of connections that have been idle for the time after to close them, so that no request
+// crosses the close; 0 keeps them open. A connection whose peer does not close it is closed after
+// frontend.LingerTimeout.
+func (f *Frontend) CloseIdle(now, after microtime.Time) {
+	for _, s := range f.sessions.Items() {
+		if !s.Idle() {
+			continue
+		}
+		idle := now - s.lastActive
+		switch {
+		case s.farewellSent && idle > frontend.LingerTimeout:
+			s.conn.Close()
+		case !s.farewellSent && after > 0 && idle >= after:
+			s.sendFarewell(now)
+		}
+	}
+}
--- a/internal/protocol/ajp/ajp_test.go
+++ b/internal/protocol/ajp/ajp_test.go
@@ -59,7 +59,9 @@
 	}
 	require.Equal(t, body, back)
 
-	out, back := AppendResponseBody(AppendSendHeaders(nil, 503, "Service Unavailable", []Header{{"Retry-After", "1"}}), body), nil
+	out := AppendSendHeaders(nil, 503, "Service Unavailable", []Header{{"Retry-After", "1"}})
+	out = AppendResponseBody(out, body)
+	back = nil
 	for len(out) > 0 {
 		payload, n, err := SplitPacket(out, FromContainer)
 		require.NoError(t, err)
--- /dev/null
+++ b/internal/protocol/ajp/response.go
@@ -0,0 +1,87 @@
+package ajp
+
+import (
+	"encoding/binary"
+	"fmt"
+)
+
+// Response is one packet of a container; which fields are set depends on its code.
+type Response struct {
+	Code            Code
+	Status          int      // of CodeSendHeaders: the HTTP status
+	Headers         []Header // of CodeSendHeaders
+	BodyChunk       []byte   // of CodeSendBodyChunk; it shares the payload's memory
+	Reuse           bool     // of CodeEndResponse: the connection stays open
+	RequestedLength int      // of CodeGetBodyChunk, in bytes
+}
+
+// ParseResponse reads the payload of a container's packet. Errors wrap ErrInvalidPacket.
+func ParseResponse(payload []byte) (Response, error) {
+	in := &reader{in: payload}
+	response := Response{Code: Code(in.u8())}
+	switch response.Code {
+	case CodeSendHeaders:
+		response.Status = int(in.u16())
+		in.skipString() // the status in words
+		response.Headers = in.headers(responseHeaders[:])
+	case CodeSendBodyChunk:
+		length := int(in.u16())
+		if length > len(in.in) {
+			in.fail("body chunk runs past its packet")
+		} else {
+			response.BodyChunk = in.in[:length]
+		}
+	case CodeEndResponse:
+		response.Reuse = in.u8() != 0
+	case CodeGetBodyChunk:
+		response.RequestedLength = int(in.u16())
+	case CodeCPong:
+	default:
+		in.fail("unknown code %d", response.Code)
+	}
+	if in.err != nil {
+		return response, fmt.Errorf("%w: %w", ErrInvalidPacket, in.err)
+	}
+	return response, nil
+}
+
+// AppendSendHeaders appends the head of a response.
+func AppendSendHeaders(out []byte, status int, text string, headers []Header) []byte {
+	return appendPacket(out, FromContainer, func(payload []byte) []byte {
+		payload = binary.BigEndian.AppendUint16(append(payload, byte(CodeSendHeaders)), uint16(status))
+		return appendHeaders(appendString(payload, text), headers, responseHeaders[:])
+	})
+}
+
+// AppendResponseBody appends a response's body, in as many packets as it needs.
+func AppendResponseBody(out, body []byte) []byte {
+	for len(body) > 0 {
+		length := min(len(body), MaxBodyChunk)
+		out = appendPacket(out, FromContainer, func(payload []byte) []byte {
+			payload = binary.BigEndian.AppendUint16(append(payload, byte(CodeSendBodyChunk)), uint16(length))
+			return append(append(payload, body[:length]...), 0)
+		})
+		body = body[length:]
+	}
+	return out
+}
+
+// AppendEndResponse ends a response; reuse says that the connection stays open.
+func AppendEndResponse(out []byte, reuse bool) []byte {
+	return appendPacket(out, FromContainer, func(payload []byte) []byte {
+		return appendBool(append(payload, byte(CodeEndResponse)), reuse)
+	})
+}
+
+// AppendGetBodyChunk asks for up to that many more bytes of the body.
+func AppendGetBodyChunk(out []byte, length int) []byte {
+	return appendPacket(out, FromContainer, func(payload []byte) []byte {
+		length := uint16(min(length, MaxBodyChunk))
+		return binary.BigEndian.AppendUint16(append(payload, byte(CodeGetBodyChunk)), length)
+	})
+}
+
+// AppendCPong answers a CPING.
+func AppendCPong(out []byte) []byte {
+	return appendPacket(out, FromContainer, func(payload []byte) []byte { return append(payload, byte(CodeCPong)) })
+}
--- a/internal/protocol/thrift/reply.go
+++ b/internal/protocol/thrift/reply.go
@@ -2,16 +2,60 @@
 
 import "fmt"
 
-// ReplyKind is what a server's message is.
+// ReplyKind is the kind of a server's message.
 type ReplyKind uint8
 
 // The server's messages.
 const (
-	ReplyAnswer    ReplyKind = iota + 1 // process or probe returned an Answer
-	ReplyThrottled                      // this try never ran
-	ReplyBroken                         // failed
-	ReplyException                      // an application exception: failed, or not understood
-	ReplyFarewell                       // no new request shall come on this connection
+	// ReplyAnswer is the Answer to process or probe.
+	ReplyAnswer ReplyKind = iota + 1
+	// ReplyThrottled says that the request was rejected and never ran.
+	ReplyThrottled
+	// ReplyBroken says that the request failed.
+	ReplyBroken
+	// ReplyException is an application exception: the call failed, or was not understood.
+	ReplyException
+	// ReplyFarewell asks the peer to send no new request on this connection.
+	ReplyFarewell
+)
+
+// String names the kind.
+func (k ReplyKind) String() string {
+	names := [...]string{
+		ReplyAnswer:    "answer",
+		ReplyThrottled: "throttled",
+		ReplyBroken:    "broken",
+		ReplyException: "exception",
+		ReplyFarewell:  "farewell",
+	}
+	if k == 0 || int(k) >= len(names) {
+		return fmt.Sprintf("ReplyKind(%d)", uint8(k))
+	}
+	return names[k]
+}
+
+// The fields of a reply's result struct: the result itself and the service's two exceptions.
+const (
+	resultAnswer    = 0
+	resultThrottled = 1
+	resultBroken    = 2
+)
+
+// resultKinds are the kinds of reply by the field of the result struct.
+var resultKinds = [...]ReplyKind{
+	resultAnswer:    ReplyAnswer,
+	resultThrottled: ReplyThrottled,
+	resultBroken:    ReplyBroken,
+}
+
+// The IDs of the fields within an Answer, within the service's exceptions and within an application exception.
+const (
+	answerBody      = 1
+	answerFields    = 2
+	answerGood      = 3
+	exceptionFields = 1
+	exceptionText   = 1
+	exceptionCode   = 2
 )
 
 // Reply is one message from a server to its caller. Body shares the payload's memory.
@@ -19,87 +63,136 @@
 	Kind       ReplyKind
 	MethodName string
 	SequenceID int32
-	Body       []byte
-	Fields     map[string]string
-	Good       bool
-	Text       string // of an exception
+	Body       []byte            // of an Answer
+	Fields     map[string]string // of an Answer, Throttled or Broken
+	Good       bool              // of an Answer
+	Text       string            // of an application exception
 }
 
-// DecodeReply reads the payload of a server's message: what a caller, or whoever looks on, needs.
-func DecodeReply(payload []byte) (p Reply, err error) {
-	r := &reader{in: payload}
-	head := r.u32()
-	p.MethodName = string(r.bytes())
-	p.SequenceID = int32(r.u32())
+// DecodeReply reads the payload of a server's message. Errors wrap ErrInvalidFrame.
+func DecodeReply(payload []byte) (reply Reply, err error) {
+	from := &reader{in: payload}
+	kind, name, sequenceID := from.header()
+	reply.MethodName, reply.SequenceID = name, sequenceID
 	switch {
-	case r.err != nil:
-	case head&versionMask != version1:
-		r.fail("not the strict binary protocol")
-	case head&0xff == kindException:
-		p.Kind = ReplyException
-		r.fields(func(kind byte, id uint16) bool {
-			if id != 1 || kind != typeString {
-				return false
-			}
-			p.Text = string(r.bytes())
-			return true
-		})
-	case head&0xff == kindOneway && p.MethodName == "farewell":
-		p.Kind = ReplyFarewell
-	case head&0xff == kindReply:
-		r.fields(func(kind byte, id uint16) bool {
-			if kind != typeStruct || id > 2 {
+	case from.err != nil:
+	case kind == messageException:
+		reply.Kind = ReplyException
+		from.fields(func(kind valueType, id uint16) bool {
+			if id != exceptionText || kind != typeString {
 				return false
 			}
-			p.Kind = [...]ReplyKind{ReplyAnswer, ReplyThrottled, ReplyBroken}[id]
-			r.fields(func(kind byte, at uint16) bool { return p.field(r, id, kind, at) })
+			reply.Text = string(from.bytes())
 			return true
 		})
-		if r.err == nil && p.Kind == 0 {
-			r.fail("a reply without a result")
+	case kind == messageOneway && name == farewellName:
+		reply.Kind = ReplyFarewell
+	case kind == messageReply:
+		from.fields(func(kind valueType, id uint16) bool { return reply.readResult(from, kind, id) })
+		if from.err == nil && reply.Kind == 0 {
+			from.fail("a reply without a result")
 		}
 	default:
-		r.fail("no message of a server's")
+		from.fail("no message of a server's")
 	}
-	if r.err != nil {
-		return p, fmt.Errorf("%w: %w", ErrInvalidFrame, r.err)
+	if from.err != nil {
+		return reply, fmt.Errorf("%w: %w", ErrInvalidFrame, from.err)
 	}
-	return p, nil
+	return reply, nil
+}
+
+// readResult reads one field of a result struct; false: it is none that the service has.
+func (p *Reply) readResult(from *reader, kind valueType, id uint16) bool {
+	if kind != typeStruct || int(id) >= len(resultKinds) {
+		return false
+	}
+	p.Kind = resultKinds[id]
+	from.fields(func(kind valueType, id uint16) bool {
+		if p.Kind == ReplyAnswer {
+			return p.readAnswer(from, kind, id)
+		}
+		if kind != typeMap || id != exceptionFields {
+			return false
+		}
+		p.Fields = from.stringMap()
+		return true
+	})
+	return true
 }
 
-// field reads one field of an Answer, or of an exception that has the fields alone.
-func (p *Reply) field(r *reader, of uint16, kind byte, id uint16) bool {
+// readAnswer reads one field of an Answer; false: it is none of them.
+func (p *Reply) readAnswer(from *reader, kind valueType, id uint16) bool {
 	switch {
-	case of == 0 && id == 1 && kind == typeString:
-		p.Body = r.bytes()
-	case kind == typeMap && (of == 0 && id == 2 || of > 0 && id == 1):
-		p.Fields = r.stringMap()
-	case of == 0 && id == 3 && kind == typeBool:
-		p.Good = r.u8() != 0
+	case id == answerBody && kind == typeString:
+		p.Body = from.bytes()
+	case id == answerFields && kind == typeMap:
+		p.Fields = from.stringMap()
+	case id == answerGood && kind == typeBool:
+		p.Good = from.boolean()
 	default:
 		return false
 	}
 	return true
 }
 
-// AppendGiveUp writes the notice that a caller no longer waits for a request.
-func AppendGiveUp(out []byte, seq int32) []byte {
-	w := begin(out, kindOneway, "giveUp", 0)
-	w.field(typeI32, 1)
-	w.u32(uint32(seq))
+// Answer is the reply to a call of process or probe that returns.
+type Answer struct {
+	MethodName string
+	SequenceID int32
+	Body       []byte // the result of a request
+	Fields     []Field
+	Good       bool // the request was served, or the server is healthy
+}
+
+// AppendAnswer appends an Answer.
+func AppendAnswer(out []byte, answer Answer) []byte {
+	w := begin(out, messageReply, answer.MethodName, answer.SequenceID)
+	w.field(typeStruct, resultAnswer)
+	w.field(typeString, answerBody)
+	w.bytes(answer.Body)
+	w.field(typeMap, answerFields)
+	w.stringMap(answer.Fields)
+	w.field(typeBool, answerGood)
+	w.boolean(answer.Good)
+	w.stop()
 	w.stop()
 	return w.end()
 }
 
-// AppendProbe writes a health check.
-func AppendProbe(out []byte, seq int32, deep bool) []byte {
-	w := begin(out, kindCall, "probe", seq)
-	w.field(typeBool, 1)
-	if deep {
-		w.out = append(w.out, 1)
-	} else {
-		w.out = append(w.out, 0)
-	}
+// AppendThrottled appends the reply to a request that is rejected and never ran.
+func AppendThrottled(out []byte, sequenceID int32, fields []Field) []byte {
+	return appendServiceException(out, sequenceID, resultThrottled, fields)
+}
+
+// AppendBroken appends the reply to a request that failed.
+func AppendBroken(out []byte, sequenceID int32, fields []Field) []byte {
+	return appendServiceException(out, sequenceID, resultBroken, fields)
+}
+
+func appendServiceException(out []byte, sequenceID int32, resultField uint16, fields []Field) []byte {
+	w := begin(out, messageReply, ProcessName, sequenceID)
+	w.field(typeStruct, resultField)
+	w.field(typeMap, exceptionFields)
+	w.stringMap(fields)
+	w.stop()
+	w.stop()
+	return w.end()
+}
+
+// AppendException appends an application exception.
+func AppendException(out []byte, methodName string, sequenceID int32, code ExceptionCode, text string) []byte {
+	w := begin(out, messageException, methodName, sequenceID)
+	w.field(typeString, exceptionText)
+	w.string(text)
+	w.field(typeI32, exceptionCode)
+	w.u32(uint32(code))
+	w.stop()
+	return w.end()
+}
+
+// AppendFarewell appends the oneway message that asks the peer to send no new request on this connection.
+func AppendFarewell(out []byte) []byte {
+	w := begin(out, messageOneway, farewellName, 0)
 	w.stop()
 	return w.end()
 }
--- /dev/null
+++ b/internal/protocol/thrift/thrift.go
@@ -0,0 +1,94 @@
+// Package thrift is the codec of the platform's service: Thrift's strict binary protocol in framed transport. The
+// Thrift frontend, the upstream backend and the test side's callers use it.
+//
+// It works on byte slices and keeps nothing between calls. It knows neither sockets nor what a request means.
+package thrift
+
+import (
+	"encoding/binary"
+	"errors"
+	"fmt"
+)
+
+// MaxFrame bounds the payload of one frame, in bytes: a body of 2 KiB and its fields fit several times over.
+const MaxFrame = 16 << 10
+
+// frameHeaderSize is the size of the length before each payload, in bytes.
+const frameHeaderSize = 4
+
+// The version word that begins each message: the version in its upper half, the type of message in its lowest byte.
+const (
+	version1    = 0x80010000
+	versionMask = 0xffff0000
+)
+
+// messageType is the type of a message.
+type messageType byte
+
+const (
+	messageCall      messageType = 1
+	messageReply     messageType = 2
+	messageException messageType = 3
+	messageOneway    messageType = 4
+)
+
+// valueType is the wire's code of a value's type.
+type valueType byte
+
+// The types that this service needs, and those that it must be able to skip.
+const (
+	typeStop   valueType = 0
+	typeBool   valueType = 2
+	typeByte   valueType = 3
+	typeDouble valueType = 4
+	typeI16    valueType = 6
+	typeI32    valueType = 8
+	typeI64    valueType = 10
+	typeString valueType = 11
+	typeStruct valueType = 12
+	typeMap    valueType = 13
+	typeSet    valueType = 14
+	typeList   valueType = 15
+)
+
+// ExceptionCode is the type of a TApplicationException.
+type ExceptionCode uint32
+
+// The exception codes that this service uses, with Thrift's numbers.
+const (
+	ExceptionUnknownMethod ExceptionCode = 1
+	ExceptionInternalError ExceptionCode = 6
+	ExceptionProtocolError ExceptionCode = 7
+)
+
+// The names of the service's methods on the wire.
+const (
+	ProcessName  = "process"
+	giveUpName   = "giveUp"
+	probeName    = "probe"
+	farewellName = "farewell"
+)
+
+// ErrInvalidFrame is wrapped by every error after which the connection's next message cannot be found.
+var ErrInvalidFrame = errors.New("thrift: broken frame")
+
+// Field is one entry of the map of strings that requests and answers carry. Their order is the writer's, so that equal
+// messages are equal bytes.
+type Field struct{ Name, Value string }
+
+// SplitFrame cuts the first whole frame off in and returns its payload and its size with the header. A nil payload with
+// no error means that more bytes are needed. Errors wrap ErrInvalidFrame.
+func SplitFrame(in []byte) (payload []byte, size int, err error) {
+	if len(in) < frameHeaderSize {
+		return nil, 0, nil
+	}
+	length := binary.BigEndian.Uint32(in)
+	if length == 0 || length > MaxFrame {
+		return nil, 0, fmt.Errorf("%w: length %d is not within 1 to %d", ErrInvalidFrame, length, MaxFrame)
+	}
+	size = frameHeaderSize + int(length)
+	if len(in) < size {
+		return nil, 0, nil
+	}
+	return in[frameHeaderSize:size], size, nil
+}
--- a/internal/server/runner_test.go
+++ b/internal/server/runner_test.go
@@ -43,7 +43,7 @@
 		if err != nil {
 			return err
 		}
-		if payload[0] == ajp.CodeCPing {
+		if ajp.Code(payload[0]) == ajp.CodeCPing {
 			if _, err := c.Write(ajp.AppendCPong(nil)); err != nil {
 				return err
 			}
--- a/internal/testbed/invariant/calls_test.go
+++ b/internal/testbed/invariant/calls_test.go
@@ -207,7 +207,7 @@
 		{"deep check answered", "", func(s *scene) {
 			s.event(1, simnet.Arrived, "s0", "p0", false, thrift.AppendProbe(nil, 7, true))
 			s.after(microtime.Second)
-			s.answer(thrift.AppendAnswer(nil, "probe", 7, nil, nil, false))
+			s.answer(thrift.AppendAnswer(nil, thrift.Answer{MethodName: "probe", SequenceID: 7}))
 		}},
 		{"deep check unanswered", "check/deep check unanswered", func(s *scene) {
 			s.event(1, simnet.Arrived, "s0", "p0", false, thrift.AppendProbe(nil, 7, true))
--- a/internal/testbed/invariant/office.go
+++ b/internal/testbed/invariant/office.go
@@ -6,7 +6,7 @@
 
 func (o *Observer) packetUp(c *conn, payload []byte) {
 	if c.hand == nil && c.head.URI == "" {
-		if len(payload) == 0 || payload[0] != ajp.CodeForwardRequest {
+		if len(payload) == 0 || ajp.Code(payload[0]) != ajp.CodeForwardRequest {
 			return
 		}
 		head, err := ajp.ParseForwardRequest(payload)
--- a/internal/testbed/invariant/rules_test.go
+++ b/internal/testbed/invariant/rules_test.go
@@ -71,7 +71,7 @@
 
 func (s *scene) answer(p []byte) { s.event(1, simnet.Written, "s0", "p0", false, p) }
 func (s *scene) served(seq int32, result []byte) {
-	s.answer(thrift.AppendAnswer(nil, "process", seq, result, nil, true))
+	s.answer(thrift.AppendAnswer(nil, thrift.Answer{MethodName: thrift.ProcessName, SequenceID: seq, Body: result, Good: true}))
 }
 func (s *scene) spawn(id, class, body string) {
 	s.event(2, simnet.Arrived, "w0", "s0", false, pool.AppendSpawn(nil, id, class, []byte(body)))
