--- a/cmd/pewterline/main.go
+++ b/cmd/pewterline/main.go
@@ -79,13 +79,13 @@
 			return err
 		}
 	}
-	if cfg.Copies.ID != 0 {
+	if cfg.Replication.ServerID != 0 {
 		held, err := replication.Open(replication.Config{
-			ID:                cfg.Copies.ID,
-			Directory:         cfg.Copies.Folder,
-			ReplicationFactor: cfg.Copies.Copies,
-			Consensus:         cfg.Copies.Decide,
-			Peers:             cfg.Copies.Peers,
+			ID:                cfg.Replication.ServerID,
+			Directory:         cfg.Replication.Directory,
+			ReplicationFactor: cfg.Replication.ReplicationFactor,
+			Consensus:         cfg.Replication.Consensus,
+			Peers:             cfg.Replication.Peers,
 			Retention:         srv.LongestRetention(),
 			UnixMilli:         wall.UnixMilli,
 			Logf:              logf,
@@ -112,7 +112,7 @@
 		}
 		h.before = before.path
 	}
-	opts := sockets.Options{Listen: []string{cfg.Listen, cfg.AJP.Listen, "", cfg.AdminAddress, "", cfg.Copies.Listen}, DatagramPeer: cfg.ControlAddress, Clock: clock, Options: transport.Options{
+	opts := sockets.Options{Listen: []string{cfg.Listen, cfg.AJP.Listen, "", cfg.AdminAddress, "", cfg.Replication.Listen}, DatagramPeer: cfg.ControlAddress, Clock: clock, Options: transport.Options{
 		// The limit on memory counts what the kernel holds of the sockets too; this leaves it as much again.
 		MaxConns: cfg.SocketLimit - spareSockets, MaxBuffered: int(cfg.MemoryLimit / 8), Logf: logf,
 		DedicatedLimits: map[int]int{server.AdminListener: server.MaxAdminConns, server.HandoffListener: server.MaxHandoffConns, server.ReplicationListener: peers.MaxConns},
--- a/cmd/pewterline/upgrade.go
+++ b/cmd/pewterline/upgrade.go
@@ -43,7 +43,7 @@
 // nobody could ask a successor whether it is ready. Where Unix sockets are refused, the process
 // serves without one.
 func meetingPoint(dir string, cfg config.Config, logf func(string, ...any)) net.Listener {
-	if cfg.AdminAddress == "" || cfg.Copies.ID != 0 { // one process holds a server's copies: the next one starts once it has ended
+	if cfg.AdminAddress == "" || cfg.Replication.ServerID != 0 { // one process holds a server's copies: the next one starts once it has ended
 		return nil
 	}
 	path := filepath.Join(dir, meeting(cfg)+strconv.FormatInt(time.Now().UnixNano(), 36))
@@ -70,7 +70,7 @@
 // approach looks for a process to take over from; nil: there is none. Leftovers of dead ones are taken away. One that lives
 // and does not hand over within the patience is an error, as its keys are not known and it may run them.
 func approach(dir string, cfg config.Config, patience time.Duration, logf func(string, ...any)) (*predecessor, error) {
-	if cfg.AdminAddress == "" || cfg.Copies.ID != 0 {
+	if cfg.AdminAddress == "" || cfg.Replication.ServerID != 0 {
 		return nil, nil
 	}
 	until := time.Now().Add(patience)
--- /dev/null
+++ b/internal/config/classes.go
@@ -0,0 +1,49 @@
+package config
+
+import (
+	"errors"
+	"fmt"
+	"math"
+
+	"pewterline/control"
+)
+
+var errNoClasses = errors.New("none")
+
+// checkClasses returns the first fault of the settings' classes.
+func checkClasses(settings control.Settings) error {
+	if len(settings.Classes) == 0 {
+		return &KeyError{Key: "settings.classes", Err: errNoClasses}
+	}
+	seen := map[string]bool{}
+	for i, class := range settings.Classes {
+		if err := checkClass(i, class, seen[class.Name]); err != nil {
+			return err
+		}
+		seen[class.Name] = true
+	}
+	return nil
+}
+
+func checkClass(index int, class control.Class, seen bool) error {
+	fault := func(key, format string, args ...any) error {
+		return inJSON.errorf(fmt.Sprintf("settings.classes[%d].%s (%q)", index, key, class.Name), format, args...)
+	}
+	keyed := class.Idempotency == control.IdempotentByKey
+	switch {
+	case !isWord(class.Name):
+		return fault("name", "not one word")
+	case seen:
+		return fault("name", "there twice")
+	case class.Deadline <= 0:
+		return fault("hard_limit_ms", "%v is not over 0", class.Deadline)
+	case class.LatencyObjective <= 0:
+		return fault("aim_ms", "%v is not over 0", class.LatencyObjective)
+	case class.RetentionWindow < 0 || keyed && class.RetentionWindow == 0:
+		return fault("window_ms", "%v is not over 0", class.RetentionWindow)
+	case !(class.Weight >= 0) || math.IsInf(class.Weight, 0): // not a number, too
+		return fault("worth", "%v is under 0", class.Weight)
+	default:
+		return nil
+	}
+}
