--- a/internal/dispatch/core.go
+++ b/internal/dispatch/core.go
@@ -117,8 +117,8 @@
 	if c.learned != nil {
 		controller.RestoreLearned(*c.learned)
 		// A predecessor that has advertised nothing yet has learned 0, which an allowance would take for "send nothing".
-		c.signal.value = c.learned.Said
-		c.signal.known = settings.LoadSignal != control.LoadSignalNone && c.learned.Said > 0
+		c.signal.value = c.learned.LoadSignal
+		c.signal.known = settings.LoadSignal != control.LoadSignalNone && c.learned.LoadSignal > 0
 	}
 	bornAt := max(now-age, 0)
 	c.apply(now, controller.Step(bornAt.Duration(), nil))
