--- /dev/null
+++ b/internal/backend/upstream/attempt.go
@@ -0,0 +1,195 @@
+package upstream
+
+import (
+	"fmt"
+	"slices"
+
+	"pewterline/internal/decide/loadbalancer"
+	"pewterline/internal/dispatch"
+	"pewterline/internal/microtime"
+)
+
+const (
+	// sameEndpointRetryDelay is the wait before a request with a key is sent again to the endpoint that may have executed
+	// it.
+	sameEndpointRetryDelay = 50 * microtime.Millisecond
+	// hedgeQuantile is the quantile of the latency of a class after which a hedged request may be sent.
+	hedgeQuantile = 0.95
+)
+
+// attempt is one sending of a run to an endpoint.
+type attempt struct {
+	run        *run
+	choice     loadbalancer.Choice
+	connection *connection
+	id         string
+	sequenceID int32
+	startedAt  microtime.Time
+	written    bool // from then on it may be executed
+}
+
+// route sends a run to the endpoint that may have executed it, or to the one that the balancer chooses. If no endpoint
+// takes it, that is reported by the next Check.
+func (b *Backend) route(routed *run) {
+	now := b.now()
+	routed.retryAt = microtime.Never
+	// An instance that starts waits for the first gossip, for a bounded time.
+	if b.exchange != nil && !b.exchange.Ready(now) {
+		b.awaitingGossip = append(b.awaitingGossip, routed)
+		return
+	}
+	choice, ok := b.choose(now, routed)
+	if !ok {
+		routed.declined = true
+		b.declined = append(b.declined, routed)
+		return
+	}
+	b.send(routed, choice)
+}
+
+func (b *Backend) choose(now microtime.Time, r *run) (loadbalancer.Choice, bool) {
+	if r.keyed {
+		sticky, ok := b.retries.StickyEndpoint(now, r.key)
+		if !ok || sticky != "" {
+			return loadbalancer.Choice{Endpoint: sticky}, ok
+		}
+	}
+	return b.balancer.Pick(now, r.selection())
+}
+
+// send gives an attempt to a connection with capacity, or to one that is opened for it.
+func (b *Backend) send(r *run, choice loadbalancer.Choice) {
+	now := b.now()
+	sent := &attempt{run: r, choice: choice, id: r.ID, startedAt: now}
+	if r.attemptCount > 0 {
+		sent.id = fmt.Sprintf("%016x", b.loop.Rand())
+	}
+	r.attemptCount++
+	r.attempts = append(r.attempts, sent)
+	r.tried = append(r.tried, choice.Endpoint)
+	b.balancer.AttemptStarted(now, choice)
+	r.hedgeAt = b.hedgeTime(now, r)
+
+	e := b.endpoints.byName[choice.Endpoint]
+	for _, c := range e.connections {
+		if c.hasCapacity(now) {
+			c.send(sent)
+			return
+		}
+	}
+	b.open(e, sent)
+}
+
+// hedgeTime is when a hedged request may follow the attempt that was just started; Never: none may.
+func (b *Backend) hedgeTime(now microtime.Time, r *run) microtime.Time {
+	if !r.idempotent() || len(r.attempts) != 1 {
+		return microtime.Never
+	}
+	delay := b.balancer.HedgeDelay(r.request.Class, hedgeQuantile)
+	if delay == microtime.Never {
+		return microtime.Never
+	}
+	return now + delay
+}
+
+// hedge sends a hedged request, if the retry budget allows it and the balancer prefers another endpoint.
+func (b *Backend) hedge(r *run) {
+	r.hedgeAt = microtime.Never
+	choice, ok := b.balancer.Pick(b.now(), r.selection())
+	if !ok || choice.Probe || choice.Endpoint == r.attempts[0].choice.Endpoint {
+		return
+	}
+	if b.retries.SpendToken(b.now(), r.request.CallerID) {
+		b.send(r, choice)
+	}
+}
+
+// abandonAttempts gives up all attempts of a run that are in flight.
+func (b *Backend) abandonAttempts(r *run, outcome loadbalancer.Outcome) {
+	for _, a := range r.attempts {
+		a.connection.abandon(a)
+		b.recordOutcome(a, loadbalancer.Result{
+			Class:   r.request.Class,
+			Outcome: outcome,
+			Latency: b.now() - a.startedAt,
+		})
+	}
+	r.attempts = nil
+}
+
+// recordOutcome tells the decisions how an attempt ended.
+func (b *Backend) recordOutcome(ended *attempt, result loadbalancer.Result) {
+	owner := ended.run
+	outcome := result.Outcome
+	b.balancer.AttemptEnded(b.now(), ended.choice, result)
+	switch outcome {
+	case loadbalancer.ConnectFailed, loadbalancer.ConnectionLost, loadbalancer.TimedOut:
+		b.wastedAttempts++
+	default:
+	}
+	if !ended.written {
+		return
+	}
+	if !outcome.ProvesNotExecuted() && outcome != loadbalancer.Succeeded {
+		owner.unproven++
+	}
+	if !owner.keyed {
+		return
+	}
+	if outcome == loadbalancer.Cancelled {
+		outcome = loadbalancer.TimedOut // It may be executed, and nobody waits for the answer.
+	}
+	b.retries.RecordOutcome(owner.key, outcome)
+}
+
+// attemptEnded goes on with a run after one of its attempts has ended.
+func (b *Backend) attemptEnded(ended *attempt, result loadbalancer.Result, body []byte) {
+	owner := ended.run
+	owner.attempts = slices.DeleteFunc(owner.attempts, func(a *attempt) bool { return a == ended })
+	now := b.now()
+	result.Class = owner.request.Class
+	result.Latency = now - ended.startedAt
+	b.recordOutcome(ended, result)
+	if result.Outcome == loadbalancer.Succeeded {
+		b.retries.RecordSuccess(now, owner.request.CallerID)
+		b.abandonAttempts(owner, loadbalancer.Cancelled)
+		b.finish(owner, dispatch.RunSucceeded, body)
+		return
+	}
+	owner.retryAfter = result.RetryAfter
+	owner.noRetry = result.NoRetry
+	if len(owner.attempts) > 0 {
+		return // The other attempt is still in flight.
+	}
+	b.retryOrReport(ended, result)
+}
+
+// retryOrReport carries out the decision on a run whose last attempt in flight did not succeed.
+func (b *Backend) retryOrReport(failed *attempt, result loadbalancer.Result) {
+	owner := failed.run
+	now := b.now()
+	decision := b.retries.Decide(now, loadbalancer.FailedAttempt{
+		Caller:         owner.request.CallerID,
+		Keyed:          owner.keyed,
+		Idempotent:     owner.idempotent(),
+		Key:            owner.key,
+		Attempts:       owner.attemptCount,
+		Outcome:        result.Outcome,
+		NoRetry:        result.NoRetry,
+		EarliestFinish: b.balancer.EarliestFinish(now, owner.selection()),
+		Deadline:       owner.deadline,
+	})
+	switch decision {
+	case loadbalancer.RetryElsewhere:
+		b.route(owner)
+	case loadbalancer.RetrySameEndpoint:
+		owner.retryAt = now + sameEndpointRetryDelay
+	case loadbalancer.ReportRejected:
+		b.decline(owner)
+	case loadbalancer.ReportIndeterminate:
+		b.logf("upstream: run %s: whether endpoint %s executed it is not known", owner.ID, failed.choice.Endpoint)
+		b.finish(owner, dispatch.RunIndeterminate, nil)
+	case loadbalancer.ReportFailed:
+		b.finish(owner, dispatch.RunFailed, nil)
+	}
+}
--- /dev/null
+++ b/internal/backend/upstream/connection.go
@@ -0,0 +1,215 @@
+package upstream
+
+import (
+	"maps"
+	"slices"
+	"strconv"
+
+	"pewterline/internal/decide/loadbalancer"
+	"pewterline/internal/microtime"
+	"pewterline/internal/protocol/thrift"
+	"pewterline/internal/transport"
+)
+
+const (
+	// maxInFlight bounds the requests in flight on a connection; the platform allows no more.
+	maxInFlight = 32
+	// maxMessagesPerTurn bounds what is read of a connection in a turn: the answers to all that is in flight, and as many
+	// more.
+	maxMessagesPerTurn = 64
+	// idleTimeout is how long a connection is kept without a request.
+	idleTimeout = 5 * microtime.Second
+	// maxRetryAfterBits bounds the retry-after that is read of a rejection, in milliseconds.
+	maxRetryAfterBits = 20
+)
+
+// connection is a connection to an endpoint, or one that is being opened. It implements transport.Session.
+type connection struct {
+	backend      *Backend
+	endpoint     *endpoint
+	conn         transport.Conn // nil while it is being opened
+	unsent       []*attempt     // wait until it is open
+	inFlight     map[int32]*attempt
+	lastSequence int32
+	draining     bool           // it takes no further attempts
+	lastReadAt   microtime.Time // when something last came on it
+	busySince    microtime.Time // since when something has been in flight on it
+	idleSince    microtime.Time
+}
+
+// open opens a connection for an attempt.
+func (b *Backend) open(target *endpoint, first *attempt) {
+	now := b.now()
+	c := &connection{
+		backend:   b,
+		endpoint:  target,
+		unsent:    []*attempt{first},
+		inFlight:  map[int32]*attempt{},
+		busySince: now,
+		idleSince: now,
+	}
+	first.connection = c
+	target.connections = append(target.connections, c)
+	b.loop.DialOnce(target.Address, c.opened, c.openFailed)
+}
+
+func (c *connection) opened(conn transport.Conn) transport.Session {
+	c.conn = conn
+	unsent := c.unsent
+	c.unsent = nil
+	for _, a := range unsent {
+		c.write(a)
+	}
+	return c
+}
+
+// openFailed is called when the connection could not be opened: nothing was written.
+func (c *connection) openFailed() {
+	c.remove()
+	unsent := c.unsent
+	c.unsent = nil
+	for _, a := range unsent {
+		c.backend.attemptEnded(a, loadbalancer.Result{Outcome: loadbalancer.ConnectFailed}, nil)
+	}
+}
+
+func (c *connection) remove() {
+	c.endpoint.connections = slices.DeleteFunc(c.endpoint.connections, func(other *connection) bool { return other == c })
+}
+
+// hasCapacity reports whether the connection takes a further attempt. One that has fallen silent takes none: a probe
+// must not wait behind what is stuck there.
+func (c *connection) hasCapacity(now microtime.Time) bool {
+	count := len(c.inFlight) + len(c.unsent)
+	silent := count > 0 && now-max(c.lastReadAt, c.busySince) > c.backend.balancer.SilenceTimeout()
+	return !c.draining && !silent && count < maxInFlight
+}
+
+func (c *connection) send(a *attempt) {
+	a.connection = c
+	if c.conn == nil {
+		c.unsent = append(c.unsent, a)
+		return
+	}
+	c.write(a)
+}
+
+// write sends an attempt; from then on it may be executed.
+func (c *connection) write(sent *attempt) {
+	backend := c.backend
+	if len(c.inFlight) == 0 {
+		c.busySince = backend.now()
+	}
+	c.lastSequence++
+	sent.sequenceID = c.lastSequence
+	sent.written = true
+	c.inFlight[sent.sequenceID] = sent
+	if r := sent.run; r.keyed {
+		backend.retries.RecordSent(backend.now(), r.key, c.endpoint.Name, microtime.FromDuration(r.class.RetentionWindow))
+	}
+	backend.scratch = thrift.AppendCall(backend.scratch[:0], sent.sequenceID, backend.callFields(sent), sent.run.Body)
+	c.conn.Write(backend.scratch)
+}
+
+// abandon tells the endpoint that nobody waits for an attempt any more.
+func (c *connection) abandon(abandoned *attempt) {
+	c.unsent = slices.DeleteFunc(c.unsent, func(a *attempt) bool { return a == abandoned })
+	if !abandoned.written || c.inFlight[abandoned.sequenceID] != abandoned {
+		return
+	}
+	delete(c.inFlight, abandoned.sequenceID)
+	c.idleSince = c.backend.now()
+	c.backend.scratch = thrift.AppendGiveUp(c.backend.scratch[:0], abandoned.sequenceID)
+	c.conn.Write(c.backend.scratch)
+	c.closeIfDrained()
+}
+
+// drain has the connection take no further attempts, and closes it once all in flight are answered.
+func (c *connection) drain() {
+	c.draining = true
+	c.closeIfDrained()
+}
+
+func (c *connection) closeIfDrained() {
+	if c.draining && len(c.inFlight) == 0 && c.conn != nil {
+		c.conn.Close()
+	}
+}
+
+// closeIfIdle closes a connection that has had nothing in flight for idleTimeout.
+func (c *connection) closeIfIdle(now microtime.Time) {
+	if c.conn != nil && len(c.inFlight) == 0 && now > c.idleSince+idleTimeout {
+		c.conn.Close()
+		c.draining = true
+	}
+}
+
+// Receive implements transport.Session.
+func (c *connection) Receive(in []byte) (int, error) {
+	c.lastReadAt = c.backend.now()
+	consumed := 0
+	for range maxMessagesPerTurn {
+		payload, size, err := thrift.SplitFrame(in[consumed:])
+		if err != nil || payload == nil {
+			return consumed, err
+		}
+		consumed += size
+		reply, err := thrift.DecodeReply(payload)
+		if err != nil {
+			return consumed, err
+		}
+		c.handle(reply)
+	}
+	c.conn.Resume()
+	return consumed, nil
+}
+
+func (c *connection) handle(reply thrift.Reply) {
+	if reply.Kind == thrift.ReplyFarewell {
+		c.drain()
+		return
+	}
+	answered := c.inFlight[reply.SequenceID]
+	if answered == nil {
+		return // The reply crossed the message that the attempt was abandoned.
+	}
+	delete(c.inFlight, reply.SequenceID)
+	c.idleSince = c.backend.now()
+	var body []byte
+	if reply.Kind == thrift.ReplyAnswer {
+		body = append([]byte(nil), reply.Body...) // The buffer is the connection's own.
+	}
+	c.backend.attemptEnded(answered, resultOf(&reply), body)
+	c.closeIfDrained()
+}
+
+// resultOf is the result of an attempt that got a reply.
+func resultOf(reply *thrift.Reply) loadbalancer.Result {
+	switch reply.Kind {
+	case thrift.ReplyAnswer:
+		return loadbalancer.Result{Outcome: loadbalancer.Succeeded}
+	case thrift.ReplyThrottled:
+		// On an error ParseUint returns 0 for what is absent or no number, and the largest value for what is over the bound.
+		millis, _ := strconv.ParseUint(reply.Fields["after"], 10, maxRetryAfterBits)
+		return loadbalancer.Result{
+			Outcome:    loadbalancer.Rejected,
+			RetryAfter: microtime.Time(millis) * microtime.Millisecond,
+			NoRetry:    reply.Fields["last"] == "1",
+		}
+	default:
+		return loadbalancer.Result{Outcome: loadbalancer.Failed}
+	}
+}
+
+// Idle implements transport.Session.
+func (c *connection) Idle() bool { return len(c.inFlight) == 0 }
+
+// Closed implements transport.Session. What was written may have been executed.
+func (c *connection) Closed() {
+	c.remove()
+	lost := c.inFlight
+	c.inFlight = map[int32]*attempt{}
+	for _, sequenceID := range slices.Sorted(maps.Keys(lost)) {
+		c.backend.attemptEnded(lost[sequenceID], loadbalancer.Result{Outcome: loadbalancer.ConnectionLost}, nil)
+	}
+}
--- /dev/null
+++ b/internal/backend/upstream/connection_test.go
@@ -0,0 +1,149 @@
+package upstream
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"pewterline/internal/config"
+	"pewterline/internal/dispatch"
+	"pewterline/internal/microtime"
+	"pewterline/internal/protocol/thrift"
+)
+
+// An endpoint that says farewell on a connection gets no new requests there; it closes once all are answered.
+func TestFarewell(t *testing.T) {
+	edge := newHarness(t, nil, "n1")
+	edge.start("a", writeClass, "")
+	conn, _ := edge.accept()
+	call := conn.oneCall()
+	conn.receive(thrift.AppendFarewell(nil))
+	require.False(t, conn.closed)
+	edge.start("b", writeClass, "")
+	require.Len(t, edge.dials, 1)
+	require.Empty(t, conn.written)
+	conn.answer(call.SequenceID, "done")
+	require.True(t, conn.closed)
+	edge.requireFinished(finishedRun{"a", dispatch.RunSucceeded, "done"})
+}
+
+// Replies may come in pieces, and several at once.
+func TestReceiveInPieces(t *testing.T) {
+	edge := newHarness(t, nil, "n1")
+	edge.start("a", writeClass, "")
+	edge.start("b", writeClass, "")
+	conn, _ := edge.accept()
+	calls := conn.calls()
+	both := append(answerFrame(calls[1].SequenceID, "second"), answerFrame(calls[0].SequenceID, "first")...)
+	first := len(answerFrame(0, "second"))
+	for _, cut := range []int{0, 3, first - 1} {
+		consumed, err := conn.session.Receive(both[:cut])
+		require.NoError(t, err)
+		require.Zero(t, consumed)
+	}
+	require.Empty(t, edge.finished)
+	conn.receive(both)
+	edge.requireFinished(finishedRun{"b", dispatch.RunSucceeded, "second"}, finishedRun{"a", dispatch.RunSucceeded, "first"})
+}
+
+func TestReceiveRejectsBrokenFrames(t *testing.T) {
+	edge := newHarness(t, nil, "n1")
+	edge.start("a", writeClass, "")
+	conn, _ := edge.accept()
+	_, err := conn.session.Receive([]byte{0, 0, 0, 4, 9, 9, 9, 9})
+	require.ErrorIs(t, err, thrift.ErrInvalidFrame)
+}
+
+// A connection that has fallen silent takes nothing new: another is opened beside it.
+func TestSilentConnectionTakesNothingNew(t *testing.T) {
+	edge := newHarness(t, nil, "n1")
+	edge.start("a", writeClass, "")
+	silent, _ := edge.accept()
+	require.Len(t, silent.calls(), 1)
+	edge.now += edge.backend.balancer.SilenceTimeout() + 1
+	edge.start("b", writeClass, "")
+	other, address := edge.accept()
+	require.Equal(t, "n1", address)
+	require.Empty(t, silent.written)
+	require.Equal(t, "b", other.oneCall().Fields["id"])
+}
+
+// A connection without requests is closed after idleTimeout.
+func TestIdleConnectionIsClosed(t *testing.T) {
+	edge := newHarness(t, nil, "n1")
+	edge.start("a", writeClass, "")
+	conn, _ := edge.accept()
+	edge.now += microtime.Second
+	edge.backend.Check(edge.now)
+	conn.answer(conn.oneCall().SequenceID, "done")
+	edge.now += idleTimeout
+	edge.backend.Check(edge.now)
+	require.False(t, conn.closed, "it has been idle for no longer than that")
+	edge.now += sweepInterval
+	edge.backend.Check(edge.now)
+	require.True(t, conn.closed)
+	conn.session.Closed()
+	require.Empty(t, edge.finished[1:])
+	edge.start("b", writeClass, "")
+	require.Len(t, edge.dials, 1)
+}
+
+// An endpoint that is removed from the list gets nothing new but repeats of what it may have executed, and is forgotten
+// long after.
+func TestUpdateEndpoints(t *testing.T) {
+	edge := newHarness(t, nil, "n1")
+	edge.start("a", keyedClass, "k1")
+	conn, _ := edge.accept()
+	require.Len(t, conn.calls(), 1)
+	edge.backend.UpdateEndpoints(members("n2"))
+	known, removed := edge.backend.Lookup("n1")
+	require.True(t, known && removed)
+	known, removed = edge.backend.Lookup("n2")
+	require.True(t, known && !removed)
+
+	edge.start("b", readClass, "")
+	_, address := edge.accept()
+	require.Equal(t, "n2", address)
+	require.Empty(t, conn.written)
+	edge.start("c", keyedClass, "k1")
+	require.Equal(t, "c", conn.oneCall().Fields["id"])
+
+	edge.backend.ExpireRemoved(edge.now + RemovedEndpointRetention + 1)
+	known, _ = edge.backend.Lookup("n1")
+	require.True(t, known, "it has a connection")
+	conn.session.Closed()
+	edge.backend.ExpireRemoved(edge.now + RemovedEndpointRetention)
+	known, _ = edge.backend.Lookup("n1")
+	require.True(t, known)
+	edge.backend.ExpireRemoved(edge.now + RemovedEndpointRetention + 1)
+	known, _ = edge.backend.Lookup("n1")
+	require.False(t, known)
+}
+
+// An endpoint that is listed again is used again.
+func TestEndpointIsListedAgain(t *testing.T) {
+	edge := newHarness(t, nil, "n1")
+	edge.backend.UpdateEndpoints(members("n2"))
+	edge.backend.UpdateEndpoints(members("n1"))
+	known, removed := edge.backend.Lookup("n1")
+	require.True(t, known && !removed)
+	edge.start("a", readClass, "")
+	_, address := edge.accept()
+	require.Equal(t, "n1", address)
+}
+
+// An endpoint that has moved is reached at its new address; what is in flight at the former one may end there.
+func TestEndpointMoves(t *testing.T) {
+	edge := newHarness(t, nil, "n1")
+	edge.start("a", writeClass, "")
+	former, _ := edge.accept()
+	call := former.oneCall()
+	edge.backend.UpdateEndpoints([]config.Member{{Name: "n1", Address: "elsewhere"}})
+	require.False(t, former.closed)
+	edge.start("b", writeClass, "")
+	_, address := edge.accept()
+	require.Equal(t, "elsewhere", address)
+	former.answer(call.SequenceID, "done")
+	edge.requireFinished(finishedRun{"a", dispatch.RunSucceeded, "done"})
+	require.True(t, former.closed)
+}
--- /dev/null
+++ b/internal/backend/upstream/endpoint.go
@@ -0,0 +1,101 @@
+package upstream
+
+import (
+	"slices"
+
+	"pewterline/internal/config"
+	"pewterline/internal/microtime"
+)
+
+// RemovedEndpointRetention is how long an endpoint that was removed from the list is still known: longer than any
+// retention window, as a request with an idempotency key that it may have executed goes nowhere else.
+const RemovedEndpointRetention = 600 * microtime.Second
+
+// endpoint is one log server.
+type endpoint struct {
+	config.Member
+	connections []*connection
+	removedAt   microtime.Time // when it was removed from the list; 0: it is listed
+}
+
+// endpointList holds the endpoints that are known, in the order in which they were added.
+type endpointList struct {
+	ordered []*endpoint
+	byName  map[string]*endpoint
+}
+
+func newEndpointList() endpointList { return endpointList{byName: map[string]*endpoint{}} }
+
+func (l *endpointList) add(e *endpoint) {
+	l.ordered = append(l.ordered, e)
+	l.byName[e.Name] = e
+}
+
+// closeIdle closes connections that have had nothing in flight for a while.
+func (l *endpointList) closeIdle(now microtime.Time) {
+	for _, e := range l.ordered {
+		for _, c := range slices.Clone(e.connections) {
+			c.closeIfIdle(now)
+		}
+	}
+}
+
+// expireRemoved forgets endpoints that were removed long ago and have no connection.
+func (l *endpointList) expireRemoved(now microtime.Time) {
+	l.ordered = slices.DeleteFunc(l.ordered, func(e *endpoint) bool {
+		expired := e.removedAt > 0 && now > e.removedAt+RemovedEndpointRetention && len(e.connections) == 0
+		if expired {
+			delete(l.byName, e.Name)
+		}
+		return expired
+	})
+}
+
+// moveTo has new connections opened to another address; those to the former one end once they are answered.
+func (e *endpoint) moveTo(address string) {
+	if e.Address == address {
+		return
+	}
+	e.Address = address
+	for _, c := range e.connections {
+		c.drain()
+	}
+}
+
+// Lookup reports whether an endpoint is known, and whether it was removed from the list.
+func (b *Backend) Lookup(name string) (known, removed bool) {
+	e := b.endpoints.byName[name]
+	return e != nil, e != nil && e.removedAt > 0
+}
+
+func (b *Backend) addEndpoint(now microtime.Time, listed config.Member) {
+	b.endpoints.add(&endpoint{Member: listed})
+	b.balancer.Add(now, listed.Name)
+}
+
+// UpdateEndpoints takes over a new endpoint list. Attempts in flight stay until they end; an endpoint that was removed
+// gets nothing new but repeats of requests with an idempotency key that it may have executed.
+func (b *Backend) UpdateEndpoints(list []config.Member) {
+	now := b.now()
+	listedNames := map[string]bool{}
+	for _, listed := range list {
+		listedNames[listed.Name] = true
+		known := b.endpoints.byName[listed.Name]
+		if known == nil {
+			b.addEndpoint(now, listed)
+			continue
+		}
+		known.moveTo(listed.Address)
+		known.removedAt = 0
+		b.balancer.Add(now, known.Name)
+	}
+	for _, e := range b.endpoints.ordered {
+		if !listedNames[e.Name] && e.removedAt == 0 {
+			e.removedAt = now
+			b.balancer.Remove(e.Name)
+		}
+	}
+}
+
+// ExpireRemoved forgets endpoints that were removed more than RemovedEndpointRetention ago.
+func (b *Backend) ExpireRemoved(now microtime.Time) { b.endpoints.expireRemoved(now) }
--- /dev/null
+++ b/internal/backend/upstream/run.go
@@ -0,0 +1,68 @@
+package upstream
+
+import (
+	"pewterline/control"
+	"pewterline/internal/decide/loadbalancer"
+	"pewterline/internal/dispatch"
+	"pewterline/internal/microtime"
+	"pewterline/internal/orderedset"
+)
+
+// run is a run that has not ended.
+type run struct {
+	orderedset.Position
+	dispatch.Run
+	request  *dispatch.Request
+	class    control.Class
+	deadline microtime.Time
+	keyed    bool // it must not be executed twice within the retention window of its key
+	key      loadbalancer.IdempotencyKey
+
+	attempts     []*attempt // in flight
+	attemptCount int        // so far
+	unproven     int        // attempts that were written and ended without proof that they were not executed
+	tried        []string   // endpoints
+
+	hedgeAt    microtime.Time // when a hedged request may be sent; Never: none
+	retryAt    microtime.Time // when it is sent again; Never: an attempt is in flight
+	retryAfter microtime.Time // of the last rejection
+	noRetry    bool           // of the last rejection
+	declined   bool           // no endpoint takes it
+}
+
+func newRun(started dispatch.Run, class control.Class) *run {
+	request := started.Request
+	return &run{
+		Run:      started,
+		request:  request,
+		class:    class,
+		deadline: request.ArrivedAt + microtime.FromDuration(class.Deadline),
+		keyed:    class.Idempotency == control.IdempotentByKey,
+		key:      loadbalancer.IdempotencyKey{Tenant: request.Tenant, Value: request.IdempotencyKey},
+		hedgeAt:  microtime.Never,
+		retryAt:  microtime.Never,
+	}
+}
+
+func (r *run) idempotent() bool { return r.class.Idempotency == control.Idempotent }
+
+// outcomeWithoutResult is how the run ends without a result: as given, unless it has a key and may have been executed.
+func (r *run) outcomeWithoutResult(outcome dispatch.RunOutcome) dispatch.RunOutcome {
+	if r.keyed && r.unproven > 0 {
+		return dispatch.RunIndeterminate
+	}
+	return outcome
+}
+
+// selection is what the choice of an endpoint depends on.
+func (r *run) selection() loadbalancer.Request {
+	return loadbalancer.Request{
+		Class:      r.request.Class,
+		Idempotent: r.idempotent(),
+		Cheap:      r.idempotent(),
+		Exclude:    r.tried,
+	}
+}
+
+// isRetry reports whether an endpoint may have seen the request before.
+func (r *run) isRetry() bool { return r.attemptCount > 1 || r.request.Retry }
