--- a/internal/backend/upstream/connection_test.go
+++ b/internal/backend/upstream/connection_test.go
@@ -43,7 +43,10 @@
 	}
 	require.Empty(t, edge.finished)
 	conn.receive(both)
-	edge.requireFinished(finishedRun{"b", dispatch.RunSucceeded, "second"}, finishedRun{"a", dispatch.RunSucceeded, "first"})
+	edge.requireFinished(
+		finishedRun{"b", dispatch.RunSucceeded, "second"},
+		finishedRun{"a", dispatch.RunSucceeded, "first"},
+	)
 }
 
 func TestReceiveRejectsBrokenFrames(t *testing.T) {
