--- a/internal/protocol/replicationwire/copylink.go
+++ b/internal/protocol/replicationwire/copylink.go
@@ -262,7 +262,7 @@
 type Record struct {
 	Incarnation  uint64
 	Membership   *consensus.Membership
-	Slots        []consensus.SavedRegister
+	Registers    []consensus.SavedRegister
 	ForgetBefore int64
 }
 
@@ -289,7 +289,7 @@
 	if r.Membership != nil {
 		w.Group = r.Membership.String()
 	}
-	for _, s := range r.Slots {
+	for _, s := range r.Registers {
 		w.Slots = append(w.Slots, slot{[]byte(s.Key), toBallot(s.Register.Promised), someBallot(s.Register.Accepted), toValue(s.Register.Value), s.Register.LastAttemptAt, s.Register.TransferredEpoch})
 	}
 	body, err := cbor.Marshal(w)
@@ -317,7 +317,7 @@
 		r.Membership = &g
 	}
 	for _, s := range w.Slots {
-		r.Slots = append(r.Slots, consensus.SavedRegister{Key: string(s.Key), Register: consensus.Register{Promised: s.Promised.ballot(), Accepted: s.Accepted.orNone(), Value: s.Value.value(), LastAttemptAt: s.At, TransferredEpoch: s.Moved}})
+		r.Registers = append(r.Registers, consensus.SavedRegister{Key: string(s.Key), Register: consensus.Register{Promised: s.Promised.ballot(), Accepted: s.Accepted.orNone(), Value: s.Value.value(), LastAttemptAt: s.At, TransferredEpoch: s.Moved}})
 	}
 	return r, nil
 }
--- a/internal/protocol/replicationwire/copylink_test.go
+++ b/internal/protocol/replicationwire/copylink_test.go
@@ -71,7 +71,7 @@
 	g := sample().Membership
 	b := consensus.Ballot{Number: 9, Proposer: consensus.Identity{ID: 1, Incarnation: 2}}
 	for _, want := range []Record{{Incarnation: 1 << 62}, {Membership: g}, {ForgetBefore: 99},
-		{Slots: []consensus.SavedRegister{{Key: "k", Register: consensus.Register{Promised: b, LastAttemptAt: 5}}, {Key: "\xff", Register: consensus.Register{Promised: b, Accepted: b, Value: consensus.Value{Kind: consensus.KindLeased, AttemptedAt: 5}, LastAttemptAt: 6, TransferredEpoch: 7}}}}} {
+		{Registers: []consensus.SavedRegister{{Key: "k", Register: consensus.Register{Promised: b, LastAttemptAt: 5}}, {Key: "\xff", Register: consensus.Register{Promised: b, Accepted: b, Value: consensus.Value{Kind: consensus.KindLeased, AttemptedAt: 5}, LastAttemptAt: 6, TransferredEpoch: 7}}}}} {
 		out, err := AppendRecord(nil, want)
 		require.NoError(t, err)
 		got, err := ParseRecord(out)
--- /dev/null
+++ b/internal/replication/config.go
@@ -0,0 +1,57 @@
+package replication
+
+import (
+	"pewterline/internal/decide/consensus"
+	"pewterline/internal/decide/execution"
+	"pewterline/internal/microtime"
+	"pewterline/internal/peers"
+	"pewterline/internal/wal"
+)
+
+// Config says how a server takes part in its replication group.
+type Config struct {
+	ID                uint32             // of this server, unique in its group
+	Directory         string             // of the write-ahead log; created if it is missing
+	ReplicationFactor int                // of a group that is bootstrapped by this server
+	Consensus         consensus.Config   // timeouts and limits of proposals and repairs
+	Peers             []consensus.Member // members of the group to come, or other addresses of present members
+
+	// Retention is the longest that the outcome of any key is kept.
+	Retention microtime.Time
+	// UnixMilli converts a time of the event loop to Unix milliseconds.
+	UnixMilli func(microtime.Time) int64
+	// Logf writes a line to the server's log.
+	Logf func(format string, args ...any)
+
+	// filesystem replaces the system's folder in tests of a failing disk; nil: Directory.
+	filesystem wal.FS
+	// snapshotThreshold replaces minSnapshotThreshold in tests; 0: that.
+	snapshotThreshold int
+}
+
+// Loop is what a replica needs of the event loop.
+type Loop interface {
+	peers.EventLoop
+	// Execute runs f on the loop. It may be called from any goroutine; an error says that the loop has ended and f will
+	// not run.
+	Execute(f func()) error
+}
+
+// Attempt is an attempt to run the request of an idempotency key.
+type Attempt struct {
+	Key            string
+	ArrivedAtMilli int64          // when it arrived, in Unix milliseconds
+	RetentionMilli int64          // how long an outcome is kept, counted from the arrival of the attempt that ran
+	Deadline       microtime.Time // by which whoever waits needs an answer
+}
+
+// Outcome answers AcquireLease, Complete or Lookup.
+type Outcome struct {
+	// Action is ActionStart, ActionServe, ActionReject or one of the ActionReport constants of package execution.
+	Action execution.Action
+	// Value is what the group has agreed on, as far as it is known.
+	Value consensus.Value
+	// RetryAtMilli comes with ActionReportIndeterminate: the Unix milliseconds from which another attempt may run; 0:
+	// unknown.
+	RetryAtMilli int64
+}
--- /dev/null
+++ b/internal/replication/counters.go
@@ -0,0 +1,37 @@
+package replication
+
+// Counters count events since the process started. The last six fields are gauges: they tell the present state.
+type Counters struct {
+	LeasesRequested      int    `json:"leaves_asked"`
+	LeasesGranted        int    `json:"leaves_granted"`
+	ResultsFound         int    `json:"results_found"`    // of runs that other processes had made
+	ResultsReplicated    int    `json:"results_copied"`   // of this server's runs, held by a majority
+	ResultsAtRisk        int    `json:"results_at_risk"`  // of this server's runs, accepted by no majority in time
+	OutcomesUnknown      int    `json:"outcomes_unknown"` // nobody could say whether the request ran
+	RejectedUnreplicated int    `json:"refused_uncopied"` // before they ran: no majority answered in time
+	DiskFailures         int    `json:"disk_failures"`
+	DiskSyncs            int64  `json:"disk_syncs"` // since the log was opened
+	DiskBytes            int64  `json:"disk_bytes"` // since the log was opened
+	KeysRepaired         uint64 `json:"keys_repaired"`
+	KeysToRepair         int    `json:"keys_to_repair"`
+	KeysPendingTransfer  int    `json:"keys_owed"` // keys to repair that a membership change waits for
+	KeysHeld             int    `json:"keys_held"`
+	ProposalsInFlight    int    `json:"changes_under_way"`
+	MembersUnreachable   int    `json:"members_unreachable"`
+}
+
+// Counters returns the counters and gauges as they are now.
+func (r *Replica) Counters() Counters {
+	counters := r.counters
+	counters.KeysToRepair, counters.KeysRepaired = r.node.RepairProgress()
+	counters.KeysPendingTransfer = r.node.PendingTransfers()
+	counters.DiskSyncs, counters.DiskBytes = r.storage.log.Written()
+	counters.KeysHeld = r.node.KeyCount()
+	counters.ProposalsInFlight = r.node.InFlight()
+	for _, member := range r.node.Membership().Members() {
+		if member.ID != r.config.ID && !r.links.Connected(member.ID) {
+			counters.MembersUnreachable++
+		}
+	}
+	return counters
+}
--- /dev/null
+++ b/internal/replication/lease.go
@@ -0,0 +1,181 @@
+package replication
+
+import (
+	"pewterline/internal/decide/consensus"
+	"pewterline/internal/decide/execution"
+)
+
+// AcquireLease asks whether an attempt may run. done is called once, on the loop, by the deadline or soon after it:
+// with ActionStart where the lease is granted, ActionServe or ActionReportFailed where a run has ended, ActionReject
+// where the attempt has not run and will not, and else with ActionReportIndeterminate. A caller has one attempt of a
+// key in progress at a time.
+func (r *Replica) AcquireLease(attempt Attempt, done func(Outcome)) {
+	request := r.requests.findOrCreate(attempt.Key)
+	request.attempt = attempt
+	request.done = done
+	request.lastArrival = max(attempt.ArrivedAtMilli, request.lastArrival)
+	switch request.lifecycle.State {
+	case execution.StateIdle, execution.StateReleasing, execution.StateRecorded:
+		r.step(request, execution.EventAttemptArrived, consensus.Value{})
+	default:
+		r.config.Logf("replication: lease of %q requested in state %v", attempt.Key, request.lifecycle.State)
+		r.report(request, execution.ActionReportIndeterminate, consensus.Value{})
+	}
+}
+
+// ReleaseLease gives back a lease that was granted and does not lead to a run.
+func (r *Replica) ReleaseLease(key string) {
+	if request := r.requests.byKey[key]; request != nil {
+		r.step(request, execution.EventRunNotStarted, consensus.Value{})
+	}
+}
+
+// Complete records the end of a run under a lease. done is called once, on the loop: with ActionServe,
+// ActionReportFailed or ActionReportUnrecorded.
+func (r *Replica) Complete(key string, succeeded bool, result []byte, done func(Outcome)) {
+	request := r.requests.byKey[key]
+	if request == nil || !mayComplete(request.lifecycle.State) {
+		r.config.Logf("replication: a run of %q ended without a lease", key)
+		done(Outcome{Action: execution.ActionReportUnrecorded})
+		return
+	}
+	request.succeeded = succeeded
+	request.result = string(result)
+	request.done = done
+	event := execution.EventRunFailed
+	switch {
+	case request.lifecycle.State == execution.StateUnrecorded:
+		event = execution.EventRetryDue
+	case succeeded:
+		event = execution.EventRunSucceeded
+	}
+	r.step(request, event, consensus.Value{})
+}
+
+// mayComplete says whether a run can end in a state. A caller that repeats its report finds one of those behind
+// StateRunning.
+func mayComplete(state execution.State) bool {
+	switch state {
+	case execution.StateRunning, execution.StateRecording, execution.StateUnrecorded, execution.StateRecorded:
+		return true
+	default:
+		return false
+	}
+}
+
+// Lookup asks what is agreed on a key, without a wish to run it. done is called once, on the loop: with ActionStart
+// where nothing stands in the way of a run, ActionServe, ActionReportFailed or ActionReportIndeterminate.
+func (r *Replica) Lookup(attempt Attempt, done func(Outcome)) {
+	request := r.requests.create(attempt.Key)
+	request.lookupOnly = true
+	request.attempt = attempt
+	request.done = done
+	request.lifecycle.State = execution.StateHeldByOther // so that it is polled, now and while another server runs it
+	r.step(request, execution.EventRetryDue, consensus.Value{})
+}
+
+// HasRecord says whether this server holds something of the key that is within its retention when the attempt
+// arrives.
+func (r *Replica) HasRecord(attempt Attempt) bool {
+	value := r.node.Register(attempt.Key).Value
+	return value.Kind != consensus.KindNone && attempt.ArrivedAtMilli < value.AttemptedAt+attempt.RetentionMilli
+}
+
+// step moves a request on by an event, and carries out what follows from it. value is what the group has agreed on,
+// if the event is the end of a proposal.
+func (r *Replica) step(request *keyedRequest, event execution.Event, value consensus.Value) {
+	before := request.lifecycle.State
+	if value.Kind == consensus.KindLeased {
+		request.otherArrival = value.AttemptedAt
+	}
+	if request.lookupOnly && before == execution.StatePolling && event == execution.EventVacant {
+		delete(r.requests.waiting, request)
+		r.report(request, execution.ActionStart, value)
+		return
+	}
+	actions := request.lifecycle.Step(event)
+	r.requests.update(request)
+	for _, action := range actions {
+		r.perform(request, action, before, value)
+	}
+}
+
+// perform carries out an action that a request in state before has led to.
+func (r *Replica) perform(
+	request *keyedRequest, action execution.Action, before execution.State, value consensus.Value,
+) {
+	change := consensus.Change{AttemptedAt: request.attempt.ArrivedAtMilli, Retention: request.attempt.RetentionMilli}
+	switch action {
+	case execution.ActionAcquireLease:
+		r.counters.LeasesRequested++
+		change.Kind = consensus.AcquireLease
+		change.NeverStarted = !request.lifecycle.Started
+		r.propose(request, change)
+	case execution.ActionPoll:
+		change.Kind = consensus.ReadValue
+		r.propose(request, change)
+	case execution.ActionRecord:
+		change.Kind = consensus.RecordResult
+		change.Attempt = request.leaseProposal
+		change.Succeeded = request.succeeded
+		change.Result = request.result
+		r.propose(request, change)
+	case execution.ActionReleaseLease:
+		change.Kind = consensus.ReleaseLease
+		change.Attempt = request.leaseProposal
+		r.propose(request, change)
+	case execution.ActionRetryLater:
+		request.scheduleRetry(r.loop.Now())
+	default:
+		r.countGranted(action, before)
+		r.report(request, action, value)
+	}
+}
+
+// countGranted counts the good outcomes: those that report does not count.
+func (r *Replica) countGranted(action execution.Action, before execution.State) {
+	switch {
+	case action == execution.ActionStart:
+		r.counters.LeasesGranted++
+	case action == execution.ActionServe && before == execution.StateRecording:
+		r.counters.ResultsReplicated++
+	case action == execution.ActionServe:
+		r.counters.ResultsFound++
+	}
+}
+
+// report answers whoever waits for a request, if anybody does.
+func (r *Replica) report(request *keyedRequest, action execution.Action, value consensus.Value) {
+	outcome := Outcome{Action: action, Value: value}
+	switch action {
+	case execution.ActionReportIndeterminate:
+		r.counters.OutcomesUnknown++
+		if request.otherArrival != 0 {
+			outcome.RetryAtMilli = request.otherArrival + request.attempt.RetentionMilli
+		}
+	case execution.ActionReportUnrecorded:
+		r.counters.ResultsAtRisk++
+	case execution.ActionReject:
+		r.counters.RejectedUnreplicated++
+	default: // counted by countGranted, or not at all
+	}
+	done := request.done
+	request.done = nil
+	if done != nil {
+		done(outcome)
+	}
+}
+
+// propose starts a proposal for a request. One that cannot be started counts as one that no majority has answered.
+func (r *Replica) propose(request *keyedRequest, change consensus.Change) {
+	id, err := r.node.Propose(r.loop.Now(), request.key, change)
+	if err != nil {
+		r.step(request, execution.EventUnavailable, consensus.Value{})
+		return
+	}
+	if change.Kind == consensus.AcquireLease {
+		request.leaseProposal = id
+	}
+	r.requests.proposed(id, request)
+	r.flush()
+}
--- /dev/null
+++ b/internal/replication/membership.go
@@ -0,0 +1,146 @@
+package replication
+
+import (
+	"errors"
+	"fmt"
+	"slices"
+
+	"pewterline/internal/decide/consensus"
+)
+
+// forceSlackMilli is added to the present when a membership is forced: callers' clocks may be ahead by that much.
+const forceSlackMilli = 15_000
+
+// The reasons of membership changes for which the operator gives none. They are stored with the membership.
+const (
+	reasonBootstrapped = "founded"
+	reasonAdded        = "added server %d"
+	reasonRemoved      = "removed server %d"
+	reasonForced       = "forced: kept %v"
+)
+
+// PeerNotReadyError says that a configured peer cannot become a member of a new group.
+type PeerNotReadyError struct {
+	ID      uint32
+	Address string
+}
+
+// Error implements error.
+func (e *PeerNotReadyError) Error() string {
+	return fmt.Sprintf("server %d at %s is unreachable or already in a group", e.ID, e.Address)
+}
+
+// Bootstrap makes a new group of the configured peers, all of which have to be reachable and in no group. Its error
+// wraps consensus.ErrInvalidChange and a PeerNotReadyError for each peer that is not.
+func (r *Replica) Bootstrap() error {
+	clusterID, err := newIncarnation()
+	if err != nil {
+		return fmt.Errorf("replication: %w", err)
+	}
+	membership := consensus.Membership{
+		ClusterID:         clusterID,
+		ReplicationFactor: r.config.ReplicationFactor,
+		Reason:            reasonBootstrapped,
+	}
+	var notReady []error
+	for _, peer := range r.config.Peers {
+		incarnation, known := r.incarnation(peer.ID)
+		if !known || !r.mayJoin(peer.ID) {
+			notReady = append(notReady, &PeerNotReadyError{ID: peer.ID, Address: peer.Addr})
+		}
+		membership.Current = append(membership.Current, newMember(peer.ID, incarnation, peer.Addr))
+	}
+	if r.node.Membership().Epoch == 0 && len(notReady) > 0 {
+		return fmt.Errorf("%w: %w", consensus.ErrInvalidChange, errors.Join(notReady...))
+	}
+	return r.flushAfter(r.node.Bootstrap(r.loop.Now(), membership))
+}
+
+// mayJoin says whether a server is reachable and in no group. Of this server itself the node decides.
+func (r *Replica) mayJoin(id uint32) bool {
+	if id == r.config.ID {
+		return true
+	}
+	hello, _ := r.links.LastHello(id)
+	return r.links.Connected(id) && hello.ClusterID == 0
+}
+
+func newMember(id uint32, incarnation uint64, address string) consensus.Member {
+	return consensus.Member{Identity: consensus.Identity{ID: id, Incarnation: incarnation}, Addr: address}
+}
+
+// AddMember proposes a membership with one more server, or with another incarnation or address of a member. An empty
+// address means the configured one; an empty reason a usual one. The error may wrap one of those of package
+// consensus.
+func (r *Replica) AddMember(id uint32, address, reason string) error {
+	incarnation, known := r.incarnation(id)
+	if !known {
+		return fmt.Errorf("%w: server %d has not been heard from; it has to run with this server among its peers",
+			consensus.ErrInvalidChange, id)
+	}
+	if address == "" {
+		address = r.configuredAddress(id)
+	}
+	next := append(r.membersWithout(id), newMember(id, incarnation, address))
+	reason = reasonOr(reason, fmt.Sprintf(reasonAdded, id))
+	return r.flushAfter(r.node.ProposeMembership(r.loop.Now(), next, reason))
+}
+
+// configuredAddress returns the address of a configured peer, or "".
+func (r *Replica) configuredAddress(id uint32) string {
+	for _, peer := range r.config.Peers {
+		if peer.ID == id {
+			return peer.Addr
+		}
+	}
+	return ""
+}
+
+// RemoveMember proposes a membership without a server. The error may wrap one of those of package consensus.
+func (r *Replica) RemoveMember(id uint32, reason string) error {
+	reason = reasonOr(reason, fmt.Sprintf(reasonRemoved, id))
+	return r.flushAfter(r.node.ProposeMembership(r.loop.Now(), r.membersWithout(id), reason))
+}
+
+// membersWithout returns the members in force but one.
+func (r *Replica) membersWithout(id uint32) []consensus.Member {
+	isRemoved := func(member consensus.Member) bool { return member.ID == id }
+	return slices.DeleteFunc(slices.Clone(r.node.Membership().Current), isRemoved)
+}
+
+// AbandonChange proposes to end the membership change in progress. The error may wrap one of those of package
+// consensus.
+func (r *Replica) AbandonChange() error { return r.flushAfter(r.node.AbandonChange(r.loop.Now())) }
+
+// Repair brings all that is held here to all the replicas of each key.
+func (r *Replica) Repair() {
+	r.node.RepairAll()
+	r.flush()
+}
+
+// ForceMembership goes on with some members and without a majority; see consensus.Node. What only other members held
+// is lost. The error may wrap one of those of package consensus.
+func (r *Replica) ForceMembership(keep []uint32, reason string) error {
+	now := r.loop.Now()
+	forcedAt := r.config.UnixMilli(now) + forceSlackMilli
+	err := r.node.ForceMembership(now, keep, forcedAt, reasonOr(reason, fmt.Sprintf(reasonForced, keep)))
+	if err == nil {
+		r.config.Logf("replication: LOSS: the group goes on with servers %v alone; what only others held is lost, "+
+			"and no key without a record runs before %d", keep, forcedAt+r.retentionMilli)
+	}
+	return r.flushAfter(err)
+}
+
+// flushAfter sends what an operator's command has led to, and returns the command's error.
+func (r *Replica) flushAfter(err error) error {
+	r.flush()
+	return err
+}
+
+// reasonOr returns the operator's reason, or else the usual one.
+func reasonOr(reason, usual string) string {
+	if reason != "" {
+		return reason
+	}
+	return usual
+}
--- /dev/null
+++ b/internal/replication/status.go
@@ -0,0 +1,105 @@
+package replication
+
+import (
+	"encoding/base64"
+	"fmt"
+	"slices"
+
+	"pewterline/internal/decide/consensus"
+)
+
+// MemberStatus is a member of the group as operators see it. Incarnations are hexadecimal.
+type MemberStatus struct {
+	ID          uint32 `json:"id"`
+	Incarnation string `json:"life"`
+	Address     string `json:"address"`
+	Up          bool   `json:"up"`
+	InCurrent   bool   `json:"now"`     // of the members in force
+	InNext      bool   `json:"to_come"` // of the members to come, while a change is in progress
+	// CurrentIncarnation is what the server itself has last said; it differs from Incarnation where its disk was lost.
+	// "": unknown.
+	CurrentIncarnation string `json:"lives"`
+}
+
+// Status is the group as this server sees it.
+type Status struct {
+	Self               consensus.Identity
+	Voting             bool // false: this server's disk has failed
+	MembersTransferred int  // members that have handed on what they hold to the members to come
+	Members            []MemberStatus
+}
+
+// Status returns the group as this server sees it.
+func (r *Replica) Status() Status {
+	membership := r.node.Membership()
+	status := Status{
+		Self:               r.node.AcceptorID,
+		Voting:             !r.broken,
+		MembersTransferred: r.node.TransferAcks(),
+	}
+	for _, member := range membership.Members() {
+		memberStatus := MemberStatus{
+			ID:          member.ID,
+			Incarnation: formatIncarnation(member.Incarnation),
+			Address:     member.Addr,
+			Up:          member.ID == r.config.ID || r.links.Connected(member.ID),
+			InCurrent:   slices.Contains(membership.Current, member),
+			InNext:      slices.Contains(membership.Next, member),
+		}
+		if incarnation, known := r.incarnation(member.ID); known {
+			memberStatus.CurrentIncarnation = formatIncarnation(incarnation)
+		}
+		status.Members = append(status.Members, memberStatus)
+	}
+	return status
+}
+
+func formatIncarnation(incarnation uint64) string { return fmt.Sprintf("%x", incarnation) }
+
+// incarnation returns a server's incarnation as the server itself has last said it.
+func (r *Replica) incarnation(id uint32) (incarnation uint64, known bool) {
+	if id == r.config.ID {
+		return r.node.AcceptorID.Incarnation, true
+	}
+	hello, known := r.links.LastHello(id)
+	return hello.Incarnation, known
+}
+
+// ExportedKey is a key that this server holds, as operators see it.
+type ExportedKey struct {
+	Key            string `json:"key"`  // tenant, a zero byte, and the idempotency key
+	Kind           string `json:"kind"` // "intent", "passed" or "failed"
+	Owner          uint32 `json:"owner"`
+	ArrivedAtMilli int64  `json:"at_ms"`
+	Result         string `json:"result"` // in base64
+}
+
+// Export returns keys that this server holds, in their order, from behind after on, and at most limit of them.
+func (r *Replica) Export(after string, limit int) []ExportedKey {
+	exported := []ExportedKey{} // never nil: it is encoded as an empty list
+	for _, key := range r.node.Keys(after, limit) {
+		value := r.node.Register(key).Value
+		exported = append(exported, ExportedKey{
+			Key:            key,
+			Kind:           exportedKind(value.Kind),
+			Owner:          value.Owner,
+			ArrivedAtMilli: value.AttemptedAt,
+			Result:         base64.StdEncoding.EncodeToString([]byte(value.Result)),
+		})
+	}
+	return exported
+}
+
+// exportedKind returns the word that the operators' pages have for a kind.
+func exportedKind(kind consensus.ValueKind) string {
+	switch kind {
+	case consensus.KindLeased:
+		return "intent"
+	case consensus.KindSucceeded:
+		return "passed"
+	case consensus.KindFailed:
+		return "failed"
+	default:
+		return ""
+	}
+}
--- a/internal/testbed/golden/golden.go
+++ b/internal/testbed/golden/golden.go
@@ -1,5 +1,6 @@
-// Package golden reads bytes that an earlier release wrote, for tests that pin a format on disk or on the wire. Tests call it;
-// it owns no state and never writes a file: recorded bytes change only by hand, with the reason in the commit.
+// Package golden reads bytes that an earlier release wrote, for tests that pin a format on disk or on the wire. Tests
+// call it; it owns no state and never writes a file: recorded bytes change only by hand, with the reason in the
+// commit.
 package golden
 
 import (
@@ -15,8 +16,8 @@
 	Bytes []byte
 }
 
-// Frames reads a file of lines that each hold a name, a space and the bytes in hexadecimal. It fails the test if the file
-// cannot be read or is empty.
+// Frames reads a file of lines that each hold a name, a space and the bytes in hexadecimal. It fails the test if the
+// file cannot be read or is empty.
 func Frames(t testing.TB, path string) []Frame {
 	t.Helper()
 	text, err := os.ReadFile(path)
