--- a/internal/replication/membership.go
+++ b/internal/replication/membership.go
@@ -75,7 +75,7 @@
 func (r *Replica) AddMember(id uint32, address, reason string) error {
 	incarnation, known := r.incarnation(id)
 	if !known {
-		return fmt.Errorf("%w: server %d has not been heard from; it has to run with this server among its peers",
+		return fmt.Errorf("%w: server %d has not been heard of; it has to run with this server among its peers",
 			consensus.ErrInvalidChange, id)
 	}
 	if address == "" {
