--- a/internal/transport/sockets/linger_test.go
+++ b/internal/transport/sockets/linger_test.go
@@ -23,12 +23,12 @@
 	}}
 	c, err := d.Dial("tcp", l.Addr(0).String())
 	require.NoError(t, err)
-	t.Cleanup(func() { c.Close() })
+	closeAtEnd(t, c)
 	return c
 }
 
 // arrived returns once so many bytes lie unread at the server's end of a connection.
-func arrived(t *testing.T, c net.Conn, n int) {
+func arrived(c net.Conn, n int) {
 	want := c.LocalAddr().(*net.TCPAddr)
 	for {
 		for fd := range 1024 {
@@ -45,9 +45,9 @@
 	}
 }
 
-// A connection that is closed from this side while bytes of its peer's are on their way, in each of the ways in which that
-// happens: the peer gets all that was written, and then its end, not a reset; what came late is taken by nobody. The bytes are made
-// to arrive behind the last read and before the close, as the loop stands still meanwhile.
+// A connection that is closed from this side while bytes of its peer's are on their way, in each of the ways in which
+// that happens: the peer gets all that was written, and then its end, not a reset; what came late is consumed by
+// nobody. The bytes are made to arrive behind the last read and before the close, as the loop stands still meanwhile.
 func TestBytesThatArriveInTheMomentOfAClose(t *testing.T) {
 	const late = "x"                            // would be answered if it were taken
 	answer := bytes.Repeat([]byte("r"), 60<<10) // all of them fit into what a peer may leave unread
@@ -55,35 +55,37 @@
 		says  string // before; each byte has an answer
 		close func(*handClock, *Loop, *echoSession)
 	}{
-		"by its session":   {"v", func(_ *handClock, _ *Loop, s *echoSession) { s.link.Close() }},
-		"as the loop ends": {"v", func(c *handClock, l *Loop, _ *echoSession) { l.Shutdown(c.Now() + microtime.Second) }},
-		"to make room":     {"vi", func(_ *handClock, l *Loop, _ *echoSession) { l.SetLimits(0, 0) }},
-		"as a stranger":    {"i", func(*handClock, *Loop, *echoSession) {}}, // by the end of the turn, whose time is past its own
+		"by its session": {"v", func(_ *handClock, _ *Loop, session *echoSession) { session.conn.Close() }},
+		"as the loop ends": {"v", func(clock *handClock, loop *Loop, _ *echoSession) {
+			loop.Shutdown(clock.Now() + microtime.Second)
+		}},
+		"as it is evicted": {"vi", func(_ *handClock, loop *Loop, _ *echoSession) { loop.SetLimits(0, 0) }},
+		"as unidentified":  {"i", func(*handClock, *Loop, *echoSession) {}}, // the end of the turn closes it
 	} {
 		t.Run(name, func(t *testing.T) {
-			e, clock := &echo{answer: answer, dials: make(chan *echoSession, 1)}, &handClock{}
-			l := startOnly(t, e, clock)
-			c := narrow(t, l)
-			_, err := c.Write([]byte(by.says))
+			handler, clock := &echo{answer: answer, dials: make(chan *echoSession, 1)}, &handClock{}
+			loop := startOnly(t, handler, clock)
+			conn := narrow(t, loop)
+			_, err := conn.Write([]byte(by.says))
 			require.NoError(t, err)
 			first := make([]byte, 1)
-			_, err = io.ReadFull(c, first)
+			_, err = io.ReadFull(conn, first)
 			require.NoError(t, err)
-			s := <-e.dials
+			session := <-handler.dials
 			clock.now.Add(int64(transport.IdentificationTimeout)) // also past BusyLately
-			require.NoError(t, l.Execute(func() {
-				_, err := c.Write([]byte(late))
+			require.NoError(t, loop.Execute(func() {
+				_, err := conn.Write([]byte(late))
 				require.NoError(t, err)
-				arrived(t, c, len(late))
-				by.close(clock, l, s)
+				arrived(conn, len(late))
+				by.close(clock, loop, session)
 			}))
-			<-e.closed // the close is done, over bytes that lay unread
-			got, err := io.ReadAll(c)
+			<-handler.closed // the close is done, over bytes that lay unread
+			got, err := io.ReadAll(conn)
 			require.NoError(t, err, "a reset in place of an end")
 			require.Equal(t, len(by.says)*len(answer), 1+len(got), "the answers are whole, and nothing follows")
-			require.NoError(t, c.Close())
-			l.Stop()
-			require.NoError(t, l.Wait())
+			require.NoError(t, conn.Close())
+			loop.Stop()
+			require.NoError(t, loop.Wait())
 		})
 	}
 }
@@ -91,7 +93,11 @@
 // startOnly starts a loop that the test stops, and tells its first session.
 func startOnly(t *testing.T, e *echo, c Clock) *Loop {
 	e.closed = make(chan string, 100)
-	l, err := Start(Options{Options: transport.Options{MaxConns: 9, Logf: t.Logf}, Clock: c, Listen: []string{"127.0.0.1:0"}}, tells{e}, func(*transport.Loop) {})
+	l, err := Start(Options{
+		Options: transport.Options{MaxConns: 9, Logf: t.Logf},
+		Clock:   c,
+		Listen:  []string{"127.0.0.1:0"},
+	}, tells{e}, func(*transport.Loop) {})
 	require.NoError(t, err)
 	return l
 }
@@ -107,41 +113,45 @@
 
 // A message that makes no sense ends its connection; the error that tells so arrives, whatever came behind the message.
 func TestErrorArrivesBeforeTheEnd(t *testing.T) {
-	e := &fussy{answer: bytes.Repeat([]byte("e"), 100<<10)}
-	l, err := Start(Options{Options: transport.Options{MaxConns: 9, Logf: t.Logf}, Clock: microtime.NewClock(), Listen: []string{"127.0.0.1:0"}}, e, func(*transport.Loop) {})
+	handler := &fussy{answer: bytes.Repeat([]byte("e"), 100<<10)}
+	loop, err := Start(Options{
+		Options: transport.Options{MaxConns: 9, Logf: t.Logf},
+		Clock:   microtime.NewClock(),
+		Listen:  []string{"127.0.0.1:0"},
+	}, handler, func(*transport.Loop) {})
 	require.NoError(t, err)
-	c := narrow(t, l)
+	conn := narrow(t, loop)
 	set := make(chan struct{})
-	require.NoError(t, l.Execute(func() {
+	require.NoError(t, loop.Execute(func() {
 		defer close(set)
-		e.wait = func() {
-			_, err := c.Write([]byte("more"))
+		handler.wait = func() {
+			_, err := conn.Write([]byte("more"))
 			require.NoError(t, err)
-			arrived(t, c, len("more"))
+			arrived(conn, len("more"))
 		}
 	}))
 	<-set
-	_, err = c.Write([]byte("?"))
+	_, err = conn.Write([]byte("?"))
 	require.NoError(t, err)
-	got, err := io.ReadAll(c)
+	got, err := io.ReadAll(conn)
 	require.NoError(t, err)
-	require.Equal(t, e.answer, got)
-	require.NoError(t, c.Close())
-	l.Stop()
-	require.NoError(t, l.Wait())
-	require.Equal(t, 1, e.taken)
+	require.Equal(t, handler.answer, got)
+	require.NoError(t, conn.Close())
+	loop.Stop()
+	require.NoError(t, loop.Wait())
+	require.Equal(t, 1, handler.taken)
 }
 
 // fussy takes nothing: it tells an error.
 type fussy struct {
 	answer []byte
 	wait   func()
-	link   transport.Conn
+	conn   transport.Conn
 	taken  int
 }
 
 func (f *fussy) Accept(_ int, l transport.Conn) transport.Session {
-	f.link = l
+	f.conn = l
 	return f
 }
 func (f *fussy) Turn(microtime.Time) microtime.Time { return microtime.Never }
@@ -150,79 +160,80 @@
 func (f *fussy) Receive(in []byte) (int, error) {
 	f.taken++
 	f.wait()
-	f.link.Write(f.answer)
+	f.conn.Write(f.answer)
 	return len(in), errors.New("no sense")
 }
 
-// A connection that was shut and that its peer never closes goes after a while, and so does one on which bytes come without
-// end; until then at most lingerConns of them stand beside those that are in use.
+// A connection that was shut and that its peer never closes goes after a while, and so does one on which bytes come
+// without end; until then at most maxLingeringConns of them stand beside those that are in use.
 func TestLingeringIsBounded(t *testing.T) {
 	const most, over = 2, 4
-	e, clock := &echo{answer: []byte("r")}, &handClock{}
-	l := startWith(t, e, Options{Options: transport.Options{MaxConns: most}, Clock: clock})
+	handler, clock := &echo{answer: []byte("r")}, &handClock{}
+	loop := startWith(t, handler, Options{Options: transport.Options{MaxConns: most}, Clock: clock})
 	open := func() int {
 		n := make(chan int, 1)
-		require.NoError(t, l.Execute(func() { n <- l.d.engine.CountConnections() }))
+		require.NoError(t, loop.Execute(func() { n <- loop.driver.engine.CountConnections() }))
 		return <-n
 	}
 	var all []net.Conn
-	for i := range 4 * over { // each makes room by the oldest, a stranger
-		c := connect(t, l)
-		works(t, c, e.answer)
-		all = append(all, c)
+	for i := range 4 * over { // each has the oldest evicted, which is unidentified
+		conn := connect(t, loop)
+		works(t, conn, handler.answer)
+		all = append(all, conn)
 		require.LessOrEqual(t, open(), most+over)
 		require.Equal(t, min(i+1, most+over), open(), "those that were shut are left to their peers while there is room")
 	}
-	clock.move(t, l, transport.LingerTimeout)
-	clock.move(t, l, 0)
+	clock.move(t, loop, transport.LingerTimeout)
+	clock.move(t, loop, 0)
 	require.Equal(t, most, open())
 	// Without end.
 	last, shut := all[len(all)-1], all[len(all)-2]
-	works(t, last, e.answer)
-	require.NoError(t, l.Execute(func() { l.SetLimits(1, 0) }))
-	works(t, last, e.answer)
+	works(t, last, handler.answer)
+	require.NoError(t, loop.Execute(func() { loop.SetLimits(1, 0) }))
+	works(t, last, handler.answer)
 	for {
 		if _, err := shut.Write(make([]byte, 64<<10)); err != nil {
 			break
 		}
 	}
-	works(t, last, e.answer)
+	works(t, last, handler.answer)
 }
 
-// Connections that wait to be accepted as a listener ends are taken up, and get their answers; whoever comes later is refused.
-// All of them come while the loop stands still, so that none has been accepted; a batch of them no longer waits when it goes on.
+// Connections that wait to be accepted as a listener ends are accepted, and get their answers; whoever comes later is
+// refused. All of them come while the loop stands still, so that none has been accepted; a batch of them no longer
+// waits when it goes on.
 func TestNobodyIsLeftInTheQueue(t *testing.T) {
 	const waiting = 3*acceptBatch + 1
-	e := &echo{answer: []byte("r")}
-	l := start(t, e, 99)
+	handler := &echo{answer: []byte("r")}
+	loop := start(t, handler, 99)
 	queue := func() int {
-		fd, err := l.d.engine.DupListener("tcp", l.d.opts.Listen[0])
+		fd, err := loop.driver.engine.DupListener("tcp", loop.driver.options.Listen[0])
 		require.NoError(t, err)
-		defer unix.Close(fd)
+		defer closeCopy(fd)
 		info, err := unix.GetsockoptTCPInfo(fd, unix.IPPROTO_TCP, unix.TCP_INFO)
 		require.NoError(t, err)
 		return int(info.Unacked) // of a listener: how many wait
 	}
-	var cs []net.Conn
+	var conns []net.Conn
 	done := make(chan struct{})
-	require.NoError(t, l.Execute(func() {
+	require.NoError(t, loop.Execute(func() {
 		for range waiting {
-			c := connect(t, l)
-			_, err := c.Write([]byte("x"))
+			conn := connect(t, loop)
+			_, err := conn.Write([]byte("x"))
 			require.NoError(t, err)
-			cs = append(cs, c)
+			conns = append(conns, conn)
 		}
 		require.Equal(t, waiting, queue())
-		l.CloseListener(0, func() { close(done) })
+		loop.CloseListener(0, func() { close(done) })
 		require.Equal(t, waiting-acceptBatch, queue())
 	}))
 	<-done
-	for _, c := range cs {
+	for _, conn := range conns {
 		got := make([]byte, 1)
-		_, err := io.ReadFull(c, got)
+		_, err := io.ReadFull(conn, got)
 		require.NoError(t, err)
 	}
-	_, err := net.Dial("tcp", l.Addr(0).String())
+	_, err := net.Dial("tcp", loop.Addr(0).String())
 	require.ErrorIs(t, err, syscall.ECONNREFUSED)
-	works(t, cs[0], e.answer)
+	works(t, conns[0], handler.answer)
 }
--- /dev/null
+++ b/internal/transport/sockets/listener.go
@@ -0,0 +1,236 @@
+package sockets
+
+import (
+	"errors"
+	"fmt"
+	"math"
+	"net"
+	"os"
+
+	"github.com/panjf2000/gnet/v2"
+	"golang.org/x/sys/unix"
+)
+
+const (
+	// acceptBatch is how many waiting connections of a listener are accepted at once. Each holds three descriptors
+	// until gnet has it; the limit keeps the process from running out of them, upon which gnet would give up.
+	acceptBatch = 4
+	// maxDescriptor is how many descriptors are searched for a listener's, which is one of the first.
+	maxDescriptor = 1024
+)
+
+var (
+	errNoListenerAddress    = errors.New("the listener has no address")
+	errNoListenerDescriptor = errors.New("the listener's descriptor is not found")
+	errListenerNotClosable  = errors.New("the listener can't be closed: its descriptor is not known")
+)
+
+// listener is what the system gave one of gnet's listeners.
+type listener struct {
+	addr *net.TCPAddr // nil: there is none
+	fd   int          // gnet's descriptor of it; 0: not found
+}
+
+// Addr returns the address that the listener of that index got.
+func (l *Loop) Addr(index int) *net.TCPAddr { return l.driver.listeners[index].addr }
+
+// findListener asks the system where a listener is bound, as its port may have been left to it.
+func findListener(engine gnet.Engine, addr string) (found listener, err error) {
+	fd, err := engine.DupListener("tcp", addr)
+	if err != nil {
+		return found, err
+	}
+	defer closeCopy(fd)
+	if found.addr = localAddr(fd); found.addr == nil {
+		return found, errNoListenerAddress
+	}
+	found.fd, err = originalOf(fd, found.addr)
+	return found, err
+}
+
+// closeCopy closes a copy of a descriptor. Its error is neglected: the socket stays open under the original, and
+// nothing was written to the copy.
+func closeCopy(fd int) { _ = unix.Close(fd) }
+
+// localAddr returns the address that a socket is bound to; nil: it has none.
+func localAddr(fd int) *net.TCPAddr {
+	addr, err := unix.Getsockname(fd)
+	if err != nil {
+		return nil
+	}
+	switch addr := addr.(type) {
+	case *unix.SockaddrInet4:
+		return &net.TCPAddr{IP: addr.Addr[:], Port: addr.Port}
+	case *unix.SockaddrInet6:
+		return &net.TCPAddr{IP: addr.Addr[:], Port: addr.Port}
+	}
+	return nil
+}
+
+// originalOf finds the descriptor that fd, of a listener, is a copy of. It is called before a connection is accepted,
+// which would have the same address.
+func originalOf(fd int, addr *net.TCPAddr) (int, error) {
+	for candidate := range maxDescriptor {
+		bound := localAddr(candidate)
+		if candidate == fd || bound == nil || bound.Port != addr.Port || !bound.IP.Equal(addr.IP) {
+			continue
+		}
+		kind, err := unix.GetsockoptInt(candidate, unix.SOL_SOCKET, unix.SO_TYPE)
+		if err == nil && kind == unix.SOCK_STREAM {
+			return candidate, nil
+		}
+	}
+	return 0, errNoListenerDescriptor
+}
+
+// listenerOf returns the index of the listener that a connection came to, by the port.
+func (d *driver) listenerOf(conn gnet.Conn) int {
+	local := localAddr(conn.Fd())
+	if local == nil {
+		return 0
+	}
+	for i, candidate := range d.listeners {
+		addr := candidate.addr
+		if addr != nil && addr.Port == local.Port && (addr.IP.Equal(local.IP) || addr.IP.IsUnspecified()) {
+			return i
+		}
+	}
+	return 0
+}
+
+// Steer has the kernel give new connections to the listener of that index to one of the processes that share its
+// address by SO_REUSEPORT: the place counts them from 0, in the order in which they came to listen. Where there is no
+// such place, the kernel picks as it always does.
+func (l *Loop) Steer(index, place int) error {
+	fd, err := l.driver.engine.DupListener("tcp", l.driver.options.Listen[index])
+	if err != nil {
+		return fmt.Errorf("transport: steer: %w", err)
+	}
+	defer closeCopy(fd)
+	filter := []unix.SockFilter{
+		{Code: unix.BPF_RET | unix.BPF_K, K: uint32(place)},
+	}
+	if err := attachFilter(fd, unix.SO_ATTACH_REUSEPORT_CBPF, filter); err != nil {
+		return fmt.Errorf("transport: steer: %w", err)
+	}
+	return nil
+}
+
+// attachFilter attaches a classic BPF program to a socket by one of the options for that.
+func attachFilter(fd, option int, filter []unix.SockFilter) error {
+	program := &unix.SockFprog{Len: uint16(len(filter)), Filter: &filter[0]}
+	return unix.SetsockoptSockFprog(fd, unix.SOL_SOCKET, option, program)
+}
+
+// rejectHandshakes has the kernel drop packets that begin a handshake; handshakes under way come to their end.
+func rejectHandshakes(fd int) error {
+	const (
+		flagsOffset = 13 // in a TCP header
+		synFlag     = 0x02
+	)
+	return attachFilter(fd, unix.SO_ATTACH_FILTER, []unix.SockFilter{
+		{Code: unix.BPF_LD | unix.BPF_B | unix.BPF_ABS, K: flagsOffset},
+		{Code: unix.BPF_JMP | unix.BPF_JSET | unix.BPF_K, K: synFlag, Jf: 1},
+		{Code: unix.BPF_RET | unix.BPF_K, K: 0},
+		{Code: unix.BPF_RET | unix.BPF_K, K: math.MaxUint32},
+	})
+}
+
+// CloseListener is part of transport.Driver. New handshakes are rejected first, so that no connection can come between
+// the last look at the queue and the close: a peer that asks meanwhile gets no answer, and is refused when it asks
+// again. What waits is accepted here, as gnet accepts one connection in a round of its poller and can't be told to.
+func (d *driver) CloseListener(index int, done func()) {
+	fd, err := d.engine.DupListener("tcp", d.options.Listen[index])
+	if err == nil && d.listeners[index].fd == 0 {
+		err = errors.Join(errListenerNotClosable, unix.Close(fd))
+	}
+	if err != nil {
+		d.logListenerError(err)
+		done()
+		return
+	}
+	// Not every system has it: what comes between the last look and the close is then reset.
+	_ = rejectHandshakes(fd)
+	d.drainListener(&closingListener{fd: fd, index: index, done: done})
+}
+
+// closingListener is a listener whose waiting connections are being accepted.
+type closingListener struct {
+	fd     int // a copy of its descriptor
+	index  int
+	rounds int // of accepting so far
+	done   func()
+}
+
+// drainListener accepts what waits at a listener, a batch in a turn. The first look that finds nothing, after the
+// first round, closes it.
+func (d *driver) drainListener(closing *closingListener) {
+	waiting, err := acceptWaiting(closing.fd)
+	if err != nil {
+		d.logListenerError(err)
+	}
+	if closing.rounds > 0 && len(waiting) == 0 {
+		if err := d.endListener(closing); err != nil {
+			d.logListenerError(err)
+		}
+		closing.done()
+		return
+	}
+	// gnet takes connections off the loop alone. The goroutine ends with the batch.
+	go func() {
+		for _, conn := range waiting {
+			if err := d.register(conn, &socket{driver: d, listener: closing.index}); err != nil {
+				d.logListenerError(err)
+			}
+		}
+		err := d.Queue(func() {
+			closing.rounds++
+			d.drainListener(closing)
+		})
+		if err != nil { // the loop has ended
+			closeCopy(closing.fd)
+		}
+	}()
+}
+
+// logListenerError logs what went wrong as a listener was closed.
+func (d *driver) logListenerError(err error) {
+	d.options.Logf("transport: close listener: %v", err)
+}
+
+// acceptWaiting accepts what waits at a listener, acceptBatch connections at most.
+func acceptWaiting(listenerFD int) (waiting []net.Conn, err error) {
+	for len(waiting) < acceptBatch {
+		fd, _, err := unix.Accept4(listenerFD, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
+		switch {
+		case err == nil:
+		case errors.Is(err, unix.EINTR), errors.Is(err, unix.ECONNABORTED), errors.Is(err, unix.ECONNRESET):
+			continue
+		case errors.Is(err, unix.EAGAIN):
+			return waiting, nil
+		default:
+			return waiting, fmt.Errorf("accept: %w", err)
+		}
+		file := os.NewFile(uintptr(fd), "connection")
+		conn, err := net.FileConn(file) // a copy
+		if err = errors.Join(err, file.Close()); err != nil {
+			return waiting, err
+		}
+		waiting = append(waiting, conn)
+	}
+	return waiting, nil
+}
+
+// endListener closes a listener. gnet can't let go of one while it serves: another file takes its descriptor, which
+// takes it out of the poller, and gnet closes that in the end.
+func (d *driver) endListener(closing *closingListener) error {
+	if err := unix.Close(closing.fd); err != nil {
+		return err
+	}
+	replacement, err := unix.Socket(unix.AF_INET, unix.SOCK_DGRAM|unix.SOCK_CLOEXEC, 0)
+	if err != nil {
+		return err
+	}
+	defer closeCopy(replacement)
+	return unix.Dup3(replacement, d.listeners[closing.index].fd, unix.O_CLOEXEC)
+}
--- /dev/null
+++ b/internal/transport/sockets/socket.go
@@ -0,0 +1,142 @@
+package sockets
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"net"
+
+	"github.com/panjf2000/gnet/v2"
+	"golang.org/x/sys/unix"
+
+	"pewterline/internal/transport"
+)
+
+// socket is one connection of gnet's, and the context of that. It implements transport.RawConn.
+type socket struct {
+	driver     *driver
+	gnetConn   gnet.Conn
+	conn       *transport.Connection
+	dial       *transport.Dial // nil: it came to a listener
+	listener   int             // the index of that
+	halfClosed bool
+}
+
+// open gives the connection its session; false: it is to be closed.
+func (s *socket) open(gnetConn gnet.Conn) bool {
+	s.gnetConn = gnetConn
+	if s.dial != nil {
+		s.conn = s.driver.loop.Connected(s.dial, s)
+	} else {
+		s.conn = s.driver.loop.Accept(s, s.listener)
+	}
+	return s.conn != nil
+}
+
+// Write is part of transport.RawConn.
+func (s *socket) Write(p []byte) error {
+	_, err := s.gnetConn.Write(p)
+	return err
+}
+
+// Unsent is part of transport.RawConn.
+func (s *socket) Unsent() int { return s.gnetConn.OutboundBuffered() }
+
+// CloseWrite is part of transport.RawConn.
+func (s *socket) CloseWrite() {
+	if s.halfClosed || s.gnetConn.OutboundBuffered() > 0 {
+		return
+	}
+	s.halfClosed = true
+	if unix.Shutdown(s.gnetConn.Fd(), unix.SHUT_WR) != nil {
+		s.Close() // the peer has reset it
+	}
+}
+
+// Close is part of transport.RawConn. An error would say that gnet has closed it.
+func (s *socket) Close() { _ = s.driver.eventLoop.Close(s.gnetConn) }
+
+// Remote is part of transport.RawConn.
+func (s *socket) Remote() string {
+	if addr := s.gnetConn.RemoteAddr(); addr != nil {
+		return addr.String()
+	}
+	return "a closed connection"
+}
+
+// Dial is part of transport.Driver. Only the wait is off the loop, on a goroutine that ends within
+// transport.DialTimeout.
+func (d *driver) Dial(dial *transport.Dial) {
+	go func() {
+		if d.connect(dial) != nil {
+			_ = d.Queue(func() { d.loop.DialFailed(dial) }) // an error says that the loop has ended
+		}
+	}()
+}
+
+// connect opens the connection of a dial and gives it to the loop.
+func (d *driver) connect(dial *transport.Dial) error {
+	conn, err := net.DialTimeout("tcp", dial.Addr(), transport.DialTimeout)
+	if err != nil {
+		return err
+	}
+	return d.register(conn, &socket{driver: d, dial: dial})
+}
+
+// register gives gnet a connection that was opened off the loop. It is called off the loop, for which it waits.
+func (d *driver) register(conn net.Conn, s *socket) error {
+	registered, err := d.engine.Register(gnet.NewContext(gnet.NewNetConnContext(context.Background(), conn), s))
+	if err != nil {
+		return fmt.Errorf("register: %w", errors.Join(err, conn.Close())) // it was never used
+	}
+	return (<-registered).Err
+}
+
+// Adopt takes a connection that was opened off the loop; open gives its session.
+func (l *Loop) Adopt(conn net.Conn, open func(transport.Conn) transport.Session) error {
+	return l.driver.register(conn, &socket{driver: l.driver, dial: l.Adopted(open)})
+}
+
+// Serve accepts on a listener of another kind than gnet's, under the given index, until that listener is closed: gnet
+// has no Unix sockets beside listeners with SO_REUSEPORT. Only the wait is off the loop, on a goroutine that ends with
+// the listener.
+func (l *Loop) Serve(ln net.Listener, index int) {
+	go func() {
+		for {
+			conn, err := ln.Accept()
+			if err != nil {
+				return
+			}
+			if err := l.driver.register(conn, &socket{driver: l.driver, listener: index}); err != nil {
+				l.driver.options.Logf("transport: %v", err)
+			}
+		}
+	}()
+}
+
+// SetDatagramPeer is part of transport.Driver.
+func (d *driver) SetDatagramPeer(addr string) error {
+	var conn net.Conn
+	if addr != "" {
+		var err error
+		if conn, err = net.Dial("udp", addr); err != nil {
+			return fmt.Errorf("transport: datagrams: %w", err)
+		}
+	}
+	if d.datagrams != nil {
+		_ = d.datagrams.Close() // nothing is buffered in it that could be lost
+	}
+	d.datagrams = conn
+	return nil
+}
+
+// SendDatagram is part of transport.Driver.
+func (d *driver) SendDatagram(p []byte) {
+	if d.datagrams == nil {
+		return
+	}
+	// A send may fail, unsent, for the refusal of the one before: the peer may be back since.
+	if _, err := d.datagrams.Write(p); err != nil {
+		_, _ = d.datagrams.Write(p) // a datagram may be lost
+	}
+}
--- a/internal/transport/sockets/sockets_test.go
+++ b/internal/transport/sockets/sockets_test.go
@@ -25,26 +25,26 @@
 
 type echoSession struct {
 	e    *echo
-	link transport.Conn
+	conn transport.Conn
 	idle bool
 }
 
-func (e *echo) Accept(_ int, l transport.Conn) transport.Session { return &echoSession{e: e, link: l} }
+func (e *echo) Accept(_ int, l transport.Conn) transport.Session { return &echoSession{e: e, conn: l} }
 func (e *echo) Turn(microtime.Time) microtime.Time               { return microtime.Never }
-func (s *echoSession) Closed()                                   { s.e.closed <- s.link.Remote() }
+func (s *echoSession) Closed()                                   { s.e.closed <- s.conn.Remote() }
 func (s *echoSession) Idle() bool                                { return s.idle }
 func (s *echoSession) Receive(in []byte) (int, error) {
 	for i, b := range in {
 		switch b {
 		case 'v':
-			s.link.MarkIdentified()
+			s.conn.MarkIdentified()
 		case 'i':
 			s.idle = true
 		case 'h': // half a message: it waits for the rest
-			s.link.Write(s.e.answer)
+			s.conn.Write(s.e.answer)
 			return i, nil
 		}
-		s.link.Write(s.e.answer)
+		s.conn.Write(s.e.answer)
 	}
 	return len(in), nil
 }
@@ -78,10 +78,16 @@
 	return l
 }
 
+// closeAtEnd closes what the test opened, unless the test has.
+func closeAtEnd(t *testing.T, closer io.Closer) {
+	t.Helper()
+	t.Cleanup(func() { _ = closer.Close() }) // the test's own checks are over
+}
+
 func connect(t *testing.T, l *Loop) net.Conn {
 	c, err := net.Dial("tcp", l.Addr(0).String())
 	require.NoError(t, err)
-	t.Cleanup(func() { c.Close() })
+	closeAtEnd(t, c)
 	return c
 }
 
@@ -99,7 +105,7 @@
 // nowhere is a datagram socket of which the system told no address.
 type nowhere struct{ gnet.Conn }
 
-func (nowhere) Context() any              { return enrolling{} }
+func (nowhere) Context() any              { return ownSocket{} }
 func (nowhere) EventLoop() gnet.EventLoop { return nil }
 func (nowhere) LocalAddr() net.Addr       { return nil }
 
@@ -107,7 +113,7 @@
 // address, which it may lack, and it is no session.
 func TestOwnSocketNeedsNoAddress(t *testing.T) {
 	begun := 0
-	d := &driver{opts: Options{Clock: microtime.NewClock()}}
+	d := &driver{options: Options{Clock: microtime.NewClock()}}
 	d.loop = transport.New(transport.Options{Logf: t.Logf}, begins{d}, &echo{}, func(*transport.Loop) { begun++ })
 	out, action := d.OnOpen(nowhere{})
 	require.Empty(t, out)
@@ -126,29 +132,33 @@
 func TestBeginComesFirst(t *testing.T) {
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM, 0)
 	require.NoError(t, err)
-	defer unix.Close(fd)
+	defer closeCopy(fd)
 	require.NoError(t, unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEPORT, 1))
 	require.NoError(t, unix.Bind(fd, &unix.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}))
 	addr := localAddr(fd).String()
 	called := make(chan net.Conn)
 	go func() {
 		for {
-			if c, err := net.Dial("tcp", addr); err == nil {
-				called <- c
+			if conn, err := net.Dial("tcp", addr); err == nil {
+				called <- conn
 				return
 			}
 		}
 	}()
-	e := &eager{echo: echo{answer: []byte("r"), closed: make(chan string, 10)}}
-	l, err := Start(Options{Options: transport.Options{MaxConns: 2, Logf: t.Logf}, Listen: []string{addr}, Clock: microtime.NewClock()}, e, func(*transport.Loop) { e.begun = true })
+	handler := &eager{echo: echo{answer: []byte("r"), closed: make(chan string, 10)}}
+	loop, err := Start(Options{
+		Options: transport.Options{MaxConns: 2, Logf: t.Logf},
+		Listen:  []string{addr},
+		Clock:   microtime.NewClock(),
+	}, handler, func(*transport.Loop) { handler.begun = true })
 	require.NoError(t, err)
-	c := <-called
-	works(t, c, e.answer) // its session is there
-	require.NoError(t, c.Close())
-	<-e.closed
-	l.Stop()
-	require.NoError(t, l.Wait())
-	require.False(t, e.early, "a session before the beginning")
+	conn := <-called
+	works(t, conn, handler.answer) // its session is there
+	require.NoError(t, conn.Close())
+	<-handler.closed
+	loop.Stop()
+	require.NoError(t, loop.Wait())
+	require.False(t, handler.early, "a session before the beginning")
 }
 
 // eager notes a session that comes before the program has begun.
@@ -164,19 +174,19 @@
 
 // Guards the memory: a peer that asks and never reads is cut off, and harms no other.
 func TestSlowReaderIsCut(t *testing.T) {
-	e := &echo{answer: bytes.Repeat([]byte("r"), 32<<10)}
-	l := start(t, e, 10)
-	slow, other := connect(t, l), connect(t, l)
+	handler := &echo{answer: bytes.Repeat([]byte("r"), 32<<10)}
+	loop := start(t, handler, 10)
+	slow, other := connect(t, loop), connect(t, loop)
 	for cut := false; !cut; {
 		_, _ = slow.Write([]byte("x")) // fails once it is cut
 		select {
-		case who := <-e.closed:
+		case who := <-handler.closed:
 			require.Equal(t, slow.LocalAddr().String(), who)
 			cut = true
 		default:
 		}
 	}
-	works(t, other, e.answer)
+	works(t, other, handler.answer)
 }
 
 func isClosed(t *testing.T, c net.Conn) {
@@ -187,85 +197,88 @@
 // Guards the descriptors: a connection too many is closed at once where all others are in use, and they go on.
 // gnet would stop listening for good if the system had to refuse it one.
 func TestConnectionsAreBounded(t *testing.T) {
-	e := &echo{answer: []byte("r")}
-	l := start(t, e, 2)
-	one, two := connect(t, l), connect(t, l)
-	says(t, one, "v", e.answer)
-	says(t, two, "v", e.answer)
-	isClosed(t, connect(t, l))
-	works(t, one, e.answer)
-	one.Close()
-	<-e.closed
-	works(t, connect(t, l), e.answer)
+	handler := &echo{answer: []byte("r")}
+	loop := start(t, handler, 2)
+	one, two := connect(t, loop), connect(t, loop)
+	says(t, one, "v", handler.answer)
+	says(t, two, "v", handler.answer)
+	isClosed(t, connect(t, loop))
+	works(t, one, handler.answer)
+	require.NoError(t, one.Close())
+	<-handler.closed
+	works(t, connect(t, loop), handler.answer)
 }
 
-// Guards the proxies' places against strangers: whoever has sent nothing valid, or half a message, is closed when
-// its time is up, and whoever has stays, however quiet.
-func TestStrangersGo(t *testing.T) {
-	e, clock := &echo{answer: []byte("r")}, &handClock{}
-	l := startWith(t, e, Options{Options: transport.Options{MaxConns: 9}, Clock: clock})
-	proxy, silent := connect(t, l), connect(t, l)
-	says(t, proxy, "v", e.answer)
-	clock.move(t, l, transport.IdentificationTimeout/2)
-	half := connect(t, l)
-	says(t, half, "h", e.answer)
-	clock.move(t, l, transport.IdentificationTimeout/2)
-	require.Equal(t, silent.LocalAddr().String(), <-e.closed)
-	says(t, half, "h", e.answer) // trickles on
-	clock.move(t, l, transport.IdentificationTimeout/2)
-	require.Equal(t, half.LocalAddr().String(), <-e.closed)
-	clock.move(t, l, 100*transport.IdentificationTimeout)
-	works(t, proxy, e.answer)
+// Unidentified connections are closed when their time is up: those that have sent nothing valid, or half a message.
+// Whoever has sent something valid stays, however quiet.
+func TestUnidentifiedConnectionsAreClosed(t *testing.T) {
+	handler, clock := &echo{answer: []byte("r")}, &handClock{}
+	loop := startWith(t, handler, Options{Options: transport.Options{MaxConns: 9}, Clock: clock})
+	proxy, silent := connect(t, loop), connect(t, loop)
+	says(t, proxy, "v", handler.answer)
+	clock.move(t, loop, transport.IdentificationTimeout/2)
+	half := connect(t, loop)
+	says(t, half, "h", handler.answer)
+	clock.move(t, loop, transport.IdentificationTimeout/2)
+	require.Equal(t, silent.LocalAddr().String(), <-handler.closed)
+	says(t, half, "h", handler.answer) // trickles on
+	clock.move(t, loop, transport.IdentificationTimeout/2)
+	require.Equal(t, half.LocalAddr().String(), <-handler.closed)
+	clock.move(t, loop, 100*transport.IdentificationTimeout)
+	works(t, proxy, handler.answer)
 }
 
-// At the limit the oldest stranger makes room, then the connection that has been idle the longest; a connection
-// with something open never does.
-func TestMakeRoom(t *testing.T) {
-	e, clock := &echo{answer: []byte("r")}, &handClock{}
-	l := startWith(t, e, Options{Options: transport.Options{MaxConns: 4}, Clock: clock})
-	busy, idle, kept, stranger := connect(t, l), connect(t, l), connect(t, l), connect(t, l)
-	says(t, busy, "v", e.answer)
+// At the limit the oldest unidentified connection is evicted, then the one that has been idle the longest; a
+// connection with something open never is.
+func TestEviction(t *testing.T) {
+	handler, clock := &echo{answer: []byte("r")}, &handClock{}
+	loop := startWith(t, handler, Options{Options: transport.Options{MaxConns: 4}, Clock: clock})
+	busy, idle, kept, unidentified := connect(t, loop), connect(t, loop), connect(t, loop), connect(t, loop)
+	says(t, busy, "v", handler.answer)
 	says(t, idle, "vi", []byte("rr"))
-	says(t, stranger, "x", e.answer)
-	clock.move(t, l, transport.EvictionGrace)
+	says(t, unidentified, "x", handler.answer)
+	clock.move(t, loop, transport.EvictionGrace)
 	says(t, kept, "vi", []byte("rr"))
-	clock.move(t, l, transport.EvictionGrace)
-	for _, next := range []net.Conn{stranger, idle, kept} {
-		c := connect(t, l)
-		says(t, c, "v", e.answer)
-		require.Equal(t, next.LocalAddr().String(), <-e.closed)
+	clock.move(t, loop, transport.EvictionGrace)
+	for _, next := range []net.Conn{unidentified, idle, kept} {
+		conn := connect(t, loop)
+		says(t, conn, "v", handler.answer)
+		require.Equal(t, next.LocalAddr().String(), <-handler.closed)
 	}
-	isClosed(t, connect(t, l))
-	works(t, busy, e.answer)
+	isClosed(t, connect(t, loop))
+	works(t, busy, handler.answer)
 }
 
 // Guards the memory of a small machine: where all buffers together hold too much, whoever has the most waiting
 // goes first, and the others are served.
 func TestBuffersAreBoundedTogether(t *testing.T) {
-	e := &echo{answer: []byte("r")}
-	l := startWith(t, e, Options{Options: transport.Options{MaxConns: 99, MaxBuffered: 128 << 10}, Clock: &handClock{}})
-	other := connect(t, l)
-	works(t, other, e.answer)
+	handler := &echo{answer: []byte("r")}
+	loop := startWith(t, handler, Options{
+		Options: transport.Options{MaxConns: 99, MaxBuffered: 128 << 10},
+		Clock:   &handClock{},
+	})
+	other := connect(t, loop)
+	works(t, other, handler.answer)
 	hoards := map[string]bool{}
 	for range 3 {
-		c := connect(t, l)
-		hoards[c.LocalAddr().String()] = true
-		_, err := c.Write(bytes.Repeat([]byte("h"), 60<<10)) // each within its own bound
+		conn := connect(t, loop)
+		hoards[conn.LocalAddr().String()] = true
+		_, err := conn.Write(bytes.Repeat([]byte("h"), 60<<10)) // each within its own bound
 		require.NoError(t, err)
 	}
-	require.Contains(t, hoards, <-e.closed)
-	works(t, other, e.answer)
+	require.Contains(t, hoards, <-handler.closed)
+	works(t, other, handler.answer)
 }
 
 // Guards the memory against a peer that sends without end what is never taken.
 func TestUntakenInputIsBounded(t *testing.T) {
-	e := &echo{answer: []byte("r")}
-	l := start(t, e, 9)
-	c := connect(t, l)
+	handler := &echo{answer: []byte("r")}
+	loop := start(t, handler, 9)
+	conn := connect(t, loop)
 	for cut := false; !cut; {
-		_, _ = c.Write(bytes.Repeat([]byte("h"), 32<<10)) // fails once it is cut
+		_, _ = conn.Write(bytes.Repeat([]byte("h"), 32<<10)) // fails once it is cut
 		select {
-		case <-e.closed:
+		case <-handler.closed:
 			cut = true
 		default:
 		}
@@ -274,17 +287,17 @@
 
 // A link that is refused is dialled again until its peer listens.
 func TestDialUntilItOpens(t *testing.T) {
-	e := &echo{answer: []byte("r")}
-	l := start(t, e, 2)
+	handler := &echo{answer: []byte("r")}
+	loop := start(t, handler, 2)
 	// A port that is taken, and refuses until it listens.
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM, 0)
 	require.NoError(t, err)
 	require.NoError(t, unix.Bind(fd, &unix.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}))
 	addr := localAddr(fd).String()
-	require.NoError(t, l.Execute(func() {
-		l.Dial(addr, func(k transport.Conn) transport.Session {
-			s := &echoSession{e: e, link: k}
-			e.dials <- s
+	require.NoError(t, loop.Execute(func() {
+		loop.Dial(addr, func(conn transport.Conn) transport.Session {
+			s := &echoSession{e: handler, conn: conn}
+			handler.dials <- s
 			return s
 		})
 	}))
@@ -292,41 +305,41 @@
 	require.Error(t, err)
 	require.NoError(t, unix.Listen(fd, 1))
 	file := os.NewFile(uintptr(fd), "listener")
-	defer file.Close()
-	ln, err := net.FileListener(file)
+	closeAtEnd(t, file)
+	listener, err := net.FileListener(file)
 	require.NoError(t, err)
-	defer ln.Close()
-	c, err := ln.Accept()
+	closeAtEnd(t, listener)
+	conn, err := listener.Accept()
 	require.NoError(t, err)
-	<-e.dials
-	works(t, c, e.answer)
-	require.NoError(t, c.Close())
-	<-e.closed
+	<-handler.dials
+	works(t, conn, handler.answer)
+	require.NoError(t, conn.Close())
+	<-handler.closed
 }
 
 // Guards a change of configuration: a link that was dropped while it was dialled is closed as it opens, and its
 // address is not dialled again.
 func TestDroppedDialNeverOpens(t *testing.T) {
-	e := &echo{answer: []byte("r")}
-	l := start(t, e, 2)
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	handler := &echo{answer: []byte("r")}
+	loop := start(t, handler, 2)
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	defer ln.Close()
+	closeAtEnd(t, listener)
 	var peer net.Conn
 	opened := make(chan struct{}, 1)
-	require.NoError(t, l.Execute(func() {
-		drop := l.Dial(ln.Addr().String(), func(k transport.Conn) transport.Session {
+	require.NoError(t, loop.Execute(func() {
+		drop := loop.Dial(listener.Addr().String(), func(conn transport.Conn) transport.Session {
 			opened <- struct{}{}
-			return &echoSession{e: e, link: k}
+			return &echoSession{e: handler, conn: conn}
 		})
-		peer, err = ln.Accept() // the loop is here, so the link cannot be open on it yet
+		peer, err = listener.Accept() // the loop is here, so the link cannot be open on it yet
 		drop()
 	}))
 	done := make(chan struct{})
-	require.NoError(t, l.Execute(func() { close(done) }))
+	require.NoError(t, loop.Execute(func() { close(done) }))
 	<-done
 	require.NoError(t, err)
-	defer peer.Close()
+	closeAtEnd(t, peer)
 	_, err = peer.Read(make([]byte, 1))
 	require.ErrorIs(t, err, io.EOF)
 	require.Empty(t, opened)
@@ -334,18 +347,18 @@
 
 // Reports go to the address set last; one that makes no sense leaves the one before.
 func TestDatagramsMove(t *testing.T) {
-	l := start(t, &echo{}, 2)
+	loop := start(t, &echo{}, 2)
 	peers := make([]net.PacketConn, 2)
 	for i := range peers {
 		var err error
 		peers[i], err = net.ListenPacket("udp", "127.0.0.1:0")
 		require.NoError(t, err)
-		defer peers[i].Close()
+		closeAtEnd(t, peers[i])
 		failed := make(chan error, 2)
-		require.NoError(t, l.Execute(func() {
-			failed <- l.SetDatagramPeer(peers[i].LocalAddr().String())
-			failed <- l.SetDatagramPeer("nowhere")
-			l.SendDatagram([]byte{byte(i)})
+		require.NoError(t, loop.Execute(func() {
+			failed <- loop.SetDatagramPeer(peers[i].LocalAddr().String())
+			failed <- loop.SetDatagramPeer("nowhere")
+			loop.SendDatagram([]byte{byte(i)})
 		}))
 		require.NoError(t, <-failed)
 		require.Error(t, <-failed)
