--- a/control/learned.go
+++ b/control/learned.go
@@ -1,72 +1,96 @@
 package control
 
-// LearnedState is what a Controller has found out about its machine and its classes: what a successor on the same machine
-// need not find out anew. It holds no decisions. Times are in seconds.
+const (
+	// maxRestoredLimitPerCore bounds a restored concurrency limit for each core.
+	maxRestoredLimitPerCore = 100
+	// maxRestoredMean bounds a restored mean: no time and no count of a request comes near it.
+	maxRestoredMean = 3600
+)
+
+// LearnedState is what a Controller has learned of its machine and its classes, so that a successor on the same machine
+// need not learn it anew. It holds no decisions. Times are in seconds.
 type LearnedState struct {
-	Limit, Alpha, Said float64 // of running requests; of the lanes; the free value
-	Usual, SlotTime    MeanEstimate
-	CallTime           MeanEstimate // of calls below
-	Classes            []LearnedClassState
+	ConcurrencyLimit, PriorityShare, LoadSignal float64 // of running requests; of the lanes; the free value
+	UsualSlowdown, SlotTime                     MeanEstimate
+	CallTime                                    MeanEstimate // of calls below
+	Classes                                     []LearnedClassState
 }
 
 // MeanEstimate is a mean and the completions behind it.
-type MeanEstimate struct{ N, V float64 }
+type MeanEstimate struct{ Count, Value float64 }
 
 // LearnedClassState is what is known of the class of that name.
 type LearnedClassState struct {
-	Name                string
-	Service, Slot, Away MeanEstimate
-	Calls               MeanEstimate // of a request
+	Name                                 string
+	ServiceTime, SlotTime, RejectedShare MeanEstimate
+	CallsPerRequest                      MeanEstimate // of a request
 }
 
-// LearnedState tells what has been found out.
+// LearnedState returns what has been learned.
 func (c *Controller) LearnedState() LearnedState {
-	l := LearnedState{Limit: c.limit, Alpha: c.alpha, Said: c.said, Usual: MeanEstimate{c.usual.n, c.usual.v}, SlotTime: MeanEstimate{c.slotTime.n, c.slotTime.v},
-		CallTime: MeanEstimate{c.callTime.n, c.callTime.v}}
-	for _, k := range c.classes {
-		l.Classes = append(l.Classes, LearnedClassState{k.Name, MeanEstimate{k.service.n, k.service.v}, MeanEstimate{k.slot.n, k.slot.v}, MeanEstimate{k.away.n, k.away.v},
-			MeanEstimate{k.calls.n, k.calls.v}})
+	learned := LearnedState{
+		ConcurrencyLimit: c.concurrencyLimit,
+		PriorityShare:    c.priorityShare,
+		LoadSignal:       c.loadSignalValue,
+		UsualSlowdown:    c.usualSlowdown.estimate(),
+		SlotTime:         c.slotTime.estimate(),
+		CallTime:         c.callTime.estimate(),
+	}
+	for _, class := range c.classes {
+		learned.Classes = append(learned.Classes, LearnedClassState{
+			Name:            class.Name,
+			ServiceTime:     class.service.estimate(),
+			SlotTime:        class.slot.estimate(),
+			RejectedShare:   class.rejectedShare.estimate(),
+			CallsPerRequest: class.callsPerRequest.estimate(),
+		})
 	}
-	return l
+	return learned
 }
 
-// RestoreLearned takes up what a predecessor on the same machine has found out. Figures that make no sense are passed over: they come
-// from another process.
-func (c *Controller) RestoreLearned(l LearnedState) {
-	take := func(m *mean, from MeanEstimate, most float64) {
-		if from.N > 0 && from.N <= most && from.V > 0 && from.V < 3600 {
-			m.n, m.v = from.N, from.V
-		}
-	}
-	cores := float64(c.s.Cores)
-	if l.Limit >= limitMin*cores && l.Limit <= 100*cores {
-		c.limit = l.Limit
+// RestoreLearned takes up what a predecessor on the same machine has learned. Figures that make no sense are skipped
+// one by one, as they come from another process.
+func (c *Controller) RestoreLearned(learned LearnedState) {
+	cores := float64(c.settings.Cores)
+	limit := learned.ConcurrencyLimit
+	if limit >= minLimitPerCore*cores && limit <= maxRestoredLimitPerCore*cores {
+		c.concurrencyLimit = limit
 	}
-	if l.Alpha >= alphaMin && l.Alpha <= alphaMax {
-		c.alpha = l.Alpha
+	if learned.PriorityShare >= minPriorityShare && learned.PriorityShare <= maxPriorityShare {
+		c.priorityShare = learned.PriorityShare
 	}
-	if most := c.mostSaid(); l.Said >= 0 && l.Said <= most {
-		c.said = l.Said
+	if learned.LoadSignal >= 0 && learned.LoadSignal <= c.maxLoadSignal() {
+		c.loadSignalValue = learned.LoadSignal
 	}
-	take(&c.usual, l.Usual, usualRuns)
-	take(&c.slotTime, l.SlotTime, window)
-	take(&c.callTime, l.CallTime, window)
-	for _, from := range l.Classes {
-		for _, k := range c.classes {
-			if k.Name == from.Name {
-				take(&k.service, from.Service, window)
-				take(&k.slot, from.Slot, window)
-				take(&k.away, from.Away, window)
-				take(&k.calls, from.Calls, window)
+	c.usualSlowdown.restore(learned.UsualSlowdown, usualSlowdownSamples)
+	c.slotTime.restore(learned.SlotTime, sampleWindow)
+	c.callTime.restore(learned.CallTime, sampleWindow)
+	for _, from := range learned.Classes {
+		for _, class := range c.classes {
+			if class.Name == from.Name {
+				class.service.restore(from.ServiceTime, sampleWindow)
+				class.slot.restore(from.SlotTime, sampleWindow)
+				class.rejectedShare.restore(from.RejectedShare, sampleWindow)
+				class.callsPerRequest.restore(from.CallsPerRequest, sampleWindow)
 			}
 		}
 	}
 }
 
-// mostSaid is the highest free value that makes sense.
-func (c *Controller) mostSaid() float64 {
-	if c.s.LoadSignal == LoadSignalAllowance {
-		return allowMost * c.limit
+// estimate returns the mean for a LearnedState.
+func (m *runningMean) estimate() MeanEstimate { return MeanEstimate{Count: m.count, Value: m.value} }
+
+// restore takes up a predecessor's mean of at most maxCount samples, if it makes sense.
+func (m *runningMean) restore(from MeanEstimate, maxCount float64) {
+	if from.Count > 0 && from.Count <= maxCount && from.Value > 0 && from.Value < maxRestoredMean {
+		m.count, m.value = from.Count, from.Value
+	}
+}
+
+// maxLoadSignal is the highest load signal that makes sense.
+func (c *Controller) maxLoadSignal() float64 {
+	if c.settings.LoadSignal == LoadSignalAllowance {
+		return maxAllowancePerSlot * c.concurrencyLimit
 	}
 	return 1
 }
