--- a/docs/architecture_test.go
+++ b/docs/architecture_test.go
@@ -30,7 +30,8 @@
 		paths := packagePath.FindAllStringSubmatch(string(text), -1)
 		require.NotEmpty(t, paths, page)
 		for _, match := range paths {
-			require.FileExists(t, filepath.Join("..", match[1]), page)
+			_, err := os.Stat(filepath.Join("..", strings.TrimSuffix(match[1], "/...")))
+			require.NoError(t, err, page)
 		}
 		for _, match := range qualified.FindAllStringSubmatch(string(text), -1) {
 			name := match[1] + "." + match[2]
