--- /dev/null
+++ b/internal/decide/consensus/change.go
@@ -0,0 +1,217 @@
+package consensus
+
+import "strconv"
+
+// ValueKind is how far the execution under an idempotency key has come.
+type ValueKind uint8
+
+// The kinds of values. The numbers are part of the format on the wire and on disk.
+const (
+	KindNone       ValueKind = iota // nothing is agreed on
+	KindLeased                      // the owner may run the request, and may have
+	KindSucceeded                   // the request ran, with Result
+	KindFailed                      // the request ran and failed, or the end of its run is lost
+	KindMembership                  // Result is the text of the membership that follows another one
+)
+
+// String returns the name of the kind.
+func (k ValueKind) String() string {
+	switch k {
+	case KindNone:
+		return "none"
+	case KindLeased:
+		return "leased"
+	case KindSucceeded:
+		return "succeeded"
+	case KindFailed:
+		return "failed"
+	case KindMembership:
+		return "membership"
+	}
+	return "ValueKind(" + strconv.Itoa(int(k)) + ")"
+}
+
+// Value is what is agreed on a key. Times are those that the callers' attempts carry, in Unix milliseconds, so that no
+// server's clock matters.
+type Value struct {
+	Kind        ValueKind
+	Owner       uint32 // the server that holds or held the lease
+	Incarnation uint64 // of the owner's process: the next process knows nothing of what this one ran
+	Attempt     uint64 // number of the lease within that process: two leases of one process differ as well
+	AttemptedAt int64  // time of the attempt that runs
+	Result      string
+}
+
+// ChangeKind is what a change does to a value.
+type ChangeKind uint8
+
+// The kinds of changes.
+const (
+	AcquireLease     ChangeKind = iota // takes the lease to run the request
+	RecordResult                       // records the end of a run
+	ReadValue                          // changes nothing, and has a majority accept what is agreed on
+	ReleaseLease                       // gives the lease back: the run was not begun
+	DecideMembership                   // decides which membership follows another one
+)
+
+// String returns the name of the kind.
+func (k ChangeKind) String() string {
+	switch k {
+	case AcquireLease:
+		return "acquire lease"
+	case RecordResult:
+		return "record result"
+	case ReadValue:
+		return "read value"
+	case ReleaseLease:
+		return "release lease"
+	case DecideMembership:
+		return "decide membership"
+	}
+	return "ChangeKind(" + strconv.Itoa(int(k)) + ")"
+}
+
+// Outcome is what a change means for its proposer.
+type Outcome uint8
+
+// The outcomes.
+const (
+	OutcomeLeaseGranted      Outcome = iota + 1 // the proposer may run the request, once
+	OutcomeSucceeded                            // the request ran, with the result of the value
+	OutcomeFailed                               // the request ran and failed
+	OutcomeIndeterminate                        // another process may have run it: unknown until the retention is over
+	OutcomeLeaseLost                            // the proposer does not hold the lease any more
+	OutcomeVacant                               // nothing that is known stands in the way of a run
+	OutcomeMembershipDecided                    // the value's result is the membership that follows
+)
+
+// String returns the name of the outcome.
+func (o Outcome) String() string {
+	switch o {
+	case OutcomeLeaseGranted:
+		return "lease granted"
+	case OutcomeSucceeded:
+		return "succeeded"
+	case OutcomeFailed:
+		return "failed"
+	case OutcomeIndeterminate:
+		return "indeterminate"
+	case OutcomeLeaseLost:
+		return "lease lost"
+	case OutcomeVacant:
+		return "vacant"
+	case OutcomeMembershipDecided:
+		return "membership decided"
+	}
+	return "Outcome(" + strconv.Itoa(int(o)) + ")"
+}
+
+// Change is a change of a key's value that a server wants: the change function of CASPaxos.
+type Change struct {
+	Kind        ChangeKind
+	Proposer    Identity
+	Attempt     uint64 // within the proposer's process: of a lease its number, of all else that of the lease it is about
+	AttemptedAt int64  // time of the attempt, Unix milliseconds
+	Retention   int64  // how long a value stays in force, milliseconds
+	Succeeded   bool   // of RecordResult: how the run has ended
+	Result      string // of RecordResult and DecideMembership
+	// NeverStarted says that no lease that this process has had for the key before led to a run, or will. AcquireLease
+	// may take the place of such a lease.
+	NeverStarted bool
+	// ForcedAt is when an operator went on without a majority, Unix milliseconds; 0: never. For the retention after that
+	// time an empty register does not prove that nothing ran.
+	ForcedAt int64
+}
+
+// Apply returns what the change makes of a value, and what that means for the proposer. It may be called several times,
+// with whatever is agreed on by then: a change that was made already is not made again.
+func (c Change) Apply(v Value) (Value, Outcome) {
+	switch c.Kind {
+	case RecordResult:
+		return c.recordResult(v)
+	case ReleaseLease:
+		if c.holdsLease(v) {
+			return Value{}, OutcomeVacant
+		}
+		return v, OutcomeLeaseLost
+	case DecideMembership:
+		if v.Kind == KindNone {
+			v = Value{Kind: KindMembership, Result: c.Result}
+		}
+		return v, OutcomeMembershipDecided
+	case AcquireLease, ReadValue:
+	}
+	return c.acquireOrRead(v)
+}
+
+func (c Change) recordResult(v Value) (Value, Outcome) {
+	holds := c.holdsLease(v)
+	switch {
+	// A register may be empty though the request did run: the lease was given up together with its replicas.
+	case (holds || v.Kind == KindNone) && c.Succeeded:
+		succeeded := c.ownValue(KindSucceeded)
+		succeeded.Result = c.Result
+		return succeeded, OutcomeSucceeded
+	case holds:
+		v.Kind = KindFailed
+		return v, OutcomeFailed
+	case v.Kind == KindSucceeded && c.sameAttempt(v):
+		return v, OutcomeSucceeded
+	case v.Kind == KindFailed && c.sameAttempt(v):
+		return v, OutcomeFailed
+	}
+	return v, OutcomeLeaseLost
+}
+
+// acquireOrRead compares times of attempts alone: what counts is when a repeated request was sent by its own word.
+func (c Change) acquireOrRead(v Value) (Value, Outcome) {
+	expired := v.Kind == KindNone || c.AttemptedAt >= v.AttemptedAt+c.Retention
+	switch {
+	case expired && c.withinForcedRetention():
+		return v, OutcomeIndeterminate
+	case expired && c.Kind == ReadValue:
+		return v, OutcomeVacant
+	case expired, c.Kind == AcquireLease && c.supersedes(v):
+		return c.ownValue(KindLeased), OutcomeLeaseGranted
+	case c.Kind == AcquireLease && c.holdsLease(v):
+		return v, OutcomeLeaseGranted
+	case v.Kind == KindSucceeded:
+		return v, OutcomeSucceeded
+	case v.Kind == KindFailed:
+		return v, OutcomeFailed
+	}
+	return v, OutcomeIndeterminate
+}
+
+// withinForcedRetention reports whether values that were lost when an operator went on without a majority may still be
+// in force.
+func (c Change) withinForcedRetention() bool {
+	return c.ForcedAt > 0 && c.AttemptedAt < c.ForcedAt+c.Retention
+}
+
+// supersedes reports whether v is an earlier lease of the same process that led to no run. A later lease is never
+// superseded: guards a run against a lease that was given up before it and is agreed on after it.
+func (c Change) supersedes(v Value) bool {
+	return v.Kind == KindLeased && c.sameProcess(v) && c.NeverStarted && v.Attempt < c.Attempt
+}
+
+func (c Change) holdsLease(v Value) bool { return v.Kind == KindLeased && c.sameAttempt(v) }
+
+func (c Change) sameAttempt(v Value) bool {
+	return c.sameProcess(v) && v.Attempt == c.Attempt && v.AttemptedAt == c.AttemptedAt
+}
+
+func (c Change) sameProcess(v Value) bool {
+	return v.Owner == c.Proposer.ID && v.Incarnation == c.Proposer.Incarnation
+}
+
+// ownValue returns a value that belongs to the attempt of the change.
+func (c Change) ownValue(kind ValueKind) Value {
+	return Value{
+		Kind:        kind,
+		Owner:       c.Proposer.ID,
+		Incarnation: c.Proposer.Incarnation,
+		Attempt:     c.Attempt,
+		AttemptedAt: c.AttemptedAt,
+	}
+}
--- a/internal/decide/consensus/copies_test.go
+++ b/internal/decide/consensus/copies_test.go
@@ -79,11 +79,11 @@
 	for _, s := range g.servers {
 		num(s.life, uint64(s.attempts), yes(s.ran), yes(s.ended))
 		if o := s.op; o != nil {
-			num(uint64(o.Change.Kind), yes(o.accept), yes(o.peek), yes(o.over), uint64(o.verdict), o.seen, uint64(len(o.votes)))
+			num(uint64(o.Change.Kind), yes(o.phase == phaseAccept), yes(o.phase == phaseRead), yes(o.done), uint64(o.outcome), o.preemptedBy, uint64(len(o.voters)))
 			ballot(o.Ballot)
 			ballot(o.newest)
 			value(o.value)
-			for _, m := range o.votes {
+			for _, m := range o.voters {
 				num(uint64(m.ID))
 			}
 		}
@@ -103,7 +103,7 @@
 		return "run twice"
 	}
 	for _, s := range g.servers {
-		if s.op != nil && s.op.over && s.op.verdict == OutcomeSucceeded && g.runs[s.key] == 0 {
+		if s.op != nil && s.op.done && s.op.outcome == OutcomeSucceeded && g.runs[s.key] == 0 {
 			return "served what never ran"
 		}
 	}
@@ -116,7 +116,7 @@
 	for i := range n.servers {
 		if op := n.servers[i].op; op != nil {
 			c := *op
-			c.votes = slices.Clone(op.votes)
+			c.voters = slices.Clone(op.voters)
 			n.servers[i].op = &c
 		}
 	}
@@ -160,22 +160,22 @@
 		case s.op == nil && s.attempts < g.bounds.attempts:
 			add(name+" asks", func(n *group) {
 				n.servers[i].attempts++
-				n.servers[i].op, _ = NewProposal(key, 0, [][]Identity{three}, Change{Proposer: self, AttemptedAt: int64(s.life), Retention: window}, 1)
+				n.servers[i].op, _ = newProposal(key, three, Change{Proposer: self, AttemptedAt: int64(s.life), Retention: window}, 1)
 			})
-		case s.op != nil && !s.op.over && s.attempts < g.bounds.attempts:
+		case s.op != nil && !s.op.done && s.attempts < g.bounds.attempts:
 			add(name+" asks again", func(n *group) {
 				n.servers[i].attempts++
 				n.servers[i].op.Retry(uint64(n.servers[i].attempts))
 			})
-		case s.op != nil && s.op.over && s.op.verdict == OutcomeLeaseGranted && !s.ran:
+		case s.op != nil && s.op.done && s.op.outcome == OutcomeLeaseGranted && !s.ran:
 			add(name+" runs", func(n *group) {
 				n.servers[i].ran = true
 				n.runs[s.key]++
 			})
-		case s.ran && !s.ended && s.op.over:
+		case s.ran && !s.ended && s.op.done:
 			add(name+" run ends", func(n *group) {
 				n.servers[i].ended = true
-				n.servers[i].op, _ = NewProposal(key, 0, [][]Identity{three}, Change{Kind: RecordResult, Proposer: self, AttemptedAt: int64(s.life), Retention: window, Succeeded: true, Result: "r"}, s.op.Ballot.Number+1)
+				n.servers[i].op, _ = newProposal(key, three, Change{Kind: RecordResult, Proposer: self, AttemptedAt: int64(s.life), Retention: window, Succeeded: true, Result: "r"}, s.op.Ballot.Number+1)
 			})
 		}
 		if s.op != nil && g.deaths < g.bounds.deaths {
@@ -184,11 +184,11 @@
 				n.servers[i] = asker{server: s.server, key: s.key, life: s.life + 1}
 			})
 		}
-		if s.op != nil && !s.op.over {
+		if s.op != nil && !s.op.done {
 			for h := range g.holders {
 				add(fmt.Sprintf("holder %d answers %s", h, name), func(n *group) {
 					op := n.servers[i].op
-					if r, ok := n.reach(h, Request{Key: key, Ballot: op.Ballot, Accept: op.accept, Read: op.peek, Value: op.value}); ok {
+					if r, ok := n.reach(h, Request{Key: key, Ballot: op.Ballot, Accept: op.phase == phaseAccept, Read: op.phase == phaseRead, Value: op.value}); ok {
 						n.sent(op.HandleReply(r))
 					}
 				})
@@ -263,7 +263,7 @@
 			self := Identity{uint32(10 + rng.IntN(3)), uint64(1 + try)}
 			c := Change{Proposer: self, Attempt: uint64(try), AttemptedAt: int64(100 + try), Retention: window}
 			for step := 0; step < 2; step++ {
-				op, net := NewProposal("k", 0, [][]Identity{members}, c, 1)
+				op, net := newProposal("k", members, c, 1)
 				var inbox []any
 				for _, r := range net {
 					inbox = append(inbox, r)
@@ -363,3 +363,7 @@
 		require.InDelta(t, 5000*3/16, n, 100)
 	}
 }
+
+func newProposal(key string, replicas []Identity, change Change, number uint64) (*Proposal, []Request) {
+	return NewProposal(ProposalConfig{Key: key, Change: change, Number: number, Configurations: [][]Identity{replicas}})
+}
--- /dev/null
+++ b/internal/decide/consensus/inflight.go
@@ -0,0 +1,170 @@
+package consensus
+
+import (
+	"slices"
+
+	"pewterline/internal/microtime"
+)
+
+const (
+	// firstPreemptionShift makes the first pause after a preemption a 16th of the attempt timeout: the number that is
+	// known by then will be too low after a while.
+	firstPreemptionShift = 5
+	// maxPreemptionShift bounds the growth of that pause.
+	maxPreemptionShift = 10
+)
+
+// inFlightProposal is a proposal, and the times at which something is due for it.
+type inFlightProposal struct {
+	id          uint64
+	proposal    *Proposal
+	repair      bool
+	retryAt     microtime.Time
+	deadline    microtime.Time
+	backoff     microtime.Time // until the retry after the next one
+	preemptions int
+}
+
+// Propose starts a change of a key, and returns the ID of its Result. The errors are ErrNoMembership and
+// ErrTooManyInFlight. The number of a lease's attempt is the ID; changes that follow from the lease have to carry it.
+func (n *Node) Propose(now microtime.Time, key string, c Change) (uint64, error) {
+	switch {
+	case n.membership.Epoch == 0:
+		return 0, ErrNoMembership
+	case len(n.inFlight)-n.repairs.active >= n.config.MaxInFlight:
+		return 0, ErrTooManyInFlight
+	}
+	if c.Kind == AcquireLease {
+		c.Attempt = n.lastID + 1
+	}
+	c.ForcedAt = n.membership.ForcedAt
+	return n.propose(now, key, c, n.membership.Replicas(key, n.hash)), nil
+}
+
+func (n *Node) propose(now microtime.Time, key string, c Change, configurations [][]Identity) uint64 {
+	return n.start(now, ProposalConfig{Key: key, Change: c, Configurations: configurations})
+}
+
+// start puts a proposal in flight; the epoch, the proposer and the ballot's number are filled in.
+func (n *Node) start(now microtime.Time, config ProposalConfig) uint64 {
+	n.lastID++
+	n.ballotNumber++
+	config.Change.Proposer = n.ProposerID
+	config.Epoch = n.membership.Epoch
+	config.Number = n.ballotNumber
+	proposal, requests := NewProposal(config)
+	n.inFlight = append(n.inFlight, &inFlightProposal{
+		id:       n.lastID,
+		proposal: proposal,
+		repair:   config.WaitForAll,
+		retryAt:  now + n.config.AttemptTimeout,
+		deadline: now + n.config.ProposalTimeout,
+		backoff:  n.config.AttemptTimeout,
+	})
+	n.ready.Requests = append(n.ready.Requests, requests...)
+	return n.lastID
+}
+
+// HandleReply takes a reply to a request of this node.
+func (n *Node) HandleReply(now microtime.Time, r Reply) {
+	if !r.OK && r.Epoch < n.membership.Epoch {
+		n.notify(r.From.ID)
+	}
+	n.ballotNumber = max(n.ballotNumber, r.Promised.Number)
+	index := slices.IndexFunc(n.inFlight, func(p *inFlightProposal) bool {
+		return p.proposal.Ballot == r.Ballot && p.proposal.Key == r.Key
+	})
+	if index < 0 {
+		return
+	}
+	p := n.inFlight[index]
+	n.ready.Requests = append(n.ready.Requests, p.proposal.HandleReply(r)...)
+	if _, _, done := p.proposal.Done(); done {
+		n.end(now, index)
+	} else if p.proposal.Preempted() {
+		n.backOffAfterPreemption(now, p)
+	}
+}
+
+// backOffAfterPreemption draws when a preempted proposal is retried. The pause is random and grows, so that two
+// proposers of a key don't go on standing in each other's way.
+func (n *Node) backOffAfterPreemption(now microtime.Time, p *inFlightProposal) {
+	p.preemptions++
+	longest := n.config.AttemptTimeout >> firstPreemptionShift << min(p.preemptions, maxPreemptionShift)
+	longest = min(longest, n.config.ProposalTimeout)
+	p.retryAt = min(p.retryAt, now+1+microtime.Time(n.rng.Int64N(int64(longest+1))))
+}
+
+// tickProposals retries and ends what is due.
+func (n *Node) tickProposals(now microtime.Time) {
+	for i := 0; i < len(n.inFlight); i++ {
+		p := n.inFlight[i]
+		switch {
+		case now >= p.deadline || p.repair && now >= p.retryAt && p.proposal.SettleForMajority():
+			p.proposal.SettleForMajority()
+			n.end(now, i)
+			i--
+		case now >= p.retryAt:
+			n.ballotNumber++
+			n.ready.Requests = append(n.ready.Requests, p.proposal.Retry(n.ballotNumber)...)
+			n.ballotNumber = max(n.ballotNumber, p.proposal.Ballot.Number)
+			p.backoff = min(2*p.backoff, n.config.ProposalTimeout)
+			p.retryAt = now + p.backoff/2 + microtime.Time(n.rng.Int64N(int64(p.backoff)))
+		}
+	}
+}
+
+// end takes off a proposal that is done, or whose time is over.
+func (n *Node) end(now microtime.Time, index int) {
+	p := n.inFlight[index]
+	n.inFlight = slices.Delete(n.inFlight, index, index+1)
+	outcome, value, known := p.proposal.Done()
+	switch {
+	case p.repair:
+		n.endRepair(p.proposal, known)
+	case p.id == n.change.proposalID:
+		n.change.proposalID = 0
+		if known {
+			n.membershipDecided(now, value)
+		}
+	default:
+		n.ready.Results = append(n.ready.Results, Result{p.id, p.proposal.Key, known, outcome, value})
+	}
+}
+
+// reconfigure has the proposals in flight go on at the replicas of the membership that was adopted just now.
+func (n *Node) reconfigure(now microtime.Time) {
+	for i := 0; i < len(n.inFlight); i++ {
+		p := n.inFlight[i]
+		if isMembershipKey(p.proposal.Key) { // what it was to decide is known now
+			n.change.proposalID = 0
+			n.inFlight = slices.Delete(n.inFlight, i, i+1)
+			i--
+			continue
+		}
+		n.ballotNumber++
+		p.proposal.Change.ForcedAt = n.membership.ForcedAt
+		configurations := n.membership.Replicas(p.proposal.Key, n.hash)
+		if p.repair {
+			p.proposal.unreachable = n.unreachable(configurations)
+		}
+		requests := p.proposal.Reconfigure(n.membership.Epoch, configurations, n.ballotNumber)
+		n.ready.Requests = append(n.ready.Requests, requests...)
+		n.ballotNumber = max(n.ballotNumber, p.proposal.Ballot.Number)
+		p.retryAt = now + p.backoff
+	}
+}
+
+// unreachable returns the replicas of which no reply can be expected. Guards repairs against a lost member: each would
+// wait for it in vain.
+func (n *Node) unreachable(configurations [][]Identity) (out []Identity) {
+	for _, configuration := range configurations {
+		for _, replica := range configuration {
+			member, _ := n.membership.Find(replica.ID)
+			if member.Identity != replica || replica.ID != n.AcceptorID.ID && !n.reachable[replica.ID] {
+				out = append(out, replica)
+			}
+		}
+	}
+	return out
+}
--- /dev/null
+++ b/internal/decide/consensus/membership.go
@@ -0,0 +1,167 @@
+package consensus
+
+import (
+	"errors"
+	"fmt"
+	"slices"
+	"strings"
+)
+
+const (
+	// MaxMembers is the most members that a configuration may have.
+	MaxMembers = 300
+	// maxReplicationFactor bounds the replicas of a key.
+	maxReplicationFactor = 9
+)
+
+// ErrInvalidMembership is wrapped by the errors of a membership that makes no sense, and of one of another cluster.
+var ErrInvalidMembership = errors.New("invalid membership")
+
+// Member is a server of a cluster as an acceptor, and the address at which the others reach it.
+type Member struct {
+	Identity
+	Addr string
+}
+
+// Membership is which servers replicate the keys of a cluster. Each membership decides the one that follows it, in a
+// register of its own at all its current members: so there is one line of memberships, and who has heard of the newest
+// knows it all. A change of members takes two steps, as in joint consensus: first a membership with a Next configuration
+// is decided, and from then on each key needs a majority of its replicas in both; once all keys have been transferred to
+// the replicas of Next, a membership with Next alone is decided. The members of Current alone decide, so that a change
+// whose newcomer is lost can be abandoned.
+type Membership struct {
+	ClusterID         uint64 // drawn when the cluster was founded
+	Epoch             uint64 // one more with each membership; 0: none is known
+	ReplicationFactor int    // replicas of each key
+	Current           []Member
+	Next              []Member // empty: no change is in progress
+	ForcedAt          int64    // when an operator went on without a majority, Unix milliseconds; 0: never
+	Reason            string   // for operators
+}
+
+// Validate returns an error that names what makes no sense.
+func (m Membership) Validate() error {
+	if m.ClusterID == 0 || m.Epoch == 0 {
+		return fmt.Errorf("%w: no cluster ID or no epoch", ErrInvalidMembership)
+	}
+	if m.ReplicationFactor < 1 || m.ReplicationFactor%2 == 0 || m.ReplicationFactor > maxReplicationFactor {
+		return fmt.Errorf("%w: the replication factor %d is not odd and within 1 to %d",
+			ErrInvalidMembership, m.ReplicationFactor, maxReplicationFactor)
+	}
+	if len(m.Current) == 0 {
+		return fmt.Errorf("%w: no members", ErrInvalidMembership)
+	}
+	if err := validateMembers(m.Current); err != nil {
+		return err
+	}
+	return validateMembers(m.Next)
+}
+
+func validateMembers(members []Member) error {
+	if len(members) > MaxMembers {
+		return fmt.Errorf("%w: %d members are over %d", ErrInvalidMembership, len(members), MaxMembers)
+	}
+	seen := map[uint32]bool{}
+	for _, member := range members {
+		switch {
+		case member.ID == 0 || seen[member.ID]:
+			return fmt.Errorf("%w: member %d at %q: the number is 0 or another member's",
+				ErrInvalidMembership, member.ID, member.Addr)
+		case member.Addr == "" || strings.ContainsAny(member.Addr, ` |"`):
+			return fmt.Errorf("%w: member %d: %q is no address", ErrInvalidMembership, member.ID, member.Addr)
+		}
+		seen[member.ID] = true
+	}
+	return nil
+}
+
+// Find returns the member with a server's number; of both configurations, the next one goes first.
+func (m Membership) Find(id uint32) (Member, bool) {
+	for _, configuration := range [][]Member{m.Next, m.Current} {
+		for _, member := range configuration {
+			if member.ID == id {
+				return member, true
+			}
+		}
+	}
+	return Member{}, false
+}
+
+// Contains reports whether an acceptor is a member of the current or the next configuration.
+func (m Membership) Contains(acceptor Identity) bool {
+	return containsIdentity(m.Current, acceptor) || containsIdentity(m.Next, acceptor)
+}
+
+// Members returns the members of the current and the next configuration, each once.
+func (m Membership) Members() []Member {
+	members := slices.Clone(m.Current)
+	for _, member := range m.Next {
+		if !containsIdentity(members, member.Identity) {
+			members = append(members, member)
+		}
+	}
+	return members
+}
+
+// Replicas returns the replicas of a key in the current configuration and, while members change, in the next one.
+func (m Membership) Replicas(key string, hash func(string) uint64) [][]Identity {
+	configurations := m.configurations()
+	for i, configuration := range configurations {
+		configurations[i] = Replicas(key, configuration, m.ReplicationFactor, hash)
+	}
+	return configurations
+}
+
+// ToleratedFailures returns how many members may be lost without any key losing the majority of its replicas.
+func (m Membership) ToleratedFailures() int {
+	return (min(m.ReplicationFactor, len(m.Current)) - 1) / 2
+}
+
+// configurations returns the members of the current configuration, and of the next one if there is any.
+func (m Membership) configurations() [][]Identity {
+	if len(m.Next) == 0 {
+		return [][]Identity{identities(m.Current)}
+	}
+	return [][]Identity{identities(m.Current), identities(m.Next)}
+}
+
+// successor returns the membership after m with another next configuration.
+func (m Membership) successor(next []Member, reason string) Membership {
+	m.Epoch++
+	m.Next = next
+	m.Reason = reason
+	return m
+}
+
+// abandoned returns the membership after m without the change in progress.
+func (m Membership) abandoned() Membership {
+	return m.successor(nil, "the change is given up: "+m.Reason)
+}
+
+// completed returns the membership after m in which the next configuration is the current one.
+func (m Membership) completed() Membership {
+	completed := m.successor(nil, m.Reason)
+	completed.Current = m.Next
+	return completed
+}
+
+func identities(members []Member) (out []Identity) {
+	for _, member := range members {
+		out = append(out, member.Identity)
+	}
+	return out
+}
+
+func containsIdentity(members []Member, identity Identity) bool {
+	return slices.ContainsFunc(members, func(member Member) bool { return member.Identity == identity })
+}
+
+// countMissing counts the members that are not among others.
+func countMissing(members, others []Member) (missing int) {
+	for _, member := range members {
+		if !containsIdentity(others, member.Identity) {
+			missing++
+		}
+	}
+	return missing
+}
--- /dev/null
+++ b/internal/decide/consensus/membership_text.go
@@ -0,0 +1,73 @@
+package consensus
+
+import (
+	"errors"
+	"fmt"
+	"strconv"
+	"strings"
+)
+
+// membershipKeyPrefix marks the registers of memberships. No idempotency key begins with a zero byte and this word.
+const membershipKeyPrefix = "\x00group/"
+
+// membershipKey is the register in which the membership that follows an epoch is decided.
+func membershipKey(epoch uint64) string { return membershipKeyPrefix + strconv.FormatUint(epoch, 10) }
+
+func isMembershipKey(key string) bool { return strings.HasPrefix(key, membershipKeyPrefix) }
+
+const (
+	// memberFields are the words of a member's text: number, incarnation and address.
+	memberFields = 3
+	// membershipParts are the parts of a membership's text: numbers, both configurations, and the quoted reason.
+	membershipParts = 4
+)
+
+// String returns the text that ParseMembership reads. It is part of the format on the wire and on disk.
+func (m Membership) String() string {
+	var b strings.Builder
+	fmt.Fprintf(&b, "%d %d %d %d", m.ClusterID, m.Epoch, m.ReplicationFactor, m.ForcedAt)
+	for _, configuration := range [][]Member{m.Current, m.Next} {
+		b.WriteString(" |")
+		for _, member := range configuration {
+			fmt.Fprintf(&b, " %d %d %s", member.ID, member.Incarnation, member.Addr)
+		}
+	}
+	return b.String() + " | " + strconv.Quote(m.Reason)
+}
+
+// ParseMembership reads the text of a membership. All errors wrap ErrInvalidMembership.
+func ParseMembership(text string) (m Membership, err error) {
+	parts := strings.SplitN(text, " |", membershipParts)
+	if len(parts) != membershipParts {
+		return m, fmt.Errorf("%w: %q is not the text of one", ErrInvalidMembership, text)
+	}
+	if _, err := fmt.Sscan(parts[0], &m.ClusterID, &m.Epoch, &m.ReplicationFactor, &m.ForcedAt); err != nil {
+		return m, fmt.Errorf("%w: %w", ErrInvalidMembership, err)
+	}
+	if m.Current, err = parseMembers(parts[1]); err != nil {
+		return m, err
+	}
+	if m.Next, err = parseMembers(parts[2]); err != nil {
+		return m, err
+	}
+	if m.Reason, err = strconv.Unquote(strings.TrimSpace(parts[3])); err != nil {
+		return m, fmt.Errorf("%w: reason: %w", ErrInvalidMembership, err)
+	}
+	return m, m.Validate()
+}
+
+func parseMembers(text string) (members []Member, err error) {
+	fields := strings.Fields(text)
+	if len(fields)%memberFields != 0 {
+		return nil, fmt.Errorf("%w: a member is cut off", ErrInvalidMembership)
+	}
+	for ; len(fields) > 0; fields = fields[memberFields:] {
+		id, idErr := strconv.ParseUint(fields[0], 10, 32)
+		incarnation, incarnationErr := strconv.ParseUint(fields[1], 10, 64)
+		if err := errors.Join(idErr, incarnationErr); err != nil {
+			return nil, fmt.Errorf("%w: %w", ErrInvalidMembership, err)
+		}
+		members = append(members, Member{Identity{uint32(id), incarnation}, fields[2]})
+	}
+	return members, nil
+}
--- a/internal/decide/consensus/node_test.go
+++ b/internal/decide/consensus/node_test.go
@@ -101,7 +101,15 @@
 	s := c.nodes[i]
 	var err error
 	s.born++
-	s.Node, err = NewNode(Identity{uint32(i + 1), s.lives}, s.born, Config{AttemptTimeout: 20_000, ProposalTimeout: 300_000, MaxInFlight: 8, RepairRate: 300, MaxRepairs: 4}, s.group, maps.Clone(s.disk), c.rng.Uint64(), xxhash.Sum64String)
+	s.Node, err = NewNode(NodeOptions{
+		Acceptor:           Identity{uint32(i + 1), s.lives},
+		ProcessIncarnation: s.born,
+		Config:             Config{AttemptTimeout: 20_000, ProposalTimeout: 300_000, MaxInFlight: 8, RepairRate: 300, MaxRepairs: 4},
+		Membership:         s.group,
+		Registers:          maps.Clone(s.disk),
+		Seed:               c.rng.Uint64(),
+		Hash:               xxhash.Sum64String,
+	})
 	require.NoError(t, err)
 	s.asks, s.dead, s.due = map[uint64]*call{}, false, 0
 }
@@ -458,7 +466,7 @@
 		f(&c)
 		require.Error(t, c.Validate())
 	}
-	n, err := NewNode(Identity{1, 1}, 1, good, Membership{}, nil, 1, xxhash.Sum64String)
+	n, err := NewNode(NodeOptions{Acceptor: Identity{1, 1}, ProcessIncarnation: 1, Config: good, Seed: 1, Hash: xxhash.Sum64String})
 	require.NoError(t, err)
 	_, err = n.Propose(0, "k", Change{Retention: 1})
 	require.ErrorIs(t, err, ErrNoMembership)
--- a/internal/decide/consensus/planted_test.go
+++ b/internal/decide/consensus/planted_test.go
@@ -48,13 +48,13 @@
 			return
 		}
 		p := s.proposalOf(reply)
-		if p == nil || p.over || p.accept != reply.Accept || p.peek != reply.Read || !enough(p) {
+		if p == nil || p.done || !p.expects(reply) || !enough(p) {
 			return
 		}
-		forged := Reply{Key: p.Key, Epoch: p.Epoch, Ballot: p.Ballot, Accept: p.accept, Read: p.peek, OK: true,
+		forged := Reply{Key: p.Key, Epoch: p.Epoch, Ballot: p.Ballot, Accept: reply.Accept, Read: reply.Read, OK: true,
 			Accepted: p.newest, Value: p.value}
-		for _, member := range slices.Concat(p.sets...) {
-			if !p.over && p.accept == reply.Accept && p.peek == reply.Read && !p.agreed(false) {
+		for _, member := range slices.Concat(p.configurations...) {
+			if !p.done && p.expects(reply) && !p.hasMajority() {
 				forged.From = member
 				s.HandleReply(c.now, forged)
 			}
@@ -64,7 +64,7 @@
 
 // halfOfEach is a rule that takes half of each configuration for a majority.
 func halfOfEach(p *Proposal) bool {
-	for _, set := range p.sets {
+	for _, set := range p.configurations {
 		if countVotes(p, set) < len(set)/2 {
 			return false
 		}
@@ -74,13 +74,13 @@
 
 // majorityOfLast is a rule that leaves out all configurations but the last.
 func majorityOfLast(p *Proposal) bool {
-	last := p.sets[len(p.sets)-1]
+	last := p.configurations[len(p.configurations)-1]
 	return countVotes(p, last) > len(last)/2
 }
 
 func countVotes(p *Proposal, set []Identity) (count int) {
 	for _, member := range set {
-		if slices.Contains(p.votes, member) {
+		if slices.Contains(p.voters, member) {
 			count++
 		}
 	}
@@ -98,10 +98,10 @@
 
 // forgetPromise has an acceptor forget a promise that stands in the way of a value.
 func forgetPromise(c *cluster, s *sim, m sending) {
-	if r, ok := m.m.(Request); ok && r.Accept && r.Epoch == s.holder.Epoch {
-		if register, known := s.holder.slots[r.Key]; known && r.Ballot.Less(register.Promised) {
+	if r, ok := m.m.(Request); ok && r.Accept && r.Epoch == s.acceptor.Epoch {
+		if register, known := s.acceptor.registers[r.Key]; known && r.Ballot.Less(register.Promised) {
 			register.Promised = Ballot{}
-			s.holder.slots[r.Key] = register
+			s.acceptor.registers[r.Key] = register
 		}
 	}
 	c.deliver(s, m)
@@ -109,9 +109,9 @@
 
 // proposalOf is the proposal in flight that a reply is for; nil: there is none.
 func (s *sim) proposalOf(r Reply) *Proposal {
-	for _, u := range s.under {
-		if u.op.Ballot == r.Ballot && u.op.Key == r.Key {
-			return u.op
+	for _, u := range s.inFlight {
+		if u.proposal.Ballot == r.Ballot && u.proposal.Key == r.Key {
+			return u.proposal
 		}
 	}
 	return nil
--- /dev/null
+++ b/internal/decide/consensus/proposal.go
@@ -0,0 +1,229 @@
+package consensus
+
+import "slices"
+
+// phase is the round of messages that a proposal is in.
+type phase uint8
+
+const (
+	phasePrepare phase = iota // promises and accepted values are collected
+	phaseAccept               // the value is to be accepted
+	phaseRead                 // accepted values are collected without promises; where they agree, the proposal ends here
+)
+
+// ProposalConfig is what a proposal begins with.
+type ProposalConfig struct {
+	Key    string
+	Epoch  uint64 // of the membership that the configurations are of
+	Change Change
+	Number uint64 // of the ballot: above any that this process has used for the key
+	// Configurations are the key's replicas: of the current configuration and, while members change, of the next one. A
+	// majority of each is needed.
+	Configurations [][]Identity
+	// WaitForAll has the proposal wait for all reachable replicas beyond the majorities, as repairs do, until
+	// SettleForMajority ends that.
+	WaitForAll bool
+	// Unreachable are the replicas that WaitForAll does not wait for.
+	Unreachable []Identity
+}
+
+// Proposal is one change on its way through the phases of CASPaxos.
+type Proposal struct {
+	Key    string
+	Change Change
+	Ballot Ballot
+	Epoch  uint64
+
+	configurations [][]Identity
+	waitForAll     bool
+	unreachable    []Identity
+
+	phase       phase
+	voters      []Identity // replicas whose OK was received in this phase
+	newest      Ballot     // of value
+	value       Value
+	outcome     Outcome
+	preemptedBy uint64 // the highest ballot number that stands in the way
+	done        bool
+}
+
+// NewProposal begins a proposal, and returns its first requests.
+func NewProposal(c ProposalConfig) (*Proposal, []Request) {
+	p := &Proposal{
+		Key:            c.Key,
+		Change:         c.Change,
+		Ballot:         Ballot{Number: c.Number, Proposer: c.Change.Proposer},
+		Epoch:          c.Epoch,
+		configurations: c.Configurations,
+		waitForAll:     c.WaitForAll,
+		unreachable:    c.Unreachable,
+	}
+	if c.Change.Kind == ReadValue {
+		p.phase = phaseRead
+	}
+	return p, p.requests()
+}
+
+// Retry begins anew, under a ballot number of at least the one given that is above what stood in the way.
+func (p *Proposal) Retry(number uint64) []Request {
+	p.Ballot = Ballot{Number: max(number, p.preemptedBy+1), Proposer: p.Change.Proposer}
+	return p.prepare()
+}
+
+// Reconfigure begins anew at the replicas of another membership.
+func (p *Proposal) Reconfigure(epoch uint64, configurations [][]Identity, number uint64) []Request {
+	p.Epoch = epoch
+	p.configurations = configurations
+	return p.Retry(number)
+}
+
+// prepare begins the first phase under the present ballot.
+func (p *Proposal) prepare() []Request {
+	p.phase = phasePrepare
+	p.voters = nil
+	p.newest = Ballot{}
+	p.value = Value{}
+	return p.requests()
+}
+
+// requests returns a request of this phase for each replica.
+func (p *Proposal) requests() (requests []Request) {
+	var asked []Identity
+	for _, configuration := range p.configurations {
+		for _, replica := range configuration {
+			if slices.Contains(asked, replica) {
+				continue
+			}
+			asked = append(asked, replica)
+			requests = append(requests, Request{
+				To:          replica,
+				Key:         p.Key,
+				Epoch:       p.Epoch,
+				AttemptedAt: p.Change.AttemptedAt,
+				Ballot:      p.Ballot,
+				Accept:      p.phase == phaseAccept,
+				Read:        p.phase == phaseRead,
+				Value:       p.value,
+			})
+		}
+	}
+	return requests
+}
+
+// HandleReply takes a reply, and returns the requests that follow from it. Replies to earlier attempts and repeated ones
+// change nothing.
+func (p *Proposal) HandleReply(r Reply) []Request {
+	if p.done || !p.expects(r) {
+		return nil
+	}
+	if !r.OK {
+		p.preemptedBy = max(p.preemptedBy, r.Promised.Number)
+		return nil
+	}
+	if slices.Contains(p.voters, r.From) {
+		return nil
+	}
+	p.voters = append(p.voters, r.From)
+	switch p.phase {
+	case phaseRead:
+		return p.handleRead(r)
+	case phasePrepare:
+		return p.handlePromise(r)
+	case phaseAccept:
+		p.done = p.hasMajority() && (!p.waitForAll || p.hasAllReachable())
+	}
+	return nil
+}
+
+// expects reports whether a reply is to a request of this phase.
+func (p *Proposal) expects(r Reply) bool {
+	return r.Key == p.Key && r.Ballot == p.Ballot && r.Epoch == p.Epoch &&
+		r.Accept == (p.phase == phaseAccept) && r.Read == (p.phase == phaseRead) &&
+		slices.ContainsFunc(p.configurations, func(configuration []Identity) bool {
+			return slices.Contains(configuration, r.From)
+		})
+}
+
+// handlePromise applies the change to the newest value as soon as a majority has promised.
+func (p *Proposal) handlePromise(r Reply) []Request {
+	if p.newest.Less(r.Accepted) {
+		p.newest = r.Accepted
+		p.value = r.Value
+	}
+	if !p.hasMajority() {
+		return nil
+	}
+	empty := p.value.Kind == KindNone
+	p.value, p.outcome = p.Change.Apply(p.value)
+	if p.Change.Kind == ReadValue && empty { // there is nothing that the replicas would have to accept
+		p.done = true
+		return nil
+	}
+	p.phase = phaseAccept
+	p.voters = nil
+	return p.requests()
+}
+
+// handleRead takes a reply of the phase without promises. Where a majority has accepted a value under one ballot, that
+// value is agreed on, and nothing newer was when the read began: a newer value would have a majority too, and one of
+// its replicas would have answered with it. Guards proposers that change a key against those that only read it, each of
+// which would stand in their way with a ballot of its own.
+func (p *Proposal) handleRead(r Reply) []Request {
+	if len(p.voters) > 1 && r.Accepted != p.newest {
+		return p.prepare()
+	}
+	p.newest = r.Accepted
+	p.value = r.Value
+	if p.hasMajority() && (!p.waitForAll || p.hasAllReachable()) {
+		p.value, p.outcome = p.Change.Apply(p.value)
+		p.done = true
+	}
+	return nil
+}
+
+// hasMajority reports whether a majority of each configuration has voted in this phase.
+func (p *Proposal) hasMajority() bool {
+	return p.votesReach(func(configuration []Identity) int { return len(configuration)/2 + 1 })
+}
+
+// hasAllReachable reports whether all reachable replicas of each configuration have voted in this phase.
+func (p *Proposal) hasAllReachable() bool {
+	return p.votesReach(func(configuration []Identity) (reachable int) {
+		for _, replica := range configuration {
+			if !slices.Contains(p.unreachable, replica) {
+				reachable++
+			}
+		}
+		return reachable
+	})
+}
+
+// votesReach reports whether each configuration has as many votes as it needs.
+func (p *Proposal) votesReach(needed func(configuration []Identity) int) bool {
+	for _, configuration := range p.configurations {
+		votes := 0
+		for _, replica := range configuration {
+			if slices.Contains(p.voters, replica) {
+				votes++
+			}
+		}
+		if votes < needed(configuration) {
+			return false
+		}
+	}
+	return true
+}
+
+// SettleForMajority ends a proposal that waits for replicas beyond the majorities. It reports whether the proposal is
+// done.
+func (p *Proposal) SettleForMajority() bool {
+	p.done = p.done || p.phase == phaseAccept && p.hasMajority()
+	return p.done
+}
+
+// Preempted reports whether an attempt under a higher ballot number stands in the way. Retry is due after a while that
+// differs by server.
+func (p *Proposal) Preempted() bool { return !p.done && p.preemptedBy >= p.Ballot.Number }
+
+// Done returns the outcome and the value that is agreed on, and whether these are known.
+func (p *Proposal) Done() (Outcome, Value, bool) { return p.outcome, p.value, p.done }
--- /dev/null
+++ b/internal/decide/consensus/replicas.go
@@ -0,0 +1,49 @@
+package consensus
+
+import "slices"
+
+// The constants of SplitMix64 (G. Steele, D. Lea and C. Flood, "Fast Splittable Pseudorandom Number Generators", 2014).
+const (
+	splitMixGamma  = 0x9e3779b97f4a7c15
+	splitMixFirst  = 0xbf58476d1ce4e5b9
+	splitMixSecond = 0x94d049bb133111eb
+)
+
+// Replicas returns the count members that replicate a key: those with the highest weights of key and member, highest
+// first (D. Thaler and C. Ravishankar, rendezvous hashing, 1998). So one member more or less moves only the keys that
+// it replicates. hash is that of the key; each member's number is mixed into it.
+func Replicas(key string, members []Identity, count int, hash func(string) uint64) []Identity {
+	type candidate struct {
+		member Identity
+		weight uint64
+	}
+	best := make([]candidate, 0, count+1)
+	keyHash := hash(key)
+	for _, member := range members {
+		added := candidate{member, mix(keyHash + uint64(member.ID)*splitMixGamma)}
+		place := len(best)
+		for place > 0 {
+			before := best[place-1]
+			if before.weight > added.weight || before.weight == added.weight && before.member.ID <= member.ID {
+				break
+			}
+			place--
+		}
+		if place < count {
+			best = slices.Insert(best, place, added)
+			best = best[:min(len(best), count)]
+		}
+	}
+	replicas := make([]Identity, len(best))
+	for i, c := range best {
+		replicas[i] = c.member
+	}
+	return replicas
+}
+
+// mix is the output function of SplitMix64.
+func mix(x uint64) uint64 {
+	x = (x ^ x>>30) * splitMixFirst
+	x = (x ^ x>>27) * splitMixSecond
+	return x ^ x>>31
+}
--- a/internal/replication/holdings.go
+++ b/internal/replication/holdings.go
@@ -126,7 +126,16 @@
 		return nil, err
 	}
 	self := consensus.Identity{ID: cfg.ID, Incarnation: h.disk.life}
-	if h.node, err = consensus.NewNode(self, process, cfg.Decide, h.disk.group, clone(h.disk.slots), process, xxhash.Sum64String); err != nil {
+	h.node, err = consensus.NewNode(consensus.NodeOptions{
+		Acceptor:           self,
+		ProcessIncarnation: process,
+		Config:             cfg.Decide,
+		Membership:         h.disk.group,
+		Registers:          clone(h.disk.slots),
+		Seed:               process,
+		Hash:               xxhash.Sum64String,
+	})
+	if err != nil {
 		return nil, errors.Join(fmt.Errorf("holdings: %w", err), h.disk.log.Close())
 	}
 	logf("holdings: server %d, life %x, process %x, group %v, %d keys held", cfg.ID, self.Incarnation, process, h.disk.group, h.node.KeyCount())
