--- a/internal/backend/upstream/backend.go
+++ b/internal/backend/upstream/backend.go
@@ -96,12 +96,14 @@
 	if len(b.config.GossipPeers) == 0 {
 		return
 	}
-	b.exchange = peers.NewExchange(peers.ExchangeConfig{
-		Name:    b.config.Name,
-		Address: b.config.GossipListen,
-		Peers:   b.config.GossipPeers,
-		Seed:    b.config.Settings.Seed,
-	}, loop, b.balancer, b.logf)
+	b.exchange = peers.NewExchange(loop, peers.ExchangeConfig{
+		Name:     b.config.Name,
+		Address:  b.config.GossipListen,
+		Peers:    b.config.GossipPeers,
+		Seed:     b.config.Settings.Seed,
+		Balancer: b.balancer,
+		Logf:     b.logf,
+	})
 }
 
 // Exchange is where this instance and its peers tell each other of the endpoints; nil if it has no peers.
--- a/internal/peers/exchange.go
+++ b/internal/peers/exchange.go
@@ -1,120 +1,161 @@
 package peers
 
 import (
+	"errors"
 	"fmt"
-	"slices"
 
 	"pewterline/internal/decide/loadbalancer"
 	"pewterline/internal/microtime"
+	"pewterline/internal/orderedset"
 	"pewterline/internal/protocol/gossip"
 	"pewterline/internal/transport"
 )
 
 const (
-	exchangePatience = 500 * microtime.Millisecond
-	exchangeConns    = 64 // that are accepted at once
+	// exchangeTimeout is how long a peer may take to answer.
+	exchangeTimeout = 500 * microtime.Millisecond
+	// maxExchangeConns bounds the connections of peers that are open at once.
+	maxExchangeConns = 64
 )
 
+// ErrUnexpectedMessage ends a connection on which a peer answers without having been asked.
+var ErrUnexpectedMessage = errors.New("peers: an answer that nobody asked for")
+
 // ExchangeEventLoop is what an exchange needs of the event loop.
 type ExchangeEventLoop interface {
 	Now() microtime.Time
 	DialOnce(addr string, open func(transport.Conn) transport.Session, failed func()) (drop func())
 }
 
-// ExchangeConfig says who an instance is to the others.
+// ExchangeConfig says who an instance is to its peers, and whose gossip it exchanges.
 type ExchangeConfig struct {
-	Name    string
-	Address string   // where others reach it
-	Peers   []string // where it reaches others at first
-	Seed    uint64
+	Name     string
+	Address  string   // where peers reach it
+	Peers    []string // where it reaches peers at first
+	Seed     uint64   // of the random numbers
+	Balancer *loadbalancer.Balancer
+	Logf     func(format string, args ...any)
 }
 
-// Exchange has this instance and others tell each other what they know of the log servers.
+// Exchange swaps gossip about upstream endpoints with other instances: an instance sends what it knows, and the peer
+// answers with what it knows.
 type Exchange struct {
-	cfg     ExchangeConfig
-	loop    ExchangeEventLoop
-	fleet   *loadbalancer.Balancer
-	peers   *loadbalancer.PeerScheduler
-	logf    func(string, ...any)
-	started microtime.Time
-	links   []*exchangeLink
-	taken   int // connections accepted and open
-	out     []byte
-	sent    int // bytes so far
-}
-
-// exchangeLink is a connection to another instance: one that we opened to ask on, or one that came to us.
-type exchangeLink struct {
-	at      int // its place among the links
-	x       *Exchange
-	conn    transport.Conn // nil while it is being opened
-	drop    func()
-	address string // that we dialled; "" where it came to us
-	due     microtime.Time
-	asking  bool
+	config    ExchangeConfig
+	loop      ExchangeEventLoop
+	scheduler *loadbalancer.PeerScheduler
+	started   microtime.Time
+	links     orderedset.Set[*exchangeLink]
+	accepted  int // connections of peers that are open
+	scratch   []byte
 }
 
-// NewExchange returns an exchange of what f knows.
-func NewExchange(cfg ExchangeConfig, loop ExchangeEventLoop, f *loadbalancer.Balancer, logf func(string, ...any)) *Exchange {
+// NewExchange returns an exchange that starts now.
+func NewExchange(loop ExchangeEventLoop, config ExchangeConfig) *Exchange {
 	now := loop.Now()
-	return &Exchange{cfg: cfg, loop: loop, fleet: f, logf: logf, started: now, peers: loadbalancer.NewPeerScheduler(now, loadbalancer.PeerSchedulerConfig{}, cfg.Peers, cfg.Seed)}
-}
-
-// Ready says that a fresh instance has heard first advice, or has waited long enough for it.
-func (x *Exchange) Ready(now microtime.Time) bool { return x.peers.Ready(now) }
-
-func (x *Exchange) add(l *exchangeLink) {
-	l.at = len(x.links)
-	x.links = append(x.links, l)
+	scheduler := loadbalancer.NewPeerScheduler(now, loadbalancer.PeerSchedulerConfig{}, config.Peers, config.Seed)
+	return &Exchange{config: config, loop: loop, scheduler: scheduler, started: now}
 }
 
-// remove takes a link out; the last one takes its place, so that the order depends on nothing but what was done.
-func (x *Exchange) remove(l *exchangeLink) {
-	end := len(x.links) - 1
-	x.links[l.at] = x.links[end]
-	x.links[l.at].at = l.at
-	x.links[end] = nil
-	x.links = x.links[:end]
-}
+// Ready reports whether an instance that starts has got its first gossip, or has waited long enough for it.
+func (x *Exchange) Ready(now microtime.Time) bool { return x.scheduler.Ready(now) }
 
-// Check does what is due; it returns when to look again.
+// Check does what is due by the clock. It returns when it is to be called again.
 func (x *Exchange) Check(now microtime.Time) microtime.Time {
-	for _, address := range x.peers.NextPeers(now) {
+	for _, address := range x.scheduler.NextPeers(now) {
 		x.ask(now, address)
 	}
-	next := x.peers.NextCheck()
-	for i := len(x.links) - 1; i >= 0; i-- {
-		l := x.links[i]
+	next := x.scheduler.NextCheck()
+	for i := x.links.Len() - 1; i >= 0; i-- { // From the end, as the last link takes the place of one that ends.
+		link := x.links.Items()[i]
 		switch {
-		case !l.asking:
-		case now >= l.due:
-			l.fail(now)
+		case !link.asking:
+		case now >= link.answerDue:
+			link.fail(now)
 		default:
-			next = min(next, l.due)
+			next = min(next, link.answerDue)
 		}
 	}
 	return max(next, now)
 }
 
-// ask sends what we know to a peer, on the connection that is there or on a new one, and waits for what it knows.
+// ask sends gossip to a peer, on the connection that is open or on a new one, and waits for its answer.
 func (x *Exchange) ask(now microtime.Time, address string) {
-	i := slices.IndexFunc(x.links, func(l *exchangeLink) bool { return l.address == address })
-	if i >= 0 {
-		x.links[i].begin(now)
-		return
+	for _, link := range x.links.Items() {
+		if link.address == address {
+			link.ask(now)
+			return
+		}
+	}
+	link := &exchangeLink{exchange: x, address: address}
+	x.links.Add(link)
+	link.ask(now)
+	opened := func(conn transport.Conn) transport.Session {
+		link.conn = conn
+		link.write(true)
+		return link
+	}
+	link.cancelDial = x.loop.DialOnce(address, opened, func() { link.fail(x.loop.Now()) })
+}
+
+// Accept returns the session of a connection that a peer has opened. It is closed at once if too many are open.
+func (x *Exchange) Accept(conn transport.Conn) transport.Session {
+	link := &exchangeLink{exchange: x, conn: conn}
+	x.links.Add(link)
+	x.accepted++
+	if x.accepted > maxExchangeConns {
+		x.config.Logf("exchange: %s rejected: %d connections are open", conn.Remote(), x.accepted-1)
+		conn.Close()
+	}
+	return link
+}
+
+// message is what this instance tells its peers.
+func (x *Exchange) message(now microtime.Time, wantsReply bool) gossip.Message {
+	message := gossip.Message{
+		Name:         x.config.Name,
+		Uptime:       now - x.started,
+		WantsReply:   wantsReply,
+		Observations: x.config.Balancer.ComposeGossip(now, x.config.Name, gossip.MaxObservations),
+	}
+	for _, peer := range x.scheduler.Peers(now) {
+		if peer.Alive {
+			message.Peers = append(message.Peers, gossip.Peer{Name: peer.Name, Address: peer.Address})
+		}
+	}
+	return message
+}
+
+// apply takes over what a peer told.
+func (x *Exchange) apply(now microtime.Time, remote string, message *gossip.Message) {
+	sender := loadbalancer.GossipSender{Name: message.Name, Uptime: message.Uptime}
+	result := x.config.Balancer.ApplyGossip(now, x.config.Name, sender, message.Observations)
+	if result.Err != nil {
+		x.config.Logf("exchange: %s: %d of %d observations are invalid, the first: %v",
+			remote, result.Invalid, len(message.Observations), result.Err)
+	}
+	for _, peer := range message.Peers {
+		if peer.Address != x.config.Address {
+			x.scheduler.AddPeer(peer.Address, peer.Name)
+		}
 	}
-	l := &exchangeLink{x: x, address: address}
-	x.add(l)
-	l.begin(now)
-	l.drop = x.loop.DialOnce(address, func(c transport.Conn) transport.Session {
-		l.conn = c
-		l.write(true)
-		return l
-	}, func() { l.fail(x.loop.Now()) })
 }
 
-func (l *exchangeLink) begin(now microtime.Time) {
-	l.asking, l.due = true, now+exchangePatience
+// exchangeLink is a connection to a peer: one that this instance opened to ask, or one that the peer opened. It
+// implements transport.Session.
+type exchangeLink struct {
+	orderedset.Position
+	exchange   *Exchange
+	conn       transport.Conn // nil while it is being opened
+	cancelDial func()
+	address    string // that was dialled; "" if the peer opened it
+	asking     bool   // the peer is to answer
+	answerDue  microtime.Time
+}
+
+// ask sends gossip as soon as the connection is open, and waits for the answer.
+func (l *exchangeLink) ask(now microtime.Time) {
+	l.asking = true
+	l.answerDue = now + exchangeTimeout
 	if l.conn != nil {
 		l.write(true)
 	}
@@ -123,95 +164,73 @@
 // fail ends a connection that brings no answer.
 func (l *exchangeLink) fail(now microtime.Time) {
 	if l.conn != nil {
-		l.conn.Close() // Closed follows
+		l.conn.Close() // Closed follows.
 		return
 	}
-	if l.drop != nil {
-		l.drop()
+	if l.cancelDial != nil {
+		l.cancelDial()
 	}
-	l.gone(now)
+	l.ended(now)
 }
 
-func (l *exchangeLink) gone(now microtime.Time) {
-	l.x.remove(l)
-	if l.address == "" {
-		l.x.taken--
-	} else if l.asking {
+func (l *exchangeLink) ended(now microtime.Time) {
+	l.exchange.links.Remove(l)
+	switch {
+	case l.address == "":
+		l.exchange.accepted--
+	case l.asking:
 		l.asking = false
-		l.x.peers.ExchangeFailed(now, l.address)
+		l.exchange.scheduler.ExchangeFailed(now, l.address)
 	}
 }
 
-// write tells what we know.
-func (l *exchangeLink) write(asking bool) {
-	x, now := l.x, l.x.loop.Now()
-	m := gossip.Message{Name: x.cfg.Name, Uptime: now - x.started, WantsReply: asking, Observations: x.fleet.ComposeGossip(now, x.cfg.Name, gossip.MaxObservations)}
-	for _, p := range x.peers.Peers(now) {
-		if p.Alive {
-			m.Peers = append(m.Peers, gossip.Peer{Name: p.Name, Address: p.Address})
-		}
-	}
-	out, err := gossip.Append(x.out[:0], m)
-	if x.out = out; err != nil {
-		x.logf("exchange: %v", err)
+// write sends gossip. A message that cannot be encoded is logged and dropped.
+func (l *exchangeLink) write(wantsReply bool) {
+	x := l.exchange
+	encoded, err := gossip.Append(x.scratch[:0], x.message(x.loop.Now(), wantsReply))
+	x.scratch = encoded
+	if err != nil {
+		x.config.Logf("exchange: a message to %s is dropped: %v", l.conn.Remote(), err)
 		return
 	}
-	x.sent += len(out)
-	l.conn.Write(out)
-}
-
-// Accept is the session of a connection that another instance has opened.
-func (x *Exchange) Accept(c transport.Conn) transport.Session {
-	l := &exchangeLink{x: x, conn: c}
-	x.add(l)
-	if x.taken++; x.taken > exchangeConns {
-		x.logf("exchange: %s turned away: %d connections are open", c.Remote(), x.taken-1)
-		c.Close()
-	}
-	return l
+	l.conn.Write(encoded)
 }
 
-// Receive is part of transport.Session.
+// Receive implements transport.Session.
 func (l *exchangeLink) Receive(in []byte) (int, error) {
-	n := 0
+	consumed := 0
 	for {
-		m, size, err := gossip.Parse(in[n:])
+		message, size, err := gossip.Parse(in[consumed:])
 		if err != nil || size == 0 {
-			return n, err
+			return consumed, err
 		}
-		n += size
-		if err := l.take(m); err != nil {
-			return n, err
+		consumed += size
+		if err := l.handle(&message); err != nil {
+			return consumed, err
 		}
 	}
 }
 
-func (l *exchangeLink) take(m gossip.Message) error {
-	x, now := l.x, l.x.loop.Now()
-	if l.address == "" && !m.WantsReply || l.address != "" && !l.asking {
-		return fmt.Errorf("%w: an answer that nobody asked for", gossip.ErrMalformedFrame)
-	}
-	a := x.fleet.ApplyGossip(now, x.cfg.Name, loadbalancer.GossipSender{Name: m.Name, Uptime: m.Uptime}, m.Observations)
-	if a.Err != nil {
-		x.logf("exchange: %s: %d of %d facts are faulty, the first: %v", l.conn.Remote(), a.Invalid, len(m.Observations), a.Err)
-	}
-	for _, p := range m.Peers {
-		if p.Address != x.cfg.Address { // our own
-			x.peers.AddPeer(p.Address, p.Name)
-		}
+func (l *exchangeLink) handle(message *gossip.Message) error {
+	exchange := l.exchange
+	now := exchange.loop.Now()
+	openedByPeer := l.address == ""
+	if openedByPeer && !message.WantsReply || !openedByPeer && !l.asking {
+		return fmt.Errorf("%w: %s", ErrUnexpectedMessage, l.conn.Remote())
 	}
-	if l.address == "" {
+	exchange.apply(now, l.conn.Remote(), message)
+	if openedByPeer {
 		l.conn.MarkIdentified()
 		l.write(false)
 		return nil
 	}
 	l.asking = false
-	x.peers.ExchangeSucceeded(now, l.address, m.Name)
+	exchange.scheduler.ExchangeSucceeded(now, l.address, message.Name)
 	return nil
 }
 
-// Idle is part of transport.Session.
+// Idle implements transport.Session.
 func (l *exchangeLink) Idle() bool { return !l.asking }
 
-// Closed is part of transport.Session.
-func (l *exchangeLink) Closed() { l.gone(l.x.loop.Now()) }
+// Closed implements transport.Session.
+func (l *exchangeLink) Closed() { l.ended(l.exchange.loop.Now()) }
--- /dev/null
+++ b/internal/peers/links.go
@@ -0,0 +1,164 @@
+package peers
+
+import (
+	"maps"
+	"slices"
+
+	"pewterline/internal/decide/consensus"
+	"pewterline/internal/microtime"
+	"pewterline/internal/protocol/replicationwire"
+	"pewterline/internal/transport"
+)
+
+// MaxConns is the number of connections of other servers that may be open at once: each server has one, and for a while
+// a former one too.
+const MaxConns = 64
+
+// EventLoop is what the links need of the event loop.
+type EventLoop interface {
+	Now() microtime.Time
+	Dial(addr string, open func(transport.Conn) transport.Session) (drop func())
+}
+
+// Handler handles what comes on the links. Its methods are called on the event loop.
+type Handler interface {
+	// Hello says who this server is.
+	Hello() replicationwire.Hello
+	// HandleMessage handles a message of a server that has said hello.
+	HandleMessage(from replicationwire.Hello, m replicationwire.Message)
+	// PeerStateChanged reports whether a server can be reached.
+	PeerStateChanged(id uint32, up bool)
+	// Group is the newest membership that is known; its epoch is 0 if there is none.
+	Group() consensus.Membership
+}
+
+// Links are the connections of this server to the others of its group: one that it opens to each, and one that each
+// opens to it. Requests and transfer acknowledgements go out on the former, replies on the latter.
+type Links struct {
+	loop     EventLoop
+	handler  Handler
+	logf     func(string, ...any)
+	outbound []*outboundLink
+	inbound  []*inboundLink
+	hellos   map[uint32]replicationwire.Hello // the last of each server
+}
+
+// New returns links to nobody.
+func New(loop EventLoop, handler Handler, logf func(string, ...any)) *Links {
+	return &Links{loop: loop, handler: handler, logf: logf, hellos: map[uint32]replicationwire.Hello{}}
+}
+
+// SetPeers has links to the servers at these addresses, by ID, and to no others.
+func (l *Links) SetPeers(addresses map[uint32]string) {
+	for _, link := range slices.Clone(l.outbound) {
+		if address, ok := addresses[link.id]; !ok || address != link.address {
+			link.remove()
+		}
+	}
+	for _, id := range slices.Sorted(maps.Keys(addresses)) {
+		if l.outboundTo(id) != nil {
+			continue
+		}
+		link := &outboundLink{links: l, id: id, address: addresses[id]}
+		l.outbound = append(l.outbound, link)
+		link.dial()
+	}
+}
+
+// outboundTo returns the link to a server; nil if there is none.
+func (l *Links) outboundTo(id uint32) *outboundLink {
+	for _, link := range l.outbound {
+		if link.id == id {
+			return link
+		}
+	}
+	return nil
+}
+
+// LastHello is what a server last said of itself. It returns false if it has said nothing yet.
+func (l *Links) LastHello(id uint32) (replicationwire.Hello, bool) {
+	hello, ok := l.hellos[id]
+	return hello, ok
+}
+
+// Connected reports whether a server can be reached.
+func (l *Links) Connected(id uint32) bool {
+	link := l.outboundTo(id)
+	return link != nil && link.up
+}
+
+// SendRequest sends a request at the end of the turn, if its server can be reached. There is no retry: whoever asks
+// repeats the request in time.
+func (l *Links) SendRequest(request consensus.Request) {
+	if link := l.outboundTo(request.To.ID); link != nil && link.up {
+		link.requests = append(link.requests, request)
+	}
+}
+
+// SendReply sends a reply at the end of the turn to the process that asked, if it can still be reached.
+func (l *Links) SendReply(to consensus.Identity, reply consensus.Reply) {
+	for _, link := range slices.Backward(l.inbound) { // The newest first.
+		if link.greeted && link.from.ID == to.ID && link.from.ProcessIncarnation == to.Incarnation {
+			link.replies = append(link.replies, reply)
+			return
+		}
+	}
+}
+
+// BroadcastAck sends a transfer acknowledgement to all servers at the end of the turn.
+func (l *Links) BroadcastAck(ack consensus.TransferAck) {
+	for _, link := range l.outbound {
+		link.acks = append(link.acks, ack)
+	}
+}
+
+// QueueMembership has a server told of the membership at the end of the turn.
+func (l *Links) QueueMembership(id uint32) {
+	if link := l.outboundTo(id); link != nil {
+		link.notice.pending = true
+	}
+	for _, link := range l.inbound {
+		if link.greeted && link.from.ID == id {
+			link.notice.pending = true
+		}
+	}
+}
+
+// Check sends what was to be sent, opens links anew, and drops those that have gone silent. It returns when it is to be
+// called again.
+func (l *Links) Check(now microtime.Time) microtime.Time {
+	next := microtime.Never
+	for _, link := range slices.Clone(l.outbound) {
+		next = min(next, link.check(now))
+	}
+	for _, link := range l.inbound {
+		link.flush(now)
+	}
+	return next
+}
+
+// Accept returns the session of a connection that another server has opened.
+func (l *Links) Accept(conn transport.Conn) transport.Session {
+	link := &inboundLink{links: l, conn: conn}
+	l.inbound = append(l.inbound, link)
+	return link
+}
+
+// membershipEpoch is the epoch by which this server goes; 0: none.
+func (l *Links) membershipEpoch() uint64 { return l.handler.Group().Epoch }
+
+// write writes a message to a connection. One that cannot be encoded is logged and dropped.
+func (l *Links) write(conn transport.Conn, message replicationwire.Message) {
+	encoded, err := replicationwire.Append(nil, message)
+	if err != nil {
+		l.logf("peers: a message to %s is dropped: %v", conn.Remote(), err)
+		return
+	}
+	conn.Write(encoded)
+}
+
+// writeHello tells the other end who this server is.
+func (l *Links) writeHello(conn transport.Conn) {
+	hello := l.handler.Hello()
+	l.write(conn, replicationwire.Message{Hello: &hello, Epoch: l.membershipEpoch()})
+}
--- /dev/null
+++ b/internal/peers/outbound.go
@@ -0,0 +1,172 @@
+package peers
+
+import (
+	"errors"
+	"fmt"
+	"slices"
+
+	"pewterline/internal/decide/consensus"
+	"pewterline/internal/microtime"
+	"pewterline/internal/protocol/replicationwire"
+	"pewterline/internal/transport"
+)
+
+const (
+	// pingInterval is how often a link on which nothing is asked carries a sign of life.
+	pingInterval = 300 * microtime.Millisecond
+	// silenceTimeout is how long a link may bring no answer; then it is opened anew.
+	silenceTimeout = 2 * microtime.Second
+	// redialDelay is the wait before a link that has ended is opened anew.
+	redialDelay = 100 * microtime.Millisecond
+)
+
+// ErrNoHello ends a connection whose other end sends a message before it says who it is.
+var ErrNoHello = errors.New("peers: a message before any hello")
+
+// WrongServerError ends a connection that reaches another server than was meant.
+type WrongServerError struct {
+	Address string
+	Want    uint32
+	Got     uint32
+}
+
+// Error implements error.
+func (e *WrongServerError) Error() string {
+	return fmt.Sprintf("peers: the server at %s says that it is number %d, not %d", e.Address, e.Got, e.Want)
+}
+
+// outboundLink is a link that this server opens to another. It implements transport.Session.
+type outboundLink struct {
+	links      *Links
+	id         uint32
+	address    string
+	conn       transport.Conn // nil while it is being opened
+	cancelDial func()         // nil while no dial is in progress and no connection is open
+	up         bool           // the server has said hello
+	removed    bool           // nobody wants the link any more
+	lastReadAt microtime.Time
+	lastPingAt microtime.Time
+	redialAt   microtime.Time
+	notice     membershipNotice
+	requests   []consensus.Request
+	acks       []consensus.TransferAck
+}
+
+func (o *outboundLink) dial() {
+	o.cancelDial = o.links.loop.Dial(o.address, func(conn transport.Conn) transport.Session {
+		now := o.links.loop.Now()
+		o.conn = conn
+		o.lastReadAt = now
+		o.lastPingAt = now
+		o.links.writeHello(conn)
+		return o
+	})
+}
+
+// check does what is due by the clock. It returns when it is to be called again.
+func (o *outboundLink) check(now microtime.Time) microtime.Time {
+	switch {
+	case o.conn != nil && now >= o.lastReadAt+silenceTimeout:
+		o.links.logf("peers: server %d at %s has not answered for %v", o.id, o.address, silenceTimeout.Duration())
+		o.conn.Close() // Closed follows.
+	case o.conn != nil:
+		o.flush(now)
+		return min(o.lastPingAt+pingInterval, o.lastReadAt+silenceTimeout)
+	case o.cancelDial == nil && now >= o.redialAt:
+		o.dial()
+	case o.cancelDial == nil:
+		return o.redialAt
+	}
+	return microtime.Never
+}
+
+// remove ends the link for good.
+func (o *outboundLink) remove() {
+	o.removed = true
+	o.links.outbound = slices.DeleteFunc(o.links.outbound, func(other *outboundLink) bool { return other == o })
+	if o.conn != nil {
+		o.conn.Close()
+	} else if o.cancelDial != nil {
+		o.cancelDial()
+	}
+	o.markDown()
+}
+
+// markDown drops what was to be sent, as the server cannot be reached.
+func (o *outboundLink) markDown() {
+	if o.up {
+		o.up = false
+		o.links.handler.PeerStateChanged(o.id, false)
+	}
+	o.requests = nil
+	o.acks = nil
+	o.notice.pending = false
+}
+
+// flush sends what was to be sent, or a sign of life.
+func (o *outboundLink) flush(now microtime.Time) {
+	if !o.up {
+		return
+	}
+	membership := o.links.handler.Group()
+	notice := o.notice.take(now, &membership)
+	if notice != nil || len(o.acks) > 0 {
+		o.write(replicationwire.Message{Epoch: membership.Epoch, Membership: notice, TransferAcks: o.acks})
+		o.acks = nil
+	}
+	for batch := range batches(o.requests, requestSize) {
+		o.write(replicationwire.Message{Epoch: membership.Epoch, Requests: batch})
+		o.lastPingAt = now
+	}
+	o.requests = nil
+	if now >= o.lastPingAt+pingInterval {
+		o.lastPingAt = now
+		o.write(replicationwire.Message{Epoch: membership.Epoch})
+	}
+}
+
+func (o *outboundLink) write(message replicationwire.Message) { o.links.write(o.conn, message) }
+
+// Receive implements transport.Session.
+func (o *outboundLink) Receive(in []byte) (int, error) { return receiveMessages(in, o.handle) }
+
+func (o *outboundLink) handle(message replicationwire.Message) error {
+	o.lastReadAt = o.links.loop.Now()
+	if message.Hello != nil {
+		if err := o.greet(*message.Hello); err != nil {
+			return err
+		}
+	} else if !o.up {
+		return ErrNoHello
+	}
+	if message.Epoch < o.links.membershipEpoch() {
+		o.notice.pending = true
+	}
+	o.links.handler.HandleMessage(o.links.hellos[o.id], message)
+	return nil
+}
+
+func (o *outboundLink) greet(hello replicationwire.Hello) error {
+	if hello.ID != o.id {
+		return &WrongServerError{Address: o.address, Want: o.id, Got: hello.ID}
+	}
+	o.links.hellos[o.id] = hello
+	if !o.up {
+		o.up = true
+		o.links.handler.PeerStateChanged(o.id, true)
+	}
+	return nil
+}
+
+// Idle implements transport.Session. A link is never closed to make room.
+func (o *outboundLink) Idle() bool { return false }
+
+// Closed implements transport.Session.
+func (o *outboundLink) Closed() {
+	o.conn = nil
+	o.cancelDial = nil
+	o.redialAt = o.links.loop.Now() + redialDelay
+	if !o.removed {
+		o.markDown()
+	}
+}
