--- a/internal/protocol/gossip/gossip.go
+++ b/internal/protocol/gossip/gossip.go
@@ -1,12 +1,15 @@
-// Package gossip reads and writes what instances tell each other of the log servers: frames of a length and a CBOR
-// map (RFC 8949), over byte slices. Unknown fields are passed over; another version, a frame that is too long and a
-// list that is too long are errors.
+// Package gossip encodes and decodes the messages in which instances tell each other of upstream endpoints: frames of
+// a length and a CBOR map (RFC 8949). internal/peers sends and receives them. The package works on byte slices and
+// does no I/O; what the observations are worth is up to internal/decide/loadbalancer.
+//
+// Unknown fields are ignored. Another version, a frame that is too long and a list that is too long are errors.
 package gossip
 
 import (
 	"encoding/binary"
 	"errors"
 	"fmt"
+	"sync"
 
 	"github.com/fxamacker/cbor/v2"
 
@@ -14,23 +17,39 @@
 	"pewterline/internal/microtime"
 )
 
-// Version is of the messages; one that does not have it is not understood.
+// Version is that of the messages; others are not understood.
 const Version = 1
 
 // The bounds of a message.
 const (
-	MaxFrameBytes   = 192 << 10 // below what transport lets wait in a buffer
+	MaxFrameBytes   = 192 << 10 // below what the transport lets wait in a buffer
 	MaxObservations = 2000
 	MaxPeers        = 64
 )
 
-// ErrMalformedFrame is wrapped by every error: the connection is past help.
-var ErrMalformedFrame = errors.New("gossip: broken frame")
+const (
+	// lengthBytes is the size of the length before each message, in big-endian order.
+	lengthBytes = 4
+	// maxArrayElements is above MaxObservations, so that a list that is too long is reported as such.
+	maxArrayElements = 4 * MaxObservations
+	maxMapPairs      = 64
+	maxNestedLevels  = 8
+	// maxMillis bounds spans in milliseconds; what is beyond would overflow in microseconds. It is over every bound that
+	// the load balancer checks, so that a span that was cut is still rejected.
+	maxMillis = 1 << 40
+)
+
+var (
+	// ErrMalformedFrame is wrapped by every error of Parse: the connection must be closed.
+	ErrMalformedFrame = errors.New("gossip: broken frame")
+	// ErrTooLarge is wrapped by the error of Append about a message that does not fit in a frame.
+	ErrTooLarge = errors.New("gossip: message too large")
+)
 
-// Message is all that instances say: who they are, and what they know. Asking marks one that wants an answer.
+// Message is all that an instance tells another: who it is, and what it knows.
 type Message struct {
 	Name         string
-	Uptime       microtime.Time
+	Uptime       microtime.Time // in whole milliseconds on the wire
 	WantsReply   bool
 	Observations []loadbalancer.Observation
 	Peers        []Peer
@@ -42,80 +61,135 @@
 	Address string `cbor:"2,keyasint"`
 }
 
+// wireMessage is a Message as it is encoded.
 type wireMessage struct {
-	Version  int        `cbor:"1,keyasint"`
-	Name     string     `cbor:"2,keyasint"`
-	UptimeMS int64      `cbor:"3,keyasint"`
-	Asking   bool       `cbor:"4,keyasint,omitempty"`
-	Facts    []wireFact `cbor:"5,keyasint,omitempty"`
-	Peers    []Peer     `cbor:"6,keyasint,omitempty"`
+	Version      int               `cbor:"1,keyasint"`
+	Name         string            `cbor:"2,keyasint"`
+	UptimeMillis int64             `cbor:"3,keyasint"`
+	WantsReply   bool              `cbor:"4,keyasint,omitempty"`
+	Observations []wireObservation `cbor:"5,keyasint,omitempty"`
+	Peers        []Peer            `cbor:"6,keyasint,omitempty"`
 }
 
-type wireFact struct {
-	Server   string  `cbor:"1,keyasint"`
-	Kind     uint8   `cbor:"2,keyasint"`
-	Value    float64 `cbor:"3,keyasint,omitempty"`
-	Evidence float64 `cbor:"4,keyasint"`
-	AgeMS    int64   `cbor:"5,keyasint"`
-	Source   string  `cbor:"6,keyasint"`
-	Hops     int     `cbor:"7,keyasint"`
+// wireObservation is an observation as it is encoded.
+type wireObservation struct {
+	Endpoint  string  `cbor:"1,keyasint"`
+	Kind      uint8   `cbor:"2,keyasint"`
+	Value     float64 `cbor:"3,keyasint,omitempty"`
+	Evidence  float64 `cbor:"4,keyasint"`
+	AgeMillis int64   `cbor:"5,keyasint"`
+	Source    string  `cbor:"6,keyasint"`
+	Hops      int     `cbor:"7,keyasint"`
 }
 
-var reader = func() cbor.DecMode {
-	m, err := cbor.DecOptions{MaxArrayElements: 4 * MaxObservations, MaxMapPairs: 64, MaxNestedLevels: 8, DupMapKey: cbor.DupMapKeyEnforcedAPF}.DecMode()
-	if err != nil {
-		panic(err) // the options are constants
+// decoder returns the decoding mode with the bounds of a message.
+var decoder = sync.OnceValues(func() (cbor.DecMode, error) {
+	return cbor.DecOptions{
+		MaxArrayElements: maxArrayElements,
+		MaxMapPairs:      maxMapPairs,
+		MaxNestedLevels:  maxNestedLevels,
+		DupMapKey:        cbor.DupMapKeyEnforcedAPF,
+	}.DecMode()
+})
+
+// Append appends the frame of a message to out. Observations and peers beyond the bounds are left out, the last first.
+// On an error out is returned as it was.
+func Append(out []byte, message Message) ([]byte, error) {
+	encoded := wireMessage{
+		Version:      Version,
+		Name:         message.Name,
+		UptimeMillis: int64(message.Uptime / microtime.Millisecond),
+		WantsReply:   message.WantsReply,
+		Peers:        message.Peers[:min(len(message.Peers), MaxPeers)],
 	}
-	return m
-}()
-
-// Append writes a message. What goes beyond the bounds is left out, the last first.
-func Append(out []byte, m Message) ([]byte, error) {
-	w := wireMessage{Version: Version, Name: m.Name, UptimeMS: int64(m.Uptime / microtime.Millisecond), Asking: m.WantsReply,
-		Peers: m.Peers[:min(len(m.Peers), MaxPeers)]}
-	for _, f := range m.Observations[:min(len(m.Observations), MaxObservations)] {
-		w.Facts = append(w.Facts, wireFact{f.Endpoint, uint8(f.Kind), f.Value, f.Evidence, int64(f.Age / microtime.Millisecond), f.Source, f.Hops})
+	for _, observation := range message.Observations[:min(len(message.Observations), MaxObservations)] {
+		encoded.Observations = append(encoded.Observations, encodeObservation(&observation))
 	}
-	body, err := cbor.Marshal(w)
+	body, err := cbor.Marshal(encoded)
 	if err != nil {
 		return out, fmt.Errorf("gossip: %w", err)
 	}
 	if len(body) > MaxFrameBytes {
-		return out, fmt.Errorf("gossip: a message of %d bytes is over %d", len(body), MaxFrameBytes)
+		return out, fmt.Errorf("%w: %d bytes are over %d", ErrTooLarge, len(body), MaxFrameBytes)
 	}
-	return append(binary.BigEndian.AppendUint32(out, uint32(len(body))), body...), nil
+	out = binary.BigEndian.AppendUint32(out, uint32(len(body)))
+	return append(out, body...), nil
 }
 
-// Parse takes the first message off in. n is 0 while it is not whole.
-func Parse(in []byte) (m Message, n int, err error) {
-	if len(in) < 4 {
-		return m, 0, nil
+// Parse decodes the first frame of in and returns its size. The size is 0 while the frame is incomplete.
+func Parse(in []byte) (message Message, size int, err error) {
+	if len(in) < lengthBytes {
+		return message, 0, nil
 	}
-	size := binary.BigEndian.Uint32(in)
-	if size == 0 || size > MaxFrameBytes {
-		return m, 0, fmt.Errorf("%w: length %d is not within 1 to %d", ErrMalformedFrame, size, MaxFrameBytes)
+	length := binary.BigEndian.Uint32(in)
+	if length == 0 || length > MaxFrameBytes {
+		return message, 0, fmt.Errorf("%w: length %d is not within 1 to %d", ErrMalformedFrame, length, MaxFrameBytes)
 	}
-	if len(in) < 4+int(size) {
-		return m, 0, nil
+	size = lengthBytes + int(length)
+	if len(in) < size {
+		return message, 0, nil
 	}
-	var w wireMessage
-	if err := reader.Unmarshal(in[4:4+size], &w); err != nil {
-		return m, 0, fmt.Errorf("%w: %w", ErrMalformedFrame, err)
+	decoded, err := decode(in[lengthBytes:size])
+	if err != nil {
+		return message, 0, fmt.Errorf("%w: %w", ErrMalformedFrame, err)
+	}
+	message = Message{
+		Name:       decoded.Name,
+		Uptime:     fromMillis(decoded.UptimeMillis),
+		WantsReply: decoded.WantsReply,
+		Peers:      decoded.Peers,
+	}
+	for i := range decoded.Observations {
+		message.Observations = append(message.Observations, decoded.Observations[i].decode())
+	}
+	return message, size, nil
+}
+
+// decode decodes the body of a frame and checks its bounds.
+func decode(body []byte) (decoded wireMessage, err error) {
+	mode, err := decoder()
+	if err != nil {
+		return decoded, err
+	}
+	if err := mode.Unmarshal(body, &decoded); err != nil {
+		return decoded, err
 	}
 	switch {
-	case w.Version != Version:
-		return m, 0, fmt.Errorf("%w: version %d, ours is %d", ErrMalformedFrame, w.Version, Version)
-	case len(w.Facts) > MaxObservations:
-		return m, 0, fmt.Errorf("%w: %d facts are over %d", ErrMalformedFrame, len(w.Facts), MaxObservations)
-	case len(w.Peers) > MaxPeers:
-		return m, 0, fmt.Errorf("%w: %d peers are over %d", ErrMalformedFrame, len(w.Peers), MaxPeers)
+	case decoded.Version != Version:
+		return decoded, fmt.Errorf("version %d, ours is %d", decoded.Version, Version)
+	case len(decoded.Observations) > MaxObservations:
+		return decoded, fmt.Errorf("%d observations are over %d", len(decoded.Observations), MaxObservations)
+	case len(decoded.Peers) > MaxPeers:
+		return decoded, fmt.Errorf("%d peers are over %d", len(decoded.Peers), MaxPeers)
+	}
+	return decoded, nil
+}
+
+func encodeObservation(observation *loadbalancer.Observation) wireObservation {
+	return wireObservation{
+		Endpoint:  observation.Endpoint,
+		Kind:      uint8(observation.Kind),
+		Value:     observation.Value,
+		Evidence:  observation.Evidence,
+		AgeMillis: int64(observation.Age / microtime.Millisecond),
+		Source:    observation.Source,
+		Hops:      observation.Hops,
 	}
-	const most = 1 << 40 // milliseconds; what is beyond would not fit in microseconds, and is refused as out of bounds
-	ms := func(v int64) microtime.Time { return microtime.Time(min(max(v, -1), most)) * microtime.Millisecond }
-	m = Message{Name: w.Name, Uptime: ms(w.UptimeMS), WantsReply: w.Asking, Peers: w.Peers}
-	for _, f := range w.Facts {
-		m.Observations = append(m.Observations, loadbalancer.Observation{Endpoint: f.Server, Kind: loadbalancer.ObservationKind(f.Kind), Value: f.Value, Evidence: f.Evidence, Age: ms(f.AgeMS),
-			Source: f.Source, Hops: f.Hops})
+}
+
+func (o *wireObservation) decode() loadbalancer.Observation {
+	return loadbalancer.Observation{
+		Endpoint: o.Endpoint,
+		Kind:     loadbalancer.ObservationKind(o.Kind),
+		Value:    o.Value,
+		Evidence: o.Evidence,
+		Age:      fromMillis(o.AgeMillis),
+		Source:   o.Source,
+		Hops:     o.Hops,
 	}
-	return m, 4 + int(size), nil
+}
+
+// fromMillis converts a span from the wire. A negative one stays negative, as the load balancer rejects it.
+func fromMillis(millis int64) microtime.Time {
+	return microtime.Time(min(max(millis, -1), maxMillis)) * microtime.Millisecond
 }
--- a/internal/protocol/gossip/gossip_test.go
+++ b/internal/protocol/gossip/gossip_test.go
@@ -2,7 +2,9 @@
 
 import (
 	"encoding/binary"
+	"encoding/hex"
 	"fmt"
+	"strings"
 	"testing"
 
 	"github.com/fxamacker/cbor/v2"
@@ -12,83 +14,161 @@
 	"pewterline/internal/microtime"
 )
 
-func message(facts int) Message {
-	m := Message{Name: "e1", Uptime: 5 * microtime.Second, WantsReply: true, Peers: []Peer{{"e2", "127.0.0.1:7000"}}}
-	for i := range facts {
-		m.Observations = append(m.Observations, loadbalancer.Observation{Endpoint: fmt.Sprintf("s%d", i), Kind: loadbalancer.TypicalLatency, Value: 1234.5, Evidence: 3,
-			Age: microtime.Time(i) * microtime.Millisecond, Source: "e1", Hops: 1})
+func message(observations int) Message {
+	built := Message{
+		Name:       "e1",
+		Uptime:     5 * microtime.Second,
+		WantsReply: true,
+		Peers:      []Peer{{"e2", "127.0.0.1:7000"}},
 	}
-	return m
+	for i := range observations {
+		built.Observations = append(built.Observations, loadbalancer.Observation{
+			Endpoint: fmt.Sprintf("s%d", i),
+			Kind:     loadbalancer.TypicalLatency,
+			Value:    1234.5,
+			Evidence: 3,
+			Age:      microtime.Time(i) * microtime.Millisecond,
+			Source:   "e1",
+			Hops:     1,
+		})
+	}
+	return built
 }
 
 func TestMessagesReadBack(t *testing.T) {
-	for _, n := range []int{0, 1, 800} {
-		p, err := Append(nil, message(n))
-		require.NoError(t, err)
-		for cut := range len(p) - 1 {
-			if cut%97 != 0 {
-				continue
+	for _, count := range []int{0, 1, 800} {
+		t.Run(fmt.Sprintf("%d observations", count), func(t *testing.T) {
+			encoded, err := Append(nil, message(count))
+			require.NoError(t, err)
+			for cut := range len(encoded) - 1 {
+				if cut%97 != 0 {
+					continue
+				}
+				_, size, err := Parse(encoded[:cut])
+				require.NoError(t, err)
+				require.Zero(t, size)
 			}
-			_, n, err := Parse(p[:cut])
+			read, size, err := Parse(append(encoded, 1, 2, 3))
 			require.NoError(t, err)
-			require.Zero(t, n)
-		}
-		m, size, err := Parse(append(p, 1, 2, 3))
-		require.NoError(t, err)
-		require.Equal(t, len(p), size)
-		require.Equal(t, message(n), m)
+			require.Equal(t, len(encoded), size)
+			require.Equal(t, message(count), read)
+		})
+	}
+}
+
+// Frames stay as they were: these bytes were recorded of the program before its identifiers were renamed.
+func TestRecordedFrames(t *testing.T) {
+	full := Message{
+		Name:       "e1",
+		Uptime:     5*microtime.Second + 1500,
+		WantsReply: true,
+		Observations: []loadbalancer.Observation{
+			{Endpoint: "s0", Kind: loadbalancer.Unreachable, Evidence: 8, Age: 1234567, Source: "e1", Hops: 1},
+			{Endpoint: "s1", Kind: loadbalancer.Reachable, Evidence: 2.5, Age: 0, Source: "e2", Hops: 2},
+			{Endpoint: "s2", Kind: loadbalancer.TypicalLatency, Value: 1234.5, Evidence: 3, Age: 999, Source: "e1", Hops: 1},
+			{Endpoint: "s3", Kind: loadbalancer.Recovered, Evidence: 1, Age: 600 * microtime.Second, Source: "e3", Hops: 4},
+		},
+		Peers: []Peer{{"e2", "127.0.0.1:7000"}, {"", "10.0.0.3:7000"}},
+	}
+	// What is read back has whole milliseconds.
+	fullRead := full
+	fullRead.Uptime = 5001 * microtime.Millisecond
+	fullRead.Observations = append([]loadbalancer.Observation(nil), full.Observations...)
+	fullRead.Observations[0].Age = 1234 * microtime.Millisecond
+	fullRead.Observations[2].Age = 0
+	small := Message{Name: "e9", Uptime: 10 * microtime.Millisecond}
+	for name, tc := range map[string]struct {
+		written  Message
+		read     Message
+		recorded string
+	}{
+		"every kind": {full, fullRead, "000000aca60101026265310319138904f505" +
+			"84a601627330020104fb4020000000000000051904d2066265310701" +
+			"a601627331020204fb40040000000000000500066265320702" +
+			"a701627332020303fb40934a000000000004fb40080000000000000500066265310701" +
+			"a601627333020404fb3ff0000000000000051a000927c0066265330704" +
+			"0682a201626532026e3132372e302e302e313a37303030a20160026d31302e302e302e333a37303030"},
+		"name and uptime alone": {small, small, "00000009a3010102626539030a"},
+	} {
+		t.Run(name, func(t *testing.T) {
+			encoded, err := Append(nil, tc.written)
+			require.NoError(t, err)
+			require.Equal(t, tc.recorded, hex.EncodeToString(encoded))
+			read, size, err := Parse(encoded)
+			require.NoError(t, err)
+			require.Equal(t, len(encoded), size)
+			require.Equal(t, tc.read, read)
+		})
 	}
 }
 
 func frame(t *testing.T, v any) []byte {
+	t.Helper()
 	body, err := cbor.Marshal(v)
 	require.NoError(t, err)
 	return append(binary.BigEndian.AppendUint32(nil, uint32(len(body))), body...)
 }
 
-// Another version is refused, unknown fields are passed over, and lists that are too long cost nothing.
+// Another version is an error, unknown fields are ignored, and lists that are too long cost nothing.
 func TestBounds(t *testing.T) {
-	m, _, err := Parse(frame(t, map[int]any{1: Version, 2: "e9", 3: 10, 99: map[string]any{"later": []int{1, 2}}}))
+	later := map[string]any{"later": []int{1, 2}}
+	read, _, err := Parse(frame(t, map[int]any{1: Version, 2: "e9", 3: 10, 99: later}))
 	require.NoError(t, err)
-	require.Equal(t, Message{Name: "e9", Uptime: 10 * microtime.Millisecond}, m)
+	require.Equal(t, Message{Name: "e9", Uptime: 10 * microtime.Millisecond}, read)
 	many := make([]map[int]any, MaxObservations+1)
 	for i := range many {
 		many[i] = map[int]any{1: "s", 2: 1, 4: 1.0, 5: 1, 6: "x", 7: 1}
 	}
-	for name, bad := range map[string][]byte{
-		"version":        frame(t, map[int]any{1: 2, 2: "e9"}),
-		"facts":          frame(t, map[int]any{1: Version, 5: many}),
-		"elements":       frame(t, map[int]any{1: Version, 5: make([]int, 4*MaxObservations+1)}),
-		"peers":          frame(t, map[int]any{1: Version, 6: make([]Peer, MaxPeers+1)}),
-		"twice":          {0, 0, 0, 5, 0xa2, 1, 1, 1, 1},
-		"no map":         frame(t, "hello"),
-		"length 0":       {0, 0, 0, 0},
-		"length endless": {0xff, 0xff, 0xff, 0xff},
-		"cut":            {0, 0, 0, 2, 0xa1, 1},
+	for name, malformed := range map[string][]byte{
+		"version":      frame(t, map[int]any{1: 2, 2: "e9"}),
+		"observations": frame(t, map[int]any{1: Version, 5: many}),
+		"elements":     frame(t, map[int]any{1: Version, 5: make([]int, maxArrayElements+1)}),
+		"peers":        frame(t, map[int]any{1: Version, 6: make([]Peer, MaxPeers+1)}),
+		"twice":        {0, 0, 0, 5, 0xa2, 1, 1, 1, 1},
+		"no map":       frame(t, "hello"),
+		"length 0":     {0, 0, 0, 0},
+		"endless":      {0xff, 0xff, 0xff, 0xff},
+		"cut":          {0, 0, 0, 2, 0xa1, 1},
 	} {
-		_, n, err := Parse(bad)
-		require.ErrorIs(t, err, ErrMalformedFrame, name)
-		require.Zero(t, n)
+		t.Run(name, func(t *testing.T) {
+			_, size, err := Parse(malformed)
+			require.ErrorIs(t, err, ErrMalformedFrame)
+			require.Zero(t, size)
+		})
 	}
-	m, _, err = Parse(frame(t, map[int]any{1: Version, 3: int64(1) << 62, 5: []map[int]any{{1: "s", 2: 1, 4: 1.0, 5: -77, 6: "x", 7: 1}}}))
+}
+
+// Spans that would overflow are cut, and stay out of the load balancer's bounds.
+func TestSpansOutOfBounds(t *testing.T) {
+	observation := map[int]any{1: "s", 2: 1, 4: 1.0, 5: -77, 6: "x", 7: 1}
+	read, _, err := Parse(frame(t, map[int]any{1: Version, 3: int64(1) << 62, 5: []map[int]any{observation}}))
 	require.NoError(t, err)
-	require.Positive(t, m.Uptime)
-	require.Error(t, loadbalancer.ValidateObservation(m.Observations[0]), "the age stays out of bounds")
-	p, err := Append(nil, message(MaxObservations+500))
+	require.Positive(t, read.Uptime)
+	require.Error(t, loadbalancer.ValidateObservation(read.Observations[0]), "the age stays out of bounds")
+}
+
+// Observations beyond the bound are left out; a message that does not fit in a frame is an error.
+func TestAppendBounds(t *testing.T) {
+	encoded, err := Append(nil, message(MaxObservations+500))
 	require.NoError(t, err)
-	m, _, err = Parse(p)
+	read, _, err := Parse(encoded)
 	require.NoError(t, err)
-	require.Len(t, m.Observations, MaxObservations)
+	require.Len(t, read.Observations, MaxObservations)
+
+	before := []byte("before")
+	after, err := Append(before, Message{Name: strings.Repeat("e", MaxFrameBytes)})
+	require.ErrorIs(t, err, ErrTooLarge)
+	require.Equal(t, before, after)
 }
 
 func FuzzParse(f *testing.F) {
-	p, _ := Append(nil, message(2))
-	f.Add(p)
+	encoded, _ := Append(nil, message(2))
+	f.Add(encoded)
 	f.Fuzz(func(t *testing.T, in []byte) {
-		m, n, err := Parse(in)
-		require.LessOrEqual(t, n, len(in))
-		if err == nil && n > 0 {
-			_, err = Append(nil, m)
+		read, size, err := Parse(in)
+		require.LessOrEqual(t, size, len(in))
+		if err == nil && size > 0 {
+			_, err = Append(nil, read)
 			require.NoError(t, err)
 		}
 	})
