--- a/internal/replication/replica.go
+++ b/internal/replication/replica.go
@@ -66,8 +66,15 @@
 		return err
 	}
 	self := consensus.Identity{ID: r.config.ID, Incarnation: r.storage.state.incarnation}
-	r.node, err = consensus.NewNode(self, process, r.config.Consensus, r.storage.state.membership,
-		r.storage.registers(), process, xxhash.Sum64String)
+	r.node, err = consensus.NewNode(consensus.NodeOptions{
+		Acceptor:           self,
+		ProcessIncarnation: process,
+		Config:             r.config.Consensus,
+		Membership:         r.storage.state.membership,
+		Registers:          r.storage.registers(),
+		Seed:               process,
+		Hash:               xxhash.Sum64String,
+	})
 	return err
 }
 
