--- a/internal/decide/consensus/config.go
+++ b/internal/decide/consensus/config.go
@@ -30,10 +30,11 @@
 	return nil
 }
 
-// The errors of proposals and of changes of the membership. Nothing was changed where one is returned.
+// The errors of proposals and of changes of the membership. Nothing was changed where one is returned. Their texts are
+// part of the responses of the operators' API, which calls a membership a group and its commands copies.
 var (
-	ErrTooManyInFlight  = errors.New("too many proposals are in flight")
-	ErrNoMembership     = errors.New("no membership is known here yet")
-	ErrChangeInProgress = errors.New("a change of members is in progress")
-	ErrInvalidChange    = errors.New("invalid change of members")
+	ErrTooManyInFlight  = errors.New("copies: too many changes are under way")
+	ErrNoMembership     = errors.New("copies: no group is known here yet")
+	ErrChangeInProgress = errors.New("copies: a change of members is under way")
+	ErrInvalidChange    = errors.New("copies: no such change of members")
 )
--- a/internal/decide/consensus/member_change.go
+++ b/internal/decide/consensus/member_change.go
@@ -35,7 +35,7 @@
 		return err
 	}
 	if n.membership.Epoch > 0 && membership.ClusterID != n.membership.ClusterID {
-		return fmt.Errorf("%w: cluster %x is another than this server's, %x",
+		return fmt.Errorf("%w: %x is another than this server's, %x",
 			ErrInvalidMembership, membership.ClusterID, n.membership.ClusterID)
 	}
 	if membership.Epoch <= n.membership.Epoch {
@@ -163,7 +163,7 @@
 // AbandonChange proposes to end the change of members that is in progress: the members stay as they were.
 func (n *Node) AbandonChange(now microtime.Time) error {
 	if len(n.membership.Next) == 0 {
-		return fmt.Errorf("%w: none is in progress", ErrInvalidChange)
+		return fmt.Errorf("%w: none is under way", ErrInvalidChange)
 	}
 	if n.change.proposalID == 0 {
 		n.decideMembership(now, n.membership.abandoned())
@@ -199,11 +199,11 @@
 // Bootstrap adopts the first membership of a cluster, where none is known.
 func (n *Node) Bootstrap(now microtime.Time, m Membership) error {
 	if n.membership.Epoch > 0 {
-		return fmt.Errorf("%w: a membership is known here, of epoch %d", ErrInvalidChange, n.membership.Epoch)
+		return fmt.Errorf("%w: a group is known here, of epoch %d", ErrInvalidChange, n.membership.Epoch)
 	}
 	m.Epoch = 1
 	if !containsIdentity(m.Current, n.AcceptorID) {
-		return fmt.Errorf("%w: this server is not a member", ErrInvalidChange)
+		return fmt.Errorf("%w: this server is not of it", ErrInvalidChange)
 	}
 	return n.AdoptMembership(now, m)
 }
--- a/internal/decide/consensus/membership.go
+++ b/internal/decide/consensus/membership.go
@@ -14,8 +14,9 @@
 	maxReplicationFactor = 9
 )
 
-// ErrInvalidMembership is wrapped by the errors of a membership that makes no sense, and of one of another cluster.
-var ErrInvalidMembership = errors.New("invalid membership")
+// ErrInvalidMembership is wrapped by the errors of a membership that makes no sense, and of one of another cluster. Its
+// text is part of the responses of the operators' API, as are those that wrap it.
+var ErrInvalidMembership = errors.New("copies: group")
 
 // Member is a server of a cluster as an acceptor, and the address at which the others reach it.
 type Member struct {
@@ -44,19 +45,21 @@
 // Validate returns an error that names what makes no sense.
 func (m Membership) Validate() error {
 	if m.ClusterID == 0 || m.Epoch == 0 {
-		return fmt.Errorf("%w: no cluster ID or no epoch", ErrInvalidMembership)
+		return fmt.Errorf("%w: it has no name or no epoch", ErrInvalidMembership)
 	}
 	if m.ReplicationFactor < 1 || m.ReplicationFactor%2 == 0 || m.ReplicationFactor > maxReplicationFactor {
-		return fmt.Errorf("%w: the replication factor %d is not odd and within 1 to %d",
+		return fmt.Errorf("%w: %d copies are not odd and within 1 to %d",
 			ErrInvalidMembership, m.ReplicationFactor, maxReplicationFactor)
 	}
-	if len(m.Current) == 0 {
-		return fmt.Errorf("%w: no members", ErrInvalidMembership)
+	for _, configuration := range [][]Member{m.Current, m.Next} {
+		if err := validateMembers(configuration); err != nil {
+			return err
+		}
 	}
-	if err := validateMembers(m.Current); err != nil {
-		return err
+	if len(m.Current) == 0 {
+		return fmt.Errorf("%w: it has no members", ErrInvalidMembership)
 	}
-	return validateMembers(m.Next)
+	return nil
 }
 
 func validateMembers(members []Member) error {
@@ -65,12 +68,9 @@
 	}
 	seen := map[uint32]bool{}
 	for _, member := range members {
-		switch {
-		case member.ID == 0 || seen[member.ID]:
-			return fmt.Errorf("%w: member %d at %q: the number is 0 or another member's",
+		if member.ID == 0 || seen[member.ID] || member.Addr == "" || strings.ContainsAny(member.Addr, ` |"`) {
+			return fmt.Errorf("%w: member %d at %q: its number is 0 or not its own, or its address none",
 				ErrInvalidMembership, member.ID, member.Addr)
-		case member.Addr == "" || strings.ContainsAny(member.Addr, ` |"`):
-			return fmt.Errorf("%w: member %d: %q is no address", ErrInvalidMembership, member.ID, member.Addr)
 		}
 		seen[member.ID] = true
 	}
--- a/internal/decide/consensus/membership_text.go
+++ b/internal/decide/consensus/membership_text.go
@@ -39,7 +39,7 @@
 func ParseMembership(text string) (m Membership, err error) {
 	parts := strings.SplitN(text, " |", membershipParts)
 	if len(parts) != membershipParts {
-		return m, fmt.Errorf("%w: %q is not the text of one", ErrInvalidMembership, text)
+		return m, fmt.Errorf("%w: %q is no group's text", ErrInvalidMembership, text)
 	}
 	if _, err := fmt.Sscan(parts[0], &m.ClusterID, &m.Epoch, &m.ReplicationFactor, &m.ForcedAt); err != nil {
 		return m, fmt.Errorf("%w: %w", ErrInvalidMembership, err)
@@ -51,7 +51,7 @@
 		return m, err
 	}
 	if m.Reason, err = strconv.Unquote(strings.TrimSpace(parts[3])); err != nil {
-		return m, fmt.Errorf("%w: reason: %w", ErrInvalidMembership, err)
+		return m, fmt.Errorf("%w: %w", ErrInvalidMembership, err)
 	}
 	return m, m.Validate()
 }
@@ -59,7 +59,7 @@
 func parseMembers(text string) (members []Member, err error) {
 	fields := strings.Fields(text)
 	if len(fields)%memberFields != 0 {
-		return nil, fmt.Errorf("%w: a member is cut off", ErrInvalidMembership)
+		return nil, fmt.Errorf("%w: half a member", ErrInvalidMembership)
 	}
 	for ; len(fields) > 0; fields = fields[memberFields:] {
 		id, idErr := strconv.ParseUint(fields[0], 10, 32)
--- a/internal/decide/consensus/node.go
+++ b/internal/decide/consensus/node.go
@@ -45,11 +45,11 @@
 // NewNode returns a node.
 func NewNode(options NodeOptions) (*Node, error) {
 	if err := options.Config.Validate(); err != nil {
-		return nil, fmt.Errorf("consensus: %w", err)
+		return nil, fmt.Errorf("copies: %w", err)
 	}
 	if options.Membership.Epoch > 0 {
 		if err := options.Membership.Validate(); err != nil {
-			return nil, fmt.Errorf("consensus: %w", err)
+			return nil, err
 		}
 	}
 	node := &Node{
