--- a/internal/replication/replica_test.go
+++ b/internal/replication/replica_test.go
@@ -171,28 +171,28 @@
 	require.Empty(t, server.replica.Export("", 10), "not on disk either")
 }
 
-// faultyDisk is a folder whose writes fail while it is told to.
-type faultyDisk struct {
+// failingDisk is a folder whose writes fail while it is told to.
+type failingDisk struct {
 	wal.FS
 	failing *bool
 }
 
 var errDisk = errors.New("the disk is full")
 
-func (d faultyDisk) Create(name string) (wal.File, error) {
+func (d failingDisk) Create(name string) (wal.File, error) {
 	if *d.failing {
 		return nil, errDisk
 	}
 	file, err := d.FS.Create(name)
-	return faultyFile{file, d.failing}, err
+	return failingFile{file, d.failing}, err
 }
 
-type faultyFile struct {
+type failingFile struct {
 	wal.File
 	failing *bool
 }
 
-func (f faultyFile) Sync() error {
+func (f failingFile) Sync() error {
 	if *f.failing {
 		return errDisk
 	}
@@ -205,7 +205,7 @@
 	group := newCluster(t, 1)
 	server := group.servers[1]
 	failing := false
-	server.config.filesystem = faultyDisk{wal.Dir(server.config.Directory), &failing}
+	server.config.filesystem = failingDisk{wal.Dir(server.config.Directory), &failing}
 	server.start()
 	require.NoError(t, server.replica.Bootstrap())
 	require.Equal(t, execution.ActionStart, server.acquire("before").Action)
--- a/internal/wal/commit_test.go
+++ b/internal/wal/committer_test.go
@@ -1,6 +1,7 @@
 package wal
 
 import (
+	"errors"
 	"fmt"
 	"sync"
 	"testing"
@@ -13,7 +14,7 @@
 	dir := t.TempDir()
 	l, _, err := Open(Dir(dir), Options{})
 	require.NoError(t, err)
-	c := NewCommitter(l, CommitOptions{})
+	committer := NewCommitter(l, CommitOptions{})
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	told := map[uint64]string{}
@@ -23,7 +24,7 @@
 			defer wg.Done()
 			for j := range 50 {
 				data, done := fmt.Sprintf("%d/%d", i, j), make(chan error)
-				c.Submit([]byte(data), func(index uint64, err error) {
+				committer.Submit([]byte(data), func(index uint64, err error) {
 					mu.Lock()
 					told[index] = data
 					mu.Unlock()
@@ -37,15 +38,15 @@
 	}
 	wg.Wait()
 	snap := make(chan error)
-	c.Do(func(l *Log) error {
+	committer.Do(func(l *Log) error {
 		if l.Synced() != 400 {
 			return fmt.Errorf("%d are durable", l.Synced())
 		}
 		return nil
 	}, func(err error) { snap <- err })
 	require.NoError(t, <-snap)
-	require.NoError(t, c.Close())
-	c.Submit(nil, func(_ uint64, err error) { require.ErrorIs(t, err, ErrClosed) })
+	require.NoError(t, committer.Close())
+	committer.Submit(nil, func(_ uint64, err error) { require.ErrorIs(t, err, ErrClosed) })
 	_, rec, err := Open(Dir(dir), Options{})
 	require.NoError(t, err)
 	require.Len(t, rec.Records, 400)
@@ -54,38 +55,38 @@
 	}
 }
 
-// Guards against a caller told that its record is durable after a sync has failed, that one's or an earlier one's; and
-// against a queue without a bound.
+// Guards against a caller told that its record is durable after a sync has failed, that one's or an earlier one's;
+// and against a queue without a bound.
 func TestCommitterOnABadDisk(t *testing.T) {
-	d := newDisk(3)
-	l, _, err := Open(d, Options{})
+	disk := newFaultyDisk(3)
+	l, _, err := Open(disk, Options{})
 	require.NoError(t, err)
-	c := NewCommitter(l, CommitOptions{QueueSize: 2, MaxBatch: 1})
+	committer := NewCommitter(l, CommitOptions{QueueSize: 2, MaxBatch: 1})
 	submit := func(data string) error {
 		done := make(chan error, 1)
-		c.Submit([]byte(data), func(_ uint64, err error) { done <- err })
+		committer.Submit([]byte(data), func(_ uint64, err error) { done <- err })
 		return <-done
 	}
 	require.NoError(t, submit("one"))
-	d.failing = 1
+	disk.failingSync = 1
 	require.ErrorIs(t, submit("two"), ErrBroken)
 	require.ErrorIs(t, submit("three"), ErrBroken)
 	hold, held := make(chan struct{}), make(chan struct{})
-	c.Do(func(*Log) error { return nil }, func(error) { close(held); <-hold })
+	committer.Do(func(*Log) error { return nil }, func(error) { close(held); <-hold })
 	<-held
 	full := 0
 	for range 5 {
-		c.Submit([]byte("x"), func(_ uint64, err error) {
-			if err == ErrQueueFull {
+		committer.Submit([]byte("x"), func(_ uint64, err error) {
+			if errors.Is(err, ErrQueueFull) {
 				full++
 			}
 		})
 	}
 	require.Equal(t, 3, full)
 	close(hold)
-	require.NoError(t, c.Close())
-	d.crash()
-	_, rec, err := Open(d, Options{})
+	require.NoError(t, committer.Close())
+	disk.crash()
+	_, rec, err := Open(disk, Options{})
 	require.NoError(t, err)
 	require.Equal(t, "one", string(rec.Records[0].Data))
 	require.LessOrEqual(t, len(rec.Records), 2, "what came after the failure was never written")
@@ -95,18 +96,18 @@
 func BenchmarkIntake(b *testing.B) {
 	l, _, err := Open(Dir(b.TempDir()), Options{})
 	require.NoError(b, err)
-	c := NewCommitter(l, CommitOptions{})
+	committer := NewCommitter(l, CommitOptions{})
 	data := make([]byte, 600)
 	b.ReportAllocs()
 	b.SetParallelism(64)
 	b.RunParallel(func(pb *testing.PB) {
 		done := make(chan error, 1)
 		for pb.Next() {
-			c.Submit(data, func(_ uint64, err error) { done <- err })
+			committer.Submit(data, func(_ uint64, err error) { done <- err })
 			if err := <-done; err != nil {
 				b.Error(err)
 			}
 		}
 	})
-	require.NoError(b, c.Close())
+	require.NoError(b, committer.Close())
 }
--- a/internal/wal/disk_test.go
+++ b/internal/wal/disk_test.go
@@ -9,58 +9,64 @@
 	"syscall"
 )
 
-const sector = 512
-
-// disk is a folder on a disk that forgets what was not synced when it crashes, tears writes at sectors, fills up and fails to
-// sync. After a sync that failed, the pages count as clean: they can be read, and no later sync writes them.
-type disk struct {
-	rng     *rand.Rand
-	names   map[string]*inode
-	durable map[string]*inode
-	pending []func(map[string]*inode) // changes of names since the last Sync, in order
-	locked  bool
-	life    int
-	room    int // bytes that can still be written; negative: no bound
-	failing int // the sync that fails: counted down; 0: none
-	syncs   int
+const sectorBytes = 512
+
+// faultyDisk is a folder on a disk that forgets what was not synced when it crashes, tears writes at sectors, fills
+// up and fails to sync. After a sync that failed, the pages count as clean: they can be read, and no later sync
+// writes them.
+type faultyDisk struct {
+	rng             *rand.Rand
+	files           map[string]*inode
+	durableFiles    map[string]*inode
+	unsyncedChanges []func(map[string]*inode) // of names, since the last Sync
+	locked          bool
+	generation      int
+	bytesLeft       int // bytes that can still be written; negative: no bound
+	failingSync     int // the sync that fails: counted down; 0: none
+	syncs           int
 }
 
 type inode struct {
-	data   []byte // as it is read
-	kept   []byte // as it is on the disk
-	dirty  []span // written and not synced
-	orphan []span // of a sync that failed: read, and never written
+	data     []byte // as it is read
+	durable  []byte // as it is on the disk
+	unsynced []span // written and not synced
+	lost     []span // of a sync that failed: read, and never written
 }
 
 type span struct{ from, to int }
 
-func newDisk(seed uint64) *disk {
-	return &disk{rng: rand.New(rand.NewPCG(seed, 7)), names: map[string]*inode{}, durable: map[string]*inode{}, room: -1}
+func newFaultyDisk(seed uint64) *faultyDisk {
+	return &faultyDisk{
+		rng:          rand.New(rand.NewPCG(seed, 7)),
+		files:        map[string]*inode{},
+		durableFiles: map[string]*inode{},
+		bytesLeft:    -1,
+	}
 }
 
-func (d *disk) List() ([]string, error) { return slices.Sorted(maps.Keys(d.names)), nil }
+func (d *faultyDisk) List() ([]string, error) { return slices.Sorted(maps.Keys(d.files)), nil }
 
-func (d *disk) Read(name string) ([]byte, error) {
-	i := d.names[name]
+func (d *faultyDisk) Read(name string) ([]byte, error) {
+	i := d.files[name]
 	if i == nil {
 		return nil, fs.ErrNotExist
 	}
 	return slices.Clone(i.data), nil
 }
 
-func (d *disk) change(f func(map[string]*inode)) {
-	f(d.names)
-	d.pending = append(d.pending, f)
+func (d *faultyDisk) change(f func(map[string]*inode)) {
+	f(d.files)
+	d.unsyncedChanges = append(d.unsyncedChanges, f)
 }
 
-func (d *disk) Create(name string) (File, error) {
+func (d *faultyDisk) Create(name string) (File, error) {
 	i := &inode{}
 	d.change(func(m map[string]*inode) { m[name] = i })
-	return &handle{d, i, d.life}, nil
+	return &handle{d, i, d.generation}, nil
 }
 
-func (d *disk) Rename(from, to string) error {
-	i := d.names[from]
+func (d *faultyDisk) Rename(from, to string) error {
+	i := d.files[from]
 	if i == nil {
 		return fs.ErrNotExist
 	}
@@ -71,82 +77,82 @@
 	return nil
 }
 
-func (d *disk) Remove(name string) error {
-	if d.names[name] == nil {
+func (d *faultyDisk) Remove(name string) error {
+	if d.files[name] == nil {
 		return fs.ErrNotExist
 	}
 	d.change(func(m map[string]*inode) { delete(m, name) })
 	return nil
 }
 
-func (d *disk) Sync() error {
+func (d *faultyDisk) Sync() error {
 	if err := d.mayFail(); err != nil {
 		return err
 	}
-	d.durable, d.pending = maps.Clone(d.names), nil
+	d.durableFiles, d.unsyncedChanges = maps.Clone(d.files), nil
 	return nil
 }
 
-func (d *disk) mayFail() error {
+func (d *faultyDisk) mayFail() error {
 	d.syncs++
-	if d.failing > 0 {
-		if d.failing--; d.failing == 0 {
+	if d.failingSync > 0 {
+		if d.failingSync--; d.failingSync == 0 {
 			return syscall.EIO
 		}
 	}
 	return nil
 }
 
-func (d *disk) Lock() (func() error, error) {
+func (d *faultyDisk) Lock() (func() error, error) {
 	if d.locked {
 		return nil, ErrLocked
 	}
 	d.locked = true
-	life := d.life
+	life := d.generation
 	return func() error {
-		if d.life == life {
+		if d.generation == life {
 			d.locked = false
 		}
 		return nil
 	}, nil
 }
 
-// crash loses what was not synced: of each file any sectors of it, and of the names all after some change.
-func (d *disk) crash() {
-	d.life++
-	d.locked, d.room, d.failing = false, -1, 0
-	names := d.durable
-	for _, f := range d.pending[:d.rng.IntN(len(d.pending)+1)] {
+// crash loses what was not synced: of each file any sectors of it, and of the names all behind some change.
+func (d *faultyDisk) crash() {
+	d.generation++
+	d.locked, d.bytesLeft, d.failingSync = false, -1, 0
+	names := d.durableFiles
+	for _, f := range d.unsyncedChanges[:d.rng.IntN(len(d.unsyncedChanges)+1)] {
 		f(names)
 	}
-	d.names, d.durable, d.pending = names, maps.Clone(names), nil
+	d.files, d.durableFiles, d.unsyncedChanges = names, maps.Clone(names), nil
 	seen := map[*inode]bool{}
 	for _, name := range slices.Sorted(maps.Keys(names)) {
-		i := names[name]
-		if seen[i] {
+		file := names[name]
+		if seen[file] {
 			continue
 		}
-		seen[i] = true
-		kept := i.kept
+		seen[file] = true
+		kept := file.durable
 		// A file may have its full length, with nothing written yet, or end anywhere.
-		for _, s := range i.dirty {
+		for _, s := range file.unsynced {
 			to := s.from + d.rng.IntN(s.to-s.from+1)
 			for at := s.from; at < to; {
-				end := min(to, (at/sector+1)*sector)
+				end := min(to, (at/sectorBytes+1)*sectorBytes)
 				if d.rng.IntN(3) > 0 {
-					kept = grown(kept, end)
-					copy(kept[at:end], i.data[at:end])
+					kept = extended(kept, end)
+					copy(kept[at:end], file.data[at:end])
 				} else if d.rng.IntN(2) == 0 {
-					kept = grown(kept, end)
+					kept = extended(kept, end)
 				}
 				at = end
 			}
 		}
-		i.data, i.kept, i.dirty, i.orphan = slices.Clone(kept), slices.Clone(kept), nil, nil
+		file.data, file.durable, file.unsynced, file.lost = slices.Clone(kept), slices.Clone(kept), nil, nil
 	}
 }
 
-func grown(b []byte, n int) []byte {
+func extended(b []byte, n int) []byte {
 	b = slices.Clone(b)
 	if len(b) < n {
 		b = append(b, make([]byte, n-len(b))...)
@@ -155,45 +161,45 @@
 }
 
 type handle struct {
-	d    *disk
-	i    *inode
-	life int
+	disk       *faultyDisk
+	inode      *inode
+	generation int
 }
 
-var errGone = errors.New("the process that held this file is gone")
+var errCrashed = errors.New("the process that held this file is gone")
 
-func (h *handle) Write(p []byte) (int, error) {
-	if h.life != h.d.life {
-		return 0, errGone
+func (h *handle) Write(data []byte) (int, error) {
+	if h.generation != h.disk.generation {
+		return 0, errCrashed
 	}
-	n, err := len(p), error(nil)
-	if h.d.room >= 0 && n > h.d.room {
-		n, err = h.d.room, syscall.ENOSPC
+	n, err := len(data), error(nil)
+	if h.disk.bytesLeft >= 0 && n > h.disk.bytesLeft {
+		n, err = h.disk.bytesLeft, syscall.ENOSPC
 	}
-	if h.d.room >= 0 {
-		h.d.room -= n
+	if h.disk.bytesLeft >= 0 {
+		h.disk.bytesLeft -= n
 	}
 	if n > 0 {
-		h.i.dirty = append(h.i.dirty, span{len(h.i.data), len(h.i.data) + n})
-		h.i.data = append(h.i.data, p[:n]...)
+		h.inode.unsynced = append(h.inode.unsynced, span{len(h.inode.data), len(h.inode.data) + n})
+		h.inode.data = append(h.inode.data, data[:n]...)
 	}
 	return n, err
 }
 
 func (h *handle) Sync() error {
-	if h.life != h.d.life {
-		return errGone
+	if h.generation != h.disk.generation {
+		return errCrashed
 	}
-	if err := h.d.mayFail(); err != nil {
-		h.i.orphan = append(h.i.orphan, h.i.dirty...)
-		h.i.dirty = nil
+	if err := h.disk.mayFail(); err != nil {
+		h.inode.lost = append(h.inode.lost, h.inode.unsynced...)
+		h.inode.unsynced = nil
 		return err
 	}
-	for _, s := range h.i.dirty {
-		h.i.kept = grown(h.i.kept, s.to)
-		copy(h.i.kept[s.from:s.to], h.i.data[s.from:s.to])
+	for _, s := range h.inode.unsynced {
+		h.inode.durable = extended(h.inode.durable, s.to)
+		copy(h.inode.durable[s.from:s.to], h.inode.data[s.from:s.to])
 	}
-	h.i.dirty = nil
+	h.inode.unsynced = nil
 	return nil
 }
 
--- a/internal/wal/format_test.go
+++ b/internal/wal/format_test.go
@@ -48,8 +48,8 @@
 	require.Equal(t, golden.Files(t, "testdata/v1"), golden.Files(t, folder))
 }
 
-// Guards servers that come back with this release on a disk that an earlier one has written: all is read, and the log goes on as
-// that release would have gone on.
+// Guards servers that come back with this release on a disk that an earlier one has written: all is read, and the log
+// goes on as that release would have gone on.
 func TestRecordedFilesAreRead(t *testing.T) {
 	folder := golden.Folder(t, "testdata/v1")
 	l, recovery, err := Open(Dir(folder), recordedOptions)
--- /dev/null
+++ b/internal/wal/open.go
@@ -0,0 +1,182 @@
+package wal
+
+import (
+	"errors"
+	"fmt"
+)
+
+// Recovery is what Open has read.
+type Recovery struct {
+	Snapshot       []byte   // nil: there is none
+	Records        []Record // behind the snapshot, in order
+	TruncatedBytes int      // of a torn tail that was left out
+}
+
+// Open opens a log, or begins one in an empty folder, and reads all that it holds. Its error may wrap ErrLocked or be
+// a CorruptError. The caller closes the log.
+func Open(fs FS, options Options) (*Log, Recovery, error) {
+	if options.SegmentBytes == 0 {
+		options.SegmentBytes = defaultSegmentBytes
+	}
+	unlock, err := fs.Lock()
+	if err != nil {
+		return nil, Recovery{}, fmt.Errorf("wal: lock: %w", err)
+	}
+	log := &Log{fs: fs, options: options, unlock: unlock, nextIndex: 1}
+	recovery, err := log.recover()
+	if err != nil {
+		if log.active != nil {
+			err = errors.Join(err, log.active.Close())
+		}
+		return nil, Recovery{}, errors.Join(err, unlock())
+	}
+	return log, recovery, nil
+}
+
+// recover reads what the folder holds, and begins the segment that is written from now on.
+func (l *Log) recover() (Recovery, error) {
+	var recovery Recovery
+	snapshots, err := l.listFiles()
+	if err != nil {
+		return Recovery{}, err
+	}
+	if len(snapshots) > 0 {
+		// It has come into use by its name alone, when it was whole: a crash cannot have made it corrupt.
+		l.snapshotIndex = snapshots[len(snapshots)-1]
+		if recovery.Snapshot, err = l.readSnapshot(); err != nil {
+			return Recovery{}, err
+		}
+		l.nextIndex = l.snapshotIndex + 1
+	}
+	for i, first := range l.segments {
+		isLast := i == len(l.segments)-1
+		if err := l.readSegment(first, isLast, &recovery); err != nil {
+			return Recovery{}, err
+		}
+	}
+	if err := l.beginSegment(recovery.Records); err != nil {
+		return Recovery{}, err
+	}
+	return recovery, l.removeObsolete(snapshots)
+}
+
+// listFiles notes the segments, removes what was never in use, and returns the indexes of the snapshots in ascending
+// order.
+func (l *Log) listFiles() (snapshots []uint64, err error) {
+	names, err := l.fs.List()
+	if err != nil {
+		return nil, fmt.Errorf("wal: list: %w", err)
+	}
+	for _, name := range names {
+		switch index, suffix := parseFileName(name); suffix {
+		case segmentSuffix:
+			l.segments = append(l.segments, index)
+		case snapshotSuffix:
+			snapshots = append(snapshots, index)
+		case temporarySuffix:
+			if err := l.remove(name); err != nil {
+				return nil, err
+			}
+		}
+	}
+	return snapshots, nil
+}
+
+func (l *Log) readSnapshot() ([]byte, error) {
+	name := fileName(l.snapshotIndex, snapshotSuffix)
+	content, err := l.fs.Read(name)
+	if err != nil {
+		return nil, fmt.Errorf("wal: read %s: %w", name, err)
+	}
+	return decodeSnapshot(name, l.snapshotIndex, content)
+}
+
+// readSegment adds the records of a segment that are not in the snapshot.
+func (l *Log) readSegment(first uint64, isLast bool, recovery *Recovery) error {
+	name := fileName(first, segmentSuffix)
+	content, err := l.fs.Read(name)
+	if err != nil {
+		return fmt.Errorf("wal: read %s: %w", name, err)
+	}
+	torn, err := checkHeader(name, first, content)
+	if err != nil {
+		return err
+	}
+	if torn {
+		// A segment is synced with its header before a record is appended to it: without one, it held none.
+		if !isLast || findLaterRecord(content, 0, first) >= 0 {
+			return corrupt(name, 0, "its header is incomplete or has a wrong checksum")
+		}
+		recovery.TruncatedBytes += len(content)
+		return nil
+	}
+	if first > l.nextIndex { // a segment begins once all records before it are durable
+		return corrupt(name, indexOffset, "it begins with record %d, and %d is missing", first, l.nextIndex)
+	}
+	offset, index := l.readRecords(content, first, recovery)
+	if offset == len(content) {
+		return nil
+	}
+	if err := checkTornTail(name, content, offset, index, isLast); err != nil {
+		return err
+	}
+	recovery.TruncatedBytes += len(content) - offset
+	return nil
+}
+
+// readRecords adds the sound records at the front of a segment. It returns the offset and the index of the first that
+// is not.
+func (l *Log) readRecords(content []byte, first uint64, recovery *Recovery) (offset int, index uint64) {
+	offset = headerBytes
+	index = first
+	for offset < len(content) {
+		record, size, ok := decodeRecord(content[offset:])
+		if !ok || record.Index != index {
+			break
+		}
+		if index == l.nextIndex { // those before are in the snapshot
+			recovery.Records = append(recovery.Records, record)
+			l.nextIndex++
+		}
+		offset += size
+		index++
+	}
+	return offset, index
+}
+
+// checkTornTail tells a torn write, which is cut off, from a corrupt record, which is an error. A crash damages the
+// end of the last segment, where nothing was synced yet, and nothing else; of several records that were written at
+// once it may damage any. A sound record behind the damaged one that was written once that one was durable proves
+// that no crash has done it. Of what was synced last nobody can prove it: it is cut off.
+func checkTornTail(name string, content []byte, offset int, index uint64, isLast bool) error {
+	if !isLast {
+		return corrupt(name, offset, "record %d, and more segments follow", index)
+	}
+	if later := findLaterRecord(content, offset+1, index); later >= 0 {
+		return corrupt(name, offset, "record %d, which was durable when the one at offset %d was written", index, later)
+	}
+	return nil
+}
+
+// beginSegment begins the segment that is written from now on. It copies what the last one holds: the pages of that
+// file may be of a write that was never made durable, and its end may be torn.
+func (l *Log) beginSegment(records []Record) error {
+	first := l.nextIndex
+	if len(l.segments) > 0 {
+		first = l.segments[len(l.segments)-1]
+	}
+	var copied []byte
+	for _, record := range records {
+		if record.Index >= first {
+			copied = appendRecord(copied, record.Index, 0, record.Data)
+		}
+	}
+	if len(copied) == 0 {
+		first = l.nextIndex // the last segment holds nothing that the snapshot does not
+	}
+	if err := l.createSegment(first, copied); err != nil {
+		return err
+	}
+	l.syncedIndex = l.nextIndex - 1
+	return nil
+}
