--- a/internal/admin/copies.go
+++ b/internal/admin/copies.go
@@ -46,7 +46,7 @@
 }
 
 func (h *Handler) groupState(url.Values) (any, error) {
-	group, view := h.held.Group(), h.held.Status()
+	group, view := h.held.Membership(), h.held.Status()
 	return groupState{ID: view.Self.ID, Life: fmt.Sprintf("%x", view.Self.Incarnation), Group: fmt.Sprintf("%x", group.ClusterID), Epoch: group.Epoch,
 		Copies: group.ReplicationFactor, Changing: len(group.Next) > 0, Marked: view.MembersTransferred, Why: group.Reason, Lost: group.ForcedAt, Voting: view.Voting,
 		Members: view.Members, Counters: h.held.Counters()}, nil
--- a/internal/peers/inbound.go
+++ b/internal/peers/inbound.go
@@ -25,7 +25,7 @@
 	if !i.greeted {
 		return
 	}
-	membership := i.links.handler.Group()
+	membership := i.links.handler.Membership()
 	notice := i.notice.take(now, &membership)
 	if notice != nil || i.pong {
 		i.links.write(i.conn, replicationwire.Message{Epoch: membership.Epoch, Membership: notice})
--- a/internal/peers/links.go
+++ b/internal/peers/links.go
@@ -28,8 +28,8 @@
 	HandleMessage(from replicationwire.Hello, m replicationwire.Message)
 	// PeerStateChanged reports whether a server can be reached.
 	PeerStateChanged(id uint32, up bool)
-	// Group is the newest membership that is known; its epoch is 0 if there is none.
-	Group() consensus.Membership
+	// Membership is the newest that is known; its epoch is 0 if there is none.
+	Membership() consensus.Membership
 }
 
 // Links are the connections of this server to the others of its group: one that it opens to each, and one that each
@@ -145,7 +145,7 @@
 }
 
 // membershipEpoch is the epoch by which this server goes; 0: none.
-func (l *Links) membershipEpoch() uint64 { return l.handler.Group().Epoch }
+func (l *Links) membershipEpoch() uint64 { return l.handler.Membership().Epoch }
 
 // write writes a message to a connection. One that cannot be encoded is logged and dropped.
 func (l *Links) write(conn transport.Conn, message replicationwire.Message) {
--- a/internal/peers/links_test.go
+++ b/internal/peers/links_test.go
@@ -66,7 +66,7 @@
 }
 
 func (h *fakeHandler) PeerStateChanged(id uint32, up bool) { h.up[id] = up }
-func (h *fakeHandler) Group() consensus.Membership         { return h.group }
+func (h *fakeHandler) Membership() consensus.Membership    { return h.group }
 
 // lastMessage returns the last message that was handled.
 func (h *fakeHandler) lastMessage() replicationwire.Message { return h.messages[len(h.messages)-1] }
--- a/internal/peers/outbound.go
+++ b/internal/peers/outbound.go
@@ -108,7 +108,7 @@
 	if !o.up {
 		return
 	}
-	membership := o.links.handler.Group()
+	membership := o.links.handler.Membership()
 	notice := o.notice.take(now, &membership)
 	if notice != nil || len(o.acks) > 0 {
 		o.write(replicationwire.Message{Epoch: membership.Epoch, Membership: notice, TransferAcks: o.acks})
--- a/internal/replication/cluster_test.go
+++ b/internal/replication/cluster_test.go
@@ -90,7 +90,7 @@
 // grouped says whether all servers know of a group.
 func (c *cluster) grouped() bool {
 	for _, s := range c.servers {
-		if s.replica.Group().Epoch == 0 {
+		if s.replica.Membership().Epoch == 0 {
 			return false
 		}
 	}
--- a/internal/replication/membership_test.go
+++ b/internal/replication/membership_test.go
@@ -27,7 +27,7 @@
 	group.until(group.connected)
 	require.NoError(t, group.servers[1].replica.Bootstrap())
 	group.until(group.grouped)
-	require.Equal(t, "founded", group.servers[3].replica.Group().Reason)
+	require.Equal(t, "founded", group.servers[3].replica.Membership().Reason)
 	require.ErrorIs(t, group.servers[2].replica.Bootstrap(), consensus.ErrInvalidChange, "it has a group")
 }
 
@@ -50,10 +50,10 @@
 	group := bootstrapped(t, 1, 2, 3)
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			before := group.servers[1].replica.Group()
+			before := group.servers[1].replica.Membership()
 			require.ErrorIs(t, tc.command(group.servers[1].replica), tc.want)
 			group.pass(10 * microtime.Millisecond)
-			require.Equal(t, before, group.servers[1].replica.Group())
+			require.Equal(t, before, group.servers[1].replica.Membership())
 		})
 	}
 	alone := newCluster(t, 1)
@@ -70,20 +70,20 @@
 	require.Equal(t, execution.ActionServe, server.complete(keyOne, true, "kept").Action)
 	settled := func(members int) func() bool {
 		return func() bool {
-			membership := server.replica.Group()
+			membership := server.replica.Membership()
 			return len(membership.Next) == 0 && len(membership.Current) == members
 		}
 	}
 	require.NoError(t, server.replica.RemoveMember(3, ""))
 	group.until(settled(2))
-	require.Equal(t, "removed server 3", server.replica.Group().Reason)
+	require.Equal(t, "removed server 3", server.replica.Membership().Reason)
 	require.NoError(t, server.replica.AddMember(3, "", ""))
 	group.until(settled(3))
-	require.Equal(t, "added server 3", server.replica.Group().Reason)
-	require.Equal(t, "3", server.replica.Group().Current[2].Addr, "the configured address")
+	require.Equal(t, "added server 3", server.replica.Membership().Reason)
+	require.Equal(t, "3", server.replica.Membership().Current[2].Addr, "the configured address")
 	require.NoError(t, server.replica.RemoveMember(2, "worn out"))
 	group.until(settled(2))
-	require.Equal(t, "worn out", server.replica.Group().Reason)
+	require.Equal(t, "worn out", server.replica.Membership().Reason)
 	require.Equal(t, "kept", group.servers[3].lookup(keyOne).Value.Result)
 }
 
@@ -98,9 +98,9 @@
 	group.servers[3].stop()
 	forcedAt := server.config.UnixMilli(group.now) + forceSlackMilli
 	require.NoError(t, server.replica.ForceMembership([]uint32{1}, ""))
-	group.until(func() bool { return len(server.replica.Group().Members()) == 1 })
-	require.Equal(t, "forced: kept [1]", server.replica.Group().Reason)
-	require.Equal(t, forcedAt, server.replica.Group().ForcedAt)
+	group.until(func() bool { return len(server.replica.Membership().Members()) == 1 })
+	require.Equal(t, "forced: kept [1]", server.replica.Membership().Reason)
+	require.Equal(t, forcedAt, server.replica.Membership().ForcedAt)
 	require.Equal(t, "kept", server.lookup("known").Value.Result)
 	require.Equal(t, execution.ActionReportIndeterminate, server.acquire("unknown").Action)
 	group.pass(retention + forceSlackMilli*microtime.Millisecond)
@@ -128,7 +128,7 @@
 	group.until(func() bool {
 		last := group.servers[1].replica.Status().Members[2]
 		return last.Incarnation != "" && last.Incarnation == last.CurrentIncarnation && last.Up &&
-			group.servers[1].replica.Group().Epoch > 1
+			group.servers[1].replica.Membership().Epoch > 1
 	})
-	require.Contains(t, group.servers[1].replica.Group().Reason, "lost its disk")
+	require.Contains(t, group.servers[1].replica.Membership().Reason, "lost its disk")
 }
--- a/internal/replication/replica.go
+++ b/internal/replication/replica.go
@@ -109,8 +109,8 @@
 	}
 }
 
-// Group implements peers.Handler: it returns the latest membership that is known.
-func (r *Replica) Group() consensus.Membership { return r.node.Membership() }
+// Membership implements peers.Handler: it returns the latest membership that is known.
+func (r *Replica) Membership() consensus.Membership { return r.node.Membership() }
 
 // PeerStateChanged implements peers.Handler.
 func (r *Replica) PeerStateChanged(id uint32, up bool) {
--- a/internal/replication/replica_test.go
+++ b/internal/replication/replica_test.go
@@ -140,11 +140,11 @@
 	leased := server.attempt("began")
 	require.Equal(t, execution.ActionStart, server.acquire("began").Action)
 	self := server.replica.Status().Self
-	membership := server.replica.Group()
+	membership := server.replica.Membership()
 	server.stop()
 	server.start()
 	require.Equal(t, self, server.replica.Status().Self, "the same acceptor")
-	require.Equal(t, membership, server.replica.Group())
+	require.Equal(t, membership, server.replica.Membership())
 	require.Equal(t, "did \xff it", server.acquire("ended").Value.Result)
 	got := server.acquire("began")
 	require.Equal(t, execution.ActionReportIndeterminate, got.Action)
