--- /dev/null
+++ b/internal/backend/workerpool/acknowledgements_test.go
@@ -0,0 +1,38 @@
+package workerpool
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/require"
+)
+
+// What was sent before a command that was read was read as well, on the same connection and on no other.
+func TestAcknowledgements(t *testing.T) {
+	acks := acknowledgements{received: map[int]int{}}
+	require.False(t, acks.includes(position{}), "what was not sent")
+	acks.acknowledge(position{connection: 1, order: 5})
+	acks.acknowledge(position{connection: 1, order: 3})
+	require.True(t, acks.includes(position{connection: 1, order: 5}))
+	require.True(t, acks.includes(position{connection: 1, order: 1}))
+	require.False(t, acks.includes(position{connection: 1, order: 6}))
+	require.False(t, acks.includes(position{connection: 2, order: 1}))
+	require.False(t, acks.includes(position{order: 1}))
+
+	acks.keepOnly(2)
+	require.False(t, acks.includes(position{connection: 1, order: 1}))
+}
+
+// The answer to a poll acknowledges what was sent before that poll, in the order of the polls.
+func TestAcknowledgementByPoll(t *testing.T) {
+	acks := acknowledgements{received: map[int]int{}}
+	acks.pollAnswered(1)
+	require.False(t, acks.includes(position{connection: 1, order: 1}), "an answer without a poll")
+	acks.pollSent(2)
+	acks.pollSent(4)
+	acks.pollAnswered(1)
+	require.True(t, acks.includes(position{connection: 1, order: 2}))
+	require.False(t, acks.includes(position{connection: 1, order: 3}))
+	acks.connectionChanged()
+	acks.pollAnswered(2)
+	require.False(t, acks.includes(position{connection: 2, order: 4}), "the poll was lost with its connection")
+}
--- /dev/null
+++ b/internal/backend/workerpool/connection.go
@@ -0,0 +1,109 @@
+package workerpool
+
+import (
+	"strconv"
+
+	"pewterline/internal/protocol/pool"
+	"pewterline/internal/transport"
+)
+
+// session is the transport.Session of one connection. Only the current connection is heard: the notices of an earlier
+// one come again on the current one, and its close must not have the address dialled twice. The candidate is heard to
+// be bound.
+type session struct {
+	backend *Backend
+	conn    transport.Conn
+}
+
+// dial opens a new connection, in place of any that is still being dialled. The current connection serves on until the
+// new one is bound: that protects the runs against an address at which something listens and never answers.
+func (b *Backend) dial() {
+	if b.cancelDial != nil {
+		b.cancelDial()
+	}
+	b.cancelDial = b.loop.Dial(b.config.Address, b.opened)
+}
+
+// opened takes a new connection, and asks the pool to bind it.
+func (b *Backend) opened(conn transport.Conn) transport.Session {
+	b.cancelDial = nil
+	if b.candidate != nil {
+		b.candidate.Close() // a newer configuration has replaced it
+	}
+	b.candidate = conn
+	if b.current == nil {
+		b.promote()
+	}
+	b.scratch = pool.AppendBind(b.scratch[:0], b.notices.last)
+	conn.Write(b.scratch)
+	return &session{backend: b, conn: conn}
+}
+
+// promote makes the candidate the current connection. What came on the one before since the bind comes again.
+func (b *Backend) promote() {
+	previous := b.current
+	b.current, b.candidate = b.candidate, nil
+	b.synced = false
+	b.connections++
+	b.acks.connectionChanged()
+	b.notices.connectionChanged()
+	b.checks.connectionChanged()
+	if previous != nil {
+		previous.Close()
+	}
+}
+
+// syncTag marks the poll whose answer follows the missed notices of the current connection.
+func (b *Backend) syncTag() string { return "sync" + strconv.Itoa(b.connections) }
+
+// Receive is part of transport.Session.
+func (s *session) Receive(in []byte) (int, error) {
+	backend := s.backend
+	consumed := 0
+	for {
+		isCandidate := backend.candidate == s.conn
+		if backend.current != s.conn && !isCandidate {
+			return len(in), nil
+		}
+		message, size, err := pool.ParseMessage(in[consumed:])
+		if err != nil || size == 0 {
+			return consumed, err
+		}
+		consumed += size
+		if isCandidate {
+			if message.Kind != pool.Bound {
+				continue
+			}
+			backend.promote()
+		}
+		if err := backend.handle(message); err != nil {
+			return consumed, err
+		}
+	}
+}
+
+// Idle is part of transport.Session. The connection is never evicted.
+func (s *session) Idle() bool { return false }
+
+// Closed is part of transport.Session.
+func (s *session) Closed() {
+	backend := s.backend
+	switch s.conn {
+	case backend.candidate:
+		backend.candidate = nil
+	case backend.current:
+		backend.current = nil
+		backend.synced = false
+		backend.checks.connectionChanged()
+		backend.logf("pool: connection lost, %d runs in flight", len(backend.runs))
+		if backend.candidate != nil {
+			backend.promote()
+			return
+		}
+	default:
+		return
+	}
+	if backend.cancelDial == nil {
+		backend.dial()
+	}
+}
--- a/internal/backend/workerpool/resync.go
+++ b/internal/backend/workerpool/resync.go
@@ -7,104 +7,100 @@
 
 	"pewterline/internal/dispatch"
 	"pewterline/internal/microtime"
-	"pewterline/internal/protocol/pool"
 )
 
-// resync sends what has no notice yet, oldest first. Guards against both faults of a broken link: a command lost with it, and
-// one sent again for a run whose notice was on its way. What is known to have arrived is not sent again. Nor is a run that must
-// not be run twice, once it was sent at all: between the end of the missed notices and our command the run may end, and the pool
-// would run it anew. Its notice comes if it arrived; if none comes while anybody could want it, the run's outcome is not known,
-// and it has failed.
-func (p *Backend) resync() {
-	p.synced = true
-	byOrder := func(a, b *run) int { return cmp.Compare(a.order, b.order) }
-	for _, r := range slices.SortedFunc(maps.Values(p.runs), byOrder) {
-		r.arrived = r.arrived || p.hasArrived(r.link, r.order)
-		switch {
-		case r.link == 0 || !r.arrived && !r.AtMostOnce:
-			p.send(r)
-			continue
-		case !r.arrived:
-			p.doubt(r)
-		}
-		if r.stopped {
-			p.write(pool.AppendSuspend(p.out[:0], r.ID))
-		}
-		if r.reply != nil {
-			p.resyncReply(r)
-		}
-	}
-	if p.checks.underWay() {
-		p.sendVerify()
+// resync sends what has no notice yet, oldest first, once the missed notices are read. It avoids both faults of a
+// broken connection: a command lost with it, and one sent again for a run whose notice was on its way. What is known to
+// have been read is not sent again.
+func (b *Backend) resync() {
+	b.synced = true
+	byOrder := func(x, y *run) int { return cmp.Compare(x.spawn.order, y.spawn.order) }
+	for _, r := range slices.SortedFunc(maps.Values(b.runs), byOrder) {
+		b.resyncRun(r)
 	}
-	for link := range p.acked { // those before have told all they can
-		if link != p.links {
-			delete(p.acked, link)
-		}
+	if b.checks.pending() {
+		b.sendVerify()
 	}
+	b.acks.keepOnly(b.connections)
 }
 
-// hasArrived tells whether a command that was sent on a link is known to have been read.
-func (p *Backend) hasArrived(link, order int) bool { return link > 0 && order <= p.acked[link] }
+// resyncRun sends what the pool may lack of a run. A run that may run at most once is not spawned again once it was
+// sent: between the end of the missed notices and our command the run may end, and the pool would run it anew. Its
+// notice comes if its spawn was read; if none comes before its deadline, the outcome is not known, and it has failed.
+func (b *Backend) resyncRun(unfinished *run) {
+	unfinished.received = unfinished.received || b.acks.includes(unfinished.spawn)
+	if !unfinished.spawn.sent() || !unfinished.received && !unfinished.AtMostOnce {
+		b.sendSpawn(unfinished)
+		return
+	}
+	if !unfinished.received {
+		b.markUncertain(unfinished)
+	}
+	if unfinished.cancelled {
+		b.sendSuspend(unfinished.ID)
+	}
+	if unfinished.reply != nil {
+		b.resyncReply(unfinished)
+	}
+}
 
-// doubt has a run given up once nobody waits for it.
-func (p *Backend) doubt(r *run) {
+// markUncertain has a run given up at its deadline.
+func (b *Backend) markUncertain(r *run) {
 	if !r.uncertain {
 		r.uncertain = true
-		p.uncertain = append(p.uncertain, r)
+		b.uncertain = append(b.uncertain, r)
 	}
 }
 
-// resyncReply sees to a call's reply on a new link. One that may have been lost with the link before is not sent again: the run
-// may have gone on to its next call, which would get it. A run that may be repeated starts anew; of another the outcome is not
-// known unless a notice of it comes.
-func (p *Backend) resyncReply(r *run) {
+// resyncReply sees to a call's reply on a new connection. One that may have been lost with the connection before is not
+// sent again: the run may have gone on to its next call, which would get it. A run that may be repeated is suspended to
+// start anew; of another the outcome is not known unless a notice of it comes.
+func (b *Backend) resyncReply(r *run) {
 	switch {
-	case r.reply.link == 0:
-		p.sendReply(r)
-	case p.hasArrived(r.reply.link, r.reply.order):
+	case !r.reply.supply.sent():
+		b.sendReply(r)
+	case b.acks.includes(r.reply.supply):
 		r.reply = nil
-	case r.AtMostOnce || r.stopped:
-		p.doubt(r)
-	case !r.restart:
-		r.restart = true
-		p.write(pool.AppendSuspend(p.out[:0], r.ID))
+	case r.AtMostOnce || r.cancelled:
+		b.markUncertain(r)
 	default:
-		p.write(pool.AppendSuspend(p.out[:0], r.ID))
+		r.restarting = true
+		b.sendSuspend(r.ID)
 	}
 }
 
-// startAnew starts a run again that was stopped for it.
-func (p *Backend) startAnew(r *run) {
-	r.restart, r.reply, r.arrived = false, nil, false
-	if r.stopped {
-		delete(p.runs, r.ID)
-		p.core.RunFinished(r.ID, dispatch.RunCancelled, nil)
+// restart starts a run anew that was suspended for it.
+func (b *Backend) restart(r *run) {
+	r.restarting, r.received = false, false
+	r.reply = nil
+	if r.cancelled {
+		b.finish(r.ID, dispatch.RunCancelled, nil)
 		return
 	}
-	if r.link = 0; p.synced {
-		p.send(r)
+	r.spawn.connection = 0
+	if b.synced {
+		b.sendSpawn(r)
 	}
 }
 
-// Check gives up runs that nobody knows of and deep checks that are not answered; it returns when to look again.
-func (p *Backend) Check(now microtime.Time) microtime.Time {
-	next := p.checks.expire(now)
-	left := p.uncertain[:0]
-	for _, r := range p.uncertain {
+// Check fails the uncertain runs whose deadline is over, and ends a deep check that is not answered; it returns when to
+// check again.
+func (b *Backend) Check(now microtime.Time) microtime.Time {
+	next := b.checks.expire(now)
+	left := b.uncertain[:0]
+	for _, r := range b.uncertain {
 		switch {
-		case p.runs[r.ID] != r: // its notice has come
+		case b.runs[r.ID] != r: // its notice has come
 		case r.Deadline <= now:
-			p.logf("pool: %s: whether it ran is not known", r.ID)
-			delete(p.runs, r.ID)
-			p.core.RunFinished(r.ID, dispatch.RunFailed, nil)
+			b.logf("pool: %s: whether it ran is not known", r.ID)
+			b.finish(r.ID, dispatch.RunFailed, nil)
 			next = now
 		default:
 			next = min(next, r.Deadline)
 			left = append(left, r)
 		}
 	}
-	clear(p.uncertain[len(left):])
-	p.uncertain = left
+	clear(b.uncertain[len(left):])
+	b.uncertain = left
 	return next
 }
--- a/internal/server/overload_test.go
+++ b/internal/server/overload_test.go
@@ -111,7 +111,7 @@
 
 // poolMark answers the poll that follows bound; it is always false, so that await looks again.
 func (c *crowd) poolMark() bool {
-	if c.srv.backends.pool.Status().Links == 1 && c.marks == 0 {
+	if c.srv.backends.pool.Status().Connections == 1 && c.marks == 0 {
 		c.marks = 1
 		_, err := c.pool.Write([]byte("polled sync1 0 0 0 0\r\n"))
 		require.NoError(c.t, err)
