--- a/internal/testbed/faults/faults_test.go
+++ b/internal/testbed/faults/faults_test.go
@@ -31,26 +31,26 @@
 
 // Each kind can be drawn, passes, and reads back.
 func TestEveryKindOfFault(t *testing.T) {
-	s := Script{Servers: 2, Proxies: 2, WebFrontends: 1, Store: true, Vault: true, Length: 10 * microtime.Second}
+	script := Script{Servers: 2, Proxies: 2, WebFrontends: 1, Store: true, Vault: true, Length: 10 * microtime.Second}
 	rng := rand.New(rand.NewPCG(1, 2))
 	require.Len(t, Kinds(), 37)
 	for _, k := range Kinds() {
 		for range 20 {
-			f := s.RandomFaultOf(rng, k)
-			require.True(t, s.Allows(f), f)
-			s.Faults = append(s.Faults, f)
+			f := script.RandomFaultOf(rng, k)
+			require.True(t, script.Allows(f), f)
+			script.Faults = append(script.Faults, f)
 		}
 	}
-	s.SortFaults()
-	back, err := Parse(s.String())
+	script.SortFaults()
+	back, err := Parse(script.String())
 	require.NoError(t, err)
-	require.Equal(t, s, back)
+	require.Equal(t, script, back)
 }
 
 // An error names the line and the field that is wrong.
 func TestErrorsNameTheLineAndTheField(t *testing.T) {
 	world := "# a comment\nworld seed=1 servers=2 proxies=1 offices=1 seconds=10 rate=5\n\n"
-	for _, c := range []struct {
+	for _, test := range []struct {
 		text, field string
 		line        int
 	}{
@@ -81,18 +81,21 @@
 		{"world seed=1 servers=1 seconds=1 guarded=true", "guarded", 1},
 		{"world seed=1 servers=1 seconds=1 vault=true\nfault at=1s kind=flood what=hill-estate amount=2", "what", 2},
 		{"world seed=1 servers=1 seconds=1 vault=true\nfault at=1s kind=vault-slow node=v1 amount=2", "node", 2},
-		{"world seed=1 servers=1 seconds=1 vault=true\nfault at=1s kind=vault-failing node=v0 what=notnow amount=1", "what", 2},
+		{
+			"world seed=1 servers=1 seconds=1 vault=true\nfault at=1s kind=vault-failing node=v0 what=notnow amount=1",
+			"what", 2,
+		},
 		{world + "fault at=1s kind=slow node=w0 amount=0.5", "amount", 4},
 		{world + "fault at=1s kind=slow node=w0 amount=NaN", "amount", 4},
 		{world + "fault at=1s kind=kill node", "node", 4},
 	} {
-		_, err := Parse(c.text)
+		_, err := Parse(test.text)
 		var e *Error
-		require.True(t, errors.As(err, &e), "%q gives %v", c.text, err)
-		require.Equal(t, c.field, e.Field, c.text)
-		require.Equal(t, c.line, e.Line, c.text)
+		require.True(t, errors.As(err, &e), "%q gives %v", test.text, err)
+		require.Equal(t, test.field, e.Field, test.text)
+		require.Equal(t, test.line, e.Line, test.text)
 	}
-	_, err := Draw(1, "tea-time", 1, 1, microtime.Second, 0)
+	_, err := World{Servers: 1, Proxies: 1, Length: microtime.Second}.Draw(1, "tea-time")
 	require.ErrorContains(t, err, "profile")
 }
 
@@ -101,7 +104,7 @@
 	sum := xxhash.New()
 	for _, profile := range Profiles() {
 		for seed := range uint64(50) {
-			s, err := DrawWithEdges(seed, profile, 3, 4, int(seed%3), 12*microtime.Second, 0)
+			s, err := World{Servers: 3, Proxies: 4, Edges: int(seed % 3), Length: 12 * microtime.Second}.Draw(seed, profile)
 			require.NoError(t, err)
 			_, _ = sum.WriteString(s.String())
 		}
--- /dev/null
+++ b/internal/testbed/faults/parse.go
@@ -0,0 +1,160 @@
+package faults
+
+import (
+	"strconv"
+	"strings"
+	"time"
+
+	"pewterline/internal/microtime"
+)
+
+// Parse reads the text form and validates it. The error is an *Error that names the line.
+func Parse(text string) (Script, error) {
+	var parsing parser
+	for i, line := range strings.Split(text, "\n") {
+		line, _, _ = strings.Cut(line, "#")
+		if err := parsing.parseLine(strings.Fields(line)); err != nil {
+			err.Line = i + 1
+			return parsing.script, err
+		}
+	}
+	if !parsing.hasWorld {
+		return parsing.script, wrong("world", "missing")
+	}
+	parsing.script.SortFaults()
+	return parsing.script, nil
+}
+
+// parser holds the script as far as it has been read.
+type parser struct {
+	script   Script
+	hasWorld bool
+}
+
+func (p *parser) parseLine(words []string) *Error {
+	if len(words) == 0 {
+		return nil
+	}
+	fields, err := splitFields(words[1:])
+	if err != nil {
+		return err
+	}
+	switch {
+	case words[0] == "world" && !p.hasWorld:
+		p.hasWorld = true
+		if err := p.script.readWorld(fields); err != nil {
+			return err
+		}
+		return p.script.checkWorld()
+	case words[0] == "world":
+		return wrong("world", "there is one already")
+	case words[0] != "fault":
+		return wrong(words[0], "a line begins with world or fault")
+	case !p.hasWorld:
+		return wrong("fault", "comes before the world")
+	}
+	return p.addFault(fields)
+}
+
+func (p *parser) addFault(fields []field) *Error {
+	fault, err := readFault(fields)
+	if err != nil {
+		return err
+	}
+	p.script.Faults = append(p.script.Faults, fault)
+	if len(p.script.Faults) > MaxFaults {
+		return wrong("fault", "over %d", MaxFaults)
+	}
+	return p.script.check(fault)
+}
+
+// field is a part of a line of the form name=value.
+type field struct{ name, value string }
+
+func splitFields(words []string) ([]field, *Error) {
+	var out []field
+	for _, w := range words {
+		name, value, ok := strings.Cut(w, "=")
+		if !ok || name == "" || value == "" {
+			return nil, wrong(w, "is not of the form name=value")
+		}
+		for _, f := range out {
+			if f.name == name {
+				return nil, wrong(name, "stands twice")
+			}
+		}
+		out = append(out, field{name, value})
+	}
+	return out, nil
+}
+
+// readWorld reads the fields of a world. Their names are those of kept scripts.
+func (s *Script) readWorld(fields []field) *Error {
+	readers := map[string]func(value string) error{
+		"seed":    readInto(&s.Seed, parseUint),
+		"profile": func(value string) error { s.Profile = value; return nil },
+		"servers": readInto(&s.Servers, strconv.Atoi),
+		"proxies": readInto(&s.Proxies, strconv.Atoi),
+		"offices": readInto(&s.WebFrontends, strconv.Atoi),
+		"edges":   readInto(&s.Edges, strconv.Atoi),
+		"advice":  readInto(&s.Gossip, strconv.ParseBool),
+		"store":   readInto(&s.Store, strconv.ParseBool),
+		"vault":   readInto(&s.Vault, strconv.ParseBool),
+		"guarded": readInto(&s.IdempotentOrders, strconv.ParseBool),
+		"seconds": readInto(&s.Length, parseSeconds),
+		"rate":    readInto(&s.Rate, parseFloat),
+	}
+	return readFields(fields, readers)
+}
+
+func readFault(fields []field) (fault Fault, _ *Error) {
+	readers := map[string]func(value string) error{
+		"at":     readInto(&fault.At, parseDuration),
+		"kind":   func(value string) error { fault.Kind = Kind(value); return nil },
+		"node":   func(value string) error { fault.Node = value; return nil },
+		"peer":   func(value string) error { fault.Peer = value; return nil },
+		"for":    readInto(&fault.For, parseDuration),
+		"what":   func(value string) error { fault.What = value; return nil },
+		"amount": readInto(&fault.Amount, parseFloat),
+	}
+	err := readFields(fields, readers)
+	return fault, err
+}
+
+// readFields reads each field by the reader of its name.
+func readFields(fields []field, readers map[string]func(value string) error) *Error {
+	for _, f := range fields {
+		read, ok := readers[f.name]
+		if !ok {
+			return wrong(f.name, "unknown")
+		}
+		if err := read(f.value); err != nil {
+			return wrong(f.name, "%q cannot be read", f.value)
+		}
+	}
+	return nil
+}
+
+// readInto returns a reader that parses a value into a variable.
+func readInto[T any](variable *T, parse func(string) (T, error)) func(string) error {
+	return func(value string) (err error) {
+		*variable, err = parse(value)
+		return err
+	}
+}
+
+func parseUint(text string) (uint64, error) { return strconv.ParseUint(text, 10, 64) }
+
+func parseFloat(text string) (float64, error) { return strconv.ParseFloat(text, 64) }
+
+// parseSeconds reads a number of seconds.
+func parseSeconds(text string) (microtime.Time, error) {
+	seconds, err := parseFloat(text)
+	return microtime.Time(seconds * 1e6), err
+}
+
+// parseDuration reads a duration in Go's form.
+func parseDuration(text string) (microtime.Time, error) {
+	d, err := time.ParseDuration(text)
+	return microtime.FromDuration(d), err
+}
--- a/internal/testbed/faultsearch/search_test.go
+++ b/internal/testbed/faultsearch/search_test.go
@@ -11,7 +11,7 @@
 )
 
 func draw(seed uint64) faults.Script {
-	s, err := faults.Draw(seed, "worst", 3, 4, 12*microtime.Second, 0)
+	s, err := faults.World{Servers: 3, Proxies: 4, Length: 12 * microtime.Second}.Draw(seed, "worst")
 	if err != nil {
 		panic(err)
 	}
@@ -41,7 +41,7 @@
 		require.Equal(t, a.Report(x, reach(x)), b.Report(y, reach(y)))
 	}
 	require.Equal(t, a.SituationCount(), b.SituationCount())
-	require.LessOrEqual(t, a.CorpusSize(), keptMost)
+	require.LessOrEqual(t, a.CorpusSize(), maxCorpus)
 }
 
 // With the same number of scripts, the guided search reaches more than drawing alone, from each of five seeds.
@@ -70,11 +70,11 @@
 	for i := range uint64(50) {
 		g.Report(draw(i), []Situation{1, Situation(100 + i)})
 	}
-	rare, common := kept{first: []Situation{149}}, kept{first: []Situation{1}}
-	require.Greater(t, g.worth(&rare), 5*g.worth(&common))
+	rare, common := corpusEntry{firstReached: []Situation{149}}, corpusEntry{firstReached: []Situation{1}}
+	require.Greater(t, g.rarity(&rare), 5*g.rarity(&common))
 	tired := rare
-	tired.played = 40
-	require.Less(t, g.worth(&tired), g.worth(&rare)/5)
+	tired.mutations = 40
+	require.Less(t, g.rarity(&tired), g.rarity(&rare)/5)
 }
 
 // shrink plays the shrinker against a test of what fails.
@@ -95,24 +95,28 @@
 
 // Nothing can be left out of the outcome: the faults that matter are there, alone, on the fewest nodes.
 func TestShrinkerLeavesOnlyWhatMatters(t *testing.T) {
-	s := draw(3)
+	script := draw(3)
 	for range 30 {
-		s.Faults = append(s.Faults, draw(uint64(len(s.Faults))).Faults...)
+		script.Faults = append(script.Faults, draw(uint64(len(script.Faults))).Faults...)
 	}
-	s.Faults = append(s.Faults, faults.Fault{Kind: faults.ReloadConfig, Node: "s2", At: 3123456},
+	script.Faults = append(script.Faults, faults.Fault{Kind: faults.ReloadConfig, Node: "s2", At: 3123456},
 		faults.Fault{Kind: faults.CutConnection, Node: "w2", Peer: "s2", At: 3223456, Amount: 77.5})
-	s.SortFaults()
+	script.SortFaults()
 	fails := func(s faults.Script) bool { // a cut of a pool's link within 200 ms of its server's reload
 		for _, a := range s.Faults {
 			for _, b := range s.Faults {
-				if a.Kind == faults.ReloadConfig && b.Kind == faults.CutConnection && b.Node[1:] == a.Node[1:] && b.Node[0] == 'w' && b.At >= a.At && b.At < a.At+200*microtime.Millisecond {
+				if a.Kind != faults.ReloadConfig || b.Kind != faults.CutConnection {
+					continue
+				}
+				sameServer := b.Node[1:] == a.Node[1:] && b.Node[0] == 'w'
+				if sameServer && b.At >= a.At && b.At < a.At+200*microtime.Millisecond {
 					return true
 				}
 			}
 		}
 		return false
 	}
-	least, plays := shrink(t, s, 5000, fails)
+	least, plays := shrink(t, script, 5000, fails)
 	require.Len(t, least.Faults, 2, least.String())
 	require.Equal(t, []int{1, 0, 0}, []int{least.Servers, least.Proxies, least.WebFrontends}, least.String())
 	require.Equal(t, float64(1), least.Rate)
@@ -130,8 +134,14 @@
 // A node that goes takes the faults that name it with it, and those behind it move up.
 func TestLeaveOutRenumbers(t *testing.T) {
 	s := faults.Script{Servers: 3, Proxies: 1, Length: microtime.Second, Faults: []faults.Fault{
-		{Kind: faults.ReloadConfig, Node: "s0"}, {Kind: faults.SlowPool, Node: "w1", Amount: 2}, {Kind: faults.CutConnection, Node: "p0", Peer: "s2"}}}
+		{Kind: faults.ReloadConfig, Node: "s0"},
+		{Kind: faults.SlowPool, Node: "w1", Amount: 2},
+		{Kind: faults.CutConnection, Node: "p0", Peer: "s2"},
+	}}
 	require.True(t, leaveOut(&s, 's', 1))
 	require.NoError(t, s.Validate())
-	require.Equal(t, []faults.Fault{{Kind: faults.ReloadConfig, Node: "s0"}, {Kind: faults.CutConnection, Node: "p0", Peer: "s1"}}, s.Faults)
+	require.Equal(t, []faults.Fault{
+		{Kind: faults.ReloadConfig, Node: "s0"},
+		{Kind: faults.CutConnection, Node: "p0", Peer: "s1"},
+	}, s.Faults)
 }
--- a/internal/testbed/faultsearch/shrink.go
+++ b/internal/testbed/faultsearch/shrink.go
@@ -73,8 +73,8 @@
 }
 
 // ways lists how s could be made smaller, the boldest first. Each changes a copy and says whether it did.
-func ways(s *faults.Script) (out []func(*faults.Script) bool) {
-	n := len(s.Faults)
+func ways(script *faults.Script) (out []func(*faults.Script) bool) {
+	n := len(script.Faults)
 	for size := n; size >= 1; size /= 2 {
 		for from := 0; from < n; from += size {
 			out = append(out, func(s *faults.Script) bool {
@@ -87,7 +87,7 @@
 		}
 	}
 	for _, letter := range []byte("spo") {
-		count := map[byte]int{'s': s.Servers, 'p': s.Proxies, 'o': s.WebFrontends}[letter]
+		count := map[byte]int{'s': script.Servers, 'p': script.Proxies, 'o': script.WebFrontends}[letter]
 		for i := count - 1; i >= 0; i-- {
 			out = append(out, func(s *faults.Script) bool { return leaveOut(s, letter, i) })
 		}
@@ -116,8 +116,8 @@
 }
 
 // leaveOut takes a node out, with the faults that name it, and gives the later ones its number.
-func leaveOut(s *faults.Script, letter byte, i int) bool {
-	count := map[byte]*int{'s': &s.Servers, 'p': &s.Proxies, 'o': &s.WebFrontends}[letter]
+func leaveOut(script *faults.Script, letter byte, i int) bool {
+	count := map[byte]*int{'s': &script.Servers, 'p': &script.Proxies, 'o': &script.WebFrontends}[letter]
 	if i >= *count || letter == 's' && *count == 1 {
 		return false
 	}
@@ -141,14 +141,14 @@
 		}
 		return fmt.Sprintf("%c%d", name[0], n-1)
 	}
-	s.Faults = slices.DeleteFunc(s.Faults, func(f faults.Fault) bool {
+	script.Faults = slices.DeleteFunc(script.Faults, func(f faults.Fault) bool {
 		gone = false
 		rename(f.Node)
 		rename(f.Peer)
 		return gone
 	})
-	for j := range s.Faults {
-		s.Faults[j].Node, s.Faults[j].Peer = rename(s.Faults[j].Node), rename(s.Faults[j].Peer)
+	for j := range script.Faults {
+		script.Faults[j].Node, script.Faults[j].Peer = rename(script.Faults[j].Node), rename(script.Faults[j].Peer)
 	}
 	return true
 }
--- a/internal/testbed/modelcheck/explore_test.go
+++ b/internal/testbed/modelcheck/explore_test.go
@@ -37,11 +37,11 @@
 
 // The trace is a shortest one; without a forbidden state, all are visited; and a bound that cuts the visit short is told.
 func TestAll(t *testing.T) {
-	r := Explore(jugs{forbid: 4}, 100)
-	require.Equal(t, "4 in the larger one", r.Violation)
-	require.Len(t, r.Trace, 6)
+	report := Explore(jugs{forbid: 4}, 100)
+	require.Equal(t, "4 in the larger one", report.Violation)
+	require.Len(t, report.Trace, 6)
 	at := State(jugs{forbid: 4})
-	for _, what := range r.Trace { // it replays
+	for _, what := range report.Trace { // it replays
 		found := false
 		for _, s := range at.Successors() {
 			if s.Description == what {
@@ -52,9 +52,9 @@
 		require.True(t, found, what)
 	}
 	require.Equal(t, "4 in the larger one", at.Violation())
-	r = Explore(jugs{forbid: 7}, 100)
-	require.Empty(t, r.Violation)
-	require.True(t, r.Exhaustive)
-	require.Equal(t, 16, r.States)
+	report = Explore(jugs{forbid: 7}, 100)
+	require.Empty(t, report.Violation)
+	require.True(t, report.Exhaustive)
+	require.Equal(t, 16, report.States)
 	require.False(t, Explore(jugs{forbid: 7}, 5).Exhaustive)
 }
--- a/internal/testbed/sim/gossip.go
+++ b/internal/testbed/sim/gossip.go
@@ -41,7 +41,8 @@
 func (o GossipExperiment) Run() (r GossipResult, err error) {
 	s := faults.Script{Seed: o.Seed, Servers: o.Servers, Proxies: 2 * o.Edges, Edges: o.Edges, Gossip: o.Gossip, Length: learnFresh + learnYoung, Rate: o.Rate}
 	if o.DrawFaults {
-		if s, err = faults.DrawWithEdges(o.Seed, "worst", o.Servers, 2*o.Edges, o.Edges, s.Length, o.Rate); err != nil {
+		world := faults.World{Servers: o.Servers, Proxies: 2 * o.Edges, Edges: o.Edges, Length: s.Length, Rate: o.Rate}
+		if s, err = world.Draw(o.Seed, "worst"); err != nil {
 			return r, err
 		}
 		s.Gossip = o.Gossip
--- a/internal/testbed/sim/sim_test.go
+++ b/internal/testbed/sim/sim_test.go
@@ -54,7 +54,7 @@
 			t.Parallel()
 			answers := 0
 			for seed := uint64(1); seed <= 60; seed++ {
-				s, err := faults.Draw(seed, profile, 3, 4, 8*microtime.Second, 0)
+				s, err := faults.World{Servers: 3, Proxies: 4, Length: 8 * microtime.Second}.Draw(seed, profile)
 				require.NoError(t, err)
 				out, err := Play(s, Options{})
 				require.NoError(t, err)
@@ -71,7 +71,7 @@
 	t.Parallel()
 	answers := 0
 	for seed := uint64(1); seed <= 60; seed++ {
-		s, err := faults.DrawWithEdges(seed, []string{"worst", "release", "noon"}[seed%3], 3, 3, 2, 6*microtime.Second, 0)
+		s, err := faults.World{Servers: 3, Proxies: 3, Edges: 2, Length: 6 * microtime.Second}.Draw(seed, []string{"worst", "release", "noon"}[seed%3])
 		require.NoError(t, err)
 		out, err := Play(s, Options{})
 		require.NoError(t, err)
@@ -85,7 +85,7 @@
 func digests(t *testing.T) string {
 	var b strings.Builder
 	for seed := uint64(1); seed <= 50; seed++ {
-		s, err := faults.Draw(seed, "worst", 3, 3, 4*microtime.Second, 0)
+		s, err := faults.World{Servers: 3, Proxies: 3, Length: 4 * microtime.Second}.Draw(seed, "worst")
 		require.NoError(t, err)
 		out, err := Play(s, Options{})
 		require.NoError(t, err)
@@ -113,7 +113,7 @@
 	_, there, _ := strings.Cut(string(out), "DIGESTS\n")
 	there, _, _ = strings.Cut(there, "END\n")
 	require.Equal(t, here, there)
-	s, err := faults.Draw(50, "worst", 3, 3, 4*microtime.Second, 0)
+	s, err := faults.World{Servers: 3, Proxies: 3, Length: 4 * microtime.Second}.Draw(50, "worst")
 	require.NoError(t, err)
 	alone, err := Play(s, Options{})
 	require.NoError(t, err)
@@ -299,7 +299,7 @@
 
 // A failing script is made small as long as it fails in the same way.
 func TestShrinkKeepsTheSort(t *testing.T) {
-	s, err := faults.Draw(1, "worst", 2, 2, 3*microtime.Second, 0)
+	s, err := faults.World{Servers: 2, Proxies: 2, Length: 3 * microtime.Second}.Draw(1, "worst")
 	require.NoError(t, err)
 	least, v, err := Shrink(s, 50, nil)
 	require.NoError(t, err)
@@ -319,7 +319,7 @@
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	for i := range b.N {
-		s, err := faults.Draw(uint64(i+1), "worst", servers, proxies, 10*microtime.Second, rate)
+		s, err := faults.World{Servers: servers, Proxies: proxies, Length: 10 * microtime.Second, Rate: rate}.Draw(uint64(i+1), "worst")
 		require.NoError(b, err)
 		out, err := Play(s, Options{})
 		require.NoError(b, err)
