--- a/internal/server/replicated_store.go
+++ b/internal/server/replicated_store.go
@@ -68,7 +68,7 @@
 		}
 	case execution.ActionReportFailed:
 		return dispatch.LeaseResult{Verdict: dispatch.VerdictFailed}
-	case execution.ActionReject, execution.ActionReportCancelled:
+	case execution.ActionReject:
 		if request.Retry {
 			// An earlier attempt may have run on a member that is out of reach: this one must not say that the request
 			// was rejected.
