--- /dev/null
+++ b/docs/architecture_test.go
@@ -0,0 +1,115 @@
+// Package docs checks that the documentation names packages and identifiers that exist.
+package docs
+
+import (
+	"go/ast"
+	"go/parser"
+	"go/token"
+	"os"
+	"path"
+	"path/filepath"
+	"regexp"
+	"strings"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+)
+
+// packagePath matches a package or a file of the repository, and qualified an identifier with its package's name.
+var (
+	packagePath = regexp.MustCompile("`((?:internal|cmd|control|example|deploy)(?:/[\\w.-]+)*)`")
+	qualified   = regexp.MustCompile("`([a-z]+)\\.([A-Z]\\w*)(?:\\.([A-Z]\\w*))?`")
+)
+
+// A page that names what is gone sends its reader the wrong way.
+func TestPagesNameWhatExists(t *testing.T) {
+	declared := declarations(t, "..")
+	for _, page := range []string{"ARCHITECTURE.md", "../README.md"} {
+		text, err := os.ReadFile(page)
+		require.NoError(t, err)
+		paths := packagePath.FindAllStringSubmatch(string(text), -1)
+		require.NotEmpty(t, paths, page)
+		for _, match := range paths {
+			_, err := os.Stat(filepath.Join("..", strings.TrimSuffix(match[1], "/...")))
+			require.NoError(t, err, page)
+		}
+		for _, match := range qualified.FindAllStringSubmatch(string(text), -1) {
+			name := match[1] + "." + match[2]
+			require.True(t, declared[name], "%s: %s is not declared", page, name)
+			if match[3] != "" {
+				require.True(t, declared[name+"."+match[3]], "%s: %s.%s is not declared", page, name, match[3])
+			}
+		}
+	}
+}
+
+// declarations are all exported identifiers of the packages below a folder, as package.Name and package.Type.Member.
+func declarations(t *testing.T, root string) map[string]bool {
+	t.Helper()
+	declared := map[string]bool{}
+	require.NoError(t, filepath.WalkDir(root, func(name string, entry os.DirEntry, err error) error {
+		if err != nil || entry.IsDir() || path.Ext(name) != ".go" || strings.HasSuffix(name, "_test.go") {
+			return err
+		}
+		file, err := parser.ParseFile(token.NewFileSet(), name, nil, parser.SkipObjectResolution)
+		if err != nil {
+			return err
+		}
+		for _, decl := range file.Decls {
+			declare(declared, file.Name.Name+".", decl)
+		}
+		return nil
+	}))
+	return declared
+}
+
+func declare(declared map[string]bool, prefix string, decl ast.Decl) {
+	switch decl := decl.(type) {
+	case *ast.FuncDecl:
+		if decl.Recv != nil {
+			prefix += receiver(decl.Recv.List[0].Type) + "."
+		}
+		declared[prefix+decl.Name.Name] = true
+	case *ast.GenDecl:
+		for _, spec := range decl.Specs {
+			switch spec := spec.(type) {
+			case *ast.TypeSpec:
+				declared[prefix+spec.Name.Name] = true
+				declareMembers(declared, prefix+spec.Name.Name+".", spec.Type)
+			case *ast.ValueSpec:
+				for _, name := range spec.Names {
+					declared[prefix+name.Name] = true
+				}
+			}
+		}
+	}
+}
+
+func declareMembers(declared map[string]bool, prefix string, expr ast.Expr) {
+	var fields *ast.FieldList
+	switch expr := expr.(type) {
+	case *ast.StructType:
+		fields = expr.Fields
+	case *ast.InterfaceType:
+		fields = expr.Methods
+	default:
+		return
+	}
+	for _, field := range fields.List {
+		for _, name := range field.Names {
+			declared[prefix+name.Name] = true
+		}
+	}
+}
+
+func receiver(expr ast.Expr) string {
+	switch expr := expr.(type) {
+	case *ast.StarExpr:
+		return receiver(expr.X)
+	case *ast.IndexExpr:
+		return receiver(expr.X)
+	case *ast.Ident:
+		return expr.Name
+	}
+	return ""
+}
