--- a/internal/dispatch/core.go
+++ b/internal/dispatch/core.go
@@ -25,8 +25,6 @@
 	Backend  Backend
 	// Logf takes lines for the operators.
 	Logf func(format string, args ...any)
-	// NewController makes the decision module; nil for control.New.
-	NewController func(control.Settings) (Controller, error)
 }
 
 // Core carries requests between the frontends, the decision module and the backend.
@@ -78,7 +76,7 @@
 	}
 	core := &Core{
 		settings:      config.Settings,
-		newController: config.NewController,
+		newController: newControlModule,
 		backend:       config.Backend,
 		logf:          config.Logf,
 		requests:      newRegistry(),
@@ -87,17 +85,19 @@
 		gauges:        control.Gauges{CPUUtilization: -1, Runnable: -1, Memory: -1, Connections: -1},
 		health:        healthStatus{healthy: true},
 	}
-	if core.newController == nil {
-		core.newController = newControlModule
-	}
 	// A trial, so that settings that make no sense fail early: whether the machine is cold is known at Start alone.
-	if _, err := core.newController(config.Settings); err != nil {
+	if _, err := control.New(config.Settings); err != nil {
 		return nil, fmt.Errorf("dispatch: settings: %w", err)
 	}
 	core.counters.assign(config.Settings.Classes)
 	return core, nil
 }
 
+// UseController has the core decide by another module than control.New makes. It counts before Start alone.
+func (c *Core) UseController(newController func(control.Settings) (Controller, error)) {
+	c.newController = newController
+}
+
 func newControlModule(settings control.Settings) (Controller, error) { return control.New(settings) }
 
 // Start starts the decision module, on a machine that has been up for age; cold says that the machine started cold.
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -108,6 +108,11 @@
 	s.core.UseExecutionStore(&replicatedStore{server: s, replica: replica})
 }
 
+// UseController has the server decide by another module than control.New makes. It must be called before Attach.
+func (s *Server) UseController(newController func(control.Settings) (dispatch.Controller, error)) {
+	s.core.UseController(newController)
+}
+
 // Attach starts the server on its loop; it is called there.
 func (s *Server) Attach(loop EventLoop) {
 	s.loop = loop
--- a/internal/testbed/sim/interposer.go
+++ b/internal/testbed/sim/interposer.go
@@ -1,6 +1,8 @@
 package sim
 
 import (
+	"pewterline/control"
+	"pewterline/internal/dispatch"
 	"pewterline/internal/server"
 	"pewterline/internal/transport"
 )
@@ -14,6 +16,12 @@
 	eventLoop(server.EventLoop) server.EventLoop
 }
 
+// controllerInterposer is an interposer that stands between the server and its decision module as well.
+type controllerInterposer interface {
+	// newController returns the module that the server is to decide by.
+	newController(control.Settings) (dispatch.Controller, error)
+}
+
 // passThrough is an interposer that changes nothing; others embed it.
 type passThrough struct{}
 
--- a/internal/testbed/sim/sim.go
+++ b/internal/testbed/sim/sim.go
@@ -295,6 +295,9 @@
 	l.obs.CallsRoutedTo(s.name, s.cfg.VaultAddress)
 	srv := s.program
 	between := l.opts.interposer()
+	if controllers, ok := between.(controllerInterposer); ok {
+		srv.UseController(controllers.newController)
+	}
 	s.host = simnet.NewHost(node, transport.Options{MaxConns: sockets - 40, MaxBuffered: memory / 8, Logf: logf}, between.handler(srv), rng,
 		simnet.Cost{Turn: 40, KB: 15}, func(t *transport.Loop) {
 			if s.store != nil {
