--- a/internal/planted/planted.go
+++ b/internal/planted/planted.go
@@ -9,16 +9,15 @@
 // The planted bugs.
 const (
 	None        ID = ""
-	KeyTwice    ID = "key-twice"     // a key is forgotten while its run goes on: a repeat runs it again
-	AnswerTwice ID = "answer-twice"  // what was failed by its due time is answered by its run as well
-	LateStart   ID = "late-start"    // the notice to drain does not reach the decisions
-	GiveUpOther ID = "give-up-other" // a give-up for what is not open frees another request
-	PassLate    ID = "pass-late"     // a run that was not started is passed on to whoever came past the drain limit
-	RefuseRun   ID = "refuse-run"    // a run that is given up is refused, not failed
+	KeyTwice    ID = "key-twice"    // a key is forgotten while its run goes on: a repeat runs it again
+	AnswerTwice ID = "answer-twice" // what was failed by its due time is answered by its run as well
+	LateStart   ID = "late-start"   // the notice to drain does not reach the decisions
+	PassLate    ID = "pass-late"    // a run that was not started is passed on to whoever came past the drain limit
+	RefuseRun   ID = "refuse-run"   // a run that is given up is refused, not failed
 )
 
 // All are the planted bugs in a fixed order.
-var All = []ID{KeyTwice, AnswerTwice, LateStart, GiveUpOther, PassLate, RefuseRun}
+var All = []ID{KeyTwice, AnswerTwice, LateStart, PassLate, RefuseRun}
 
 // The planted bugs of internal/decide/copies, which its own simulated group finds.
 const (
--- /dev/null
+++ b/internal/testbed/sim/planted_frontend_test.go
@@ -0,0 +1,99 @@
+package sim
+
+import (
+	"maps"
+	"slices"
+	"testing"
+
+	"pewterline/internal/protocol/thrift"
+	"pewterline/internal/transport"
+)
+
+// thriftListener is the index of the listener for proxies.
+const thriftListener = 0
+
+// plantedFrontendBug has a cancellation of a request that is not in flight cancel another one.
+var plantedFrontendBug = plantedBug{"give-up-other", "lost/unanswered",
+	func() interposer { return cancelsOthers{} }}
+
+type cancelsOthers struct{ passThrough }
+
+func (cancelsOthers) handler(handler transport.Handler) transport.Handler {
+	return cancelMisdirector{handler}
+}
+
+type cancelMisdirector struct{ transport.Handler }
+
+func (h cancelMisdirector) Accept(listener int, conn transport.Conn) transport.Session {
+	if listener != thriftListener {
+		return h.Handler.Accept(listener, conn)
+	}
+	tracked := &trackedConn{Conn: conn, inFlight: map[int32]bool{}}
+	return &misdirectedSession{Session: h.Handler.Accept(listener, tracked), conn: tracked}
+}
+
+// trackedConn knows which requests of a proxy are in flight.
+type trackedConn struct {
+	transport.Conn
+	inFlight map[int32]bool // by sequence ID
+}
+
+func (c *trackedConn) Write(p []byte) {
+	for rest := p; len(rest) > 0; {
+		payload, size, err := thrift.SplitFrame(rest)
+		if err != nil || payload == nil {
+			panic("sim: the server wrote half a message")
+		}
+		if reply, err := thrift.DecodeReply(payload); err == nil && reply.Kind != thrift.ReplyFarewell {
+			delete(c.inFlight, reply.SequenceID)
+		}
+		rest = rest[size:]
+	}
+	c.Conn.Write(p)
+}
+
+// misdirectedSession hands the server's session one message at a time, some of them changed.
+type misdirectedSession struct {
+	transport.Session
+	conn *trackedConn
+}
+
+func (s *misdirectedSession) Receive(in []byte) (int, error) {
+	consumed := 0
+	for {
+		payload, size, err := thrift.SplitFrame(in[consumed:])
+		if err != nil || payload == nil {
+			return consumed, err
+		}
+		if _, err := s.Session.Receive(s.misdirect(in[consumed:consumed+size], payload)); err != nil {
+			return consumed, err
+		}
+		consumed += size
+	}
+}
+
+// misdirect returns a message as it is, but for the cancellation of a request that is not in flight where others are.
+func (s *misdirectedSession) misdirect(message, payload []byte) []byte {
+	call, _, err := thrift.DecodeCall(payload)
+	switch {
+	case err != nil:
+	case call.Method == thrift.MethodProcess && !call.Oneway:
+		s.conn.inFlight[call.SequenceID] = true
+	case call.Method == thrift.MethodGiveUp && s.conn.inFlight[call.CancelledID]:
+		delete(s.conn.inFlight, call.CancelledID)
+	case call.Method == thrift.MethodGiveUp && len(s.conn.inFlight) > 0:
+		other := slices.Min(slices.Collect(maps.Keys(s.conn.inFlight)))
+		delete(s.conn.inFlight, other)
+		return thrift.AppendGiveUp(nil, other)
+	}
+	return message
+}
+
+// The rules see the planted bug on its kept script, and the server without it keeps them there.
+func TestPlantedFrontendBugIsSeen(t *testing.T) { plantedFrontendBug.requireSeen(t) }
+
+// The search finds the planted bug.
+func TestSearchFindsPlantedFrontendBug(t *testing.T) {
+	t.Parallel()
+	plantedFrontendBug.requireFound(t)
+}
--- a/internal/testbed/sim/planted_transport_test.go
+++ b/internal/testbed/sim/planted_transport_test.go
@@ -1,26 +1,14 @@
 package sim
 
 import (
-	"os"
-	"path/filepath"
 	"strings"
 	"testing"
 
-	"github.com/stretchr/testify/require"
-
-	"pewterline/internal/microtime"
 	"pewterline/internal/protocol/pool"
 	"pewterline/internal/server"
 	"pewterline/internal/transport"
 )
 
-// plantedBug is a bug that is planted between the server and its event loop.
-type plantedBug struct {
-	name      string // of its kept script
-	want      string // key of the violation that it leads to
-	interpose func() interposer
-}
-
 // plantedTransportBugs are bugs of the event loop and of the worker pool's client, as the server and its peers would
 // see them.
 var plantedTransportBugs = []plantedBug{
@@ -227,39 +215,14 @@
 // that saw nothing would pass everything.
 func TestPlantedTransportBugsAreSeen(t *testing.T) {
 	for _, bug := range plantedTransportBugs {
-		t.Run(bug.name, func(t *testing.T) {
-			script := read(t, filepath.Join("testdata", "planted", bug.name+".txt"))
-			out, err := Play(script, Options{})
-			require.NoError(t, err)
-			clean(t, script, out)
-			out, err = Play(script, Options{StopAtFirst: true, interpose: bug.interpose})
-			require.NoError(t, err)
-			require.NotEmpty(t, out.Violations)
-			require.Equal(t, bug.want, out.Violations[0].Key(), out.Violations[0].String())
-		})
+		t.Run(bug.name, bug.requireSeen)
 	}
 }
 
-// The search finds each planted bug within a few hundred scripts. With SIM_PLANTED it writes the kept scripts anew to
-// the folder of that name.
+// The search finds each planted bug.
 func TestSearchFindsPlantedTransportBugs(t *testing.T) {
 	t.Parallel()
 	for _, bug := range plantedTransportBugs {
-		t.Run(bug.name, func(t *testing.T) {
-			search := Search{FirstSeed: 1, LastSeed: 500, Profile: "worst", Servers: 3, Proxies: 4,
-				Length: 12 * microtime.Second, Jobs: 2, MaxFindings: 1, interpose: bug.interpose}
-			progress, err := search.Run()
-			require.NoError(t, err)
-			require.NotEmpty(t, progress.Findings)
-			finding := progress.Findings[0]
-			require.Equal(t, bug.want, finding.Violation.Key(), finding.Violation.String())
-			t.Logf("script %d, after %v: %s", finding.Run, finding.After, finding.Violation.Key())
-			if folder := os.Getenv("SIM_PLANTED"); folder != "" {
-				least, violation, err := shrink(finding.Script, 1000, nil, Options{StopAtFirst: true, interpose: bug.interpose})
-				require.NoError(t, err)
-				text := "# " + bug.name + ": " + violation.Key() + "\n" + least.String()
-				require.NoError(t, os.WriteFile(filepath.Join(folder, bug.name+".txt"), []byte(text), 0o600))
-			}
-		})
+		t.Run(bug.name, bug.requireFound)
 	}
 }
