--- a/cmd/pewterline-sim/main.go
+++ b/cmd/pewterline-sim/main.go
@@ -37,13 +37,13 @@
 	Balancers balancersCommand `cmd:"" help:"Compare load balancing policies under an impairment."`
 	Gossip    gossipCommand    `cmd:"" help:"Measure what gossip is worth to an instance that has just started."`
 	Processes processesCommand `cmd:"" help:"Play real processes of the program, which upgrade and die under load."`
-	Planted   plantedCommand   `cmd:"" help:"Show that the search finds bugs planted on purpose (needs a build with -tags planted)."`
 
 	// The names that these commands had before.
 	OldSearch    searchCommand    `cmd:"" name:"hunt" hidden:""`
 	OldBalancers balancersCommand `cmd:"" name:"routes" hidden:""`
 	OldGossip    gossipCommand    `cmd:"" name:"learn" hidden:""`
 	OldProcesses processesCommand `cmd:"" name:"procs" hidden:""`
+	OldPlanted   plantedCommand   `cmd:"" name:"planted" hidden:""`
 }
 
 // runner is what every command implements; Run returns the exit code.
--- a/cmd/pewterline-sim/main_test.go
+++ b/cmd/pewterline-sim/main_test.go
@@ -47,7 +47,7 @@
 		{[]string{"learn", "--seeds", "1", "--dead", "0", "--rate", "10"}, exitClean, "bytes/s"},
 		{[]string{"procs", "hunt", "--config", "../../example/config.json", "--seeds", "5..4"}, exitUsage, "--seeds"},
 		{[]string{"shrink", "--script", good}, exitClean, "no rule is broken"},
-		{[]string{"planted"}, exitUsage, "-tags planted"},
+		{[]string{"planted"}, exitUsage, "go test -run Planted"},
 		{[]string{"--help"}, exitClean, "Plays the log server"},
 	} {
 		code, out, errs := call(t, test.args...)
--- a/internal/decide/decide_test.go
+++ b/internal/decide/decide_test.go
@@ -17,7 +17,7 @@
 var pure = map[string]bool{
 	"cmp": true, "errors": true, "fmt": true, "maps": true, "math": true, "math/rand/v2": true, "slices": true, "sort": true,
 	"strconv": true, "strings": true, "time": true, "iter": true, "container/heap": true, "math/bits": true, "encoding/binary": true,
-	"pewterline/internal/microtime": true, "pewterline/internal/planted": true, "pewterline/internal/testbed/faults": true, "pewterline/control": true,
+	"pewterline/internal/microtime": true, "pewterline/internal/testbed/faults": true, "pewterline/control": true,
 	"github.com/cespare/xxhash/v2": true, "github.com/benbjohnson/immutable": true, "gonum.org/v1/gonum/stat": true,
 }
 
--- a/internal/dispatch/core.go
+++ b/internal/dispatch/core.go
@@ -8,7 +8,6 @@
 	"pewterline/control"
 	"pewterline/internal/decide/handoff"
 	"pewterline/internal/microtime"
-	"pewterline/internal/planted"
 )
 
 // Controller is the decision module as the core uses it; control.Controller describes each method.
@@ -149,9 +148,7 @@
 	}
 	c.Start(now, 0, false)
 	c.drain = drainNotice{received: true, at: at}
-	if !planted.Bug(planted.LateStart) {
-		c.events = append(c.events, control.DrainRequested{StopAt: stopAt.Duration(), Age: (now - at).Duration()})
-	}
+	c.events = append(c.events, control.DrainRequested{StopAt: stopAt.Duration(), Age: (now - at).Duration()})
 }
 
 // Drained says that the notice to leave has come and no request is owed a response.
@@ -206,7 +203,7 @@
 
 // respond sends the one response to a request. It goes nowhere where the caller has one already, or has left.
 func (c *Core) respond(req *request, response Response) {
-	if req.answered && !planted.Bug(planted.AnswerTwice) {
+	if req.answered {
 		return
 	}
 	c.settle(req)
--- a/internal/dispatch/keys.go
+++ b/internal/dispatch/keys.go
@@ -9,7 +9,6 @@
 	"pewterline/control"
 	"pewterline/internal/decide/handoff"
 	"pewterline/internal/microtime"
-	"pewterline/internal/planted"
 )
 
 const (
@@ -148,10 +147,7 @@
 func (t *keyTable) attach(req *request) (*keyEntry, control.RequestID) {
 	key := req.scopedKey()
 	if entry := t.current(key, req.ArrivedAt); entry != nil {
-		if !planted.Bug(planted.KeyTwice) || !entry.ran || entry.finished {
-			return entry, entry.holder
-		}
-		t.remove(entry)
+		return entry, entry.holder
 	}
 	entry := &keyEntry{
 		key: key, class: req.Class, bodyHash: maphash.Bytes(t.hashSeed, req.Body), holder: req.id,
--- a/internal/dispatch/run.go
+++ b/internal/dispatch/run.go
@@ -6,7 +6,6 @@
 	"pewterline/control"
 	"pewterline/internal/decide/handoff"
 	"pewterline/internal/microtime"
-	"pewterline/internal/planted"
 )
 
 // expiryLead is how far before its deadline a failed request still counts as expired: the decision module fails what
@@ -72,9 +71,6 @@
 	if now >= c.deadline(req)-expiryLead {
 		response = expired()
 	}
-	if planted.Bug(planted.RefuseRun) && req.state.started() {
-		response = Response{Status: StatusRejected, RetryAfter: microtime.Second}
-	}
 	c.respond(req, response)
 	if !req.state.started() {
 		c.forget(req)
@@ -208,7 +204,7 @@
 // after the notice waits for a run that goes on, and does not run in its place.
 func (c *Core) mayStart(req *request) bool {
 	limit := c.drain.at + microtime.FromDuration(c.settings.DrainGrace)
-	return !c.drain.received || req.readAt <= limit || planted.Bug(planted.PassLate)
+	return !c.drain.received || req.readAt <= limit
 }
 
 // finish ends a run or the wait for one: the response goes out and the decision module hears of it.
