--- a/internal/dispatch/keys.go
+++ b/internal/dispatch/keys.go
@@ -40,7 +40,7 @@
 	retained bool              // false: only seen in this turn
 
 	ran                bool
-	runner             control.RequestID // the attempt that ran
+	ranBy              control.RequestID // the attempt that ran
 	arrivedAt          microtime.Time    // when that attempt came
 	arrivedAtUnixMilli int64             // the same by its caller
 	finished           bool              // that run has ended, with outcome and result
@@ -58,11 +58,11 @@
 
 // claim marks the key as run by req, unless another attempt has run.
 func (e *keyEntry) claim(req *request) bool {
-	if e.ran && e.runner != req.id {
+	if e.ran && e.ranBy != req.id {
 		return false
 	}
 	e.ran = true
-	e.runner = req.id
+	e.ranBy = req.id
 	e.arrivedAt = req.ArrivedAt
 	e.arrivedAtUnixMilli = req.ArrivedAtUnixMilli
 	return true
--- a/internal/dispatch/run.go
+++ b/internal/dispatch/run.go
@@ -114,7 +114,7 @@
 	}
 	c.abandonCall(req)
 	req.state, req.call = stateRunning, nil
-	if req.entry == nil || req.entry.runner != req.id {
+	if req.entry == nil || req.entry.ranBy != req.id {
 		c.finish(req, outcome, result)
 		return
 	}
