--- a/internal/testbed/sim/planted_dispatch_test.go
+++ b/internal/testbed/sim/planted_dispatch_test.go
@@ -20,8 +20,8 @@
 	plantedPassLate    = plantedBug{"pass-late", "drain/run past the limit", plantCoreBug(startLateWaiter{})}
 )
 
-// plantLateStart keeps the notice to leave from the decision module. What it leads to is a matter of the script: requests
-// run that come too late, or are unanswered when the server ends.
+// plantLateStart keeps the notice to leave from the decision module. What it leads to is a matter of the script:
+// requests run that come too late, or are unanswered when the server ends.
 func plantLateStart() interposer { return drainUnheard{} }
 
 var plantedLateStart = []plantedBug{
@@ -68,7 +68,8 @@
 	return response.raw
 }
 
-// startLateWaiter runs a repeat in the place of an attempt that was not started, though it came past the limit of a drain.
+// startLateWaiter runs a repeat in the place of an attempt that was not started, though it came past the limit of a
+// drain.
 type startLateWaiter struct{ noCoreBug }
 
 func (startLateWaiter) finished(core *observedCore, request *observedRequest) {
@@ -110,8 +111,8 @@
 	}
 }
 
-// The search finds the planted bugs. It has nothing to say of pass-late: neither it nor the guided search found that one
-// within 1,400 scripts in earlier measurements (docs/design/faults.md), and its kept script stands in for a find.
+// The search finds the planted bugs. It has nothing to say of pass-late: neither it nor the guided search found that
+// one within 1,400 scripts in earlier measurements (docs/design/faults.md), and its kept script stands in for a find.
 func TestSearchFindsPlantedDispatchBugs(t *testing.T) {
 	t.Parallel()
 	for _, bug := range []plantedBug{plantedKeyTwice, plantedAnswerTwice, plantedRefuseRun, plantedLateStart[1]} {
