--- a/internal/server/runner_test.go
+++ b/internal/server/ajp_backend_test.go
@@ -13,9 +13,9 @@
 	"pewterline/internal/protocol/thrift"
 )
 
-// ajpBackendStandIn is a server that speaks AJP and answers with the path and the body that it got. It reports
+// fakeAJPBackend is a server that speaks AJP and answers with the path and the body that it got. It reports
 // each request it runs.
-func ajpBackendStandIn(t *testing.T, ran chan<- string) string {
+func fakeAJPBackend(t *testing.T, ran chan<- string) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { ln.Close() })
@@ -27,7 +27,7 @@
 			}
 			go func() {
 				defer c.Close()
-				if err := serveBackend(c, ran); err != nil && !errors.Is(err, io.EOF) && !errors.Is(err, net.ErrClosed) {
+				if err := serveFakeAJPBackend(c, ran); err != nil && !errors.Is(err, io.EOF) && !errors.Is(err, net.ErrClosed) {
 					t.Errorf("backend: %v", err)
 				}
 			}()
@@ -36,8 +36,8 @@
 	return ln.Addr().String()
 }
 
-func serveBackend(c net.Conn, ran chan<- string) error {
-	p := &peer{c: c, split: func(in []byte) ([]byte, int, error) { return ajp.SplitPacket(in, ajp.FromServer) }}
+func serveFakeAJPBackend(c net.Conn, ran chan<- string) error {
+	p := &clientConn{conn: c, split: func(in []byte) ([]byte, int, error) { return ajp.SplitPacket(in, ajp.FromServer) }}
 	for {
 		payload, err := p.next()
 		if err != nil {
@@ -83,18 +83,18 @@
 
 // The AJP runner on real sockets, in place of the worker pool: requests by both protocols, a kept connection,
 // and one intake by both.
-func TestLoopbackRunner(t *testing.T) {
+func TestLoopbackAJPBackend(t *testing.T) {
 	ran := make(chan string, 100)
 	cfg := testConfig(t, "")
-	cfg.AJP.BackendAddress, cfg.AJP.BackendSecret, cfg.AJP.BackendPath, cfg.AJP.BackendConnections = ajpBackendStandIn(t, ran), "vine", "/run", 2
+	cfg.AJP.BackendAddress, cfg.AJP.BackendSecret, cfg.AJP.BackendPath, cfg.AJP.BackendConnections = fakeAJPBackend(t, ran), "vine", "/run", 2
 	thriftAddr, ajpAddr, _ := serveLoopback(t, cfg, "")
-	desk, office := dial(t, thriftAddr, thrift.SplitFrame), dial(t, ajpAddr, splitContainer)
+	desk, office := dial(t, thriftAddr, thrift.SplitFrame), dial(t, ajpAddr, splitAJP)
 	sendIntake(desk, "k1")
 	require.Contains(t, string(desk.read()), "/run/lot-intake lot")
 	forwardIntake(office, "k1")
-	require.Equal(t, "/run/lot-intake lot", readOK(office))
+	require.Equal(t, "/run/lot-intake lot", readServed(office))
 	forwardIntake(office, "k2")
-	require.Equal(t, "/run/lot-intake lot", readOK(office))
+	require.Equal(t, "/run/lot-intake lot", readServed(office))
 	sendIntake(desk, "k2")
 	require.Contains(t, string(desk.read()), "/run/lot-intake lot")
 	require.Len(t, ran, 2, "each intake ran once")
--- a/internal/server/bench_test.go
+++ b/internal/server/bench_test.go
@@ -173,7 +173,7 @@
 }
 
 func benchConfig(b *testing.B, pool string) config.Config {
-	set, gauges, err := settings.Parse([]byte(settingsText), 7)
+	set, gauges, err := settings.Parse([]byte(settingsJSON), 7)
 	require.NoError(b, err)
 	return config.Config{Name: "n0", PoolAddress: pool, ShutdownTimeout: 3200 * microtime.Millisecond, Settings: set, Gauges: gauges}
 }
--- a/internal/server/clients_test.go
+++ b/internal/server/malformed_clients_test.go
@@ -14,7 +14,7 @@
 // Guards the server, and every other caller, against clients that break the protocol, many at once: each gets the
 // protocol's error or the end of its connection, leaves nothing behind, and costs no more memory than a message; whoever
 // keeps to the protocol is served beside them and after them.
-func TestBadClients(t *testing.T) {
+func TestMalformedClients(t *testing.T) {
 	good := func(seq int32, id string) []byte {
 		return thrift.AppendCall(nil, seq, []thrift.Field{{Name: "class", Value: "block-view"}, {Name: "id", Value: id}, {Name: "at", Value: "1000"},
 			{Name: "from", Value: "4"}, {Name: "tenant", Value: "hill-estate"}, {Name: "kb", Value: "9"}, {Name: "rank", Value: "0.1"}}, []byte("b"))
@@ -60,10 +60,10 @@
 		"a field of a megabyte":    {length(1<<20, "\x80\x01\x00\x01"), true, 0},
 		"a sequence number reused": {append(good(1, "00000000000000e1"), good(1, "00000000000000e2")...), true, 1},
 	} {
-		l := newLinked(t)
-		var bad []*fakeLink
+		l := newPoolFixture(t)
+		var bad []*fakeConn
 		for range 50 {
-			b := l.stage.connect("bad", 0)
+			b := l.loopFixture.connect("bad", 0)
 			l.deliver(b, c.sent)
 			bad = append(bad, b)
 		}
@@ -72,9 +72,9 @@
 			require.LessOrEqual(t, len(b.in), thrift.MaxFrame, name)
 			require.Equal(t, c.errors, strings.Count(string(b.out), "\x80\x01\x00\x03"), "%s: %q", name, b.out)
 		}
-		require.Contains(t, l.ask(view, "block-view", ""), "spawn "+view, name)
-		l.tell("finished 1 " + view + " PASS 80 2\r\nok\r\n")
-		require.Equal(t, map[int32]thrift.ReplyKind{1: thrift.ReplyAnswer}, l.replies(), name)
+		require.Contains(t, l.submit(viewID, "block-view", ""), "spawn "+viewID, name)
+		l.poolSends("finished 1 " + viewID + " PASS 80 2\r\nok\r\n")
+		require.Equal(t, map[int32]thrift.ReplyKind{1: thrift.ReplyAnswer}, l.replyKinds(), name)
 		for _, b := range bad {
 			if b.session != nil {
 				b.closed = true
--- a/internal/server/fleet_test.go
+++ b/internal/server/upstream_test.go
@@ -14,8 +14,8 @@
 	"pewterline/internal/protocol/thrift"
 )
 
-// serveEdge runs an edge on real sockets before servers at those addresses.
-func serveEdge(t *testing.T, addresses ...string) (thriftAddr, ajpAddr string) {
+// serveUpstream runs an edge on real sockets before servers at those addresses.
+func serveUpstream(t *testing.T, addresses ...string) (thriftAddr, ajpAddr string) {
 	cfg := testConfig(t, "")
 	for i, a := range addresses {
 		cfg.Fleet.Members = append(cfg.Fleet.Members, config.Member{Name: fmt.Sprintf("n%d", i+1), Address: a})
@@ -26,16 +26,16 @@
 
 // An intake sent to an edge by Thrift, and again by AJP while its run goes on, runs once behind it: on one server, and on no
 // other. Every server is a whole one, on real sockets.
-func TestLoopbackEdgeOnce(t *testing.T) {
-	pools, addresses := make([]*socketPool, 3), make([]string, 3)
+func TestUpstreamRunsKeyOnce(t *testing.T) {
+	pools, addresses := make([]*fakePool, 3), make([]string, 3)
 	for i := range pools {
-		pools[i] = newSocketPool(t)
-		addresses[i], _, _ = serveLoopback(t, testConfig(t, pools[i].ln.Addr().String()), "")
+		pools[i] = newFakePool(t)
+		addresses[i], _, _ = serveLoopback(t, testConfig(t, pools[i].listener.Addr().String()), "")
 	}
-	desk, office := serveEdge(t, addresses...)
-	a, b := dial(t, desk, thrift.SplitFrame), dial(t, office, splitContainer)
+	desk, office := serveUpstream(t, addresses...)
+	a, b := dial(t, desk, thrift.SplitFrame), dial(t, office, splitAJP)
 	sendIntake(a, "k1")
-	var at *socketPool
+	var at *fakePool
 	var id string
 	select { // whichever server the edge chose
 	case id = <-pools[0].started:
@@ -51,7 +51,7 @@
 	require.NoError(t, err)
 	require.Equal(t, thrift.ReplyAnswer, p.Kind)
 	require.Equal(t, "lot 7 recorded", string(p.Body))
-	require.Equal(t, "lot 7 recorded", readOK(b))
+	require.Equal(t, "lot 7 recorded", readServed(b))
 	for _, p := range pools {
 		require.Empty(t, p.started, "it ran once")
 	}
@@ -69,11 +69,11 @@
 }
 
 // What refuses connects is left out at once, and its requests are served elsewhere: nothing of it reaches the caller.
-func TestLoopbackEdgeLeavesOutTheDead(t *testing.T) {
+func TestUpstreamSkipsDeadEndpoints(t *testing.T) {
 	dead := deadAddress(t)
-	pool := newSocketPool(t)
-	alive, _, _ := serveLoopback(t, testConfig(t, pool.ln.Addr().String()), "")
-	desk, _ := serveEdge(t, dead, alive)
+	pool := newFakePool(t)
+	alive, _, _ := serveLoopback(t, testConfig(t, pool.listener.Addr().String()), "")
+	desk, _ := serveUpstream(t, dead, alive)
 	go func() {
 		for id := range pool.started {
 			pool.finish(id, "done")
@@ -89,9 +89,9 @@
 }
 
 // An edge whose servers have all gone refuses at once, with advice, and holds nothing back.
-func TestLoopbackEdgeWithoutServers(t *testing.T) {
+func TestUpstreamWithoutEndpoints(t *testing.T) {
 	dead := deadAddress(t)
-	desk, _ := serveEdge(t, dead)
+	desk, _ := serveUpstream(t, dead)
 	a := dial(t, desk, thrift.SplitFrame)
 	sendIntake(a, "k1")
 	p, err := thrift.DecodeReply(a.read())
@@ -101,7 +101,7 @@
 }
 
 // Guards the decision to be left with the door: an edge with faulty figures does not start.
-func TestEdgeChecksItsFigures(t *testing.T) {
+func TestUpstreamConfigIsValidated(t *testing.T) {
 	cfg := testConfig(t, "")
 	cfg.Fleet = config.Fleet{Members: []config.Member{{Name: "n1", Address: "127.0.0.1:1"}}, LoadBalancer: loadbalancer.Config{SlowStartShare: 7}}
 	_, err := New(cfg, microtime.NewClock(), t.Logf)
@@ -110,12 +110,12 @@
 
 // The list of servers is read anew while an edge serves: a new server is used, one that was taken out gets nothing new, but
 // an intake that may have run there is not run elsewhere.
-func TestEdgeReloadsItsServers(t *testing.T) {
+func TestUpstreamReloadsEndpoints(t *testing.T) {
 	cfg := testConfig(t, "")
 	cfg.Fleet.Members = []config.Member{{Name: "n1", Address: "a1"}}
-	s := &stage{t: t, now: microtime.Second, links: map[string]*fakeLink{}, control: "control"}
+	s := &loopFixture{t: t, now: microtime.Second, conns: map[string]*fakeConn{}, reportAddress: "control"}
 	var err error
-	s.srv, err = New(cfg, unixZero{}, t.Logf)
+	s.srv, err = New(cfg, zeroBasedClock{}, t.Logf)
 	require.NoError(t, err)
 	s.srv.Attach(s)
 	desk := s.connect("c1", 0)
--- a/internal/testbed/sim/planted_server_test.go
+++ b/internal/testbed/sim/planted_server_test.go
@@ -46,12 +46,13 @@
 }
 
 // The search finds a server that ends its drain with requests unanswered.
-func TestHuntFindsEarlyStop(t *testing.T) {
-	hunt := Hunt{First: 1, Last: 300, Profile: "worst", Servers: 2, Proxies: 3, Length: 8 * microtime.Second,
-		Jobs: 2, Most: 1, begin: plantEarlyStop}
-	progress, err := hunt.Run()
+func TestSearchFindsEarlyStop(t *testing.T) {
+	search := Search{FirstSeed: 1, LastSeed: 300, Profile: "worst", Servers: 2, Proxies: 3,
+		Length: 8 * microtime.Second, Jobs: 2, MaxFindings: 1, begin: plantEarlyStop}
+	progress, err := search.Run()
 	require.NoError(t, err)
-	require.NotEmpty(t, progress.Finds)
-	t.Logf("script %d, after %v: %s", progress.Finds[0].Run, progress.Finds[0].After, progress.Finds[0].Violation)
-	require.Equal(t, "lost/closed by the server", progress.Finds[0].Violation.Key())
+	require.NotEmpty(t, progress.Findings)
+	finding := progress.Findings[0]
+	t.Logf("script %d, after %v: %s", finding.Run, finding.After, finding.Violation)
+	require.Equal(t, "lost/closed by the server", finding.Violation.Key())
 }
