--- a/internal/server/ajp_backend_test.go
+++ b/internal/server/ajp_backend_test.go
@@ -13,89 +13,109 @@
 	"pewterline/internal/protocol/thrift"
 )
 
-// fakeAJPBackend is a server that speaks AJP and answers with the path and the body that it got. It reports
-// each request it runs.
-func fakeAJPBackend(t *testing.T, ran chan<- string) string {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	require.NoError(t, err)
-	t.Cleanup(func() { ln.Close() })
-	go func() {
-		for {
-			c, err := ln.Accept()
-			if err != nil {
-				return
-			}
-			go func() {
-				defer c.Close()
-				if err := serveFakeAJPBackend(c, ran); err != nil && !errors.Is(err, io.EOF) && !errors.Is(err, net.ErrClosed) {
-					t.Errorf("backend: %v", err)
-				}
-			}()
+// fakeAJPBackend is a server that speaks AJP, and answers each request with its path and its body.
+type fakeAJPBackend struct {
+	t   *testing.T
+	ran chan string // The paths of the requests, as they are answered.
+}
+
+// serve accepts connections until the listener is closed.
+func (f *fakeAJPBackend) serve(listener net.Listener) {
+	for {
+		conn, err := listener.Accept()
+		if err != nil {
+			return
 		}
-	}()
-	return ln.Addr().String()
+		go func() {
+			err := f.serveConn(conn)
+			if err != nil && !errors.Is(err, io.EOF) && !errors.Is(err, net.ErrClosed) {
+				f.t.Errorf("backend: %v", err)
+			}
+			_ = conn.Close() // The server has closed it, or the test has failed.
+		}()
+	}
 }
 
-func serveFakeAJPBackend(c net.Conn, ran chan<- string) error {
-	p := &clientConn{conn: c, split: func(in []byte) ([]byte, int, error) { return ajp.SplitPacket(in, ajp.FromServer) }}
+func (f *fakeAJPBackend) serveConn(conn net.Conn) error {
+	packets := &clientConn{conn: conn, split: func(in []byte) ([]byte, int, error) {
+		return ajp.SplitPacket(in, ajp.FromServer)
+	}}
 	for {
-		payload, err := p.next()
+		payload, err := packets.next()
 		if err != nil {
 			return err
 		}
-		if payload[0] == ajp.CodeCPing {
-			if _, err := c.Write(ajp.AppendCPong(nil)); err != nil {
+		answer := ajp.AppendCPong(nil)
+		if payload[0] != ajp.CodeCPing {
+			if answer, err = f.run(payload, packets); err != nil {
 				return err
 			}
-			continue
 		}
-		req, err := ajp.ParseForwardRequest(payload)
-		if err != nil {
+		if _, err := conn.Write(answer); err != nil {
 			return err
 		}
-		if req.Secret != "vine" {
-			return errors.New("no secret")
-		}
-		var body []byte
-		for int64(len(body)) < req.ContentLength {
-			if len(body) > 0 {
-				if _, err := c.Write(ajp.AppendGetBodyChunk(nil, int(req.ContentLength)-len(body))); err != nil {
-					return err
-				}
-			}
-			if payload, err = p.next(); err != nil {
-				return err
-			}
-			chunk, err := ajp.ParseBodyChunk(payload)
-			if err != nil {
-				return err
+	}
+}
+
+// run reads a request to its end; it returns the packets of its response.
+func (f *fakeAJPBackend) run(payload []byte, packets *clientConn) ([]byte, error) {
+	request, err := ajp.ParseForwardRequest(payload)
+	if err != nil {
+		return nil, err
+	}
+	if request.Secret != "vine" {
+		return nil, errors.New("no secret")
+	}
+	body, err := readBody(request.ContentLength, packets)
+	if err != nil {
+		return nil, err
+	}
+	f.ran <- request.URI
+	result := append([]byte(request.URI+" "), body...)
+	length := ajp.Header{Name: "Content-Length", Value: strconv.Itoa(len(result))}
+	out := ajp.AppendSendHeaders(nil, 200, "OK", []ajp.Header{length})
+	return ajp.AppendEndResponse(ajp.AppendResponseBody(out, result), true), nil
+}
+
+// readBody reads a request's body; the first chunk comes unasked.
+func readBody(length int64, packets *clientConn) (body []byte, err error) {
+	for int64(len(body)) < length {
+		if len(body) > 0 {
+			if _, err := packets.conn.Write(ajp.AppendGetBodyChunk(nil, int(length)-len(body))); err != nil {
+				return nil, err
 			}
-			body = append(body, chunk...)
 		}
-		ran <- req.URI
-		result := append([]byte(req.URI+" "), body...)
-		out := ajp.AppendSendHeaders(nil, 200, "OK", []ajp.Header{{Name: "Content-Length", Value: strconv.Itoa(len(result))}})
-		if _, err := c.Write(ajp.AppendEndResponse(ajp.AppendResponseBody(out, result), true)); err != nil {
-			return err
+		payload, err := packets.next()
+		if err != nil {
+			return nil, err
+		}
+		chunk, err := ajp.ParseBodyChunk(payload)
+		if err != nil {
+			return nil, err
 		}
+		body = append(body, chunk...)
 	}
+	return body, nil
 }
 
-// The AJP runner on real sockets, in place of the worker pool: requests by both protocols, a kept connection,
-// and one intake by both.
+// An AJP server on real sockets, in place of the worker pool: requests by both protocols, a connection that is kept
+// alive, and a keyed request by both protocols.
 func TestLoopbackAJPBackend(t *testing.T) {
-	ran := make(chan string, 100)
+	backend := &fakeAJPBackend{t: t, ran: make(chan string, 100)}
+	listener := listen(t)
+	go backend.serve(listener)
 	cfg := testConfig(t, "")
-	cfg.AJP.BackendAddress, cfg.AJP.BackendSecret, cfg.AJP.BackendPath, cfg.AJP.BackendConnections = fakeAJPBackend(t, ran), "vine", "/run", 2
+	cfg.AJP.BackendAddress, cfg.AJP.BackendPath = listener.Addr().String(), "/run"
+	cfg.AJP.BackendSecret, cfg.AJP.BackendConnections = "vine", 2
 	thriftAddr, ajpAddr, _ := serveLoopback(t, cfg, "")
-	desk, office := dial(t, thriftAddr, thrift.SplitFrame), dial(t, ajpAddr, splitAJP)
-	sendIntake(desk, "k1")
-	require.Contains(t, string(desk.read()), "/run/lot-intake lot")
-	forwardIntake(office, "k1")
-	require.Equal(t, "/run/lot-intake lot", readServed(office))
-	forwardIntake(office, "k2")
-	require.Equal(t, "/run/lot-intake lot", readServed(office))
-	sendIntake(desk, "k2")
-	require.Contains(t, string(desk.read()), "/run/lot-intake lot")
-	require.Len(t, ran, 2, "each intake ran once")
+	proxy, webServer := dial(t, thriftAddr, thrift.SplitFrame), dial(t, ajpAddr, splitAJP)
+	sendIntake(proxy, "k1")
+	require.Contains(t, string(proxy.read()), "/run/lot-intake lot")
+	forwardIntake(webServer, "k1")
+	require.Equal(t, "/run/lot-intake lot", readServed(webServer))
+	forwardIntake(webServer, "k2")
+	require.Equal(t, "/run/lot-intake lot", readServed(webServer))
+	sendIntake(proxy, "k2")
+	require.Contains(t, string(proxy.read()), "/run/lot-intake lot")
+	require.Len(t, backend.ran, 2, "each keyed request ran once")
 }
--- a/internal/server/call_fixture_test.go
+++ b/internal/server/call_fixture_test.go
@@ -15,38 +15,41 @@
 	"pewterline/internal/testbed/processtest"
 )
 
-// The classes of a callHouse, each of whose requests makes one call.
+// The classes of a callFixture. Each of their requests makes one call.
 const (
-	safeClass   = "block-view"
-	singleClass = "lot-update"
-	keyedClass  = "lot-intake"
+	safeClass  = "block-view"
+	onceClass  = "lot-update" // Runs once, and has no idempotency key.
+	keyedClass = "lot-intake"
 )
 
 // longDeadline outlasts every test, however far its clock runs.
 const longDeadline = 10 * time.Minute
 
-// callFixture is a house whose requests call the vault, on a clock that the test moves.
+// callFixture is a socketFixture whose requests call the vault.
 type callFixture struct {
 	*socketFixture
 	workers         *processtest.Pool
 	vault           *processtest.Vault
 	proxy           *clientConn
-	sequenceNumbers map[string]int32       // of the requests, by ID
-	replies         map[int32]thrift.Reply // so far, by number
+	sequenceNumbers map[string]int32       // Of the requests, by attempt ID.
+	replies         map[int32]thrift.Reply // So far, by sequence number.
 }
 
+// newCallFixture starts a server; change, where it is not nil, changes its configuration before.
 func newCallFixture(t *testing.T, change func(*config.Config)) *callFixture {
+	t.Helper()
 	workers, err := processtest.NewPool(processtest.NewRunLog())
 	require.NoError(t, err)
 	t.Cleanup(workers.Close)
-	h := &callFixture{workers: workers, vault: newVault(t)}
-	h.socketFixture = newSocketFixture(t, func(cfg *config.Config) {
-		cfg.PoolAddress, cfg.VaultAddress = workers.Addr(), h.vault.Addr()
+	fixture := &callFixture{workers: workers, vault: newVault(t)}
+	fixture.socketFixture = newSocketFixture(t, func(cfg *config.Config) {
+		cfg.PoolAddress, cfg.VaultAddress = workers.Addr(), fixture.vault.Addr()
 		cfg.Settings.Dependency = control.DependencyTier
 		for i := range cfg.Settings.Classes {
 			class := &cfg.Settings.Classes[i]
-			class.MakesCalls, class.LatencyObjective, class.Deadline = true, longDeadline, longDeadline
-			if class.Name == singleClass {
+			class.MakesCalls = true
+			class.LatencyObjective, class.Deadline = longDeadline, longDeadline
+			if class.Name == onceClass {
 				class.Idempotency = control.NonIdempotent
 			}
 			workers.SetCallsPerRun(class.Name, 1)
@@ -55,117 +58,126 @@
 			change(cfg)
 		}
 	})
-	h.reconnect()
+	fixture.reconnect()
 	_, err = workers.AwaitBound()
 	require.NoError(t, err)
-	return h
+	return fixture
 }
 
-// reconnect has the requests from now on come on a new connection: the one before may be closed where the clock has moved far.
-func (h *callFixture) reconnect() {
-	h.proxy, h.sequenceNumbers, h.replies = h.dial(), map[string]int32{}, map[int32]thrift.Reply{}
+// reconnect has requests come on a new connection from now on: the one before may be closed where the clock has moved
+// far.
+func (f *callFixture) reconnect() {
+	f.t.Helper()
+	f.proxy, f.sequenceNumbers, f.replies = f.dial(), map[string]int32{}, map[int32]thrift.Reply{}
 }
 
-func (h *callFixture) dial() *clientConn {
-	p := h.socketFixture.dialProxy()
-	require.NoError(h.t, p.conn.SetReadDeadline(time.Now().Add(processtest.Patience)))
-	return p
+// dial opens a connection of a proxy's on which nothing is waited for without end.
+func (f *callFixture) dial() *clientConn {
+	f.t.Helper()
+	proxy := f.dialProxy()
+	require.NoError(f.t, proxy.conn.SetReadDeadline(time.Now().Add(processtest.Patience)))
+	return proxy
 }
 
 func newVault(t *testing.T) *processtest.Vault {
-	v, err := processtest.NewVault()
+	t.Helper()
+	vault, err := processtest.NewVault()
 	require.NoError(t, err)
-	t.Cleanup(v.Close)
-	return v
+	t.Cleanup(vault.Close)
+	return vault
 }
 
-// submitClass sends one of a class. Intakes have their class and place for a key.
-func (h *callFixture) submitClass(class string) (id string) {
-	once := ""
+// submitClass sends a request of a class; one of the keyed class has a key of its own.
+func (f *callFixture) submitClass(class string) (id string) {
+	f.t.Helper()
+	idempotencyKey := ""
 	if class == keyedClass {
-		once = class + string(rune('a'+len(h.sequenceNumbers)))
+		idempotencyKey = class + string(rune('a'+len(f.sequenceNumbers)))
 	}
-	id = h.submit(h.proxy, class, once)
-	h.sequenceNumbers[id] = h.proxy.sent
+	id = f.submit(f.proxy, class, idempotencyKey)
+	f.sequenceNumbers[id] = f.proxy.sent
 	return id
 }
 
-// replyTo is the answer to a request.
-func (h *callFixture) replyTo(id string) thrift.Reply {
+// replyTo is the reply to a request.
+func (f *callFixture) replyTo(id string) thrift.Reply {
+	f.t.Helper()
 	for {
-		if r, ok := h.replies[h.sequenceNumbers[id]]; ok {
-			return r
+		if reply, ok := f.replies[f.sequenceNumbers[id]]; ok {
+			return reply
 		}
-		r := nextReply(h.proxy)
-		if r.Kind == thrift.ReplyFarewell {
+		reply := nextReply(f.proxy)
+		if reply.Kind == thrift.ReplyFarewell {
 			continue
 		}
-		require.NotContains(h.t, h.replies, r.SequenceID, "answered twice")
-		h.replies[r.SequenceID] = r
+		require.NotContains(f.t, f.replies, reply.SequenceID, "answered twice")
+		f.replies[reply.SequenceID] = reply
 	}
 }
 
-func (h *callFixture) requireServed(id, reply string) {
-	h.t.Helper()
-	r := h.replyTo(id)
-	require.Equal(h.t, thrift.ReplyAnswer, r.Kind)
-	require.Equal(h.t, "did lot got "+reply, string(r.Body))
+// requireServed requires that a request is served, by a run that got a reply to its call.
+func (f *callFixture) requireServed(id, callReply string) {
+	f.t.Helper()
+	reply := f.replyTo(id)
+	require.Equal(f.t, thrift.ReplyAnswer, reply.Kind)
+	require.Equal(f.t, "did lot got "+callReply, string(reply.Body))
 }
 
-// requireFailed asks that a request fails. The worker pool knows by then that it is over.
-func (h *callFixture) requireFailed(id string) {
-	h.t.Helper()
-	require.Equal(h.t, thrift.ReplyBroken, h.replyTo(id).Kind)
-	h.workers.FinishRun(id)
+// requireFailed requires that a request fails. The worker pool knows by then that its run is over.
+func (f *callFixture) requireFailed(id string) {
+	f.t.Helper()
+	require.Equal(f.t, thrift.ReplyBroken, f.replyTo(id).Kind)
+	f.workers.FinishRun(id)
 }
 
-// nextCall is the next call, which has to be a request's.
-func (h *callFixture) nextCall(id string) *processtest.Call {
-	h.t.Helper()
-	c, err := h.vault.NextCall()
-	require.NoError(h.t, err)
-	require.Equal(h.t, id, c.ID)
-	require.Equal(h.t, processtest.CallBody(1, "lot"), c.Body)
-	require.Positive(h.t, c.TimeoutMS)
-	return c
+// nextCall is the next call, which has to be that of a request.
+func (f *callFixture) nextCall(id string) *processtest.Call {
+	f.t.Helper()
+	call, err := f.vault.NextCall()
+	require.NoError(f.t, err)
+	require.Equal(f.t, id, call.ID)
+	require.Equal(f.t, processtest.CallBody(1, "lot"), call.Body)
+	require.Positive(f.t, call.TimeoutMS)
+	return call
 }
 
 // countCalls counts the calls of a request.
-func (h *callFixture) countCalls(id string) int {
-	others := func(c processtest.Call) bool { return c.ID != id }
-	return len(slices.DeleteFunc(h.vault.Calls(), others))
+func (f *callFixture) countCalls(id string) int {
+	others := func(call processtest.Call) bool { return call.ID != id }
+	return len(slices.DeleteFunc(f.vault.Calls(), others))
 }
 
-// requireAbandoned asks that the next call to be given up is a request's.
-func (h *callFixture) requireAbandoned(id string) {
-	h.t.Helper()
-	got, err := h.vault.NextAbandoned()
-	require.NoError(h.t, err)
-	require.Equal(h.t, id, got)
+// requireAbandoned requires that the next call to be abandoned is that of a request.
+func (f *callFixture) requireAbandoned(id string) {
+	f.t.Helper()
+	got, err := f.vault.NextAbandoned()
+	require.NoError(f.t, err)
+	require.Equal(f.t, id, got)
 }
 
-// advance moves the clock and returns in a turn of that time.
-func (h *callFixture) advance(by microtime.Time) {
-	h.advanceClock(by)
-	h.onLoop(func() {})
+// advance moves the clock, and returns after a turn at that time.
+func (f *callFixture) advance(by microtime.Time) {
+	f.t.Helper()
+	f.advanceClock(by)
+	f.onLoop(func() {})
 }
 
-// runClock lets the clock run until it is stopped, by a step in each turn of the loop.
-func (h *callFixture) runClock() (stop func()) {
+// runClock moves the clock by a step in each turn of the loop, until it is stopped.
+func (f *callFixture) runClock() (stop func()) {
 	quit, done := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(done)
 		for {
-			h.advanceClock(10 * microtime.Millisecond)
+			f.advanceClock(10 * microtime.Millisecond)
 			turned := make(chan struct{})
-			if h.loop.Execute(func() { close(turned) }) != nil {
+			if f.loop.Execute(func() { close(turned) }) != nil {
 				return
 			}
 			select {
 			case <-quit:
 				return
 			case <-turned:
-				time.Sleep(time.Millisecond) // the others' share of the machine
+				time.Sleep(time.Millisecond) // Leaves the machine to the others.
 			}
 		}
 	}()
@@ -175,27 +187,27 @@
 	})
 }
 
-// requireNoMoreCalls asks that what could be called again in a while is not: the next call is that of a request that comes then.
-func (h *callFixture) requireNoMoreCalls() {
-	h.t.Helper()
-	h.advance(microtime.Second)
-	h.reconnect()
-	last := h.submitClass(safeClass)
-	h.nextCall(last)
-	h.requireServed(last, "kept call 1 of lot")
+// requireNoMoreCalls requires that no call is retried later: the next call is that of a request that comes then.
+func (f *callFixture) requireNoMoreCalls() {
+	f.t.Helper()
+	f.advance(microtime.Second)
+	f.reconnect()
+	last := f.submitClass(safeClass)
+	f.nextCall(last)
+	f.requireServed(last, "kept call 1 of lot")
 }
 
-// stop ends the server. Every reply has gone to the run that waited for it.
-func (h *callFixture) stop() {
-	h.t.Helper()
-	h.loop.Stop()
-	h.requireEnd()
-	require.Empty(h.t, h.workers.UnexpectedCommands())
+// stop ends the server, and requires that every reply has gone to the run that waited for it.
+func (f *callFixture) stop() {
+	f.t.Helper()
+	f.socketFixture.stop()
+	require.Empty(f.t, f.workers.UnexpectedCommands())
 }
 
 // sendProbe sends a health check on a connection of its own.
-func (h *callFixture) sendProbe(deep bool) *clientConn {
-	p := h.dial()
-	p.write(thrift.AppendProbe(nil, 1, deep))
-	return p
+func (f *callFixture) sendProbe(deep bool) *clientConn {
+	f.t.Helper()
+	proxy := f.dial()
+	proxy.write(thrift.AppendProbe(nil, 1, deep))
+	return proxy
 }
--- a/internal/server/deep_check_test.go
+++ b/internal/server/deep_check_test.go
@@ -9,74 +9,74 @@
 	"pewterline/internal/protocol/pool"
 )
 
-// Guards proxies against a worker pool that takes the work and does none: a deep check is answered all the same, and not by "good".
-// Requests and other checks do not wait for it meanwhile, and checks without end are not passed on without end.
+// A worker pool accepts work and does none. A deep health check is answered all the same, and as unhealthy; requests
+// and other checks do not wait for it meanwhile, and however many checks come, few are passed on to the pool.
 func TestDeepCheckWhilePoolHangs(t *testing.T) {
-	h := newCallFixture(t, nil)
-	works := func() {
-		h.reconnect()
-		h.requireServed(h.submitClass(safeClass), "kept call 1 of lot")
+	fixture := newCallFixture(t, nil)
+	requireWorking := func() {
+		fixture.reconnect()
+		fixture.requireServed(fixture.submitClass(safeClass), "kept call 1 of lot")
 	}
-	const stale = 2 * microtime.Second // an outcome may answer the checks of a moment
-	checked := func(good bool) {
+	const stale = 2 * microtime.Second // An outcome answers the checks of a moment as well.
+	requireChecked := func(good bool) {
 		t.Helper()
-		h.advance(stale)
-		p := h.sendProbe(true)
-		stop := h.runClock()
-		require.Equal(t, good, nextReply(p).Good)
+		fixture.advance(stale)
+		proxy := fixture.sendProbe(true)
+		stop := fixture.runClock()
+		require.Equal(t, good, nextReply(proxy).Good)
 		stop()
 	}
-	works()
-	unasked := h.workers.Checks()
-	require.True(t, nextReply(h.sendProbe(true)).Good)
-	require.Equal(t, unasked, h.workers.Checks(), "a run that has just ended well is answer enough")
-	checked(true)
-	require.Greater(t, h.workers.Checks(), unasked)
-	h.workers.AnswerChecksWith(pool.Fail)
-	checked(false)
+	requireWorking()
+	checksBefore := fixture.workers.Checks()
+	require.True(t, nextReply(fixture.sendProbe(true)).Good)
+	require.Equal(t, checksBefore, fixture.workers.Checks(), "a run that has just ended well is answer enough")
+	requireChecked(true)
+	require.Greater(t, fixture.workers.Checks(), checksBefore)
+	fixture.workers.AnswerChecksWith(pool.Fail)
+	requireChecked(false)
 
-	h.workers.AnswerChecksWith(0)
-	h.advance(stale)
+	fixture.workers.AnswerChecksWith(0)
+	fixture.advance(stale)
 	const checks = 40
-	before := h.workers.Checks()
-	var hang []*clientConn
+	checksBefore = fixture.workers.Checks()
+	var waiting []*clientConn
 	for range checks {
-		hang = append(hang, h.sendProbe(true))
+		waiting = append(waiting, fixture.sendProbe(true))
 	}
-	require.True(t, nextReply(h.sendProbe(false)).Good)
-	h.workers.Hold()
-	h.reconnect()
-	meanwhile := h.submitClass(safeClass)
-	require.NoError(t, h.workers.AwaitStart("lot")) // the first run
-	require.NoError(t, h.workers.AwaitStart("lot"))
-	stop := h.runClock()
-	for _, p := range hang {
-		require.False(t, nextReply(p).Good)
-		require.NoError(t, p.conn.Close())
+	require.True(t, nextReply(fixture.sendProbe(false)).Good)
+	fixture.workers.Hold()
+	fixture.reconnect()
+	meanwhile := fixture.submitClass(safeClass)
+	require.NoError(t, fixture.workers.AwaitStart("lot")) // The run of the first request.
+	require.NoError(t, fixture.workers.AwaitStart("lot"))
+	stop := fixture.runClock()
+	for _, proxy := range waiting {
+		require.False(t, nextReply(proxy).Good)
+		require.NoError(t, proxy.conn.Close())
 	}
-	require.Less(t, h.workers.Checks()-before, checks)
+	require.Less(t, fixture.workers.Checks()-checksBefore, checks)
 
-	h.workers.Release()
-	h.requireServed(meanwhile, "kept call 1 of lot")
-	for good := false; !good; { // the module may have taken the pool for hung
-		p := h.sendProbe(false)
-		good = nextReply(p).Good
-		require.NoError(t, p.conn.Close())
+	fixture.workers.Release()
+	fixture.requireServed(meanwhile, "kept call 1 of lot")
+	for good := false; !good; { // The pool may have been taken for hung.
+		proxy := fixture.sendProbe(false)
+		good = nextReply(proxy).Good
+		require.NoError(t, proxy.conn.Close())
 	}
 	stop()
 
-	h.advance(stale)
-	deep := h.sendProbe(true)
-	works() // the pool verifies nothing, but a run that ends well proves that work gets done
-	stop = h.runClock()
+	fixture.advance(stale)
+	deep := fixture.sendProbe(true)
+	requireWorking() // The pool answers no check, but a run that ends well shows that it works.
+	stop = fixture.runClock()
 	require.True(t, nextReply(deep).Good)
 	stop()
 
-	h.workers.AnswerChecksWith(pool.Pass)
-	checked(true)
-	h.workers.Freeze()
-	checked(false)
-	h.workers.Leave()
-	checked(false)
-	h.stop()
+	fixture.workers.AnswerChecksWith(pool.Pass)
+	requireChecked(true)
+	fixture.workers.Freeze()
+	requireChecked(false)
+	fixture.workers.Leave()
+	requireChecked(false)
+	fixture.stop()
 }
--- a/internal/server/exchange_test.go
+++ b/internal/server/exchange_test.go
@@ -2,8 +2,11 @@
 
 import (
 	"flag"
+	"fmt"
 	"os"
 	"path/filepath"
+	"slices"
+	"strconv"
 	"strings"
 	"testing"
 
@@ -16,34 +19,90 @@
 	"pewterline/internal/protocol/thrift"
 )
 
-var update = flag.Bool("update", false, "record the program's side of the exchanges anew")
+var update = flag.Bool("update", false, "record the server's side of the exchanges anew")
 
-func (zeroBasedClock) FromUnixMilli(ms int64) microtime.Time {
-	return microtime.Time(ms) * microtime.Millisecond
+// endLine is the line of a transcript that says that the server has ended.
+const endLine = "the program ends"
+
+// exchange plays the peers' side of a transcript, and records it with the server's side.
+type exchange struct {
+	*loopFixture
+	transcript strings.Builder
 }
-func (zeroBasedClock) UnixMilli(t microtime.Time) int64 { return int64(t / microtime.Millisecond) }
 
-// Guards the program against whatever bytes its peers send: nothing panics, and afterwards both fronts serve.
-func FuzzPeers(f *testing.F) {
-	f.Add([]byte("\x00\x00\x00\x16\x80\x01\x00\x01\x00\x00\x00\x05probe\x00\x00\x00\x03\x02\x00\x01\x00\x00"))
-	f.Add([]byte("\x12\x34\x00\x01\x0a\x12\x34\x00\x04\x02\x04\x00\x99"))
-	f.Add([]byte("bound LOADED 0\r\npolled sync1\r\nfinished 1 a PASS 1 0\r\n\r\n"))
-	f.Fuzz(func(t *testing.T, in []byte) {
-		s := newLoopFixture(t, config.AJP{BodyTimeout: microtime.Second, MaxBody: 100, MaxConnections: 99})
-		for i, l := range []*fakeConn{s.connect("pool", -1), s.connect("c1", 0), s.connect("a1", 1)} {
-			s.deliver(l, in)
-			s.turn()
-			require.LessOrEqual(t, len(l.in), len(in), i)
+// play plays the lines of the peers' side. The polls of the gauges, one a tick, are left out of the transcript, and so
+// are reports that repeat the one before.
+func (e *exchange) play(lines []string) string {
+	for _, line := range lines {
+		if strings.Contains(line, " < ") || strings.HasSuffix(line, " is closed") || line == endLine {
+			continue // The server's side.
 		}
-		s.advance(s.now + 100*microtime.Millisecond)
-		cping := []byte("\x12\x34\x00\x01\x0a")
-		office := s.connect("a2", 1)
-		s.deliver(office, cping)
-		require.Equal(t, "AB\x00\x01\x09", string(office.out))
-	})
+		fmt.Fprintln(&e.transcript, line)
+		if line == "" || strings.HasPrefix(line, "#") {
+			continue
+		}
+		e.playLine(line)
+		e.turn()
+		e.recordOutput()
+	}
+	return e.transcript.String()
+}
+
+// playLine carries out one line.
+func (e *exchange) playLine(line string) {
+	words := strings.SplitN(line, " ", 3)
+	switch {
+	case line[0] == '@':
+		ms, err := strconv.Atoi(line[1:])
+		require.NoError(e.t, err, line)
+		e.advance(microtime.Time(ms) * microtime.Millisecond)
+	case words[0] == "reload":
+		cfg := e.srv.cfg
+		cfg.PoolAddress, cfg.ControlAddress = words[1], words[2]
+		require.NoError(e.t, e.srv.Reload(cfg))
+	case line == "dials":
+		e.dials = slices.DeleteFunc(e.dials, func(d *fakeDial) bool { return d.dropped })
+		for _, dial := range e.dials {
+			fmt.Fprintf(&e.transcript, "dials < %s\n", strconv.Quote(dial.addr))
+		}
+	case words[0] == "drain":
+		e.srv.Drain(e.now)
+	case words[0] == "open":
+		listeners := map[string]int{"thrift": ThriftListener, "ajp": AJPListener, "dialled": nextDialed}
+		e.connect(words[1], listeners[words[2]])
+	case words[0] == "close":
+		e.conns[words[1]].closed = true
+	default:
+		p, err := strconv.Unquote(words[2])
+		require.NoError(e.t, err, line)
+		e.deliver(e.conns[words[0]], []byte(p))
+	}
 }
 
-// Each file of testdata is an exchange: what the peers send, and what the program is to answer.
+// recordOutput records what the server has done in the last turn.
+func (e *exchange) recordOutput() {
+	for _, name := range e.order {
+		conn := e.conns[name]
+		text := strings.ReplaceAll(string(conn.out), "poll g\r\n", "")
+		conn.out = conn.out[:0]
+		if text != "" {
+			fmt.Fprintf(&e.transcript, "%s < %s\n", name, strconv.Quote(text))
+		}
+		if conn.session == nil && !conn.closeReported {
+			conn.closeReported = true
+			fmt.Fprintf(&e.transcript, "%s is closed\n", name)
+		}
+	}
+	for _, report := range e.reports {
+		fmt.Fprintf(&e.transcript, "%s < %s\n", e.reportAddress, strconv.Quote(report))
+	}
+	e.reports = nil
+	if e.stopped {
+		fmt.Fprintln(&e.transcript, endLine)
+	}
+}
+
+// Each file of testdata is an exchange: what the peers send, and what the server has to answer.
 func TestRecordedExchanges(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.txt")
 	require.NoError(t, err)
@@ -52,14 +111,16 @@
 		t.Run(filepath.Base(file), func(t *testing.T) {
 			text, err := os.ReadFile(file)
 			require.NoError(t, err)
-			var ajp config.AJP
+			var ajpConfig config.AJP
 			if strings.Contains(file, "ajp") {
-				ajp = config.AJP{Secret: "vine", BodyTimeout: 500 * microtime.Millisecond, MaxBody: 100, MaxConnections: 99, BackendConnections: 2, BackendPath: "/run"}
+				ajpConfig = config.AJP{Secret: "vine", BodyTimeout: 500 * microtime.Millisecond, MaxBody: 100,
+					MaxConnections: 99, BackendConnections: 2, BackendPath: "/run"}
 			}
 			if strings.Contains(file, "runner") {
-				ajp.BackendAddress = "backend"
+				ajpConfig.BackendAddress = "backend"
 			}
-			got := newLoopFixture(t, ajp).replay(strings.Split(strings.TrimSuffix(string(text), "\n"), "\n"))
+			recorded := &exchange{loopFixture: newLoopFixture(t, ajpConfig)}
+			got := recorded.play(strings.Split(strings.TrimSuffix(string(text), "\n"), "\n"))
 			if *update {
 				require.NoError(t, os.WriteFile(file, []byte(got), 0o644))
 				return
@@ -69,46 +130,75 @@
 	}
 }
 
-// Guards the places of the proxies: only what makes sense makes a peer known to transport, which closes strangers.
+// Whatever bytes its peers send, the server does not panic, and both frontends serve afterwards.
+func FuzzPeers(f *testing.F) {
+	f.Add([]byte("\x00\x00\x00\x16\x80\x01\x00\x01\x00\x00\x00\x05probe\x00\x00\x00\x03\x02\x00\x01\x00\x00"))
+	f.Add([]byte("\x12\x34\x00\x01\x0a\x12\x34\x00\x04\x02\x04\x00\x99"))
+	f.Add([]byte("bound LOADED 0\r\npolled sync1\r\nfinished 1 a PASS 1 0\r\n\r\n"))
+	f.Fuzz(func(t *testing.T, in []byte) {
+		loop := newLoopFixture(t, config.AJP{BodyTimeout: microtime.Second, MaxBody: 100, MaxConnections: 99})
+		conns := []*fakeConn{
+			loop.connect("pool", nextDialed), loop.connect("c1", ThriftListener), loop.connect("a1", AJPListener),
+		}
+		for i, conn := range conns {
+			loop.deliver(conn, in)
+			loop.turn()
+			require.LessOrEqual(t, len(conn.in), len(in), i)
+		}
+		loop.advance(loop.now + 100*microtime.Millisecond)
+		cping := []byte("\x12\x34\x00\x01\x0a")
+		webServer := loop.connect("a2", AJPListener)
+		loop.deliver(webServer, cping)
+		require.Equal(t, "AB\x00\x01\x09", string(webServer.out))
+	})
+}
+
+// Only a client that sends something valid is identified: the transport closes the connections of others first.
 func TestOnlyValidClientsAreIdentified(t *testing.T) {
-	process := func(class string) string {
-		frame := thrift.AppendCall(nil, 1, []thrift.Field{{Name: "class", Value: class}, {Name: "id", Value: "00000000000000a1"},
-			{Name: "at", Value: "1000"}, {Name: "from", Value: "4"}, {Name: "tenant", Value: "hill-estate"}, {Name: "kb", Value: "9"},
-			{Name: "rank", Value: "0.1"}}, nil)
-		return string(frame)
+	call := func(class string) string {
+		return string(thrift.AppendCall(nil, 1, thriftFields(thrift.Field{Name: "class", Value: class}), nil))
 	}
-	probe := "\x00\x00\x00\x16\x80\x01\x00\x01\x00\x00\x00\x05probe\x00\x00\x00\x01\x02\x00\x01\x00\x00"
-	giveUp := "\x00\x00\x00\x1a\x80\x01\x00\x04\x00\x00\x00\x06giveUp\x00\x00\x00\x02\x08\x00\x01\x00\x00\x00\x07\x00"
-	head := func(secret string) string {
-		return string(ajp.AppendForwardRequest(nil, ajp.Request{Method: "POST", URI: "/block-view", RemoteAddr: "127.0.0.1", Secret: secret,
-			Headers: []ajp.Header{{Name: "content-length", Value: "40"}}}))
+	cancel := "\x00\x00\x00\x1a\x80\x01\x00\x04\x00\x00\x00\x06giveUp\x00\x00\x00\x02\x08\x00\x01\x00\x00\x00\x07\x00"
+	forward := func(secret string) string {
+		return string(ajp.AppendForwardRequest(nil, ajp.Request{Method: "POST", URI: "/block-view",
+			RemoteAddr: "127.0.0.1", Secret: secret, Headers: []ajp.Header{{Name: "content-length", Value: "40"}}}))
 	}
-	for _, c := range []struct {
-		listener int
-		sent     string
-		vouched  bool
+	for _, tc := range []struct {
+		name       string
+		listener   int
+		sent       string
+		identified bool
 	}{
-		{0, process("block-view"), true}, {0, process("no-such"), false}, {0, process("block-view")[:60], false},
-		{0, probe, true}, {0, giveUp, false}, {0, "\x00\x00\x00\x02hi", false},
-		{1, head("vine"), true}, {1, head("wine"), false}, {1, "\x12\x34\x00\x01\x0a", true}, {1, "\x12\x34\x00", false},
+		{"call", ThriftListener, call("block-view"), true},
+		{"call of an unknown class", ThriftListener, call("no-such"), false},
+		{"part of a call", ThriftListener, call("block-view")[:60], false},
+		{"health check", ThriftListener, probeBytes, true},
+		{"cancellation", ThriftListener, cancel, false},
+		{"frame of nothing", ThriftListener, "\x00\x00\x00\x02hi", false},
+		{"request with the secret", AJPListener, forward("vine"), true},
+		{"request with another secret", AJPListener, forward("wine"), false},
+		{"CPing", AJPListener, "\x12\x34\x00\x01\x0a", true},
+		{"part of a packet", AJPListener, "\x12\x34\x00", false},
 	} {
-		s := newLoopFixture(t, config.AJP{Secret: "vine", BodyTimeout: microtime.Second, MaxBody: 100, MaxConnections: 9})
-		l := s.connect("c", c.listener)
-		s.deliver(l, []byte(c.sent))
-		require.Equal(t, c.vouched, l.identified, "%d %q", c.listener, c.sent)
+		t.Run(tc.name, func(t *testing.T) {
+			loop := newLoopFixture(t,
+				config.AJP{Secret: "vine", BodyTimeout: microtime.Second, MaxBody: 100, MaxConnections: 9})
+			conn := loop.connect("c", tc.listener)
+			loop.deliver(conn, []byte(tc.sent))
+			require.Equal(t, tc.identified, conn.identified, "%q", tc.sent)
+		})
 	}
 }
 
-// Guards the others' share of a turn: what one connection pipelines beyond the bound waits for the next turns.
+// A connection gets a bounded share of a turn: what it pipelines beyond that waits for the next turns.
 func TestWorkPerTurnIsBounded(t *testing.T) {
-	s := newLoopFixture(t, config.AJP{})
-	l := s.connect("c", 0)
-	probe := "\x00\x00\x00\x16\x80\x01\x00\x01\x00\x00\x00\x05probe\x00\x00\x00\x01\x02\x00\x01\x00\x00"
+	loop := newLoopFixture(t, config.AJP{})
+	conn := loop.connect("c", ThriftListener)
 	const sent = 2*thriftfrontend.MaxMessagesPerTurn + 1
-	s.deliver(l, []byte(strings.Repeat(probe, sent)))
-	answer := len(l.out) / thriftfrontend.MaxMessagesPerTurn
-	require.Equal(t, (sent-thriftfrontend.MaxMessagesPerTurn)*len(probe), len(l.in), "left for later")
-	s.turn()
-	require.Empty(t, l.in)
-	require.Equal(t, sent*answer, len(l.out))
+	loop.deliver(conn, []byte(strings.Repeat(probeBytes, sent)))
+	responseSize := len(conn.out) / thriftfrontend.MaxMessagesPerTurn
+	require.Equal(t, (sent-thriftfrontend.MaxMessagesPerTurn)*len(probeBytes), len(conn.in), "left for later turns")
+	loop.turn()
+	require.Empty(t, conn.in)
+	require.Equal(t, sent*responseSize, len(conn.out))
 }
--- a/internal/server/fake_peers_test.go
+++ b/internal/server/fake_peers_test.go
@@ -2,9 +2,12 @@
 
 import (
 	"bufio"
+	"errors"
 	"fmt"
 	"io"
 	"net"
+	"slices"
+	"strconv"
 	"sync"
 	"testing"
 	"time"
@@ -15,34 +18,55 @@
 	"pewterline/internal/protocol/thrift"
 )
 
-// fakePool is a stand-in worker pool on a real socket. It holds every run until it is let go.
+// closeAtEnd closes a connection or a listener at the test's end, unless it is closed by then.
+func closeAtEnd(tb testing.TB, closer io.Closer) {
+	tb.Helper()
+	tb.Cleanup(func() {
+		if err := closer.Close(); err != nil && !errors.Is(err, net.ErrClosed) {
+			tb.Errorf("close: %v", err)
+		}
+	})
+}
+
+// listen opens a listener on a port that the system picks, until the test's end.
+func listen(tb testing.TB) net.Listener {
+	tb.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	require.NoError(tb, err)
+	closeAtEnd(tb, listener)
+	return listener
+}
+
+// fakePool is a worker pool on a real socket. It holds every run until the test finishes it.
 type fakePool struct {
 	listener net.Listener
-	started  chan string // run IDs, as they come
-	mutex    sync.Mutex
+	started  chan string // Run IDs, as they come.
+	mutex    sync.Mutex  // Guards what follows.
 	conn     net.Conn
-	notice   int
+	notice   int // The number of the last notice.
 }
 
+// newFakePool starts a pool that accepts links until the test's end.
 func newFakePool(t *testing.T) *fakePool {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	require.NoError(t, err)
-	p := &fakePool{listener: ln, started: make(chan string, 100)}
-	t.Cleanup(func() { ln.Close() })
-	go func() {
-		for {
-			c, err := ln.Accept()
-			if err != nil {
-				return
-			}
-			p.mutex.Lock()
-			p.conn = c
-			p.mutex.Unlock()
-			p.serve(c)
-			c.Close()
+	t.Helper()
+	pool := &fakePool{listener: listen(t), started: make(chan string, 100)}
+	go pool.acceptLinks()
+	return pool
+}
+
+// acceptLinks serves one link after the other until the listener is closed.
+func (p *fakePool) acceptLinks() {
+	for {
+		conn, err := p.listener.Accept()
+		if err != nil {
+			return
 		}
-	}()
-	return p
+		p.mutex.Lock()
+		p.conn = conn
+		p.mutex.Unlock()
+		p.serve(conn)
+		_ = conn.Close() // It is broken, or the test has closed it.
+	}
 }
 
 func (p *fakePool) send(format string, args ...any) {
@@ -51,34 +75,50 @@
 	fmt.Fprintf(p.conn, format, args...)
 }
 
-func (p *fakePool) serve(c net.Conn) {
-	in := bufio.NewReader(c)
+// serve answers the commands on a link until it breaks.
+func (p *fakePool) serve(conn net.Conn) {
+	in := bufio.NewReader(conn)
 	for {
 		line, err := in.ReadString('\n')
 		if err != nil {
 			return
 		}
 		var id, class, tag string
-		var n int
-		if k, _ := fmt.Sscanf(line, "spawn %s %s %d", &id, &class, &n); k == 3 {
-			if _, err := io.CopyN(io.Discard, in, int64(n)+2); err != nil {
+		var size int
+		switch {
+		case scanned(line, "spawn %s %s %d", &id, &class, &size):
+			if _, err := io.CopyN(io.Discard, in, int64(size)+2); err != nil {
 				return
 			}
 			p.started <- id
-		} else if k, _ := fmt.Sscanf(line, "bind %d", &n); k == 1 {
+		case scanned(line, "bind %d", &size):
 			p.send("bound LOADED 0\r\n")
-		} else if k, _ := fmt.Sscanf(line, "poll %s", &tag); k == 1 {
+		case scanned(line, "poll %s", &tag):
 			p.send("polled %s 0.1 0 0.1 1\r\n", tag)
 		}
 	}
 }
 
+// scanned reports whether a line has all values of a format, and reads them.
+func scanned(line, format string, values ...any) bool {
+	n, _ := fmt.Sscanf(line, format, values...)
+	return n == len(values)
+}
+
+// finish has a run end with a result.
 func (p *fakePool) finish(id, result string) {
 	p.mutex.Lock()
 	p.notice++
-	n := p.notice
+	notice := p.notice
 	p.mutex.Unlock()
-	p.send("finished %d %s PASS 5 %d\r\n%s\r\n", n, id, len(result), result)
+	p.send("finished %d %s PASS 5 %d\r\n%s\r\n", notice, id, len(result), result)
+}
+
+// breakLink breaks the link in use.
+func (p *fakePool) breakLink() error {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	return p.conn.Close()
 }
 
 // clientConn is a client's connection; read waits for one whole message of its protocol.
@@ -91,69 +131,112 @@
 }
 
 func dial(t *testing.T, addr string, split func([]byte) ([]byte, int, error)) *clientConn {
-	c, err := net.Dial("tcp", addr)
+	t.Helper()
+	conn, err := net.Dial("tcp", addr)
 	require.NoError(t, err)
-	t.Cleanup(func() { c.Close() })
-	return &clientConn{t: t, conn: c, split: split}
+	closeAtEnd(t, conn)
+	return &clientConn{t: t, conn: conn, split: split}
 }
 
-func (p *clientConn) write(b []byte) {
-	_, err := p.conn.Write(b)
-	require.NoError(p.t, err)
+func (c *clientConn) write(p []byte) {
+	c.t.Helper()
+	_, err := c.conn.Write(p)
+	require.NoError(c.t, err)
 }
 
-func (p *clientConn) read() []byte {
-	payload, err := p.next()
-	require.NoError(p.t, err)
+func (c *clientConn) read() []byte {
+	c.t.Helper()
+	payload, err := c.next()
+	require.NoError(c.t, err)
 	return payload
 }
 
-func (p *clientConn) next() ([]byte, error) {
+func (c *clientConn) next() ([]byte, error) {
 	for {
-		payload, n, err := p.split(p.buf)
+		payload, size, err := c.split(c.buf)
 		if err != nil {
 			return nil, err
 		}
 		if payload != nil {
-			p.buf = p.buf[n:]
+			c.buf = c.buf[size:]
 			return payload, nil
 		}
 		more := make([]byte, 4096)
-		k, err := p.conn.Read(more)
+		n, err := c.conn.Read(more)
 		if err != nil {
 			return nil, err
 		}
-		p.buf = append(p.buf, more[:k]...)
+		c.buf = append(c.buf, more[:n]...)
 	}
 }
 
+// thriftFields are the fields of a valid request. Others take the place of those of their name, or follow them.
+func thriftFields(others ...thrift.Field) []thrift.Field {
+	fields := []thrift.Field{
+		{Name: "class", Value: "block-view"},
+		{Name: "id", Value: "00000000000000a1"},
+		{Name: "at", Value: "1000"},
+		{Name: "from", Value: "4"},
+		{Name: "tenant", Value: "hill-estate"},
+		{Name: "kb", Value: "9"},
+		{Name: "rank", Value: "0.1"},
+	}
+	for _, other := range others {
+		place := slices.IndexFunc(fields, func(field thrift.Field) bool { return field.Name == other.Name })
+		if place >= 0 {
+			fields[place] = other
+		} else {
+			fields = append(fields, other)
+		}
+	}
+	return fields
+}
+
+// lotCall is a request of a proxy's by Thrift, with "lot" for its body.
+func lotCall(sequence int32, class, id string, unixMilli int64, idempotencyKey string) []byte {
+	fields := thriftFields(
+		thrift.Field{Name: "class", Value: class},
+		thrift.Field{Name: "id", Value: id},
+		thrift.Field{Name: "at", Value: strconv.FormatInt(unixMilli, 10)},
+		thrift.Field{Name: "from", Value: "1"},
+		thrift.Field{Name: "tenant", Value: "lake-vines"},
+		thrift.Field{Name: "kb", Value: "20"},
+		thrift.Field{Name: "rank", Value: "0.9"},
+		thrift.Field{Name: "once", Value: idempotencyKey})
+	return thrift.AppendCall(nil, sequence, fields, []byte("lot"))
+}
+
 // sendIntake sends an intake by Thrift.
-func sendIntake(p *clientConn, once string) {
-	p.sent++
-	p.write(thrift.AppendCall(nil, p.sent, []thrift.Field{{Name: "class", Value: "lot-intake"},
-		{Name: "id", Value: fmt.Sprintf("%016x", p.sent)}, {Name: "at", Value: fmt.Sprint(time.Now().UnixMilli())},
-		{Name: "from", Value: "1"}, {Name: "tenant", Value: "lake-vines"}, {Name: "kb", Value: "20"},
-		{Name: "rank", Value: "0.9"}, {Name: "once", Value: once}}, []byte("lot")))
+func sendIntake(client *clientConn, idempotencyKey string) {
+	client.t.Helper()
+	client.sent++
+	id := fmt.Sprintf("%016x", client.sent)
+	client.write(lotCall(client.sent, "lot-intake", id, time.Now().UnixMilli(), idempotencyKey))
 }
 
 // forwardIntake sends one by AJP.
-func forwardIntake(p *clientConn, once string) {
+func forwardIntake(client *clientConn, idempotencyKey string) {
+	client.t.Helper()
 	out := ajp.AppendForwardRequest(nil, ajp.Request{Method: "POST", URI: "/lot-intake", Headers: []ajp.Header{
-		{Name: "content-length", Value: "3"}, {Name: "X-Relay-Tenant", Value: "lake-vines"}, {Name: "X-Relay-Once", Value: once}}})
+		{Name: "content-length", Value: "3"},
+		{Name: "X-Relay-Tenant", Value: "lake-vines"},
+		{Name: "X-Relay-Once", Value: idempotencyKey},
+	}})
 	out, _ = ajp.AppendBodyChunk(out, []byte("lot"))
-	p.write(out)
+	client.write(out)
 }
 
-// readServed reads a whole AJP response that serves, and returns its body.
-func readServed(p *clientConn) string {
+// readServed reads a whole AJP response that serves the request, and returns its body.
+func readServed(client *clientConn) string {
+	client.t.Helper()
 	var parts [3]ajp.Response
 	for i := range parts {
 		var err error
-		parts[i], err = ajp.ParseResponse(p.read())
-		require.NoError(p.t, err)
+		parts[i], err = ajp.ParseResponse(client.read())
+		require.NoError(client.t, err)
 	}
-	require.Equal(p.t, 200, parts[0].Status)
-	require.True(p.t, parts[2].Reuse)
+	require.Equal(client.t, 200, parts[0].Status)
+	require.True(client.t, parts[2].Reuse)
 	return string(parts[1].BodyChunk)
 }
 
--- a/internal/server/handoff_test.go
+++ b/internal/server/handoff_test.go
@@ -11,176 +11,193 @@
 	"pewterline/internal/protocol/upgrade"
 )
 
-// fakeHost is a host that notes what it is told.
+// fakeHost is a ProcessHost that records its calls.
 type fakeHost struct {
-	steered, shared []int
-	orphaned        bool
+	steered  []int
+	shared   []int
+	orphaned bool
 }
 
 func (h *fakeHost) SteerListeners(place int) { h.steered = append(h.steered, place) }
-func (h *fakeHost) ShareLimits(others int)   { h.shared = append(h.shared, others) }
-func (h *fakeHost) Orphaned()                { h.orphaned = true }
-
-// peerSends has the other process say something; it returns what it hears in that turn.
-func (l *poolFixture) peerSends(k *fakeConn, ms ...upgrade.Message) (out []upgrade.Message) {
-	k.out = nil
-	for _, m := range ms {
-		l.deliver(k, upgrade.Append(nil, m))
+
+func (h *fakeHost) ShareLimits(others int) { h.shared = append(h.shared, others) }
+
+func (h *fakeHost) Orphaned() { h.orphaned = true }
+
+// peerSends has the other process send messages; it returns those that it receives in that turn.
+func (f *poolFixture) peerSends(peer *fakeConn, messages ...upgrade.Message) []upgrade.Message {
+	f.t.Helper()
+	peer.out = nil
+	for _, message := range messages {
+		f.deliver(peer, upgrade.Append(nil, message))
 	}
-	l.turn()
-	return l.peerMessages(k)
+	f.turn()
+	return f.peerMessages(peer)
 }
 
-func (l *poolFixture) peerMessages(k *fakeConn) (out []upgrade.Message) {
-	for len(k.out) > 0 {
-		m, size, err := upgrade.Parse(k.out)
-		require.NoError(l.t, err)
-		require.NotZero(l.t, size)
-		out = append(out, m)
-		k.out = k.out[size:]
+// peerMessages are the messages that the other process has received since the last time.
+func (f *poolFixture) peerMessages(peer *fakeConn) []upgrade.Message {
+	f.t.Helper()
+	var messages []upgrade.Message
+	for len(peer.out) > 0 {
+		message, size, err := upgrade.Parse(peer.out)
+		require.NoError(f.t, err)
+		require.NotZero(f.t, size)
+		messages = append(messages, message)
+		peer.out = peer.out[size:]
 	}
-	return out
+	return messages
 }
 
-// connectSuccessor has one come; it returns what it is told first.
-func (l *poolFixture) connectSuccessor(h *fakeHost) (*fakeConn, []upgrade.Message) {
-	l.srv.UseProcessHost(h)
-	k := l.connect("next", HandoffListener)
-	l.deliver(k, upgrade.Preamble[:])
-	require.Equal(l.t, string(upgrade.Preamble[:]), string(k.out))
-	return k, l.peerSends(k, upgrade.Message{Kind: upgrade.Hello, Name: "n0"})
+// connectSuccessor connects a successor; it returns the messages that it receives first.
+func (f *poolFixture) connectSuccessor(host *fakeHost) (*fakeConn, []upgrade.Message) {
+	f.t.Helper()
+	f.srv.UseProcessHost(host)
+	successor := f.connect("next", HandoffListener)
+	f.deliver(successor, upgrade.Preamble[:])
+	require.Equal(f.t, string(upgrade.Preamble[:]), string(successor.out))
+	return successor, f.peerSends(successor, upgrade.Message{Kind: upgrade.Hello, Name: "n0"})
 }
 
-func messageKinds(ms []upgrade.Message) (out []upgrade.Kind) {
-	for _, m := range ms {
-		out = append(out, m.Kind)
+func messageKinds(messages []upgrade.Message) []upgrade.Kind {
+	var kinds []upgrade.Kind
+	for _, message := range messages {
+		kinds = append(kinds, message.Kind)
 	}
-	return out
+	return kinds
 }
 
-// An old process tells its successor of all keys, in parts, and of each run before it begins and once it has ended; after the
-// hand-over it asks, and what the successor has run is served from its result.
+// An old process tells its successor of all keys, in chunks, and of each run before it starts and once it has finished.
+// After the handoff it asks for keys; what the successor has run is served from its result, and reports end.
 func TestPredecessorHandsOver(t *testing.T) {
-	l, h := newPoolFixture(t), &fakeHost{}
+	fixture, host := newPoolFixture(t), &fakeHost{}
 	for i := range upgrade.ChunkKeys + 1 {
-		l.submit(fmt.Sprintf("%016x", i+1), "lot-intake", fmt.Sprintf("k%02d", i))
-		l.poolSends(fmt.Sprintf("finished %d %016x PASS 5 3\r\nlot\r\n", i+1, i+1))
+		id := fmt.Sprintf("%016x", i+1)
+		fixture.submit(id, "lot-intake", fmt.Sprintf("k%02d", i))
+		fixture.poolSends(finishedNotice(i+1, id, "lot"))
 	}
-	k, first := l.connectSuccessor(h)
-	require.Equal(t, []int{0}, h.steered, "no connection goes astray before the hand-over")
+	successor, first := fixture.connectSuccessor(host)
+	require.Equal(t, []int{0}, host.steered, "all connections go to the old process before the handoff")
 	require.Equal(t, upgrade.Welcome, first[0].Kind)
-	passed := 0
-	for _, m := range append(first, l.peerSends(k, upgrade.Message{Kind: upgrade.NextChunk})...) {
-		if m.Kind == upgrade.Succeeded {
-			passed++
-			require.Equal(t, "lot", string(m.Result))
+	succeeded := 0
+	for _, message := range append(first, fixture.peerSends(successor, upgrade.Message{Kind: upgrade.NextChunk})...) {
+		if message.Kind == upgrade.Succeeded {
+			succeeded++
+			require.Equal(t, "lot", string(message.Result))
 		}
 	}
-	require.Equal(t, upgrade.ChunkKeys+1, passed)
-	require.Equal(t, []upgrade.Kind{upgrade.Synced}, messageKinds(l.peerSends(k, upgrade.Message{Kind: upgrade.NextChunk})))
-
-	k.out = nil
-	require.Contains(t, l.submit("00000000000000f1", "lot-intake", "new"), "spawn")
-	require.Equal(t, []upgrade.Kind{upgrade.Started}, messageKinds(l.peerMessages(k)))
-	l.srv.Shutdown(l.now)
-	l.turn()
-	heard := l.peerMessages(k)
-	require.Equal(t, upgrade.OwnershipTransferred, heard[len(heard)-1].Kind)
-	require.Equal(t, []int{0, 1}, h.steered)
-	reports := len(l.reports)
-	k.out = nil
-	require.Empty(t, l.submit("00000000000000f2", "lot-intake", "asked"), "it is not run before the successor allows it")
-	asked := l.peerMessages(k)
-	require.Equal(t, []upgrade.Kind{upgrade.Claim}, messageKinds(asked))
-	l.caller.out = nil
-	asked[0].Kind, asked[0].Result = upgrade.Succeeded, []byte("theirs")
-	l.peerSends(k, asked[0])
-	require.Contains(t, string(l.caller.out), "theirs")
-	l.submit("00000000000000f3", "lot-intake", "granted")
-	asked = l.peerMessages(k)
-	asked[0].Kind = upgrade.Grant
-	l.pool.out = nil
-	l.peerSends(k, asked[0])
-	require.Contains(t, string(l.pool.out), "spawn 00000000000000f3")
-	l.advance(l.now + microtime.Second)
-	require.Len(t, l.reports, reports, "the successor reports now")
-	// At its end it answers what is open, and is gone in time.
-	l.caller.out = nil
-	l.advance(l.now + 4*microtime.Second)
-	require.True(t, l.stopped)
+	require.Equal(t, upgrade.ChunkKeys+1, succeeded)
+	synced := fixture.peerSends(successor, upgrade.Message{Kind: upgrade.NextChunk})
+	require.Equal(t, []upgrade.Kind{upgrade.Synced}, messageKinds(synced))
+
+	successor.out = nil
+	require.Contains(t, fixture.submit("00000000000000f1", "lot-intake", "new"), "spawn")
+	require.Equal(t, []upgrade.Kind{upgrade.Started}, messageKinds(fixture.peerMessages(successor)))
+	fixture.srv.Shutdown(fixture.now)
+	fixture.turn()
+	messages := fixture.peerMessages(successor)
+	require.Equal(t, upgrade.OwnershipTransferred, messages[len(messages)-1].Kind)
+	require.Equal(t, []int{0, 1}, host.steered)
+	reports := len(fixture.reports)
+
+	successor.out = nil
+	sent := fixture.submit("00000000000000f2", "lot-intake", "asked")
+	require.Empty(t, sent, "it does not run before the successor grants it")
+	claims := fixture.peerMessages(successor)
+	require.Equal(t, []upgrade.Kind{upgrade.Claim}, messageKinds(claims))
+	fixture.client.out = nil
+	claims[0].Kind, claims[0].Result = upgrade.Succeeded, []byte("theirs")
+	fixture.peerSends(successor, claims[0])
+	require.Contains(t, string(fixture.client.out), "theirs")
+	fixture.submit("00000000000000f3", "lot-intake", "granted")
+	claims = fixture.peerMessages(successor)
+	claims[0].Kind = upgrade.Grant
+	fixture.pool.out = nil
+	fixture.peerSends(successor, claims[0])
+	require.Contains(t, string(fixture.pool.out), "spawn 00000000000000f3")
+	fixture.advance(fixture.now + microtime.Second)
+	require.Len(t, fixture.reports, reports, "the successor reports now")
+
+	// At its end it answers the two requests that are open, and ends in time.
+	fixture.client.out = nil
+	fixture.advance(fixture.now + 4*microtime.Second)
+	require.True(t, fixture.stopped)
 	for range 2 {
-		payload, n, err := thrift.SplitFrame(l.caller.out)
+		payload, n, err := thrift.SplitFrame(fixture.client.out)
 		require.NoError(t, err)
 		require.NotNil(t, payload)
-		l.caller.out = l.caller.out[n:]
+		fixture.client.out = fixture.client.out[n:]
 	}
 }
 
-// Guards the next upgrade against a successor that hangs while it is told, and against one that is for another server; and
-// the start of a successor's link against nonsense.
+// A successor that hangs while it receives the keys is cut off, so that the next upgrade can begin. One that comes
+// second, one for another server, and nonsense at the start of the link are rejected.
 func TestSuccessorsRejected(t *testing.T) {
-	l, h := newPoolFixture(t), &fakeHost{}
-	l.submit("00000000000000a1", "lot-intake", "k1")
-	l.poolSends("finished 1 00000000000000a1 PASS 5 3\r\nlot\r\n")
-	k, _ := l.connectSuccessor(h)
-	other := l.connect("third", HandoffListener)
-	l.deliver(other, upgrade.Preamble[:])
+	fixture, host := newPoolFixture(t), &fakeHost{}
+	fixture.submit("00000000000000a1", "lot-intake", "k1")
+	fixture.poolSends(finishedNotice(1, "00000000000000a1", "lot"))
+	hanging, _ := fixture.connectSuccessor(host)
+	second := fixture.connect("third", HandoffListener)
+	fixture.deliver(second, upgrade.Preamble[:])
+	second.out = nil
+	rejection := fixture.peerSends(second, upgrade.Message{Kind: upgrade.Hello, Name: "n0"})
+	require.Equal(t, "an upgrade is under way", rejection[0].Reason)
+	require.True(t, second.closed)
+	fixture.advance(fixture.now + keySyncTimeout + microtime.Second)
+	require.True(t, hanging.closed, "it has hung")
+	require.Equal(t, -1, host.shared[len(host.shared)-1], "the limits are all its own again")
+	other := fixture.connect("stranger", HandoffListener)
+	fixture.deliver(other, upgrade.Preamble[:])
 	other.out = nil
-	require.Equal(t, "an upgrade is under way", l.peerSends(other, upgrade.Message{Kind: upgrade.Hello, Name: "n0"})[0].Reason)
-	require.True(t, other.closed)
-	l.advance(l.now + keySyncTimeout + microtime.Second)
-	require.True(t, k.closed, "it has hung")
-	require.Equal(t, -1, h.shared[len(h.shared)-1], "all places are its own again")
-	stranger := l.connect("stranger", HandoffListener)
-	l.deliver(stranger, upgrade.Preamble[:])
-	stranger.out = nil
-	require.Equal(t, "this is n0", l.peerSends(stranger, upgrade.Message{Kind: upgrade.Hello, Name: "n1"})[0].Reason)
-	rude := l.connect("rude", HandoffListener)
-	l.deliver(rude, upgrade.Append(upgrade.Preamble[:], upgrade.Message{Kind: upgrade.OwnershipTransferred}))
+	rejection = fixture.peerSends(other, upgrade.Message{Kind: upgrade.Hello, Name: "n1"})
+	require.Equal(t, "this is n0", rejection[0].Reason)
+	rude := fixture.connect("rude", HandoffListener)
+	fixture.deliver(rude, upgrade.Append(upgrade.Preamble[:], upgrade.Message{Kind: upgrade.OwnershipTransferred}))
 	require.True(t, rude.closed)
-	l.turn()
-	next, _ := l.connectSuccessor(h)
+	fixture.turn()
+	next, _ := fixture.connectSuccessor(host)
 	require.False(t, next.closed)
 }
 
-// A successor mirrors what it is told, asks for what it does not know until it owns the keys, and fails what a predecessor
-// may have run that has died.
+// A successor mirrors the keys of its predecessor, claims those that it does not know until it owns them all, and fails
+// what the predecessor may have run when it died.
 func TestSuccessorTakesOver(t *testing.T) {
-	l, h := newPoolFixture(t), &fakeHost{}
-	l.srv.UseProcessHost(h)
-	at := zeroBasedClock{}.UnixMilli(l.now)
-	key := func(kind upgrade.Kind, once string) upgrade.Message {
-		return upgrade.Message{Kind: kind, Class: "lot-intake", Tenant: "hill-estate", IdempotencyKey: once, ArrivedAtMilli: at, Result: []byte("old")}
-	}
-	require.NoError(t, l.srv.Inherit([]upgrade.Message{{Kind: upgrade.Welcome, OutOfService: true}, key(upgrade.Succeeded, "done"), key(upgrade.Started, "runs")}))
-	require.False(t, l.healthCheck(), "out of service goes along")
-	k := &fakeConn{name: "old"}
-	k.session = l.srv.AcceptPredecessor(k)
-	l.addConn(k)
-	served := func(id, once, want string) {
-		l.caller.out = nil
-		require.NotContains(t, l.submit(id, "lot-intake", once), "spawn")
-		require.Contains(t, string(l.caller.out), want)
+	fixture, host := newPoolFixture(t), &fakeHost{}
+	fixture.srv.UseProcessHost(host)
+	key := func(kind upgrade.Kind, idempotencyKey string) upgrade.Message {
+		return upgrade.Message{Kind: kind, Class: "lot-intake", Tenant: "hill-estate", IdempotencyKey: idempotencyKey,
+			ArrivedAtMilli: zeroBasedClock{}.UnixMilli(fixture.now), Result: []byte("old")}
 	}
-	served("00000000000000a1", "done", "old")
-	require.Empty(t, l.submit("00000000000000a2", "lot-intake", "runs"))
-	require.Empty(t, l.submit("00000000000000a3", "lot-intake", "mine"))
-	require.Equal(t, []upgrade.Kind{upgrade.Claim}, messageKinds(l.peerMessages(k)))
-	l.pool.out = nil
-	l.peerSends(k, upgrade.Message{Kind: upgrade.OwnershipTransferred})
-	require.Contains(t, string(l.pool.out), "spawn 00000000000000a3", "it owns the keys")
-	l.poolSends("finished 1 00000000000000a3 PASS 5 3\r\nnew\r\n")
-	l.caller.out = nil
-	k.closed = true
-	l.turn()
-	l.turn()
-	require.NotEmpty(t, l.caller.out, "the one that waits for the old process's run fails")
-	require.False(t, h.orphaned, "the old one had handed over")
-	l.caller.out = nil
-	require.Empty(t, l.submit("00000000000000a4", "lot-intake", "runs"))
-	require.NotEmpty(t, l.caller.out)
-	require.Equal(t, 2, l.counters().Failed["lot-intake"])
-	l.advance(l.now + 14*microtime.Second)
-	l.caller = l.connect("c2", 0)
-	require.Contains(t, l.submit("00000000000000a5", "lot-intake", "runs"), "spawn", "its window is over")
+	require.NoError(t, fixture.srv.Inherit([]upgrade.Message{
+		{Kind: upgrade.Welcome, OutOfService: true}, key(upgrade.Succeeded, "done"), key(upgrade.Started, "runs"),
+	}))
+	require.False(t, fixture.healthCheck(), "it is out of service as its predecessor was")
+	predecessor := &fakeConn{name: "old"}
+	predecessor.session = fixture.srv.AcceptPredecessor(predecessor)
+	fixture.addConn(predecessor)
+
+	fixture.client.out = nil
+	require.NotContains(t, fixture.submit("00000000000000a1", "lot-intake", "done"), "spawn")
+	require.Contains(t, string(fixture.client.out), "old")
+	require.Empty(t, fixture.submit("00000000000000a2", "lot-intake", "runs"))
+	require.Empty(t, fixture.submit("00000000000000a3", "lot-intake", "mine"))
+	require.Equal(t, []upgrade.Kind{upgrade.Claim}, messageKinds(fixture.peerMessages(predecessor)))
+	fixture.pool.out = nil
+	fixture.peerSends(predecessor, upgrade.Message{Kind: upgrade.OwnershipTransferred})
+	require.Contains(t, string(fixture.pool.out), "spawn 00000000000000a3", "it owns the keys")
+	fixture.poolSends(finishedNotice(1, "00000000000000a3", "new"))
+
+	fixture.client.out = nil
+	predecessor.closed = true
+	fixture.turn()
+	fixture.turn()
+	require.NotEmpty(t, fixture.client.out, "the request that waits for the predecessor's run fails")
+	require.False(t, host.orphaned, "the predecessor had handed over")
+	fixture.client.out = nil
+	require.Empty(t, fixture.submit("00000000000000a4", "lot-intake", "runs"))
+	require.NotEmpty(t, fixture.client.out)
+	require.Equal(t, 2, fixture.counters().Failed["lot-intake"])
+	fixture.advance(fixture.now + 14*microtime.Second)
+	fixture.connectClient("c2")
+	require.Contains(t, fixture.submit("00000000000000a5", "lot-intake", "runs"), "spawn", "its retention is over")
 }
--- a/internal/server/loop_fixture_test.go
+++ b/internal/server/loop_fixture_test.go
@@ -2,9 +2,6 @@
 
 import (
 	"fmt"
-	"slices"
-	"strconv"
-	"strings"
 	"testing"
 
 	"github.com/stretchr/testify/require"
@@ -15,7 +12,7 @@
 	"pewterline/internal/transport"
 )
 
-// settingsJSON is the platform's, for a server of two cores.
+// settingsJSON are the platform's settings, for a server of two cores.
 const settingsJSON = `{"classes": [
  {"name": "block-view", "aim_ms": 1800, "hard_limit_ms": 4500, "worth": 1, "effect": "free"},
  {"name": "lot-update", "aim_ms": 1800, "hard_limit_ms": 4500, "worth": 1, "effect": "free"},
@@ -27,216 +24,193 @@
  "tip_after_ms": 3000, "grace_to_answer_ms": 100}, "tenants": [{"name": "hill-estate", "quota_rps": 69},
  {"name": "lake-vines", "quota_rps": 43}, {"name": "valley-rows", "quota_rps": 32}]}`
 
-// loopFixture is a loop without sockets, on a clock that the test moves.
-type loopFixture struct {
-	t             *testing.T
-	srv           *Server
-	now           microtime.Time
-	next          microtime.Time
-	conns         map[string]*fakeConn
-	order         []string
-	dials         []*fakeDial
-	reportAddress string // where reports go
-	lastReport    string
-	reports       []string
-	stopped       bool
-	logged        []string
+// testConfig is a configuration with the worker pool at an address and the AJP frontend on.
+func testConfig(t testing.TB, poolAddress string) config.Config {
+	t.Helper()
+	parsed, gauges, err := settings.Parse([]byte(settingsJSON), 7)
+	require.NoError(t, err)
+	return config.Config{
+		Name:            "n0",
+		PoolAddress:     poolAddress,
+		ShutdownTimeout: 3200 * microtime.Millisecond,
+		Settings:        parsed,
+		Gauges:          gauges,
+		AJP:             config.AJP{BodyTimeout: 10 * microtime.Second, MaxBody: 100, MaxConnections: 900},
+	}
 }
 
-// fakeDial is a link that the program wants.
-type fakeDial struct {
-	addr    string
-	open    func(transport.Conn) transport.Session
-	dropped bool
+// zeroBasedClock is a wall clock on which the program's time 0 is the Unix epoch.
+type zeroBasedClock struct{}
+
+func (zeroBasedClock) FromUnixMilli(ms int64) microtime.Time {
+	return microtime.Time(ms) * microtime.Millisecond
 }
 
+func (zeroBasedClock) UnixMilli(t microtime.Time) int64 { return int64(t / microtime.Millisecond) }
+
 // fakeConn is a connection whose bytes the test reads and writes.
 type fakeConn struct {
 	name          string
 	session       transport.Session
-	in, out       []byte
+	in            []byte // Written by the peer, and not received yet.
+	out           []byte // Written by the server.
 	closed        bool
 	resume        bool
 	identified    bool
-	closeReported bool // its close is in the transcript
+	closeReported bool // Its end is in the transcript.
 }
 
-func (l *fakeConn) Write(p []byte) {
-	if !l.closed {
-		l.out = append(l.out, p...)
+func (c *fakeConn) Write(p []byte) {
+	if !c.closed {
+		c.out = append(c.out, p...)
 	}
 }
-func (l *fakeConn) Close()          { l.closed = true }
-func (l *fakeConn) Resume()         { l.resume = true }
-func (l *fakeConn) MarkIdentified() { l.identified = true }
-func (l *fakeConn) Remote() string  { return l.name }
 
-// zeroBasedClock is a wall clock whose time is the stage's.
-type zeroBasedClock struct{}
+func (c *fakeConn) Close() { c.closed = true }
 
-func (s *loopFixture) Execute(f func()) error {
-	f()
-	return nil
-}
-func (s *loopFixture) Now() microtime.Time              { return s.now }
-func (s *loopFixture) Rand() uint64                     { return 7 }
-func (s *loopFixture) Shutdown(microtime.Time)          { s.stopped = true }
-func (s *loopFixture) CloseListener(_ int, done func()) { done() }
-func (s *loopFixture) SendDatagram(p []byte) {
-	if text := string(p); text != s.lastReport {
-		s.lastReport, s.reports = text, append(s.reports, text)
-	}
-}
-func (s *loopFixture) Dial(addr string, open func(transport.Conn) transport.Session) func() {
-	d := &fakeDial{addr: addr, open: open}
-	s.dials = append(s.dials, d)
-	return func() { d.dropped = true }
-}
-func (s *loopFixture) DialOnce(addr string, open func(transport.Conn) transport.Session, _ func()) func() {
-	return s.Dial(addr, open)
-}
-func (s *loopFixture) SetDatagramPeer(addr string) error {
-	s.reportAddress, s.lastReport = addr, ""
-	return nil
+func (c *fakeConn) Resume() { c.resume = true }
+
+func (c *fakeConn) MarkIdentified() { c.identified = true }
+
+func (c *fakeConn) Remote() string { return c.name }
+
+// fakeDial is a connection that the server wants to open.
+type fakeDial struct {
+	addr    string
+	open    func(transport.Conn) transport.Session
+	dropped bool
 }
 
-// testConfig is a configuration with the AJP front on.
-func testConfig(t *testing.T, pool string) config.Config {
-	set, gauges, err := settings.Parse([]byte(settingsJSON), 7)
-	require.NoError(t, err)
-	return config.Config{Name: "n0", PoolAddress: pool, ShutdownTimeout: 3200 * microtime.Millisecond, Settings: set, Gauges: gauges,
-		AJP: config.AJP{BodyTimeout: 10 * microtime.Second, MaxBody: 100, MaxConnections: 900}}
+// loopFixture is a server on an event loop without sockets, on a clock that the test moves. It implements EventLoop.
+type loopFixture struct {
+	t             *testing.T
+	srv           *Server
+	now           microtime.Time
+	next          microtime.Time // When the next turn is due.
+	conns         map[string]*fakeConn
+	order         []string // Of conns, as they were opened.
+	opened        int      // Connections that have a number in their name.
+	dials         []*fakeDial
+	reportAddress string
+	lastReport    string
+	reports       []string // Without repetitions.
+	stopped       bool
+	logged        []string
 }
 
 func newLoopFixture(t *testing.T, ajp config.AJP) *loopFixture {
+	t.Helper()
 	cfg := testConfig(t, "pool")
 	cfg.AJP = ajp
-	s := &loopFixture{t: t, now: microtime.Second, conns: map[string]*fakeConn{}, reportAddress: "control"}
+	return newLoopFixtureOf(t, cfg)
+}
+
+func newLoopFixtureOf(t *testing.T, cfg config.Config) *loopFixture {
+	t.Helper()
+	f := &loopFixture{t: t, now: microtime.Second, conns: map[string]*fakeConn{}, reportAddress: "control"}
+	logf := func(format string, args ...any) { f.logged = append(f.logged, fmt.Sprintf(format, args...)) }
 	var err error
-	s.srv, err = New(cfg, zeroBasedClock{}, func(f string, a ...any) { s.logged = append(s.logged, fmt.Sprintf(f, a...)) })
+	f.srv, err = New(cfg, zeroBasedClock{}, logf)
 	require.NoError(t, err)
-	s.srv.Attach(s)
-	return s
-}
-
-// connect opens a connection: to a listener, or as the next one that the program has dialled.
-func (s *loopFixture) connect(name string, listener int) *fakeConn {
-	l := &fakeConn{name: name}
-	if listener < 0 {
-		require.NotEmpty(s.t, s.dials, "nothing was dialled")
-		d := s.dials[0]
-		s.dials = s.dials[1:]
-		require.False(s.t, d.dropped, "the dial was given up")
-		l.session = d.open(l)
-	} else {
-		l.session = s.srv.Accept(listener, l)
+	f.srv.Attach(f)
+	return f
+}
+
+func (f *loopFixture) Now() microtime.Time { return f.now }
+
+func (f *loopFixture) Rand() uint64 { return 7 }
+
+func (f *loopFixture) Shutdown(microtime.Time) { f.stopped = true }
+
+func (f *loopFixture) CloseListener(_ int, done func()) { done() }
+
+func (f *loopFixture) Execute(task func()) error {
+	task()
+	return nil
+}
+
+func (f *loopFixture) SendDatagram(p []byte) {
+	if text := string(p); text != f.lastReport {
+		f.lastReport, f.reports = text, append(f.reports, text)
 	}
-	if s.conns[name] == nil {
-		s.order = append(s.order, name)
+}
+
+func (f *loopFixture) SetDatagramPeer(addr string) error {
+	f.reportAddress, f.lastReport = addr, ""
+	return nil
+}
+
+func (f *loopFixture) Dial(addr string, open func(transport.Conn) transport.Session) func() {
+	dial := &fakeDial{addr: addr, open: open}
+	f.dials = append(f.dials, dial)
+	return func() { dial.dropped = true }
+}
+
+func (f *loopFixture) DialOnce(addr string, open func(transport.Conn) transport.Session, _ func()) func() {
+	return f.Dial(addr, open)
+}
+
+// nextDialed is in place of a listener for the next connection that the server has dialled.
+const nextDialed = -1
+
+// connect opens a connection: to a listener, or as the next one that the server has dialled.
+func (f *loopFixture) connect(name string, listener int) *fakeConn {
+	f.t.Helper()
+	conn := &fakeConn{name: name}
+	if listener == nextDialed {
+		require.NotEmpty(f.t, f.dials, "nothing was dialled")
+		dial := f.dials[0]
+		f.dials = f.dials[1:]
+		require.False(f.t, dial.dropped, "the dial was dropped")
+		conn.session = dial.open(conn)
+	} else {
+		conn.session = f.srv.Accept(listener, conn)
 	}
-	s.conns[name] = l
-	return l
+	f.addConn(conn)
+	return conn
 }
 
-// addConn makes a link that was opened elsewhere one of the stage's.
-func (s *loopFixture) addConn(l *fakeConn) {
-	s.conns[l.name] = l
-	s.order = append(s.order, l.name)
+// addConn adds a connection that has its session; it takes the place of one of the same name.
+func (f *loopFixture) addConn(conn *fakeConn) {
+	if f.conns[conn.name] == nil {
+		f.order = append(f.order, conn.name)
+	}
+	f.conns[conn.name] = conn
 }
 
-func (s *loopFixture) deliver(l *fakeConn, p []byte) {
-	l.in = append(l.in, p...)
-	n, err := l.session.Receive(l.in)
-	l.in = l.in[n:]
+// deliver has the server receive bytes on a connection.
+func (f *loopFixture) deliver(conn *fakeConn, p []byte) {
+	conn.in = append(conn.in, p...)
+	n, err := conn.session.Receive(conn.in)
+	conn.in = conn.in[n:]
 	if err != nil {
-		s.logged = append(s.logged, err.Error())
-		l.closed = true
+		f.logged = append(f.logged, err.Error())
+		conn.closed = true
 	}
 }
 
-// turn ends a turn, then drops the connections that the program has closed.
-func (s *loopFixture) turn() {
-	s.next = s.srv.Turn(s.now)
-	for _, name := range s.order {
-		if l := s.conns[name]; l.closed && l.session != nil {
-			l.session.Closed()
-			l.session = nil
-		} else if l.resume {
-			l.resume = false
-			s.deliver(l, nil)
-			s.turn()
+// turn ends a turn, then drops the connections that are closed.
+func (f *loopFixture) turn() {
+	f.next = f.srv.Turn(f.now)
+	for _, name := range f.order {
+		conn := f.conns[name]
+		switch {
+		case conn.closed && conn.session != nil:
+			conn.session.Closed()
+			conn.session = nil
+		case conn.resume:
+			conn.resume = false
+			f.deliver(conn, nil)
+			f.turn()
 		}
 	}
 }
 
 // advance moves the clock, with a turn whenever one is due.
-func (s *loopFixture) advance(to microtime.Time) {
-	for s.next <= to && !s.stopped {
-		s.now = max(s.now, s.next)
-		s.turn()
-	}
-	s.now = to
-}
-
-// replay runs the lines of an exchange and returns them with what the program wrote. The polls of the gauges,
-// one a tick, are left out, and so are reports that say the same as the one before.
-func (s *loopFixture) replay(lines []string) string {
-	var out strings.Builder
-	outputs := func() {
-		for _, name := range s.order {
-			l := s.conns[name]
-			text := strings.ReplaceAll(string(l.out), "poll g\r\n", "")
-			if l.out = l.out[:0]; text != "" {
-				fmt.Fprintf(&out, "%s < %s\n", name, strconv.Quote(text))
-			}
-			if l.session == nil && !l.closeReported {
-				l.closeReported = true
-				fmt.Fprintf(&out, "%s is closed\n", name)
-			}
-		}
-		for _, r := range s.reports {
-			fmt.Fprintf(&out, "%s < %s\n", s.reportAddress, strconv.Quote(r))
-		}
-		s.reports = nil
-		if s.stopped {
-			fmt.Fprintln(&out, "the program ends")
-		}
-	}
-	for _, line := range lines {
-		if strings.Contains(line, " < ") || strings.HasSuffix(line, " is closed") || line == "the program ends" {
-			continue // the program's side
-		}
-		fmt.Fprintln(&out, line)
-		words := strings.SplitN(line, " ", 3)
-		switch {
-		case line == "" || strings.HasPrefix(line, "#"):
-			continue
-		case line[0] == '@':
-			ms, err := strconv.Atoi(line[1:])
-			require.NoError(s.t, err, line)
-			s.advance(microtime.Time(ms) * microtime.Millisecond)
-		case words[0] == "reload":
-			cfg := s.srv.cfg
-			cfg.PoolAddress, cfg.ControlAddress = words[1], words[2]
-			require.NoError(s.t, s.srv.Reload(cfg))
-		case line == "dials":
-			s.dials = slices.DeleteFunc(s.dials, func(d *fakeDial) bool { return d.dropped })
-			for _, d := range s.dials {
-				fmt.Fprintf(&out, "dials < %s\n", strconv.Quote(d.addr))
-			}
-		case words[0] == "drain":
-			s.srv.Drain(s.now)
-		case words[0] == "open":
-			s.connect(words[1], map[string]int{"thrift": 0, "ajp": 1, "dialled": -1}[words[2]])
-		case words[0] == "close":
-			s.conns[words[1]].closed = true
-		default:
-			p, err := strconv.Unquote(words[2])
-			require.NoError(s.t, err, line)
-			s.deliver(s.conns[words[0]], []byte(p))
-		}
-		s.turn()
-		outputs()
+func (f *loopFixture) advance(to microtime.Time) {
+	for f.next <= to && !f.stopped {
+		f.now = max(f.now, f.next)
+		f.turn()
 	}
-	return out.String()
+	f.now = to
 }
--- a/internal/server/loopback_test.go
+++ b/internal/server/loopback_test.go
@@ -17,48 +17,49 @@
 	"pewterline/internal/transport/sockets"
 )
 
-// serveLoopback runs a whole server on ports that the system picks, until stop or the test's end. A file keeps
-// its intakes; "" for none.
+// serveLoopback runs a whole server on ports that the system picks, until stop or the test's end. Executions are
+// recorded in a database file, or not at all if file is empty.
 func serveLoopback(t *testing.T, cfg config.Config, file string) (thriftAddr, ajpAddr string, stop func()) {
+	t.Helper()
 	clock := microtime.NewClock()
-	logf := func(f string, a ...any) { t.Logf(f, a...) }
-	srv, err := New(cfg, clock, logf)
+	srv, err := New(cfg, clock, t.Logf)
 	require.NoError(t, err)
-	stored := func() {}
+	closeStore := func() {}
 	if file != "" {
-		st, err := store.Open(store.SQLite, file, "n0", time.Minute)
+		database, err := store.Open(store.SQLite, file, "n0", time.Minute)
 		require.NoError(t, err)
-		require.NoError(t, srv.UseStore(st, clock.Now()))
-		stored = func() { require.NoError(t, st.Close()) }
+		require.NoError(t, srv.UseStore(database, clock.Now()))
+		closeStore = func() { require.NoError(t, database.Close()) }
 	}
-	loop, err := sockets.Start(sockets.Options{Options: transport.Options{MaxConns: 16, Logf: logf}, Listen: []string{"127.0.0.1:0", "127.0.0.2:0"}, Clock: clock},
-		srv, func(l *transport.Loop) { srv.Attach(l) })
-	require.NoError(t, err)
+	loop := startLoop(t, srv, sockets.Options{
+		Options: transport.Options{MaxConns: 16, Logf: t.Logf},
+		Listen:  []string{"127.0.0.1:0", "127.0.0.2:0"},
+		Clock:   clock,
+	})
 	stop = sync.OnceFunc(func() {
-		loop.Stop()
-		require.NoError(t, loop.Wait())
-		stored()
+		stopLoop(t, loop)
+		closeStore()
 	})
 	t.Cleanup(stop)
-	return loop.Addr(0).String(), loop.Addr(1).String(), stop
+	return loop.Addr(ThriftListener).String(), loop.Addr(AJPListener).String(), stop
 }
 
-// The whole program on real sockets: an intake that comes by both protocols runs once, whichever is first, and
-// whether the first is still running; a broken connection harms no other.
+// A keyed request that comes by both protocols runs once, whichever comes first, and whether the first is still
+// running. A client that breaks the protocol harms no other.
 func TestLoopbackOnce(t *testing.T) {
 	pool := newFakePool(t)
 	thriftAddr, ajpAddr, _ := serveLoopback(t, testConfig(t, pool.listener.Addr().String()), "")
-	desk := dial(t, thriftAddr, thrift.SplitFrame)
-	office := dial(t, ajpAddr, splitAJP)
-	broken := dial(t, thriftAddr, thrift.SplitFrame)
-	broken.write([]byte("GET / HTTP/1.1\r\n\r\n"))
-	_, err := broken.conn.Read(make([]byte, 1))
+	proxy := dial(t, thriftAddr, thrift.SplitFrame)
+	webServer := dial(t, ajpAddr, splitAJP)
+	malformed := dial(t, thriftAddr, thrift.SplitFrame)
+	malformed.write([]byte("GET / HTTP/1.1\r\n\r\n"))
+	_, err := malformed.conn.Read(make([]byte, 1))
 	require.ErrorIs(t, err, io.EOF)
 
-	viaThrift := func(once string) { sendIntake(desk, once) }
-	viaAJP := func(once string) { forwardIntake(office, once) }
-	gotThrift := func(result string) { require.Contains(t, string(desk.read()), result) }
-	gotAJP := func(result string) { require.Equal(t, result, readServed(office)) }
+	viaThrift := func(key string) { sendIntake(proxy, key) }
+	viaAJP := func(key string) { forwardIntake(webServer, key) }
+	gotThrift := func(result string) { require.Contains(t, string(proxy.read()), result) }
+	gotAJP := func(result string) { require.Equal(t, result, readServed(webServer)) }
 
 	viaThrift("k1")
 	pool.finish(<-pool.started, "first")
@@ -75,13 +76,13 @@
 	viaThrift("k3")
 	id := <-pool.started
 	viaAJP("k3")
-	viaThrift("k4") // its start gives the repeat time to be read; whether it has been or not, the answers are the same
+	viaThrift("k4") // Its start gives the retry time to be read; whether it has been or not, the answers are the same.
 	id4 := <-pool.started
 	pool.finish(id, "third")
 	gotThrift("third")
 	gotAJP("third")
 
-	viaAJP("k4") // while the run that came by Thrift is under way
+	viaAJP("k4") // While the run that came by Thrift is in flight.
 	viaThrift("k5")
 	id5 := <-pool.started
 	pool.finish(id4, "fourth")
@@ -90,27 +91,27 @@
 	pool.finish(id5, "fifth")
 	gotThrift("fifth")
 
-	require.Empty(t, pool.started, "an intake ran twice")
+	require.Empty(t, pool.started, "a keyed request ran twice")
 }
 
-// With a store of record, a repeat after a restart gets the recorded result and does not run, whatever the
-// protocol of either try.
+// With a database, a retry after a restart gets the recorded result and does not run, whatever the protocol of either
+// attempt.
 func TestLoopbackRestart(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "intakes.db")
 	pool := newFakePool(t)
 	thriftAddr, _, stop := serveLoopback(t, testConfig(t, pool.listener.Addr().String()), file)
-	desk := dial(t, thriftAddr, thrift.SplitFrame)
-	sendIntake(desk, "k1")
+	proxy := dial(t, thriftAddr, thrift.SplitFrame)
+	sendIntake(proxy, "k1")
 	pool.finish(<-pool.started, "weighed")
-	require.Contains(t, string(desk.read()), "weighed")
+	require.Contains(t, string(proxy.read()), "weighed")
 	stop()
 
 	thriftAddr, ajpAddr, _ := serveLoopback(t, testConfig(t, pool.listener.Addr().String()), file)
-	office := dial(t, ajpAddr, splitAJP)
-	forwardIntake(office, "k1")
-	require.Equal(t, "weighed", readServed(office))
-	desk = dial(t, thriftAddr, thrift.SplitFrame)
-	sendIntake(desk, "k1")
-	require.Contains(t, string(desk.read()), "weighed")
+	webServer := dial(t, ajpAddr, splitAJP)
+	forwardIntake(webServer, "k1")
+	require.Equal(t, "weighed", readServed(webServer))
+	proxy = dial(t, thriftAddr, thrift.SplitFrame)
+	sendIntake(proxy, "k1")
+	require.Contains(t, string(proxy.read()), "weighed")
 	require.Empty(t, pool.started)
 }
--- a/internal/server/malformed_clients_test.go
+++ b/internal/server/malformed_clients_test.go
@@ -11,79 +11,81 @@
 	"pewterline/internal/protocol/thrift"
 )
 
-// Guards the server, and every other caller, against clients that break the protocol, many at once: each gets the
-// protocol's error or the end of its connection, leaves nothing behind, and costs no more memory than a message; whoever
-// keeps to the protocol is served beside them and after them.
+// Clients that break the protocol, many at once, harm neither the server nor other clients. Each gets the protocol's
+// error or the end of its connection, leaves nothing behind, and costs no more memory than a message; whoever keeps to
+// the protocol is served beside them and after them.
 func TestMalformedClients(t *testing.T) {
-	good := func(seq int32, id string) []byte {
-		return thrift.AppendCall(nil, seq, []thrift.Field{{Name: "class", Value: "block-view"}, {Name: "id", Value: id}, {Name: "at", Value: "1000"},
-			{Name: "from", Value: "4"}, {Name: "tenant", Value: "hill-estate"}, {Name: "kb", Value: "9"}, {Name: "rank", Value: "0.1"}}, []byte("b"))
+	call := func(sequence int32, id string) []byte {
+		return thrift.AppendCall(nil, sequence, thriftFields(thrift.Field{Name: "id", Value: id}), []byte("b"))
 	}
-	changed := func(name, value string) []byte {
-		fields := []thrift.Field{{Name: "class", Value: "block-view"}, {Name: "id", Value: "00000000000000e1"}, {Name: "at", Value: "1000"},
-			{Name: "from", Value: "4"}, {Name: "tenant", Value: "hill-estate"}, {Name: "kb", Value: "9"}, {Name: "rank", Value: "0.1"}}
-		for i := range fields {
-			if fields[i].Name == name {
-				fields[i].Value = value
-			}
-		}
-		return thrift.AppendCall(nil, 1, fields, []byte("b"))
+	with := func(name, value string) []byte {
+		return thrift.AppendCall(nil, 1, thriftFields(thrift.Field{Name: name, Value: value}), []byte("b"))
+	}
+	frame := func(size uint32, rest string) []byte {
+		return append(binary.BigEndian.AppendUint32(nil, size), rest...)
 	}
-	length := func(n uint32, rest string) []byte { return append(binary.BigEndian.AppendUint32(nil, n), rest...) }
-	nested := "\x80\x01\x00\x01\x00\x00\x00\x07process\x00\x00\x00\x01" + strings.Repeat("\x0c\x00\x09", 200)
-	for name, c := range map[string]struct {
+	const (
+		id          = "00000000000000e1"
+		processHead = "\x80\x01\x00\x01\x00\x00\x00\x07process\x00\x00\x00\x01"
+		mapHead     = "\x0d\x00\x01\x0b\x0b"
+		nextLength  = "\x7f\xff\xff\xff"
+	)
+	nested := processHead + strings.Repeat("\x0c\x00\x09", 200)
+	for name, tc := range map[string]struct {
 		sent   []byte
-		closed bool // at once; else an error, or nothing as long as more may come
+		closed bool // At once; if not, an error, or nothing as long as more may come.
 		errors int
 	}{
-		"no length":                {length(0, "hello"), true, 0},
-		"a length past any":        {length(1<<31, "hello"), true, 0},
+		"no length":                {frame(0, "hello"), true, 0},
+		"a length past any":        {frame(1<<31, "hello"), true, 0},
 		"all ones":                 {[]byte("\xff\xff\xff\xff\xff\xff\xff\xff"), true, 0},
 		"another protocol":         {[]byte("GET /probe HTTP/1.1\r\nHost: n0\r\n\r\n"), true, 0},
 		"a handshake of TLS":       {[]byte("\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03"), true, 0},
-		"half a message":           {good(1, "00000000000000e1")[:60], false, 0},
+		"half a message":           {call(1, id)[:60], false, 0},
 		"half a length":            {[]byte("\x00\x00"), false, 0},
-		"an old version":           {length(12, "\x00\x00\x00\x04ping\x01\x00\x00\x00"), true, 0},
-		"an unknown method":        {length(20, "\x80\x01\x00\x01\x00\x00\x00\x07prosess\x00\x00\x00\x01\x00"[:20]), false, 1},
-		"a string past the end":    {length(30, "\x80\x01\x00\x01\x00\x00\x00\x07process\x00\x00\x00\x01\x0b\x00\x02\x7f\xff\xff\xff\x00\x00\x00\x00"), false, 1},
-		"a map past the end":       {length(33, "\x80\x01\x00\x01\x00\x00\x00\x07process\x00\x00\x00\x01\x0d\x00\x01\x0b\x0b\x7f\xff\xff\xff\x00\x00\x00\x01a\x00"), false, 1},
-		"nested without end":       {length(uint32(len(nested)), nested), false, 1},
-		"an unknown class":         {changed("class", "no-such"), false, 1},
-		"an unknown tenant":        {changed("tenant", "nobody"), false, 1},
-		"an id of other letters":   {changed("id", "00000000000000zz"), false, 1},
-		"a number past any":        {changed("from", "99999999999999999999999"), false, 1},
-		"memory past any":          {changed("kb", "2000"), false, 1},
-		"memory of nothing":        {changed("kb", "0"), false, 1},
-		"a rank past any":          {changed("rank", "1.5"), false, 1},
-		"a time that is no time":   {changed("at", "yesterday"), false, 1},
-		"a time far ahead":         {changed("at", "9999999999999"), false, 1},
-		"a field of a megabyte":    {length(1<<20, "\x80\x01\x00\x01"), true, 0},
-		"a sequence number reused": {append(good(1, "00000000000000e1"), good(1, "00000000000000e2")...), true, 1},
+		"an old version":           {frame(12, "\x00\x00\x00\x04ping\x01\x00\x00\x00"), true, 0},
+		"an unknown method":        {frame(20, "\x80\x01\x00\x01\x00\x00\x00\x07prosess\x00\x00\x00\x01\x00"[:20]), false, 1},
+		"a string past the end":    {frame(30, processHead+"\x0b\x00\x02"+nextLength+"\x00\x00\x00\x00"), false, 1},
+		"a map past the end":       {frame(33, processHead+mapHead+nextLength+"\x00\x00\x00\x01a\x00"), false, 1},
+		"nested without end":       {frame(uint32(len(nested)), nested), false, 1},
+		"an unknown class":         {with("class", "no-such"), false, 1},
+		"an unknown tenant":        {with("tenant", "nobody"), false, 1},
+		"an id of other letters":   {with("id", "00000000000000zz"), false, 1},
+		"a number past any":        {with("from", "99999999999999999999999"), false, 1},
+		"memory past any":          {with("kb", "2000"), false, 1},
+		"memory of nothing":        {with("kb", "0"), false, 1},
+		"a rank past any":          {with("rank", "1.5"), false, 1},
+		"a time that is no time":   {with("at", "yesterday"), false, 1},
+		"a time far ahead":         {with("at", "9999999999999"), false, 1},
+		"a field of a megabyte":    {frame(1<<20, "\x80\x01\x00\x01"), true, 0},
+		"a sequence number reused": {append(call(1, id), call(1, "00000000000000e2")...), true, 1},
 	} {
-		l := newPoolFixture(t)
-		var bad []*fakeConn
-		for range 50 {
-			b := l.loopFixture.connect("bad", 0)
-			l.deliver(b, c.sent)
-			bad = append(bad, b)
-		}
-		for _, b := range bad {
-			require.Equal(t, c.closed, b.closed, name)
-			require.LessOrEqual(t, len(b.in), thrift.MaxFrame, name)
-			require.Equal(t, c.errors, strings.Count(string(b.out), "\x80\x01\x00\x03"), "%s: %q", name, b.out)
-		}
-		require.Contains(t, l.submit(viewID, "block-view", ""), "spawn "+viewID, name)
-		l.poolSends("finished 1 " + viewID + " PASS 80 2\r\nok\r\n")
-		require.Equal(t, map[int32]thrift.ReplyKind{1: thrift.ReplyAnswer}, l.replyKinds(), name)
-		for _, b := range bad {
-			if b.session != nil {
-				b.closed = true
-				b.session.Closed()
-				b.session = nil
+		t.Run(name, func(t *testing.T) {
+			fixture := newPoolFixture(t)
+			var malformed []*fakeConn
+			for range 50 {
+				conn := fixture.connect("bad", ThriftListener)
+				fixture.deliver(conn, tc.sent)
+				malformed = append(malformed, conn)
+			}
+			for _, conn := range malformed {
+				require.Equal(t, tc.closed, conn.closed)
+				require.LessOrEqual(t, len(conn.in), thrift.MaxFrame)
+				require.Equal(t, tc.errors, strings.Count(string(conn.out), "\x80\x01\x00\x03"), "%q", conn.out)
+			}
+			require.Contains(t, fixture.submit(safeID, "block-view", ""), "spawn "+safeID)
+			fixture.poolSends(finishedNotice(1, safeID, "ok"))
+			fixture.requireReplies(thrift.ReplyAnswer, 1)
+			for _, conn := range malformed {
+				if conn.session != nil {
+					conn.closed = true
+					conn.session.Closed()
+					conn.session = nil
+				}
 			}
-		}
-		l.advance(l.now + 6*microtime.Second)
-		require.Zero(t, l.srv.core.OpenRequests(), name)
-		require.LessOrEqual(t, l.srv.clients.thrift.Len(), 1, name+": the good one alone, if it is still open")
+			fixture.advance(fixture.now + 6*microtime.Second)
+			require.Zero(t, fixture.srv.core.OpenRequests())
+			require.LessOrEqual(t, fixture.srv.clients.thrift.Len(), 1, "the valid client's, if it is still open")
+		})
 	}
 }
--- a/internal/server/overload_test.go
+++ b/internal/server/overload_test.go
@@ -23,275 +23,320 @@
 	"pewterline/internal/transport/sockets"
 )
 
-// manualClock stands still until the test moves it; its Unix time is its own.
-type manualClock struct{ now atomic.Int64 }
+// overloadClock stands still until the test moves it; its time 0 is the Unix epoch.
+type overloadClock struct {
+	zeroBasedClock
+	now atomic.Int64
+}
+
+func (c *overloadClock) Now() microtime.Time { return microtime.Time(c.now.Load()) }
+
+// The capacity of the fixture's worker pool.
+const (
+	poolCores   = 2
+	poolRunTime = 200 * microtime.Millisecond
+)
 
-func (c *manualClock) Now() microtime.Time { return microtime.Time(c.now.Load()) }
-func (c *manualClock) FromUnixMilli(ms int64) microtime.Time {
-	return microtime.Time(ms) * microtime.Millisecond
+// clientResponse is one response that a client got.
+type clientResponse struct {
+	protocol string
+	id       int
+	status   int // As in HTTP.
 }
-func (c *manualClock) UnixMilli(t microtime.Time) int64 { return int64(t / microtime.Millisecond) }
 
-// overloadFixture is the whole program on loopback sockets and a clock of the test's, with stand-ins for its peers. Every
-// step waits for what it has sent to be taken, so that a run is the same each time, however fast the machine.
+// overloadFixture is a whole server on loopback sockets and a clock of the test's, with fake peers. Every step waits
+// until the server has received what it has sent, so that a run is the same each time, however fast the machine.
 type overloadFixture struct {
-	t              *testing.T
-	clock          manualClock
-	srv            *Server
-	loop           *sockets.Loop
+	t     *testing.T
+	clock overloadClock
+	srv   *Server
+	loop  *sockets.Loop
+
 	pool           net.Conn
 	poolIn         *bufio.Reader
-	queuedRuns     []string                  // at the pool, waiting for a core
-	runningUntil   map[string]microtime.Time // running there
-	runsByBody     map[string]int            // by body: how often each request was run
+	queuedRuns     []string                  // At the pool, waiting for a core.
+	runningUntil   map[string]microtime.Time // At the pool, on a core.
+	runsByBody     map[string]int            // How often each request was run.
 	noticeCount    uint64
-	pendingNotices []byte // notices of this step
+	pendingNotices []byte // Of this step.
 	polls          int
-	submitted      int
-	thriftClient   *clientConn
-	idleAJP        chan *clientConn // AJP connections without a request
-	responses      chan clientResponse
-}
 
-// clientResponse is one answer that a client got.
-type clientResponse struct {
-	protocol string
-	id       int
-	status   int
+	submitted    int
+	thriftClient *clientConn
+	idleAJP      chan *clientConn // AJP connections without a request.
+	responses    chan clientResponse
 }
 
-const (
-	poolCores = 2
-	poolWork  = 200 * microtime.Millisecond
-)
-
 func newOverloadFixture(t *testing.T) *overloadFixture {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	require.NoError(t, err)
-	defer ln.Close()
-	c := &overloadFixture{t: t, runningUntil: map[string]microtime.Time{}, runsByBody: map[string]int{}, idleAJP: make(chan *clientConn, 1000), responses: make(chan clientResponse, 10000)}
-	c.clock.now.Store(int64(microtime.Second))
+	t.Helper()
+	listener := listen(t)
+	fixture := &overloadFixture{
+		t:            t,
+		runningUntil: map[string]microtime.Time{},
+		runsByBody:   map[string]int{},
+		idleAJP:      make(chan *clientConn, 1000),
+		responses:    make(chan clientResponse, 10000),
+	}
+	fixture.clock.now.Store(int64(microtime.Second))
 	logf := func(string, ...any) {}
-	c.srv, err = New(testConfig(t, ln.Addr().String()), &c.clock, logf)
+	var err error
+	fixture.srv, err = New(testConfig(t, listener.Addr().String()), &fixture.clock, logf)
 	require.NoError(t, err)
-	c.loop, err = sockets.Start(sockets.Options{Options: transport.Options{MaxConns: 950, Logf: logf}, Listen: []string{"127.0.0.1:0", "127.0.0.2:0"}, Clock: &c.clock},
-		c.srv, func(l *transport.Loop) { c.srv.Attach(l) })
-	require.NoError(t, err)
-	t.Cleanup(func() {
-		c.loop.Stop()
-		require.NoError(t, c.loop.Wait())
+	fixture.loop = startLoop(t, fixture.srv, sockets.Options{
+		Options: transport.Options{MaxConns: 950, Logf: logf},
+		Listen:  []string{"127.0.0.1:0", "127.0.0.2:0"},
+		Clock:   &fixture.clock,
 	})
-	c.pool, err = ln.Accept()
+	t.Cleanup(func() { stopLoop(t, fixture.loop) })
+	fixture.pool, err = listener.Accept()
 	require.NoError(t, err)
-	t.Cleanup(func() { c.pool.Close() })
-	c.poolIn = bufio.NewReader(c.pool)
-	c.readCommand() // bind
-	c.await(func() bool { return c.srv.backends.pool.Status().Bound || c.answerFirstPoll() })
-	c.thriftClient = dial(t, c.loop.Addr(0).String(), thrift.SplitFrame)
-	go c.readThrift()
-	return c
+	closeAtEnd(t, fixture.pool)
+	fixture.poolIn = bufio.NewReader(fixture.pool)
+	fixture.readCommand() // It binds the link.
+	fixture.await(func() bool { return fixture.srv.backends.pool.Status().Bound || fixture.answerFirstPoll() })
+	fixture.thriftClient = dial(t, fixture.loop.Addr(ThriftListener).String(), thrift.SplitFrame)
+	go fixture.readThrift()
+	return fixture
 }
 
-// onLoop runs f in a turn of the loop and waits for it.
-func (c *overloadFixture) onLoop(f func()) {
-	done := make(chan struct{})
-	require.NoError(c.t, c.loop.Execute(func() {
-		f()
-		close(done)
-	}))
-	<-done
+// onLoop runs a task in a turn of the loop, and returns when it has ended.
+func (f *overloadFixture) onLoop(task func()) {
+	f.t.Helper()
+	runOnLoop(f.t, f.loop, task)
 }
 
 // await returns when a condition holds on the loop.
-func (c *overloadFixture) await(holds func() bool) {
-	for ok := false; !ok; runtime.Gosched() {
-		c.onLoop(func() { ok = holds() })
+func (f *overloadFixture) await(condition func() bool) {
+	f.t.Helper()
+	for holds := false; !holds; runtime.Gosched() {
+		f.onLoop(func() { holds = condition() })
 	}
 }
 
-// answerFirstPoll answers the poll that follows bound; it is always false, so that await looks again.
-func (c *overloadFixture) answerFirstPoll() bool {
-	if c.srv.backends.pool.Status().Links == 1 && c.polls == 0 {
-		c.polls = 1
-		_, err := c.pool.Write([]byte("polled sync1 0 0 0 0\r\n"))
-		require.NoError(c.t, err)
+// answerFirstPoll answers the poll that follows bound, once the link is open. It always returns false, so that await
+// looks again.
+func (f *overloadFixture) answerFirstPoll() bool {
+	if f.srv.backends.pool.Status().Links == 1 && f.polls == 0 {
+		f.polls = 1
+		_, err := f.pool.Write([]byte("polled sync1 0 0 0 0\r\n"))
+		require.NoError(f.t, err)
 	}
 	return false
 }
 
-// readCommand reads and does one command at the pool; it returns the tag of a poll.
-func (c *overloadFixture) readCommand() string {
-	line, err := c.poolIn.ReadString('\n')
-	require.NoError(c.t, err)
+// readCommand reads and carries out one command at the pool; it returns the tag of a poll.
+func (f *overloadFixture) readCommand() (pollTag string) {
+	f.t.Helper()
+	line, err := f.poolIn.ReadString('\n')
+	require.NoError(f.t, err)
 	var id, class, tag string
-	var n int
-	if k, _ := fmt.Sscanf(line, "spawn %s %s %d", &id, &class, &n); k == 3 {
-		body := make([]byte, n+2)
-		_, err := io.ReadFull(c.poolIn, body)
-		require.NoError(c.t, err)
-		c.runsByBody[string(body[:n])]++
-		c.queuedRuns = append(c.queuedRuns, id)
-	} else if k, _ := fmt.Sscanf(line, "suspend %s", &id); k == 1 {
-		if _, runs := c.runningUntil[id]; runs {
-			delete(c.runningUntil, id)
-			c.finish(id, "KILLED")
+	var size int
+	switch {
+	case scanned(line, "spawn %s %s %d", &id, &class, &size):
+		body := make([]byte, size+len("\r\n"))
+		_, err := io.ReadFull(f.poolIn, body)
+		require.NoError(f.t, err)
+		f.runsByBody[string(body[:size])]++
+		f.queuedRuns = append(f.queuedRuns, id)
+	case scanned(line, "suspend %s", &id):
+		if _, running := f.runningUntil[id]; running {
+			delete(f.runningUntil, id)
+			f.finish(id, "KILLED")
 		}
-	} else if k, _ := fmt.Sscanf(line, "bind %d", &n); k == 1 {
-		_, err := c.pool.Write([]byte("bound LOADED 0\r\n"))
-		require.NoError(c.t, err)
-	} else if k, _ := fmt.Sscanf(line, "poll %s", &tag); k == 1 {
+	case scanned(line, "bind %d", &size):
+		_, err := f.pool.Write([]byte("bound LOADED 0\r\n"))
+		require.NoError(f.t, err)
+	case scanned(line, "poll %s", &tag):
 		return tag
 	}
 	return ""
 }
 
-func (c *overloadFixture) finish(id, end string) {
-	c.noticeCount++
-	c.pendingNotices = fmt.Appendf(c.pendingNotices, "finished %d %s %s 100 2\r\nok\r\n", c.noticeCount, id, end)
+// finish has the pool notify of a run's end.
+func (f *overloadFixture) finish(id, outcome string) {
+	f.noticeCount++
+	f.pendingNotices = fmt.Appendf(f.pendingNotices, "finished %d %s %s 100 2\r\nok\r\n", f.noticeCount, id, outcome)
 }
 
-// runPool lets the pool do what has been asked of it by now, and waits until the program has read its notices.
-func (c *overloadFixture) runPool() {
-	c.polls++
-	mark := fmt.Sprintf("mark%d", c.polls)
-	c.onLoop(func() { c.srv.backends.pool.PollTagged(mark) })
-	for c.readCommand() != mark {
+// runPool lets the pool do what it has been sent by now, and waits until the server has read its notices.
+func (f *overloadFixture) runPool() {
+	f.t.Helper()
+	f.polls++
+	tag := fmt.Sprintf("mark%d", f.polls)
+	f.onLoop(func() { f.srv.backends.pool.PollTagged(tag) })
+	for f.readCommand() != tag {
 	}
-	for _, id := range slices.Sorted(maps.Keys(c.runningUntil)) {
-		if c.clock.Now() >= c.runningUntil[id] {
-			delete(c.runningUntil, id)
-			c.finish(id, "PASS")
+	for _, id := range slices.Sorted(maps.Keys(f.runningUntil)) {
+		if f.clock.Now() >= f.runningUntil[id] {
+			delete(f.runningUntil, id)
+			f.finish(id, "PASS")
 		}
 	}
-	for len(c.queuedRuns) > 0 && len(c.runningUntil) < poolCores {
-		c.runningUntil[c.queuedRuns[0]] = c.clock.Now() + poolWork
-		c.queuedRuns = c.queuedRuns[1:]
+	for len(f.queuedRuns) > 0 && len(f.runningUntil) < poolCores {
+		f.runningUntil[f.queuedRuns[0]] = f.clock.Now() + poolRunTime
+		f.queuedRuns = f.queuedRuns[1:]
 	}
-	busy := len(c.runningUntil) + len(c.queuedRuns)
-	c.pendingNotices = fmt.Appendf(c.pendingNotices, "polled %s %.2f %d 0.1 4\r\n", mark, float64(len(c.runningUntil))/poolCores, busy)
-	c.finish("mark", "PASS")                 // of no run: shows that all before it has been read
-	_, err := c.pool.Write(c.pendingNotices) // at once, so that they are read in one turn
-	require.NoError(c.t, err)
-	c.pendingNotices = c.pendingNotices[:0]
-	c.await(func() bool { return c.srv.backends.pool.Status().Notice == c.noticeCount })
+	busy := float64(len(f.runningUntil)) / poolCores
+	runnable := len(f.runningUntil) + len(f.queuedRuns)
+	f.pendingNotices = fmt.Appendf(f.pendingNotices, "polled %s %.2f %d 0.1 4\r\n", tag, busy, runnable)
+	f.finish("mark", "PASS")                 // Of no run: shows that everything before it has been read.
+	_, err := f.pool.Write(f.pendingNotices) // All at once, so that they are read in one turn.
+	require.NoError(f.t, err)
+	f.pendingNotices = f.pendingNotices[:0]
+	f.await(func() bool { return f.srv.backends.pool.Status().Notice == f.noticeCount })
 }
 
-func (c *overloadFixture) readThrift() {
+// readThrift reads the replies to the Thrift client until its connection ends.
+func (f *overloadFixture) readThrift() {
 	for {
-		payload, err := c.thriftClient.next()
+		payload, err := f.thriftClient.next()
 		if err != nil {
 			return
 		}
 		if name := string(payload[8:min(15, len(payload))]); name == "process" {
 			status := map[byte]int{0: 200, 1: 503, 2: 502}[payload[21]]
-			c.responses <- clientResponse{"thrift", int(binary.BigEndian.Uint32(payload[15:])), status}
+			f.responses <- clientResponse{"thrift", int(binary.BigEndian.Uint32(payload[15:])), status}
 		}
 	}
 }
 
-// readAJP reads the answer to request id.
-func (c *overloadFixture) readAJP(p *clientConn, id int) {
+// readAJP reads the response to a request.
+func (f *overloadFixture) readAJP(client *clientConn, id int) {
+	isRetryAfter := func(header ajp.Header) bool { return header.Name == "Retry-After" }
 	status := 0
 	for {
-		payload, err := p.next()
+		payload, err := client.next()
 		if err != nil {
 			return
 		}
-		switch r, err := ajp.ParseResponse(payload); {
+		response, err := ajp.ParseResponse(payload)
+		switch {
 		case err != nil:
-			c.t.Errorf("AJP: %v", err)
+			f.t.Errorf("AJP: %v", err)
 			return
-		case r.Code == ajp.CodeSendHeaders:
-			status = r.Status
-			if wait := slices.ContainsFunc(r.Headers, func(h ajp.Header) bool { return h.Name == "Retry-After" }); wait != (status == 503) {
-				c.t.Errorf("AJP: status %d with Retry-After %v", status, wait)
+		case response.Code == ajp.CodeSendHeaders:
+			status = response.Status
+			if retryAfter := slices.ContainsFunc(response.Headers, isRetryAfter); retryAfter != (status == 503) {
+				f.t.Errorf("AJP: status %d with Retry-After %v", status, retryAfter)
 			}
-		case r.Code == ajp.CodeEndResponse:
-			c.idleAJP <- p
-			c.responses <- clientResponse{"ajp", id, status}
+		case response.Code == ajp.CodeEndResponse:
+			f.idleAJP <- client
+			f.responses <- clientResponse{"ajp", id, status}
 			return
 		}
 	}
 }
 
-// submit sends a request by one of the protocols and waits until the core has it.
-func (c *overloadFixture) submit(front, class, once, body string) {
-	c.submitted++
-	id := fmt.Sprintf("%016x", c.submitted)
-	if front == "thrift" {
-		c.thriftClient.write(thrift.AppendCall(nil, int32(c.submitted), []thrift.Field{{Name: "class", Value: class}, {Name: "id", Value: id},
-			{Name: "at", Value: strconv.FormatInt(c.clock.UnixMilli(c.clock.Now()), 10)}, {Name: "from", Value: "1"},
-			{Name: "tenant", Value: "hill-estate"}, {Name: "kb", Value: "32"}, {Name: "rank", Value: "0.5"}, {Name: "once", Value: once}}, []byte(body)))
+// submit sends a request by one of the protocols, and waits until the core has it.
+func (f *overloadFixture) submit(protocol, class, idempotencyKey, body string) {
+	f.t.Helper()
+	f.submitted++
+	id := fmt.Sprintf("%016x", f.submitted)
+	if protocol == "thrift" {
+		f.submitThrift(class, id, idempotencyKey, body)
 	} else {
-		var p *clientConn
-		select {
-		case p = <-c.idleAJP:
-		default:
-			p = dial(c.t, c.loop.Addr(1).String(), splitAJP)
-		}
-		out := ajp.AppendForwardRequest(nil, ajp.Request{Method: "POST", URI: "/" + class, Headers: []ajp.Header{
-			{Name: "content-length", Value: strconv.Itoa(len(body))}, {Name: "X-Relay-Id", Value: id}, {Name: "X-Relay-From", Value: "1"},
-			{Name: "X-Relay-Tenant", Value: "hill-estate"}, {Name: "X-Relay-Rank", Value: "0.5"}, {Name: "X-Relay-Once", Value: once}}})
-		out, _ = ajp.AppendBodyChunk(out, []byte(body))
-		p.write(out)
-		go c.readAJP(p, c.submitted)
+		f.submitAJP(class, id, idempotencyKey, body)
+	}
+	f.await(func() bool { return f.srv.clients.submitted == f.submitted })
+}
+
+func (f *overloadFixture) submitThrift(class, id, idempotencyKey, body string) {
+	f.t.Helper()
+	fields := thriftFields(
+		thrift.Field{Name: "class", Value: class},
+		thrift.Field{Name: "id", Value: id},
+		thrift.Field{Name: "at", Value: strconv.FormatInt(f.clock.UnixMilli(f.clock.Now()), 10)},
+		thrift.Field{Name: "from", Value: "1"},
+		thrift.Field{Name: "kb", Value: "32"},
+		thrift.Field{Name: "rank", Value: "0.5"},
+		thrift.Field{Name: "once", Value: idempotencyKey})
+	f.thriftClient.write(thrift.AppendCall(nil, int32(f.submitted), fields, []byte(body)))
+}
+
+func (f *overloadFixture) submitAJP(class, id, idempotencyKey, body string) {
+	f.t.Helper()
+	var client *clientConn
+	select {
+	case client = <-f.idleAJP:
+	default:
+		client = dial(f.t, f.loop.Addr(AJPListener).String(), splitAJP)
 	}
-	c.await(func() bool { return c.srv.clients.submitted == c.submitted })
+	out := ajp.AppendForwardRequest(nil, ajp.Request{Method: "POST", URI: "/" + class, Headers: []ajp.Header{
+		{Name: "content-length", Value: strconv.Itoa(len(body))},
+		{Name: "X-Relay-Id", Value: id},
+		{Name: "X-Relay-From", Value: "1"},
+		{Name: "X-Relay-Tenant", Value: "hill-estate"},
+		{Name: "X-Relay-Rank", Value: "0.5"},
+		{Name: "X-Relay-Once", Value: idempotencyKey},
+	}})
+	out, _ = ajp.AppendBodyChunk(out, []byte(body))
+	client.write(out)
+	go f.readAJP(client, f.submitted)
+}
+
+// openRequests counts the requests that the server has not answered.
+func (f *overloadFixture) openRequests() (open int) {
+	f.t.Helper()
+	f.onLoop(func() { open = f.srv.core.OpenRequests() })
+	return open
 }
 
 // playOverload plays half a minute of four times what the pool can do, both protocols mixed; it returns how many
-// answers each got, by status. Intakes come once or twice, the second time at once and by the other protocol.
+// responses each got, by status. Keyed requests come once or twice, the second time at once and by the other protocol.
 func playOverload(t *testing.T, exchanged bool) map[string]map[int]int {
-	c := newOverloadFixture(t)
+	t.Helper()
+	fixture := newOverloadFixture(t)
 	rng := rand.New(rand.NewPCG(1, 2))
-	for i := 0; i < 1250 || c.openRequests() > 0; i++ {
-		c.clock.now.Add(int64(20 * microtime.Millisecond))
-		c.onLoop(func() {})
-		c.runPool()
+	for i := 0; i < 1250 || fixture.openRequests() > 0; i++ {
+		fixture.clock.now.Add(int64(20 * microtime.Millisecond))
+		fixture.onLoop(func() {})
+		fixture.runPool()
 		if i%5 == 0 && i < 1000 {
-			fronts, one, two := []string{"thrift", "ajp"}, fmt.Sprintf("a%d", i), fmt.Sprintf("b%d", i)
-			if exchanged != (rng.IntN(2) == 1) {
-				slices.Reverse(fronts)
-			}
-			c.submit(fronts[0], "block-view", "", one)
-			c.submit(fronts[1], "block-view", "", two)
-			if rng.IntN(2) == 0 {
-				c.submit(fronts[0], "lot-intake", one, "intake"+one)
-				if rng.IntN(2) == 0 {
-					c.submit(fronts[1], "lot-intake", one, "intake"+one)
-				}
-			}
+			fixture.submitMix(i, exchanged, rng)
 		}
-		c.runPool()
+		fixture.runPool()
 	}
-	count, seen := map[string]map[int]int{"thrift": {}, "ajp": {}}, map[int]bool{}
-	for range c.submitted { // one that never comes hangs here
-		a := <-c.responses
-		require.False(t, seen[a.id], "two answers to request %d", a.id)
-		seen[a.id] = true
-		count[a.protocol][a.status]++
+	counts, seen := map[string]map[int]int{"thrift": {}, "ajp": {}}, map[int]bool{}
+	for range fixture.submitted { // A response that never comes hangs here.
+		response := <-fixture.responses
+		require.False(t, seen[response.id], "two responses to request %d", response.id)
+		seen[response.id] = true
+		counts[response.protocol][response.status]++
 	}
-	for body, n := range c.runsByBody {
-		require.Equal(t, 1, n, "%s ran more than once", body)
+	for body, runs := range fixture.runsByBody {
+		require.Equal(t, 1, runs, "%s ran more than once", body)
 	}
-	return count
+	return counts
 }
 
-func (c *overloadFixture) openRequests() (n int) {
-	c.onLoop(func() { n = c.srv.core.OpenRequests() })
-	return n
+// submitMix submits the requests of one step.
+func (f *overloadFixture) submitMix(step int, exchanged bool, rng *rand.Rand) {
+	f.t.Helper()
+	protocols := []string{"thrift", "ajp"}
+	one, two := fmt.Sprintf("a%d", step), fmt.Sprintf("b%d", step)
+	if exchanged != (rng.IntN(2) == 1) {
+		slices.Reverse(protocols)
+	}
+	f.submit(protocols[0], "block-view", "", one)
+	f.submit(protocols[1], "block-view", "", two)
+	if rng.IntN(2) == 0 {
+		f.submit(protocols[0], "lot-intake", one, "intake"+one)
+		if rng.IntN(2) == 0 {
+			f.submit(protocols[1], "lot-intake", one, "intake"+one)
+		}
+	}
 }
 
-// Guards what both fronts promise, the same treatment: under overload, requests by both protocols are mixed,
-// and then once more with the protocols exchanged. What befell the one must then befall the other, to the last
-// answer; each request is answered once, and no intake runs twice.
+// Both frontends treat requests alike. Under overload, requests by both protocols are mixed, and then once more with
+// the protocols exchanged: what happened to the one must then happen to the other, to the last response. Each request
+// is answered once, and no keyed request runs twice.
 func TestOverloadTreatsFrontendsAlike(t *testing.T) {
 	one, other := playOverload(t, false), playOverload(t, true)
 	t.Logf("thrift %v, ajp %v; exchanged: thrift %v, ajp %v", one["thrift"], one["ajp"], other["thrift"], other["ajp"])
 	require.Equal(t, one["thrift"], other["ajp"])
 	require.Equal(t, one["ajp"], other["thrift"])
-	for front, c := range one {
-		require.Positive(t, c[200], front)
-		require.Positive(t, c[503], "%s: no overload", front)
+	for protocol, counts := range one {
+		require.Positive(t, counts[200], protocol)
+		require.Positive(t, counts[503], "%s: no overload", protocol)
 	}
 }
--- a/internal/server/pool_fixture_test.go
+++ b/internal/server/pool_fixture_test.go
@@ -1,6 +1,7 @@
 package server
 
 import (
+	"fmt"
 	"strconv"
 	"testing"
 
@@ -11,74 +12,109 @@
 	"pewterline/internal/protocol/thrift"
 )
 
-// poolFixture is a server with one caller, and a worker pool that the test plays.
+// The attempt IDs of requests in the tests of the pool's link.
+const (
+	keyedID = "00000000000000a1"
+	safeID  = "00000000000000b2"
+)
+
+// poolFixture is a server with one client, and a worker pool that the test plays.
 type poolFixture struct {
 	*loopFixture
-	caller, pool *fakeConn
-	poolLinks    int
-	seq          int32
+	client    *fakeConn
+	pool      *fakeConn
+	poolLinks int
+	sequence  int32 // Of the client's last request.
 }
 
 func newPoolFixture(t *testing.T) *poolFixture {
-	l := &poolFixture{loopFixture: newLoopFixture(t, config.AJP{})}
-	l.caller = l.loopFixture.connect("c1", 0)
-	l.connectPool("bound LOADED 0\r\n")
-	return l
+	t.Helper()
+	f := &poolFixture{loopFixture: newLoopFixture(t, config.AJP{})}
+	f.connectClient("c1")
+	f.connectPool("bound LOADED 0\r\n")
+	return f
 }
 
-// connectPool opens the next link to the pool, which tells what was missed on it; it returns what the server then sends.
-func (l *poolFixture) connectPool(missed string) string {
-	l.poolLinks++
-	l.pool = l.loopFixture.connect("pool", -1)
-	l.turn()
-	l.poolSends(missed)
-	return l.poolSends("polled sync" + strconv.Itoa(l.poolLinks) + " 0 0 0 0\r\n")
+// connectClient opens a connection of a client's, on which requests come from then on.
+func (f *poolFixture) connectClient(name string) {
+	f.t.Helper()
+	f.client, f.sequence = f.connect(name, ThriftListener), 0
 }
 
-// poolSends has the pool say something; it returns what the server sends it in that turn.
-func (l *poolFixture) poolSends(text string) string {
-	l.pool.out = nil
-	l.deliver(l.pool, []byte(text))
-	l.turn()
-	return string(l.pool.out)
+// openPoolLink opens the next link to the pool, on which nothing has come yet.
+func (f *poolFixture) openPoolLink() {
+	f.t.Helper()
+	f.poolLinks++
+	f.pool = f.connect("pool", nextDialed)
+	f.turn()
 }
 
-// submit sends a request under an id; it returns what the server sends to the pool.
-func (l *poolFixture) submit(id, class, once string) string {
-	l.seq++
-	l.pool.out = nil
-	at := strconv.FormatInt(int64(l.now/microtime.Millisecond), 10)
-	l.deliver(l.caller, thrift.AppendCall(nil, l.seq, []thrift.Field{{Name: "class", Value: class}, {Name: "id", Value: id}, {Name: "at", Value: at},
-		{Name: "from", Value: "4"}, {Name: "tenant", Value: "hill-estate"}, {Name: "kb", Value: "9"}, {Name: "rank", Value: "0.1"},
-		{Name: "once", Value: once}}, []byte("b")))
-	l.turn()
-	return string(l.pool.out)
+// connectPool opens the next link to the pool, which sends what was missed on it; it returns what the server then
+// sends.
+func (f *poolFixture) connectPool(missed string) string {
+	f.t.Helper()
+	f.openPoolLink()
+	f.poolSends(missed)
+	return f.poolSends("polled sync" + strconv.Itoa(f.poolLinks) + " 0 0 0 0\r\n")
+}
+
+// poolSends has the pool send something; it returns what the server sends it in that turn.
+func (f *poolFixture) poolSends(text string) string {
+	f.pool.out = nil
+	f.deliver(f.pool, []byte(text))
+	f.turn()
+	return string(f.pool.out)
 }
 
 // breakPoolLink has the link break.
-func (l *poolFixture) breakPoolLink() {
-	l.pool.closed = true
-	l.turn()
+func (f *poolFixture) breakPoolLink() {
+	f.pool.closed = true
+	f.turn()
+}
+
+// submit sends a request with an attempt ID; it returns what the server sends to the pool in that turn.
+func (f *poolFixture) submit(id, class, idempotencyKey string) string {
+	f.sequence++
+	f.pool.out = nil
+	fields := thriftFields(
+		thrift.Field{Name: "class", Value: class},
+		thrift.Field{Name: "id", Value: id},
+		thrift.Field{Name: "at", Value: strconv.FormatInt(int64(f.now/microtime.Millisecond), 10)},
+		thrift.Field{Name: "once", Value: idempotencyKey})
+	f.deliver(f.client, thrift.AppendCall(nil, f.sequence, fields, []byte("b")))
+	f.turn()
+	return string(f.pool.out)
 }
 
-// replyKinds are the kinds of answer that the caller has got since the last time, by number.
-func (l *poolFixture) replyKinds() map[int32]thrift.ReplyKind {
-	out := map[int32]thrift.ReplyKind{}
-	for in := l.caller.out; len(in) > 0; {
+// replyKinds are the kinds of the replies that the client has received since the last time, by sequence number.
+func (f *poolFixture) replyKinds() map[int32]thrift.ReplyKind {
+	f.t.Helper()
+	kinds := map[int32]thrift.ReplyKind{}
+	for in := f.client.out; len(in) > 0; {
 		payload, n, err := thrift.SplitFrame(in)
-		require.NoError(l.t, err)
-		p, err := thrift.DecodeReply(payload)
-		require.NoError(l.t, err)
-		if p.Kind != thrift.ReplyFarewell {
-			out[p.SequenceID] = p.Kind
+		require.NoError(f.t, err)
+		reply, err := thrift.DecodeReply(payload)
+		require.NoError(f.t, err)
+		if reply.Kind != thrift.ReplyFarewell {
+			kinds[reply.SequenceID] = reply.Kind
 		}
 		in = in[n:]
 	}
-	l.caller.out = nil
-	return out
+	f.client.out = nil
+	return kinds
 }
 
-const (
-	intakeID = "00000000000000a1"
-	viewID   = "00000000000000b2"
-)
+// finishedNotice is the pool's notice that a run has ended well.
+func finishedNotice(number int, id, result string) string {
+	return fmt.Sprintf("finished %d %s PASS 8 %d\r\n%s\r\n", number, id, len(result), result)
+}
+
+// requireReplies requires that the client has received replies of one kind, to its first requests in any order.
+func (f *poolFixture) requireReplies(kind thrift.ReplyKind, count int32) {
+	f.t.Helper()
+	want := map[int32]thrift.ReplyKind{}
+	for sequence := range count {
+		want[sequence+1] = kind
+	}
+	require.Equal(f.t, want, f.replyKinds())
+}
--- a/internal/server/pool_move_test.go
+++ b/internal/server/pool_move_test.go
@@ -15,141 +15,154 @@
 	"pewterline/internal/microtime"
 )
 
-// Guards requests that run once, without a key to tell: one whose command went out on a link that broke is not sent again on the
-// next, as the pool would run it anew if it has ended since. Its notice comes if it arrived. A safe one is sent again.
+// A request that may run once and has no idempotency key is not sent again on the next link when its command went out
+// on one that broke: the pool would run it anew if it has ended since. Its notice comes if it arrived. A safe request
+// is sent again.
 func TestNonIdempotentRunIsNotResent(t *testing.T) {
-	h := newSocketFixture(t, func(cfg *config.Config) {
-		for i, c := range cfg.Settings.Classes {
-			if c.Name == "lot-update" {
+	fixture := newSocketFixture(t, func(cfg *config.Config) {
+		for i, class := range cfg.Settings.Classes {
+			if class.Name == "lot-update" {
 				cfg.Settings.Classes[i].Idempotency = control.NonIdempotent
 			}
 		}
 	})
-	p := h.servedProxy() // a request of that class, and notice 1
-	single := h.submit(p, "lot-update", "")
-	require.Equal(t, single, <-h.pool.started)
-	safe := h.submit(p, "block-view", "")
-	require.Equal(t, safe, <-h.pool.started)
-	h.pool.mutex.Lock()
-	require.NoError(t, h.pool.conn.Close())
-	h.pool.mutex.Unlock()
-	require.Equal(t, safe, <-h.pool.started, "sent again on the next link, in the order of the first")
-	h.pool.finish(single, "ran once")
-	require.Equal(t, "ran once", string(nextReply(p).Body))
-	require.Empty(t, h.pool.started)
-	h.loop.Stop()
-	h.requireEnd()
+	proxy := fixture.servedProxy() // By a request of that class, with notice 1.
+	once := fixture.submit(proxy, "lot-update", "")
+	require.Equal(t, once, <-fixture.pool.started)
+	safe := fixture.submit(proxy, "block-view", "")
+	require.Equal(t, safe, <-fixture.pool.started)
+	require.NoError(t, fixture.pool.breakLink())
+	require.Equal(t, safe, <-fixture.pool.started, "sent again on the next link, in the order of the first")
+	fixture.pool.finish(once, "ran once")
+	require.Equal(t, "ran once", string(nextReply(proxy).Body))
+	require.Empty(t, fixture.pool.started)
+	fixture.stop()
 }
 
-// secondPool is a second address for the pool, to which the configuration has moved it; the test plays it.
+// secondPool is the pool at a second address, to which a reload has moved it; the test plays it.
 type secondPool struct {
-	t    *testing.T
-	ln   net.Listener
-	conn net.Conn
-	in   *bufio.Reader
+	t        *testing.T
+	listener net.Listener
+	conn     net.Conn
+	in       *bufio.Reader
 }
 
-// acceptLink takes up the next link and reads what the server says first.
-func (m *secondPool) acceptLink(bind string) {
+// movePool moves the pool to a second address by a reload.
+func (f *socketFixture) movePool() *secondPool {
+	f.t.Helper()
+	listener := listen(f.t)
+	f.onLoop(func() {
+		next := f.srv.cfg
+		next.PoolAddress = listener.Addr().String()
+		require.NoError(f.t, f.srv.Reload(next))
+	})
+	return &secondPool{t: f.t, listener: listener}
+}
+
+// acceptLink accepts the next link and reads what the server says first.
+func (s *secondPool) acceptLink(bind string) {
+	s.t.Helper()
 	var err error
-	m.conn, err = m.ln.Accept()
-	require.NoError(m.t, err)
-	m.t.Cleanup(func() { m.conn.Close() })
-	m.in = bufio.NewReader(m.conn)
-	m.expect(bind)
+	s.conn, err = s.listener.Accept()
+	require.NoError(s.t, err)
+	closeAtEnd(s.t, s.conn)
+	s.in = bufio.NewReader(s.conn)
+	s.expect(bind)
 }
 
-func (m *secondPool) expect(want string) {
-	line, err := m.in.ReadString('\n')
-	require.NoError(m.t, err)
-	require.Equal(m.t, want+"\r\n", line)
+// expect requires that the next line is as wanted.
+func (s *secondPool) expect(want string) {
+	s.t.Helper()
+	line, err := s.in.ReadString('\n')
+	require.NoError(s.t, err)
+	require.Equal(s.t, want+"\r\n", line)
 }
 
-func (m *secondPool) send(format string, args ...any) {
-	_, err := fmt.Fprintf(m.conn, format, args...)
-	require.NoError(m.t, err)
+func (s *secondPool) send(format string, args ...any) {
+	s.t.Helper()
+	_, err := fmt.Fprintf(s.conn, format, args...)
+	require.NoError(s.t, err)
 }
 
-// runOneRequest answers the polls until a request comes, which it ends.
-func (m *secondPool) runOneRequest(h *socketFixture, p *clientConn, notice int, result string) {
-	id := h.submit(p, "lot-update", "")
+// runOneRequest answers the polls until a request comes, and runs that.
+func (s *secondPool) runOneRequest(fixture *socketFixture, proxy *clientConn, notice int, result string) {
+	s.t.Helper()
+	id := fixture.submit(proxy, "lot-update", "")
 	for {
-		line, err := m.in.ReadString('\n')
-		require.NoError(m.t, err)
+		line, err := s.in.ReadString('\n')
+		require.NoError(s.t, err)
 		if strings.HasPrefix(line, "spawn "+id) {
 			break
 		}
 	}
-	m.send("finished %d %s PASS 5 %d\r\n%s\r\n", notice, id, len(result), result)
-	require.Equal(m.t, result, string(nextReply(p).Body))
+	s.send("finished %d %s PASS 5 %d\r\n%s\r\n", notice, id, len(result), result)
+	require.Equal(s.t, result, string(nextReply(proxy).Body))
 }
 
-// Guards the runs against a configuration that moves the pool to an address at which somebody listens and says nothing: the link in
-// use serves on until the new one is bound, and the new one from then on. What the first told meanwhile is told again.
+// A reload moves the pool to an address at which somebody listens and says nothing: the link in use serves on until the
+// new one is bound, and the new one from then on. What the first pool sent meanwhile is sent again.
 func TestPoolMovesOnceBound(t *testing.T) {
-	h := newSocketFixture(t, nil)
-	p := h.servedProxy() // notice 1
-	m := h.movePool()
-	m.acceptLink("bind 1")
-	id := h.runOnFirstPool(p, "on the first") // and silence on the second
-	m.send("bound LOADED 0\r\nfinished 2 %s PASS 5 12\r\non the first\r\n", id)
-	m.expect("poll sync2")
-	m.send("polled sync2 0.1 0 0.1 1\r\n")
-	m.runOneRequest(h, p, 3, "on the second")
-	require.Empty(t, h.pool.started)
-	h.loop.Stop()
-	h.requireEnd()
+	fixture := newSocketFixture(t, nil)
+	proxy := fixture.servedProxy() // Notice 1.
+	second := fixture.movePool()
+	second.acceptLink("bind 1")
+	id := fixture.runOnFirstPool(proxy, "on the first") // The second is silent.
+	second.send("bound LOADED 0\r\nfinished 2 %s PASS 5 12\r\non the first\r\n", id)
+	second.expect("poll sync2")
+	second.send("polled sync2 0.1 0 0.1 1\r\n")
+	second.runOneRequest(fixture, proxy, 3, "on the second")
+	require.Empty(t, fixture.pool.started)
+	fixture.stop()
 }
 
-// Guards the pool's link while it moves: a new one that breaks before it is bound is dialled again, and the one in use serves on; where
-// that one breaks, as it does when the pool takes the new one in its place, the new one is all there is and nothing is dialled.
+// While the pool moves, a new link that breaks before it is bound is dialled again, and the one in use serves on. Where
+// the one in use breaks, as it does when the pool takes the new one in its place, the new one is the only link, and
+// nothing is dialled.
 func TestPoolLinkBreaksWhileMoving(t *testing.T) {
-	h := newSocketFixture(t, nil)
-	p := h.servedProxy()
-	m := h.movePool()
-	m.acceptLink("bind 1")
-	require.NoError(t, m.conn.Close())
-	m.acceptLink("bind 1")
-	h.runOnFirstPool(p, "on the first")
-	h.pool.mutex.Lock()
-	require.NoError(t, h.pool.conn.Close())
-	h.pool.mutex.Unlock()
-	for lost := false; !lost; {
-		h.onLoop(func() {
-			if lost = !h.srv.backends.pool.Status().Migrating; lost {
-				require.False(t, h.srv.backends.pool.Status().Dialling, "a link is dialled though one waits to be bound")
+	fixture := newSocketFixture(t, nil)
+	proxy := fixture.servedProxy()
+	second := fixture.movePool()
+	second.acceptLink("bind 1")
+	require.NoError(t, second.conn.Close())
+	second.acceptLink("bind 1")
+	fixture.runOnFirstPool(proxy, "on the first")
+	require.NoError(t, fixture.pool.breakLink())
+	for migrating := true; migrating; {
+		fixture.onLoop(func() {
+			status := fixture.srv.backends.pool.Status()
+			migrating = status.Migrating
+			if !migrating {
+				require.False(t, status.Dialling, "a link is dialled though one waits to be bound")
 			}
 		})
 	}
-	m.send("bound LOADED 0\r\n")
-	m.expect("poll sync2")
-	m.send("polled sync2 0.1 0 0.1 1\r\n")
-	m.runOneRequest(h, p, 3, "on the second")
-	h.loop.Stop()
-	h.requireEnd()
+	second.send("bound LOADED 0\r\n")
+	second.expect("poll sync2")
+	second.send("polled sync2 0.1 0 0.1 1\r\n")
+	second.runOneRequest(fixture, proxy, 3, "on the second")
+	fixture.stop()
 }
 
-// Guards the once-only rule where a window is shorter than a run: a repeat that comes behind the window, while the run goes on, waits
-// for it.
+// Where a retention window is shorter than a run, a retry that comes after the window, while the run goes on, waits for
+// it.
 func TestRetryPastRetentionWaitsForRun(t *testing.T) {
-	h := newSocketFixture(t, func(cfg *config.Config) {
-		for i, c := range cfg.Settings.Classes {
-			if c.Name == "lot-intake" {
+	fixture := newSocketFixture(t, func(cfg *config.Config) {
+		for i, class := range cfg.Settings.Classes {
+			if class.Name == "lot-intake" {
 				cfg.Settings.Classes[i].RetentionWindow = 500 * time.Millisecond
 			}
 		}
 	})
-	p := h.servedProxy()
-	id := h.submit(p, "lot-intake", "k1")
-	require.Equal(t, id, <-h.pool.started)
-	h.advanceClock(2 * microtime.Second)
-	h.submit(p, "lot-intake", "k1")
-	safe := h.submit(p, "lot-update", "") // read behind the repeat
-	require.Equal(t, safe, <-h.pool.started)
-	h.pool.finish(id, "once")
-	require.Equal(t, "once", string(nextReply(p).Body))
-	require.Equal(t, "once", string(nextReply(p).Body))
-	require.Empty(t, h.pool.started)
-	h.loop.Stop()
-	h.requireEnd()
+	proxy := fixture.servedProxy()
+	id := fixture.submit(proxy, "lot-intake", "k1")
+	require.Equal(t, id, <-fixture.pool.started)
+	fixture.advanceClock(2 * microtime.Second)
+	fixture.submit(proxy, "lot-intake", "k1")
+	safe := fixture.submit(proxy, "lot-update", "") // Read after the retry.
+	require.Equal(t, safe, <-fixture.pool.started)
+	fixture.pool.finish(id, "once")
+	require.Equal(t, "once", string(nextReply(proxy).Body))
+	require.Equal(t, "once", string(nextReply(proxy).Body))
+	require.Empty(t, fixture.pool.started)
+	fixture.stop()
 }
--- a/internal/server/reload_test.go
+++ b/internal/server/reload_test.go
@@ -16,140 +16,152 @@
 	"pewterline/internal/settings"
 )
 
-// configWith is the stage's configuration with other settings.
-func (s *loopFixture) configWith(change func(string) string) config.Config {
-	cfg := s.srv.cfg
+// configWith is the server's configuration with the fixture's settings changed.
+func (f *loopFixture) configWith(change func(string) string) config.Config {
+	f.t.Helper()
+	cfg := f.srv.cfg
 	text := change(settingsJSON)
 	var err error
 	cfg.Settings, cfg.Gauges, err = settings.Parse([]byte(text), 7)
-	require.NoError(s.t, err)
-	var set any
-	require.NoError(s.t, json.Unmarshal([]byte(text), &set))
-	cfg.Document = map[string]any{"settings": set}
+	require.NoError(f.t, err)
+	var document any
+	require.NoError(f.t, json.Unmarshal([]byte(text), &document))
+	cfg.Document = map[string]any{"settings": document}
 	return cfg
 }
 
+// grapeClass is a class that the fixture's settings do not have.
 const grapeClass = `{"name": "grape-count", "aim_ms": 900, "hard_limit_ms": 2000, "worth": 3, "effect": "free"},`
 
 func withGrape(text string) string {
 	return strings.Replace(text, `{"classes": [`, `{"classes": [`+grapeClass, 1)
 }
 
-// unchanged says "settings as the stage began".
+// unchanged has the settings as the fixture began with them.
 func unchanged(text string) string { return text }
 
-func without(name string) func(string) string {
+func without(class string) func(string) string {
 	return func(text string) string {
-		i := strings.Index(text, `{"name": "`+name)
-		j := i + strings.Index(text[i:], "}") + 1
-		return text[:i] + strings.TrimPrefix(strings.TrimPrefix(text[j:], ","), "\n ")
+		start := strings.Index(text, `{"name": "`+class)
+		end := start + strings.Index(text[start:], "}") + 1
+		return text[:start] + strings.TrimPrefix(strings.TrimPrefix(text[end:], ","), "\n ")
 	}
 }
 
-// Guards a change of settings while serving: a new class is served at once, what is open when its class goes keeps it and is
-// answered, an intake that ran is found by a repeat of the class that is gone, and that class is unknown once its time is over.
+// Settings change while the server serves. A new class is served at once. Requests that are open when their class is
+// retired keep it and are answered; a retry of one finds its result, until the class's acceptance is over.
 func TestReloadSettings(t *testing.T) {
-	l := newPoolFixture(t)
-	l.submit("00000000000000a1", "lot-intake", "k1")
-	l.poolSends("finished 1 00000000000000a1 PASS 5 3\r\nlot\r\n")
-	require.Contains(t, l.submit("00000000000000a2", "lot-update", ""), "spawn 00000000000000a2 lot-update")
-	require.Contains(t, l.submit("00000000000000a3", "lot-intake", "k2"), "spawn")
-	l.caller.out = nil
+	fixture := newPoolFixture(t)
+	fixture.submit("00000000000000a1", "lot-intake", "k1")
+	fixture.poolSends(finishedNotice(1, "00000000000000a1", "lot"))
+	require.Contains(t, fixture.submit("00000000000000a2", "lot-update", ""), "spawn 00000000000000a2 lot-update")
+	require.Contains(t, fixture.submit("00000000000000a3", "lot-intake", "k2"), "spawn")
+	fixture.client.out = nil
 
-	first := func(text string) string { // sorted anew, one class gone, one come, one changed
+	first := func(text string) string { // In another order: one class is retired, one is new and one has changed.
 		text = without("lot-intake")(withGrape(text))
 		text = strings.Replace(text, `"worth": 1, "effect": "free"},
  ],`, `"worth": 1, "effect": "free"}],`, 1)
-		return strings.Replace(text, `"lot-update", "aim_ms": 1800, "hard_limit_ms": 4500`, `"lot-update", "aim_ms": 700, "hard_limit_ms": 1500`, 1)
+		return strings.Replace(text, `"lot-update", "aim_ms": 1800, "hard_limit_ms": 4500`,
+			`"lot-update", "aim_ms": 700, "hard_limit_ms": 1500`, 1)
 	}
-	require.NoError(t, l.srv.Reload(l.configWith(first)))
-	l.submit("00000000000000a4", "grape-count", "") // waits: two cores are busy
-	require.Contains(t, l.poolSends("finished 2 00000000000000a3 PASS 5 4\r\nlot2\r\n"), "spawn 00000000000000a4 grape-count")
-	l.poolSends("finished 3 00000000000000a4 PASS 5 5\r\ngrape\r\n")
-	require.Contains(t, string(l.caller.out), "lot2")
-	require.Contains(t, string(l.caller.out), "grape")
+	require.NoError(t, fixture.srv.Reload(fixture.configWith(first)))
+	fixture.submit("00000000000000a4", "grape-count", "") // Waits: both cores are busy.
+	sent := fixture.poolSends(finishedNotice(2, "00000000000000a3", "lot2"))
+	require.Contains(t, sent, "spawn 00000000000000a4 grape-count")
+	fixture.poolSends(finishedNotice(3, "00000000000000a4", "grape"))
+	require.Contains(t, string(fixture.client.out), "lot2")
+	require.Contains(t, string(fixture.client.out), "grape")
 
 	// What was open keeps its class and its deadline: 4.5 s, not 1.5.
-	l.advance(l.now + 3*microtime.Second)
-	require.Equal(t, 1, l.counters().InProgress)
-	l.poolSends("finished 4 00000000000000a2 PASS 5 6\r\nupdate\r\n")
-	require.Contains(t, string(l.caller.out), "update")
-	// A repeat of the class that is gone finds its result, within the window.
-	l.caller.out = nil
-	require.NotContains(t, l.submit("00000000000000a5", "lot-intake", "k1"), "spawn")
-	require.Contains(t, string(l.caller.out), "lot")
-	l.advance(l.now + 14*microtime.Second)
-	l.caller = l.connect("c2", 0)
-	l.submit("00000000000000a6", "lot-intake", "k9")
-	require.Contains(t, string(l.caller.out), `class: unknown "lot-intake"`)
-	require.Equal(t, 3, l.counters().Succeeded["lot-intake"], "a class that is gone keeps its figures")
+	fixture.advance(fixture.now + 3*microtime.Second)
+	require.Equal(t, 1, fixture.counters().InProgress)
+	fixture.poolSends(finishedNotice(4, "00000000000000a2", "update"))
+	require.Contains(t, string(fixture.client.out), "update")
+	// A retry of the retired class finds its result, within the retention window.
+	fixture.client.out = nil
+	require.NotContains(t, fixture.submit("00000000000000a5", "lot-intake", "k1"), "spawn")
+	require.Contains(t, string(fixture.client.out), "lot")
+	fixture.advance(fixture.now + 14*microtime.Second)
+	fixture.connectClient("c2")
+	fixture.submit("00000000000000a6", "lot-intake", "k9")
+	require.Contains(t, string(fixture.client.out), `class: unknown "lot-intake"`)
+	require.Equal(t, 3, fixture.counters().Succeeded["lot-intake"], "a retired class keeps its figures")
 
-	// Back again, twice in a row, and in a drain: it is served as at first.
-	require.NoError(t, l.srv.Reload(l.configWith(unchanged)))
-	require.NoError(t, l.srv.Reload(l.configWith(withGrape)))
-	l.srv.Drain(l.now)
-	require.NoError(t, l.srv.Reload(l.configWith(unchanged)))
-	require.Contains(t, l.submit("00000000000000a7", "lot-intake", "k10"), "spawn 00000000000000a7 lot-intake")
-	l.poolSends("finished 5 00000000000000a7 PASS 5 3\r\nnew\r\n")
-	require.Contains(t, string(l.caller.out), "new")
-	require.Equal(t, 5, l.counters().Reloads+l.counters().ReloadErrors+1)
+	// The class comes back, twice in a row and during a drain: it is served as at first.
+	require.NoError(t, fixture.srv.Reload(fixture.configWith(unchanged)))
+	require.NoError(t, fixture.srv.Reload(fixture.configWith(withGrape)))
+	fixture.srv.Drain(fixture.now)
+	require.NoError(t, fixture.srv.Reload(fixture.configWith(unchanged)))
+	require.Contains(t, fixture.submit("00000000000000a7", "lot-intake", "k10"), "spawn 00000000000000a7 lot-intake")
+	fixture.poolSends(finishedNotice(5, "00000000000000a7", "new"))
+	require.Contains(t, string(fixture.client.out), "new")
+	require.Equal(t, 5, fixture.counters().Reloads+fixture.counters().ReloadErrors+1)
 }
 
-// Guards the table of classes against reloads without end: places that nothing holds on to are used again.
+// Reloads without end do not fill the table of classes: places that no request refers to any more are used again.
 func TestReloadsReuseClassPlaces(t *testing.T) {
-	l := newPoolFixture(t)
+	fixture := newPoolFixture(t)
 	for i := range 2000 {
-		text := func(text string) string {
+		withDeadline := func(text string) string {
 			return strings.Replace(text, `"hard_limit_ms": 4500`, fmt.Sprintf(`"hard_limit_ms": %d`, 4500+i%7), 1)
 		}
-		require.NoError(t, l.srv.Reload(l.configWith(text)))
-		l.advance(l.now + microtime.Second)
-		require.LessOrEqual(t, len(l.srv.cfg.Settings.Classes), 24)
+		require.NoError(t, fixture.srv.Reload(fixture.configWith(withDeadline)))
+		fixture.advance(fixture.now + microtime.Second)
+		require.LessOrEqual(t, len(fixture.srv.cfg.Settings.Classes), 24)
 	}
-	require.Contains(t, l.submit("00000000000000a1", "block-view", ""), "spawn")
+	require.Contains(t, fixture.submit("00000000000000a1", "block-view", ""), "spawn")
 }
 
-// Guards a server that serves against a faulty file: each names its key, and nothing changes, not the address beside it.
+// A file with invalid settings changes nothing, not even the address beside them, and the error names the key.
 func TestInvalidSettingsChangeNothing(t *testing.T) {
-	l := newPoolFixture(t)
-	cfg := l.configWith(unchanged)
+	fixture := newPoolFixture(t)
+	cfg := fixture.configWith(unchanged)
 	cfg.ControlAddress = "control"
-	require.NoError(t, l.srv.Reload(cfg))
-	before := l.srv.cfg
-	for _, c := range []struct{ old, new, want string }{
-		{`"worth": 10, `, "", "settings.classes[2].worth: missing"},
-		{`"hard_limit_ms": 4500, "worth": 10`, `"worth": 10`, "settings.classes[2].hard_limit_ms: missing"},
-		{`"client_habits": {"marks_retry": true},`, "", "settings.client_habits: missing"},
-		{`, "fall_multiple": 8`, "", "settings.rules.fall_multiple: missing"},
-		{`{"name": "hill-estate", "quota_rps": 69}`, `{"name": "hill-estate"}`, "settings.tenants[0].quota_rps: missing"},
-		{`"memory_kb": 47610`, `"memory_kb": -1`, "negative"},
-		{`"aim_ms": 1800, "hard_limit_ms": 4500, "worth": 10`, `"aim_ms": 1800, "hard_limit_ms": -1, "worth": 10`, "lot-intake"},
-	} {
-		cfg := l.configWith(func(text string) string {
-			require.Contains(t, text, c.old)
-			return strings.Replace(text, c.old, c.new, 1)
+	require.NoError(t, fixture.srv.Reload(cfg))
+	before := fixture.srv.cfg
+	cases := []struct {
+		name        string
+		old         string
+		replacement string
+		want        string
+	}{
+		{"no worth", `"worth": 10, `, "", "settings.classes[2].worth: missing"},
+		{"no deadline", `"hard_limit_ms": 4500, "worth": 10`, `"worth": 10`, "settings.classes[2].hard_limit_ms: missing"},
+		{"no habits", `"client_habits": {"marks_retry": true},`, "", "settings.client_habits: missing"},
+		{"no rule", `, "fall_multiple": 8`, "", "settings.rules.fall_multiple: missing"},
+		{"no quota", `"hill-estate", "quota_rps": 69}`, `"hill-estate"}`, "settings.tenants[0].quota_rps: missing"},
+		{"negative memory", `"memory_kb": 47610`, `"memory_kb": -1`, "negative"},
+		{"negative deadline", `"hard_limit_ms": 4500, "worth": 10`, `"hard_limit_ms": -1, "worth": 10`, "lot-intake"},
+	}
+	for _, tc := range cases {
+		cfg := fixture.configWith(func(text string) string {
+			require.Contains(t, text, tc.old, tc.name)
+			return strings.Replace(text, tc.old, tc.replacement, 1)
 		})
 		cfg.ControlAddress = "elsewhere"
-		require.ErrorContains(t, l.srv.Reload(cfg), c.want)
-		require.Equal(t, before, l.srv.cfg, c.want)
-		require.Equal(t, "control", l.reportAddress)
+		require.ErrorContains(t, fixture.srv.Reload(cfg), tc.want, tc.name)
+		require.Equal(t, before, fixture.srv.cfg, tc.name)
+		require.Equal(t, "control", fixture.reportAddress, tc.name)
 	}
-	require.Equal(t, 7, l.counters().ReloadErrors)
-	require.Contains(t, l.submit("00000000000000a1", "lot-intake", "k1"), "spawn")
+	require.Equal(t, len(cases), fixture.counters().ReloadErrors)
+	require.Contains(t, fixture.submit("00000000000000a1", "lot-intake", "k1"), "spawn")
 }
 
-// Guards what is open on a connection against requests of a class that this server does not know yet: each is answered with
-// an error, and the connection stays.
+// Requests of a class that this server does not know yet are answered with an error; the connection stays, and so does
+// what is open on it.
 func TestUnknownClassKeepsConnection(t *testing.T) {
-	l := newPoolFixture(t)
-	l.submit("00000000000000a1", "block-view", "")
+	fixture := newPoolFixture(t)
+	fixture.submit("00000000000000a1", "block-view", "")
 	for i := range 3 * thriftfrontend.MaxConsecutiveErrors {
-		l.submit(fmt.Sprintf("%016x", 100+i), "no-such", "")
+		fixture.submit(fmt.Sprintf("%016x", 100+i), "no-such", "")
 	}
-	require.False(t, l.caller.closed)
-	require.Equal(t, 3*thriftfrontend.MaxConsecutiveErrors, bytes.Count(l.caller.out, []byte(`class: unknown`)))
-	l.poolSends("finished 1 00000000000000a1 PASS 5 2\r\nok\r\n")
-	payload, _, err := thrift.SplitFrame(l.caller.out[bytes.LastIndex(l.caller.out, []byte("process"))-12:])
+	require.False(t, fixture.client.closed)
+	require.Equal(t, 3*thriftfrontend.MaxConsecutiveErrors, bytes.Count(fixture.client.out, []byte(`class: unknown`)))
+	fixture.poolSends(finishedNotice(1, "00000000000000a1", "ok"))
+	const frameHead = 12 // The bytes of a frame before the method's name.
+	last := bytes.LastIndex(fixture.client.out, []byte("process")) - frameHead
+	payload, _, err := thrift.SplitFrame(fixture.client.out[last:])
 	require.NoError(t, err)
 	require.NotNil(t, payload)
 }
--- a/internal/server/shutdown_test.go
+++ b/internal/server/shutdown_test.go
@@ -10,84 +10,91 @@
 	"pewterline/internal/protocol/thrift"
 )
 
-// Guards the requests that lie in the accept queue as the program comes to its end: the system has taken them, so that they are the
-// log server's. They come while the loop stands in the turn in which the last that was read has been answered.
+// Requests in the accept queue when the server comes to its end are answered: the system has accepted them, so that
+// they are the server's. They come while the loop is in the turn in which the last request before them is answered.
 func TestShutdownAnswersAcceptQueue(t *testing.T) {
-	h := newSocketFixture(t, nil)
-	p := h.servedProxy()
-	require.NoError(t, p.conn.Close())
-	h.onLoop(func() { h.srv.Drain(h.Now()) })
-	for h.proxyConnections() > 0 { // its close may not have been read yet
+	fixture := newSocketFixture(t, nil)
+	proxy := fixture.servedProxy()
+	require.NoError(t, proxy.conn.Close())
+	fixture.onLoop(func() { fixture.srv.Drain(fixture.Now()) })
+	for fixture.proxyConnections() > 0 { // Its end may not have been read yet.
 	}
-	h.advanceClock(microtime.FromDuration(h.srv.cfg.Settings.DrainGrace) + microtime.Millisecond)
+	grace := microtime.FromDuration(fixture.srv.cfg.Settings.DrainGrace)
+	fixture.advanceClock(grace + microtime.Millisecond)
 	var late []*clientConn
-	h.onLoop(func() {
+	fixture.onLoop(func() {
 		for range 5 {
-			p := h.dialProxy()
-			h.submit(p, "lot-update", "")
-			late = append(late, p)
+			proxy := fixture.dialProxy()
+			fixture.submit(proxy, "lot-update", "")
+			late = append(late, proxy)
 		}
 	})
-	for _, p := range late {
-		require.Equal(t, thrift.ReplyFarewell, nextReply(p).Kind)
-		require.Equal(t, thrift.ReplyThrottled, nextReply(p).Kind, "a request that came at the end never ran")
-		require.NoError(t, p.conn.Close())
+	for _, proxy := range late {
+		require.Equal(t, thrift.ReplyFarewell, nextReply(proxy).Kind)
+		require.Equal(t, thrift.ReplyThrottled, nextReply(proxy).Kind, "a request that came at the end never ran")
+		require.NoError(t, proxy.conn.Close())
 	}
-	h.requireEnd()
-	require.Empty(t, h.pool.started)
+	fixture.requireEnd()
+	require.Empty(t, fixture.pool.started)
 }
 
-// Guards the last answers: a request that comes as the program ends, on a connection that outstays its farewell, finds an end
-// and no reset, behind the answer to what was read. The time to stop is reached in the turn in which the answer is written.
+// A request that comes as the server ends, on a connection that outlasts its farewell, finds an end and no reset, after
+// the answer to what was read. The time to stop is reached in the turn in which that answer is written.
 func TestRequestCrossesShutdown(t *testing.T) {
-	h := newSocketFixture(t, nil)
-	p := h.dialProxy()
-	id := h.submit(p, "lot-update", "")
-	require.Equal(t, id, <-h.pool.started)
-	h.onLoop(func() { h.srv.Drain(h.Now()) })
-	h.advanceClock(h.srv.cfg.ShutdownTimeout)
-	h.onLoop(func() { // the last turn: the run is not over, and the proxy asks for more
-		h.submit(p, "lot-update", "")
+	fixture := newSocketFixture(t, nil)
+	proxy := fixture.dialProxy()
+	id := fixture.submit(proxy, "lot-update", "")
+	require.Equal(t, id, <-fixture.pool.started)
+	fixture.onLoop(func() { fixture.srv.Drain(fixture.Now()) })
+	fixture.advanceClock(fixture.srv.cfg.ShutdownTimeout)
+	fixture.onLoop(func() { // The last turn: the run is not over, and the proxy sends another request.
+		fixture.submit(proxy, "lot-update", "")
 	})
-	require.Equal(t, thrift.ReplyBroken, nextReply(p).Kind)
-	require.Equal(t, thrift.ReplyFarewell, nextReply(p).Kind)
-	requireEOF(p)
-	require.NoError(t, p.conn.Close())
-	h.requireEnd()
+	require.Equal(t, thrift.ReplyBroken, nextReply(proxy).Kind)
+	require.Equal(t, thrift.ReplyFarewell, nextReply(proxy).Kind)
+	requireEOF(proxy)
+	require.NoError(t, proxy.conn.Close())
+	fixture.requireEnd()
 }
 
-// Guards the limit of a drain against a program that comes to the notice late, as one does that was starting: what is read over 2.5 s
-// after it came does not run, though the program has only just heard of it.
+// The grace of a drain counts from when the notice came, also where the server comes to it late, as one does that was
+// starting: what is read after the grace does not run, though the server has only just heard of the notice.
 func TestDrainCountsFromNotice(t *testing.T) {
-	h := newSocketFixture(t, nil)
-	at := h.Now()
-	h.advanceClock(microtime.FromDuration(h.srv.cfg.Settings.DrainGrace) + microtime.Millisecond)
-	p := h.dialProxy()
-	h.onLoop(func() {
-		h.srv.Drain(at)
-		h.submit(p, "lot-update", "")
+	fixture := newSocketFixture(t, nil)
+	notifiedAt := fixture.Now()
+	grace := microtime.FromDuration(fixture.srv.cfg.Settings.DrainGrace)
+	fixture.advanceClock(grace + microtime.Millisecond)
+	proxy := fixture.dialProxy()
+	fixture.onLoop(func() {
+		fixture.srv.Drain(notifiedAt)
+		fixture.submit(proxy, "lot-update", "")
 	})
-	require.ElementsMatch(t, []thrift.ReplyKind{thrift.ReplyFarewell, thrift.ReplyThrottled}, []thrift.ReplyKind{nextReply(p).Kind, nextReply(p).Kind})
-	require.NoError(t, p.conn.Close())
-	h.requireEnd()
-	require.Empty(t, h.pool.started)
+	fixture.requireThrottledEnd(proxy)
 }
 
-// Guards the limit of a drain against a file that is read during it and gives more time.
+// A reload during a drain that gives more time does not extend the drain.
 func TestReloadDoesNotExtendDrain(t *testing.T) {
-	h := newSocketFixture(t, nil)
-	p := h.servedProxy()
-	h.onLoop(func() {
-		h.srv.Drain(h.Now())
-		next := h.srv.cfg
+	fixture := newSocketFixture(t, nil)
+	proxy := fixture.servedProxy()
+	fixture.onLoop(func() {
+		fixture.srv.Drain(fixture.Now())
+		next := fixture.srv.cfg
 		next.Settings.DrainGrace *= 10
-		next.PoolAddress = h.pool.listener.Addr().String()
-		require.NoError(t, h.srv.Reload(next))
+		next.PoolAddress = fixture.pool.listener.Addr().String()
+		require.NoError(t, fixture.srv.Reload(next))
 	})
-	h.advanceClock(microtime.FromDuration(2500*time.Millisecond) + microtime.Millisecond)
-	h.onLoop(func() { h.submit(p, "lot-update", "") })
-	require.ElementsMatch(t, []thrift.ReplyKind{thrift.ReplyFarewell, thrift.ReplyThrottled}, []thrift.ReplyKind{nextReply(p).Kind, nextReply(p).Kind})
-	require.NoError(t, p.conn.Close())
-	h.requireEnd()
-	require.Empty(t, h.pool.started)
+	fixture.advanceClock(microtime.FromDuration(2500*time.Millisecond) + microtime.Millisecond)
+	fixture.onLoop(func() { fixture.submit(proxy, "lot-update", "") })
+	fixture.requireThrottledEnd(proxy)
+}
+
+// requireThrottledEnd requires that the proxy's request is rejected, that it is told to close its connection, and that
+// the server ends once it has.
+func (f *socketFixture) requireThrottledEnd(proxy *clientConn) {
+	f.t.Helper()
+	kinds := []thrift.ReplyKind{nextReply(proxy).Kind, nextReply(proxy).Kind}
+	require.ElementsMatch(f.t, []thrift.ReplyKind{thrift.ReplyFarewell, thrift.ReplyThrottled}, kinds)
+	require.NoError(f.t, proxy.conn.Close())
+	f.requireEnd()
+	require.Empty(f.t, f.pool.started)
 }
--- a/internal/server/socket_fixture_test.go
+++ b/internal/server/socket_fixture_test.go
@@ -3,7 +3,6 @@
 import (
 	"fmt"
 	"io"
-	"net"
 	"sync/atomic"
 	"testing"
 
@@ -16,7 +15,34 @@
 	"pewterline/internal/transport/sockets"
 )
 
-// socketFixture is a whole server on real sockets, on a clock that the test moves.
+// startLoop starts a server's event loop on sockets.
+func startLoop(tb testing.TB, srv *Server, opts sockets.Options) *sockets.Loop {
+	tb.Helper()
+	loop, err := sockets.Start(opts, srv, func(l *transport.Loop) { srv.Attach(l) })
+	require.NoError(tb, err)
+	return loop
+}
+
+// stopLoop stops an event loop and waits for its end.
+func stopLoop(tb testing.TB, loop *sockets.Loop) {
+	tb.Helper()
+	loop.Stop()
+	require.NoError(tb, loop.Wait())
+}
+
+// runOnLoop runs a task in a turn of the loop, and returns when it has ended.
+func runOnLoop(t *testing.T, loop *sockets.Loop, task func()) {
+	t.Helper()
+	done := make(chan struct{})
+	require.NoError(t, loop.Execute(func() {
+		defer close(done)
+		task()
+	}))
+	<-done
+}
+
+// socketFixture is a whole server on real sockets, on a clock that the test moves, with a worker pool that holds every
+// run until the test finishes it. The test has to end it.
 type socketFixture struct {
 	t    *testing.T
 	srv  *Server
@@ -26,108 +52,104 @@
 	sent int
 }
 
-func (h *socketFixture) Now() microtime.Time { return microtime.Time(h.now.Load()) }
-
+// newSocketFixture starts a server; change, where it is not nil, changes its configuration before.
 func newSocketFixture(t *testing.T, change func(*config.Config)) *socketFixture {
-	h := &socketFixture{t: t, pool: newFakePool(t)}
-	h.now.Store(int64(microtime.Second))
-	cfg := testConfig(t, h.pool.listener.Addr().String())
+	t.Helper()
+	fixture := &socketFixture{t: t, pool: newFakePool(t)}
+	fixture.now.Store(int64(microtime.Second))
+	cfg := testConfig(t, fixture.pool.listener.Addr().String())
 	cfg.Listen = "127.0.0.1:0"
 	if change != nil {
 		change(&cfg)
 	}
-	logf := func(f string, a ...any) { t.Logf(f, a...) }
 	var err error
-	h.srv, err = New(cfg, zeroBasedClock{}, logf)
-	require.NoError(t, err)
-	h.loop, err = sockets.Start(sockets.Options{Options: transport.Options{MaxConns: 64, Logf: logf}, Listen: []string{cfg.Listen}, Clock: h},
-		h.srv, func(l *transport.Loop) { h.srv.Attach(l) })
+	fixture.srv, err = New(cfg, zeroBasedClock{}, t.Logf)
 	require.NoError(t, err)
-	return h
+	fixture.loop = startLoop(t, fixture.srv, sockets.Options{
+		Options: transport.Options{MaxConns: 64, Logf: t.Logf},
+		Listen:  []string{cfg.Listen},
+		Clock:   fixture,
+	})
+	return fixture
 }
 
-// onLoop runs f in a turn, and returns when it has.
-func (h *socketFixture) onLoop(f func()) {
-	done := make(chan struct{})
-	require.NoError(h.t, h.loop.Execute(func() {
-		defer close(done)
-		f()
-	}))
-	<-done
-}
+// Now is the clock of the event loop.
+func (f *socketFixture) Now() microtime.Time { return microtime.Time(f.now.Load()) }
 
 // advanceClock moves the clock; what is due by it is done from the next turn on.
-func (h *socketFixture) advanceClock(by microtime.Time) { h.now.Add(int64(by)) }
+func (f *socketFixture) advanceClock(by microtime.Time) { f.now.Add(int64(by)) }
 
-func (h *socketFixture) dialProxy() *clientConn {
-	return dial(h.t, h.loop.Addr(0).String(), thrift.SplitFrame)
+// onLoop runs a task in a turn of the loop, and returns when it has ended.
+func (f *socketFixture) onLoop(task func()) {
+	f.t.Helper()
+	runOnLoop(f.t, f.loop, task)
 }
 
-// servedProxy is a proxy that has been served once.
-func (h *socketFixture) servedProxy() *clientConn {
-	p := h.dialProxy()
-	id := h.submit(p, "lot-update", "")
-	require.Equal(h.t, id, <-h.pool.started)
-	h.pool.finish(id, "done")
-	require.Equal(h.t, "done", string(nextReply(p).Body))
-	return p
+// dialProxy opens a connection of a proxy's.
+func (f *socketFixture) dialProxy() *clientConn {
+	f.t.Helper()
+	return dial(f.t, f.loop.Addr(ThriftListener).String(), thrift.SplitFrame)
 }
 
-// requestBytes is a request's bytes; its id tells which.
-func (h *socketFixture) requestBytes(p *clientConn, class, once string) (id string, bytes []byte) {
-	h.sent++
-	p.sent++
-	id = fmt.Sprintf("%016x", h.sent)
-	return id, thrift.AppendCall(nil, p.sent, []thrift.Field{{Name: "class", Value: class}, {Name: "id", Value: id}, {Name: "at", Value: fmt.Sprint(h.now.Load() / 1000)},
-		{Name: "from", Value: "1"}, {Name: "tenant", Value: "lake-vines"}, {Name: "kb", Value: "20"}, {Name: "rank", Value: "0.9"}, {Name: "once", Value: once}}, []byte("lot"))
+// servedProxy opens a connection of a proxy's that has been served once.
+func (f *socketFixture) servedProxy() *clientConn {
+	f.t.Helper()
+	proxy := f.dialProxy()
+	f.runOnFirstPool(proxy, "done")
+	return proxy
 }
 
-// submit sends a request.
-func (h *socketFixture) submit(p *clientConn, class, once string) (id string) {
-	id, call := h.requestBytes(p, class, once)
-	p.write(call)
+// submit sends a request; it returns its attempt ID.
+func (f *socketFixture) submit(proxy *clientConn, class, idempotencyKey string) (id string) {
+	f.t.Helper()
+	f.sent++
+	proxy.sent++
+	id = fmt.Sprintf("%016x", f.sent)
+	unixMilli := zeroBasedClock{}.UnixMilli(f.Now())
+	proxy.write(lotCall(proxy.sent, class, id, unixMilli, idempotencyKey))
 	return id
 }
 
-// nextReply is the next message to a proxy.
-func nextReply(p *clientConn) thrift.Reply {
-	r, err := thrift.DecodeReply(p.read())
-	require.NoError(p.t, err)
-	return r
+// runOnFirstPool has the fixture's pool run a request, whose attempt ID it returns.
+func (f *socketFixture) runOnFirstPool(proxy *clientConn, result string) (id string) {
+	f.t.Helper()
+	id = f.submit(proxy, "lot-update", "")
+	require.Equal(f.t, id, <-f.pool.started)
+	f.pool.finish(id, result)
+	require.Equal(f.t, result, string(nextReply(proxy).Body))
+	return id
 }
 
-// requireEOF asks that nothing more comes, and that the server has ended the connection without a reset.
-func requireEOF(p *clientConn) {
-	_, err := p.next()
-	require.ErrorIs(p.t, err, io.EOF)
+// proxyConnections counts the connections of proxies.
+func (f *socketFixture) proxyConnections() (count int) {
+	f.t.Helper()
+	f.onLoop(func() { count = f.srv.clients.thrift.Len() })
+	return count
 }
 
-// requireEnd asks that the program ends of itself.
-func (h *socketFixture) requireEnd() { require.NoError(h.t, h.loop.Wait()) }
+// requireEnd requires that the server ends by itself.
+func (f *socketFixture) requireEnd() {
+	f.t.Helper()
+	require.NoError(f.t, f.loop.Wait())
+}
 
-// proxyConnections counts the proxies' connections.
-func (h *socketFixture) proxyConnections() (n int) {
-	h.onLoop(func() { n = h.srv.clients.thrift.Len() })
-	return n
+// stop ends the server.
+func (f *socketFixture) stop() {
+	f.t.Helper()
+	stopLoop(f.t, f.loop)
 }
 
-func (h *socketFixture) movePool() *secondPool {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	require.NoError(h.t, err)
-	h.t.Cleanup(func() { ln.Close() })
-	h.onLoop(func() {
-		next := h.srv.cfg
-		next.PoolAddress = ln.Addr().String()
-		require.NoError(h.t, h.srv.Reload(next))
-	})
-	return &secondPool{t: h.t, ln: ln}
+// nextReply is the next message to a proxy.
+func nextReply(proxy *clientConn) thrift.Reply {
+	proxy.t.Helper()
+	reply, err := thrift.DecodeReply(proxy.read())
+	require.NoError(proxy.t, err)
+	return reply
 }
 
-// runOnFirstPool has the first pool end a request, whose id it returns.
-func (h *socketFixture) runOnFirstPool(p *clientConn, result string) string {
-	id := h.submit(p, "lot-update", "")
-	require.Equal(h.t, id, <-h.pool.started)
-	h.pool.finish(id, result)
-	require.Equal(h.t, result, string(nextReply(p).Body))
-	return id
+// requireEOF requires that nothing more comes, and that the server has ended the connection without a reset.
+func requireEOF(client *clientConn) {
+	client.t.Helper()
+	_, err := client.next()
+	require.ErrorIs(client.t, err, io.EOF)
 }
--- a/internal/server/upstream_test.go
+++ b/internal/server/upstream_test.go
@@ -14,142 +14,149 @@
 	"pewterline/internal/protocol/thrift"
 )
 
-// serveUpstream runs an edge on real sockets before servers at those addresses.
+// serveUpstream runs a server on real sockets whose work is done by other log servers, at those addresses.
 func serveUpstream(t *testing.T, addresses ...string) (thriftAddr, ajpAddr string) {
+	t.Helper()
 	cfg := testConfig(t, "")
-	for i, a := range addresses {
-		cfg.Fleet.Members = append(cfg.Fleet.Members, config.Member{Name: fmt.Sprintf("n%d", i+1), Address: a})
+	for i, address := range addresses {
+		member := config.Member{Name: fmt.Sprintf("n%d", i+1), Address: address}
+		cfg.Fleet.Members = append(cfg.Fleet.Members, member)
 	}
 	thriftAddr, ajpAddr, _ = serveLoopback(t, cfg, "")
 	return thriftAddr, ajpAddr
 }
 
-// An intake sent to an edge by Thrift, and again by AJP while its run goes on, runs once behind it: on one server, and on no
-// other. Every server is a whole one, on real sockets.
+// A keyed request that comes by Thrift, and again by AJP while its run goes on, runs once: on one of the log servers
+// upstream, and on no other. Each of them is a whole one, on real sockets.
 func TestUpstreamRunsKeyOnce(t *testing.T) {
 	pools, addresses := make([]*fakePool, 3), make([]string, 3)
 	for i := range pools {
 		pools[i] = newFakePool(t)
 		addresses[i], _, _ = serveLoopback(t, testConfig(t, pools[i].listener.Addr().String()), "")
 	}
-	desk, office := serveUpstream(t, addresses...)
-	a, b := dial(t, desk, thrift.SplitFrame), dial(t, office, splitAJP)
-	sendIntake(a, "k1")
-	var at *fakePool
+	thriftAddr, ajpAddr := serveUpstream(t, addresses...)
+	proxy, webServer := dial(t, thriftAddr, thrift.SplitFrame), dial(t, ajpAddr, splitAJP)
+	sendIntake(proxy, "k1")
+	var chosen *fakePool
 	var id string
-	select { // whichever server the edge chose
+	select {
 	case id = <-pools[0].started:
-		at = pools[0]
+		chosen = pools[0]
 	case id = <-pools[1].started:
-		at = pools[1]
+		chosen = pools[1]
 	case id = <-pools[2].started:
-		at = pools[2]
+		chosen = pools[2]
 	}
-	forwardIntake(b, "k1")
-	at.finish(id, "lot 7 recorded")
-	p, err := thrift.DecodeReply(a.read())
-	require.NoError(t, err)
-	require.Equal(t, thrift.ReplyAnswer, p.Kind)
-	require.Equal(t, "lot 7 recorded", string(p.Body))
-	require.Equal(t, "lot 7 recorded", readServed(b))
-	for _, p := range pools {
-		require.Empty(t, p.started, "it ran once")
+	forwardIntake(webServer, "k1")
+	chosen.finish(id, "lot 7 recorded")
+	reply := nextReply(proxy)
+	require.Equal(t, thrift.ReplyAnswer, reply.Kind)
+	require.Equal(t, "lot 7 recorded", string(reply.Body))
+	require.Equal(t, "lot 7 recorded", readServed(webServer))
+	for _, pool := range pools {
+		require.Empty(t, pool.started, "it ran once")
 	}
 }
 
-// deadAddress is one at which nobody listens until the test's end: it is held, so that no server of the test's gets it.
+// deadAddress is one at which nobody listens until the test's end: it is held, so that no server of the test gets it.
 func deadAddress(t *testing.T) string {
-	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
+	t.Helper()
+	socket, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	require.NoError(t, err)
-	t.Cleanup(func() { unix.Close(fd) })
-	require.NoError(t, unix.Bind(fd, &unix.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}))
-	at, err := unix.Getsockname(fd)
+	t.Cleanup(func() { require.NoError(t, unix.Close(socket)) })
+	require.NoError(t, unix.Bind(socket, &unix.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}))
+	name, err := unix.Getsockname(socket)
 	require.NoError(t, err)
-	return fmt.Sprintf("127.0.0.1:%d", at.(*unix.SockaddrInet4).Port)
+	address, ok := name.(*unix.SockaddrInet4)
+	require.True(t, ok)
+	return fmt.Sprintf("127.0.0.1:%d", address.Port)
 }
 
-// What refuses connects is left out at once, and its requests are served elsewhere: nothing of it reaches the caller.
+// An endpoint that refuses connections is left out at once, and its requests are served elsewhere: the client sees
+// nothing of it.
 func TestUpstreamSkipsDeadEndpoints(t *testing.T) {
 	dead := deadAddress(t)
 	pool := newFakePool(t)
 	alive, _, _ := serveLoopback(t, testConfig(t, pool.listener.Addr().String()), "")
-	desk, _ := serveUpstream(t, dead, alive)
-	go func() {
-		for id := range pool.started {
-			pool.finish(id, "done")
+	thriftAddr, _ := serveUpstream(t, dead, alive)
+	ended := make(chan struct{})
+	t.Cleanup(func() { close(ended) })
+	go func() { // Until the test has ended.
+		for {
+			select {
+			case id := <-pool.started:
+				pool.finish(id, "done")
+			case <-ended:
+				return
+			}
 		}
 	}()
-	a := dial(t, desk, thrift.SplitFrame)
+	proxy := dial(t, thriftAddr, thrift.SplitFrame)
 	for i := range 20 {
-		sendIntake(a, fmt.Sprintf("k%d", i))
-		p, err := thrift.DecodeReply(a.read())
-		require.NoError(t, err)
-		require.Equal(t, thrift.ReplyAnswer, p.Kind, i)
+		sendIntake(proxy, fmt.Sprintf("k%d", i))
+		require.Equal(t, thrift.ReplyAnswer, nextReply(proxy).Kind, i)
 	}
 }
 
-// An edge whose servers have all gone refuses at once, with advice, and holds nothing back.
+// Where all endpoints are dead, requests are rejected at once, with advice when to retry, and none is queued.
 func TestUpstreamWithoutEndpoints(t *testing.T) {
-	dead := deadAddress(t)
-	desk, _ := serveUpstream(t, dead)
-	a := dial(t, desk, thrift.SplitFrame)
-	sendIntake(a, "k1")
-	p, err := thrift.DecodeReply(a.read())
-	require.NoError(t, err)
-	require.Equal(t, thrift.ReplyThrottled, p.Kind)
-	require.NotEmpty(t, p.Fields["after"])
+	thriftAddr, _ := serveUpstream(t, deadAddress(t))
+	proxy := dial(t, thriftAddr, thrift.SplitFrame)
+	sendIntake(proxy, "k1")
+	reply := nextReply(proxy)
+	require.Equal(t, thrift.ReplyThrottled, reply.Kind)
+	require.NotEmpty(t, reply.Fields["after"])
 }
 
-// Guards the decision to be left with the door: an edge with faulty figures does not start.
+// A server with an invalid configuration of its upstream does not start.
 func TestUpstreamConfigIsValidated(t *testing.T) {
 	cfg := testConfig(t, "")
-	cfg.Fleet = config.Fleet{Members: []config.Member{{Name: "n1", Address: "127.0.0.1:1"}}, LoadBalancer: loadbalancer.Config{SlowStartShare: 7}}
+	cfg.Fleet = config.Fleet{
+		Members:      []config.Member{{Name: "n1", Address: "127.0.0.1:1"}},
+		LoadBalancer: loadbalancer.Config{SlowStartShare: 7},
+	}
 	_, err := New(cfg, microtime.NewClock(), t.Logf)
 	require.ErrorContains(t, err, "warm_from")
 }
 
-// The list of servers is read anew while an edge serves: a new server is used, one that was taken out gets nothing new, but
-// an intake that may have run there is not run elsewhere.
+// The list of endpoints is reloaded while the server serves: a new endpoint is used, and one that was removed gets
+// nothing new, but a keyed request that may have run there does not run elsewhere.
 func TestUpstreamReloadsEndpoints(t *testing.T) {
 	cfg := testConfig(t, "")
 	cfg.Fleet.Members = []config.Member{{Name: "n1", Address: "a1"}}
-	s := &loopFixture{t: t, now: microtime.Second, conns: map[string]*fakeConn{}, reportAddress: "control"}
-	var err error
-	s.srv, err = New(cfg, zeroBasedClock{}, t.Logf)
-	require.NoError(t, err)
-	s.srv.Attach(s)
-	desk := s.connect("c1", 0)
-	ask := func(seq int32, class, once string) {
-		s.deliver(desk, thrift.AppendCall(nil, seq, []thrift.Field{{Name: "class", Value: class}, {Name: "id", Value: fmt.Sprintf("%016x", seq)},
-			{Name: "at", Value: fmt.Sprint(int64(s.now / microtime.Millisecond))}, {Name: "from", Value: "1"}, {Name: "tenant", Value: "lake-vines"},
-			{Name: "kb", Value: "20"}, {Name: "rank", Value: "0.9"}, {Name: "once", Value: once}}, []byte("lot")))
-		s.turn()
+	loop := newLoopFixtureOf(t, cfg)
+	proxy := loop.connect("c1", ThriftListener)
+	submit := func(sequence int32, class, idempotencyKey string) {
+		unixMilli := zeroBasedClock{}.UnixMilli(loop.now)
+		id := fmt.Sprintf("%016x", sequence)
+		loop.deliver(proxy, lotCall(sequence, class, id, unixMilli, idempotencyKey))
+		loop.turn()
 	}
-	ask(1, "lot-intake", "k1")
-	require.Equal(t, "a1", s.dials[0].addr)
-	n1 := s.connect("n1", -1)
-	s.turn()
-	require.Contains(t, string(n1.out), "k1")
-	n1.out = nil
+	submit(1, "lot-intake", "k1")
+	require.Equal(t, "a1", loop.dials[0].addr)
+	removed := loop.connect("n1", nextDialed)
+	loop.turn()
+	require.Contains(t, string(removed.out), "k1")
+	removed.out = nil
 
 	next := cfg
 	next.Fleet.Members = []config.Member{{Name: "n2", Address: "a2"}}
-	require.NoError(t, s.srv.Reload(next))
-	ask(2, "block-view", "")
-	require.Equal(t, "a2", s.dials[0].addr, "the new one gets what is new")
-	n2 := s.connect("n2", -1)
-	s.turn()
-	require.NotEmpty(t, n2.out)
-	n2.out = nil
+	require.NoError(t, loop.srv.Reload(next))
+	submit(2, "block-view", "")
+	require.Equal(t, "a2", loop.dials[0].addr, "the new one gets what is new")
+	added := loop.connect("n2", nextDialed)
+	loop.turn()
+	require.NotEmpty(t, added.out)
+	added.out = nil
 
-	n1.closed = true // n1 is lost with the intake written
-	s.turn()
-	ask(3, "lot-intake", "k1")
-	require.Empty(t, n2.out, "it may have run on n1")
-	require.Equal(t, "a1", s.dials[0].addr)
-	known, removed := s.srv.backends.upstream.Lookup("n1")
-	require.True(t, known && removed)
-	s.srv.backends.upstream.ExpireRemoved(s.now + upstream.RemovedEndpointRetention + microtime.Second)
-	known, _ = s.srv.backends.upstream.Lookup("n1")
-	require.True(t, known, "something is open there")
+	removed.closed = true // It is lost after the keyed request was written to it.
+	loop.turn()
+	submit(3, "lot-intake", "k1")
+	require.Empty(t, added.out, "the request may have run on the removed one")
+	require.Equal(t, "a1", loop.dials[0].addr)
+	known, isRemoved := loop.srv.backends.upstream.Lookup("n1")
+	require.True(t, known && isRemoved)
+	loop.srv.backends.upstream.ExpireRemoved(loop.now + upstream.RemovedEndpointRetention + microtime.Second)
+	known, _ = loop.srv.backends.upstream.Lookup("n1")
+	require.True(t, known, "a request is open there")
 }
