--- a/internal/server/ajp_backend_test.go
+++ b/internal/server/ajp_backend_test.go
@@ -46,7 +46,7 @@
 			return err
 		}
 		answer := ajp.AppendCPong(nil)
-		if payload[0] != ajp.CodeCPing {
+		if ajp.Code(payload[0]) != ajp.CodeCPing {
 			if answer, err = f.run(payload, packets); err != nil {
 				return err
 			}
--- a/internal/server/overload_test.go
+++ b/internal/server/overload_test.go
@@ -116,7 +116,7 @@
 // answerFirstPoll answers the poll that follows bound, once the link is open. It always returns false, so that await
 // looks again.
 func (f *overloadFixture) answerFirstPoll() bool {
-	if f.srv.backends.pool.Status().Links == 1 && f.polls == 0 {
+	if f.srv.backends.pool.Status().Connections == 1 && f.polls == 0 {
 		f.polls = 1
 		_, err := f.pool.Write([]byte("polled sync1 0 0 0 0\r\n"))
 		require.NoError(f.t, err)
