--- /dev/null
+++ b/internal/admin/handler.go
@@ -0,0 +1,137 @@
+// Package admin answers the requests of operators: HTTP on a listener of its own, one request on a connection.
+//
+// Package server gives it the connections and implements its Server; the messages themselves are package adminhttp's.
+// It owns nothing but the routes, and decides nothing about requests of clients.
+package admin
+
+import (
+	"errors"
+	"fmt"
+	"net/http"
+	"net/url"
+
+	"pewterline/internal/protocol/adminhttp"
+	"pewterline/internal/replication"
+	"pewterline/internal/transport"
+)
+
+// Server is what operators may ask of the log server. All its methods are called on the loop.
+type Server interface {
+	State() State
+	// SetInService takes the log server out of service, or in again. That changes its health alone: requests are
+	// answered as before. The error is ErrDraining.
+	SetInService(inService bool) error
+	Counters() Counters
+}
+
+// ErrDraining says that a server that has had the shutdown notice cannot be taken in service again.
+var ErrDraining = errors.New("leaving: the notice to leave has come, and there is no way back from it")
+
+// State is what a server tells of itself.
+type State struct {
+	Ready     bool `json:"ready"`
+	InService bool `json:"in_service"`
+	Draining  bool `json:"leaving"`
+}
+
+// Counters are the figures since the start of the process. Those by class keep classes that a reload has retired.
+type Counters struct {
+	Succeeded    map[string]int `json:"passed"`
+	Rejected     map[string]int `json:"dropped"`
+	Failed       map[string]int `json:"bad_gateway"`
+	Attempts     int            `json:"upstream_tries"` // Runs that were handed to the backend.
+	InProgress   int            `json:"in_progress"`
+	Reloads      int            `json:"loads"`
+	ReloadErrors int            `json:"load_errors"`
+}
+
+// Handler carries out requests. Its methods are called on the loop.
+type Handler struct {
+	server  Server
+	replica *replication.Replica // Nil unless the server belongs to a replication group.
+	logf    func(format string, args ...any)
+}
+
+// New returns a handler that knows of no replication group.
+func New(server Server, logf func(format string, args ...any)) *Handler {
+	return &Handler{server: server, logf: logf}
+}
+
+// UseReplication has the handler take requests about the replication group.
+func (h *Handler) UseReplication(replica *replication.Replica) { h.replica = replica }
+
+// Accept gives an operator's connection its session.
+func (h *Handler) Accept(conn transport.Conn) transport.Session {
+	return &session{handler: h, conn: conn}
+}
+
+// route is a request that operators may make. Its error is of type *adminhttp.Error.
+type route struct {
+	method string
+	handle func(h *Handler, query url.Values) (body any, err error)
+}
+
+// serverRoutes are the routes about the server, by path.
+var serverRoutes = map[string]route{
+	"/control/ready":          {http.MethodGet, (*Handler).ready},
+	"/control/counters":       {http.MethodGet, (*Handler).counters},
+	"/control/out-of-service": {http.MethodPut, (*Handler).takeOutOfService},
+	"/control/in-service":     {http.MethodPut, (*Handler).takeInService},
+}
+
+// serve carries out a request; it returns the whole response. An error is of type *adminhttp.Error.
+func (h *Handler) serve(request adminhttp.Request) ([]byte, error) {
+	if groupRoute, ok := groupRoutes[request.Path]; ok && h.replica != nil {
+		return h.respond(groupRoute, request)
+	}
+	serverRoute, ok := serverRoutes[request.Path]
+	if !ok {
+		text := fmt.Sprintf("%q: no such call", request.Path)
+		return nil, &adminhttp.Error{Status: http.StatusNotFound, Text: text}
+	}
+	if request.Method != http.MethodHead || serverRoute.method != http.MethodGet {
+		return h.respond(serverRoute, request)
+	}
+	request.Method = http.MethodGet
+	response, err := h.respond(serverRoute, request)
+	if err != nil {
+		return nil, err
+	}
+	return adminhttp.WithoutBody(response), nil
+}
+
+// respond carries out a request whose route is known.
+func (h *Handler) respond(matched route, request adminhttp.Request) ([]byte, error) {
+	if request.Method != matched.method {
+		text := fmt.Sprintf("%s takes %s, not %s", request.Path, matched.method, request.Method)
+		return nil, &adminhttp.Error{Status: http.StatusMethodNotAllowed, Text: text, Allow: matched.method}
+	}
+	body, err := matched.handle(h, request.Query)
+	if err != nil {
+		return nil, err
+	}
+	return adminhttp.AppendResponse(nil, http.StatusOK, "", body), nil
+}
+
+// ready tells whether this process accepts clients. Out of service it still does.
+func (h *Handler) ready(url.Values) (any, error) {
+	state := h.server.State()
+	if state.Draining {
+		text := "leaving: the notice to leave has come"
+		return nil, &adminhttp.Error{Status: http.StatusServiceUnavailable, Text: text}
+	}
+	return state, nil
+}
+
+func (h *Handler) counters(url.Values) (any, error) { return h.server.Counters(), nil }
+
+func (h *Handler) takeOutOfService(url.Values) (any, error) { return h.setInService(false) }
+
+func (h *Handler) takeInService(url.Values) (any, error) { return h.setInService(true) }
+
+func (h *Handler) setInService(inService bool) (any, error) {
+	if err := h.server.SetInService(inService); err != nil {
+		return nil, &adminhttp.Error{Status: http.StatusConflict, Text: err.Error()}
+	}
+	return h.server.State(), nil
+}
