--- /dev/null
+++ b/internal/server/shutdown_test.go
@@ -0,0 +1,100 @@
+package server
+
+import (
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"pewterline/internal/microtime"
+	"pewterline/internal/protocol/thrift"
+)
+
+// Requests in the accept queue when the server comes to its end are answered: the system has accepted them, so that
+// they are the server's. They come while the loop is in the turn in which the last request before them is answered.
+func TestShutdownAnswersAcceptQueue(t *testing.T) {
+	fixture := newSocketFixture(t, nil)
+	proxy := fixture.servedProxy()
+	require.NoError(t, proxy.conn.Close())
+	fixture.onLoop(func() { fixture.srv.Drain(fixture.Now()) })
+	for fixture.proxyConnections() > 0 { // Its end may not have been read yet.
+	}
+	grace := microtime.FromDuration(fixture.srv.cfg.Settings.DrainGrace)
+	fixture.advanceClock(grace + microtime.Millisecond)
+	var late []*clientConn
+	fixture.onLoop(func() {
+		for range 5 {
+			proxy := fixture.dialProxy()
+			fixture.submit(proxy, "lot-update", "")
+			late = append(late, proxy)
+		}
+	})
+	for _, proxy := range late {
+		require.Equal(t, thrift.ReplyFarewell, nextReply(proxy).Kind)
+		require.Equal(t, thrift.ReplyThrottled, nextReply(proxy).Kind, "a request that came at the end never ran")
+		require.NoError(t, proxy.conn.Close())
+	}
+	fixture.requireEnd()
+	require.Empty(t, fixture.pool.started)
+}
+
+// A request that comes as the server ends, on a connection that outlasts its farewell, finds an end and no reset, after
+// the answer to what was read. The time to stop is reached in the turn in which that answer is written.
+func TestRequestCrossesShutdown(t *testing.T) {
+	fixture := newSocketFixture(t, nil)
+	proxy := fixture.dialProxy()
+	id := fixture.submit(proxy, "lot-update", "")
+	require.Equal(t, id, <-fixture.pool.started)
+	fixture.onLoop(func() { fixture.srv.Drain(fixture.Now()) })
+	fixture.advanceClock(fixture.srv.cfg.ShutdownTimeout)
+	fixture.onLoop(func() { // The last turn: the run is not over, and the proxy sends another request.
+		fixture.submit(proxy, "lot-update", "")
+	})
+	require.Equal(t, thrift.ReplyBroken, nextReply(proxy).Kind)
+	require.Equal(t, thrift.ReplyFarewell, nextReply(proxy).Kind)
+	requireEOF(proxy)
+	require.NoError(t, proxy.conn.Close())
+	fixture.requireEnd()
+}
+
+// The grace of a drain counts from when the notice came, also where the server comes to it late, as one does that was
+// starting: what is read after the grace does not run, though the server has only just heard of the notice.
+func TestDrainCountsFromNotice(t *testing.T) {
+	fixture := newSocketFixture(t, nil)
+	notifiedAt := fixture.Now()
+	grace := microtime.FromDuration(fixture.srv.cfg.Settings.DrainGrace)
+	fixture.advanceClock(grace + microtime.Millisecond)
+	proxy := fixture.dialProxy()
+	fixture.onLoop(func() {
+		fixture.srv.Drain(notifiedAt)
+		fixture.submit(proxy, "lot-update", "")
+	})
+	fixture.requireThrottledEnd(proxy)
+}
+
+// A reload during a drain that gives more time does not extend the drain.
+func TestReloadDoesNotExtendDrain(t *testing.T) {
+	fixture := newSocketFixture(t, nil)
+	proxy := fixture.servedProxy()
+	fixture.onLoop(func() {
+		fixture.srv.Drain(fixture.Now())
+		next := fixture.srv.cfg
+		next.Settings.DrainGrace *= 10
+		next.PoolAddress = fixture.pool.listener.Addr().String()
+		require.NoError(t, fixture.srv.Reload(next))
+	})
+	fixture.advanceClock(microtime.FromDuration(2500*time.Millisecond) + microtime.Millisecond)
+	fixture.onLoop(func() { fixture.submit(proxy, "lot-update", "") })
+	fixture.requireThrottledEnd(proxy)
+}
+
+// requireThrottledEnd requires that the proxy's request is rejected, that it is told to close its connection, and that
+// the server ends once it has.
+func (f *socketFixture) requireThrottledEnd(proxy *clientConn) {
+	f.t.Helper()
+	kinds := []thrift.ReplyKind{nextReply(proxy).Kind, nextReply(proxy).Kind}
+	require.ElementsMatch(f.t, []thrift.ReplyKind{thrift.ReplyFarewell, thrift.ReplyThrottled}, kinds)
+	require.NoError(f.t, proxy.conn.Close())
+	f.requireEnd()
+	require.Empty(f.t, f.pool.started)
+}
--- a/internal/testbed/sim/planted_server_test.go
+++ b/internal/testbed/sim/planted_server_test.go
@@ -47,11 +47,12 @@
 
 // The search finds a server that ends its drain with requests unanswered.
 func TestSearchFindsEarlyStop(t *testing.T) {
-	search := Search{FirstSeed: 1, LastSeed: 300, Profile: "worst", Servers: 2, Proxies: 3, Length: 8 * microtime.Second,
-		Jobs: 2, MaxFindings: 1, begin: plantEarlyStop}
+	search := Search{FirstSeed: 1, LastSeed: 300, Profile: "worst", Servers: 2, Proxies: 3,
+		Length: 8 * microtime.Second, Jobs: 2, MaxFindings: 1, begin: plantEarlyStop}
 	progress, err := search.Run()
 	require.NoError(t, err)
 	require.NotEmpty(t, progress.Findings)
-	t.Logf("script %d, after %v: %s", progress.Findings[0].Run, progress.Findings[0].After, progress.Findings[0].Violation)
-	require.Equal(t, "lost/closed by the server", progress.Findings[0].Violation.Key())
+	finding := progress.Findings[0]
+	t.Logf("script %d, after %v: %s", finding.Run, finding.After, finding.Violation)
+	require.Equal(t, "lost/closed by the server", finding.Violation.Key())
 }
