--- a/cmd/pewterline/main.go
+++ b/cmd/pewterline/main.go
@@ -66,7 +66,12 @@
 		return err
 	}
 	if cfg.Store.Driver != "" {
-		st, err := store.Open(cfg.Store.Driver, cfg.Store.DSN, cfg.Name, cfg.Store.Timeout)
+		st, err := store.Open(store.Config{
+			Driver:  cfg.Store.Driver,
+			DSN:     cfg.Store.DSN,
+			Server:  cfg.Name,
+			Timeout: cfg.Store.Timeout,
+		})
 		if err != nil {
 			return err
 		}
--- a/internal/server/loopback_test.go
+++ b/internal/server/loopback_test.go
@@ -96,7 +96,7 @@
 	require.NoError(t, err)
 	stored := func() {}
 	if file != "" {
-		st, err := store.Open(store.SQLite, file, "n0", time.Minute)
+		st, err := store.Open(store.Config{Driver: store.SQLite, DSN: file, Server: "n0", Timeout: time.Minute})
 		require.NoError(t, err)
 		require.NoError(t, srv.UseStore(st, clock.Now()))
 		stored = func() { require.NoError(t, st.Close()) }
--- a/internal/store/format_test.go
+++ b/internal/store/format_test.go
@@ -13,20 +13,18 @@
 
 // recordedRows are what the database of testdata/intakes.sql was made of, in the order in which it was written.
 func recordedRows() []Record {
-	row := func(tenant, key string, at int64, result string) Record {
-		return Record{Class: "lot-intake", Tenant: tenant, IdempotencyKey: key, ArrivedAtMilli: at, Result: []byte(result)}
-	}
-	intent := func(tenant, key string, at int64) Record {
-		return Record{Class: "lot-intake", Tenant: tenant, IdempotencyKey: key, ArrivedAtMilli: at, Intent: true}
-	}
+	withoutResult := result("k0", 6000, "")
+	withoutResult.Result = nil
+	unneeded := intent("k3", 5600)
+	unneeded.Tenant = ""
 	return []Record{
-		row("hill-estate", "k0", 1000, "old"),
-		intent("hill-estate", "k1", 5000),
-		row("hill-estate", "k1", 5000, "\x00first'\xff"),
-		intent("hill-estate", "k0", 6000),
-		{Class: "lot-intake", Tenant: "hill-estate", IdempotencyKey: "k0", ArrivedAtMilli: 6000},
-		intent("hill-estate", "k2", 5500),
-		intent("", "k3", 5600).Cancelled(),
+		result("k0", 1000, "old"),
+		intent("k1", 5000),
+		result("k1", 5000, "\x00first'\xff"),
+		intent("k0", 6000),
+		withoutResult,
+		intent("k2", 5500),
+		unneeded.Cancelled(),
 		{Class: "press-run", IdempotencyKey: "k4", ArrivedAtMilli: 1764547200000, Result: []byte("wide")},
 	}
 }
@@ -63,8 +61,8 @@
 	return out.String()
 }
 
-// Guards a database that an earlier release has written: this one reads its rows, changes nothing of its schema, and writes
-// on in it.
+// Guards a database that an earlier release has written: this one reads its rows, changes nothing of its schema, and
+// writes on in it.
 func TestRecordedDatabaseIsRead(t *testing.T) {
 	recorded, err := os.ReadFile("testdata/intakes.sql")
 	require.NoError(t, err)
@@ -75,35 +73,33 @@
 	require.NoError(t, err)
 	require.NoError(t, db.Close())
 
-	s, err := Open(SQLite, file, "n0", patience)
-	require.NoError(t, err)
-	got, err := s.Load(1)
+	store := open(t, SQLite, file, "n0")
+	got, err := store.Load(1)
 	require.NoError(t, err)
 	rows := recordedRows()
 	latest := rows[4]
 	latest.Result = []byte{}
 	require.Equal(t, []Record{rows[2], rows[5], latest, rows[7]}, got, "results, and the one intent that is not settled")
-	require.NoError(t, s.Close())
+	require.NoError(t, store.Close())
 	require.Equal(t, string(recorded), dump(t, file), "reading changes nothing")
 
-	s, err = Open(SQLite, file, "n0", patience)
-	require.NoError(t, err)
+	store = open(t, SQLite, file, "n0")
 	for _, r := range rows {
-		require.NoError(t, record(t, s, r))
+		require.NoError(t, record(t, store, r))
 	}
-	require.NoError(t, s.Close())
+	require.NoError(t, store.Close())
 	require.Equal(t, string(recorded), dump(t, file), "the same rows, written again")
 }
 
-// Guards an earlier release that comes back on a database of this one: the same records make the same schema and rows.
+// Guards an earlier release that comes back on a database of this one: the same records make the same schema and
+// rows.
 func TestDatabaseIsWrittenAsRecorded(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "intakes.db")
-	s, err := Open(SQLite, file, "n0", patience)
-	require.NoError(t, err)
+	store := open(t, SQLite, file, "n0")
 	for _, r := range recordedRows() {
-		require.NoError(t, record(t, s, r))
+		require.NoError(t, record(t, store, r))
 	}
-	require.NoError(t, s.Close())
+	require.NoError(t, store.Close())
 	recorded, err := os.ReadFile("testdata/intakes.sql")
 	require.NoError(t, err)
 	require.Equal(t, string(recorded), dump(t, file))
--- /dev/null
+++ b/internal/store/statements.go
@@ -0,0 +1,91 @@
+package store
+
+import (
+	"errors"
+	"fmt"
+	"strconv"
+	"strings"
+)
+
+// The kinds of database.
+const (
+	SQLite   = "sqlite"
+	Postgres = "postgres"
+)
+
+// ErrUnknownDriver says that there is no such kind of database.
+var ErrUnknownDriver = errors.New("store: unknown driver")
+
+// sqlitePragmas have a commit return once the disk holds it, and bound the wait for another process.
+const sqlitePragmas = "_pragma=journal_mode(WAL)&_pragma=synchronous(FULL)&_pragma=busy_timeout(1000)"
+
+// dialect is how a kind of database differs from the others.
+type dialect struct {
+	driverName  string // as it is registered with database/sql
+	blobType    string
+	placeholder func(number int) string // of a parameter, from 1 on
+}
+
+// dialectOf returns the dialect of a kind of database, and the DSN to open it with.
+func dialectOf(driver, dsn string) (dialect, string, error) {
+	switch driver {
+	case Postgres:
+		numbered := func(number int) string { return "$" + strconv.Itoa(number) }
+		return dialect{driverName: "pgx", blobType: "BYTEA", placeholder: numbered}, dsn, nil
+	case SQLite:
+		unnumbered := func(int) string { return "?" }
+		return dialect{driverName: "sqlite", blobType: "BLOB", placeholder: unnumbered}, sqliteDSN(dsn), nil
+	default:
+		return dialect{}, "", fmt.Errorf("%w %q", ErrUnknownDriver, driver)
+	}
+}
+
+func sqliteDSN(dsn string) string {
+	separator := "?"
+	if strings.Contains(dsn, "?") {
+		separator = "&"
+	}
+	return "file:" + strings.TrimPrefix(dsn, "file:") + separator + sqlitePragmas
+}
+
+// placeholders returns the placeholders of the first parameters, as a list.
+func (d dialect) placeholders(count int) string {
+	list := make([]string, count)
+	for i := range list {
+		list[i] = d.placeholder(i + 1)
+	}
+	return strings.Join(list, ", ")
+}
+
+// statements are what a store has its database do. The columns named once hold idempotency keys.
+type statements struct {
+	createTables  []string
+	insertResult  string
+	insertIntent  string
+	selectResults string
+	selectIntents string
+}
+
+// newStatements returns the statements in a dialect. An intent is no younger than the result of its run; one that is
+// younger was not settled. Cancelled ones are of the time 0.
+func newStatements(dialect dialect) statements {
+	onConflict := ` ON CONFLICT (server, class, tenant, once)`
+	since := " WHERE server = " + dialect.placeholder(1) + " AND at_ms >= " + dialect.placeholder(2) + " ORDER BY at_ms"
+	return statements{
+		createTables: []string{
+			`CREATE TABLE IF NOT EXISTS intakes (
+ server TEXT NOT NULL, class TEXT NOT NULL, tenant TEXT NOT NULL, once TEXT NOT NULL,
+ at_ms BIGINT NOT NULL, result ` + dialect.blobType + ` NOT NULL, PRIMARY KEY (server, class, tenant, once))`,
+			`CREATE TABLE IF NOT EXISTS intents (
+ server TEXT NOT NULL, class TEXT NOT NULL, tenant TEXT NOT NULL, once TEXT NOT NULL,
+ at_ms BIGINT NOT NULL, PRIMARY KEY (server, class, tenant, once))`,
+		},
+		insertResult: `INSERT INTO intakes (server, class, tenant, once, at_ms, result)
+ VALUES (` + dialect.placeholders(6) + `)` + onConflict + `
+ DO UPDATE SET at_ms = excluded.at_ms, result = excluded.result`,
+		insertIntent: `INSERT INTO intents (server, class, tenant, once, at_ms)
+ VALUES (` + dialect.placeholders(5) + `)` + onConflict + ` DO UPDATE SET at_ms = excluded.at_ms`,
+		selectResults: "SELECT class, tenant, once, at_ms, result FROM intakes" + since,
+		selectIntents: "SELECT class, tenant, once, at_ms FROM intents" + since,
+	}
+}
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,5 +1,3 @@
-// Package store is the store of record: the intakes that ran and their results, in SQLite or PostgreSQL. It
-// works off the event loop; every wait is bounded.
 package store
 
 import (
@@ -9,250 +7,230 @@
 	"errors"
 	"fmt"
 	"slices"
-	"strings"
 	"time"
 
-	_ "github.com/jackc/pgx/v5/stdlib" // PostgreSQL
-	_ "modernc.org/sqlite"             // SQLite, in Go throughout
+	_ "github.com/jackc/pgx/v5/stdlib" // the driver of PostgreSQL
+	_ "modernc.org/sqlite"             // the driver of SQLite, without cgo
 )
 
-// The kinds of database.
 const (
-	SQLite   = "sqlite"
-	Postgres = "postgres"
+	queueSize = 256 // records that may wait to be written; more are refused at once
+	maxBatch  = 64  // records that one transaction writes
 )
 
-const (
-	queueLen = 256 // intakes that may wait to be written; more are refused at once
-	batchMax = 64  // that go into one transaction
+// The errors of Store.Record, besides those of the database.
+var (
+	ErrQueueFull = errors.New("store: the queue is full")
+	ErrClosed    = errors.New("store: closed")
 )
 
-// ErrQueueFull says that too many intakes wait to be written.
-var ErrQueueFull = errors.New("store: the queue is full")
-
-// ErrClosed says that the store has been closed.
-var ErrClosed = errors.New("store: closed")
-
-// Record is one intake that ran, or is about to.
-type Record struct {
-	Class, Tenant, IdempotencyKey string
-	ArrivedAtMilli                int64 // when the try that ran came, in Unix milliseconds
-	Result                        []byte
-	Intent                        bool // it may run from now on; there is no result yet
+// Config says which database to use, and for whom.
+type Config struct {
+	Driver  string        // SQLite or Postgres
+	DSN     string        // a file for SQLite, a URL for PostgreSQL
+	Server  string        // whose records are read and written; servers may share a database
+	Timeout time.Duration // of each operation on the database
 }
 
-// Cancelled is an intent that came to nothing: it never ran.
-func (r Record) Cancelled() Record {
-	r.Intent, r.ArrivedAtMilli = true, 0 // before any window
-	return r
-}
-
-// Store writes records of one server, in the order they come.
+// Store writes the records of one server, in the order in which they come. It is safe for concurrent use.
 type Store struct {
-	db      *sql.DB
-	server  string
-	timeout time.Duration
-	insert  string
-	intend  string
-	sel     string
-	open    string // intents
-	queue   chan job
-	closing chan struct{}
-	done    chan struct{}
+	db         *sql.DB
+	config     Config
+	statements statements
+	queue      chan submission
+	closing    chan struct{} // closed by Close
+	done       chan struct{} // closed once the writer has ended
 }
 
-type job struct {
-	rec  Record
-	done func(error)
+// submission is a record that waits to be written.
+type submission struct {
+	record Record
+	done   func(error)
 }
 
-const schema = `CREATE TABLE IF NOT EXISTS intakes (
- server TEXT NOT NULL, class TEXT NOT NULL, tenant TEXT NOT NULL, once TEXT NOT NULL,
- at_ms BIGINT NOT NULL, result %s NOT NULL, PRIMARY KEY (server, class, tenant, once))`
-
-// An intent is older than its result, or as old; one that is younger was not settled. Void ones are of the time 0.
-const intents = `CREATE TABLE IF NOT EXISTS intents (
- server TEXT NOT NULL, class TEXT NOT NULL, tenant TEXT NOT NULL, once TEXT NOT NULL,
- at_ms BIGINT NOT NULL, PRIMARY KEY (server, class, tenant, once))`
-
-// Open connects to the database and makes its tables where there are none. The store must be there at the start:
-// without it, what has run would not be known.
-func Open(driver, dsn, server string, timeout time.Duration) (*Store, error) {
-	s := &Store{server: server, timeout: timeout, queue: make(chan job, queueLen),
-		closing: make(chan struct{}), done: make(chan struct{})}
-	name, blob := "pgx", "BYTEA"
-	param := func(i int) string { return fmt.Sprintf("$%d", i) }
-	switch driver {
-	case Postgres:
-	case SQLite:
-		name, blob = "sqlite", "BLOB"
-		param = func(int) string { return "?" }
-		sep := "?"
-		if strings.Contains(dsn, "?") {
-			sep = "&"
-		}
-		// Full: a commit returns when the disk has it.
-		dsn = "file:" + strings.TrimPrefix(dsn, "file:") + sep + "_pragma=journal_mode(WAL)&_pragma=synchronous(FULL)&_pragma=busy_timeout(1000)"
-	default:
-		return nil, fmt.Errorf("store: unknown driver %q", driver)
+// Open connects to the database, creates its tables where there are none, and starts the writer, a goroutine that
+// Close ends. The database has to be there at the start: without it, what has run would not be known.
+func Open(config Config) (*Store, error) {
+	dialect, dsn, err := dialectOf(config.Driver, config.DSN)
+	if err != nil {
+		return nil, err
+	}
+	store := &Store{
+		config:     config,
+		statements: newStatements(dialect),
+		queue:      make(chan submission, queueSize),
+		closing:    make(chan struct{}),
+		done:       make(chan struct{}),
 	}
-	p := make([]any, 6)
-	for i := range p {
-		p[i] = param(i + 1)
+	if store.db, err = sql.Open(dialect.driverName, dsn); err != nil {
+		return nil, fmt.Errorf("store: open: %w", err)
 	}
-	s.insert = fmt.Sprintf(`INSERT INTO intakes (server, class, tenant, once, at_ms, result)
- VALUES (%s, %s, %s, %s, %s, %s) ON CONFLICT (server, class, tenant, once)
- DO UPDATE SET at_ms = excluded.at_ms, result = excluded.result`, p...)
-	s.intend = fmt.Sprintf(`INSERT INTO intents (server, class, tenant, once, at_ms)
- VALUES (%s, %s, %s, %s, %s) ON CONFLICT (server, class, tenant, once) DO UPDATE SET at_ms = excluded.at_ms`, p[:5]...)
-	s.open = fmt.Sprintf("SELECT class, tenant, once, at_ms FROM intents WHERE server = %s AND at_ms >= %s ORDER BY at_ms", p[:2]...)
-	s.sel = fmt.Sprintf("SELECT class, tenant, once, at_ms, result FROM intakes WHERE server = %s AND at_ms >= %s ORDER BY at_ms", p[:2]...)
-	var err error
-	if s.db, err = sql.Open(name, dsn); err != nil {
-		return nil, fmt.Errorf("store: %w", err)
+	store.db.SetMaxOpenConns(1)
+	if err := store.createTables(); err != nil {
+		return nil, errors.Join(err, store.db.Close())
 	}
-	s.db.SetMaxOpenConns(1)
-	ctx, cancel := context.WithTimeout(context.Background(), timeout)
+	go store.run()
+	return store, nil
+}
+
+// timeout returns a context for one operation on the database.
+func (s *Store) timeout() (context.Context, context.CancelFunc) {
+	return context.WithTimeout(context.Background(), s.config.Timeout)
+}
+
+func (s *Store) createTables() error {
+	ctx, cancel := s.timeout()
 	defer cancel()
-	for _, table := range []string{fmt.Sprintf(schema, blob), intents} {
-		if _, err = s.db.ExecContext(ctx, table); err != nil {
-			return nil, errors.Join(fmt.Errorf("store: table: %w", err), s.db.Close())
+	for _, statement := range s.statements.createTables {
+		if _, err := s.db.ExecContext(ctx, statement); err != nil {
+			return fmt.Errorf("store: create table: %w", err)
 		}
 	}
-	go s.work()
-	return s, nil
+	return nil
 }
 
-// Load reads the intakes since a time in Unix milliseconds, oldest first, and those among them that were to run and have no
-// result: they may have run.
+// Load returns the results since a time in Unix milliseconds, and the intents since then that have no result: those
+// requests may have run. The oldest come first.
 func (s *Store) Load(sinceMilli int64) ([]Record, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), s.timeout)
+	ctx, cancel := s.timeout()
 	defer cancel()
-	out, err := s.query(ctx, s.sel, sinceMilli, false)
+	records, err := s.query(ctx, s.statements.selectResults, sinceMilli, scanResult)
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("store: load results: %w", err)
 	}
-	type name struct{ class, tenant, once string }
-	settled := map[name]int64{}
-	for _, r := range out {
-		settled[name{r.Class, r.Tenant, r.IdempotencyKey}] = r.ArrivedAtMilli
+	settledAt := map[identity]int64{}
+	for _, record := range records {
+		settledAt[record.identity()] = record.ArrivedAtMilli
 	}
-	open, err := s.query(ctx, s.open, sinceMilli, true)
-	for _, r := range open {
-		if at, ok := settled[name{r.Class, r.Tenant, r.IdempotencyKey}]; !ok || at < r.ArrivedAtMilli {
-			out = append(out, r)
+	intents, err := s.query(ctx, s.statements.selectIntents, sinceMilli, scanIntent)
+	if err != nil {
+		return nil, fmt.Errorf("store: load intents: %w", err)
+	}
+	for _, intent := range intents {
+		if at, settled := settledAt[intent.identity()]; !settled || at < intent.ArrivedAtMilli {
+			records = append(records, intent)
 		}
 	}
-	slices.SortStableFunc(out, func(a, b Record) int { return cmp.Compare(a.ArrivedAtMilli, b.ArrivedAtMilli) })
-	return out, err
+	byArrival := func(a, b Record) int { return cmp.Compare(a.ArrivedAtMilli, b.ArrivedAtMilli) }
+	slices.SortStableFunc(records, byArrival)
+	return records, nil
 }
 
-func (s *Store) query(ctx context.Context, text string, sinceMilli int64, intent bool) ([]Record, error) {
-	rows, err := s.db.QueryContext(ctx, text, s.server, sinceMilli)
+// query reads this server's rows since a time, each by scan.
+func (s *Store) query(
+	ctx context.Context, statement string, sinceMilli int64, scan func(*sql.Rows) (Record, error),
+) ([]Record, error) {
+	rows, err := s.db.QueryContext(ctx, statement, s.config.Server, sinceMilli)
 	if err != nil {
-		return nil, fmt.Errorf("store: load: %w", err)
+		return nil, err
 	}
-	defer rows.Close() //nolint:errcheck // rows.Err tells
-	var out []Record
+	defer func() { _ = rows.Close() }() // rows.Err reports what there is to report
+	var records []Record
 	for rows.Next() {
-		r := Record{Intent: intent}
-		to := []any{&r.Class, &r.Tenant, &r.IdempotencyKey, &r.ArrivedAtMilli}
-		if !intent {
-			to = append(to, &r.Result)
-		}
-		if err := rows.Scan(to...); err != nil {
-			return nil, fmt.Errorf("store: load: %w", err)
-		}
-		if r.Result == nil && !intent {
-			r.Result = []byte{} // drivers differ over an empty one
+		record, err := scan(rows)
+		if err != nil {
+			return nil, err
 		}
-		out = append(out, r)
+		records = append(records, record)
 	}
-	if err := rows.Err(); err != nil {
-		return nil, fmt.Errorf("store: load: %w", err)
+	return records, rows.Err()
+}
+
+func scanResult(rows *sql.Rows) (record Record, err error) {
+	err = rows.Scan(&record.Class, &record.Tenant, &record.IdempotencyKey, &record.ArrivedAtMilli, &record.Result)
+	if record.Result == nil {
+		record.Result = []byte{} // drivers differ over an empty one
 	}
-	return out, nil
+	return record, err
+}
+
+func scanIntent(rows *sql.Rows) (record Record, err error) {
+	record.Intent = true
+	err = rows.Scan(&record.Class, &record.Tenant, &record.IdempotencyKey, &record.ArrivedAtMilli)
+	return record, err
 }
 
-// Record writes r. done is called off the loop, once, when the database holds it or an error says that this is
-// not known.
-func (s *Store) Record(r Record, done func(error)) {
+// Record queues a record to be written. done is called once, on another goroutine: without an error the database
+// holds the record, with one that is not known.
+func (s *Store) Record(record Record, done func(error)) {
 	select {
 	case <-s.closing:
-		go done(ErrClosed)
+		go done(ErrClosed) // on a goroutine that ends with it: the caller may hold what done needs
+		return
 	default:
-		select {
-		case s.queue <- job{r, done}:
-		default:
-			go done(ErrQueueFull)
-		}
+	}
+	select {
+	case s.queue <- submission{record, done}:
+	default:
+		go done(ErrQueueFull) // as above
 	}
 }
 
-// Close writes what waits and closes the database.
+// Close writes what is queued and closes the database. It is called once.
 func (s *Store) Close() error {
 	close(s.closing)
 	<-s.done
 	return s.db.Close()
 }
 
-func (s *Store) work() {
+// run is the writer's goroutine. It ends once Close has been called and the queue is empty.
+func (s *Store) run() {
 	defer close(s.done)
 	for {
 		select {
-		case j := <-s.queue:
-			s.write(s.batch(j))
+		case first := <-s.queue:
+			s.write(s.gather(first))
 		case <-s.closing:
-			for {
-				select {
-				case j := <-s.queue:
-					s.write(s.batch(j))
-				default:
-					return
-				}
-			}
+			s.writeQueued()
+			return
 		}
 	}
 }
 
-// batch takes what else waits: one commit serves all.
-func (s *Store) batch(first job) []job {
-	jobs := []job{first}
-	for len(jobs) < batchMax {
+// writeQueued writes until the queue is empty.
+func (s *Store) writeQueued() {
+	for {
 		select {
-		case j := <-s.queue:
-			jobs = append(jobs, j)
+		case first := <-s.queue:
+			s.write(s.gather(first))
 		default:
-			return jobs
+			return
 		}
 	}
-	return jobs
 }
 
-func (s *Store) write(jobs []job) {
-	err := s.commit(jobs)
-	for _, j := range jobs {
-		j.done(err)
+// gather adds to a batch what else is queued: one commit serves all.
+func (s *Store) gather(first submission) []submission {
+	batch := []submission{first}
+	for len(batch) < maxBatch {
+		select {
+		case next := <-s.queue:
+			batch = append(batch, next)
+		default:
+			return batch
+		}
+	}
+	return batch
+}
+
+// write writes a batch and reports to each who waits for it.
+func (s *Store) write(batch []submission) {
+	err := s.commit(batch)
+	for _, submission := range batch {
+		submission.done(err)
 	}
 }
 
-func (s *Store) commit(jobs []job) error {
-	ctx, cancel := context.WithTimeout(context.Background(), s.timeout)
+// commit writes a batch in one transaction.
+func (s *Store) commit(batch []submission) error {
+	ctx, cancel := s.timeout()
 	defer cancel()
 	tx, err := s.db.BeginTx(ctx, nil)
 	if err != nil {
 		return fmt.Errorf("store: begin: %w", err)
 	}
-	for _, j := range jobs {
-		r := j.rec
-		if r.Result == nil {
-			r.Result = []byte{}
-		}
-		text, args := s.insert, []any{s.server, r.Class, r.Tenant, r.IdempotencyKey, r.ArrivedAtMilli, r.Result}
-		if r.Intent {
-			text, args = s.intend, args[:5]
-		}
-		if _, err := tx.ExecContext(ctx, text, args...); err != nil {
+	for _, submission := range batch {
+		if err := s.insert(ctx, tx, submission.record); err != nil {
 			return errors.Join(fmt.Errorf("store: insert: %w", err), tx.Rollback())
 		}
 	}
@@ -261,3 +239,17 @@
 	}
 	return nil
 }
+
+func (s *Store) insert(ctx context.Context, tx *sql.Tx, record Record) error {
+	values := []any{s.config.Server, record.Class, record.Tenant, record.IdempotencyKey, record.ArrivedAtMilli}
+	if record.Intent {
+		_, err := tx.ExecContext(ctx, s.statements.insertIntent, values...)
+		return err
+	}
+	result := record.Result
+	if result == nil {
+		result = []byte{} // drivers write nil as NULL
+	}
+	_, err := tx.ExecContext(ctx, s.statements.insertResult, append(values, result)...)
+	return err
+}
