--- a/cmd/pewterline/upgrade.go
+++ b/cmd/pewterline/upgrade.go
@@ -95,7 +95,7 @@
 				_ = os.Remove(path)
 			case errors.Is(err, syscall.ENOTSOCK) || errors.Is(err, errNoSocket):
 				logf("upgrade: %s is no socket of this user's, and is passed over", path)
-			case errors.Is(err, upgrade.ErrVersion):
+			case errors.Is(err, upgrade.ErrVersionMismatch):
 				return nil, fmt.Errorf("%w: %s: %w", errOther, path, err)
 			default:
 				last = fmt.Errorf("%s: %w", path, err)
@@ -149,7 +149,7 @@
 			return nil, err
 		}
 		if size += n; size > toldMost {
-			return nil, fmt.Errorf("%w: over %d bytes were told", upgrade.ErrFrame, toldMost)
+			return nil, fmt.Errorf("%w: over %d bytes were told", upgrade.ErrMalformedFrame, toldMost)
 		}
 		switch m.Kind {
 		case upgrade.Reject:
--- a/internal/peers/links_test.go
+++ b/internal/peers/links_test.go
@@ -218,7 +218,7 @@
 	hello := connection.outbound.take()
 	connection.outbound.Write(hello[:len(hello)-1])
 	connection.outbound.Write([]byte{0, 0, 0, 9, 9, 9, 9, 9})
-	require.ErrorIs(t, connection.deliver(), replicationwire.ErrFrame)
+	require.ErrorIs(t, connection.deliver(), replicationwire.ErrMalformedFrame)
 
 	pair.first.SetPeers(map[uint32]string{3: "there"})
 	connection = pair.connect()
--- a/internal/protocol/replicationwire/copylink.go
+++ b/internal/protocol/replicationwire/copylink.go
@@ -29,8 +29,8 @@
 // The errors; every error wraps one of them. After ErrFrame the connection is past help: bytes of it were lost, or it is of
 // something else.
 var (
-	ErrFrame    = errors.New("copylink: broken frame")
-	ErrTooLarge = errors.New("copylink: too large")
+	ErrMalformedFrame = errors.New("copylink: broken frame")
+	ErrTooLarge       = errors.New("copylink: too large")
 )
 
 // Hello says who is at an end of a link. It comes first.
@@ -168,7 +168,7 @@
 	case v != nil && len(v.Result) > MaxValue:
 		return fmt.Errorf("%w: a value of %d bytes is over %d", ErrTooLarge, len(v.Result), MaxValue)
 	case v != nil && v.Kind > uint8(consensus.KindMembership):
-		return fmt.Errorf("%w: a value of kind %d", ErrFrame, v.Kind)
+		return fmt.Errorf("%w: a value of kind %d", ErrMalformedFrame, v.Kind)
 	}
 	return nil
 }
@@ -210,7 +210,7 @@
 	}
 	size := binary.BigEndian.Uint32(in)
 	if size == 0 || size > MaxFrame {
-		return m, 0, fmt.Errorf("%w: length %d is not within 1 to %d", ErrFrame, size, MaxFrame)
+		return m, 0, fmt.Errorf("%w: length %d is not within 1 to %d", ErrMalformedFrame, size, MaxFrame)
 	}
 	n = head + int(size)
 	if len(in) < n {
@@ -218,17 +218,17 @@
 	}
 	// Guards the votes against a link that has lost bytes in the middle: what follows would be read as something else.
 	if xxhash.Sum64(in[head:n]) != binary.BigEndian.Uint64(in[4:]) {
-		return m, 0, fmt.Errorf("%w: wrong checksum", ErrFrame)
+		return m, 0, fmt.Errorf("%w: wrong checksum", ErrMalformedFrame)
 	}
 	var w message
 	if err := reader.Unmarshal(in[head:n], &w); err != nil {
-		return m, 0, fmt.Errorf("%w: %w", ErrFrame, err)
+		return m, 0, fmt.Errorf("%w: %w", ErrMalformedFrame, err)
 	}
 	if w.Version != Version {
-		return m, 0, fmt.Errorf("%w: version %d, ours is %d", ErrFrame, w.Version, Version)
+		return m, 0, fmt.Errorf("%w: version %d, ours is %d", ErrMalformedFrame, w.Version, Version)
 	}
 	if len(w.Requests) > MaxItems || len(w.Replies) > MaxItems || len(w.Marks) > MaxItems {
-		return m, 0, fmt.Errorf("%w: over %d items", ErrFrame, MaxItems)
+		return m, 0, fmt.Errorf("%w: over %d items", ErrMalformedFrame, MaxItems)
 	}
 	m = Message{Hello: w.Hello, Epoch: w.Epoch}
 	for _, r := range w.Requests {
@@ -247,7 +247,7 @@
 	if w.Group != "" {
 		g, err := consensus.ParseMembership(w.Group)
 		if err != nil {
-			return m, 0, fmt.Errorf("%w: %w", ErrFrame, err)
+			return m, 0, fmt.Errorf("%w: %w", ErrMalformedFrame, err)
 		}
 		m.Membership = &g
 	}
@@ -303,16 +303,16 @@
 func ParseRecord(in []byte) (r Record, err error) {
 	var w record
 	if err := reader.Unmarshal(in, &w); err != nil {
-		return r, fmt.Errorf("%w: a record: %w", ErrFrame, err)
+		return r, fmt.Errorf("%w: a record: %w", ErrMalformedFrame, err)
 	}
 	if w.Version != Version {
-		return r, fmt.Errorf("%w: a record of version %d, ours is %d", ErrFrame, w.Version, Version)
+		return r, fmt.Errorf("%w: a record of version %d, ours is %d", ErrMalformedFrame, w.Version, Version)
 	}
 	r = Record{Incarnation: w.Life, ForgetBefore: w.Forget}
 	if w.Group != "" {
 		g, err := consensus.ParseMembership(w.Group)
 		if err != nil {
-			return r, fmt.Errorf("%w: a record: %w", ErrFrame, err)
+			return r, fmt.Errorf("%w: a record: %w", ErrMalformedFrame, err)
 		}
 		r.Membership = &g
 	}
--- a/internal/protocol/replicationwire/copylink_test.go
+++ b/internal/protocol/replicationwire/copylink_test.go
@@ -43,7 +43,7 @@
 		spoilt[i] ^= 0x10
 		_, size, err := Parse(spoilt)
 		if i >= 4 { // else the length has changed, and more may be waited for
-			require.ErrorIs(t, err, ErrFrame, i)
+			require.ErrorIs(t, err, ErrMalformedFrame, i)
 		}
 		require.Zero(t, size)
 	}
@@ -63,7 +63,7 @@
 	_, _, err = Parse(out)
 	require.ErrorIs(t, err, ErrTooLarge)
 	_, _, err = Parse([]byte{0xff, 0, 0, 0})
-	require.ErrorIs(t, err, ErrFrame)
+	require.ErrorIs(t, err, ErrMalformedFrame)
 }
 
 // A record is read as it was written.
@@ -80,7 +80,7 @@
 	}
 	for _, bad := range []string{"", "\xff", "\xa1\x01\x09"} {
 		_, err := ParseRecord([]byte(bad))
-		require.ErrorIs(t, err, ErrFrame)
+		require.ErrorIs(t, err, ErrMalformedFrame)
 	}
 }
 
--- a/internal/protocol/upgrade/upgrade.go
+++ b/internal/protocol/upgrade/upgrade.go
@@ -30,8 +30,8 @@
 
 // The errors; both say that the connection is past help.
 var (
-	ErrFrame   = errors.New("upgrade: broken frame")
-	ErrVersion = errors.New("upgrade: the other process speaks another version")
+	ErrMalformedFrame  = errors.New("upgrade: broken frame")
+	ErrVersionMismatch = errors.New("upgrade: the other process speaks another version")
 )
 
 // Kind says what a message is.
@@ -94,7 +94,7 @@
 func Size(in []byte) (int, error) {
 	n := binary.BigEndian.Uint32(in)
 	if n == 0 || n > MaxFrame {
-		return 0, fmt.Errorf("%w: a length of %d", ErrFrame, n)
+		return 0, fmt.Errorf("%w: a length of %d", ErrMalformedFrame, n)
 	}
 	return int(n), nil
 }
@@ -103,12 +103,12 @@
 func Decode(body []byte) (m Message, err error) {
 	var w wireMessage
 	if err := reader.Unmarshal(body, &w); err != nil {
-		return m, fmt.Errorf("%w: %w", ErrFrame, err)
+		return m, fmt.Errorf("%w: %w", ErrMalformedFrame, err)
 	}
 	m = Message{w.Kind, w.Name, w.Class, w.Tenant, w.IdempotencyKey, w.ArrivedAtMilli, w.Result, w.OutOfService, w.Connections,
 		w.Reason, w.Learned.fromWire()}
 	if m.Kind == 0 || m.Kind >= kinds {
-		return m, fmt.Errorf("%w: a message of kind %d", ErrFrame, m.Kind)
+		return m, fmt.Errorf("%w: a message of kind %d", ErrMalformedFrame, m.Kind)
 	}
 	return m, nil
 }
@@ -132,9 +132,9 @@
 	for i := range n {
 		if in[i] != Preamble[i] {
 			if i < 4 {
-				return false, fmt.Errorf("%w: no preamble", ErrFrame)
+				return false, fmt.Errorf("%w: no preamble", ErrMalformedFrame)
 			}
-			return false, ErrVersion
+			return false, ErrVersionMismatch
 		}
 	}
 	return n == len(Preamble), nil
--- a/internal/protocol/upgrade/upgrade_test.go
+++ b/internal/protocol/upgrade/upgrade_test.go
@@ -41,12 +41,12 @@
 	require.True(t, ok)
 	require.NoError(t, err)
 	_, err = CheckPreamble([]byte("pwtu\x00\x02"))
-	require.ErrorIs(t, err, ErrVersion)
+	require.ErrorIs(t, err, ErrVersionMismatch)
 	_, err = CheckPreamble([]byte("GET / "))
-	require.ErrorIs(t, err, ErrFrame)
+	require.ErrorIs(t, err, ErrMalformedFrame)
 	for _, in := range []string{"\x00\x00\x00\x00", "\x00\x01\x00\x01", "\x00\x00\x00\x01\xa0", "\x00\x00\x00\x03\xa1\x01\x18", "\x00\x00\x00\x04\xa1\x01\x18\xfe"} {
 		_, _, err := Parse([]byte(in))
-		require.ErrorIs(t, err, ErrFrame, "%q", in)
+		require.ErrorIs(t, err, ErrMalformedFrame, "%q", in)
 	}
 }
 
--- a/internal/replication/state_test.go
+++ b/internal/replication/state_test.go
@@ -123,7 +123,7 @@
 	}
 	spoilt := append([]byte(nil), snapshot...)
 	spoilt[snapshotLengthBytes] ^= 0xff
-	require.ErrorIs(t, read.decodeSnapshot(spoilt), replicationwire.ErrFrame)
+	require.ErrorIs(t, read.decodeSnapshot(spoilt), replicationwire.ErrMalformedFrame)
 }
 
 // Guards the size of records: what a turn has to make durable is cut into several, in order, and nothing is left out.
--- a/internal/server/peer_session.go
+++ b/internal/server/peer_session.go
@@ -101,7 +101,7 @@
 	case message.Kind == upgrade.Hello && p.successor:
 		p.greet(message)
 	default: // It is unidentified until its hello.
-		return fmt.Errorf("%w: kind %d before hello", upgrade.ErrFrame, message.Kind)
+		return fmt.Errorf("%w: kind %d before hello", upgrade.ErrMalformedFrame, message.Kind)
 	}
 	return nil
 }
