--- a/internal/protocol/replicationwire/format_test.go
+++ b/internal/protocol/replicationwire/format_test.go
@@ -57,15 +57,17 @@
 	"forget-before": {ForgetBefore: 1764547200000},
 	"slots": {Registers: []consensus.SavedRegister{
 		{Key: "promised", Register: consensus.Register{Promised: lowBallot, LastAttemptAt: 5}},
-		{Key: "tenant\x00\xffkey", Register: consensus.Register{Promised: highBallot, Accepted: lowBallot, Value: succeeded,
-			LastAttemptAt: 1764547200000, TransferredEpoch: 7}},
-		{Key: "leased", Register: consensus.Register{Promised: lowBallot, Accepted: lowBallot, Value: leased, LastAttemptAt: -5}},
+		{Key: "tenant\x00\xffkey", Register: consensus.Register{Promised: highBallot, Accepted: lowBallot,
+			Value: succeeded, LastAttemptAt: 1764547200000, TransferredEpoch: 7}},
+		{Key: "leased", Register: consensus.Register{Promised: lowBallot, Accepted: lowBallot, Value: leased,
+			LastAttemptAt: -5}},
 	}},
 	"everything": {Incarnation: 1, Membership: &membership,
 		Registers: []consensus.SavedRegister{{Key: "k", Register: consensus.Register{Promised: lowBallot}}}, ForgetBefore: 2},
 }
 
-// Guards a group whose servers are upgraded one by one: frames are written and read as the release whose frames were recorded does.
+// Guards a group whose servers are upgraded one by one: frames are written and read as the release whose frames were
+// recorded does.
 func TestFramesAreAsRecorded(t *testing.T) {
 	frames := golden.Frames(t, "testdata/frames.hex")
 	require.Len(t, frames, len(recordedMessages))
--- /dev/null
+++ b/internal/protocol/replicationwire/record.go
@@ -0,0 +1,42 @@
+package replicationwire
+
+import (
+	"fmt"
+
+	"github.com/fxamacker/cbor/v2"
+
+	"pewterline/internal/decide/consensus"
+)
+
+// Record is a change of what an acceptor keeps on its disk. Fields that are zero change nothing.
+type Record struct {
+	Incarnation  uint64
+	Membership   *consensus.Membership // in force from now on
+	Registers    []consensus.SavedRegister
+	ForgetBefore int64 // registers whose last attempt arrived before this time, in Unix milliseconds, are dropped
+}
+
+// AppendRecord encodes a record behind out. Its end is the end of the slice.
+func AppendRecord(out []byte, record Record) ([]byte, error) {
+	body, err := cbor.Marshal(encodeRecord(record))
+	if err != nil {
+		return out, fmt.Errorf("replicationwire: encode a record: %w", err)
+	}
+	return append(out, body...), nil
+}
+
+// ParseRecord decodes a record. Its error wraps ErrMalformedFrame.
+func ParseRecord(in []byte) (Record, error) {
+	var encoded recordEncoding
+	if err := decoding.Unmarshal(in, &encoded); err != nil {
+		return Record{}, fmt.Errorf("%w: a record: %w", ErrMalformedFrame, err)
+	}
+	if encoded.Version != Version {
+		return Record{}, fmt.Errorf("%w: a record of version %d, ours is %d", ErrMalformedFrame, encoded.Version, Version)
+	}
+	record, err := encoded.decode()
+	if err != nil {
+		return Record{}, fmt.Errorf("a record: %w", err)
+	}
+	return record, nil
+}
