--- a/internal/protocol/upgrade/format_test.go
+++ b/internal/protocol/upgrade/format_test.go
@@ -29,7 +29,8 @@
 
 const recordedMilli = 1764576000123
 
-// recordedMessages are the messages whose frames testdata/stream.hex holds behind the preamble, one of each kind at least.
+// recordedMessages are the messages whose frames testdata/stream.hex holds behind the preamble, one of each kind at
+// least.
 var recordedMessages = map[string]Message{
 	"hello":                   {Kind: Hello, Name: "n0"},
 	"welcome":                 {Kind: Welcome, OutOfService: true, Learned: &learned},
@@ -44,16 +45,21 @@
 	"connection-count":        {Kind: ConnectionCount, Connections: 384},
 	"claim": {Kind: Claim, Class: "lot-intake", Tenant: "hill-estate", IdempotencyKey: "k\x00 1",
 		ArrivedAtMilli: recordedMilli},
-	"grant":   {Kind: Grant, Class: "lot-intake", Tenant: "hill-estate", IdempotencyKey: "k", ArrivedAtMilli: recordedMilli},
+	"grant": {Kind: Grant, Class: "lot-intake", Tenant: "hill-estate", IdempotencyKey: "k",
+		ArrivedAtMilli: recordedMilli},
 	"started": {Kind: Started, Class: "lot-intake", IdempotencyKey: "k", ArrivedAtMilli: -1},
 	"succeeded": {Kind: Succeeded, Class: "lot-intake", Tenant: "t", IdempotencyKey: "k", ArrivedAtMilli: recordedMilli,
 		Result: []byte("did \xff it")},
-	"succeeded-empty": {Kind: Succeeded, Class: "lot-intake", Tenant: "t", IdempotencyKey: "k", ArrivedAtMilli: recordedMilli},
-	"failed":          {Kind: Failed, Class: "lot-intake", Tenant: "t", IdempotencyKey: "k", ArrivedAtMilli: recordedMilli},
-	"released":        {Kind: Released, Class: "lot-intake", Tenant: "t", IdempotencyKey: "k", ArrivedAtMilli: recordedMilli},
+	"succeeded-empty": {Kind: Succeeded, Class: "lot-intake", Tenant: "t", IdempotencyKey: "k",
+		ArrivedAtMilli: recordedMilli},
+	"failed": {Kind: Failed, Class: "lot-intake", Tenant: "t", IdempotencyKey: "k",
+		ArrivedAtMilli: recordedMilli},
+	"released": {Kind: Released, Class: "lot-intake", Tenant: "t", IdempotencyKey: "k",
+		ArrivedAtMilli: recordedMilli},
 }
 
-// Guards an upgrade from the release whose stream was recorded, and one back to it: both processes write and read the same bytes.
+// Guards an upgrade from the release whose stream was recorded, and one back to it: both processes write and read the
+// same bytes.
 func TestStreamIsAsRecorded(t *testing.T) {
 	frames := golden.Frames(t, "testdata/stream.hex")
 	require.Equal(t, golden.Frame{Name: "preamble", Bytes: Preamble[:]}, frames[0])
--- /dev/null
+++ b/internal/protocol/upgrade/frame.go
@@ -0,0 +1,80 @@
+package upgrade
+
+import (
+	"encoding/binary"
+	"errors"
+	"fmt"
+)
+
+// Version is the version of the messages. It is in the preamble, so that a release that speaks another one is known
+// by its first bytes.
+const Version = 1
+
+// Preamble comes first in both directions.
+var Preamble = [6]byte{'p', 'w', 't', 'u', 0, Version}
+
+const (
+	preambleMagicBytes = 4 // before the version
+	lengthBytes        = 4 // before the body of a frame
+)
+
+// The bounds of a message's body and of a result in it, in bytes. The platform's results have 4 KiB at most.
+const (
+	MaxFrame  = 64 << 10
+	MaxResult = MaxFrame - 4<<10
+)
+
+// ChunkKeys is the number of keys that are told before the successor has to ask for more. With the platform's largest
+// results they stay below what a connection may leave unread.
+const ChunkKeys = 32
+
+// The errors, one of which each error of this package wraps. After either the connection cannot go on.
+var (
+	ErrMalformedFrame  = errors.New("upgrade: broken frame")
+	ErrVersionMismatch = errors.New("upgrade: the other process speaks another version")
+)
+
+// CheckPreamble checks the preamble at the front of in. complete is false while more of it is to come.
+func CheckPreamble(in []byte) (complete bool, err error) {
+	received := min(len(in), len(Preamble))
+	for i := range received {
+		if in[i] == Preamble[i] {
+			continue
+		}
+		if i < preambleMagicBytes {
+			return false, fmt.Errorf("%w: no preamble", ErrMalformedFrame)
+		}
+		return false, ErrVersionMismatch
+	}
+	return received == len(Preamble), nil
+}
+
+// Append encodes a message behind out.
+func Append(out []byte, message Message) []byte {
+	body := encode(message)
+	out = binary.BigEndian.AppendUint32(out, uint32(len(body)))
+	return append(out, body...)
+}
+
+// Size returns the length of the body that follows the four bytes at the front of in.
+func Size(in []byte) (int, error) {
+	length := binary.BigEndian.Uint32(in)
+	if length == 0 || length > MaxFrame {
+		return 0, fmt.Errorf("%w: length %d is not within 1 to %d", ErrMalformedFrame, length, MaxFrame)
+	}
+	return int(length), nil
+}
+
+// Parse decodes the first message of in. size is what it takes of in, or 0 while it is incomplete.
+func Parse(in []byte) (message Message, size int, err error) {
+	if len(in) < lengthBytes {
+		return Message{}, 0, nil
+	}
+	length, err := Size(in)
+	if err != nil || len(in) < lengthBytes+length {
+		return Message{}, 0, err
+	}
+	size = lengthBytes + length
+	message, err = Decode(in[lengthBytes:size])
+	return message, size, err
+}
--- a/internal/protocol/upgrade/upgrade_test.go
+++ b/internal/protocol/upgrade/message_test.go
@@ -9,9 +9,16 @@
 )
 
 func TestReadBack(t *testing.T) {
+	state := control.LearnedState{
+		ConcurrencyLimit: 2,
+		Classes:          []control.LearnedClassState{{Name: "a", SlotTime: control.MeanEstimate{Count: 3, Value: 0.1}}},
+	}
 	all := []Message{
-		{Kind: Hello, Name: "n0"}, {Kind: Welcome, OutOfService: true, Learned: &control.LearnedState{ConcurrencyLimit: 2, Classes: []control.LearnedClassState{{Name: "a", SlotTime: control.MeanEstimate{Count: 3, Value: 0.1}}}}},
-		{Kind: Succeeded, Class: "lot-intake", Tenant: "t", IdempotencyKey: "k", ArrivedAtMilli: 1764576000123, Result: make([]byte, MaxResult)}, {Kind: ConnectionCount, Connections: 7},
+		{Kind: Hello, Name: "n0"},
+		{Kind: Welcome, OutOfService: true, Learned: &state},
+		{Kind: Succeeded, Class: "lot-intake", Tenant: "t", IdempotencyKey: "k", ArrivedAtMilli: 1764576000123,
+			Result: make([]byte, MaxResult)},
+		{Kind: ConnectionCount, Connections: 7},
 	}
 	var out []byte
 	for _, m := range all {
@@ -44,10 +51,30 @@
 	require.ErrorIs(t, err, ErrVersionMismatch)
 	_, err = CheckPreamble([]byte("GET / "))
 	require.ErrorIs(t, err, ErrMalformedFrame)
-	for _, in := range []string{"\x00\x00\x00\x00", "\x00\x01\x00\x01", "\x00\x00\x00\x01\xa0", "\x00\x00\x00\x03\xa1\x01\x18", "\x00\x00\x00\x04\xa1\x01\x18\xfe"} {
-		_, _, err := Parse([]byte(in))
-		require.ErrorIs(t, err, ErrMalformedFrame, "%q", in)
+	cases := []struct{ name, in string }{
+		{"empty body", "\x00\x00\x00\x00"},
+		{"body over the bound", "\x00\x01\x00\x01"},
+		{"no kind", "\x00\x00\x00\x01\xa0"},
+		{"body that ends within a number", "\x00\x00\x00\x03\xa1\x01\x18"},
+		{"unknown kind", "\x00\x00\x00\x04\xa1\x01\x18\xfe"},
+	}
+	for _, tc := range cases {
+		_, _, err := Parse([]byte(tc.in))
+		require.ErrorIs(t, err, ErrMalformedFrame, tc.name)
+	}
+}
+
+// Each kind has a name for the log.
+func TestKindNames(t *testing.T) {
+	names := map[string]bool{}
+	for kind := Hello; kind < kindCount; kind++ {
+		require.NotEmpty(t, kind.String())
+		names[kind.String()] = true
 	}
+	require.Len(t, names, int(kindCount)-1)
+	require.Equal(t, "ownership transferred", OwnershipTransferred.String())
+	require.Equal(t, "kind 0", Kind(0).String())
+	require.Equal(t, "kind 200", Kind(200).String())
 }
 
 // Guards against any bytes from a socket in a shared folder.
