--- a/internal/testbed/sim/tables_test.go
+++ b/internal/testbed/sim/tables_test.go
@@ -102,7 +102,7 @@
 			faults.Fault{At: at + 38*microtime.Second, Kind: faults.CutConnection, Node: "w0", Peer: "s0", Amount: 200},
 			faults.Fault{At: at + 42*microtime.Second, Kind: faults.StallPath, Node: "s0", Peer: "w0", For: 2 * microtime.Second})
 	}
-	flat(t, s, 20_000, "calls.Pool.inFlight", "calls.conn.abandoned", "vaultclient.Client.links", "workerpool.Backend.runs")
+	flat(t, s, 20_000, "calls.Pool.inFlight", "calls.conn.abandoned", "vaultclient.Client.conns", "workerpool.Backend.runs")
 }
 
 // flat plays a script and judges that no table's peak of the last third is above that of the first, but for a little.
--- a/internal/vaultclient/client.go
+++ b/internal/vaultclient/client.go
@@ -1,155 +1,162 @@
-// Package vaultclient is the client of the vault: it carries out on the event loop what calls.Dispatcher decides.
+// Package vaultclient is the client of the vault, the service that runs call. Package server creates it, and package
+// dispatch makes calls by it. It carries out on the event loop what calls.Pool decides: it opens and closes
+// connections, writes calls and reads replies. It owns the connections and the ends of calls that were not reported
+// yet; it decides nothing about calls and never repeats one.
 package vaultclient
 
 import (
+	"slices"
+
 	"pewterline/internal/decide/calls"
 	"pewterline/internal/microtime"
 	"pewterline/internal/transport"
 )
 
-// MaxConns bounds the descriptors of a client.
+// MaxConns limits the descriptors of a client.
 const MaxConns = calls.MaxConns
 
 // Loop is what the client needs of the event loop.
 type Loop interface {
 	Now() microtime.Time
-	// Try opens a connection once: open gives its session, or failed says that it came to nothing.
+	// DialOnce tries once to open a connection: open gives its session, or failed reports the failure.
 	DialOnce(addr string, open func(transport.Conn) transport.Session, failed func()) (drop func())
 }
 
-// CallEnded tells how a call ended. reply is the caller's to keep; only calls.Answered has one.
+// CallEnded reports how a call ended. The reply is the callee's to keep; only calls.Answered has one.
 type CallEnded func(now microtime.Time, id string, outcome calls.Outcome, reply []byte)
 
-// Client makes calls. All its methods are called on the loop. Ended is only called by Check.
+// Client makes calls. All its methods are called on the loop. CallEnded is only called by Check.
 type Client struct {
-	address  string
-	loop     Loop
-	ended    CallEnded
-	logf     func(format string, args ...any)
-	dispatch *calls.Pool
-	links    map[calls.ConnID]*link
-	drop     func() // gives up the link that is being dialled
-	results  []calls.Complete
-	reached  bool // the last attempt to open a link did not fail
+	address    string
+	loop       Loop
+	callEnded  CallEnded
+	logf       func(format string, args ...any)
+	pool       *calls.Pool
+	conns      map[calls.ConnID]*connection
+	cancelDial func()           // gives up the connection that was dialled last
+	ended      []calls.Complete // calls whose ends are to be reported
+	reachable  bool             // the last attempt to open a connection did not fail
 }
 
-// New returns a client without a link: one is opened for the first call. Attach must follow.
+// New returns a client without a connection: one is opened for the first call. Attach must follow.
 func New(address string, logf func(format string, args ...any)) *Client {
-	return &Client{address: address, logf: logf, dispatch: calls.NewPool(), links: map[calls.ConnID]*link{}, reached: true}
+	return &Client{
+		address:   address,
+		logf:      logf,
+		pool:      calls.NewPool(),
+		conns:     map[calls.ConnID]*connection{},
+		reachable: true,
+	}
 }
 
-// Attach ties the client to its loop and to whoever makes the calls.
-func (c *Client) Attach(loop Loop, ended CallEnded) { c.loop, c.ended = loop, ended }
+// Attach ties the client to its loop and to the caller.
+func (c *Client) Attach(loop Loop, callEnded CallEnded) { c.loop, c.callEnded = loop, callEnded }
 
 // Status is what operators may know of the client.
 type Status struct {
-	Reachable bool // the last attempt to open a link did not fail
-	Links     int
-	InFlight  int // in hand
-	Waiting   int // of these, for a link
+	Reachable   bool // the last attempt to open a connection did not fail
+	Connections int
+	InFlight    int // calls
+	Waiting     int // of these, for a connection
 }
 
-// Status tells how the client stands.
+// Status returns the state of the client.
 func (c *Client) Status() Status {
-	links, inHand, waiting := c.dispatch.Counts()
-	return Status{Reachable: c.reached, Links: links, InFlight: inHand, Waiting: waiting}
+	conns, inFlight, waiting := c.pool.Counts()
+	return Status{Reachable: c.reachable, Connections: conns, InFlight: inFlight, Waiting: waiting}
 }
 
-// Call is part of routing.Callee.
+// Call is part of dispatch.Downstream.
 func (c *Client) Call(request calls.Request) {
-	c.forgetResult(request.ID)
-	c.dispatch.Call(c.loop.Now(), request)
+	c.forgetEnd(request.ID)
+	c.pool.Call(c.loop.Now(), request)
 	c.carryOut()
 }
 
-// Abandon is part of routing.Callee.
+// Abandon is part of dispatch.Downstream.
 func (c *Client) Abandon(id string) {
-	c.forgetResult(id)
-	c.dispatch.Abandon(c.loop.Now(), id)
+	c.forgetEnd(id)
+	c.pool.Abandon(c.loop.Now(), id)
 	c.carryOut()
 }
 
-// forgetResult drops the end of a call that nobody waits for any more.
-func (c *Client) forgetResult(id string) {
-	left := c.results[:0]
-	for _, r := range c.results {
-		if r.ID != id {
-			left = append(left, r)
-		}
-	}
-	c.results = left
+// forgetEnd drops the end of a call that is not waited for any more.
+func (c *Client) forgetEnd(id string) {
+	c.ended = slices.DeleteFunc(c.ended, func(end calls.Complete) bool { return end.ID == id })
 }
 
-// SetAddress has new calls go to another address. Those in hand end on the links that they were made on.
+// SetAddress has new calls go to another address. Calls in flight end on the connections that they were made on.
 func (c *Client) SetAddress(address string) {
 	if address == c.address {
 		return
 	}
-	c.address, c.reached = address, true
-	c.dispatch.AddressChanged()
+	c.address, c.reachable = address, true
+	c.pool.AddressChanged()
 	c.carryOut()
 }
 
-// Check ends what is due, and tells how calls ended. It is called at the beginning of a turn.
+// Check ends the calls whose time is over, and reports how calls ended. It is called at the beginning of a turn.
 func (c *Client) Check(now microtime.Time) {
-	c.dispatch.Expire(now)
+	c.pool.Expire(now)
 	c.carryOut()
-	results := c.results
-	c.results = nil
-	for _, r := range results {
-		c.ended(now, r.ID, r.Outcome, r.Reply)
+	ended := c.ended
+	c.ended = nil
+	for _, end := range ended {
+		c.callEnded(now, end.ID, end.Outcome, end.Reply)
 	}
 }
 
-// NextDue is when Check has something to do, whatever arrives before that.
+// NextDue returns when Check has something to do, whatever arrives before that.
 func (c *Client) NextDue() microtime.Time {
-	if len(c.results) > 0 {
+	if len(c.ended) > 0 {
 		return c.loop.Now()
 	}
-	return c.dispatch.NextWakeup()
+	return c.pool.NextWakeup()
 }
 
-// carryOut does what the dispatcher has decided.
+// carryOut does what the pool has decided.
 func (c *Client) carryOut() {
-	for _, action := range c.dispatch.Actions() {
-		switch a := action.(type) {
+	for _, action := range c.pool.Actions() {
+		switch action := action.(type) {
 		case calls.Dial:
 			c.dial()
 		case calls.Redial:
-			c.drop()
+			c.cancelDial()
 			c.dial()
 		case calls.Send:
-			c.links[a.Conn].ask(a)
+			c.conns[action.Conn].call(action)
 		case calls.Abandon:
-			c.links[a.Conn].unask(a.ID)
+			c.conns[action.Conn].abandon(action.ID)
 		case calls.Close:
-			c.links[a.Conn].conn.Close()
+			c.conns[action.Conn].conn.Close()
 		case calls.Complete:
-			c.results = append(c.results, a)
+			c.ended = append(c.ended, action)
 		case calls.ReportSilence:
-			c.logf("vault: a link with %d calls has been silent for %v", a.Calls, a.Duration.Duration())
+			c.logf("vault: a connection with %d calls has been silent for %v", action.Calls, action.Duration.Duration())
 		}
 	}
 }
 
-func (c *Client) dial() { c.drop = c.loop.DialOnce(c.address, c.opened, c.failed) }
+func (c *Client) dial() { c.cancelDial = c.loop.DialOnce(c.address, c.opened, c.dialFailed) }
 
+// opened takes a connection that was dialled.
 func (c *Client) opened(conn transport.Conn) transport.Session {
-	if !c.reached {
-		c.logf("vault: %s is reached again", c.address)
+	if !c.reachable {
+		c.logf("vault: %s is reachable again", c.address)
 	}
-	c.reached = true
-	l := &link{client: c, conn: conn, id: c.dispatch.Opened(c.loop.Now())}
-	c.links[l.id] = l
+	c.reachable = true
+	opened := &connection{client: c, conn: conn, id: c.pool.Opened(c.loop.Now())}
+	c.conns[opened.id] = opened
 	c.carryOut()
-	return l
+	return opened
 }
 
-func (c *Client) failed() {
-	if c.reached {
-		c.logf("vault: %s is not reached, %d calls wait", c.address, c.Status().Waiting)
+// dialFailed takes the failure of a dial.
+func (c *Client) dialFailed() {
+	if c.reachable {
+		c.logf("vault: %s is not reachable, %d calls wait", c.address, c.Status().Waiting)
 	}
-	c.reached = false
-	c.dispatch.DialFailed()
+	c.reachable = false
+	c.pool.DialFailed()
 	c.carryOut()
 }
--- /dev/null
+++ b/internal/vaultclient/connection.go
@@ -0,0 +1,82 @@
+package vaultclient
+
+import (
+	"pewterline/internal/decide/calls"
+	"pewterline/internal/microtime"
+	"pewterline/internal/protocol/vault"
+	"pewterline/internal/transport"
+)
+
+// connection is the transport.Session of one connection to the vault.
+type connection struct {
+	client  *Client
+	conn    transport.Conn
+	id      calls.ConnID
+	scratch []byte
+}
+
+// callOutcome translates the vault's answer to a call.
+func callOutcome(status vault.Status) calls.Outcome {
+	switch status {
+	case vault.Yes:
+		return calls.Answered
+	case vault.NotNow:
+		return calls.Rejected
+	case vault.Overdue:
+		return calls.DeadlineExceeded
+	case vault.Pointless:
+		return calls.Unwanted
+	case vault.Failed:
+	}
+	return calls.Failed
+}
+
+// write sends a command that was appended to the scratch buffer.
+func (c *connection) write(command []byte) {
+	c.scratch = command[:0]
+	c.conn.Write(command)
+}
+
+// call makes a call. The protocol has its timeout in whole milliseconds, at least one.
+func (c *connection) call(send calls.Send) {
+	timeout := (send.Timeout + microtime.Millisecond - 1) / microtime.Millisecond
+	waitMS := min(max(timeout, 1), vault.MaxWaitMS)
+	c.write(vault.AppendAsk(c.scratch[:0], send.ID, int(waitMS), send.Body))
+}
+
+// abandon tells the vault that a call is not waited for any more.
+func (c *connection) abandon(id string) { c.write(vault.AppendUnask(c.scratch[:0], id)) }
+
+// Receive is part of transport.Session.
+func (c *connection) Receive(in []byte) (int, error) {
+	client := c.client
+	now := client.loop.Now()
+	client.pool.Received(now, c.id)
+	defer client.carryOut()
+	consumed := 0
+	for {
+		reply, size, err := vault.ParseReply(in[consumed:])
+		if err != nil || size == 0 {
+			return consumed, err
+		}
+		consumed += size
+		var body []byte
+		if reply.Status == vault.Yes {
+			body = append([]byte{}, reply.Body...)
+		}
+		client.pool.Replied(now, c.id, reply.ID, callOutcome(reply.Status), body)
+	}
+}
+
+// Idle is part of transport.Session. The connection is never evicted.
+func (c *connection) Idle() bool { return false }
+
+// Closed is part of transport.Session.
+func (c *connection) Closed() {
+	client := c.client
+	delete(client.conns, c.id)
+	if lost := client.pool.ConnClosed(c.id); lost > 0 {
+		client.logf("vault: connection lost with %d calls in flight", lost)
+	}
+	client.carryOut()
+}
