--- a/internal/protocol/pool/command.go
+++ b/internal/protocol/pool/command.go
@@ -1,9 +1,9 @@
 package pool
 
 import (
-	"bytes"
 	"fmt"
-	"strconv"
+
+	"pewterline/internal/protocol/textline"
 )
 
 // Verb is the first word of a log server's command.
@@ -11,87 +11,113 @@
 
 // The commands of a log server.
 const (
-	Bind Verb = iota + 1
-	Spawn
-	Suspend
-	Poll
-	Supply
-	Verify
+	Bind    Verb = iota + 1 // opens a connection
+	Spawn                   // starts a run
+	Suspend                 // stops a run
+	Poll                    // asks for the gauges
+	Supply                  // hands a run the reply to its call
+	Verify                  // asks for the work of a deep health check
 )
 
+// String returns the verb's word in the protocol.
+func (v Verb) String() string {
+	switch v {
+	case Bind:
+		return "bind"
+	case Spawn:
+		return "spawn"
+	case Suspend:
+		return "suspend"
+	case Poll:
+		return "poll"
+	case Supply:
+		return "supply"
+	case Verify:
+		return "verify"
+	}
+	return "invalid"
+}
+
 // Command is one command of a log server, as the worker pool reads it. Body shares the input's memory.
 type Command struct {
 	Verb   Verb
-	Notice uint64 // Bind
+	Notice uint64 // Bind: the last notice that was read
 	ID     string // Spawn, Suspend, Supply
 	Class  string // Spawn
 	Body   []byte // Spawn; Supply: the reply to a call
 	Tag    string // Poll, Verify
 }
 
-// ParseCommand takes the first command off in. n is 0 while it is not whole.
+// ParseCommand takes the first command off in. n is its length; 0 while it is not complete.
 func ParseCommand(in []byte) (c Command, n int, err error) {
-	end := bytes.Index(in[:min(len(in), maxLine)], []byte("\r\n"))
-	if end < 0 {
-		if len(in) >= maxLine {
-			return c, 0, broken(in, "no end")
-		}
-		return c, 0, nil
+	line, n, err := framing().Line(in)
+	if err != nil || n == 0 {
+		return Command{}, 0, err
 	}
-	line := in[:end]
-	n = end + 2
-	words := bytes.Split(line, []byte(" "))
-	switch word := string(words[0]); {
-	case word == "bind" && len(words) == 2:
-		c.Verb = Bind
-		if c.Notice, err = strconv.ParseUint(string(words[1]), 10, 63); err != nil {
-			return Command{}, 0, broken(line, "no whole number")
-		}
-	case word == "spawn" && len(words) == 4:
-		c.Verb, c.ID, c.Class = Spawn, string(words[1]), string(words[2])
-		size, err := strconv.ParseUint(string(words[3]), 10, 31)
-		if err != nil || size > maxResult {
-			return Command{}, 0, broken(line, "no length")
-		}
-		if c.Body, n, err = splitBody(in, n, int(size)); n == 0 {
-			return Command{}, 0, err
-		}
-	case word == "supply" && len(words) == 3:
-		c.Verb, c.ID = Supply, string(words[1])
-		size, err := strconv.ParseUint(string(words[2]), 10, 31)
-		if err != nil || size > maxCall {
-			return Command{}, 0, broken(line, "no length")
-		}
-		if c.Body, n, err = splitBody(in, n, int(size)); n == 0 {
-			return Command{}, 0, err
-		}
-	case word == "suspend" && len(words) == 2:
-		c.Verb, c.ID = Suspend, string(words[1])
-	case word == "poll" && len(words) == 2:
-		c.Verb, c.Tag = Poll, string(words[1])
-	case word == "verify" && len(words) == 2:
-		c.Verb, c.Tag = Verify, string(words[1])
-	default:
-		return Command{}, 0, broken(line, "unknown command")
+	c, bodySize := parseCommandLine(&line)
+	if err := line.Err(); err != nil {
+		return Command{}, 0, err
+	}
+	if c.Verb != Spawn && c.Verb != Supply {
+		return c, n, nil
+	}
+	if c.Body, n, err = framing().Body(in, n, bodySize); err != nil || n == 0 {
+		return Command{}, 0, err
 	}
 	return c, n, nil
 }
 
-var endWords = map[Outcome]string{Pass: "PASS", Fail: "FAIL", Killed: "KILLED", Noop: "NOOP"}
+// parseCommandLine parses the line of a command, and the size of the body that follows it.
+func parseCommandLine(line *textline.Line) (c Command, bodySize int) {
+	switch line.Text(0) {
+	case "bind":
+		line.Require(2)
+		c = Command{Verb: Bind, Notice: line.Unsigned(1)}
+	case "spawn":
+		line.Require(4)
+		c = Command{Verb: Spawn, ID: line.Text(1), Class: line.Text(2)}
+		bodySize = line.Length(3, maxResult)
+	case "supply":
+		line.Require(3)
+		c = Command{Verb: Supply, ID: line.Text(1)}
+		bodySize = line.Length(2, maxCall)
+	case "suspend":
+		line.Require(2)
+		c = Command{Verb: Suspend, ID: line.Text(1)}
+	case "poll":
+		line.Require(2)
+		c = Command{Verb: Poll, Tag: line.Text(1)}
+	case "verify":
+		line.Require(2)
+		c = Command{Verb: Verify, Tag: line.Text(1)}
+	default:
+		line.Fail("unknown command")
+	}
+	return c, bodySize
+}
 
-// AppendFinished writes the notice of a run's end.
-func AppendFinished(out []byte, notice uint64, id string, end Outcome, ms int, result []byte) []byte {
-	out = fmt.Appendf(out, "finished %d %s %s %d %d\r\n", notice, id, endWords[end], ms, len(result))
-	return append(append(out, result...), '\r', '\n')
+// AppendBind opens a connection; notice is the last one that was read.
+func AppendBind(out []byte, notice uint64) []byte {
+	return fmt.Appendf(out, "bind %d\r\n", notice)
 }
 
-// AppendBlocked writes the notice that a run waits for a call with this body.
-func AppendBlocked(out []byte, notice uint64, id string, call []byte) []byte {
-	out = fmt.Appendf(out, "blocked %d %s %d\r\n", notice, id, len(call))
-	return append(append(out, call...), '\r', '\n')
+// AppendSpawn starts a run.
+func AppendSpawn(out []byte, id, class string, body []byte) []byte {
+	out = fmt.Appendf(out, "spawn %s %s %d\r\n", id, class, len(body))
+	return textline.AppendBody(out, body)
 }
 
-// AppendVerified writes the answer to a deep health check.
-func AppendVerified(out []byte, tag string, end Outcome) []byte {
-	return fmt.Appendf(out, "verified %s %s\r\n", tag, endWords[end])
+// AppendSuspend stops a run.
+func AppendSuspend(out []byte, id string) []byte { return fmt.Appendf(out, "suspend %s\r\n", id) }
+
+// AppendPoll asks for the gauges.
+func AppendPoll(out []byte, tag string) []byte { return fmt.Appendf(out, "poll %s\r\n", tag) }
+
+// AppendSupply hands a run the reply to the call that it waits for.
+func AppendSupply(out []byte, id string, reply []byte) []byte {
+	out = fmt.Appendf(out, "supply %s %d\r\n", id, len(reply))
+	return textline.AppendBody(out, reply)
 }
+
+// AppendVerify asks for the work of a deep health check.
+func AppendVerify(out []byte, tag string) []byte { return fmt.Appendf(out, "verify %s\r\n", tag) }
--- a/internal/protocol/pool/pool_test.go
+++ b/internal/protocol/pool/pool_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards the link against whatever the pool sends: no panic, and never more taken than was there.
+// Guards the connection against whatever the pool sends: no panic, and never more taken than was there.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte("finished 1 00ff PASS 12.5 3\r\nabc\r\n"))
 	f.Add([]byte("bound EMPTY 12\r\npolled g 0.5 1 0 2\r\n"))
@@ -42,8 +42,12 @@
 // What a log server writes, the worker pool reads back, whole and in pieces; what is no command is an error.
 func TestCommandsReadBack(t *testing.T) {
 	text := AppendPoll(AppendSuspend(AppendSpawn(AppendBind(nil, 7), "a1", "lot-intake", []byte("b\r\nody")), "a1"), "g")
-	want := []Command{{Verb: Bind, Notice: 7}, {Verb: Spawn, ID: "a1", Class: "lot-intake", Body: []byte("b\r\nody")},
-		{Verb: Suspend, ID: "a1"}, {Verb: Poll, Tag: "g"}}
+	want := []Command{
+		{Verb: Bind, Notice: 7},
+		{Verb: Spawn, ID: "a1", Class: "lot-intake", Body: []byte("b\r\nody")},
+		{Verb: Suspend, ID: "a1"},
+		{Verb: Poll, Tag: "g"},
+	}
 	var got []Command
 	from := 0
 	for to := range len(text) + 1 {
@@ -54,30 +58,51 @@
 		}
 	}
 	require.Equal(t, want, got)
-	for _, bad := range []string{"bind x\r\n", "spawn a b\r\n", "spawn a b -1\r\n", "spawn a b 99999999\r\n", "spawn a b 1\r\nxyz", "dance\r\n", string(make([]byte, 2000))} {
+	for _, bad := range []string{
+		"bind x\r\n", "spawn a b\r\n", "spawn a b -1\r\n", "spawn a b 99999999\r\n", "spawn a b 1\r\nxyz", "dance\r\n",
+		string(make([]byte, 2000)),
+	} {
 		_, _, err := ParseCommand([]byte(bad))
 		require.ErrorIs(t, err, ErrMalformed, bad)
 	}
 	m, n, err := ParseMessage(AppendFinished(nil, 3, "a1", Killed, 20, []byte("x")))
 	require.NoError(t, err)
-	require.Equal(t, Message{Kind: Finished, Notice: 3, ID: "a1", Outcome: Killed, Milliseconds: 20, Result: []byte("x")}, m)
+	require.Equal(t, Message{
+		Kind: Finished, Notice: 3, ID: "a1", Outcome: Killed, Milliseconds: 20, Result: []byte("x"),
+	}, m)
 	require.Positive(t, n)
 }
 
-// What the worker pool tells of calls and deep checks, a log server reads back, in pieces, and the other way round: bodies
-// that look like lines, empty ones and the longest.
+// What the worker pool tells of calls and deep checks, a log server reads back, in pieces, and the other way round:
+// bodies that look like lines, empty ones and the longest.
 func TestCallsAndChecksReadBack(t *testing.T) {
 	lines, longest := []byte("supply a1 3\r\n"), bytes.Repeat([]byte("\r\n"), maxCall/2)
-	text := AppendBlocked(AppendVerified(AppendBlocked(AppendBlocked(nil, 1, "a1", lines), 2, "a2", nil), "v", Pass), 3, "a3", longest)
+	text := AppendBlocked(nil, 1, "a1", lines)
+	text = AppendBlocked(text, 2, "a2", nil)
+	text = AppendVerified(text, "v", Pass)
+	text = AppendBlocked(text, 3, "a3", longest)
 	text = AppendVerified(text, "v", Fail)
-	require.Equal(t, []Message{{Kind: Blocked, Notice: 1, ID: "a1", Call: lines}, {Kind: Blocked, Notice: 2, ID: "a2", Call: []byte{}},
-		{Kind: Verified, Tag: "v", Outcome: Pass}, {Kind: Blocked, Notice: 3, ID: "a3", Call: longest}, {Kind: Verified, Tag: "v", Outcome: Fail}},
-		readInPieces(t, text, ParseMessage))
-	text = AppendSupply(AppendVerify(AppendSupply(AppendSupply(nil, "a1", lines), "a2", nil), "v"), "a3", longest)
-	require.Equal(t, []Command{{Verb: Supply, ID: "a1", Body: lines}, {Verb: Supply, ID: "a2", Body: []byte{}},
-		{Verb: Verify, Tag: "v"}, {Verb: Supply, ID: "a3", Body: longest}}, readInPieces(t, text, ParseCommand))
-	require.Equal(t, "supply a1 3\r\nabc\r\nverify v\r\n", string(AppendVerify(AppendSupply(nil, "a1", []byte("abc")), "v")))
-	require.Equal(t, "blocked 7 a1 3\r\nabc\r\nverified v FAIL\r\n", string(AppendVerified(AppendBlocked(nil, 7, "a1", []byte("abc")), "v", Fail)))
+	require.Equal(t, []Message{
+		{Kind: Blocked, Notice: 1, ID: "a1", Call: lines},
+		{Kind: Blocked, Notice: 2, ID: "a2", Call: []byte{}},
+		{Kind: Verified, Tag: "v", Outcome: Pass},
+		{Kind: Blocked, Notice: 3, ID: "a3", Call: longest},
+		{Kind: Verified, Tag: "v", Outcome: Fail},
+	}, readInPieces(t, text, ParseMessage))
+	text = AppendSupply(nil, "a1", lines)
+	text = AppendSupply(text, "a2", nil)
+	text = AppendVerify(text, "v")
+	text = AppendSupply(text, "a3", longest)
+	require.Equal(t, []Command{
+		{Verb: Supply, ID: "a1", Body: lines},
+		{Verb: Supply, ID: "a2", Body: []byte{}},
+		{Verb: Verify, Tag: "v"},
+		{Verb: Supply, ID: "a3", Body: longest},
+	}, readInPieces(t, text, ParseCommand))
+	supply := AppendSupply(nil, "a1", []byte("abc"))
+	require.Equal(t, "supply a1 3\r\nabc\r\nverify v\r\n", string(AppendVerify(supply, "v")))
+	blocked := AppendBlocked(nil, 7, "a1", []byte("abc"))
+	require.Equal(t, "blocked 7 a1 3\r\nabc\r\nverified v FAIL\r\n", string(AppendVerified(blocked, "v", Fail)))
 }
 
 // readInPieces hands a parser the stream in pieces of a few bytes, and collects what it takes off.
@@ -101,15 +126,22 @@
 
 // Broken lines of calls and deep checks are errors at the point where that is certain.
 func TestBoundsOfCallsAndChecks(t *testing.T) {
-	for _, bad := range []string{"blocked 1 a\r\n", "blocked x a 1\r\nb\r\n", "blocked x a 9\r\n", "blocked -1 a 0\r\n\r\n", "blocked 1 a -1\r\n",
-		"blocked 1 a 65537\r\n", "blocked 1 a 1\r\nbcd", "blocked 1 a 0\r\n\n\r", "blocked 1 a 1 1\r\nb\r\n", "verified v\r\n", "verified v KILLED\r\n",
-		"verified v NOOP\r\n", "verified v pass\r\n", "verified v PASS 1\r\n"} {
+	for _, bad := range []string{
+		"blocked 1 a\r\n", "blocked x a 1\r\nb\r\n", "blocked x a 9\r\n", "blocked -1 a 0\r\n\r\n",
+		"blocked 1 a -1\r\n",
+		"blocked 1 a 65537\r\n", "blocked 1 a 1\r\nbcd", "blocked 1 a 0\r\n\n\r", "blocked 1 a 1 1\r\nb\r\n",
+		"verified v\r\n", "verified v KILLED\r\n",
+		"verified v NOOP\r\n", "verified v pass\r\n", "verified v PASS 1\r\n",
+	} {
 		m, n, err := ParseMessage([]byte(bad))
 		require.ErrorIs(t, err, ErrMalformed, bad)
 		require.Zero(t, n, bad)
 		require.Zero(t, m, bad)
 	}
-	for _, bad := range []string{"supply a\r\n", "supply a x\r\n", "supply a 65537\r\n", "supply a 1\r\nbcd", "supply a 1 1\r\n", "verify\r\n", "verify v w\r\n"} {
+	for _, bad := range []string{
+		"supply a\r\n", "supply a x\r\n", "supply a 65537\r\n", "supply a 1\r\nbcd", "supply a 1 1\r\n",
+		"verify\r\n", "verify v w\r\n",
+	} {
 		c, n, err := ParseCommand([]byte(bad))
 		require.ErrorIs(t, err, ErrMalformed, bad)
 		require.Zero(t, n, bad)
@@ -122,10 +154,13 @@
 	}
 }
 
-// A number that is not finite would spread through every mean that it is counted into. A gauge without one is not known;
-// that is no reason to give the link up.
+// A number that is not finite would spread through every mean that it is counted into. A gauge without one is not
+// known; that is no reason to give the connection up.
 func TestNumbersAreFinite(t *testing.T) {
-	for _, bad := range []string{"bound EMPTY NaN\r\n", "bound EMPTY Inf\r\n", "finished 1 a PASS nan 0\r\n\r\n", "finished 1 a PASS -inf 0\r\n\r\n", "polled g 1e999\r\n"} {
+	for _, bad := range []string{
+		"bound EMPTY NaN\r\n", "bound EMPTY Inf\r\n", "finished 1 a PASS nan 0\r\n\r\n",
+		"finished 1 a PASS -inf 0\r\n\r\n", "polled g 1e999\r\n",
+	} {
 		_, _, err := ParseMessage([]byte(bad))
 		require.ErrorIs(t, err, ErrMalformed, bad)
 	}
--- a/internal/protocol/vault/vault.go
+++ b/internal/protocol/vault/vault.go
@@ -1,50 +1,74 @@
-// Package vault reads and writes the line protocol of the vault over byte slices.
+// Package vault reads and writes the line protocol of the vault over byte slices. The vault's client (package
+// vaultclient) writes commands and reads replies; the test side's vaults do the reverse. It owns no connection and
+// keeps nothing between two calls. The operators' page on the vault is the source of the format.
 package vault
 
 import (
-	"bytes"
 	"errors"
 	"fmt"
 	"strconv"
+
+	"pewterline/internal/protocol/textline"
 )
 
 const (
 	maxLine = 1 << 10
-	// MaxBody bounds the body of a call and of a reply. The protocol states no bound; a call's body comes from the worker pool,
-	// and both are well under this. A longer length is taken for a broken one, as everything behind it would wait for its end.
+	// MaxBody limits the body of a call and of a reply, in bytes. The protocol states no limit; a call's body comes from
+	// the worker pool, and both are well under this. A longer length is malformed, as everything behind it would wait
+	// for its end.
 	MaxBody = 64 << 10
 	// MaxWaitMS is the longest wait, in milliseconds, that a call may state: an hour, beyond any deadline.
 	MaxWaitMS = 3600_000
-	idDigits  = 16
+	// idDigits is the length of a request's id.
+	idDigits = 16
 )
 
 // ErrMalformed is wrapped by every error of the parsers: the stream can no longer be trusted.
-var ErrMalformed = errors.New("vault: broken line")
+var ErrMalformed = errors.New("vault: malformed line")
+
+// framing returns what the protocol sets for its lines.
+func framing() textline.Framing {
+	return textline.Framing{MaxLine: maxLine, Malformed: ErrMalformed}
+}
 
-// Status is the vault's answer to a call.
+// Status is the vault's answer to a call, named by its word in the protocol.
 type Status uint8
 
 // The statuses.
 const (
-	Yes       Status = iota + 1 // the call went well; the reply's body follows
-	NotNow                      // turned away: the call never ran
+	Yes       Status = iota + 1 // the call succeeded; the reply's body follows
+	NotNow                      // rejected: the call never ran
 	Failed                      // failed, possibly after taking effect
-	Overdue                     // out of time, or its run has ended; it may have taken effect
+	Overdue                     // its deadline is exceeded, or its run has ended; it may have taken effect
 	Pointless                   // no run waits for the call: it never ran
 )
 
-var statusWords = map[Status]string{Yes: "yes", NotNow: "notnow", Failed: "failed", Overdue: "overdue", Pointless: "pointless"}
+// String returns the status's word in the protocol.
+func (s Status) String() string {
+	switch s {
+	case Yes:
+		return "yes"
+	case NotNow:
+		return "notnow"
+	case Failed:
+		return "failed"
+	case Overdue:
+		return "overdue"
+	case Pointless:
+		return "pointless"
+	}
+	return ""
+}
 
-var statuses = func() map[string]Status {
-	byWord := make(map[string]Status, len(statusWords))
-	for status, word := range statusWords {
-		byWord[word] = status
+// parseStatus returns the status of a word; 0: the word is none.
+func parseStatus(word string) Status {
+	for status := Yes; status <= Pointless; status++ {
+		if status.String() == word {
+			return status
+		}
 	}
-	return byWord
-}()
-
-// String is the status's word in the protocol.
-func (s Status) String() string { return statusWords[s] }
+	return 0
+}
 
 // Reply is one reply of the vault. Body shares the input's memory.
 type Reply struct {
@@ -62,125 +86,132 @@
 	Unask                 // gives a call up
 )
 
+// String returns the verb's word in the protocol.
+func (v Verb) String() string {
+	switch v {
+	case Ask:
+		return "ask"
+	case Unask:
+		return "unask"
+	}
+	return ""
+}
+
 // Command is one command of a log server, as the vault reads it. Body shares the input's memory.
 type Command struct {
 	Verb   Verb
 	ID     string
-	WaitMS int    // Ask: how long the log server waits
+	WaitMS int    // Ask: how long the log server waits, in milliseconds
 	Body   []byte // Ask
 }
 
-// AppendAsk writes a call; waitMS is how long its reply is waited for.
+// AppendAsk writes a call; waitMS is how long its reply is waited for, in milliseconds.
 func AppendAsk(out []byte, id string, waitMS int, body []byte) []byte {
 	out = fmt.Appendf(out, "ask %s %d %d\r\n", id, waitMS, len(body))
-	return append(append(out, body...), '\r', '\n')
+	return textline.AppendBody(out, body)
 }
 
 // AppendUnask gives a call up.
-func AppendUnask(out []byte, id string) []byte {
-	return fmt.Appendf(out, "unask %s\r\n", id)
-}
+func AppendUnask(out []byte, id string) []byte { return fmt.Appendf(out, "unask %s\r\n", id) }
 
-// AppendReply writes a reply; only Yes carries a body.
+// AppendReply writes a reply. Only Yes has a body.
 func AppendReply(out []byte, id string, status Status, body []byte) []byte {
 	if status != Yes {
 		return fmt.Appendf(out, "%s %s\r\n", id, status)
 	}
 	out = fmt.Appendf(out, "%s %s %d\r\n", id, status, len(body))
-	return append(append(out, body...), '\r', '\n')
+	return textline.AppendBody(out, body)
 }
 
-// ParseReply takes the first reply off in. n is 0 while it is not whole.
+// ParseReply takes the first reply off in. n is its length; 0 while it is not complete.
 func ParseReply(in []byte) (r Reply, n int, err error) {
-	words, n, err := splitLine(in)
+	line, n, err := framing().Line(in)
 	if err != nil || n == 0 {
 		return Reply{}, 0, err
 	}
-	if len(words) < 2 || !isID(words[0]) {
-		return Reply{}, 0, broken(in, "no id and status")
+	r, bodySize := parseReplyLine(&line)
+	if err := line.Err(); err != nil {
+		return Reply{}, 0, err
 	}
-	r = Reply{ID: string(words[0]), Status: statuses[string(words[1])]}
-	switch {
-	case r.Status == 0:
-		return Reply{}, 0, broken(in, "unknown status")
-	case r.Status != Yes && len(words) == 2:
+	if r.Status != Yes {
 		return r, n, nil
-	case r.Status != Yes || len(words) != 3:
-		return Reply{}, 0, broken(in, "wrong number of words")
 	}
-	body, size, err := splitBody(in, n, words[2])
-	if err != nil || size == 0 {
+	if r.Body, n, err = framing().Body(in, n, bodySize); err != nil || n == 0 {
 		return Reply{}, 0, err
 	}
-	r.Body = body
-	return r, size, nil
+	return r, n, nil
 }
 
-// ParseCommand takes the first command off in. n is 0 while it is not whole.
+// parseReplyLine parses "ID STATUS", for Yes with "LENGTH": the size of the body that follows.
+func parseReplyLine(line *textline.Line) (r Reply, bodySize int) {
+	r = Reply{ID: requestID(line, 0), Status: parseStatus(line.Text(1))}
+	switch r.Status {
+	case 0:
+		line.Fail("unknown status")
+	case Yes:
+		line.Require(3)
+		bodySize = line.Length(2, MaxBody)
+	default:
+		line.Require(2)
+	}
+	return r, bodySize
+}
+
+// ParseCommand takes the first command off in. n is its length; 0 while it is not complete.
 func ParseCommand(in []byte) (c Command, n int, err error) {
-	words, n, err := splitLine(in)
+	line, n, err := framing().Line(in)
 	if err != nil || n == 0 {
 		return Command{}, 0, err
 	}
-	switch verb := string(words[0]); {
-	case verb == "unask" && len(words) == 2 && isID(words[1]):
-		return Command{Verb: Unask, ID: string(words[1])}, n, nil
-	case verb != "ask" || len(words) != 4 || !isID(words[1]):
-		return Command{}, 0, broken(in, "unknown command")
+	c, bodySize := parseCommandLine(&line)
+	if err := line.Err(); err != nil {
+		return Command{}, 0, err
 	}
-	wait, err := strconv.ParseUint(string(words[2]), 10, 31)
-	if err != nil || wait == 0 || wait > MaxWaitMS {
-		return Command{}, 0, broken(in, "no wait")
+	if c.Verb != Ask {
+		return c, n, nil
 	}
-	body, size, err := splitBody(in, n, words[3])
-	if err != nil || size == 0 {
+	if c.Body, n, err = framing().Body(in, n, bodySize); err != nil || n == 0 {
 		return Command{}, 0, err
 	}
-	return Command{Verb: Ask, ID: string(words[1]), WaitMS: int(wait), Body: body}, size, nil
+	return c, n, nil
 }
 
-// splitLine splits the first line into its words. n is its length with the line end; 0 while it is not whole.
-func splitLine(in []byte) (words [][]byte, n int, err error) {
-	end := bytes.Index(in[:min(len(in), maxLine)], []byte("\r\n"))
-	if end >= 0 {
-		return bytes.Split(in[:end], []byte(" ")), end + 2, nil
-	}
-	if len(in) >= maxLine {
-		return nil, 0, broken(in, "no end")
-	}
-	return nil, 0, nil
+// parseCommandLine parses "unask ID", or "ask ID WAIT_MS LENGTH" with the size of the body that follows.
+func parseCommandLine(line *textline.Line) (c Command, bodySize int) {
+	switch line.Text(0) {
+	case "unask":
+		line.Require(2)
+		return Command{Verb: Unask, ID: requestID(line, 1)}, 0
+	case "ask":
+		line.Require(4)
+		c = Command{Verb: Ask, ID: requestID(line, 1), WaitMS: waitMS(line, 2)}
+		return c, line.Length(3, MaxBody)
+	}
+	line.Fail("unknown command")
+	return Command{}, 0
 }
 
-// splitBody takes the body behind a line that ends at from. n is the length of both; 0 while the body is not whole.
-func splitBody(in []byte, from int, length []byte) (body []byte, n int, err error) {
-	size, err := strconv.ParseUint(string(length), 10, 31)
-	if err != nil || size > MaxBody {
-		return nil, 0, broken(in, "no length")
-	}
-	end := from + int(size)
-	if len(in) < end+2 {
-		return nil, 0, nil
-	}
-	if in[end] != '\r' || in[end+1] != '\n' {
-		return nil, 0, broken(in, "body without its end")
+// waitMS returns a word that is a wait, in milliseconds.
+func waitMS(line *textline.Line, i int) int {
+	wait, err := strconv.ParseUint(line.Text(i), 10, 31)
+	if err != nil || wait == 0 || wait > MaxWaitMS {
+		line.Fail("no wait")
+		return 0
 	}
-	return in[from:end], end + 2, nil
+	return int(wait)
 }
 
-// isID tells whether a word has the form of a request's id: 16 hex digits.
-func isID(word []byte) bool {
+// requestID returns a word that has the form of a request's id: 16 hex digits.
+func requestID(line *textline.Line, i int) string {
+	word := line.Bytes(i)
 	if len(word) != idDigits {
-		return false
+		line.Fail("no id of a request")
 	}
 	for _, digit := range word {
 		lower := digit | 0x20
 		if (digit < '0' || digit > '9') && (lower < 'a' || lower > 'f') {
-			return false
+			line.Fail("no id of a request")
 		}
 	}
-	return true
-}
-
-func broken(line []byte, why string) error {
-	return fmt.Errorf("%w: %s in %q", ErrMalformed, why, line[:min(len(line), 80)])
+	return string(word)
 }
--- a/internal/protocol/vault/vault_test.go
+++ b/internal/protocol/vault/vault_test.go
@@ -72,9 +72,12 @@
 func TestExamplesOfTheProtocol(t *testing.T) {
 	require.Equal(t, "ask "+id+" 250 3\r\nabc\r\nunask "+id+"\r\n",
 		string(AppendUnask(AppendAsk(nil, id, 250, []byte("abc")), id)))
-	require.Equal(t, id+" yes 3\r\nabc\r\n"+id+" notnow\r\n"+id+" failed\r\n"+id+" overdue\r\n"+id+" pointless\r\n",
-		string(AppendReply(AppendReply(AppendReply(AppendReply(AppendReply(nil, id, Yes, []byte("abc")), id, NotNow, nil), id, Failed, nil),
-			id, Overdue, nil), id, Pointless, nil)))
+	replies := AppendReply(nil, id, Yes, []byte("abc"))
+	for status := NotNow; status <= Pointless; status++ {
+		replies = AppendReply(replies, id, status, nil)
+	}
+	require.Equal(t, id+" yes 3\r\nabc\r\n"+
+		id+" notnow\r\n"+id+" failed\r\n"+id+" overdue\r\n"+id+" pointless\r\n", string(replies))
 }
 
 // Broken input is an error at the point where that is certain, never a wait for more and never a panic.
@@ -83,17 +86,21 @@
 	for _, bad := range []string{
 		"\r\n", endless, endless + "\r\n", id + "\r\n", id + " \r\n", id + " Yes 1\r\n", id + " no\r\n", id + "  notnow\r\n",
 		id + " notnow 0\r\n", id + " yes\r\n", id + " yes 1 1\r\n", id + " yes x\r\n", id + " yes -1\r\n", id + " yes +1\r\n",
-		id + " yes 65537\r\n", id + " yes 18446744073709551616\r\n", id + " yes 1\r\nabc", id + " yes 1\r\n\r\n\n", id + " yes 0\r\n\n\r",
-		id[1:] + " notnow\r\n", id + "0 notnow\r\n", id[1:] + "g notnow\r\n", id[1:] + "@ notnow\r\n", id[1:] + "\x01 notnow\r\n",
+		id + " yes 65537\r\n", id + " yes 18446744073709551616\r\n", id + " yes 1\r\nabc", id + " yes 1\r\n\r\n\n",
+		id + " yes 0\r\n\n\r",
+		id[1:] + " notnow\r\n", id + "0 notnow\r\n", id[1:] + "g notnow\r\n", id[1:] + "@ notnow\r\n",
+		id[1:] + "\x01 notnow\r\n",
 	} {
 		_, n, err := ParseReply([]byte(bad))
 		require.ErrorIs(t, err, ErrMalformed, "%.60q", bad)
 		require.Zero(t, n, "%.60q", bad)
 	}
 	for _, bad := range []string{
-		"\r\n", endless, "dance\r\n", "ask\r\n", "unask\r\n", "unask " + id + " 1\r\n", "unask " + id[1:] + "\r\n", "unask " + id[1:] + "`\r\n",
+		"\r\n", endless, "dance\r\n", "ask\r\n", "unask\r\n", "unask " + id + " 1\r\n", "unask " + id[1:] + "\r\n",
+		"unask " + id[1:] + "`\r\n",
 		"ask " + id + " 250\r\n", "ask " + id + " 250 1 1\r\n", "ask " + id[1:] + " 250 1\r\n", "ask " + id + " 0 1\r\n",
-		"ask " + id + " -1 1\r\n", "ask " + id + " 1.5 1\r\n", "ask " + id + " 3600001 1\r\n", "ask " + id + " 99999999999 1\r\n",
+		"ask " + id + " -1 1\r\n", "ask " + id + " 1.5 1\r\n", "ask " + id + " 3600001 1\r\n",
+		"ask " + id + " 99999999999 1\r\n",
 		"ask " + id + " 250 65537\r\n", "ask " + id + " 250 1\r\nabc", "ASK " + id + " 250 0\r\n\r\n",
 	} {
 		_, n, err := ParseCommand([]byte(bad))
