--- a/internal/backend/upstream/attempt_test.go
+++ b/internal/backend/upstream/attempt_test.go
@@ -155,6 +155,28 @@
 	edge.requireAtRest()
 }
 
+// A hedged request takes a token of the retry budget; without one there is none.
+func TestHedgedRequestNeedsToken(t *testing.T) {
+	scarce := func(c *Config) {
+		c.Retries.TokensPerSuccess = 0.001
+		c.Retries.MaxCallerTokens = 1
+	}
+	edge := newHarness(t, scarce, "n1")
+	slow := edge.warmUp(20 * microtime.Millisecond)
+	for _, id := range []string{"a", "b"} {
+		edge.start(id, readClass, "")
+	}
+	require.Len(t, slow.calls(), 2)
+	edge.backend.UpdateEndpoints(members("n1", "n2"))
+	edge.now += 100 * microtime.Millisecond
+	edge.backend.Check(edge.now)
+	hedged, address := edge.accept()
+	require.Equal(t, "n2", address)
+	require.Len(t, hedged.calls(), 1, "one token, one hedged request")
+	require.Empty(t, edge.dials)
+	require.Empty(t, slow.written)
+}
+
 // Requests that are not idempotent are never hedged.
 func TestOtherRequestsAreNotHedged(t *testing.T) {
 	for name, class := range map[string]int{"keyed": keyedClass, "not idempotent": writeClass} {
--- a/internal/backend/upstream/backend_test.go
+++ b/internal/backend/upstream/backend_test.go
@@ -171,6 +171,20 @@
 	}
 }
 
+// Nobody waits for the answer to a cancelled attempt, so the outcome of its key stays unknown, whatever a repeat
+// brings.
+func TestCancelledKeyStaysIndeterminate(t *testing.T) {
+	h := newHarness(t, nil, "n1", "n2")
+	h.start("a", keyedClass, "k1")
+	conn, _ := h.accept()
+	require.Len(t, conn.calls(), 1)
+	h.backend.Cancel("a")
+	require.Len(t, conn.calls(), 1)
+	h.start("b", keyedClass, "k1")
+	conn.receive(thrift.AppendBroken(nil, conn.oneCall().SequenceID, nil))
+	h.requireFinished(finishedRun{"a", dispatch.RunIndeterminate, ""}, finishedRun{"b", dispatch.RunIndeterminate, ""})
+}
+
 // An instance with peers holds its first runs until one of them has told of the endpoints, for a bounded time.
 func TestFirstRunsAwaitGossip(t *testing.T) {
 	edge := newHarness(t, func(c *Config) { c.GossipPeers = []string{"peer"} }, "n1")
--- a/internal/backend/upstream/connection_test.go
+++ b/internal/backend/upstream/connection_test.go
@@ -91,6 +91,34 @@
 	require.Len(t, edge.dials, 1)
 }
 
+// A connection whose attempts were all abandoned is idle since the last of them was.
+func TestAbandonedConnectionIsIdle(t *testing.T) {
+	h := newHarness(t, nil, "n1")
+	h.start("a", writeClass, "")
+	conn, _ := h.accept()
+	h.now += 3 * microtime.Second
+	h.backend.Cancel("a")
+	h.now += idleTimeout
+	h.backend.Check(h.now)
+	require.False(t, conn.closed)
+	h.now += sweepInterval
+	h.backend.Check(h.now)
+	require.True(t, conn.closed)
+}
+
+// A connection counts as silent only while something is in flight on it: one that was idle is used at once.
+func TestIdleConnectionIsNotSilent(t *testing.T) {
+	h := newHarness(t, nil, "n1")
+	h.start("a", writeClass, "")
+	conn, _ := h.accept()
+	conn.answer(conn.oneCall().SequenceID, "done")
+	h.now += h.backend.balancer.SilenceTimeout() + 1
+	h.start("b", writeClass, "")
+	h.start("c", writeClass, "")
+	require.Empty(t, h.dials)
+	require.Len(t, conn.calls(), 2)
+}
+
 // An endpoint that is removed from the list gets nothing new but repeats of what it may have executed, and is forgotten
 // long after.
 func TestUpdateEndpoints(t *testing.T) {
--- a/internal/peers/links_test.go
+++ b/internal/peers/links_test.go
@@ -180,6 +180,41 @@
 	require.Equal(t, uint64(3), last.Membership.Epoch)
 }
 
+// What is sent once is not sent again, also where its link ends before that, and a sign of life is answered.
+func TestNothingIsRepeated(t *testing.T) {
+	pair := newPair(t)
+	pair.first.SetPeers(map[uint32]string{2: "there"})
+	connection := pair.connect()
+	require.NoError(t, connection.deliver())
+	pair.second.Check(pair.now) // It answers the hello.
+	require.NoError(t, connection.deliver())
+	request := consensus.Request{To: consensus.Identity{ID: 2, Incarnation: 1}, Key: "x", Epoch: 3}
+	pair.first.SendRequest(request)
+	pair.first.Check(pair.now)
+	require.NoError(t, connection.deliver())
+	pair.first.Check(pair.now)
+	require.Empty(t, connection.outbound.written)
+	pair.second.Check(pair.now)
+	require.Empty(t, connection.inbound.written, "a request is no sign of life that is to be answered")
+
+	pair.now += pingInterval
+	pair.first.Check(pair.now)
+	require.NoError(t, connection.deliver())
+	pair.second.Check(pair.now)
+	require.NotEmpty(t, connection.inbound.take())
+
+	pair.first.SendRequest(request)
+	pair.first.BroadcastAck(consensus.TransferAck{Epoch: 3})
+	connection.outboundSession.Closed()
+	connection.inboundSession.Closed()
+	pair.now += redialDelay
+	pair.first.Check(pair.now)
+	connection = pair.connect()
+	require.NoError(t, connection.deliver())
+	pair.first.Check(pair.now)
+	require.Empty(t, connection.outbound.written)
+}
+
 // Transfer acknowledgements go to all servers, and the membership to those that are to be told of it.
 func TestAcksAndMembership(t *testing.T) {
 	pair := newPair(t)
