--- a/internal/decide/loadbalancer/retry.go
+++ b/internal/decide/loadbalancer/retry.go
@@ -148,9 +148,10 @@
 func (p *RetryPolicy) Decide(now microtime.Time, attempt FailedAttempt) Decision {
 	retry := RetryElsewhere
 	report := ReportFailed
-	mayHaveExecuted := attempt.Keyed && p.MayHaveExecuted(now, attempt.Key)
+	rejected := attempt.Outcome == Rejected
+	mayHaveExecuted := !rejected && attempt.Keyed && p.MayHaveExecuted(now, attempt.Key)
 	switch {
-	case attempt.Outcome == Rejected, attempt.Outcome == ConnectFailed && !mayHaveExecuted:
+	case rejected, attempt.Outcome == ConnectFailed && !mayHaveExecuted:
 		report = ReportRejected // It was executed nowhere, and that is what its caller is told.
 	case mayHaveExecuted:
 		// It goes to that endpoint or nowhere. An endpoint that still answers can tell the outcome; a lost one cannot.
