--- a/control/admission.go
+++ b/control/admission.go
@@ -26,12 +26,13 @@
 		r.dueAt = r.arrivedAt + k.Deadline
 	}
 	c.requests[a.ID], c.requestOrder = r, append(c.requestOrder, r)
-	c.stateCounts[stateQueued], c.queuedKB, c.recentArrivals, c.signalArrivals = c.stateCounts[stateQueued]+1,
-		c.queuedKB+a.QueuedKB, c.recentArrivals+1, c.signalArrivals+1
-	c.noteCaller(r)
+	c.stateCounts[stateQueued], c.recentArrivals, c.signalArrivals = c.stateCounts[stateQueued]+1,
+		c.recentArrivals+1, c.signalArrivals+1
+	c.memory.requestQueued(a.QueuedKB)
+	c.connections.requestArrived(r.Caller, r.arrivedAt, c.now)
 	c.openPerCaller[r.Caller]++
 	c.maxOpenPerCaller = max(c.maxOpenPerCaller, c.openPerCaller[r.Caller])
-	c.chargeQuota(r)
+	r.overQuota = c.quotas.charge(r.Tenant, r.Retry)
 	if a.Retry {
 		c.recentRetries++
 	}
@@ -97,8 +98,8 @@
 	c.recentArrivals, c.signalArrivals = math.Max(c.recentArrivals-1, 0), math.Max(c.signalArrivals-1, 0)
 	if r.Retry {
 		c.recentRetries = math.Max(c.recentRetries-1, 0)
-	} else if r.Tenant >= 0 && r.Tenant < len(c.quotaTokens) && !r.overQuota {
-		c.quotaTokens[r.Tenant]++
+	} else if !r.overQuota {
+		c.quotas.refund(r.Tenant)
 	}
 	if k := c.classes[r.Class]; !k.bestEffort && r.Original == 0 {
 		c.priorityLoad = math.Max(c.priorityLoad-c.slotSeconds(r)/fadeTime.Seconds(), 0)
--- /dev/null
+++ b/control/call_budget_test.go
@@ -0,0 +1,99 @@
+package control
+
+import (
+	"math"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+)
+
+func newTestCallBudget(share float64) *callBudget {
+	budget := &callBudget{}
+	budget.configure(&Settings{
+		Dependency: DependencyShared, CallConcurrencyShare: share, CallConcurrencyWindow: 5 * time.Second,
+		AbandonedCallTime: 200 * time.Millisecond,
+	})
+	return budget
+}
+
+// Without a share there is no limit, and nothing to wait for.
+func TestCallBudgetWithoutShare(t *testing.T) {
+	for _, dependency := range []Dependency{DependencyNone, DependencyTier, DependencyShared} {
+		t.Run(dependency.String(), func(t *testing.T) {
+			budget := &callBudget{}
+			budget.configure(&Settings{Dependency: dependency})
+			budget.advance(0, 1, 1)
+			budget.inFlight = 1000
+			require.False(t, budget.limited())
+			require.True(t, budget.allows(budget.requiredStock()))
+			require.Zero(t, budget.wait(1e6))
+			require.Equal(t, time.Hour, budget.timeout(time.Hour))
+		})
+	}
+}
+
+// The stock fills to the part of the share that is not used in the mean, and calls in flight spend it.
+func TestCallStockFillsAndIsSpent(t *testing.T) {
+	budget := newTestCallBudget(10)
+	budget.advance(0, 1, 1)
+	require.InDelta(t, 6, budget.stockSeconds, 1e-9)
+	budget.advance(0, 100, 1)
+	require.InDelta(t, 20, budget.stockSeconds, 1e-9, "four calls over five seconds")
+	budget.inFlight = 8
+	budget.advance(0, 1, 1)
+	require.InDelta(t, 18, budget.stockSeconds, 1e-9)
+	require.InDelta(t, 3.5, budget.maxInFlight(), 1e-9)
+	require.False(t, budget.allows(0), "over what may be in flight")
+	budget.inFlight = 2
+	require.True(t, budget.allows(18))
+	require.False(t, budget.allows(18.1))
+}
+
+// Reconfiguring keeps the stock of the same share and empties that of another one.
+func TestCallBudgetKeepsItsStock(t *testing.T) {
+	budget := newTestCallBudget(10)
+	budget.advance(0, 1, 1)
+	settings := Settings{Dependency: DependencyShared, CallConcurrencyShare: 10}
+	budget.configure(&settings)
+	require.InDelta(t, 6, budget.stockSeconds, 1e-9)
+	require.Equal(t, minCallWindow, budget.window)
+	settings.CallConcurrencyShare = 9
+	budget.configure(&settings)
+	require.Zero(t, budget.stockSeconds)
+	settings.Dependency = DependencyNone
+	budget.configure(&settings)
+	require.True(t, math.IsInf(budget.stockSeconds, 1))
+}
+
+// An abandoned call occupies the dependency until its time is over.
+func TestAbandonedCallsOccupyTheDependency(t *testing.T) {
+	budget := newTestCallBudget(10)
+	budget.abandoned(time.Second)
+	require.Equal(t, 1, budget.occupied())
+	budget.advance(1199*time.Millisecond, 0, 1)
+	require.Equal(t, 1, budget.occupied())
+	budget.advance(1200*time.Millisecond, 0, 1)
+	require.Zero(t, budget.occupied())
+}
+
+// A timeout is no longer than the stock lasts, if it is split among all calls that may be in flight.
+func TestCallTimeout(t *testing.T) {
+	budget := newTestCallBudget(10)
+	budget.stockSeconds = 7
+	require.Equal(t, 1800*time.Millisecond, budget.timeout(time.Hour))
+	require.Equal(t, time.Second, budget.timeout(time.Second))
+	require.Equal(t, tickInterval, budget.timeout(0))
+}
+
+// Recent calls outweigh the long mean, and calls in flight without an end count as well.
+func TestCallSecondsFollowTheDependency(t *testing.T) {
+	budget := newTestCallBudget(10)
+	budget.succeeded(100 * time.Millisecond)
+	before := budget.callSeconds()
+	require.InDelta(t, 0.075, before, 1e-9, "three of the mean and one that took no time in flight")
+	budget.inFlight = 3
+	budget.advance(0, 1, 1)
+	require.InDelta(t, 3.3/4, budget.callSeconds(), 1e-9)
+	require.Positive(t, budget.wait(100))
+}
--- a/control/class.go
+++ b/control/class.go
@@ -68,7 +68,7 @@
 // serviceTime is the time from start to end that r should take at present.
 func (c *Controller) serviceTime(r *request) time.Duration {
 	k := c.classes[r.Class]
-	return seconds(k.serviceMargin * (c.slotSeconds(r)*c.slowdown + k.callsPerRequest.value*c.callSeconds()))
+	return seconds(k.serviceMargin * (c.slotSeconds(r)*c.slowdown + k.callsPerRequest.value*c.calls.callSeconds()))
 }
 
 // weightPerWork is the worth of r for each unit of work.
--- a/control/controller.go
+++ b/control/controller.go
@@ -3,7 +3,6 @@
 import (
 	"cmp"
 	"fmt"
-	"maps"
 	"math"
 	"math/rand/v2"
 	"slices"
@@ -33,14 +32,11 @@
 	actions                         []Action
 	classes, activeClasses          []*classState // current: those that are not retired
 	requests                        map[RequestID]*request
-	requestOrder                    []*request // live, oldest first
-	retainedKeys                    map[RequestID]*retainedKey
-	queuedKB, runningKB             float64
+	requestOrder                    []*request         // live, oldest first
 	stateCounts                     [requestStates]int // requests in each state
 
 	priorityShare, concurrencyLimit, limitDirection float64
 	nextBestEffort                                  int // best effort's round robin
-	liveKeys                                        int // entries not expired
 	limitedTicks, epochTicks                        int // ticks of this epoch: held back by the limit, all
 	epochWork, epochScore                           float64
 	nextFit, nextLimitStep, epochEnd                time.Duration // not before; end of this epoch
@@ -48,7 +44,6 @@
 
 	// Fading with fadeTime.
 	spentSeconds, expectedSeconds                   float64 // slot seconds spent, and those that the completions stand for
-	recentCallSeconds, recentCalls                  float64 // call seconds in hand, and calls ended
 	recentRejections, recentArrivals, recentRetries float64 // turned away, read, read of retries
 	recentErrors, recentRuns                        float64
 	// slot seconds a second that the classes above best effort ask for
@@ -56,18 +51,16 @@
 	// slot time spent over expected; since anything moved; pace then
 	slowdown, stalledSeconds, slowdownAtProgress float64
 	usualSlowdown                                runningMean // pace, over many completions
-	callTime, slotTime                           runningMean // seconds a call, and slot seconds a request of any class
-	abandonedUntil                               []time.Duration
+	slotTime                                     runningMean // slot seconds a request of any class
 
-	quotaTokens []float64 // by tenant: first tries within its share that may still come at once
+	quotas      tenantQuotas
+	keys        *keyTable
+	memory      memoryBudget
+	calls       callBudget
+	connections *idleConnections
 
-	callerLastSeen map[uint32]time.Duration // when each caller was last dealt with
-	gapCounts      []float64                // arrivals by the time since then
-	openPerCaller  map[uint32]int           // requests that each has here
-	idleTimeout    time.Duration            // how long idle connections are kept
+	openPerCaller map[uint32]int // requests that each has here
 
-	// of calls in hand, infinite where none is stated; call seconds to spend
-	callShare, callStockSeconds                       float64
 	drainRequestedAt, stopAt, nextLoadSignal          time.Duration
 	unhealthyReason                                   string  // why health is off
 	overwhelmed                                       bool    // it is off, as even the worthiest work is turned away
@@ -82,10 +75,17 @@
 		return nil, err
 	}
 	c := &Controller{
-		rng: rand.New(rand.NewPCG(s.Seed, 0)), requests: map[RequestID]*request{}, retainedKeys: map[RequestID]*retainedKey{},
-		priorityShare: maxPriorityShare, concurrencyLimit: float64(s.Cores), limitDirection: 1, slowdown: 1,
-		slowdownAtProgress: 1, cpuUtilization: -1,
-		callerLastSeen: map[uint32]time.Duration{}, openPerCaller: map[uint32]int{},
+		rng:                rand.New(rand.NewPCG(s.Seed, 0)),
+		requests:           map[RequestID]*request{},
+		keys:               newKeyTable(),
+		connections:        newIdleConnections(),
+		priorityShare:      maxPriorityShare,
+		concurrencyLimit:   float64(s.Cores),
+		limitDirection:     1,
+		slowdown:           1,
+		slowdownAtProgress: 1,
+		cpuUtilization:     -1,
+		openPerCaller:      map[uint32]int{},
 	}
 	if s.LoadSignal == LoadSignalWeight {
 		c.loadSignalValue = 1
@@ -105,7 +105,7 @@
 	if err := s.validate(); err != nil {
 		return err
 	}
-	if len(s.Classes) < len(c.classes) || len(s.Tenants) < len(c.quotaTokens) {
+	if len(s.Classes) < len(c.classes) || len(s.Tenants) < len(c.quotas.tokens) {
 		return fmt.Errorf("%w: %d classes or %d tenants are fewer than before", ErrInvalidSettings, len(s.Classes),
 			len(s.Tenants))
 	}
@@ -117,19 +117,10 @@
 // configure builds what depends on the settings and keeps what is there.
 func (c *Controller) configure(s Settings) {
 	c.settings = s
-	c.settings.CallConcurrencyWindow = max(s.CallConcurrencyWindow, time.Second)
-	if s.Dependency != DependencyShared || s.CallConcurrencyShare <= 0 {
-		c.callShare, c.callStockSeconds = math.Inf(1), math.Inf(1)
-	} else if c.callShare != s.CallConcurrencyShare {
-		c.callShare, c.callStockSeconds = s.CallConcurrencyShare, 0
-	}
-	if n := 2 + int(math.Ceil(math.Log2(math.Max(1,
-		float64(s.MaxKeepAlive)/float64(minKeepAlive))))); n != len(c.gapCounts) {
-		c.gapCounts = make([]float64, n)
-	}
-	for len(c.quotaTokens) < len(s.Tenants) {
-		c.quotaTokens = append(c.quotaTokens, 0)
-	}
+	c.calls.configure(&s)
+	c.connections.configure(s.MaxKeepAlive)
+	c.quotas.configure(&s)
+	c.memory.configure(&s)
 	ranks := func(a, b Class) int { return cmp.Compare(a.Weight, b.Weight) }
 	low, high := slices.MinFunc(s.activeClasses(), ranks).Weight, slices.MaxFunc(s.activeClasses(), ranks).Weight
 	before := c.classes
@@ -181,27 +172,19 @@
 	}
 	dt := (now - c.now).Seconds()
 	c.now = now
-	c.abandonedUntil = slices.DeleteFunc(c.abandonedUntil, func(t time.Duration) bool { return t <= now })
 	fade := math.Exp(-dt / fadeTime.Seconds())
-	for _, x := range []*float64{&c.spentSeconds, &c.expectedSeconds, &c.recentCallSeconds, &c.recentCalls,
+	for _, x := range []*float64{&c.spentSeconds, &c.expectedSeconds,
 		&c.recentRejections, &c.recentArrivals, &c.recentRetries,
 		&c.recentErrors, &c.recentRuns, &c.priorityLoad} {
 		*x *= fade
 	}
+	c.calls.advance(now, dt, fade)
+	c.quotas.refill(dt)
 	for _, k := range c.classes { // twice as fast: callers hear of it late enough
 		k.recentOutcomes, k.recentRejections = k.recentOutcomes*fade*fade, k.recentRejections*fade*fade
 	}
 	ran := dt * float64(c.stateCounts[stateRunning])
 	c.spentSeconds, c.stalledSeconds = c.spentSeconds+ran, c.stalledSeconds+ran
-	c.recentCallSeconds += dt * float64(c.callsInFlight())
-	if c.callShare < math.Inf(1) {
-		c.callStockSeconds = math.Min(c.callStockSeconds+dt*(meanCallShare*c.callShare-float64(c.callsInFlight())),
-			c.maxCallStock())
-	}
-	for i, t := range c.settings.Tenants {
-		rate := t.Quota / math.Max(1, float64(c.settings.Peers))
-		c.quotaTokens[i] = math.Min(c.quotaTokens[i]+dt*rate, 1+rate*quotaBurst.Seconds())
-	}
 	prior := slowdownPriorSeconds * float64(c.settings.Cores)
 	c.slowdown = math.Min((c.spentSeconds+prior)/(c.expectedSeconds+prior), maxSlowdown)
 }
@@ -213,9 +196,7 @@
 	case RequestFinished:
 		c.requestFinished(e)
 	case CallNeeded:
-		if r := c.requests[e.ID]; r != nil && r.state == stateRunning {
-			c.transition(r, stateAwaitingCall)
-		}
+		c.callNeeded(e)
 	case CallFinished:
 		c.callFinished(e)
 	case RequestCancelled:
@@ -230,18 +211,14 @@
 		c.runnable = smoothed(c.runnable, e.Gauges.Runnable)
 		c.queuedMean = smoothed(c.queuedMean, float64(c.stateCounts[stateQueued]))
 		c.emit(ScheduleTick{After: tickInterval})
-		c.liveKeys = 0
-		maps.DeleteFunc(c.retainedKeys, func(_ RequestID, k *retainedKey) bool {
-			if c.now < k.expiresAt {
-				c.liveKeys++
-			}
-			return c.now > k.expiresAt+time.Minute // until then a repeat read late may still name it
-		})
+		c.keys.expire(c.now)
 		c.adjustLimit()
 		if c.now >= c.nextFit {
 			c.nextFit = c.now + refitInterval
 			c.fitBudgets()
-			c.closeIdleConnections()
+			if timeout, changed := c.connections.refit(c.now); changed {
+				c.emit(CloseIdleConnections{IdleTimeout: timeout})
+			}
 		}
 		c.checkHealth()
 		c.updateLoadSignal()
@@ -258,8 +235,12 @@
 		r.slotTime += c.now - r.stateSince
 		c.noteProgress()
 	case stateCalling:
+		c.calls.inFlight--
 		c.noteProgress()
 	}
+	if to == stateCalling {
+		c.calls.inFlight++
+	}
 	c.stateCounts[r.state]--
 	c.stateCounts[to]++
 	r.state, r.stateSince = to, c.now
@@ -273,14 +254,20 @@
 // remove forgets a request that has ended.
 func (c *Controller) remove(r *request) {
 	if r.state == stateQueued || r.state == stateReplaying {
-		c.queuedKB -= r.QueuedKB
+		c.memory.queuedEnded(r.QueuedKB)
 	} else {
-		c.runningKB -= r.QueuedKB * c.settings.RunningMemoryFactor
+		c.memory.runningEnded(r.QueuedKB)
 	}
 	c.transition(r, stateEnded)
-	c.callerLastSeen[r.Caller] = c.now
+	c.connections.requestEnded(r.Caller, c.now)
 	if c.openPerCaller[r.Caller]--; c.openPerCaller[r.Caller] == 0 {
 		delete(c.openPerCaller, r.Caller)
 	}
 	delete(c.requests, r.ID)
 }
+
+// memoryUse is the share of memory that is in use.
+func (c *Controller) memoryUse() float64 { return c.memory.use(c.keys.live, 0) }
+
+// classOf is the class of a request.
+func (c *Controller) classOf(r *request) *classState { return c.classes[r.Class] }
--- a/control/guards_test.go
+++ b/control/guards_test.go
@@ -86,8 +86,8 @@
 			c.Step(now, []Event{RequestFinished{ID: id, Outcome: OutcomeOK}})
 		}
 	}
-	if c.memoryUse(2*200*4) > memoryHighWater {
-		t.Errorf("entries take %.2f of memory: no room for a run a core", c.memoryUse(0))
+	if c.memory.use(c.keys.live, 2*200*4) > memoryHighWater {
+		t.Errorf("entries take %.2f of memory: no room for a run a core", c.memoryUse())
 	}
 	if as := c.Step(now+tickInterval, []Event{RequestArrived{ID: 1000, QueuedKB: 200}}); count[Start](as) != 1 {
 		t.Error("a safe request does not run beside the entries")
@@ -99,14 +99,14 @@
 	c := testController(t, func(s *Settings) {
 		s.Dependency, s.CallConcurrencyShare, s.CallConcurrencyWindow = DependencyShared, 2, 5*time.Second
 	})
-	c.callTime = runningMean{100, 0.9} // one call in hand at 0.9 s each: a second one comes too late for an aim of 2 s
+	c.calls.meanCallSeconds = runningMean{100, 0.9} // one call in hand at 0.9 s each: a second one comes too late for an aim of 2 s
 	as := c.Step(0, []Event{RequestArrived{ID: 1, QueuedKB: 1}, RequestArrived{ID: 2, QueuedKB: 1},
 		RequestArrived{ID: 3, QueuedKB: 1},
 		RequestArrived{ID: 4, Class: 1, QueuedKB: 1}})
 	if count[Reject](as) == 0 {
 		t.Error("nothing is turned away though the calls cannot be made in time")
 	}
-	if c.requests[4] == nil || c.retainedKeys[4] == nil {
+	if c.requests[4] == nil || c.keys.keys[4] == nil {
 		t.Error("the keyed request of most worth was turned away")
 	}
 }
@@ -239,9 +239,9 @@
 		ev = append(ev, RequestArrived{ID: i, Class: 1, QueuedKB: 50, Original: 1})
 	}
 	as := c.Step(tickInterval, ev)
-	if c.memoryUse(0) > 1 || count[Fail](as)+count[ReplayResult](as) != 29 || count[Reject](as) != 0 ||
+	if c.memoryUse() > 1 || count[Fail](as)+count[ReplayResult](as) != 29 || count[Reject](as) != 0 ||
 		count[ReplayResult](as) < 10 {
-		t.Errorf("%d joined and %d failed of 29, memory %.2f", count[ReplayResult](as), count[Fail](as), c.memoryUse(0))
+		t.Errorf("%d joined and %d failed of 29, memory %.2f", count[ReplayResult](as), count[Fail](as), c.memoryUse())
 	}
 }
 
@@ -330,12 +330,12 @@
 					calls++
 				}
 			}
-			inHand = append(inHand, float64(len(ends)+len(c.abandonedUntil)))
-			sum, from := 0.0, max(0, len(inHand)-int(c.settings.CallConcurrencyWindow/tickInterval))
+			inHand = append(inHand, float64(len(ends)+len(c.calls.abandonedUntil)))
+			sum, from := 0.0, max(0, len(inHand)-int(c.calls.window/tickInterval))
 			for _, x := range inHand[from:] {
 				sum += x
 			}
-			if m := sum * tickInterval.Seconds() / c.settings.CallConcurrencyWindow.Seconds(); m > share {
+			if m := sum * tickInterval.Seconds() / c.calls.window.Seconds(); m > share {
 				t.Fatalf("share %v: %.2f calls in the mean of a window at %v", share, m, c.now)
 			}
 		}
@@ -437,7 +437,7 @@
 	})
 	c.Step(0, nil)
 	c.Step(time.Second, nil)
-	tokens, others := c.quotaTokens[0], c.priorityLoad
+	tokens, others := c.quotas.tokens[0], c.priorityLoad
 	c.Step(c.now, []Event{RequestArrived{ID: 1, Class: 1, QueuedKB: 1}, RequestArrived{ID: 2, QueuedKB: 1, Retry: true}})
 	c.Step(c.now, []Event{RequestFinished{ID: 1, Outcome: OutcomeRejected}, RequestFinished{ID: 2,
 		Outcome: OutcomeRejected}})
@@ -446,8 +446,8 @@
 		t.Errorf("read %v and %v, again %v, seen %v, runs %v; want none", c.recentArrivals, c.signalArrivals,
 			c.recentRetries, c.classes[1].recentOutcomes, c.recentRuns)
 	}
-	if c.quotaTokens[0] != tokens || c.priorityLoad != others {
-		t.Errorf("tokens %v of %v, others %v of %v", c.quotaTokens[0], tokens, c.priorityLoad, others)
+	if c.quotas.tokens[0] != tokens || c.priorityLoad != others {
+		t.Errorf("tokens %v of %v, others %v of %v", c.quotas.tokens[0], tokens, c.priorityLoad, others)
 	}
 }
 
--- a/control/idempotency.go
+++ b/control/idempotency.go
@@ -1,67 +1,114 @@
 package control
 
-import "time"
-
-const (
-	// expiredKeyRetention is how long an expired key is remembered: a repeat that is read late may still name it.
-	expiredKeyRetention = time.Minute
+import (
+	"maps"
+	"time"
 )
 
-type retainedKey struct { // a key in the host's table
+// expiredKeyRetention is how long an expired key is remembered: a repeat that is read late may still name it.
+const expiredKeyRetention = time.Minute
+
+// retainedKey is the idempotency key of one request in the host's table.
+type retainedKey struct {
 	expiresAt time.Duration
-	started   bool
+	started   bool // the request was started: it may have taken effect
+}
+
+// keyTable mirrors the host's table of idempotency keys, under the requests that they came with.
+type keyTable struct {
+	keys map[RequestID]*retainedKey
+	live int // keys that have not expired, as of the last expire
+}
+
+func newKeyTable() *keyTable { return &keyTable{keys: map[RequestID]*retainedKey{}} }
+
+// retain enters the key of a request.
+func (t *keyTable) retain(id RequestID, expiresAt time.Duration) {
+	t.keys[id] = &retainedKey{expiresAt: expiresAt}
+	t.live++
+}
+
+// requestStarted notes that the request of a key, if it has one, may have taken effect from now on.
+func (t *keyTable) requestStarted(id RequestID) {
+	if key := t.keys[id]; key != nil {
+		key.started = true
+	}
+}
+
+// release removes the key of a request that never ran and reports whether there was one. Such a key must cost neither
+// memory nor a later attempt's chance.
+func (t *keyTable) release(id RequestID) bool {
+	key := t.keys[id]
+	if key == nil || key.started {
+		return false
+	}
+	t.live--
+	delete(t.keys, id)
+	return true
+}
+
+// expire counts the live keys anew and drops those that no repeat can name any more.
+func (t *keyTable) expire(now time.Duration) {
+	t.live = 0
+	maps.DeleteFunc(t.keys, func(_ RequestID, key *retainedKey) bool {
+		if now < key.expiresAt {
+			t.live++
+		}
+		return now > key.expiresAt+expiredKeyRetention
+	})
 }
 
-// retainKey enters a keyed request before it can run, for its window from arrival. False: no room, so no run.
+// retainKey retains the key of a request before it can run, for the retention window from its arrival. False means
+// that there is no memory for it, so the request must not run.
 func (c *Controller) retainKey(r *request) bool {
-	k := c.classes[r.Class]
-	span := k.RetentionWindow - r.Age + tickInterval
+	class := c.classOf(r)
+	ttl := class.RetentionWindow - r.Age + tickInterval
 	switch {
-	case k.Idempotency == Idempotent && c.settings.ResultFreshness > 0 && r.Key != 0:
-		span = k.Deadline + c.settings.ResultFreshness
-	case k.Idempotency != IdempotentByKey:
+	case class.Idempotency == Idempotent && c.settings.ResultFreshness > 0 && r.Key != 0:
+		ttl = class.Deadline + c.settings.ResultFreshness
+	case class.Idempotency != IdempotentByKey:
 		return true
 	}
-	// Entries outlive their requests by far: they must leave the cores room to run, or those starve on keys.
-	room := memoryHighWater*c.settings.MemoryKB - float64(c.settings.Cores)*r.QueuedKB*c.settings.RunningMemoryFactor
-	if c.settings.MemoryKB > 0 && (c.memoryUse(c.settings.KeyKB) > memoryHighWater ||
-		float64(c.liveKeys+1)*c.settings.KeyKB > room) {
-		return k.Idempotency == Idempotent
+	if !c.memory.fitsKey(c.keys.live, r.QueuedKB) {
+		return class.Idempotency == Idempotent
 	}
-	c.retainedKeys[r.ID] = &retainedKey{expiresAt: c.now + span}
-	c.liveKeys++
-	c.emit(RetainKey{ID: r.ID, TTL: span})
+	c.keys.retain(r.ID, c.now+ttl)
+	c.emit(RetainKey{ID: r.ID, TTL: ttl})
 	return true
 }
 
-// releaseKey forgets the entry of a try that never ran: it must cost neither memory nor a later try's chance.
+// releaseKey releases the key of a request that never ran.
 func (c *Controller) releaseKey(r *request) {
-	if k := c.retainedKeys[r.ID]; k != nil && !k.started {
-		c.liveKeys-- // the next tick counts again
-		delete(c.retainedKeys, r.ID)
-		c.emit(ReleaseKey{r.ID})
+	if c.keys.release(r.ID) {
+		c.emit(ReleaseKey{ID: r.ID})
 	}
 }
 
-// replayOriginal answers a repeat from its original. One still held gives way: the newer caller waits longer.
+// replayOriginal answers a repeat with the result of its original, if that has a key. An original that is still
+// queued gives way to the repeat, whose caller waits longer; then, or without a key, it returns false and the repeat
+// goes on like any other request.
 func (c *Controller) replayOriginal(r *request) bool {
 	id := r.Original
-	for o := c.requests[id]; c.retainedKeys[id] == nil && o != nil && o.Original != 0; o = c.requests[id] {
-		id = o.Original // a repeat of a repeat
+	// The original may be a repeat itself, whose key is under its own original.
+	original := c.requests[id]
+	for c.keys.keys[id] == nil && original != nil && original.Original != 0 {
+		id = original.Original
+		original = c.requests[id]
 	}
-	k := c.retainedKeys[id]
-	if k == nil {
+	key := c.keys.keys[id]
+	if key == nil {
 		return false
 	}
-	if old := c.requests[id]; !k.started && old != nil && c.classes[r.Class].Idempotency == IdempotentByKey {
-		c.reject(old, true)
+	if !key.started && original != nil && c.classOf(r).Idempotency == IdempotentByKey {
+		c.reject(original, true)
 		return false
 	}
-	if c.memoryUse(0) > 1 { // it must not be turned away once it ran; nor may many bring the machine down
+	if c.memoryUse() > 1 {
+		// Once the original ran the repeat must not be rejected, and many of them must not use up the memory.
 		c.fail(r)
 		return true
 	}
 	c.transition(r, stateReplaying)
-	c.emit(ReplayResult{r.ID})
+	c.emit(ReplayResult{ID: r.ID})
 	return true
 }
--- /dev/null
+++ b/control/idempotency_test.go
@@ -0,0 +1,67 @@
+package control
+
+import (
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+)
+
+// The key of a request that never ran is released, that of one that was started stays.
+func TestOnlyUnusedKeysAreReleased(t *testing.T) {
+	table := newKeyTable()
+	table.retain(1, time.Second)
+	table.retain(2, time.Second)
+	table.requestStarted(2)
+	table.requestStarted(3) // It has no key.
+	require.True(t, table.release(1))
+	require.False(t, table.release(1), "released before")
+	require.False(t, table.release(2), "started")
+	require.False(t, table.release(3), "without a key")
+	require.Equal(t, 1, table.live)
+}
+
+// An expired key costs no memory any more, but is remembered for repeats that are read late.
+func TestExpiredKeysAreRememberedForAWhile(t *testing.T) {
+	table := newKeyTable()
+	table.retain(1, time.Second)
+	table.retain(2, time.Minute)
+	table.expire(999 * time.Millisecond)
+	require.Equal(t, 2, table.live)
+	table.expire(time.Second)
+	require.Equal(t, 1, table.live)
+	require.Contains(t, table.keys, RequestID(1))
+	table.expire(time.Second + expiredKeyRetention)
+	require.Contains(t, table.keys, RequestID(1))
+	table.expire(time.Second + expiredKeyRetention + 1)
+	require.NotContains(t, table.keys, RequestID(1))
+	require.Contains(t, table.keys, RequestID(2))
+}
+
+// A key is retained from the arrival of its request for the class's window, and reads only where results stay fresh.
+func TestKeyRetention(t *testing.T) {
+	tests := []struct {
+		name    string
+		event   RequestArrived
+		fresh   time.Duration
+		wantTTL time.Duration // 0: no key is retained
+	}{
+		{"keyed", RequestArrived{Class: 1, Age: time.Second}, 0, 29*time.Second + tickInterval},
+		{"read", RequestArrived{Key: 5}, 0, 0},
+		{"read of fresh results", RequestArrived{Key: 5}, time.Second, 9 * time.Second},
+		{"read of fresh results without a subject", RequestArrived{}, time.Second, 0},
+	}
+	for _, tc := range tests {
+		t.Run(tc.name, func(t *testing.T) {
+			c := testController(t, func(s *Settings) { s.ResultFreshness = tc.fresh })
+			tc.event.ID, tc.event.QueuedKB = 1, 1
+			var ttl time.Duration
+			for _, action := range c.Step(time.Minute, []Event{tc.event}) {
+				if retain, ok := action.(RetainKey); ok {
+					ttl = retain.TTL
+				}
+			}
+			require.Equal(t, tc.wantTTL, ttl)
+		})
+	}
+}
--- a/control/learned.go
+++ b/control/learned.go
@@ -34,7 +34,7 @@
 		LoadSignal:       c.loadSignalValue,
 		UsualSlowdown:    c.usualSlowdown.estimate(),
 		SlotTime:         c.slotTime.estimate(),
-		CallTime:         c.callTime.estimate(),
+		CallTime:         c.calls.meanCallSeconds.estimate(),
 	}
 	for _, class := range c.classes {
 		learned.Classes = append(learned.Classes, LearnedClassState{
@@ -64,7 +64,7 @@
 	}
 	c.usualSlowdown.restore(learned.UsualSlowdown, usualSlowdownSamples)
 	c.slotTime.restore(learned.SlotTime, sampleWindow)
-	c.callTime.restore(learned.CallTime, sampleWindow)
+	c.calls.meanCallSeconds.restore(learned.CallTime, sampleWindow)
 	for _, from := range learned.Classes {
 		for _, class := range c.classes {
 			if class.Name == from.Name {
--- a/control/learned_test.go
+++ b/control/learned_test.go
@@ -21,14 +21,14 @@
 	old := fresh(s)
 	old.concurrencyLimit, old.priorityShare, old.usualSlowdown = 3.5, 0.7, runningMean{900, 1.4}
 	old.classes[1].slot, old.classes[1].service = runningMean{500, 0.08}, runningMean{500, 0.1}
-	old.classes[1].callsPerRequest, old.callTime = runningMean{300, 1.5}, runningMean{300, 0.06}
+	old.classes[1].callsPerRequest, old.calls.meanCallSeconds = runningMean{300, 1.5}, runningMean{300, 0.06}
 	s.Classes = append([]Class{{Name: "c", LatencyObjective: time.Second, Deadline: 2 * time.Second}},
 		s.Classes...) // other places
 	next := fresh(s)
 	next.RestoreLearned(old.LearnedState())
 	if next.concurrencyLimit != 3.5 || next.priorityShare != 0.7 || next.usualSlowdown != old.usualSlowdown ||
 		next.classes[2].slot != old.classes[1].slot || next.classes[2].service != old.classes[1].service ||
-		next.classes[2].callsPerRequest != old.classes[1].callsPerRequest || next.callTime != old.callTime {
+		next.classes[2].callsPerRequest != old.classes[1].callsPerRequest || next.calls.meanCallSeconds != old.calls.meanCallSeconds {
 		t.Errorf("learned %+v of %+v", next.LearnedState(), old.LearnedState())
 	}
 	before := next.LearnedState()
--- a/control/memory.go
+++ b/control/memory.go
@@ -1,14 +1,62 @@
 package control
 
-const (
-	// memoryHighWater is the share of memory above which no key is retained and no request started.
-	memoryHighWater = 0.95
-)
-
-// memoryUse is the share of memory in use with so much more.
-func (c *Controller) memoryUse(more float64) float64 {
-	if c.settings.MemoryKB <= 0 {
+// memoryHighWater is the share of memory above which no key is retained and no request started.
+const memoryHighWater = 0.95
+
+// memoryBudget counts the memory of queued and running requests. That of retained keys is counted by keyTable.
+type memoryBudget struct {
+	totalKB       float64 // 0 = not limited
+	keyKB         float64 // of a retained key
+	runningFactor float64 // memory of a running request over that of a queued one
+	cores         int
+
+	queuedKB, runningKB float64
+}
+
+// configure takes up settings.
+func (m *memoryBudget) configure(settings *Settings) {
+	m.totalKB = settings.MemoryKB
+	m.keyKB = settings.KeyKB
+	m.runningFactor = settings.RunningMemoryFactor
+	m.cores = settings.Cores
+}
+
+// requestQueued counts a request that needs so much memory while it is queued.
+func (m *memoryBudget) requestQueued(queuedKB float64) { m.queuedKB += queuedKB }
+
+// requestStarted counts a queued request as running.
+func (m *memoryBudget) requestStarted(queuedKB float64) {
+	m.queuedKB -= queuedKB
+	m.runningKB += queuedKB * m.runningFactor
+}
+
+// queuedEnded frees the memory of a request that ended without a run.
+func (m *memoryBudget) queuedEnded(queuedKB float64) { m.queuedKB -= queuedKB }
+
+// runningEnded frees the memory of a request that ran.
+func (m *memoryBudget) runningEnded(queuedKB float64) { m.runningKB -= queuedKB * m.runningFactor }
+
+// use is the share of memory that is in use, with so many retained keys and extraKB more.
+func (m *memoryBudget) use(keys int, extraKB float64) float64 {
+	if m.totalKB <= 0 {
 		return 0
 	}
-	return (c.queuedKB + c.runningKB + float64(c.liveKeys)*c.settings.KeyKB + more) / c.settings.MemoryKB
+	return (m.queuedKB + m.runningKB + float64(keys)*m.keyKB + extraKB) / m.totalKB
+}
+
+// fitsRun reports whether there is memory to start a queued request.
+func (m *memoryBudget) fitsRun(keys int, queuedKB float64) bool {
+	return m.use(keys, queuedKB*(m.runningFactor-1)) <= memoryHighWater
+}
+
+// fitsKey reports whether there is memory to retain the key of a request. Keys outlive their requests by far: they
+// must leave the cores memory to run requests like this one, or those starve.
+func (m *memoryBudget) fitsKey(keys int, queuedKB float64) bool {
+	if m.totalKB <= 0 {
+		return true
+	}
+	overHighWater := m.use(keys, m.keyKB) > memoryHighWater
+	keyRoomKB := memoryHighWater*m.totalKB - float64(m.cores)*queuedKB*m.runningFactor
+	overKeyRoom := float64(keys+1)*m.keyKB > keyRoomKB
+	return !overHighWater && !overKeyRoom
 }
--- a/control/scheduler.go
+++ b/control/scheduler.go
@@ -56,7 +56,7 @@
 	for i := range c.classes {
 		k := c.classes[(c.nextBestEffort+i)%len(c.classes)]
 		if len(k.queue) == 0 || k.MakesCalls && c.stateCounts[stateAwaitingCall] > 0 &&
-			float64(c.stateCounts[stateAwaitingCall]) >= c.maxCallsInFlight() {
+			float64(c.stateCounts[stateAwaitingCall]) >= c.calls.maxInFlight() {
 			continue // more work with calls would only pile up at its call
 		}
 		if r := k.queue[0]; k.bestEffort && best == nil {
@@ -82,11 +82,9 @@
 		} else if !c.canStart(r) {
 			return
 		}
-		c.queuedKB, c.runningKB, r.startedAt = c.queuedKB-r.QueuedKB,
-			c.runningKB+r.QueuedKB*c.settings.RunningMemoryFactor, c.now
-		if k := c.retainedKeys[r.ID]; k != nil {
-			k.started = true
-		}
+		r.startedAt = c.now
+		c.memory.requestStarted(r.QueuedKB)
+		c.keys.requestStarted(r.ID)
 		c.transition(r, stateRunning)
 		c.emit(Start{r.ID})
 	}
@@ -99,7 +97,7 @@
 		return false // a sick machine is probed with one run at a time
 	}
 	crowded := c.settings.MaxConcurrencyPerCore > 0 &&
-		float64(c.stateCounts[stateRunning]+c.stateCounts[stateAwaitingCall]+c.callsInFlight()+1) >
+		float64(c.stateCounts[stateRunning]+c.stateCounts[stateAwaitingCall]+c.calls.occupied()+1) >
 			concurrencySafetyShare*c.survivableConcurrency()
-	return !crowded && c.memoryUse(r.QueuedKB*(c.settings.RunningMemoryFactor-1)) <= memoryHighWater
+	return !crowded && c.memory.fitsRun(c.keys.live, r.QueuedKB)
 }
--- a/control/shedding.go
+++ b/control/shedding.go
@@ -45,14 +45,14 @@
 			late := c.now+seconds(work/rate) > limit
 			work += c.slotSeconds(r)
 			// Departure: calls are a second queue behind the first, with a bound and a shortage of their own.
-			lateCall := k.MakesCalls && c.now+c.callWait(calls) > limit
+			lateCall := k.MakesCalls && c.now+c.calls.wait(calls) > limit
 			calls += k.callsPerRequest.value
 			if late || lateCall {
 				shed(!late)
 			}
 		}
 	}
-	for c.memoryUse(0) > memoryHighWater && len(taken) > 0 {
+	for c.memoryUse() > memoryHighWater && len(taken) > 0 {
 		shed(false)
 	}
 }
