--- a/control/admission.go
+++ b/control/admission.go
@@ -26,16 +26,12 @@
 		r.dueAt = r.arrivedAt + k.Deadline
 	}
 	c.requests[a.ID], c.requestOrder = r, append(c.requestOrder, r)
-	c.stateCounts[stateQueued], c.recentArrivals, c.signalArrivals = c.stateCounts[stateQueued]+1,
-		c.recentArrivals+1, c.signalArrivals+1
+	c.stateCounts[stateQueued]++
+	c.demand.requestArrived(r.Retry)
+	c.signal.requestArrived(r.Caller)
 	c.memory.requestQueued(a.QueuedKB)
 	c.connections.requestArrived(r.Caller, r.arrivedAt, c.now)
-	c.openPerCaller[r.Caller]++
-	c.maxOpenPerCaller = max(c.maxOpenPerCaller, c.openPerCaller[r.Caller])
 	r.overQuota = c.quotas.charge(r.Tenant, r.Retry)
-	if a.Retry {
-		c.recentRetries++
-	}
 	if a.CostHint > 0 {
 		k.costHint.add(a.CostHint.Seconds())
 	}
@@ -43,7 +39,7 @@
 		return
 	}
 	if !k.bestEffort {
-		c.priorityLoad += c.slotSeconds(r) / fadeTime.Seconds()
+		c.demand.priorityRequestArrived(c.slotSeconds(r))
 	}
 	k.queue = append(k.queue, r)
 	slices.SortStableFunc(k.queue, func(a, b *request) int { return cmp.Compare(a.arrivedAt, b.arrivedAt) })
@@ -56,7 +52,7 @@
 func (c *Controller) mayNotStart(r *request) bool {
 	k, late := c.classes[r.Class], r.arrivedAt+r.Age > c.drainRequestedAt+c.settings.DrainGrace ||
 		c.now+c.serviceTime(r) > c.stopAt
-	return c.draining && late || c.unhealthyReason != "" && (k.Idempotency != Idempotent || len(k.queue) > 1)
+	return c.draining && late || c.health.reason != reasonNone && (k.Idempotency != Idempotent || len(k.queue) > 1)
 }
 
 // isTooLate says that r cannot be answered in time to be worth its work. Late answers are for idle times.
@@ -68,40 +64,42 @@
 	return c.now+c.serviceTime(r) > use || c.draining && c.mayNotStart(r)
 }
 
-// reject turns away a request that never ran; the advice grows with the share turned away. What is past its
-// use, or would meet only full servers or add to late reading, should not be tried elsewhere.
-func (c *Controller) reject(r *request, last bool) {
-	c.recentRejections++
-	if k := c.classes[r.Class]; !r.overQuota && !c.draining && c.unhealthyReason == "" {
-		k.rejectedShare.add(1)
-		k.recentOutcomes, k.recentRejections, c.signalRejections = k.recentOutcomes+1, k.recentRejections+1,
-			c.signalRejections+1
+// reject rejects a request that never ran. The advised pause grows with the share of rejections. What is past its use,
+// or would meet only overloaded servers or add to late reading, should not be retried elsewhere.
+func (c *Controller) reject(r *request, noRetry bool) {
+	class := c.classOf(r)
+	c.demand.rejections++
+	if !r.overQuota && !c.rejectsAll() {
+		class.requestRejected()
+		c.signal.requestRejected()
 	}
-	deep := math.Min(c.recentRejections/math.Max(c.recentArrivals, 1), 1)
-	fleet := deep // how full the others are
+	rejectedShare := math.Min(c.demand.rejectedShare(), 1)
+	fleetLoad := rejectedShare // How overloaded the other servers are.
 	if c.settings.RetriesMarked {
-		fleet = c.recentRetries / math.Max(c.recentArrivals-c.recentRetries, 1)
+		fleetLoad = c.demand.retryRatio()
 	}
-	late := r.Age > seconds(lateReadShare*c.classes[r.Class].LatencyObjective.Seconds())
-	last = last || c.now > c.usefulUntil(r) || fleet > overloadedShare || deep > overloadedShare && late
-	if c.unhealthyReason != "" || c.draining {
-		deep = 1
+	readLate := r.Age > seconds(lateReadShare*class.LatencyObjective.Seconds())
+	noRetry = noRetry || c.now > c.usefulUntil(r) || fleetLoad > overloadedShare ||
+		rejectedShare > overloadedShare && readLate
+	pause := rejectedShare
+	if c.rejectsAll() {
+		pause = 1
 	}
-	c.emit(Reject{ID: r.ID, NoRetry: last, RetryAfter: time.Duration(deep * float64(c.settings.MaxRetryAfter))})
+	retryAfter := time.Duration(pause * float64(c.settings.MaxRetryAfter))
+	c.emit(Reject{ID: r.ID, NoRetry: noRetry, RetryAfter: retryAfter})
 	c.releaseKey(r)
 	c.remove(r)
 }
 
-// undoArrival takes back what the arrival of r counted, as nobody had asked for it. Guards against bursts of made-up
-// requests: a server that turned away nearly all that was real took itself for one with room.
+// undoArrival takes back what the arrival of r counted, as nobody had asked for it. This guards against bursts of
+// made-up requests: a server that rejected nearly all that was real took itself for one with capacity to spare.
 func (c *Controller) undoArrival(r *request) {
-	c.recentArrivals, c.signalArrivals = math.Max(c.recentArrivals-1, 0), math.Max(c.signalArrivals-1, 0)
-	if r.Retry {
-		c.recentRetries = math.Max(c.recentRetries-1, 0)
-	} else if !r.overQuota {
+	c.demand.undoArrival(r.Retry)
+	c.signal.undoArrival()
+	if !r.Retry && !r.overQuota {
 		c.quotas.refund(r.Tenant)
 	}
-	if k := c.classes[r.Class]; !k.bestEffort && r.Original == 0 {
-		c.priorityLoad = math.Max(c.priorityLoad-c.slotSeconds(r)/fadeTime.Seconds(), 0)
+	if !c.classOf(r).bestEffort && r.Original == 0 {
+		c.demand.undoPriorityArrival(c.slotSeconds(r))
 	}
 }
--- a/control/allowance_test.go
+++ b/control/allowance_test.go
@@ -38,8 +38,8 @@
 func TestAllowanceGrowsForTheCallerThatUsesIt(t *testing.T) {
 	c := allowanceController(t)
 	serveRounds(c, 500, 0.3, 0, 7, 1)
-	if c.loadSignalValue < 6 {
-		t.Errorf("allowance %v for a caller that has 7 requests open while the cores idle", c.loadSignalValue)
+	if c.signal.value < 6 {
+		t.Errorf("allowance %v for a caller that has 7 requests open while the cores idle", c.signal.value)
 	}
 }
 
@@ -47,8 +47,8 @@
 func TestAllowanceRestsWhileUnused(t *testing.T) {
 	c := allowanceController(t)
 	serveRounds(c, 500, 0.3, 0, 1, 1)
-	if c.loadSignalValue > 3 {
-		t.Errorf("allowance %v though no caller has more than one request open", c.loadSignalValue)
+	if c.signal.value > 3 {
+		t.Errorf("allowance %v though no caller has more than one request open", c.signal.value)
 	}
 }
 
@@ -56,14 +56,14 @@
 func TestAllowanceShrinksToItsFloor(t *testing.T) {
 	c := allowanceController(t)
 	serveRounds(c, 500, 0.3, 0, 7)
-	before, floor := c.loadSignalValue, minAllowancePerCore*float64(c.settings.Cores)/float64(c.settings.Callers)
+	before, floor := c.signal.value, minAllowancePerCore*float64(c.settings.Cores)/float64(c.settings.Callers)
 	serveRounds(c, 250, 1, 3*time.Second, 7) // too late for their aim as they are read
-	if c.loadSignalValue >= before || c.loadSignalValue != floor {
-		t.Errorf("allowance %v after %v, want its floor %v", c.loadSignalValue, before, floor)
+	if c.signal.value >= before || c.signal.value != floor {
+		t.Errorf("allowance %v after %v, want its floor %v", c.signal.value, before, floor)
 	}
 	c.Step(c.now+tickInterval, []Event{DrainRequested{StopAt: c.now + time.Minute}})
 	serveRounds(c, 250, 1, 0, 7)
-	if c.loadSignalValue != floor {
-		t.Errorf("allowance %v while draining, want %v: who hears nothing sends without bound", c.loadSignalValue, floor)
+	if c.signal.value != floor {
+		t.Errorf("allowance %v while draining, want %v: who hears nothing sends without bound", c.signal.value, floor)
 	}
 }
--- a/control/class.go
+++ b/control/class.go
@@ -40,6 +40,20 @@
 	queueBudget                      time.Duration // Q
 }
 
+// advance multiplies the recent counts by fade twice, so that they fade twice as fast as other figures: callers hear of
+// them late enough.
+func (k *classState) advance(fade float64) {
+	k.recentOutcomes = k.recentOutcomes * fade * fade
+	k.recentRejections = k.recentRejections * fade * fade
+}
+
+// requestRejected counts a rejection for want of time.
+func (k *classState) requestRejected() {
+	k.rejectedShare.add(1)
+	k.recentOutcomes++
+	k.recentRejections++
+}
+
 // measure measures a class's CV and disengagement: none up to the aim, all from the deadline, linear between.
 func (k *classState) measure() {
 	var sum, sq, u float64
@@ -60,7 +74,7 @@
 func (c *Controller) slotSeconds(r *request) float64 {
 	k := c.classes[r.Class]
 	if r.CostHint > 0 && k.costHint.value > 0 {
-		return k.slot.value * (1 + math.Min(r.CostHint.Seconds()/k.costHint.value, 4)) / 2
+		return k.slot.value * (1 + math.Min(r.CostHint.Seconds()/k.costHint.value, maxHintRatio)) / 2
 	}
 	return k.slot.value
 }
@@ -68,7 +82,7 @@
 // serviceTime is the time from start to end that r should take at present.
 func (c *Controller) serviceTime(r *request) time.Duration {
 	k := c.classes[r.Class]
-	return seconds(k.serviceMargin * (c.slotSeconds(r)*c.slowdown + k.callsPerRequest.value*c.calls.callSeconds()))
+	return seconds(k.serviceMargin * (c.slotSeconds(r)*c.slowdown.factor + k.callsPerRequest.value*c.calls.callSeconds()))
 }
 
 // weightPerWork is the worth of r for each unit of work.
--- a/control/completion.go
+++ b/control/completion.go
@@ -22,17 +22,16 @@
 	}
 	// What was joined, or failed by ourselves, says nothing of the machine.
 	if e.Outcome == OutcomeError && !r.answered && was != stateReplaying {
-		c.recentRuns++
-		c.recentErrors++
+		c.health.runFailed()
 	}
 	if e.Outcome != OutcomeOK || was == stateReplaying {
 		return
 	}
 	k := c.classes[r.Class]
-	c.recentRuns++
+	c.health.runSucceeded()
 	k.rejectedShare.add(0)
 	k.recentOutcomes++
-	c.epochWork += c.slotSeconds(r)
+	c.limiter.epochWork += c.slotSeconds(r)
 	c.learnSlotTime(r, r.slotTime)
 	k.callsPerRequest.add(r.callsSucceeded)
 	k.service.add((c.now - r.startedAt).Seconds())
@@ -42,14 +41,10 @@
 	}
 }
 
-// learnSlotTime takes in the slot time of r, which has ended, or is stopped and would have taken longer yet.
+// learnSlotTime learns from the slot time of r, which has ended, or is stopped and would have taken longer yet.
 func (c *Controller) learnSlotTime(r *request, took time.Duration) {
-	c.expectedSeconds += c.slotSeconds(r)
-	// At the usual pace: a slow spell would else count twice, in the slots that it made longer and in the pace.
-	c.usualSlowdown.addWithin(c.slowdown, usualSlowdownSamples)
-	slot := took.Seconds() * c.usualSlowdown.value / c.slowdown
-	c.classes[r.Class].slot.add(slot)
-	c.slotTime.add(slot)
+	usualSeconds := c.slowdown.completed(c.slotSeconds(r), took)
+	c.classOf(r).slot.add(usualSeconds)
 }
 
 // releaseCaller lets go of what is answered or whose caller left: what never ran ends, safe runs stop where they
@@ -83,7 +78,7 @@
 func (c *Controller) runsInVain(r *request) bool {
 	k := c.classes[r.Class]
 	return r.state == stateRunning && !r.answered && k.Idempotency == Idempotent && k.LateWeightShare == 0 &&
-		c.settings.Preemption == PreemptDiscard && c.limitReached && c.now > c.usefulUntil(r)
+		c.settings.Preemption == PreemptDiscard && c.limiter.reached && c.now > c.usefulUntil(r)
 }
 
 func (c *Controller) fail(r *request) {
--- /dev/null
+++ b/control/concurrency_ceiling.go
@@ -0,0 +1,51 @@
+package control
+
+import (
+	"math"
+	"time"
+)
+
+// concurrencySafetyShare is the part of the survivable concurrency that is used, calls included.
+const concurrencySafetyShare = 0.8
+
+// concurrencyCeiling is how many running requests the server survives. A cold server is taken to warm up no faster
+// than the settings promise. The ceiling is a guard, not a target.
+type concurrencyCeiling struct {
+	cores      float64
+	perCore    float64 // of a warm server; 0 = not stated
+	coldStart  bool
+	minSpeed   float64 // a cold server starts at no less than this share of its speed
+	warmUpTime time.Duration
+	startedAt  time.Duration
+}
+
+// configure takes up settings.
+func (c *concurrencyCeiling) configure(settings *Settings) {
+	c.cores = float64(settings.Cores)
+	c.perCore = settings.MaxConcurrencyPerCore
+	c.coldStart = settings.ColdStart
+	c.minSpeed = settings.WarmUpMinSpeed
+	c.warmUpTime = settings.WarmUpTime
+}
+
+// usable is how many running requests may be risked now.
+func (c *concurrencyCeiling) usable(now time.Duration) float64 {
+	speed := 1.0
+	if c.coldStart && c.warmUpTime > 0 {
+		speed = math.Min(1, c.minSpeed+(1-c.minSpeed)*float64(now-c.startedAt)/float64(c.warmUpTime))
+	}
+	return concurrencySafetyShare * (c.cores * (1 + (c.perCore-1)*speed))
+}
+
+// limit is the highest concurrency limit that is of use now.
+func (c *concurrencyCeiling) limit(now time.Duration) float64 {
+	if c.perCore > 0 {
+		return c.usable(now)
+	}
+	return maxLimitPerCore * c.cores
+}
+
+// allows reports whether so many requests may be running now.
+func (c *concurrencyCeiling) allows(now time.Duration, running int) bool {
+	return c.perCore <= 0 || float64(running) <= c.usable(now)
+}
--- a/control/controller.go
+++ b/control/controller.go
@@ -15,58 +15,41 @@
 	tickInterval = 20 * time.Millisecond
 	// refitInterval is how often the latency law is fitted anew: budgets follow a change of load within seconds.
 	refitInterval = time.Second
-	// fadeTime is the time constant of recent counts and sums, so that slow spells are soon forgotten.
-	fadeTime = 2 * time.Second
-	// slowdownPriorSeconds is the weight, in slot seconds for each core, of the assumption that all is as usual.
-	slowdownPriorSeconds = 0.25
-	// maxSlowdown bounds the slowdown factor of a machine that hangs.
-	maxSlowdown = 50.0
 )
 
 // Controller decides for one server. It is not safe for concurrent use.
 type Controller struct {
-	settings                        Settings
-	rng                             *rand.Rand
-	now, startedAt                  time.Duration
-	started, draining, limitReached bool // wasBound: the limit is what holds work back
-	actions                         []Action
-	classes, activeClasses          []*classState // current: those that are not retired
-	requests                        map[RequestID]*request
-	requestOrder                    []*request         // live, oldest first
-	stateCounts                     [requestStates]int // requests in each state
+	settings Settings
+	rng      *rand.Rand
+	started  bool
+	now      time.Duration
+	nextFit  time.Duration
+	actions  []Action // of this step
 
-	priorityShare, concurrencyLimit, limitDirection float64
-	nextBestEffort                                  int // best effort's round robin
-	limitedTicks, epochTicks                        int // ticks of this epoch: held back by the limit, all
-	epochWork, epochScore                           float64
-	nextFit, nextLimitStep, epochEnd                time.Duration // not before; end of this epoch
-	cpuUtilization, runnable                        float64       // the gauges, the second one smoothed over climbEvery
+	requests     map[RequestID]*request
+	requestOrder []*request // oldest first
+	stateCounts  [requestStates]int
 
-	// Fading with fadeTime.
-	spentSeconds, expectedSeconds                   float64 // slot seconds spent, and those that the completions stand for
-	recentRejections, recentArrivals, recentRetries float64 // turned away, read, read of retries
-	recentErrors, recentRuns                        float64
-	// slot seconds a second that the classes above best effort ask for
-	priorityLoad float64
-	// slot time spent over expected; since anything moved; pace then
-	slowdown, stalledSeconds, slowdownAtProgress float64
-	usualSlowdown                                runningMean // pace, over many completions
-	slotTime                                     runningMean // slot seconds a request of any class
+	classes        []*classState
+	activeClasses  []*classState // those that are not retired
+	priorityShare  float64
+	nextBestEffort int
 
+	draining         bool
+	drainRequestedAt time.Duration
+	stopAt           time.Duration
+
+	limiter     *concurrencyLimiter
+	ceiling     concurrencyCeiling
+	slowdown    *slowdownEstimate
+	demand      demand
 	quotas      tenantQuotas
 	keys        *keyTable
 	memory      memoryBudget
 	calls       callBudget
+	health      *healthMonitor
+	signal      *loadSignal
 	connections *idleConnections
-
-	openPerCaller map[uint32]int // requests that each has here
-
-	drainRequestedAt, stopAt, nextLoadSignal          time.Duration
-	unhealthyReason                                   string  // why health is off
-	overwhelmed                                       bool    // it is off, as even the worthiest work is turned away
-	loadSignalValue, signalRejections, signalArrivals float64 // the value, and turned away and read since
-	maxOpenPerCaller                                  int     // the most that one caller had open since
-	queuedMean                                        float64 // held, smoothed over climbEvery
 }
 
 // New checks the settings and returns a Controller at its start.
@@ -75,24 +58,19 @@
 		return nil, err
 	}
 	c := &Controller{
-		rng:                rand.New(rand.NewPCG(s.Seed, 0)),
-		requests:           map[RequestID]*request{},
-		keys:               newKeyTable(),
-		connections:        newIdleConnections(),
-		priorityShare:      maxPriorityShare,
-		concurrencyLimit:   float64(s.Cores),
-		limitDirection:     1,
-		slowdown:           1,
-		slowdownAtProgress: 1,
-		cpuUtilization:     -1,
-		openPerCaller:      map[uint32]int{},
-	}
-	if s.LoadSignal == LoadSignalWeight {
-		c.loadSignalValue = 1
+		rng:           rand.New(rand.NewPCG(s.Seed, 0)),
+		requests:      map[RequestID]*request{},
+		priorityShare: maxPriorityShare,
+		limiter:       newConcurrencyLimiter(s.Cores),
+		slowdown:      newSlowdownEstimate(),
+		keys:          newKeyTable(),
+		health:        newHealthMonitor(),
+		signal:        newLoadSignal(s.LoadSignal),
+		connections:   newIdleConnections(),
 	}
 	c.configure(s)
-	for _, k := range c.classes {
-		c.slotTime.add(k.slot.value)
+	for _, class := range c.classes {
+		c.slowdown.slotSeconds.add(class.slot.value)
 	}
 	return c, nil
 }
@@ -121,6 +99,10 @@
 	c.connections.configure(s.MaxKeepAlive)
 	c.quotas.configure(&s)
 	c.memory.configure(&s)
+	c.limiter.configure(s.Cores)
+	c.ceiling.configure(&s)
+	c.slowdown.configure(s.Cores)
+	c.signal.configure(&s)
 	ranks := func(a, b Class) int { return cmp.Compare(a.Weight, b.Weight) }
 	low, high := slices.MinFunc(s.activeClasses(), ranks).Weight, slices.MaxFunc(s.activeClasses(), ranks).Weight
 	before := c.classes
@@ -164,67 +146,108 @@
 
 func (c *Controller) emit(as ...Action) { c.actions = append(c.actions, as...) }
 
-// advance moves the clock and all that is a mean over time.
+// advance moves the clock and all that fades or grows with time.
 func (c *Controller) advance(now time.Duration) {
 	if !c.started {
-		c.started, c.now, c.startedAt, c.nextFit, c.epochEnd = true, now, now, now+refitInterval, now+limitEpoch
-		c.emit(SetHealth{Healthy: true, Cached: true}, ScheduleTick{After: tickInterval})
+		c.start(now)
 	}
-	dt := (now - c.now).Seconds()
+	elapsed := (now - c.now).Seconds()
 	c.now = now
-	fade := math.Exp(-dt / fadeTime.Seconds())
-	for _, x := range []*float64{&c.spentSeconds, &c.expectedSeconds,
-		&c.recentRejections, &c.recentArrivals, &c.recentRetries,
-		&c.recentErrors, &c.recentRuns, &c.priorityLoad} {
-		*x *= fade
-	}
-	c.calls.advance(now, dt, fade)
-	c.quotas.refill(dt)
-	for _, k := range c.classes { // twice as fast: callers hear of it late enough
-		k.recentOutcomes, k.recentRejections = k.recentOutcomes*fade*fade, k.recentRejections*fade*fade
+	fade := math.Exp(-elapsed / fadeTime.Seconds())
+	running := c.stateCounts[stateRunning]
+	c.demand.advance(fade)
+	c.slowdown.advance(elapsed, fade, running)
+	c.health.advance(elapsed, fade, running)
+	c.calls.advance(now, elapsed, fade)
+	c.quotas.refill(elapsed)
+	for _, class := range c.classes {
+		class.advance(fade)
 	}
-	ran := dt * float64(c.stateCounts[stateRunning])
-	c.spentSeconds, c.stalledSeconds = c.spentSeconds+ran, c.stalledSeconds+ran
-	prior := slowdownPriorSeconds * float64(c.settings.Cores)
-	c.slowdown = math.Min((c.spentSeconds+prior)/(c.expectedSeconds+prior), maxSlowdown)
 }
 
-func (c *Controller) handle(e Event) {
-	switch e := e.(type) {
+// start begins at the time of the first step.
+func (c *Controller) start(now time.Duration) {
+	c.started = true
+	c.now = now
+	c.nextFit = now + refitInterval
+	c.limiter.start(now)
+	c.ceiling.startedAt = now
+	c.emit(SetHealth{Healthy: true, Cached: true}, ScheduleTick{After: tickInterval})
+}
+
+func (c *Controller) handle(event Event) {
+	switch event := event.(type) {
 	case RequestArrived:
-		c.requestArrived(e)
+		c.requestArrived(event)
 	case RequestFinished:
-		c.requestFinished(e)
+		c.requestFinished(event)
 	case CallNeeded:
-		c.callNeeded(e)
+		c.callNeeded(event)
 	case CallFinished:
-		c.callFinished(e)
+		c.callFinished(event)
 	case RequestCancelled:
-		if r := c.requests[e.ID]; r != nil {
+		if r := c.requests[event.ID]; r != nil {
 			c.releaseCaller(r)
 		}
 	case DrainRequested:
-		c.draining, c.drainRequestedAt, c.stopAt = true, c.now-e.Age, e.StopAt
-		c.emit(SetHealth{Healthy: false, Cached: true}, Log{Text: "draining: notice to leave"})
+		c.drainRequested(event)
 	case Tick:
-		c.cpuUtilization = e.Gauges.CPUUtilization
-		c.runnable = smoothed(c.runnable, e.Gauges.Runnable)
-		c.queuedMean = smoothed(c.queuedMean, float64(c.stateCounts[stateQueued]))
-		c.emit(ScheduleTick{After: tickInterval})
-		c.keys.expire(c.now)
-		c.adjustLimit()
-		if c.now >= c.nextFit {
-			c.nextFit = c.now + refitInterval
-			c.fitBudgets()
-			if timeout, changed := c.connections.refit(c.now); changed {
-				c.emit(CloseIdleConnections{IdleTimeout: timeout})
-			}
+		c.tick(event)
+	}
+}
+
+// drainRequested starts the graceful shutdown.
+func (c *Controller) drainRequested(event DrainRequested) {
+	c.draining = true
+	c.drainRequestedAt = c.now - event.Age
+	c.stopAt = event.StopAt
+	c.emit(SetHealth{Healthy: false, Cached: true}, Log{Text: "draining: notice to leave"})
+}
+
+// tick follows slow changes.
+func (c *Controller) tick(event Tick) {
+	c.limiter.observe(event.Gauges)
+	c.signal.observe(c.stateCounts[stateQueued])
+	c.emit(ScheduleTick{After: tickInterval})
+	c.keys.expire(c.now)
+	c.limiter.adjust(c.now, c.ceiling.limit(c.now))
+	if c.now >= c.nextFit {
+		c.nextFit = c.now + refitInterval
+		c.fitBudgets()
+		if timeout, changed := c.connections.refit(c.now); changed {
+			c.emit(CloseIdleConnections{IdleTimeout: timeout})
 		}
-		c.checkHealth()
-		c.updateLoadSignal()
+	}
+	c.checkHealth()
+	c.updateLoadSignal()
+}
+
+// checkHealth tells callers and operators of a change of the machine's health.
+func (c *Controller) checkHealth() {
+	top := slices.MaxFunc(c.activeClasses, func(a, b *classState) int { return cmp.Compare(a.Weight, b.Weight) })
+	changed, line := c.health.check(c.stateCounts[stateRunning], c.slowdown, top)
+	if changed && !c.draining {
+		c.emit(SetHealth{Healthy: c.health.healthy(), Cached: true}, Log{Text: line})
 	}
 }
 
+// updateLoadSignal tells callers of a change of the load signal.
+func (c *Controller) updateLoadSignal() {
+	changed := c.signal.update(c.now, loadConditions{
+		rejectsAll:       c.rejectsAll(),
+		overwhelmed:      c.health.overwhelmed,
+		rejectedShare:    c.demand.rejectedShare(),
+		cpuUtilization:   c.limiter.cpuUtilization,
+		concurrencyLimit: c.limiter.limit,
+	})
+	if changed {
+		c.emit(SetLoadSignal{Value: c.signal.value})
+	}
+}
+
+// rejectsAll reports whether rejections are due to a drain or to the machine's health rather than to the load.
+func (c *Controller) rejectsAll() bool { return c.draining || c.health.reason != reasonNone }
+
 // transition moves r to another state and keeps the counts of all states true.
 func (c *Controller) transition(r *request, to requestState) {
 	switch r.state {
@@ -233,10 +256,10 @@
 		k.queue = slices.DeleteFunc(k.queue, func(x *request) bool { return x == r })
 	case stateRunning:
 		r.slotTime += c.now - r.stateSince
-		c.noteProgress()
+		c.health.progressed(c.slowdown.factor)
 	case stateCalling:
 		c.calls.inFlight--
-		c.noteProgress()
+		c.health.progressed(c.slowdown.factor)
 	}
 	if to == stateCalling {
 		c.calls.inFlight++
@@ -246,11 +269,6 @@
 	r.state, r.stateSince = to, c.now
 }
 
-// noteProgress notes that the machine gets on: a cold or slow one is judged against its pace at that time.
-func (c *Controller) noteProgress() {
-	c.stalledSeconds, c.slowdownAtProgress = 0, math.Max(c.slowdown, 1)
-}
-
 // remove forgets a request that has ended.
 func (c *Controller) remove(r *request) {
 	if r.state == stateQueued || r.state == stateReplaying {
@@ -260,9 +278,7 @@
 	}
 	c.transition(r, stateEnded)
 	c.connections.requestEnded(r.Caller, c.now)
-	if c.openPerCaller[r.Caller]--; c.openPerCaller[r.Caller] == 0 {
-		delete(c.openPerCaller, r.Caller)
-	}
+	c.signal.requestEnded(r.Caller)
 	delete(c.requests, r.ID)
 }
 
--- /dev/null
+++ b/control/demand_test.go
@@ -0,0 +1,38 @@
+package control
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/require"
+)
+
+// Shares are of what is recent; without arrivals they are none.
+func TestDemandShares(t *testing.T) {
+	demand := demand{}
+	require.Zero(t, demand.rejectedShare())
+	require.Zero(t, demand.retryRatio())
+	for i := range 12 {
+		demand.requestArrived(i%3 == 0)
+	}
+	demand.rejections = 3
+	require.InDelta(t, 0.25, demand.rejectedShare(), 1e-9)
+	require.InDelta(t, 0.5, demand.retryRatio(), 1e-9, "four retries of eight first attempts")
+	demand.advance(0.5)
+	require.InDelta(t, 0.25, demand.rejectedShare(), 1e-9)
+	demand.requestArrived(false)
+	require.InDelta(t, 1.5/7, demand.rejectedShare(), 1e-9)
+}
+
+// An arrival that nobody had asked for leaves no trace, and none below zero once the counts have faded.
+func TestDemandForgetsAnArrival(t *testing.T) {
+	demand := demand{}
+	demand.requestArrived(true)
+	demand.priorityRequestArrived(0.5)
+	require.InDelta(t, 0.25, demand.priorityLoad, 1e-9, "over two seconds")
+	demand.undoArrival(true)
+	demand.undoPriorityArrival(0.5)
+	require.Zero(t, demand)
+	demand.undoArrival(true)
+	demand.undoPriorityArrival(0.5)
+	require.Zero(t, demand)
+}
--- a/control/guards_test.go
+++ b/control/guards_test.go
@@ -58,20 +58,20 @@
 	beat := func(g Gauges, held bool) {
 		now += tickInterval
 		c.Step(now, []Event{Tick{Gauges: g}})
-		c.limitReached = held
+		c.limiter.reached = held
 	}
 	for range 100 {
 		beat(Gauges{CPUUtilization: 0.5, Runnable: 1}, true)
 	}
-	high := c.concurrencyLimit
+	high := c.limiter.limit
 	if high <= float64(c.settings.Cores) {
 		t.Fatalf("limit %v though cores idle and work waits", high)
 	}
 	for range 200 {
 		beat(Gauges{CPUUtilization: 1, Runnable: 8}, false)
 	}
-	if c.concurrencyLimit >= high/2 {
-		t.Errorf("limit %v, was %v, with four for each core", c.concurrencyLimit, high)
+	if c.limiter.limit >= high/2 {
+		t.Errorf("limit %v, was %v, with four for each core", c.limiter.limit, high)
 	}
 }
 
@@ -121,19 +121,19 @@
 	run(1, OutcomeOK)
 	run(2, OutcomeError)
 	run(3, OutcomeOK)
-	if c.unhealthyReason != "" {
-		t.Fatalf("%s after one error", c.unhealthyReason)
+	if c.health.reason != reasonNone {
+		t.Fatalf("%s after one error", c.health.reason)
 	}
 	for id := RequestID(4); id < 10; id++ {
 		run(id, OutcomeError)
 	}
-	if c.unhealthyReason != "failing" {
+	if c.health.reason != reasonFailing {
 		t.Error("six errors in a row are not seen")
 	}
 	for range 600 {
 		c.Step(c.now+tickInterval, []Event{Tick{}})
 	}
-	if c.unhealthyReason != "" {
+	if c.health.reason != reasonNone {
 		t.Error("a machine without evidence stays shut out")
 	}
 }
@@ -143,17 +143,17 @@
 func TestSlowIsNotHung(t *testing.T) {
 	c := testController(t, nil)
 	c.Step(0, []Event{RequestArrived{ID: 1, QueuedKB: 1}, RequestArrived{ID: 2, QueuedKB: 1}})
-	mean := seconds(c.slotTime.value)
+	mean := seconds(c.slowdown.slotSeconds.value)
 	for c.now < 8*mean {
 		c.Step(c.now+tickInterval, []Event{Tick{}})
 	}
-	if c.unhealthyReason != "" || c.stateCounts[stateRunning] != 2 {
-		t.Errorf("%q with %d running after 16 mean services of slot time", c.unhealthyReason, c.stateCounts[stateRunning])
+	if c.health.reason != reasonNone || c.stateCounts[stateRunning] != 2 {
+		t.Errorf("%q with %d running after 16 mean services of slot time", c.health.reason, c.stateCounts[stateRunning])
 	}
 	for c.now < 20*mean {
 		c.Step(c.now+tickInterval, []Event{Tick{}})
 	}
-	if c.unhealthyReason != "hung" {
+	if c.health.reason != reasonHung {
 		t.Error("a machine that gets nowhere is not seen")
 	}
 }
@@ -163,17 +163,17 @@
 func TestLevelIsSoonTakenBack(t *testing.T) {
 	c := testController(t, func(s *Settings) { s.LoadSignal = LoadSignalThreshold })
 	for now := time.Duration(0); now <= 2*time.Second; now += tickInterval {
-		c.signalArrivals, c.signalRejections = 10, 5
+		c.signal.arrivals, c.signal.rejections = 10, 5
 		c.Step(now, []Event{Tick{}})
 	}
-	if c.loadSignalValue < 0.3 {
-		t.Fatalf("level %v after two seconds of shedding", c.loadSignalValue)
+	if c.signal.value < 0.3 {
+		t.Fatalf("level %v after two seconds of shedding", c.signal.value)
 	}
 	for end := c.now + time.Second; c.now < end; {
 		c.Step(c.now+tickInterval, []Event{Tick{}})
 	}
-	if c.loadSignalValue > 0.2 {
-		t.Errorf("level %v a second later", c.loadSignalValue)
+	if c.signal.value > 0.2 {
+		t.Errorf("level %v a second later", c.signal.value)
 	}
 }
 
@@ -183,9 +183,9 @@
 	c := testController(t, func(s *Settings) { s.LoadSignal = LoadSignalThreshold })
 	said, moves := 0.0, 0
 	for c.now < 2*time.Second {
-		c.signalArrivals, c.signalRejections = 10, 5
+		c.signal.arrivals, c.signal.rejections = 10, 5
 		if c.now > time.Second {
-			c.signalRejections = 0
+			c.signal.rejections = 0
 		}
 		for _, a := range c.Step(c.now+tickInterval, []Event{Tick{}}) {
 			if s, ok := a.(SetLoadSignal); ok {
@@ -252,7 +252,7 @@
 		runs  int
 	}{{1.4, 0}, {1.6, 1}} {
 		c := testController(t, nil)
-		age := 2*time.Second - seconds(left.means*c.slotTime.value)
+		age := 2*time.Second - seconds(left.means*c.slowdown.slotSeconds.value)
 		if as := c.Step(time.Minute, []Event{RequestArrived{ID: 1, QueuedKB: 1, Age: age}}); count[Start](as) != left.runs {
 			t.Errorf("%d runs with %v mean services left", count[Start](as), left.means)
 		}
@@ -414,16 +414,16 @@
 func TestLimitStepsScaleWithCores(t *testing.T) {
 	for _, cores := range []int{1, 2, 6, 16} {
 		c := testController(t, func(s *Settings) { s.Cores, s.MaxConcurrencyPerCore = cores, 0 })
-		c.concurrencyLimit = 2 * float64(cores)
+		c.limiter.limit = 2 * float64(cores)
 		for range 200 {
-			before := c.concurrencyLimit
+			before := c.limiter.limit
 			c.Step(c.now+tickInterval, []Event{Tick{Gauges: Gauges{CPUUtilization: 1, Runnable: 4 * float64(cores)}}})
-			if step := before - c.concurrencyLimit; step > float64(cores)/8+1e-9 {
+			if step := before - c.limiter.limit; step > float64(cores)/8+1e-9 {
 				t.Fatalf("%d cores: a step of %.2f slots", cores, step)
 			}
 		}
-		if c.concurrencyLimit > float64(cores) {
-			t.Errorf("%d cores: limit %.2f though four for each want them", cores, c.concurrencyLimit)
+		if c.limiter.limit > float64(cores) {
+			t.Errorf("%d cores: limit %.2f though four for each want them", cores, c.limiter.limit)
 		}
 	}
 }
@@ -437,17 +437,17 @@
 	})
 	c.Step(0, nil)
 	c.Step(time.Second, nil)
-	tokens, others := c.quotas.tokens[0], c.priorityLoad
+	tokens, others := c.quotas.tokens[0], c.demand.priorityLoad
 	c.Step(c.now, []Event{RequestArrived{ID: 1, Class: 1, QueuedKB: 1}, RequestArrived{ID: 2, QueuedKB: 1, Retry: true}})
 	c.Step(c.now, []Event{RequestFinished{ID: 1, Outcome: OutcomeRejected}, RequestFinished{ID: 2,
 		Outcome: OutcomeRejected}})
-	if c.recentArrivals != 0 || c.signalArrivals != 0 || c.recentRetries != 0 || c.classes[1].recentOutcomes != 0 ||
-		c.recentRuns != 0 {
-		t.Errorf("read %v and %v, again %v, seen %v, runs %v; want none", c.recentArrivals, c.signalArrivals,
-			c.recentRetries, c.classes[1].recentOutcomes, c.recentRuns)
+	if c.demand.arrivals != 0 || c.signal.arrivals != 0 || c.demand.retries != 0 || c.classes[1].recentOutcomes != 0 ||
+		c.health.recentRuns != 0 {
+		t.Errorf("read %v and %v, again %v, seen %v, runs %v; want none", c.demand.arrivals, c.signal.arrivals,
+			c.demand.retries, c.classes[1].recentOutcomes, c.health.recentRuns)
 	}
-	if c.quotas.tokens[0] != tokens || c.priorityLoad != others {
-		t.Errorf("tokens %v of %v, others %v of %v", c.quotas.tokens[0], tokens, c.priorityLoad, others)
+	if c.quotas.tokens[0] != tokens || c.demand.priorityLoad != others {
+		t.Errorf("tokens %v of %v, others %v of %v", c.quotas.tokens[0], tokens, c.demand.priorityLoad, others)
 	}
 }
 
@@ -458,7 +458,7 @@
 	good := true
 	slow := 1.0
 	beat := func(ev ...Event) {
-		c.spentSeconds, c.expectedSeconds = 100*slow, 100
+		c.slowdown.spentSeconds, c.slowdown.expectedSeconds = 100*slow, 100
 		for _, a := range c.Step(c.now+tickInterval, append(ev, Tick{})) {
 			if h, ok := a.(SetHealth); ok {
 				good = h.Healthy
@@ -486,8 +486,8 @@
 	for range 50 {
 		beat(arrive(2 * time.Second))
 	}
-	if good || c.loadSignalValue != 1 {
-		t.Fatalf("good %v, level %v, while all of the worthiest work is turned away", good, c.loadSignalValue)
+	if good || c.signal.value != 1 {
+		t.Fatalf("good %v, level %v, while all of the worthiest work is turned away", good, c.signal.value)
 	}
 	for range 250 {
 		beat()
@@ -518,8 +518,8 @@
 	for range 20 {
 		run(50)
 	}
-	if c.slowdown < 3 || c.classes[0].slot.value > 1.3*usual {
-		t.Errorf("pace %v, slot %v after a spell ten times as slow, %v before it", c.slowdown, c.classes[0].slot.value, usual)
+	if c.slowdown.factor < 3 || c.classes[0].slot.value > 1.3*usual {
+		t.Errorf("pace %v, slot %v after a spell ten times as slow, %v before it", c.slowdown.factor, c.classes[0].slot.value, usual)
 	}
 }
 
@@ -530,7 +530,7 @@
 		class, waits, want int
 	}{{0, 1, 1}, {0, 0, 0}, {1, 1, 0}} {
 		m := testController(t, func(s *Settings) { s.Preemption = PreemptDiscard })
-		m.concurrencyLimit = 1
+		m.limiter.limit = 1
 		m.Step(0, []Event{RequestArrived{ID: 1, Class: c.class, QueuedKB: 1, Age: 1500 * time.Millisecond}})
 		m.Step(450*time.Millisecond, nil)
 		before := m.classes[c.class].slot.value
@@ -582,8 +582,8 @@
 			c.requests[id].overQuota = over
 			c.reject(c.requests[id], false)
 		}
-		if raised := c.loadSignalValue > 0; raised == over {
-			t.Errorf("beyond a share %v: level %v", over, c.loadSignalValue)
+		if raised := c.signal.value > 0; raised == over {
+			t.Errorf("beyond a share %v: level %v", over, c.signal.value)
 		}
 	}
 }
--- a/control/learned.go
+++ b/control/learned.go
@@ -29,11 +29,11 @@
 // LearnedState returns what has been learned.
 func (c *Controller) LearnedState() LearnedState {
 	learned := LearnedState{
-		ConcurrencyLimit: c.concurrencyLimit,
+		ConcurrencyLimit: c.limiter.limit,
 		PriorityShare:    c.priorityShare,
-		LoadSignal:       c.loadSignalValue,
-		UsualSlowdown:    c.usualSlowdown.estimate(),
-		SlotTime:         c.slotTime.estimate(),
+		LoadSignal:       c.signal.value,
+		UsualSlowdown:    c.slowdown.usual.estimate(),
+		SlotTime:         c.slowdown.slotSeconds.estimate(),
 		CallTime:         c.calls.meanCallSeconds.estimate(),
 	}
 	for _, class := range c.classes {
@@ -54,16 +54,16 @@
 	cores := float64(c.settings.Cores)
 	limit := learned.ConcurrencyLimit
 	if limit >= minLimitPerCore*cores && limit <= maxRestoredLimitPerCore*cores {
-		c.concurrencyLimit = limit
+		c.limiter.limit = limit
 	}
 	if learned.PriorityShare >= minPriorityShare && learned.PriorityShare <= maxPriorityShare {
 		c.priorityShare = learned.PriorityShare
 	}
-	if learned.LoadSignal >= 0 && learned.LoadSignal <= c.maxLoadSignal() {
-		c.loadSignalValue = learned.LoadSignal
+	if learned.LoadSignal >= 0 && learned.LoadSignal <= c.signal.maxValue(c.limiter.limit) {
+		c.signal.value = learned.LoadSignal
 	}
-	c.usualSlowdown.restore(learned.UsualSlowdown, usualSlowdownSamples)
-	c.slotTime.restore(learned.SlotTime, sampleWindow)
+	c.slowdown.usual.restore(learned.UsualSlowdown, usualSlowdownSamples)
+	c.slowdown.slotSeconds.restore(learned.SlotTime, sampleWindow)
 	c.calls.meanCallSeconds.restore(learned.CallTime, sampleWindow)
 	for _, from := range learned.Classes {
 		for _, class := range c.classes {
@@ -86,11 +86,3 @@
 		m.count, m.value = from.Count, from.Value
 	}
 }
-
-// maxLoadSignal is the highest load signal that makes sense.
-func (c *Controller) maxLoadSignal() float64 {
-	if c.settings.LoadSignal == LoadSignalAllowance {
-		return maxAllowancePerSlot * c.concurrencyLimit
-	}
-	return 1
-}
--- a/control/learned_test.go
+++ b/control/learned_test.go
@@ -19,14 +19,14 @@
 		return c
 	}
 	old := fresh(s)
-	old.concurrencyLimit, old.priorityShare, old.usualSlowdown = 3.5, 0.7, runningMean{900, 1.4}
+	old.limiter.limit, old.priorityShare, old.slowdown.usual = 3.5, 0.7, runningMean{900, 1.4}
 	old.classes[1].slot, old.classes[1].service = runningMean{500, 0.08}, runningMean{500, 0.1}
 	old.classes[1].callsPerRequest, old.calls.meanCallSeconds = runningMean{300, 1.5}, runningMean{300, 0.06}
 	s.Classes = append([]Class{{Name: "c", LatencyObjective: time.Second, Deadline: 2 * time.Second}},
 		s.Classes...) // other places
 	next := fresh(s)
 	next.RestoreLearned(old.LearnedState())
-	if next.concurrencyLimit != 3.5 || next.priorityShare != 0.7 || next.usualSlowdown != old.usualSlowdown ||
+	if next.limiter.limit != 3.5 || next.priorityShare != 0.7 || next.slowdown.usual != old.slowdown.usual ||
 		next.classes[2].slot != old.classes[1].slot || next.classes[2].service != old.classes[1].service ||
 		next.classes[2].callsPerRequest != old.classes[1].callsPerRequest || next.calls.meanCallSeconds != old.calls.meanCallSeconds {
 		t.Errorf("learned %+v of %+v", next.LearnedState(), old.LearnedState())
@@ -49,13 +49,13 @@
 		LoadSignalAllowance: {3, 1e6}} {
 		c := testController(t, func(s *Settings) { s.LoadSignal = kind })
 		for _, unsound := range []float64{said[1], -1, math.NaN(), math.Inf(1)} {
-			before := c.loadSignalValue
-			if c.RestoreLearned(LearnedState{LoadSignal: unsound}); c.loadSignalValue != before {
+			before := c.signal.value
+			if c.RestoreLearned(LearnedState{LoadSignal: unsound}); c.signal.value != before {
 				t.Errorf("kind %d took %v", kind, unsound)
 			}
 		}
-		if c.RestoreLearned(LearnedState{LoadSignal: said[0]}); c.loadSignalValue != said[0] {
-			t.Errorf("kind %d: %v in place of %v", kind, c.loadSignalValue, said[0])
+		if c.RestoreLearned(LearnedState{LoadSignal: said[0]}); c.signal.value != said[0] {
+			t.Errorf("kind %d: %v in place of %v", kind, c.signal.value, said[0])
 		}
 	}
 }
@@ -64,11 +64,11 @@
 func TestAllowanceGoesAlong(t *testing.T) {
 	next := allowanceController(t)
 	next.RestoreLearned(LearnedState{ConcurrencyLimit: 6, LoadSignal: 5})
-	if next.loadSignalValue != 5 {
-		t.Errorf("allowance %v after a predecessor's 5", next.loadSignalValue)
+	if next.signal.value != 5 {
+		t.Errorf("allowance %v after a predecessor's 5", next.signal.value)
 	}
 	next.RestoreLearned(LearnedState{ConcurrencyLimit: 6, LoadSignal: 1000})
-	if next.loadSignalValue != 5 {
-		t.Errorf("took up an allowance of %v with a limit of %v", next.loadSignalValue, next.concurrencyLimit)
+	if next.signal.value != 5 {
+		t.Errorf("took up an allowance of %v with a limit of %v", next.signal.value, next.limiter.limit)
 	}
 }
--- a/control/limiter.go
+++ b/control/limiter.go
@@ -20,52 +20,93 @@
 	limitEpoch = 2 * time.Second
 	// concurrencyCost is the throughput, as a share, that a core's worth of slots must bring.
 	concurrencyCost = 0.05
-	// concurrencySafetyShare is the part of the survivable concurrency that is used, calls included.
-	concurrencySafetyShare = 0.8
 )
 
-// adjustLimit climbs fast while cores idle and work waits, then hill-climbs on throughput.
-func (c *Controller) adjustLimit() {
-	cores, fast, ceiling := float64(c.settings.Cores), 0.0, maxLimitPerCore*float64(c.settings.Cores)
-	c.epochTicks++
-	if c.limitReached {
-		c.limitedTicks++
-	}
-	switch {
-	case c.now < c.nextLimitStep || c.cpuUtilization < 0:
-	case c.limitReached && c.cpuUtilization < saturatedUtilization:
-		fast = math.Max(cores/6, c.concurrencyLimit/8)
-	case c.cpuUtilization >= saturatedUtilization && c.runnable > saturatedRunnable*cores:
-		// Departure: reading shares the cores with the runs. Where more wants them than they can carry, requests
-		// age unread, where none is chosen. Guards also against checks, connections and neighbours on the cores.
-		fast = -math.Max(cores/12, c.concurrencyLimit/16)
+// concurrencyLimiter learns how many requests run at once. It climbs fast while cores idle and work waits, backs off
+// while more wants the cores than they can carry, and hill-climbs on the throughput otherwise.
+type concurrencyLimiter struct {
+	cores   float64
+	limit   float64
+	reached bool // the limit is what held work back when requests were last started
+
+	cpuUtilization float64 // as of the last tick; negative: not known
+	runnable       float64 // smoothed
+
+	nextStep     time.Duration // no fast step before it
+	epochEnd     time.Duration
+	epochTicks   int
+	limitedTicks int     // ticks of this epoch at which the limit was reached
+	epochWork    float64 // slot seconds that the completions of this epoch stand for
+	score        float64 // of the last epoch: its work, less the cost of its slots
+	direction    float64 // of the hill-climbing: 1 or -1
+}
+
+// newConcurrencyLimiter starts with a limit of one request a core.
+func newConcurrencyLimiter(cores int) *concurrencyLimiter {
+	return &concurrencyLimiter{limit: float64(cores), direction: 1, cpuUtilization: -1}
+}
+
+func (l *concurrencyLimiter) configure(cores int) { l.cores = float64(cores) }
+
+// start begins the first epoch.
+func (l *concurrencyLimiter) start(now time.Duration) { l.epochEnd = now + limitEpoch }
+
+// observe takes in the gauges of a tick.
+func (l *concurrencyLimiter) observe(gauges Gauges) {
+	l.cpuUtilization = gauges.CPUUtilization
+	l.runnable = smoothed(l.runnable, gauges.Runnable)
+}
+
+// checkReached notes and returns whether so many running requests reach the limit.
+func (l *concurrencyLimiter) checkReached(running int) bool {
+	l.reached = float64(running) >= l.limit
+	return l.reached
+}
+
+// adjust moves the limit, once a tick, up to at most ceiling.
+func (l *concurrencyLimiter) adjust(now time.Duration, ceiling float64) {
+	l.epochTicks++
+	if l.reached {
+		l.limitedTicks++
 	}
-	if fast == 0 && c.now < c.epochEnd {
+	step := l.fastStep(now)
+	if step == 0 && now < l.epochEnd {
 		return
 	}
-	if fast != 0 {
-		c.concurrencyLimit, c.epochScore, c.nextLimitStep = c.concurrencyLimit+fast, 0, c.now+limitStepInterval
-	} else if 2*c.limitedTicks > c.epochTicks {
-		score := c.epochWork * (1 - concurrencyCost*c.concurrencyLimit/cores)
-		if score < c.epochScore {
-			c.limitDirection = -c.limitDirection
-		}
-		c.epochScore = score
-		c.concurrencyLimit += c.limitDirection * math.Max(cores/12, c.concurrencyLimit/16)
+	if step != 0 {
+		l.limit += step
+		l.score = 0
+		l.nextStep = now + limitStepInterval
+	} else if 2*l.limitedTicks > l.epochTicks {
+		l.climb()
 	}
-	if c.settings.MaxConcurrencyPerCore > 0 {
-		ceiling = concurrencySafetyShare * c.survivableConcurrency()
+	l.limit = clamp(l.limit, minLimitPerCore*l.cores, ceiling)
+	l.epochWork, l.limitedTicks, l.epochTicks = 0, 0, 0
+	l.epochEnd = now + limitEpoch
+}
+
+// fastStep is the step that the gauges ask for, 0 if none.
+func (l *concurrencyLimiter) fastStep(now time.Duration) float64 {
+	switch {
+	case now < l.nextStep || l.cpuUtilization < 0:
+		return 0
+	case l.reached && l.cpuUtilization < saturatedUtilization:
+		return math.Max(l.cores/6, l.limit/8)
+	case l.cpuUtilization >= saturatedUtilization && l.runnable > saturatedRunnable*l.cores:
+		// Unlike UTSLO: reading shares the cores with the runs. Where more wants them than they can carry, requests
+		// age unread, where none is chosen. Guards also against health checks, connections and neighbours on the cores.
+		return -math.Max(l.cores/12, l.limit/16)
+	default:
+		return 0
 	}
-	c.concurrencyLimit = clamp(c.concurrencyLimit, minLimitPerCore*cores, ceiling)
-	c.epochWork, c.limitedTicks, c.epochTicks, c.epochEnd = 0, 0, 0, c.now+limitEpoch
 }
 
-// survivableConcurrency is how many running requests this server survives now, warming no faster than it must.
-func (c *Controller) survivableConcurrency() float64 {
-	share := 1.0
-	if c.settings.ColdStart && c.settings.WarmUpTime > 0 {
-		share = math.Min(1,
-			c.settings.WarmUpMinSpeed+(1-c.settings.WarmUpMinSpeed)*float64(c.now-c.startedAt)/float64(c.settings.WarmUpTime))
+// climb takes a hill-climbing step and turns round if the last one did not pay.
+func (l *concurrencyLimiter) climb() {
+	score := l.epochWork * (1 - concurrencyCost*l.limit/l.cores)
+	if score < l.score {
+		l.direction = -l.direction
 	}
-	return float64(c.settings.Cores) * (1 + (c.settings.MaxConcurrencyPerCore-1)*share)
+	l.score = score
+	l.limit += l.direction * math.Max(l.cores/12, l.limit/16)
 }
--- a/control/load_signal.go
+++ b/control/load_signal.go
@@ -10,8 +10,8 @@
 	loadSignalInterval = 250 * time.Millisecond
 	// toleratedRejectionShare is the share of rejections below which a server is not overloaded.
 	toleratedRejectionShare = 0.02
-	// weightDecrease and weightIncrease are the factors of a weight at a step: a second of overload cuts it to a quarter,
-	// and it recovers without a wave of returning callers.
+	// weightDecrease and weightIncrease are the factors of a weight at a step: a second of overload cuts it to a
+	// quarter, and it recovers without a wave of returning callers.
 	weightDecrease = 0.7
 	weightIncrease = 1.15
 	// minWeight is the probability that a caller still tries a server that is overloaded.
@@ -34,50 +34,146 @@
 	thresholdFall = 0.1
 )
 
-// updateLoadSignal sets the free value from the share of arrivals turned away, in small steps: callers hear it late.
-func (c *Controller) updateLoadSignal() {
-	if c.now < c.nextLoadSignal || c.settings.LoadSignal == LoadSignalNone {
-		return
+// loadSignal sets the value that callers read as Settings.LoadSignal says. It moves in small steps, as callers hear of
+// it late.
+type loadSignal struct {
+	kind          LoadSignalKind
+	cores         int
+	callers       int
+	activeClasses int
+
+	value      float64
+	nextUpdate time.Duration
+	queuedMean float64 // length of the queue, smoothed
+
+	// Since the last update.
+	arrivals         float64
+	rejections       float64 // of requests within their tenant's quota
+	maxOpenPerCaller int     // the most requests that one caller had open
+
+	openPerCaller map[uint32]int // requests that each caller has open here
+}
+
+// loadConditions are what a load signal follows, beside what it counts itself.
+type loadConditions struct {
+	rejectsAll       bool // the server drains or is unhealthy
+	overwhelmed      bool // even the class of most weight is rejected
+	rejectedShare    float64
+	cpuUtilization   float64
+	concurrencyLimit float64
+}
+
+func newLoadSignal(kind LoadSignalKind) *loadSignal {
+	signal := &loadSignal{openPerCaller: map[uint32]int{}}
+	if kind == LoadSignalWeight {
+		signal.value = 1
+	}
+	return signal
+}
+
+// configure takes up settings and keeps the value.
+func (s *loadSignal) configure(settings *Settings) {
+	s.kind = settings.LoadSignal
+	s.cores = settings.Cores
+	s.callers = settings.Callers
+	s.activeClasses = len(settings.activeClasses())
+}
+
+// requestArrived counts a request of a caller.
+func (s *loadSignal) requestArrived(caller uint32) {
+	s.arrivals++
+	s.openPerCaller[caller]++
+	s.maxOpenPerCaller = max(s.maxOpenPerCaller, s.openPerCaller[caller])
+}
+
+// undoArrival takes back the count of an arrival that nobody had asked for.
+func (s *loadSignal) undoArrival() { s.arrivals = math.Max(s.arrivals-1, 0) }
+
+// requestRejected counts a rejection for want of time.
+func (s *loadSignal) requestRejected() { s.rejections++ }
+
+// requestEnded notes that a caller has one request less open here.
+func (s *loadSignal) requestEnded(caller uint32) {
+	s.openPerCaller[caller]--
+	if s.openPerCaller[caller] == 0 {
+		delete(s.openPerCaller, caller)
 	}
-	c.nextLoadSignal = c.now + loadSignalInterval
-	pick := func(shut, more, less float64) float64 {
-		if c.draining || c.unhealthyReason != "" {
-			return shut
-		} else if c.signalRejections > toleratedRejectionShare*c.signalArrivals {
-			return more
-		}
-		return less
+}
+
+// observe takes in the length of the queue, once a tick.
+func (s *loadSignal) observe(queued int) { s.queuedMean = smoothed(s.queuedMean, float64(queued)) }
+
+// update moves the value, if it is time, and reports whether it has changed.
+func (s *loadSignal) update(now time.Duration, conditions loadConditions) (changed bool) {
+	if now < s.nextUpdate || s.kind == LoadSignalNone {
+		return false
 	}
-	v, most := c.loadSignalValue, 1-1/float64(len(c.activeClasses)) // the class of most worth is always asked for
-	switch c.settings.LoadSignal {
-	case LoadSignalWeight: // never zero: a caller that never comes never hears better
-		v = clamp(v*pick(0, weightDecrease, weightIncrease), minWeight, 1)
+	s.nextUpdate = now + loadSignalInterval
+	before := s.value
+	switch s.kind {
+	case LoadSignalWeight:
+		s.value = s.weight(conditions)
 	case LoadSignalThreshold:
-		if v = clamp(v+pick(1, thresholdRise, -thresholdFall), 0, pick(1, most, most)); c.overwhelmed {
-			v = 1
-		}
+		s.value = s.threshold(conditions)
 	default:
-		v = c.allowance()
+		s.value = s.allowance(conditions)
 	}
-	c.signalRejections, c.signalArrivals, c.maxOpenPerCaller = 0, 0, 0
-	if v != c.loadSignalValue {
-		c.loadSignalValue = v
-		c.emit(SetLoadSignal{Value: v})
+	s.arrivals, s.rejections, s.maxOpenPerCaller = 0, 0, 0
+	return s.value != before
+}
+
+func (s *loadSignal) overloaded() bool { return s.rejections > toleratedRejectionShare*s.arrivals }
+
+// weight is the probability that a caller does not skip this server. It is never zero: a caller that never comes never
+// hears that the server has recovered.
+func (s *loadSignal) weight(conditions loadConditions) float64 {
+	factor := weightIncrease
+	switch {
+	case conditions.rejectsAll:
+		factor = 0
+	case s.overloaded():
+		factor = weightDecrease
 	}
+	return clamp(s.value*factor, minWeight, 1)
 }
 
-// allowance is how many requests a caller may have open here. It grows while the cores idle and a caller uses
-// it up, and shrinks as work is held and turned away. Guards against an even split, which shuts out the few
-// callers that send most of the work while the cores idle; never far below it, as a caller that hears nothing
-// for SignalHeeded sends without bound what other servers did not let it.
-func (c *Controller) allowance() float64 {
-	over := c.queuedMean/c.concurrencyLimit/queuedGoal + c.recentRejections/math.Max(c.recentArrivals, 1)/rejectedGoal
-	factor := clamp(1+allowanceIdleGain*(1-c.cpuUtilization)-allowanceOverloadGain*over, weightDecrease, weightIncrease)
-	if c.draining || c.unhealthyReason != "" {
+// threshold is the rank below which callers send nothing. The class of most weight is always asked for, unless the
+// server is of no use.
+func (s *loadSignal) threshold(conditions loadConditions) float64 {
+	step, highest := -thresholdFall, 1-1/float64(s.activeClasses)
+	switch {
+	case conditions.rejectsAll:
+		step, highest = 1, 1
+	case s.overloaded():
+		step = thresholdRise
+	}
+	if conditions.overwhelmed {
+		return 1
+	}
+	return clamp(s.value+step, 0, highest)
+}
+
+// allowance is how many requests a caller may have outstanding here. It grows while the cores idle and a caller uses
+// it up, and shrinks as work is queued and rejected. This guards against an even split, which shuts out the few
+// callers that send most of the work while the cores idle. It is never far below an even split, as a caller that hears
+// nothing for Settings.LoadSignalTTL sends without bound what other servers did not let it.
+func (s *loadSignal) allowance(conditions loadConditions) float64 {
+	overload := s.queuedMean/conditions.concurrencyLimit/queuedGoal + conditions.rejectedShare/rejectedGoal
+	factor := 1 + allowanceIdleGain*(1-conditions.cpuUtilization) - allowanceOverloadGain*overload
+	factor = clamp(factor, weightDecrease, weightIncrease)
+	if conditions.rejectsAll {
 		factor = weightDecrease
-	} else if float64(c.maxOpenPerCaller) < math.Floor(c.loadSignalValue) {
-		factor = math.Min(factor, 1) // no caller asks for more
+	} else if float64(s.maxOpenPerCaller) < math.Floor(s.value) {
+		factor = math.Min(factor, 1) // No caller asks for more.
+	}
+	least := minAllowancePerCore * float64(s.cores) / math.Max(1, float64(s.callers))
+	return clamp(s.value*factor, least, math.Max(least, maxAllowancePerSlot*conditions.concurrencyLimit))
+}
+
+// maxValue is the highest value that makes sense.
+func (s *loadSignal) maxValue(concurrencyLimit float64) float64 {
+	if s.kind == LoadSignalAllowance {
+		return maxAllowancePerSlot * concurrencyLimit
 	}
-	least := minAllowancePerCore * float64(c.settings.Cores) / math.Max(1, float64(c.settings.Callers))
-	return clamp(c.loadSignalValue*factor, least, math.Max(least, maxAllowancePerSlot*c.concurrencyLimit))
+	return 1
 }
--- a/control/scheduler.go
+++ b/control/scheduler.go
@@ -74,7 +74,7 @@
 
 // startQueued fills the free slots.
 func (c *Controller) startQueued() {
-	c.limitReached = false
+	c.limiter.reached = false
 	for r := c.nextToStart(); r != nil; r = c.nextToStart() {
 		if c.isTooLate(r) {
 			c.reject(r, true)
@@ -90,14 +90,15 @@
 	}
 }
 
-// canStart checks the running limit, then the guards on memory and on the crowd.
+// canStart checks the concurrency limit, then the guards on memory and on the concurrency that the server survives.
 func (c *Controller) canStart(r *request) bool {
-	if c.limitReached = float64(c.stateCounts[stateRunning]) >= c.concurrencyLimit; c.limitReached ||
-		c.unhealthyReason != "" && c.stateCounts[stateRunning] > 0 {
-		return false // a sick machine is probed with one run at a time
+	running := c.stateCounts[stateRunning]
+	if c.limiter.checkReached(running) {
+		return false
 	}
-	crowded := c.settings.MaxConcurrencyPerCore > 0 &&
-		float64(c.stateCounts[stateRunning]+c.stateCounts[stateAwaitingCall]+c.calls.occupied()+1) >
-			concurrencySafetyShare*c.survivableConcurrency()
-	return !crowded && c.memory.fitsRun(c.keys.live, r.QueuedKB)
+	if c.health.reason != reasonNone && running > 0 {
+		return false // An unhealthy machine is probed with one run at a time.
+	}
+	concurrency := running + c.stateCounts[stateAwaitingCall] + c.calls.occupied()
+	return c.ceiling.allows(c.now, concurrency+1) && c.memory.fitsRun(c.keys.live, r.QueuedKB)
 }
--- a/control/shedding.go
+++ b/control/shedding.go
@@ -16,9 +16,9 @@
 // it is turned away.
 func (c *Controller) shedLoad() {
 	var taken []*request
-	slots, work, calls := math.Max(1, c.concurrencyLimit), 0.0, float64(c.stateCounts[stateAwaitingCall])
+	slots, work, calls := math.Max(1, c.limiter.limit), 0.0, float64(c.stateCounts[stateAwaitingCall])
 	if float64(c.stateCounts[stateRunning]) >= slots {
-		work = c.slotTime.value / slots
+		work = c.slowdown.slotSeconds.value / slots
 	}
 	shed := func(forCalls bool) {
 		v := c.leastValuable(taken, forCalls)
@@ -28,9 +28,9 @@
 		taken = slices.Delete(taken, v, v+1)
 	}
 	for _, best := range []bool{false, true} {
-		rate := slots / c.slowdown
+		rate := slots / c.slowdown.factor
 		if best {
-			rate = math.Max(rate-c.priorityLoad, rate/10) // what is still to come goes before best effort
+			rate = math.Max(rate-c.demand.priorityLoad, rate/bestEffortRateDivisor)
 		}
 		var lane []*request
 		for _, k := range c.classes {
@@ -64,7 +64,7 @@
 	for i, r := range rs {
 		w, k := c.weightPerWork(r), c.classes[r.Class]
 		if forCalls {
-			w *= c.slotSeconds(r) / math.Max(k.callsPerRequest.value, 0.1)
+			w *= c.slotSeconds(r) / math.Max(k.callsPerRequest.value, minCallsPerRequest)
 		}
 		if w <= low && (k.MakesCalls || !forCalls) {
 			v, low = i, w
