--- a/control/admission.go
+++ b/control/admission.go
@@ -1,9 +1,7 @@
 package control
 
 import (
-	"cmp"
 	"math"
-	"slices"
 	"time"
 )
 
@@ -15,59 +13,69 @@
 	lateReadShare = 1.0 / 8
 )
 
-func (c *Controller) requestArrived(a RequestArrived) {
-	if a.Class < 0 || a.Class >= len(c.classes) {
-		c.emit(Fail{a.ID}) // nothing is known of it but that it is owed an answer
+// requestArrived counts, queues or rejects a request that was just read.
+func (c *Controller) requestArrived(event RequestArrived) {
+	if event.Class < 0 || event.Class >= len(c.classes.all) {
+		c.emit(Fail{ID: event.ID}) // Nothing is known of it but that it is owed an answer.
 		return
 	}
-	k := c.classes[a.Class]
-	r := &request{RequestArrived: a, arrivedAt: c.now - a.Age, dueAt: a.Deadline}
-	if !c.settings.DeadlinePropagated || a.Deadline == 0 {
-		r.dueAt = r.arrivedAt + k.Deadline
+	r := &request{RequestArrived: event, arrivedAt: c.now - event.Age, dueAt: event.Deadline}
+	class := c.classes.of(r)
+	if !c.settings.DeadlinePropagated || event.Deadline == 0 {
+		r.dueAt = r.arrivedAt + class.Deadline
 	}
-	c.requests[a.ID], c.requestOrder = r, append(c.requestOrder, r)
-	c.stateCounts[stateQueued]++
+	c.requests.add(r)
+	c.memory.requestQueued(r.QueuedKB)
 	c.demand.requestArrived(r.Retry)
 	c.signal.requestArrived(r.Caller)
-	c.memory.requestQueued(a.QueuedKB)
 	c.connections.requestArrived(r.Caller, r.arrivedAt, c.now)
 	r.overQuota = c.quotas.charge(r.Tenant, r.Retry)
-	if a.CostHint > 0 {
-		k.costHint.add(a.CostHint.Seconds())
+	if r.CostHint > 0 {
+		class.costHint.add(r.CostHint.Seconds())
 	}
-	if a.Original != 0 && c.replayOriginal(r) {
+	if r.Original != 0 && c.replayOriginal(r) {
 		return
 	}
-	if !k.bestEffort {
-		c.demand.priorityRequestArrived(c.slotSeconds(r))
+	if !class.bestEffort {
+		c.demand.priorityRequestArrived(class.slotSeconds(r.CostHint))
 	}
-	k.queue = append(k.queue, r)
-	slices.SortStableFunc(k.queue, func(a, b *request) int { return cmp.Compare(a.arrivedAt, b.arrivedAt) })
+	class.enqueue(r)
 	if !c.retainKey(r) || c.mayNotStart(r) {
 		c.reject(r, false)
 	}
 }
 
-// mayNotStart says that r cannot be run here whatever waits.
+// serviceTime is the time from start to end that r should take at present, with the margin of its class.
+func (c *Controller) serviceTime(r *request) time.Duration {
+	class := c.classes.of(r)
+	slotSeconds := class.slotSeconds(r.CostHint) * c.slowdown.factor
+	callSeconds := class.callsPerRequest.value * c.calls.callSeconds()
+	return seconds(class.serviceMargin * (slotSeconds + callSeconds))
+}
+
+// mayNotStart reports whether r must not be run here, however short the queue is.
 func (c *Controller) mayNotStart(r *request) bool {
-	k, late := c.classes[r.Class], r.arrivedAt+r.Age > c.drainRequestedAt+c.settings.DrainGrace ||
-		c.now+c.serviceTime(r) > c.stopAt
-	return c.draining && late || c.health.reason != reasonNone && (k.Idempotency != Idempotent || len(k.queue) > 1)
+	if c.drain.forbids(r.arrivedAt+r.Age, c.now+c.serviceTime(r)) {
+		return true
+	}
+	class := c.classes.of(r)
+	return c.health.reason != reasonNone && (class.Idempotency != Idempotent || len(class.queue) > 1)
 }
 
-// isTooLate says that r cannot be answered in time to be worth its work. Late answers are for idle times.
+// isTooLate reports whether r cannot be answered in time to be worth its work. Late answers are for idle times.
 func (c *Controller) isTooLate(r *request) bool {
-	use := c.usefulUntil(r)
-	if c.classes[r.Class].LateWeightShare > 0 && c.stateCounts[stateQueued] <= c.settings.Cores {
-		use = r.dueAt
+	class := c.classes.of(r)
+	latest := class.usefulUntil(r)
+	if class.LateWeightShare > 0 && c.requests.counts[stateQueued] <= c.settings.Cores {
+		latest = r.dueAt
 	}
-	return c.now+c.serviceTime(r) > use || c.draining && c.mayNotStart(r)
+	return c.now+c.serviceTime(r) > latest || c.drain.requested && c.mayNotStart(r)
 }
 
 // reject rejects a request that never ran. The advised pause grows with the share of rejections. What is past its use,
 // or would meet only overloaded servers or add to late reading, should not be retried elsewhere.
 func (c *Controller) reject(r *request, noRetry bool) {
-	class := c.classOf(r)
+	class := c.classes.of(r)
 	c.demand.rejections++
 	if !r.overQuota && !c.rejectsAll() {
 		class.requestRejected()
@@ -79,7 +87,7 @@
 		fleetLoad = c.demand.retryRatio()
 	}
 	readLate := r.Age > seconds(lateReadShare*class.LatencyObjective.Seconds())
-	noRetry = noRetry || c.now > c.usefulUntil(r) || fleetLoad > overloadedShare ||
+	noRetry = noRetry || c.now > class.usefulUntil(r) || fleetLoad > overloadedShare ||
 		rejectedShare > overloadedShare && readLate
 	pause := rejectedShare
 	if c.rejectsAll() {
@@ -99,7 +107,7 @@
 	if !r.Retry && !r.overQuota {
 		c.quotas.refund(r.Tenant)
 	}
-	if !c.classOf(r).bestEffort && r.Original == 0 {
-		c.demand.undoPriorityArrival(c.slotSeconds(r))
+	if class := c.classes.of(r); !class.bestEffort && r.Original == 0 {
+		c.demand.undoPriorityArrival(class.slotSeconds(r.CostHint))
 	}
 }
--- a/control/class.go
+++ b/control/class.go
@@ -1,7 +1,9 @@
 package control
 
 import (
+	"cmp"
 	"math"
+	"slices"
 	"time"
 )
 
@@ -23,21 +25,68 @@
 	retryObjectiveShare = 0.7
 	// maxHintRatio bounds a cost hint over the mean hint of its class: hints are rough.
 	maxHintRatio = 4
+	// minBudgetShare is the part of the latency objective that a queue budget keeps when the service time outgrows
+	// the mean latency; it keeps the order of the objectives.
+	minBudgetShare = 1.0 / 8
 )
 
-// classState is what has been learned of one class.
+// classState is the queue of one class and what has been learned of it.
 type classState struct {
 	Class
-	bestEffort                bool        // best effort: of the lowest worth
-	queue                     []*request  // held, oldest first
-	latencies                 []float64   // latencies of the last completions, seconds
-	service, slot             runningMean // start to end; of that, on the cores or at the disk; seconds
-	costHint, callsPerRequest runningMean // the hint, seconds; calls a request
-	rejectedShare             runningMean // turned away for want of time, of its last outcomes
-	// ended by a run or turned away; turned away; fading twice as fast as others
-	recentOutcomes, recentRejections float64
-	cv, disengagement, serviceMargin float64
-	queueBudget                      time.Duration // Q
+	bestEffort    bool // of the lowest weight, where weights differ
+	serviceMargin float64
+
+	queue       []*request    // oldest first
+	queueBudget time.Duration // a request should start within this of its arrival
+
+	latencies       []float64   // seconds, of the last sampleWindow completions
+	service         runningMean // seconds from start to end
+	slot            runningMean // seconds of that on the cores or at the disk
+	costHint        runningMean // seconds
+	callsPerRequest runningMean
+	rejectedShare   runningMean // of the last outcomes: rejected for want of time
+	cv              float64     // coefficient of variation of the latencies
+	disengagement   float64     // share of users who gave up on the latencies
+
+	recentOutcomes   float64 // ended by a run or rejected; fades twice as fast as other recent counts
+	recentRejections float64 // of them
+}
+
+// newClassState assumes of a class what its latency objective suggests.
+func newClassState(class Class) *classState {
+	assumed := runningMean{count: assumedSamples, value: class.LatencyObjective.Seconds() * assumedServiceShare}
+	return &classState{
+		Class:           class,
+		queueBudget:     class.LatencyObjective,
+		service:         assumed,
+		slot:            assumed,
+		callsPerRequest: runningMean{count: assumedSamples, value: 1},
+		rejectedShare:   runningMean{count: priorSamples, value: 0},
+		cv:              1,
+	}
+}
+
+// inherit takes up what was learned of the class under another number.
+func (k *classState) inherit(from *classState) {
+	k.latencies = slices.Clone(from.latencies)
+	k.service = from.service
+	k.slot = from.slot
+	k.costHint = from.costHint
+	k.callsPerRequest = from.callsPerRequest
+	k.rejectedShare = from.rejectedShare
+	k.cv = from.cv
+	k.disengagement = from.disengagement
+}
+
+// enqueue adds a request to the queue, behind those that reached the machine no later.
+func (k *classState) enqueue(r *request) {
+	k.queue = append(k.queue, r)
+	slices.SortStableFunc(k.queue, func(a, b *request) int { return cmp.Compare(a.arrivedAt, b.arrivedAt) })
+}
+
+// dequeue takes a request out of the queue.
+func (k *classState) dequeue(r *request) {
+	k.queue = slices.DeleteFunc(k.queue, func(queued *request) bool { return queued == r })
 }
 
 // advance multiplies the recent counts by fade twice, so that they fade twice as fast as other figures: callers hear of
@@ -54,55 +103,121 @@
 	k.recentRejections++
 }
 
-// measure measures a class's CV and disengagement: none up to the aim, all from the deadline, linear between.
+// requestCompleted counts a run that ended well.
+func (k *classState) requestCompleted() {
+	k.rejectedShare.add(0)
+	k.recentOutcomes++
+}
+
+// addLatency takes in the latency of an answer that was sent to its caller.
+func (k *classState) addLatency(latency time.Duration) {
+	k.latencies = append(k.latencies, latency.Seconds())
+	k.latencies = k.latencies[max(0, len(k.latencies)-sampleWindow):]
+}
+
+// fit measures the latencies and computes the queue budget from them.
+func (k *classState) fit() {
+	k.measure()
+	meanBudget := meanLatencyBudget(k.cv, k.LatencyObjective, k.Deadline)
+	// Unlike UTSLO: the service time may outgrow the mean latency, and a budget below zero would order requests by
+	// their service time alone.
+	k.queueBudget = max(meanBudget-seconds(k.service.value), seconds(minBudgetShare*k.LatencyObjective.Seconds()))
+}
+
+// measure computes CV and disengagement of the latencies. The disengagement curve is zero up to the objective, one from
+// the deadline on and linear between them.
 func (k *classState) measure() {
-	var sum, sq, u float64
-	for _, x := range k.latencies {
-		sum, sq = sum+x, sq+x*x
+	var sum, squares, disengaged float64
+	for _, latency := range k.latencies {
+		sum += latency
+		squares += latency * latency
 		span := math.Max((k.Deadline - k.LatencyObjective).Seconds(), time.Millisecond.Seconds())
-		u += clamp((x-k.LatencyObjective.Seconds())/span, 0, 1)
+		disengaged += clamp((latency-k.LatencyObjective.Seconds())/span, 0, 1)
 	}
-	n := float64(len(k.latencies))
-	m := math.Max(sum/math.Max(n, 1), time.Microsecond.Seconds())
-	// Departure: a thin class is drawn towards the source's near-exponential law that just meets its target.
-	cv := math.Sqrt(math.Max(sq/math.Max(n, 1)-m*m, 0)) / m
-	k.cv, k.disengagement = (n*cv+priorSamples)/(n+priorSamples),
-		(u+priorSamples*disengagementTarget*(minTargetRatio+maxTargetRatio)/2)/(n+priorSamples)
-}
-
-// slotSeconds is the slot time that r should take, scaled by its hint half of the way: hints are rough.
-func (c *Controller) slotSeconds(r *request) float64 {
-	k := c.classes[r.Class]
-	if r.CostHint > 0 && k.costHint.value > 0 {
-		return k.slot.value * (1 + math.Min(r.CostHint.Seconds()/k.costHint.value, maxHintRatio)) / 2
+	count := float64(len(k.latencies))
+	mean := math.Max(sum/math.Max(count, 1), time.Microsecond.Seconds())
+	cv := math.Sqrt(math.Max(squares/math.Max(count, 1)-mean*mean, 0)) / mean
+	// Unlike UTSLO: a thin class is drawn towards the near-exponential law that just meets its target.
+	const priorDisengagement = priorSamples * disengagementTarget * (minTargetRatio + maxTargetRatio) / 2
+	k.cv = (count*cv + priorSamples) / (count + priorSamples)
+	k.disengagement = (disengaged + priorDisengagement) / (count + priorSamples)
+}
+
+// missedShare is the share of users who give up on the class. Unlike UTSLO it counts those who are rejected: latencies
+// alone tell nothing of them, and the more of a class were given up, the more of its slots would go to best effort.
+func (k *classState) missedShare() float64 { return k.disengagement + k.rejectedShare.value }
+
+// slotSeconds is the slot time that a request should take. Its hint scales one half of it, as hints are rough.
+func (k *classState) slotSeconds(costHint time.Duration) float64 {
+	if costHint > 0 && k.costHint.value > 0 {
+		return k.slot.value * (1 + math.Min(costHint.Seconds()/k.costHint.value, maxHintRatio)) / 2
 	}
 	return k.slot.value
 }
 
-// serviceTime is the time from start to end that r should take at present.
-func (c *Controller) serviceTime(r *request) time.Duration {
-	k := c.classes[r.Class]
-	return seconds(k.serviceMargin * (c.slotSeconds(r)*c.slowdown.factor + k.callsPerRequest.value*c.calls.callSeconds()))
+// usefulUntil is when an answer to r stops earning its full weight.
+func (k *classState) usefulUntil(r *request) time.Duration {
+	objective := k.LatencyObjective
+	if r.Retry {
+		objective = seconds(retryObjectiveShare * objective.Seconds())
+	}
+	return min(r.arrivedAt+objective+seconds(k.ObjectiveStretch*r.CostHint.Seconds()), r.dueAt)
 }
 
-// weightPerWork is the worth of r for each unit of work.
-func (c *Controller) weightPerWork(r *request) float64 {
-	w := c.classes[r.Class].Weight
-	if r.overQuota {
-		w *= c.settings.OverQuotaWeightShare
-	}
-	if c.settings.WeightPerWork {
-		return w
+// classTable holds the classes under their numbers.
+type classTable struct {
+	all    []*classState
+	active []*classState // those that are not retired
+}
+
+// configure takes up settings. A class that keeps number and name keeps its state; under another number it inherits
+// what was learned of its name.
+func (t *classTable) configure(settings *Settings) {
+	byWeight := func(a, b Class) int { return cmp.Compare(a.Weight, b.Weight) }
+	activeClasses := settings.activeClasses()
+	lowest := slices.MinFunc(activeClasses, byWeight).Weight
+	highest := slices.MaxFunc(activeClasses, byWeight).Weight
+	before := t.all
+	t.all, t.active = nil, nil
+	for i, class := range settings.Classes {
+		state := keptClassState(before, i, class)
+		state.Class = class
+		state.serviceMargin = bestEffortServiceMargin
+		if class.Weight > lowest {
+			state.serviceMargin = priorityServiceMargin
+		}
+		// Where all classes tie there is no lowest: none is best effort.
+		state.bestEffort = class.Weight == lowest && lowest < highest
+		t.all = append(t.all, state)
+		if !class.Retired {
+			t.active = append(t.active, state)
+		}
 	}
-	return w / c.slotSeconds(r)
 }
 
-// usefulUntil is when an answer to r stops earning its full worth.
-func (c *Controller) usefulUntil(r *request) time.Duration {
-	k := c.classes[r.Class]
-	aim := k.LatencyObjective
-	if r.Retry { // it counts from the first try, which came earlier, nobody tells when
-		aim = seconds(retryObjectiveShare * aim.Seconds())
+// keptClassState is the state of a class that may have been among those before.
+func keptClassState(before []*classState, number int, class Class) *classState {
+	if number < len(before) && before[number].Name == class.Name {
+		return before[number]
 	}
-	return min(r.arrivedAt+aim+seconds(k.ObjectiveStretch*r.CostHint.Seconds()), r.dueAt)
+	state := newClassState(class)
+	sameName := func(former *classState) bool { return former.Name == class.Name }
+	if former := slices.IndexFunc(before, sameName); former >= 0 {
+		state.inherit(before[former])
+	}
+	return state
+}
+
+// of is the class of a request.
+func (t *classTable) of(r *request) *classState { return t.all[r.Class] }
+
+// mostValuable is the first active class of the highest weight.
+func (t *classTable) mostValuable() *classState {
+	return slices.MaxFunc(t.active, func(a, b *classState) int { return cmp.Compare(a.Weight, b.Weight) })
 }
+
+// dueToStart is when a request should start.
+func (t *classTable) dueToStart(r *request) time.Duration { return r.arrivedAt + t.of(r).queueBudget }
+
+// byDueStart orders requests by the time at which they should start.
+func (t *classTable) byDueStart(a, b *request) int { return int(t.dueToStart(a) - t.dueToStart(b)) }
--- a/control/completion.go
+++ b/control/completion.go
@@ -1,70 +1,83 @@
 package control
 
-import (
-	"slices"
-	"time"
-)
+import "time"
 
-const (
-	// answerLeadTime is how long before they are due answers are sent.
-	answerLeadTime = 10 * time.Millisecond
-)
+// answerLeadTime is how long before they are due answers are sent.
+const answerLeadTime = 10 * time.Millisecond
 
-func (c *Controller) requestFinished(e RequestFinished) {
-	r := c.requests[e.ID]
-	if r == nil || r.state == stateQueued || e.Outcome == OutcomeAlreadyEnded {
+// requestFinished forgets a request that has ended and learns from it.
+func (c *Controller) requestFinished(event RequestFinished) {
+	r := c.requests.byID[event.ID]
+	if r == nil || r.state == stateQueued || event.Outcome == OutcomeAlreadyEnded {
 		return
 	}
-	was := r.state
+	replayed := r.state == stateReplaying
 	c.remove(r)
-	if e.Outcome == OutcomeRejected {
+	if event.Outcome == OutcomeRejected {
 		c.undoArrival(r)
 	}
-	// What was joined, or failed by ourselves, says nothing of the machine.
-	if e.Outcome == OutcomeError && !r.answered && was != stateReplaying {
-		c.health.runFailed()
+	if replayed {
+		return // The result of another run says nothing of the machine.
 	}
-	if e.Outcome != OutcomeOK || was == stateReplaying {
-		return
+	switch event.Outcome {
+	case OutcomeOK:
+		c.learnFrom(r)
+	case OutcomeError:
+		if !r.answered { // Otherwise it was failed here.
+			c.health.runFailed()
+		}
+	default: // The host stopped it: that says nothing of the machine.
 	}
-	k := c.classes[r.Class]
+}
+
+// learnFrom learns from a request that ran to its end.
+func (c *Controller) learnFrom(r *request) {
+	class := c.classes.of(r)
 	c.health.runSucceeded()
-	k.rejectedShare.add(0)
-	k.recentOutcomes++
-	c.limiter.epochWork += c.slotSeconds(r)
+	class.requestCompleted()
+	c.limiter.epochWork += class.slotSeconds(r.CostHint)
 	c.learnSlotTime(r, r.slotTime)
-	k.callsPerRequest.add(r.callsSucceeded)
-	k.service.add((c.now - r.startedAt).Seconds())
+	class.callsPerRequest.add(r.callsSucceeded)
+	class.service.add((c.now - r.startedAt).Seconds())
 	if !r.answered {
-		k.latencies = append(k.latencies, (c.now - r.arrivedAt).Seconds())
-		k.latencies = k.latencies[max(0, len(k.latencies)-sampleWindow):]
+		class.addLatency(c.now - r.arrivedAt)
 	}
 }
 
 // learnSlotTime learns from the slot time of r, which has ended, or is stopped and would have taken longer yet.
 func (c *Controller) learnSlotTime(r *request, took time.Duration) {
-	usualSeconds := c.slowdown.completed(c.slotSeconds(r), took)
-	c.classOf(r).slot.add(usualSeconds)
+	class := c.classes.of(r)
+	usualSeconds := c.slowdown.completed(class.slotSeconds(r.CostHint), took)
+	class.slot.add(usualSeconds)
 }
 
-// releaseCaller lets go of what is answered or whose caller left: what never ran ends, safe runs stop where they
-// can. Keyed work goes on: a repeat joins it.
+// requestCancelled ends or stops a request whose caller has left.
+func (c *Controller) requestCancelled(event RequestCancelled) {
+	if r := c.requests.byID[event.ID]; r != nil {
+		c.releaseCaller(r)
+	}
+}
+
+// releaseCaller ends or stops a request that is answered or whose caller has left: what never ran ends, and idempotent
+// runs are preempted where they can be. Runs with an idempotency key go on, as a repeat may want their result.
 func (c *Controller) releaseCaller(r *request) {
 	r.answered = true
-	if r.state == stateQueued || r.state == stateReplaying {
+	if r.neverRan() {
 		c.releaseKey(r)
 		c.remove(r)
-	} else if c.settings.Preemption != PreemptNever && r.state == stateRunning &&
-		c.classes[r.Class].Idempotency == Idempotent {
-		c.emit(Preempt{r.ID})
+		return
+	}
+	if c.settings.Preemption != PreemptNever && r.state == stateRunning &&
+		c.classes.of(r).Idempotency == Idempotent {
+		c.emit(Preempt{ID: r.ID})
 	}
 }
 
-// answerOverdue fails whatever nears its due time, and everything just before the process is stopped.
+// answerOverdue fails requests that are nearly due, all of them just before the process is stopped, and those that run
+// in vain.
 func (c *Controller) answerOverdue() {
-	c.requestOrder = slices.DeleteFunc(c.requestOrder, func(r *request) bool { return c.requests[r.ID] != r })
-	for _, r := range c.requestOrder {
-		if !r.answered && (c.now >= r.dueAt-answerLeadTime || c.draining && c.now >= c.stopAt-2*tickInterval) {
+	for _, r := range c.requests.open() {
+		if !r.answered && (c.now >= r.dueAt-answerLeadTime || c.drain.answersAreDue(c.now)) {
 			c.fail(r)
 		} else if c.runsInVain(r) {
 			c.learnSlotTime(r, r.slotTime+c.now-r.stateSince)
@@ -73,15 +86,16 @@
 	}
 }
 
-// runsInVain says that r runs past its use while its slot is wanted for work that still has one. Guards against
-// the few that take far longer than others: they held a tenth of the slots for answers worth nothing.
+// runsInVain reports whether r runs past its use while its slot is wanted for work that still has one. This guards
+// against the few that take far longer than others: they held a tenth of the slots for answers worth nothing.
 func (c *Controller) runsInVain(r *request) bool {
-	k := c.classes[r.Class]
-	return r.state == stateRunning && !r.answered && k.Idempotency == Idempotent && k.LateWeightShare == 0 &&
-		c.settings.Preemption == PreemptDiscard && c.limiter.reached && c.now > c.usefulUntil(r)
+	class := c.classes.of(r)
+	return r.state == stateRunning && !r.answered && class.Idempotency == Idempotent && class.LateWeightShare == 0 &&
+		c.settings.Preemption == PreemptDiscard && c.limiter.reached && c.now > class.usefulUntil(r)
 }
 
+// fail answers a request with an error.
 func (c *Controller) fail(r *request) {
-	c.emit(Fail{r.ID})
+	c.emit(Fail{ID: r.ID})
 	c.releaseCaller(r)
 }
--- a/control/guards_test.go
+++ b/control/guards_test.go
@@ -106,7 +106,7 @@
 	if count[Reject](as) == 0 {
 		t.Error("nothing is turned away though the calls cannot be made in time")
 	}
-	if c.requests[4] == nil || c.keys.keys[4] == nil {
+	if c.requests.byID[4] == nil || c.keys.keys[4] == nil {
 		t.Error("the keyed request of most worth was turned away")
 	}
 }
@@ -147,8 +147,8 @@
 	for c.now < 8*mean {
 		c.Step(c.now+tickInterval, []Event{Tick{}})
 	}
-	if c.health.reason != reasonNone || c.stateCounts[stateRunning] != 2 {
-		t.Errorf("%q with %d running after 16 mean services of slot time", c.health.reason, c.stateCounts[stateRunning])
+	if c.health.reason != reasonNone || c.requests.counts[stateRunning] != 2 {
+		t.Errorf("%q with %d running after 16 mean services of slot time", c.health.reason, c.requests.counts[stateRunning])
 	}
 	for c.now < 20*mean {
 		c.Step(c.now+tickInterval, []Event{Tick{}})
@@ -398,7 +398,7 @@
 					Tenant: i % 3}})
 			for _, a := range as {
 				if r, ok := a.(Start); ok {
-					runs[c.requests[r.ID].Class]++
+					runs[c.requests.byID[r.ID].Class]++
 					c.Step(c.now, []Event{RequestFinished{ID: r.ID, Outcome: OutcomeOK}})
 				}
 			}
@@ -441,10 +441,10 @@
 	c.Step(c.now, []Event{RequestArrived{ID: 1, Class: 1, QueuedKB: 1}, RequestArrived{ID: 2, QueuedKB: 1, Retry: true}})
 	c.Step(c.now, []Event{RequestFinished{ID: 1, Outcome: OutcomeRejected}, RequestFinished{ID: 2,
 		Outcome: OutcomeRejected}})
-	if c.demand.arrivals != 0 || c.signal.arrivals != 0 || c.demand.retries != 0 || c.classes[1].recentOutcomes != 0 ||
+	if c.demand.arrivals != 0 || c.signal.arrivals != 0 || c.demand.retries != 0 || c.classes.all[1].recentOutcomes != 0 ||
 		c.health.recentRuns != 0 {
 		t.Errorf("read %v and %v, again %v, seen %v, runs %v; want none", c.demand.arrivals, c.signal.arrivals,
-			c.demand.retries, c.classes[1].recentOutcomes, c.health.recentRuns)
+			c.demand.retries, c.classes.all[1].recentOutcomes, c.health.recentRuns)
 	}
 	if c.quotas.tokens[0] != tokens || c.demand.priorityLoad != others {
 		t.Errorf("tokens %v of %v, others %v of %v", c.quotas.tokens[0], tokens, c.demand.priorityLoad, others)
@@ -514,12 +514,12 @@
 	for range 300 {
 		run(5)
 	}
-	usual := c.classes[0].slot.value
+	usual := c.classes.all[0].slot.value
 	for range 20 {
 		run(50)
 	}
-	if c.slowdown.factor < 3 || c.classes[0].slot.value > 1.3*usual {
-		t.Errorf("pace %v, slot %v after a spell ten times as slow, %v before it", c.slowdown.factor, c.classes[0].slot.value, usual)
+	if c.slowdown.factor < 3 || c.classes.all[0].slot.value > 1.3*usual {
+		t.Errorf("pace %v, slot %v after a spell ten times as slow, %v before it", c.slowdown.factor, c.classes.all[0].slot.value, usual)
 	}
 }
 
@@ -533,7 +533,7 @@
 		m.limiter.limit = 1
 		m.Step(0, []Event{RequestArrived{ID: 1, Class: c.class, QueuedKB: 1, Age: 1500 * time.Millisecond}})
 		m.Step(450*time.Millisecond, nil)
-		before := m.classes[c.class].slot.value
+		before := m.classes.all[c.class].slot.value
 		for i := range c.waits {
 			m.Step(m.now, []Event{RequestArrived{ID: RequestID(2 + i), QueuedKB: 1}})
 		}
@@ -542,8 +542,8 @@
 		if fails, stops := count[Fail](as), count[Preempt](as); fails != c.want || stops != c.want {
 			t.Errorf("%+v: %d failed, %d stopped, want %d", c, fails, stops, c.want)
 		}
-		if learned := m.classes[c.class].slot.value > before; learned != (c.want == 1) {
-			t.Errorf("%+v: slot %v, before %v", c, m.classes[c.class].slot.value, before)
+		if learned := m.classes.all[c.class].slot.value > before; learned != (c.want == 1) {
+			t.Errorf("%+v: slot %v, before %v", c, m.classes.all[c.class].slot.value, before)
 		}
 	}
 }
@@ -565,7 +565,7 @@
 func TestDearWorkIsGivenItsChance(t *testing.T) {
 	for class, want := range []int{0, 1} {
 		c := testController(t, nil)
-		age := 2*time.Second - seconds(0.8*c.classes[class].slot.value)
+		age := 2*time.Second - seconds(0.8*c.classes.all[class].slot.value)
 		if ran := count[Start](c.Step(0, []Event{RequestArrived{ID: 1, Class: class, QueuedKB: 1, Age: age}})); ran != want {
 			t.Errorf("class %d with four fifths of its mean service left: %d run, want %d", class, ran, want)
 		}
@@ -579,8 +579,8 @@
 		c := testController(t, func(s *Settings) { s.LoadSignal = LoadSignalThreshold })
 		for id := RequestID(1); c.now < time.Second; id++ {
 			c.Step(c.now+tickInterval, []Event{Tick{}, RequestArrived{ID: id, QueuedKB: 1}})
-			c.requests[id].overQuota = over
-			c.reject(c.requests[id], false)
+			c.requests.byID[id].overQuota = over
+			c.reject(c.requests.byID[id], false)
 		}
 		if raised := c.signal.value > 0; raised == over {
 			t.Errorf("beyond a share %v: level %v", over, c.signal.value)
--- a/control/idempotency.go
+++ b/control/idempotency.go
@@ -61,7 +61,7 @@
 // retainKey retains the key of a request before it can run, for the retention window from its arrival. False means
 // that there is no memory for it, so the request must not run.
 func (c *Controller) retainKey(r *request) bool {
-	class := c.classOf(r)
+	class := c.classes.of(r)
 	ttl := class.RetentionWindow - r.Age + tickInterval
 	switch {
 	case class.Idempotency == Idempotent && c.settings.ResultFreshness > 0 && r.Key != 0:
@@ -90,16 +90,16 @@
 func (c *Controller) replayOriginal(r *request) bool {
 	id := r.Original
 	// The original may be a repeat itself, whose key is under its own original.
-	original := c.requests[id]
+	original := c.requests.byID[id]
 	for c.keys.keys[id] == nil && original != nil && original.Original != 0 {
 		id = original.Original
-		original = c.requests[id]
+		original = c.requests.byID[id]
 	}
 	key := c.keys.keys[id]
 	if key == nil {
 		return false
 	}
-	if !key.started && original != nil && c.classOf(r).Idempotency == IdempotentByKey {
+	if !key.started && original != nil && c.classes.of(r).Idempotency == IdempotentByKey {
 		c.reject(original, true)
 		return false
 	}
--- a/control/learned.go
+++ b/control/learned.go
@@ -30,13 +30,13 @@
 func (c *Controller) LearnedState() LearnedState {
 	learned := LearnedState{
 		ConcurrencyLimit: c.limiter.limit,
-		PriorityShare:    c.priorityShare,
+		PriorityShare:    c.lanes.priorityShare,
 		LoadSignal:       c.signal.value,
 		UsualSlowdown:    c.slowdown.usual.estimate(),
 		SlotTime:         c.slowdown.slotSeconds.estimate(),
 		CallTime:         c.calls.meanCallSeconds.estimate(),
 	}
-	for _, class := range c.classes {
+	for _, class := range c.classes.all {
 		learned.Classes = append(learned.Classes, LearnedClassState{
 			Name:            class.Name,
 			ServiceTime:     class.service.estimate(),
@@ -57,7 +57,7 @@
 		c.limiter.limit = limit
 	}
 	if learned.PriorityShare >= minPriorityShare && learned.PriorityShare <= maxPriorityShare {
-		c.priorityShare = learned.PriorityShare
+		c.lanes.priorityShare = learned.PriorityShare
 	}
 	if learned.LoadSignal >= 0 && learned.LoadSignal <= c.signal.maxValue(c.limiter.limit) {
 		c.signal.value = learned.LoadSignal
@@ -66,7 +66,7 @@
 	c.slowdown.slotSeconds.restore(learned.SlotTime, sampleWindow)
 	c.calls.meanCallSeconds.restore(learned.CallTime, sampleWindow)
 	for _, from := range learned.Classes {
-		for _, class := range c.classes {
+		for _, class := range c.classes.all {
 			if class.Name == from.Name {
 				class.service.restore(from.ServiceTime, sampleWindow)
 				class.slot.restore(from.SlotTime, sampleWindow)
--- a/control/learned_test.go
+++ b/control/learned_test.go
@@ -19,16 +19,16 @@
 		return c
 	}
 	old := fresh(s)
-	old.limiter.limit, old.priorityShare, old.slowdown.usual = 3.5, 0.7, runningMean{900, 1.4}
-	old.classes[1].slot, old.classes[1].service = runningMean{500, 0.08}, runningMean{500, 0.1}
-	old.classes[1].callsPerRequest, old.calls.meanCallSeconds = runningMean{300, 1.5}, runningMean{300, 0.06}
+	old.limiter.limit, old.lanes.priorityShare, old.slowdown.usual = 3.5, 0.7, runningMean{900, 1.4}
+	old.classes.all[1].slot, old.classes.all[1].service = runningMean{500, 0.08}, runningMean{500, 0.1}
+	old.classes.all[1].callsPerRequest, old.calls.meanCallSeconds = runningMean{300, 1.5}, runningMean{300, 0.06}
 	s.Classes = append([]Class{{Name: "c", LatencyObjective: time.Second, Deadline: 2 * time.Second}},
 		s.Classes...) // other places
 	next := fresh(s)
 	next.RestoreLearned(old.LearnedState())
-	if next.limiter.limit != 3.5 || next.priorityShare != 0.7 || next.slowdown.usual != old.slowdown.usual ||
-		next.classes[2].slot != old.classes[1].slot || next.classes[2].service != old.classes[1].service ||
-		next.classes[2].callsPerRequest != old.classes[1].callsPerRequest || next.calls.meanCallSeconds != old.calls.meanCallSeconds {
+	if next.limiter.limit != 3.5 || next.lanes.priorityShare != 0.7 || next.slowdown.usual != old.slowdown.usual ||
+		next.classes.all[2].slot != old.classes.all[1].slot || next.classes.all[2].service != old.classes.all[1].service ||
+		next.classes.all[2].callsPerRequest != old.classes.all[1].callsPerRequest || next.calls.meanCallSeconds != old.calls.meanCallSeconds {
 		t.Errorf("learned %+v of %+v", next.LearnedState(), old.LearnedState())
 	}
 	before := next.LearnedState()
--- a/control/mechanism_test.go
+++ b/control/mechanism_test.go
@@ -75,14 +75,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, k := range c.classes {
+	for _, k := range c.classes.all {
 		for i := range int(priorSamples) {
 			k.latencies = append(k.latencies, 1+float64(i%10))
 		}
 		k.service.value = 6
 	}
 	c.fitBudgets()
-	if a, b := c.classes[0].queueBudget, c.classes[1].queueBudget; a <= 0 || b <= a {
+	if a, b := c.classes.all[0].queueBudget, c.classes.all[1].queueBudget; a <= 0 || b <= a {
 		t.Errorf("budgets %v and %v: want both positive and in the order of the aims", a, b)
 	}
 }
@@ -92,39 +92,39 @@
 	c, _ := New(Settings{Cores: 2, Classes: []Class{
 		{LatencyObjective: time.Second, Deadline: 4 * time.Second, Weight: 1},
 		{LatencyObjective: time.Second, Deadline: 4 * time.Second, Weight: 2}}})
-	if !c.classes[0].bestEffort || c.classes[1].bestEffort {
+	if !c.classes.all[0].bestEffort || c.classes.all[1].bestEffort {
 		t.Fatal("the lowest worth is best effort, the other is not")
 	}
-	k := c.classes[1]
+	k := c.classes.all[1]
 	for i := range int(priorSamples) {
 		k.latencies = append(k.latencies, 0.1+0.1*float64(i%2))
 	}
-	before := c.priorityShare
+	before := c.lanes.priorityShare
 	c.fitBudgets()
 	// A tenth of the window is filled: a tenth of a step.
-	if want := before - priorityShareStep/k.cv/10; math.Abs(c.priorityShare-want) > 1e-9 {
-		t.Errorf("alpha %v after spare time, want %v", c.priorityShare, want)
+	if want := before - priorityShareStep/k.cv/10; math.Abs(c.lanes.priorityShare-want) > 1e-9 {
+		t.Errorf("alpha %v after spare time, want %v", c.lanes.priorityShare, want)
 	}
 	for i := range k.latencies {
 		k.latencies[i] = 3
 	}
-	c.priorityShare, before = 0.5, 0.5
+	c.lanes.priorityShare, before = 0.5, 0.5
 	c.fitBudgets()
-	if want := before * (1 + priorityShareGrowth/10); math.Abs(c.priorityShare-want) > 1e-9 {
-		t.Errorf("alpha %v after a missed target, want %v", c.priorityShare, want)
+	if want := before * (1 + priorityShareGrowth/10); math.Abs(c.lanes.priorityShare-want) > 1e-9 {
+		t.Errorf("alpha %v after a missed target, want %v", c.lanes.priorityShare, want)
 	}
 	// Who is turned away has missed the target, however good the latencies of the others are.
 	for i := range k.latencies {
 		k.latencies[i] = 0.1 + 0.1*float64(i%2)
 	}
-	c.priorityShare, before = 0.6, 0.6
+	c.lanes.priorityShare, before = 0.6, 0.6
 	for id := RequestID(1); id <= 4; id++ {
 		c.handle(RequestArrived{ID: id, Class: 1, QueuedKB: 1})
-		c.reject(c.requests[id], false)
+		c.reject(c.requests.byID[id], false)
 	}
 	c.fitBudgets()
-	if want := before * (1 + priorityShareGrowth/10); math.Abs(c.priorityShare-want) > 1e-9 {
-		t.Errorf("alpha %v after four were turned away, want %v", c.priorityShare, want)
+	if want := before * (1 + priorityShareGrowth/10); math.Abs(c.lanes.priorityShare-want) > 1e-9 {
+		t.Errorf("alpha %v after four were turned away, want %v", c.lanes.priorityShare, want)
 	}
 }
 
@@ -133,7 +133,7 @@
 	c, _ := New(Settings{Cores: 1, Classes: []Class{
 		{LatencyObjective: time.Second, Deadline: 4 * time.Second, Weight: 1}, {LatencyObjective: time.Second,
 			Deadline: 4 * time.Second, Weight: 1}}})
-	for i, k := range c.classes {
+	for i, k := range c.classes.all {
 		if k.bestEffort {
 			t.Errorf("class %d is best effort among equals", i)
 		}
@@ -145,7 +145,7 @@
 func TestThinClassIsFitted(t *testing.T) {
 	c, _ := New(Settings{Cores: 2, Classes: []Class{{LatencyObjective: 2 * time.Second, Deadline: 8 * time.Second,
 		Weight: 1}}})
-	k := c.classes[0]
+	k := c.classes.all[0]
 	c.fitBudgets()
 	if want := meanLatencyBudget(1, k.LatencyObjective,
 		k.Deadline) - seconds(k.service.value); k.queueBudget != want || want >= k.LatencyObjective {
--- a/control/request.go
+++ b/control/request.go
@@ -1,7 +1,11 @@
 package control
 
-import "time"
+import (
+	"slices"
+	"time"
+)
 
+// requestState is where a request is on its way through the server.
 type requestState uint8
 
 const (
@@ -14,14 +18,77 @@
 	requestStates // how many there are
 )
 
+// String returns the state in words.
+func (s requestState) String() string {
+	switch s {
+	case stateQueued:
+		return "queued"
+	case stateRunning:
+		return "running"
+	case stateAwaitingCall:
+		return "awaiting call"
+	case stateCalling:
+		return "calling"
+	case stateReplaying:
+		return "replaying"
+	case stateEnded:
+		return "ended"
+	case requestStates:
+	}
+	return "unknown state"
+}
+
+// request is an attempt of a request that is open here.
 type request struct {
 	RequestArrived
-	arrivedAt, dueAt      time.Duration // reached the machine; an answer is owed by then
-	state                 requestState
-	answered              bool          // answered while running, or its caller has left
-	startedAt, stateSince time.Duration // of its run; of its state, or of its next call
-	slotTime              time.Duration // on the cores or at the disk so far
-	overQuota             bool          // beyond its tenant's share
-	callsSucceeded        float64       // calls that succeeded
-	callsFailed           int           // and that did not
+	arrivedAt      time.Duration // when it reached the machine
+	dueAt          time.Duration // when an answer is owed
+	state          requestState
+	stateSince     time.Duration // awaiting a call: when its next attempt may be made
+	startedAt      time.Duration
+	slotTime       time.Duration // spent on the cores or at the disk, before stateSince
+	answered       bool          // an answer was sent, or its caller has left
+	overQuota      bool
+	callsSucceeded float64
+	callsFailed    int
+}
+
+// neverRan reports whether the request has not been started.
+func (r *request) neverRan() bool { return r.state == stateQueued || r.state == stateReplaying }
+
+// requestTable holds the open requests and counts them by state.
+type requestTable struct {
+	byID    map[RequestID]*request
+	ordered []*request // in the order in which they were read; may hold some that have ended
+	counts  [requestStates]int
+}
+
+func newRequestTable() *requestTable { return &requestTable{byID: map[RequestID]*request{}} }
+
+// add enters a request that was just read.
+func (t *requestTable) add(r *request) {
+	t.byID[r.ID] = r
+	t.ordered = append(t.ordered, r)
+	t.counts[r.state]++
+}
+
+// move brings a request into another state.
+func (t *requestTable) move(r *request, to requestState, now time.Duration) {
+	if r.state == stateRunning {
+		r.slotTime += now - r.stateSince
+	}
+	t.counts[r.state]--
+	t.counts[to]++
+	r.state = to
+	r.stateSince = now
+}
+
+// remove forgets a request that has ended.
+func (t *requestTable) remove(r *request) { delete(t.byID, r.ID) }
+
+// open returns the open requests in the order in which they were read. It is called at each step, so that the table
+// drops those that have ended.
+func (t *requestTable) open() []*request {
+	t.ordered = slices.DeleteFunc(t.ordered, func(r *request) bool { return t.byID[r.ID] != r })
+	return t.ordered
 }
--- a/control/scheduler.go
+++ b/control/scheduler.go
@@ -2,7 +2,7 @@
 
 import (
 	"math"
-	"time"
+	"math/rand/v2"
 )
 
 const (
@@ -14,91 +14,110 @@
 	// minPriorityShare and maxPriorityShare bound it: neither lane is ever shut.
 	minPriorityShare = 0.5
 	maxPriorityShare = 0.95
-	// minBudgetShare is the part of the latency objective that a queue budget keeps when the service time outgrows
-	// the mean latency; it keeps the order of the objectives.
-	minBudgetShare = 1.0 / 8
 )
 
-// fitBudgets recomputes each class's budget and alpha from the windows.
-func (c *Controller) fitBudgets() {
-	worst, least, sure, cvSum, n := 0.0, math.Inf(1), 1.0, 0.0, 0.0
-	for _, k := range c.classes {
-		k.measure()
-		m := meanLatencyBudget(k.cv, k.LatencyObjective, k.Deadline)
-		// Departure: S may outgrow M, and a budget under zero would order by service time alone.
-		k.queueBudget = max(m-seconds(k.service.value), seconds(minBudgetShare*k.LatencyObjective.Seconds()))
-		if !k.bestEffort {
-			// Departure: who is turned away is disengaged too. Latencies alone tell nothing of them, and the more
-			// of a class were given up, the more of its slots went to best effort.
-			u := k.disengagement + k.rejectedShare.value
-			worst, least = math.Max(worst, u/disengagementTarget), math.Min(least, u/disengagementTarget)
-			cvSum, n = cvSum+math.Max(k.cv, minCV), n+1
-			sure = math.Min(sure, float64(len(k.latencies))/sampleWindow)
-		}
-	}
-	if worst > maxTargetRatio {
-		c.priorityShare = math.Min(c.priorityShare*(1+sure*priorityShareGrowth), maxPriorityShare)
-	} else if least < minTargetRatio {
-		c.priorityShare = math.Max(c.priorityShare-sure*priorityShareStep*n/cvSum, minPriorityShare)
-	}
+// laneScheduler splits the slots between two lanes: the priority classes, by earliest due start, and best effort, by
+// class in turn.
+type laneScheduler struct {
+	rng            *rand.Rand
+	priorityShare  float64 // alpha of UTSLO: the chance that a slot goes to the priority classes
+	nextBestEffort int     // number of the class from which the next one of best effort is looked for
 }
 
-func (c *Controller) dueToStart(r *request) time.Duration {
-	return r.arrivedAt + c.classes[r.Class].queueBudget
+func newLaneScheduler(seed uint64) *laneScheduler {
+	return &laneScheduler{rng: rand.New(rand.NewPCG(seed, 0)), priorityShare: maxPriorityShare}
 }
 
-func (c *Controller) byDueStart(a, b *request) int { return int(c.dueToStart(a) - c.dueToStart(b)) }
-
-// nextToStart returns what to start next: with chance alpha the earliest due of the other classes, else the next of
-// best effort; the side that holds nothing yields.
-func (c *Controller) nextToStart() *request {
-	var first, best *request
-	for i := range c.classes {
-		k := c.classes[(c.nextBestEffort+i)%len(c.classes)]
-		if len(k.queue) == 0 || k.MakesCalls && c.stateCounts[stateAwaitingCall] > 0 &&
-			float64(c.stateCounts[stateAwaitingCall]) >= c.calls.maxInFlight() {
-			continue // more work with calls would only pile up at its call
+// next returns the queued request to start next, nil if there is none. The lane that is empty yields to the other.
+// While calls are backlogged, classes that make calls are passed over: more of their work would only pile up at its
+// call.
+func (s *laneScheduler) next(classes *classTable, callsBacklogged bool) *request {
+	var priority, bestEffort *request
+	for i := range classes.all {
+		class := classes.all[(s.nextBestEffort+i)%len(classes.all)]
+		if len(class.queue) == 0 || class.MakesCalls && callsBacklogged {
+			continue
+		}
+		oldest := class.queue[0]
+		if class.bestEffort && bestEffort == nil {
+			bestEffort = oldest
+		} else if !class.bestEffort && (priority == nil || classes.byDueStart(oldest, priority) < 0) {
+			priority = oldest
 		}
-		if r := k.queue[0]; k.bestEffort && best == nil {
-			best = r
-		} else if !k.bestEffort && (first == nil || c.byDueStart(r, first) < 0) {
-			first = r
+	}
+	if bestEffort == nil || priority != nil && s.rng.Float64() < s.priorityShare {
+		return priority
+	}
+	s.nextBestEffort = bestEffort.Class + 1
+	return bestEffort
+}
+
+// adjustPriorityShare moves the share by how well the priority classes meet their targets. Classes with few samples
+// slow it down.
+func (s *laneScheduler) adjustPriorityShare(classes *classTable) {
+	worst, best, confidence := 0.0, math.Inf(1), 1.0
+	cvSum, count := 0.0, 0.0
+	for _, class := range classes.all {
+		if class.bestEffort {
+			continue
 		}
+		ratio := class.missedShare() / disengagementTarget
+		worst = math.Max(worst, ratio)
+		best = math.Min(best, ratio)
+		cvSum += math.Max(class.cv, minCV)
+		count++
+		confidence = math.Min(confidence, float64(len(class.latencies))/sampleWindow)
 	}
-	if best == nil || first != nil && c.rng.Float64() < c.priorityShare {
-		return first
+	if worst > maxTargetRatio {
+		s.priorityShare = math.Min(s.priorityShare*(1+confidence*priorityShareGrowth), maxPriorityShare)
+	} else if best < minTargetRatio {
+		s.priorityShare = math.Max(s.priorityShare-confidence*priorityShareStep*count/cvSum, minPriorityShare)
 	}
-	c.nextBestEffort = best.Class + 1
-	return best
 }
 
-// startQueued fills the free slots.
+// startQueued starts requests while there are slots for them.
 func (c *Controller) startQueued() {
 	c.limiter.reached = false
-	for r := c.nextToStart(); r != nil; r = c.nextToStart() {
+	for {
+		r := c.lanes.next(&c.classes, c.callsBacklogged())
+		if r == nil {
+			return
+		}
 		if c.isTooLate(r) {
 			c.reject(r, true)
 			continue
-		} else if !c.canStart(r) {
+		}
+		if !c.canStart(r) {
 			return
 		}
-		r.startedAt = c.now
-		c.memory.requestStarted(r.QueuedKB)
-		c.keys.requestStarted(r.ID)
-		c.transition(r, stateRunning)
-		c.emit(Start{r.ID})
+		c.start(r)
 	}
 }
 
+// callsBacklogged reports whether as many requests wait for their calls as may be in flight at once.
+func (c *Controller) callsBacklogged() bool {
+	waiting := c.requests.counts[stateAwaitingCall]
+	return waiting > 0 && float64(waiting) >= c.calls.maxInFlight()
+}
+
 // canStart checks the concurrency limit, then the guards on memory and on the concurrency that the server survives.
 func (c *Controller) canStart(r *request) bool {
-	running := c.stateCounts[stateRunning]
+	running := c.requests.counts[stateRunning]
 	if c.limiter.checkReached(running) {
 		return false
 	}
 	if c.health.reason != reasonNone && running > 0 {
 		return false // An unhealthy machine is probed with one run at a time.
 	}
-	concurrency := running + c.stateCounts[stateAwaitingCall] + c.calls.occupied()
+	concurrency := running + c.requests.counts[stateAwaitingCall] + c.calls.occupied()
 	return c.ceiling.allows(c.now, concurrency+1) && c.memory.fitsRun(c.keys.live, r.QueuedKB)
 }
+
+// start starts a queued request.
+func (c *Controller) start(r *request) {
+	r.startedAt = c.now
+	c.memory.requestStarted(r.QueuedKB)
+	c.keys.requestStarted(r.ID)
+	c.transition(r, stateRunning)
+	c.emit(Start{ID: r.ID})
+}
--- a/control/shedding.go
+++ b/control/shedding.go
@@ -12,63 +12,100 @@
 	minCallsPerRequest = 0.1
 )
 
-// shedLoad walks the held work in the order of its starts; where one would come too late, the least worth before
-// it is turned away.
+// loadPlan walks the queued requests in the order of their starts and sums what is planned before each of them. Where
+// one would start too late it sheds the least valuable so far.
+type loadPlan struct {
+	controller *Controller
+	planned    []*request
+	slots      float64
+	work       float64 // slot seconds of the planned requests
+	calls      float64 // calls of the planned requests
+}
+
+// shedLoad rejects queued requests where not all can be answered in time or held in memory.
 func (c *Controller) shedLoad() {
-	var taken []*request
-	slots, work, calls := math.Max(1, c.limiter.limit), 0.0, float64(c.stateCounts[stateAwaitingCall])
-	if float64(c.stateCounts[stateRunning]) >= slots {
-		work = c.slowdown.slotSeconds.value / slots
+	plan := loadPlan{
+		controller: c,
+		slots:      math.Max(1, c.limiter.limit),
+		calls:      float64(c.requests.counts[stateAwaitingCall]),
 	}
-	shed := func(forCalls bool) {
-		v := c.leastValuable(taken, forCalls)
-		work -= c.slotSeconds(taken[v])
-		calls -= c.classes[taken[v].Class].callsPerRequest.value
-		c.reject(taken[v], false)
-		taken = slices.Delete(taken, v, v+1)
+	if float64(c.requests.counts[stateRunning]) >= plan.slots {
+		plan.work = c.slowdown.slotSeconds.value / plan.slots
 	}
-	for _, best := range []bool{false, true} {
-		rate := slots / c.slowdown.factor
-		if best {
-			rate = math.Max(rate-c.demand.priorityLoad, rate/bestEffortRateDivisor)
-		}
-		var lane []*request
-		for _, k := range c.classes {
-			if k.bestEffort == best {
-				lane = append(lane, k.queue...)
-			}
-		}
-		slices.SortStableFunc(lane, c.byDueStart)
-		for _, r := range lane {
-			k, limit := c.classes[r.Class], c.usefulUntil(r)-c.serviceTime(r)
-			taken = append(taken, r)
-			late := c.now+seconds(work/rate) > limit
-			work += c.slotSeconds(r)
-			// Departure: calls are a second queue behind the first, with a bound and a shortage of their own.
-			lateCall := k.MakesCalls && c.now+c.calls.wait(calls) > limit
-			calls += k.callsPerRequest.value
-			if late || lateCall {
-				shed(!late)
-			}
+	rate := plan.slots / c.slowdown.factor
+	plan.addLane(false, rate)
+	// Priority requests that are still to come go before best effort.
+	plan.addLane(true, math.Max(rate-c.demand.priorityLoad, rate/bestEffortRateDivisor))
+	for c.memoryUse() > memoryHighWater && len(plan.planned) > 0 {
+		plan.shedLeastValuable(false)
+	}
+}
+
+// addLane plans the queued requests of a lane, which is served at rate slot seconds a second.
+func (p *loadPlan) addLane(bestEffort bool, rate float64) {
+	c := p.controller
+	var lane []*request
+	for _, class := range c.classes.all {
+		if class.bestEffort == bestEffort {
+			lane = append(lane, class.queue...)
 		}
 	}
-	for c.memoryUse() > memoryHighWater && len(taken) > 0 {
-		shed(false)
+	slices.SortStableFunc(lane, c.classes.byDueStart)
+	for _, r := range lane {
+		class := c.classes.of(r)
+		latestStart := class.usefulUntil(r) - c.serviceTime(r)
+		p.planned = append(p.planned, r)
+		startsLate := c.now+seconds(p.work/rate) > latestStart
+		p.work += class.slotSeconds(r.CostHint)
+		// Unlike UTSLO: calls are a second queue behind the first, with a bound and a shortage of their own.
+		callsLate := class.MakesCalls && c.now+c.calls.wait(p.calls) > latestStart
+		p.calls += class.callsPerRequest.value
+		if startsLate || callsLate {
+			p.shedLeastValuable(!startsLate)
+		}
 	}
 }
 
-// leastValuable is the index of the least worth for its work, the last of equals. For calls, only requests that call
-// are asked, by their worth a call.
-func (c *Controller) leastValuable(rs []*request, forCalls bool) int {
-	v, low := len(rs)-1, math.Inf(1)
-	for i, r := range rs {
-		w, k := c.weightPerWork(r), c.classes[r.Class]
+// shedLeastValuable rejects the least valuable planned request. If calls are what is short, it is one that makes calls.
+func (p *loadPlan) shedLeastValuable(forCalls bool) {
+	victim := p.leastValuable(forCalls)
+	r := p.planned[victim]
+	class := p.controller.classes.of(r)
+	p.work -= class.slotSeconds(r.CostHint)
+	p.calls -= class.callsPerRequest.value
+	p.controller.reject(r, false)
+	p.planned = slices.Delete(p.planned, victim, victim+1)
+}
+
+// leastValuable is the index of the planned request with the least weight for its work, the last one of equals. If
+// calls are what is short, it is the one with the least weight for its calls.
+func (p *loadPlan) leastValuable(forCalls bool) int {
+	victim, lowest := len(p.planned)-1, math.Inf(1)
+	for i, r := range p.planned {
+		class := p.controller.classes.of(r)
+		if forCalls && !class.MakesCalls {
+			continue
+		}
+		value := p.controller.weightForWork(r)
 		if forCalls {
-			w *= c.slotSeconds(r) / math.Max(k.callsPerRequest.value, minCallsPerRequest)
+			value *= class.slotSeconds(r.CostHint) / math.Max(class.callsPerRequest.value, minCallsPerRequest)
 		}
-		if w <= low && (k.MakesCalls || !forCalls) {
-			v, low = i, w
+		if value <= lowest {
+			victim, lowest = i, value
 		}
 	}
-	return v
+	return victim
+}
+
+// weightForWork is the weight of r for each unit of work.
+func (c *Controller) weightForWork(r *request) float64 {
+	class := c.classes.of(r)
+	weight := class.Weight
+	if r.overQuota {
+		weight *= c.settings.OverQuotaWeightShare
+	}
+	if c.settings.WeightPerWork {
+		return weight
+	}
+	return weight / class.slotSeconds(r.CostHint)
 }
