--- a/internal/testbed/simnet/virtual_test.go
+++ b/internal/testbed/simnet/simnet_test.go
@@ -20,44 +20,44 @@
 func (d *diary) note(s string) {
 	d.lines = append(d.lines, s)
 }
-func (d *diary) Data(_ *End, p []byte) { d.text += string(p) }
-func (d *diary) EOF(e *End) {
+func (d *diary) Received(_ *Stream, p []byte) { d.text += string(p) }
+func (d *diary) EOF(e *Stream) {
 	d.note("eof")
 	if !d.keep {
 		e.Close()
 	}
 }
-func (d *diary) Gone(*End) { d.note("gone") }
+func (d *diary) Reset(*Stream) { d.note("gone") }
 
 // pair is a connection from a to b, both with a diary.
 type pair struct {
 	w          *World
 	net        *Net
 	a, b       *Node
-	ours       *End
-	theirs     *End
+	ours       *Stream
+	theirs     *Stream
 	near, far  *diary
 	opened     microtime.Time
 	dialledErr error
 }
 
 func connected(t *testing.T, q Quality) *pair {
-	p := &pair{w: NewWorld(1)}
-	p.net = NewNet(p.w, q)
-	p.a, p.b = p.net.Node("a"), p.net.Node("b")
-	p.a.Boot()
-	p.b.Boot()
-	p.near, p.far = &diary{w: p.w}, &diary{w: p.w}
-	_, err := p.b.Listen("b/x", Listener{Accept: func(e *End) Handler { p.theirs = e; return p.far }})
+	env := &pair{w: NewWorld(1)}
+	env.net = NewNet(env.w, q)
+	env.a, env.b = env.net.Node("a"), env.net.Node("b")
+	env.a.Boot()
+	env.b.Boot()
+	env.near, env.far = &diary{w: env.w}, &diary{w: env.w}
+	_, err := env.b.Listen("b/x", Listener{Accept: func(e *Stream) Handler { env.theirs = e; return env.far }})
 	require.NoError(t, err)
-	p.a.Dial("b/x", func(e *End, err error) {
-		p.ours, p.opened = e, p.w.Since()
-		p.dialledErr = err
-		e.SetHandler(p.near)
+	env.a.Dial("b/x", func(e *Stream, err error) {
+		env.ours, env.opened = e, env.w.Since()
+		env.dialledErr = err
+		e.SetHandler(env.near)
 	})
-	p.w.Run(Start + microtime.Second)
-	require.NoError(t, p.dialledErr)
-	return p
+	env.w.Run(Start + microtime.Second)
+	require.NoError(t, env.dialledErr)
+	return env
 }
 
 func (p *pair) after(d microtime.Time) { p.w.Run(p.w.Now() + d) }
@@ -93,7 +93,7 @@
 		require.Equal(t, "abcdefghij"[:cut], p.far.text)
 		require.Equal(t, []string{"gone"}, p.far.lines)
 		require.Equal(t, []string{"gone"}, p.near.lines)
-		require.Zero(t, p.a.Open()+p.b.Open())
+		require.Zero(t, p.a.OpenConnections()+p.b.OpenConnections())
 	}
 }
 
@@ -111,7 +111,7 @@
 
 func TestCloseWithInputUnreadIsAReset(t *testing.T) {
 	p := connected(t, Quality{Latency: microtime.Millisecond})
-	p.theirs.Hold(true)
+	p.theirs.PauseReading(true)
 	p.ours.Write([]byte("unread"))
 	p.after(10 * microtime.Millisecond)
 	p.theirs.Close()
@@ -122,14 +122,14 @@
 // A reader that takes nothing leaves the rest with the sender, and gets all of it in the end.
 func TestSlowReaderHoldsTheSenderBack(t *testing.T) {
 	p := connected(t, Quality{Latency: microtime.Millisecond})
-	p.theirs.Hold(true)
-	p.ours.Write(make([]byte, 3*window))
+	p.theirs.PauseReading(true)
+	p.ours.Write(make([]byte, 3*sendWindow))
 	p.after(microtime.Second)
-	require.Equal(t, 2*window, p.ours.Unsent())
-	p.theirs.Hold(false)
+	require.Equal(t, 2*sendWindow, p.ours.Unsent())
+	p.theirs.PauseReading(false)
 	p.ours.Close()
 	p.after(microtime.Second)
-	require.Len(t, p.far.text, 3*window)
+	require.Len(t, p.far.text, 3*sendWindow)
 	require.Equal(t, []string{"eof"}, p.far.lines)
 }
 
@@ -137,7 +137,7 @@
 	p := connected(t, Quality{Latency: microtime.Millisecond})
 	results := map[string]error{}
 	try := func(addr string) {
-		p.a.Dial(addr, func(_ *End, err error) { results[addr] = err })
+		p.a.Dial(addr, func(_ *Stream, err error) { results[addr] = err })
 		p.after(1100 * microtime.Millisecond)
 	}
 	try("b/nobody")
@@ -149,22 +149,22 @@
 
 // A machine whose table is full takes a connection once there is room; what was sent on it counts from then on.
 func TestFullTableWaits(t *testing.T) {
-	p := connected(t, Quality{Latency: microtime.Millisecond})
+	env := connected(t, Quality{Latency: microtime.Millisecond})
 	arrived := 0
-	p.net.Tap = func(v Event) {
+	env.net.Tap = func(v Event) {
 		if v.Kind == Arrived && v.Node == "b" {
 			arrived++
 		}
 	}
-	p.b.SetMaxOpen(1)
-	first := p.ours
-	p.a.Dial("b/x", func(e *End, _ error) { e.Write([]byte("patience")) })
-	p.after(microtime.Second)
+	env.b.SetMaxConnections(1)
+	first := env.ours
+	env.a.Dial("b/x", func(e *Stream, _ error) { e.Write([]byte("patience")) })
+	env.after(microtime.Second)
 	require.Zero(t, arrived)
 	first.Close()
-	p.after(microtime.Second)
+	env.after(microtime.Second)
 	require.Equal(t, 1, arrived)
-	require.Contains(t, p.far.text, "patience")
+	require.Contains(t, env.far.text, "patience")
 }
 
 func TestKilledProcessAndLostMachine(t *testing.T) {
@@ -181,18 +181,18 @@
 }
 
 func TestDatagramsAreLostAndDoubled(t *testing.T) {
-	p := connected(t, Quality{Latency: microtime.Millisecond})
+	env := connected(t, Quality{Latency: microtime.Millisecond})
 	got := 0
-	_, err := p.b.Listen("b/d", Listener{Datagram: func(string, []byte) { got++ }})
+	_, err := env.b.Listen("b/d", Listener{Datagram: func(string, []byte) { got++ }})
 	require.NoError(t, err)
 	count := func(loss, double float64) int {
 		got = 0
-		path := p.net.Path("a", "b")
-		path.Loss, path.Double = loss, double
+		path := env.net.Path("a", "b")
+		path.Loss, path.Duplicate = loss, double
 		for range 1000 {
-			p.a.Send("b/d", []byte("x"))
+			env.a.SendDatagram("b/d", []byte("x"))
 		}
-		p.after(microtime.Second)
+		env.after(microtime.Second)
 		return got
 	}
 	require.Equal(t, 1000, count(0, 0))
@@ -220,7 +220,7 @@
 
 func TestWallClocks(t *testing.T) {
 	for _, off := range []microtime.Time{0, microtime.Second, -3 * microtime.Second} {
-		c := Wall{Off: off}
+		c := WallClock{Offset: off}
 		at := Start + 1234*microtime.Millisecond
 		require.Equal(t, at, c.FromUnixMilli(c.UnixMilli(at)))
 		require.Equal(t, int64(unixStart)+1234+int64(off/microtime.Millisecond), c.UnixMilli(at))
