--- a/internal/dispatch/keys.go
+++ b/internal/dispatch/keys.go
@@ -9,7 +9,6 @@
 	"pewterline/control"
 	"pewterline/internal/decide/handoff"
 	"pewterline/internal/microtime"
-	"pewterline/internal/planted"
 )
 
 const (
@@ -41,7 +40,7 @@
 	retained bool              // false: only seen in this turn
 
 	ran                bool
-	runner             control.RequestID // the attempt that ran
+	ranBy              control.RequestID // the attempt that ran
 	arrivedAt          microtime.Time    // when that attempt came
 	arrivedAtUnixMilli int64             // the same by its caller
 	finished           bool              // that run has ended, with outcome and result
@@ -59,11 +58,11 @@
 
 // claim marks the key as run by req, unless another attempt has run.
 func (e *keyEntry) claim(req *request) bool {
-	if e.ran && e.runner != req.id {
+	if e.ran && e.ranBy != req.id {
 		return false
 	}
 	e.ran = true
-	e.runner = req.id
+	e.ranBy = req.id
 	e.arrivedAt = req.ArrivedAt
 	e.arrivedAtUnixMilli = req.ArrivedAtUnixMilli
 	return true
@@ -148,10 +147,7 @@
 func (t *keyTable) attach(req *request) (*keyEntry, control.RequestID) {
 	key := req.scopedKey()
 	if entry := t.current(key, req.ArrivedAt); entry != nil {
-		if !planted.Bug(planted.KeyTwice) || !entry.ran || entry.finished {
-			return entry, entry.holder
-		}
-		t.remove(entry)
+		return entry, entry.holder
 	}
 	entry := &keyEntry{
 		key: key, class: req.Class, bodyHash: maphash.Bytes(t.hashSeed, req.Body), holder: req.id,
