--- /dev/null
+++ b/internal/dispatch/guards_test.go
@@ -0,0 +1,164 @@
+package dispatch
+
+import (
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"pewterline/control"
+)
+
+// scriptedController takes the actions of the next step from the test.
+type scriptedController struct{ next []control.Action }
+
+func (s *scriptedController) Step(time.Duration, []control.Event) []control.Action {
+	actions := s.next
+	s.next = nil
+	return actions
+}
+
+func (s *scriptedController) Reconfigure(control.Settings) error        { return nil }
+func (s *scriptedController) LearnedState() (none control.LearnedState) { return none }
+func (s *scriptedController) RestoreLearned(control.LearnedState)       {}
+
+// scriptedHarness is a harness whose test decides as well.
+type scriptedHarness struct {
+	*harness
+	controller *scriptedController
+}
+
+func newScriptedHarness(t *testing.T) *scriptedHarness {
+	h := &scriptedHarness{newHarness(t), &scriptedController{}}
+	h.core.UseController(func(control.Settings) (Controller, error) { return h.controller, nil })
+	return h
+}
+
+// submit submits an attempt of a keyed request, on which the actions follow.
+func (h *scriptedHarness) submit(
+	runID, key string, actions func(id control.RequestID) []control.Action,
+) *recordingResponder {
+	h.t.Helper()
+	response := &recordingResponder{}
+	id, err := h.core.Submit(h.now, Request{
+		RunID: runID, Class: 1, IdempotencyKey: key, ArrivedAt: h.now, QueuedKB: 1, Responder: response,
+	})
+	require.NoError(h.t, err)
+	h.decide(actions(id)...)
+	return response
+}
+
+// decide carries out decisions, with an event that gives rise to them.
+func (h *scriptedHarness) decide(actions ...control.Action) {
+	h.controller.next = actions
+	h.core.events = append(h.core.events, control.Tick{})
+	h.core.Step(h.now)
+}
+
+func startAndRetain(id control.RequestID) []control.Action {
+	return []control.Action{control.RetainKey{ID: id, TTL: time.Minute}, control.Start{ID: id}}
+}
+
+// A key that runs, or has run, is not run again though the decision module starts a repeat: the repeat gets the end
+// of the run.
+func TestKeyRunsOnceWhateverIsDecided(t *testing.T) {
+	env := newScriptedHarness(t)
+	start := func(id control.RequestID) []control.Action { return []control.Action{control.Start{ID: id}} }
+	first := env.submit("a", "k", startAndRetain)
+	during := env.submit("b", "k", start)
+	require.Equal(t, []string{"a"}, env.started)
+	env.core.RunFinished("a", RunSucceeded, []byte("lot"))
+	after := env.submit("c", "k", start)
+	require.Equal(t, []string{"a"}, env.started)
+	served := []Response{{Status: StatusSucceeded, Result: []byte("lot")}}
+	require.Equal(t, served, first.got)
+	require.Equal(t, served, during.got)
+	require.Equal(t, served, after.got)
+}
+
+// A request has one response, though the decision module fails it twice and its run ends after that.
+func TestOneResponseWhateverIsDecided(t *testing.T) {
+	env := newScriptedHarness(t)
+	var running control.RequestID
+	response := env.submit("a", "k", func(id control.RequestID) []control.Action {
+		running = id
+		return startAndRetain(id)
+	})
+	env.decide(control.Fail{ID: running}, control.Fail{ID: running})
+	env.core.RunFinished("a", RunSucceeded, []byte("lot"))
+	env.core.RunFinished("a", RunFailed, nil)
+	env.decide()
+	require.Equal(t, []Response{failed(reasonGivenUp)}, response.got)
+	require.Equal(t, Counters{Failed: 1, Attempts: 1}, env.core.Counters("intake"))
+	require.Zero(t, env.core.OpenRequests())
+}
+
+// A request that runs is not rejected, whatever is decided: it would be tried elsewhere.
+func TestRunningIsNotRejected(t *testing.T) {
+	env := newScriptedHarness(t)
+	var running control.RequestID
+	response := env.submit("a", "k", func(id control.RequestID) []control.Action {
+		running = id
+		return startAndRetain(id)
+	})
+	env.decide(control.Reject{ID: running}, control.Start{ID: running})
+	require.Empty(t, response.got)
+	require.Equal(t, []string{"a"}, env.started)
+	env.core.RunFinished("a", RunSucceeded, nil)
+	require.Equal(t, StatusSucceeded, response.got[0].Status)
+}
+
+// A key that may have run is failed and not rejected until its window is over: its caller would try elsewhere.
+func TestIndeterminateIsNotRejected(t *testing.T) {
+	env := newScriptedHarness(t)
+	reject := func(id control.RequestID) []control.Action { return []control.Action{control.Reject{ID: id}} }
+	lost := env.submit("a", "k", startAndRetain)
+	env.core.RunFinished("a", RunIndeterminate, nil)
+	require.Equal(t, []Response{failed(reasonIndeterminate)}, lost.got)
+	repeat := env.submit("b", "k", reject)
+	require.Equal(t, []Response{failed(reasonIndeterminate)}, repeat.got)
+	another := env.submit("c", "other", reject)
+	require.Equal(t, []Response{{Status: StatusRejected}}, another.got)
+}
+
+// Once a drain is past its grace, an attempt that came later does not run in the place of one that was not started.
+func TestLateWaiterDoesNotRunInADrain(t *testing.T) {
+	tests := []struct {
+		name    string
+		drained bool
+		want    []string
+	}{
+		{"serving", false, []string{"a", "b"}},
+		{"draining", true, []string{"a"}},
+	}
+	for _, tc := range tests {
+		t.Run(tc.name, func(t *testing.T) {
+			env := newScriptedHarness(t)
+			env.submit("a", "k", startAndRetain)
+			if tc.drained {
+				env.core.Drain(env.now, env.now, env.now+1)
+			}
+			env.now++
+			waiter := env.submit("b", "k", func(id control.RequestID) []control.Action {
+				return []control.Action{control.ReplayResult{ID: id}}
+			})
+			env.core.RunFinished("a", RunNotStarted, nil)
+			require.Equal(t, tc.want, env.started)
+			if tc.drained {
+				require.Equal(t, []Response{failed(reasonRunNotStarted)}, waiter.got)
+			}
+		})
+	}
+}
+
+// An action of another kind than the core knows is logged, and the others are carried out.
+func TestUnknownActionIsLogged(t *testing.T) {
+	env := newScriptedHarness(t)
+	var logged int
+	env.core.logf = func(string, ...any) { logged++ }
+	response := env.submit("a", "k", func(id control.RequestID) []control.Action {
+		return []control.Action{nil, control.Reject{ID: id, NoRetry: true}}
+	})
+	require.Equal(t, 1, logged)
+	require.Equal(t, []Response{{Status: StatusRejected, NoRetry: true}}, response.got)
+}
