--- /dev/null
+++ b/cmd/pewterline/admin_client.go
@@ -0,0 +1,72 @@
+package main
+
+import (
+	"encoding/json"
+	"fmt"
+	"net/http"
+	"net/url"
+	"strings"
+	"time"
+)
+
+// adminTimeout bounds one call to a running server.
+const adminTimeout = 5 * time.Second
+
+// replicationPath is the path of the operators' calls about replication.
+const replicationPath = "/control/copies"
+
+// adminClient makes operators' calls to a running server.
+type adminClient struct {
+	address string
+}
+
+// AdminError is the answer of a server that does not obey a call.
+type AdminError struct {
+	Status int    // of HTTP
+	Reason string // the server's
+}
+
+// Error is part of error.
+func (e *AdminError) Error() string {
+	text := "replication: " + e.Reason
+	if e.Status == http.StatusNotFound {
+		text += "; is replication on (deploy/copies.toml)?"
+	}
+	return text
+}
+
+// do makes one call about replication and decodes its answer.
+func (c adminClient) do(method, call string, parameters url.Values, into any) (err error) {
+	target := url.URL{Scheme: "http", Host: c.address, Path: replicationPath, RawQuery: parameters.Encode()}
+	if call != callStatus {
+		target.Path += "/" + call
+	}
+	request, err := http.NewRequest(method, target.String(), nil)
+	if err != nil {
+		return err
+	}
+	client := http.Client{Timeout: adminTimeout}
+	response, err := client.Do(request)
+	if err != nil {
+		return fmt.Errorf("replication: no server answers at %s: %w", c.address, err)
+	}
+	defer func() { _ = response.Body.Close() }() // all that is wanted of it has been read
+	if response.StatusCode != http.StatusOK {
+		return readAdminError(response)
+	}
+	return json.NewDecoder(response.Body).Decode(into)
+}
+
+// readAdminError reads why the server does not obey. The server's own errors begin with the part of it that they are
+// of.
+func readAdminError(response *http.Response) error {
+	var answer struct{ Error string }
+	if err := json.NewDecoder(response.Body).Decode(&answer); err != nil || answer.Error == "" {
+		answer.Error = response.Status
+	}
+	reason := answer.Error
+	for _, part := range []string{"copies: ", "replication: ", "consensus: "} {
+		reason = strings.TrimPrefix(reason, part)
+	}
+	return &AdminError{Status: response.StatusCode, Reason: reason}
+}
--- a/cmd/pewterline/command.go
+++ b/cmd/pewterline/command.go
@@ -1,94 +1,115 @@
 package main
 
 import (
+	"errors"
 	"fmt"
 	"io"
 	"runtime/debug"
-	"strings"
 
 	"github.com/alecthomas/kong"
 
 	"pewterline/internal/config"
 )
 
+const programName = "pewterline"
+
 // The exit codes.
 const (
-	fine   = 0
-	failed = 1 // the server, or a file that check looked at
-	misuse = 2
+	exitOK     = 0
+	exitFailed = 1 // the server, a call of an operator's, or a file that check looked at
+	exitUsage  = 2
 )
 
-// commands are what the program can be asked to do. Without any, it serves: the bare command is the platform's.
-type commands struct {
-	Serve   struct{}  `cmd:"" default:"1" help:"Serve until SIGTERM, as the files say that the environment names."`
-	Try     tryCmd    `cmd:"" help:"Show what the program does: three servers in a temporary folder, one of which is lost. Takes some seconds and leaves nothing behind."`
-	Copies  copiesCmd `cmd:"" help:"Ask a running server about the group that holds copies with it, or change that."`
-	Check   struct{}  `cmd:"" help:"Check all files and name what is wrong with each."`
-	Version struct{}  `cmd:"" help:"Tell which build this is."`
+// environment is what a command gets of the process.
+type environment struct {
+	getenv func(string) string
+	out    io.Writer
+	errs   io.Writer
 }
 
-// ended carries kong's wish to end after its help.
-type ended int
-
-// command does what the arguments ask for and returns the exit code.
-func command(args []string, getenv func(string) string, out, errs io.Writer) (code int) {
-	var c commands
-	defer func() {
-		if p := recover(); p != nil {
-			n, ok := p.(ended)
-			if !ok {
-				panic(p)
-			}
-			code = int(n)
-		}
-	}()
-	parser, err := kong.New(&c, kong.Name("pewterline"), kong.Description("A log server, or an edge before many."), kong.Writers(out, errs),
-		kong.Exit(func(n int) { panic(ended(n)) }))
+// commandLine is what the program can be asked to do. Without a command it serves: that is how the platform starts it.
+type commandLine struct {
+	Serve       serveCommand       `cmd:"" default:"1" help:"Serve until SIGTERM. The environment names the files."`
+	Demo        demoCommand        `cmd:"" help:"Run three servers in a temporary folder, one of which is lost. Takes some seconds."`
+	Replication replicationCommand `cmd:"" help:"Ask a running server about its replication group, or change the group."`
+	Check       checkCommand       `cmd:"" help:"Check all files and name what is wrong with each."`
+	Version     versionCommand     `cmd:"" help:"Tell which build this is."`
+
+	// The names that these commands had before.
+	OldDemo        demoCommand        `cmd:"" name:"try" hidden:""`
+	OldReplication replicationCommand `cmd:"" name:"copies" hidden:""`
+}
+
+// errReported says that a command has failed and has told why.
+var errReported = errors.New("reported")
+
+// run does what the arguments ask for and returns the exit code.
+func run(args []string, env environment) int {
+	var line commandLine
+	helpShown := false
+	parser, err := kong.New(&line,
+		kong.Name(programName),
+		kong.Description("A log server, or an edge before many."),
+		kong.Writers(env.out, env.errs),
+		kong.Exit(func(int) { helpShown = true }),
+	)
 	if err != nil {
-		panic(err) // of the struct above alone
+		return env.fail(exitUsage, err)
 	}
 	ctx, err := parser.Parse(args)
+	if helpShown {
+		return exitOK
+	}
 	if err != nil {
-		fmt.Fprintln(errs, "pewterline:", err)
-		return misuse
+		return env.fail(exitUsage, err)
 	}
-	words, copies := strings.CutPrefix(ctx.Command(), "copies ")
-	switch {
-	case copies:
-		err = c.Copies.run(words, getenv, out)
-	case ctx.Command() == "try":
-		err = c.Try.do(out)
-	case ctx.Command() == "check":
-		problems := config.ValidateFiles(getenv)
-		for _, p := range problems {
-			fmt.Fprintf(out, "%s: %v\n", p.File, p.Err)
-		}
-		if len(problems) > 0 {
-			return failed
-		}
-		fmt.Fprintln(out, "all files are sound")
-	case ctx.Command() == "version":
-		fmt.Fprintln(out, version())
-	default:
-		err = serve()
+	if err := ctx.Run(&env); err != nil {
+		return env.fail(exitFailed, err)
 	}
-	if err != nil {
-		fmt.Fprintln(errs, "pewterline:", err)
-		return failed
+	return exitOK
+}
+
+// fail prints an error, unless that was done, and returns the exit code.
+func (e *environment) fail(code int, err error) int {
+	if !errors.Is(err, errReported) {
+		fmt.Fprintf(e.errs, "%s: %v\n", programName, err)
+	}
+	return code
+}
+
+type checkCommand struct{}
+
+// Run checks all files.
+func (checkCommand) Run(env *environment) error {
+	faults := config.ValidateFiles(env.getenv)
+	for _, fault := range faults {
+		fmt.Fprintln(env.out, fault)
+	}
+	if len(faults) > 0 {
+		return errReported
 	}
-	return fine
+	fmt.Fprintln(env.out, "all files are sound")
+	return nil
+}
+
+type versionCommand struct{}
+
+// Run prints the build.
+func (versionCommand) Run(env *environment) error {
+	_, err := fmt.Fprintln(env.out, version())
+	return err
 }
 
 // version names the build by what the Go tool wrote into it.
 func version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
-		return "pewterline, an unknown build"
+		return programName + ", an unknown build"
 	}
-	text := "pewterline " + info.Main.Version + ", " + info.GoVersion
-	for _, s := range info.Settings {
-		if s.Key == "vcs.revision" {
-			text += ", " + s.Value
+	text := programName + " " + info.Main.Version + ", " + info.GoVersion
+	for _, setting := range info.Settings {
+		if setting.Key == "vcs.revision" {
+			text += ", " + setting.Value
 		}
 	}
 	return text
--- /dev/null
+++ b/cmd/pewterline/replication_report.go
@@ -0,0 +1,94 @@
+package main
+
+import (
+	"fmt"
+	"io"
+	"text/tabwriter"
+	"time"
+
+	"pewterline/internal/replication"
+)
+
+// columnPadding is the space between two columns.
+const columnPadding = 2
+
+// printMembers prints a table of the group's members.
+func printMembers(out io.Writer, status replicationStatus) error {
+	table := tabwriter.NewWriter(out, 0, 0, columnPadding, ' ', 0)
+	fmt.Fprintln(table, "ID\tADDRESS\tREACHED\tMEMBER\tINCARNATION")
+	for _, member := range status.Members {
+		fmt.Fprintf(table, "%d\t%s\t%v\t%s\t%s\n", member.ID, member.Address, member.Up,
+			membership(member, status.Changing), incarnation(member))
+	}
+	return table.Flush()
+}
+
+// membership says whether a member stays, joins or leaves.
+func membership(member replication.MemberStatus, changing bool) string {
+	switch {
+	case !member.InCurrent:
+		return "joining"
+	case changing && !member.InNext:
+		return "leaving"
+	default:
+		return "now"
+	}
+}
+
+// incarnation returns the incarnation by which the group knows a member, and the one that answers in its place.
+func incarnation(member replication.MemberStatus) string {
+	if member.CurrentIncarnation == "" || member.CurrentIncarnation == member.Incarnation {
+		return member.Incarnation
+	}
+	return member.Incarnation + ", lost; it runs as " + member.CurrentIncarnation
+}
+
+// printStatus prints how the group is, its members and the counters of the server that was asked.
+func printStatus(out io.Writer, status replicationStatus) error {
+	if status.Epoch == 0 {
+		fmt.Fprintf(out, "Server %d has no group yet. With all servers up: pewterline replication bootstrap\n",
+			status.ServerID)
+		return nil
+	}
+	fmt.Fprintf(out, "Group %s, epoch %d, %d copies of each key; the last change: %s\n",
+		status.ClusterID, status.Epoch, status.ReplicationFactor, status.Reason)
+	if status.Changing {
+		fmt.Fprintf(out, "Members change: %d of them have transferred their keys, %d keys here are pending\n",
+			status.Transferred, status.Counters.KeysPendingTransfer)
+	}
+	if status.ForcedAtMS > 0 {
+		forcedAt := time.UnixMilli(status.ForcedAtMS).UTC().Format(time.RFC3339)
+		fmt.Fprintf(out, "A majority was given up: until %s and a retention window no unknown key is run\n", forcedAt)
+	}
+	if !status.Voting {
+		fmt.Fprintln(out, "THE DISK HAS FAILED: this server does not vote until its log can be opened anew")
+	}
+	if err := printMembers(out, status); err != nil {
+		return err
+	}
+	fmt.Fprintln(out)
+	return printCounters(out, status.Counters)
+}
+
+func printCounters(out io.Writer, counters replication.Counters) error {
+	table := tabwriter.NewWriter(out, 0, 0, columnPadding, ' ', tabwriter.AlignRight)
+	for _, line := range []struct {
+		value any
+		label string
+	}{
+		{counters.KeysHeld, "keys held here"},
+		{counters.KeysToRepair, "keys to be transferred to other replicas"},
+		{counters.KeysRepaired, "keys transferred so far"},
+		{counters.LeasesGranted, "leases to run granted"},
+		{counters.ResultsReplicated, "results replicated"},
+		{counters.ResultsFound, "results found for a retry"},
+		{counters.RejectedUnreplicated, "requests rejected before they ran: no majority in time"},
+		{counters.OutcomesUnknown, "answers of which nobody knows whether the request ran"},
+		{counters.ResultsAtRisk, "results AT RISK: ran, and no majority took the result in time"},
+		{counters.DiskFailures, "failures of the disk"},
+		{counters.MembersUnreachable, "members that cannot be reached"},
+	} {
+		fmt.Fprintf(table, "%v\t  %s\n", line.value, line.label)
+	}
+	return table.Flush()
+}
--- /dev/null
+++ b/cmd/pewterline/serve.go
@@ -0,0 +1,241 @@
+package main
+
+import (
+	"io"
+	"os"
+	"runtime"
+	"runtime/debug"
+
+	"go.uber.org/zap"
+
+	"pewterline/internal/config"
+	"pewterline/internal/microtime"
+	"pewterline/internal/peers"
+	"pewterline/internal/replication"
+	"pewterline/internal/server"
+	"pewterline/internal/store"
+	"pewterline/internal/transport"
+	"pewterline/internal/transport/sockets"
+	"pewterline/internal/vaultclient"
+)
+
+const (
+	// spareSockets are the descriptors left beside the accepted connections: the listeners, the poller, the worker
+	// pool's connection and the standard streams, with room.
+	spareSockets = 40
+	// threads are two, so that a timer fires while the loop waits.
+	threads = 2
+	// The heap's share of the limit on memory: what the limit counts, stacks, kernel pages of files and the binary
+	// included, is more than the heap.
+	heapShare = 2
+	// The share of the limit on memory that connections may have buffered. The kernel holds as much again of the
+	// sockets.
+	bufferShare = 8
+)
+
+type serveCommand struct{}
+
+// Run serves until the process is told to end.
+func (serveCommand) Run(env *environment) error { return serve(env.getenv, env.errs) }
+
+// serve runs one server until SIGTERM, or until it fails.
+func serve(getenv func(string) string, errs io.Writer) error {
+	logs, err := newLogs(getenv("RELAY_LOG"), errs)
+	if err != nil {
+		return err
+	}
+	clock := microtime.NewClock()
+	// Before all else: a signal that comes while the program starts must wait for it, and not kill it.
+	signals := watchSignals(clock, logs.logger)
+	defer signals.stop()
+	cfg, err := config.Load(getenv)
+	if err != nil {
+		return err
+	}
+	debug.SetMemoryLimit(cfg.MemoryLimit / heapShare)
+	runtime.GOMAXPROCS(threads)
+	self := &process{cfg: cfg, clock: clock, logs: logs}
+	defer self.close()
+	if err := self.prepare(); err != nil {
+		return err
+	}
+	// Whoever would connect now had better not: of the time that the sender of the signal gives, little may be left.
+	if signals.shutdownRequested() {
+		logs.logger.Info("told to stop before serving", zap.String("server", cfg.Name))
+		return nil
+	}
+	loop, err := self.start()
+	if err != nil {
+		return err
+	}
+	signals.obey(signalTarget{loop: loop, server: self.server, getenv: getenv})
+	logs.logger.Info("serving", zap.String("server", cfg.Name), zap.Stringer("address", loop.Addr(0)))
+	if err := loop.Wait(); err != nil {
+		return err
+	}
+	return self.host.err()
+}
+
+// process is the server with what it has of the operating system.
+type process struct {
+	cfg         config.Config
+	clock       microtime.Clock
+	logs        *logs
+	server      *server.Server
+	host        *processHost
+	predecessor *predecessor // nil: there is none
+	closers     []func()     // called in reverse order
+}
+
+// close closes what the process has opened.
+func (p *process) close() {
+	for i := len(p.closers) - 1; i >= 0; i-- {
+		p.closers[i]()
+	}
+}
+
+// closeLater has something closed at the end; a failure is logged, as nothing else can be done about it then.
+func (p *process) closeLater(name string, closer io.Closer) {
+	p.closers = append(p.closers, func() {
+		if err := closer.Close(); err != nil {
+			p.logs.logger.Warn("close failed", zap.String("what", name), zap.Error(err))
+		}
+	})
+}
+
+// prepare makes the server and takes over the state of a predecessor, all before anybody can connect.
+func (p *process) prepare() error {
+	wall := wallClock(p.clock)
+	var err error
+	if p.server, err = server.New(p.cfg, wall, p.logs.Logf); err != nil {
+		return err
+	}
+	if err := p.openStore(); err != nil {
+		return err
+	}
+	if err := p.openReplication(wall); err != nil {
+		return err
+	}
+	search := predecessorSearch{dir: os.TempDir(), cfg: p.cfg, patience: predecessorPatience, logger: p.logs.limited}
+	if p.predecessor, err = search.run(); err != nil {
+		return err
+	}
+	p.host = newProcessHost(p.cfg, p.logs.limited)
+	p.server.UseProcessHost(p.host)
+	if p.predecessor != nil {
+		p.host.predecessorPath = p.predecessor.path
+		if err := p.server.Inherit(p.predecessor.messages); err != nil {
+			return err
+		}
+	}
+	// Before this process listens for proxies: the next one finds it from then on.
+	if listener := listenForSuccessor(os.TempDir(), p.cfg, p.logs.limited); listener != nil {
+		p.closers = append(p.closers, func() { _ = listener.Close() }) // the event loop may have closed it
+		p.host.successors = listener
+	}
+	return nil
+}
+
+// openStore opens the store of record, if there is one.
+func (p *process) openStore() error {
+	cfg := p.cfg.Store
+	if cfg.Driver == "" {
+		return nil
+	}
+	records, err := store.Open(cfg.Driver, cfg.DSN, p.cfg.Name, cfg.Timeout)
+	if err != nil {
+		return err
+	}
+	p.closeLater("store", records)
+	return p.server.UseStore(records, p.clock.Now())
+}
+
+// openReplication opens this server's part of a replication group, if it has one.
+func (p *process) openReplication(wall server.WallClock) error {
+	cfg := p.cfg.Replication
+	if cfg.ServerID == 0 {
+		return nil
+	}
+	replica, err := replication.Open(replication.Config{
+		ID:                cfg.ServerID,
+		Directory:         cfg.Directory,
+		ReplicationFactor: cfg.ReplicationFactor,
+		Consensus:         cfg.Consensus,
+		Peers:             cfg.Peers,
+		Retention:         p.server.LongestRetention(),
+		UnixMilli:         wall.UnixMilli,
+		Logf:              p.logs.Logf,
+	})
+	if err != nil {
+		return err
+	}
+	p.closeLater("replica", replica)
+	p.server.UseReplication(replica)
+	return nil
+}
+
+// start starts the event loop: from then on the server takes connections. After an error the loop may be running, and
+// ends with the process.
+func (p *process) start() (*sockets.Loop, error) {
+	loop, err := sockets.Start(p.socketOptions(), p.server, func(loop *transport.Loop) { p.server.Attach(loop) })
+	if err != nil {
+		return nil, err
+	}
+	if err := p.host.use(loop); err != nil {
+		return nil, err
+	}
+	if p.predecessor == nil {
+		return loop, nil
+	}
+	return loop, loop.Adopt(p.predecessor.conn, p.server.AcceptPredecessor)
+}
+
+// socketOptions returns the listeners by their index, and the limits on connections and buffers.
+func (p *process) socketOptions() sockets.Options {
+	limits := socketLimits(p.cfg)
+	return sockets.Options{
+		Listen: []string{
+			server.ThriftListener:      p.cfg.Listen,
+			server.AJPListener:         p.cfg.AJP.Listen,
+			server.AdminListener:       p.cfg.AdminAddress,
+			server.ReplicationListener: p.cfg.Replication.Listen,
+		},
+		DatagramPeer: p.cfg.ControlAddress,
+		Clock:        p.clock,
+		Options: transport.Options{
+			MaxConns:    limits.connections,
+			MaxBuffered: limits.buffered,
+			Logf:        p.logs.Logf,
+			DedicatedLimits: map[int]int{
+				server.AdminListener:       server.MaxAdminConns,
+				server.HandoffListener:     server.MaxHandoffConns,
+				server.ReplicationListener: peers.MaxConns,
+			},
+		},
+	}
+}
+
+// loopLimits are what a process that is alone has of the limits on sockets and memory.
+type loopLimits struct {
+	connections int // accepted ones
+	buffered    int // in bytes, of all connections together
+}
+
+func socketLimits(cfg config.Config) loopLimits {
+	limits := loopLimits{
+		connections: cfg.SocketLimit - spareSockets - vaultConns(cfg),
+		buffered:    int(cfg.MemoryLimit / bufferShare),
+	}
+	if cfg.AJP.BackendAddress != "" {
+		limits.connections -= cfg.AJP.BackendConnections
+	}
+	return limits
+}
+
+// vaultConns are the descriptors for connections to the vault, also where only a later configuration has runs call it.
+func vaultConns(cfg config.Config) int {
+	if cfg.VaultAddress == "" {
+		return 0
+	}
+	return vaultclient.MaxConns
+}
--- a/cmd/pewterline/signals.go
+++ b/cmd/pewterline/signals.go
@@ -1,92 +1,157 @@
 package main
 
 import (
-	"log"
 	"os"
+	"os/signal"
 	"syscall"
 
+	"go.uber.org/zap"
+
 	"pewterline/internal/config"
 	"pewterline/internal/microtime"
 	"pewterline/internal/server"
 )
 
-// filesMost are the reloads that may wait, which is many for one that reads files.
-const filesMost = 8
+const (
+	// maxPendingSignals leaves room for several, so that none is lost behind another.
+	maxPendingSignals = 8
+	// maxPendingReloads are many for one that reads files.
+	maxPendingReloads = 8
+)
 
-// split tells signals apart as they come: leave gets the time of the first notice to leave, as whoever sent it counts from then, and
-// files each wish to have the files read anew. Guards the notice against all that takes its time: the start, and a file that
-// is slow to read.
-func split(signals <-chan os.Signal, clock microtime.Clock, ended <-chan struct{}) (leave <-chan microtime.Time, files <-chan struct{}) {
-	l, f := make(chan microtime.Time, 1), make(chan struct{}, filesMost)
-	go func() {
-		for {
-			select {
-			case <-ended:
-				return
-			case sig := <-signals:
-				if sig != syscall.SIGHUP {
-					select {
-					case l <- clock.Now():
-						log.Printf("%v: told to leave", sig)
-					default: // it has been told
-					}
-					continue
-				}
-				select {
-				case f <- struct{}{}:
-				default: // one that waits reads what is there by then
-				}
+// signalWatcher tells the process's signals apart as they come: the first that asks for the end is kept with its time,
+// as whoever sent it counts from then; each SIGHUP is a reload. Each kind waits by itself, so that the end does not
+// wait for the start, or for a file that is slow to read.
+type signalWatcher struct {
+	clock    microtime.Clock
+	logger   *zap.Logger
+	signals  chan os.Signal
+	shutdown chan microtime.Time
+	reloads  chan struct{}
+	ended    chan struct{} // closed by stop; ends all goroutines of the watcher
+}
+
+// watchSignals takes over the process's signals until stop.
+func watchSignals(clock microtime.Clock, logger *zap.Logger) *signalWatcher {
+	w := &signalWatcher{
+		clock:    clock,
+		logger:   logger,
+		signals:  make(chan os.Signal, maxPendingSignals),
+		shutdown: make(chan microtime.Time, 1),
+		reloads:  make(chan struct{}, maxPendingReloads),
+		ended:    make(chan struct{}),
+	}
+	signal.Notify(w.signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
+	go w.sort()
+	return w
+}
+
+// stop gives the signals back and ends the watcher's goroutines. It is called once.
+func (w *signalWatcher) stop() {
+	close(w.ended)
+	signal.Stop(w.signals)
+}
+
+// shutdownRequested reports whether a signal has asked for the end. It takes that signal, which obey does not get.
+func (w *signalWatcher) shutdownRequested() bool {
+	select {
+	case <-w.shutdown:
+		return true
+	default:
+		return false
+	}
+}
+
+// sort runs in a goroutine of its own until stop.
+func (w *signalWatcher) sort() {
+	for {
+		select {
+		case <-w.ended:
+			return
+		case sig := <-w.signals:
+			if sig == syscall.SIGHUP {
+				w.queueReload()
+			} else {
+				w.queueShutdown(sig)
 			}
 		}
-	}()
-	return l, f
+	}
 }
 
-// executor is the loop, as signals need it.
+func (w *signalWatcher) queueShutdown(sig os.Signal) {
+	select {
+	case w.shutdown <- w.clock.Now():
+		w.logger.Info("told to stop", zap.Stringer("signal", sig))
+	default: // it has been told before
+	}
+}
+
+func (w *signalWatcher) queueReload() {
+	select {
+	case w.reloads <- struct{}{}:
+	default: // one that waits reads what is there by then
+	}
+}
+
+// executor is the event loop, as signals need it.
 type executor interface {
+	// Execute runs a function on the loop; an error says that the loop has ended.
 	Execute(func()) error
 }
 
-// obey carries out what the signals ask for, each kind by itself, until the program has ended.
-func obey(leave <-chan microtime.Time, files, ended <-chan struct{}, loop executor, srv *server.Server) {
+// signalTarget is the server that obeys the signals.
+type signalTarget struct {
+	loop   executor
+	server *server.Server
+	getenv func(string) string
+}
+
+// obey has the server do what the signals ask for, in two goroutines that run until stop.
+func (w *signalWatcher) obey(target signalTarget) {
 	go func() {
 		for {
 			select {
-			case <-ended:
+			case <-w.ended:
 				return
-			case <-files:
-				reload(loop, srv)
+			case <-w.reloads:
+				target.reload(w.logger)
 			}
 		}
 	}()
-	for {
-		select {
-		case <-ended:
-			return
-		case at := <-leave:
-			execute(loop, "SIGTERM", func() { srv.Shutdown(at) })
+	go func() {
+		for {
+			select {
+			case <-w.ended:
+				return
+			case at := <-w.shutdown:
+				target.execute(w.logger, func() { target.server.Shutdown(at) })
+			}
 		}
-	}
+	}()
 }
 
-// reload is SIGHUP: the files are read and checked as a whole before anything changes, as a faulty one must not harm a server
-// that serves.
-func reload(loop executor, srv *server.Server) {
-	cfg, err := config.Load(os.Getenv)
+// reload reads and checks all files before anything changes: a faulty one must not harm a running server.
+func (t signalTarget) reload(logger *zap.Logger) {
+	cfg, err := config.Load(t.getenv)
 	if err != nil {
-		log.Printf("SIGHUP: %v; nothing has changed", err)
-		execute(loop, "SIGHUP", srv.ReloadRejected)
+		logReloadRejected(logger, err)
+		t.execute(logger, t.server.ReloadRejected)
 		return
 	}
-	execute(loop, "SIGHUP", func() {
-		if err := srv.Reload(cfg); err != nil {
-			log.Printf("SIGHUP: %v; nothing has changed", err)
+	t.execute(logger, func() {
+		if err := t.server.Reload(cfg); err != nil {
+			logReloadRejected(logger, err)
 		}
 	})
 }
 
-func execute(loop executor, name string, f func()) {
-	if err := loop.Execute(f); err != nil {
-		log.Printf("%s: %v", name, err)
+func logReloadRejected(logger *zap.Logger, err error) {
+	logger.Error("reload rejected, nothing has changed", zap.Error(err))
+}
+
+// execute runs a function on the loop. Where that has ended, the process is about to end and the signal is moot.
+func (t signalTarget) execute(logger *zap.Logger, f func()) {
+	if err := t.loop.Execute(f); err != nil {
+		logger.Warn("signal came too late", zap.Error(err))
 	}
 }
