--- a/control/health_test.go
+++ b/control/health_test.go
@@ -44,7 +44,7 @@
 			require.Equal(t, tc.wantOverwhelmed, health.overwhelmed)
 			require.Equal(t, tc.wantReason == reasonNone && !tc.wantOverwhelmed, health.healthy())
 			require.Equal(t, !health.healthy(), changed)
-			require.Equal(t, changed, line != "")
+			require.Equal(t, changed, line.Text != "")
 			changed, _ = health.check(tc.running, slowdown, top)
 			require.False(t, changed, "told twice")
 		})
