--- a/internal/decide/consensus/inflight.go
+++ b/internal/decide/consensus/inflight.go
@@ -38,11 +38,8 @@
 		change.Attempt = n.lastID + 1
 	}
 	change.ForcedAt = n.membership.ForcedAt
-	return n.propose(now, key, change, n.membership.Replicas(key, n.hash)), nil
-}
-
-func (n *Node) propose(now microtime.Time, key string, c Change, configurations [][]Identity) uint64 {
-	return n.start(now, ProposalConfig{Key: key, Change: c, Configurations: configurations})
+	configurations := n.membership.Replicas(key, n.hash)
+	return n.start(now, ProposalConfig{Key: key, Change: change, Configurations: configurations}), nil
 }
 
 // start puts a proposal in flight; the epoch, the proposer and the ballot's number are filled in.
--- a/internal/decide/consensus/member_change.go
+++ b/internal/decide/consensus/member_change.go
@@ -145,9 +145,12 @@
 
 // decideMembership proposes the membership that follows, to the current members.
 func (n *Node) decideMembership(now microtime.Time, m Membership) {
-	change := Change{Kind: DecideMembership, AttemptedAt: math.MaxInt64, Result: m.String()} // it never expires
-	key := membershipKey(n.membership.Epoch)
-	n.change.proposalID = n.propose(now, key, change, n.membership.configurations()[:1])
+	n.change.proposalID = n.start(now, ProposalConfig{
+		Key: membershipKey(n.membership.Epoch),
+		// The register never expires by its time: it goes with the epoch.
+		Change:         Change{Kind: DecideMembership, AttemptedAt: math.MaxInt64, Result: m.String()},
+		Configurations: n.membership.configurations()[:1],
+	})
 }
 
 // membershipDecided adopts the membership that was decided, whoever has proposed it.
