--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,7 @@
-// Package settings parses the settings that an operator gives a server, and the names of the gauges that come with them, into
-// what the control module works with. The server and the simulator adapter share it, so that both understand the same text.
+// Package settings parses the settings that an operator gives a server, and the names of the gauges that come with
+// them, into what the control module works with. The configuration of the server (internal/config) and the adapter for
+// the simulator (internal/simadapter) share it, so that both understand the same text. It owns the fixed names of the
+// text, which occur nowhere else, and never keeps any state.
 package settings
 
 import (
@@ -11,156 +13,194 @@
 	"pewterline/control"
 )
 
-type startClass struct {
-	Name       string  `json:"name"`
-	AimMS      float64 `json:"aim_ms"`
-	AimStretch float64 `json:"aim_stretch"`
-	HardMS     float64 `json:"hard_limit_ms"`
-	WindowMS   float64 `json:"window_ms"`
-	Worth      float64 `json:"worth"`
-	LateWorth  float64 `json:"late_worth"`
-	Effect     string  `json:"effect"`
+// UnknownValueError says that a setting has a value that it does not offer.
+type UnknownValueError struct {
+	Setting string // its key in the text
+	Value   string
 }
 
-type startText struct {
-	Classes []startClass `json:"classes"`
-	Tenants []struct {
-		Name  string  `json:"name"`
-		Quota float64 `json:"quota_rps"`
-	} `json:"tenants"`
-	Peers   int `json:"peers_total"`
-	Clients struct {
-		MarksRetry bool `json:"marks_retry"`
-	} `json:"client_habits"`
-	Limits struct {
-		MaxRetryAfterMS float64 `json:"max_retry_after_ms"`
-		RetryAfter      bool    `json:"retry_after"`
-	} `json:"limits"`
-	OverShare float64 `json:"over_share_worth"`
-	WorthBy   string  `json:"worth_by"`
-	Rules     struct {
-		SlackMS      float64 `json:"grace_to_answer_ms"`
-		ColdFrom     float64 `json:"cold_from"`
-		RampMS       float64 `json:"ramp_time_ms"`
-		GraceMS      float64 `json:"stop_sending_within_ms"`
-		FallMultiple float64 `json:"fall_multiple"`
-		FallMS       float64 `json:"tip_after_ms"`
-	} `json:"rules"`
-	Extra struct {
-		Callers     int       `json:"callers"`
-		CallsOut    float64   `json:"calls_out"`
-		CallsOverMS float64   `json:"calls_over_ms"`
-		ClassCalls  []bool    `json:"class_calls"`
-		Cores       int       `json:"cores"`
-		Downstream  string    `json:"downstream"`
-		FreshMS     float64   `json:"fresh_ms"`
-		Gauges      []string  `json:"gauges"`
-		HeededMS    float64   `json:"heeded_ms"`
-		Cold        bool      `json:"just_started"`
-		KeepAliveMS float64   `json:"keepalive_max_ms"`
-		KeyKB       float64   `json:"key_kb"`
-		MemoryKB    float64   `json:"memory_kb"`
-		Readiness   *bool     `json:"readiness"`
-		Deadline    bool      `json:"passes_deadline"`
-		RunFactor   float64   `json:"run_factor"`
-		Say         string    `json:"say"`
-		LingerMS    float64   `json:"stays_for_ms"`
-		StopMode    string    `json:"stop_mode"`
-		Without     []float64 `json:"worth_without"`
-	} `json:"extra"`
+// Error names the setting and its value.
+func (e *UnknownValueError) Error() string {
+	return fmt.Sprintf("settings: unknown %s %q", e.Setting, e.Value)
 }
 
-func word[T any](what, text string, words map[string]T) (T, error) {
-	v, ok := words[text]
-	if !ok {
-		return v, fmt.Errorf("settings: unknown %s %q", what, text)
+// Parse reads the settings text; unknown keys are skipped. All randomness of a controller with these settings comes
+// from the seed. It also returns the names of the gauges that come with each tick, in their order. An error is of the
+// JSON text or an UnknownValueError.
+func Parse(text []byte, seed uint64) (settings control.Settings, gauges []string, err error) {
+	var doc document
+	if err := json.Unmarshal(text, &doc); err != nil {
+		return control.Settings{}, nil, fmt.Errorf("settings: %w", err)
+	}
+	settings = doc.figures()
+	settings.Seed = seed
+	if settings.Preemption, err = parsePreemption(doc.Site.Preemption); err != nil {
+		return settings, nil, err
+	}
+	if settings.LoadSignal, err = parseLoadSignal(doc.Site.LoadSignal); err != nil {
+		return settings, nil, err
+	}
+	if settings.Dependency, err = parseDependency(doc.Site.Dependency); err != nil {
+		return settings, nil, err
 	}
-	return v, nil
+	if settings.Classes, err = doc.classes(); err != nil {
+		return settings, nil, err
+	}
+	for _, tenant := range doc.Tenants {
+		settings.Tenants = append(settings.Tenants, control.Tenant{Name: tenant.Name, Quota: tenant.Quota})
+	}
+	return settings, doc.Site.Gauges, nil
 }
 
-// Parse reads an instance's start-up text; unknown keys are skipped. It also returns the names of the
-// gauges that come with each tick, in their order.
-func Parse(text []byte, seed uint64) (control.Settings, []string, error) {
-	var t startText
-	if err := json.Unmarshal(text, &t); err != nil {
-		return control.Settings{}, nil, fmt.Errorf("settings: %w", err)
+// figures are the settings that need no parsing of words.
+func (d *document) figures() control.Settings {
+	settings := control.Settings{
+		Cores:                     d.Site.Cores,
+		Peers:                     d.Peers,
+		Callers:                   d.Site.Callers,
+		ColdStart:                 d.Site.ColdStart,
+		MemoryKB:                  d.Site.MemoryKB,
+		KeyKB:                     d.Site.KeyKB,
+		RunningMemoryFactor:       d.Site.RunningMemoryFactor,
+		MaxConcurrencyPerCore:     d.Rules.MaxConcurrencyPerCore,
+		MaxConcurrencyWindow:      FromMillis(d.Rules.MaxConcurrencyWindowMS),
+		WarmUpMinSpeed:            d.Rules.WarmUpMinSpeed,
+		WarmUpTime:                FromMillis(d.Rules.WarmUpTimeMS),
+		CallConcurrencyShare:      d.Site.CallConcurrencyShare,
+		CallConcurrencyWindow:     FromMillis(d.Site.CallConcurrencyWindowMS),
+		AbandonedCallTime:         FromMillis(d.Site.AbandonedCallTimeMS),
+		AnswerGrace:               FromMillis(d.Rules.AnswerGraceMS),
+		DrainGrace:                FromMillis(d.Rules.DrainGraceMS),
+		EndpointListIgnoresHealth: d.Site.ListFollowsHealth != nil && !*d.Site.ListFollowsHealth,
+		DeadlinePropagated:        d.Site.DeadlinePropagated,
+		RetriesMarked:             d.Clients.RetriesMarked,
+		WeightPerWork:             d.WeightCountsFor == "work",
+		OverQuotaWeightShare:      d.OverQuotaWeight,
+		LoadSignalTTL:             FromMillis(d.Site.LoadSignalTTLMS),
+		MaxKeepAlive:              FromMillis(d.Site.MaxKeepAliveMS),
+		ResultFreshness:           FromMillis(d.Site.ResultFreshnessMS),
 	}
-	x := t.Extra
-	s := control.Settings{
-		Seed: seed, Cores: x.Cores, Peers: t.Peers, Callers: x.Callers, ColdStart: x.Cold,
-		MemoryKB: x.MemoryKB, KeyKB: x.KeyKB, RunningMemoryFactor: x.RunFactor,
-		MaxConcurrencyPerCore: t.Rules.FallMultiple, MaxConcurrencyWindow: FromMillis(t.Rules.FallMS), WarmUpMinSpeed: t.Rules.ColdFrom,
-		WarmUpTime: FromMillis(t.Rules.RampMS), CallConcurrencyShare: x.CallsOut, CallConcurrencyWindow: FromMillis(x.CallsOverMS),
-		AbandonedCallTime: FromMillis(x.LingerMS), AnswerGrace: FromMillis(t.Rules.SlackMS), DrainGrace: FromMillis(t.Rules.GraceMS),
-		DeadlinePropagated: x.Deadline, RetriesMarked: t.Clients.MarksRetry, WeightPerWork: t.WorthBy == "work",
-		OverQuotaWeightShare: t.OverShare, LoadSignalTTL: FromMillis(x.HeededMS), MaxKeepAlive: FromMillis(x.KeepAliveMS),
-		ResultFreshness: FromMillis(x.FreshMS), EndpointListIgnoresHealth: x.Readiness != nil && !*x.Readiness,
-	}
-	if t.Limits.RetryAfter {
-		s.MaxRetryAfter = FromMillis(t.Limits.MaxRetryAfterMS)
-	}
-	var errs [3]error
-	s.Preemption, errs[0] = word("stop_mode", x.StopMode, map[string]control.PreemptionMode{
-		"": control.PreemptNever, "none": control.PreemptNever, "discard": control.PreemptDiscard, "freeze": control.PreemptSuspend})
-	s.LoadSignal, errs[1] = word("say", x.Say, map[string]control.LoadSignalKind{
-		"": control.LoadSignalNone, "none": control.LoadSignalNone, "floor": control.LoadSignalThreshold,
-		"allowance": control.LoadSignalAllowance, "weight": control.LoadSignalWeight})
-	s.Dependency, errs[2] = word("downstream", x.Downstream, map[string]control.Dependency{
-		"": control.DependencyNone, "none": control.DependencyNone, "one_for_all": control.DependencyShared, "tier": control.DependencyTier})
-	for _, err := range errs {
-		if err != nil {
-			return s, nil, err
-		}
+	if d.Limits.RetryAfterForwarded {
+		settings.MaxRetryAfter = FromMillis(d.Limits.MaxRetryAfterMS)
 	}
-	for i, c := range t.Classes {
-		k, err := class(c)
+	return settings
+}
+
+// classes are the classes with what the site says of each.
+func (d *document) classes() ([]control.Class, error) {
+	var classes []control.Class
+	for i, text := range d.Classes {
+		class, err := text.parse()
 		if err != nil {
-			return s, nil, err
+			return nil, err
 		}
-		k.MakesCalls = i < len(x.ClassCalls) && x.ClassCalls[i]
-		if i < len(x.Without) {
-			k.SkippedCallWeightShare = x.Without[i]
+		class.MakesCalls = i < len(d.Site.ClassMakesCalls) && d.Site.ClassMakesCalls[i]
+		if i < len(d.Site.SkippedCallWeightShares) {
+			class.SkippedCallWeightShare = d.Site.SkippedCallWeightShares[i]
 		}
-		s.Classes = append(s.Classes, k)
-	}
-	for _, n := range t.Tenants {
-		s.Tenants = append(s.Tenants, control.Tenant{Name: n.Name, Quota: n.Quota})
+		classes = append(classes, class)
 	}
-	return s, x.Gauges, nil
+	return classes, nil
 }
 
-func class(c startClass) (control.Class, error) {
-	effect, err := word("effect", c.Effect, map[string]control.Idempotency{
-		"": control.Idempotent, "free": control.Idempotent, "guarded": control.IdempotentByKey, "single_shot": control.NonIdempotent})
+func (c *classText) parse() (control.Class, error) {
+	idempotency, err := parseIdempotency(c.Idempotency)
+	if err != nil {
+		return control.Class{}, err
+	}
 	return control.Class{
-		Name: c.Name, LatencyObjective: FromMillis(c.AimMS), ObjectiveStretch: c.AimStretch, Deadline: FromMillis(c.HardMS),
-		RetentionWindow: FromMillis(c.WindowMS), Weight: c.Worth, LateWeightShare: c.LateWorth, Idempotency: effect,
-	}, err
+		Name:             c.Name,
+		LatencyObjective: FromMillis(c.LatencyObjectiveMS),
+		ObjectiveStretch: c.ObjectiveStretch,
+		Deadline:         FromMillis(c.DeadlineMS),
+		RetentionWindow:  FromMillis(c.RetentionWindowMS),
+		Weight:           c.Weight,
+		LateWeightShare:  c.LateWeightShare,
+		Idempotency:      idempotency,
+	}, nil
+}
+
+func parsePreemption(word string) (control.PreemptionMode, error) {
+	switch word {
+	case "", "none":
+		return control.PreemptNever, nil
+	case "discard":
+		return control.PreemptDiscard, nil
+	case "freeze":
+		return control.PreemptSuspend, nil
+	}
+	return 0, &UnknownValueError{Setting: "stop_mode", Value: word}
+}
+
+func parseLoadSignal(word string) (control.LoadSignalKind, error) {
+	switch word {
+	case "", "none":
+		return control.LoadSignalNone, nil
+	case "floor":
+		return control.LoadSignalThreshold, nil
+	case "allowance":
+		return control.LoadSignalAllowance, nil
+	case "weight":
+		return control.LoadSignalWeight, nil
+	}
+	return 0, &UnknownValueError{Setting: "say", Value: word}
+}
+
+func parseDependency(word string) (control.Dependency, error) {
+	switch word {
+	case "", "none":
+		return control.DependencyNone, nil
+	case "one_for_all":
+		return control.DependencyShared, nil
+	case "tier":
+		return control.DependencyTier, nil
+	}
+	return 0, &UnknownValueError{Setting: "downstream", Value: word}
+}
+
+func parseIdempotency(word string) (control.Idempotency, error) {
+	switch word {
+	case "", "free":
+		return control.Idempotent, nil
+	case "guarded":
+		return control.IdempotentByKey, nil
+	case "single_shot":
+		return control.NonIdempotent, nil
+	}
+	return 0, &UnknownValueError{Setting: "effect", Value: word}
 }
 
-// ReadGauges sorts a tick's values by the names given at the start.
-func ReadGauges(names []string, load []float64) control.Gauges {
-	g := control.Gauges{CPUUtilization: -1, Runnable: -1, Memory: -1, Connections: -1}
-	to := map[string]*float64{"cpu_busy": &g.CPUUtilization, "runnable": &g.Runnable, "mem_used": &g.Memory, "sockets": &g.Connections}
-	for i, name := range names {
-		if p := to[name]; p != nil && i < len(load) {
-			*p = load[i]
+// ReadGauges sorts the values of a tick by the names that Parse returned. A gauge without a name or a value is -1,
+// which means "not known".
+func ReadGauges(names []string, values []float64) control.Gauges {
+	gauges := control.Gauges{CPUUtilization: -1, Runnable: -1, Memory: -1, Connections: -1}
+	for i, name := range names[:min(len(names), len(values))] {
+		switch name {
+		case "cpu_busy":
+			gauges.CPUUtilization = values[i]
+		case "runnable":
+			gauges.Runnable = values[i]
+		case "mem_used":
+			gauges.Memory = values[i]
+		case "sockets":
+			gauges.Connections = values[i]
 		}
 	}
-	return g
+	return gauges
 }
 
-// FromMillis turns milliseconds, as settings and wire have them, into a duration of whole microseconds. What is no number is zero;
-// what is out of range becomes the longest duration that sums of a few still hold.
-func FromMillis(ms float64) time.Duration {
-	ns := ms * 1e6
+// FromMillis turns milliseconds, as settings and wire have them, into a duration of whole microseconds. What is no
+// number is zero; what is out of range becomes the longest duration that sums of a few still hold.
+func FromMillis(milliseconds float64) time.Duration {
+	const longest = math.MaxInt64 / 4
+	nanoseconds := milliseconds * 1e6
 	switch {
-	case math.IsNaN(ns):
+	case math.IsNaN(nanoseconds):
 		return 0
-	case ns > math.MaxInt64/4:
-		return math.MaxInt64 / 4
-	case ns < -math.MaxInt64/4:
-		return -math.MaxInt64 / 4
+	case nanoseconds > longest:
+		return longest
+	case nanoseconds < -longest:
+		return -longest
 	}
-	return time.Duration(math.Round(ns/1e3)) * time.Microsecond
+	return time.Duration(math.Round(nanoseconds/1e3)) * time.Microsecond
 }
