--- a/internal/simadapter/host.go
+++ b/internal/simadapter/host.go
@@ -2,7 +2,6 @@
 
 import (
 	"bufio"
-	"encoding/binary"
 	"errors"
 	"fmt"
 	"io"
@@ -13,131 +12,148 @@
 	"pewterline/internal/settings"
 )
 
-// Host carries the instances of one process between the wire and their Controllers.
+// inputBufferSize is the size of the buffer before the input, in bytes.
+const inputBufferSize = 1 << 16
+
+// Host carries the instances of one process between the wire and their controllers. It is not safe for concurrent use.
 type Host struct {
 	instances map[uint32]*instance
 }
 
+// instance is one simulated server.
 type instance struct {
-	ctl    *control.Controller
-	gauges []string
-	events []control.Event
+	controller *control.Controller
+	gaugeNames []string
+	events     []control.Event // of this batch
 }
 
 // NewHost returns a Host without instances.
 func NewHost() *Host { return &Host{instances: map[uint32]*instance{}} }
 
-// Serve answers frames until the input ends between two of them.
-func (h *Host) Serve(r io.Reader, w io.Writer) error {
-	in, out := bufio.NewReaderSize(r, 1<<16), bufio.NewWriter(w)
-	for n := 0; ; n++ {
-		frame, err := readFrame(in)
-		if err == io.EOF {
+// Serve answers frames until the input ends between two of them. Its errors name the number of the frame; those of
+// unreadable frames wrap a FrameError.
+func (h *Host) Serve(input io.Reader, output io.Writer) error {
+	reader, writer := bufio.NewReaderSize(input, inputBufferSize), bufio.NewWriter(output)
+	for number := 0; ; number++ {
+		frame, err := readFrame(reader)
+		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil {
-			return fmt.Errorf("frame %d: %w", n, err)
+			return fmt.Errorf("frame %d: %w", number, err)
 		}
-		b, err := Decode(frame)
+		batch, err := Decode(frame)
 		if err != nil {
-			return fmt.Errorf("frame %d: %w", n, err)
+			return fmt.Errorf("frame %d: %w", number, err)
 		}
-		if _, err := out.Write(h.HandleBatch(b).Encode(b.Number)); err != nil {
-			return err
+		if _, err := writer.Write(h.HandleBatch(batch).Encode(batch.Number)); err != nil {
+			return fmt.Errorf("reply to frame %d: %w", number, err)
 		}
-		if err := out.Flush(); err != nil {
-			return err
+		if err := writer.Flush(); err != nil {
+			return fmt.Errorf("reply to frame %d: %w", number, err)
 		}
 	}
 }
 
-func readFrame(in *bufio.Reader) ([]byte, error) {
-	head := make([]byte, headerSize)
-	if n, err := io.ReadFull(in, head); err != nil {
+// readFrame reads one whole frame; io.EOF says that there is none.
+func readFrame(reader *bufio.Reader) ([]byte, error) {
+	header := make(record, batchHeaderSize)
+	if read, err := io.ReadFull(reader, header); err != nil {
 		if errors.Is(err, io.ErrUnexpectedEOF) {
-			return nil, fmt.Errorf("offset %d: input ends inside a header", n)
+			return nil, frameErrorf(int64(read), "%w: inside a header", ErrTruncated)
 		}
 		return nil, err
 	}
-	size := binary.LittleEndian.Uint32(head[4:])
-	if size < headerSize || size > maxFrameSize {
-		return nil, fmt.Errorf("offset 4: length %d is out of range", size)
+	length := header.uint32(4)
+	if length < batchHeaderSize || length > maxFrameSize {
+		return nil, frameErrorf(4, "%w: %d is out of range", ErrLength, length)
 	}
 	// Read through a limit, so that a wrong length never allocates more than what is there.
-	rest, err := io.ReadAll(io.LimitReader(in, int64(size-headerSize)))
+	wanted := int64(length) - batchHeaderSize
+	rest, err := io.ReadAll(io.LimitReader(reader, wanted))
 	if err != nil {
 		return nil, err
 	}
-	if len(rest) < int(size-headerSize) {
-		return nil, fmt.Errorf("offset %d: input ends inside a frame of %d bytes", headerSize+len(rest), size)
+	if int64(len(rest)) < wanted {
+		return nil, frameErrorf(int64(batchHeaderSize+len(rest)), "%w: inside a frame of %d bytes", ErrTruncated, length)
 	}
-	return append(head, rest...), nil
+	return append(header, rest...), nil
 }
 
-// HandleBatch hands each instance its events, in their order, and gathers what it does.
-func (h *Host) HandleBatch(b Batch) *Reply {
+// HandleBatch hands each instance its events, in their order, and gathers what it does. Instances act in the order in
+// which the batch first names them.
+func (h *Host) HandleBatch(batch Batch) *Reply {
 	reply := &Reply{}
 	var order []uint32
-	for _, rec := range b.Records {
-		switch ev := rec.Event.(type) {
-		case InstanceKilled:
+	for _, rec := range batch.Records {
+		switch rec.Kind {
+		case RecordInstanceKilled:
 			// What the old life had not yet been told dies with it.
 			delete(h.instances, rec.Instance)
-		case InstanceStarted:
-			h.start(rec.Instance, ev, reply)
+		case RecordInstanceStarted:
+			h.start(rec.Instance, rec.Started, reply)
 			order = append(order, rec.Instance)
-		default:
-			in := h.instances[rec.Instance]
-			if in == nil {
-				continue // an event of a life that is over
-			}
-			if t, ok := ev.(control.Tick); ok {
-				t.Gauges = settings.ReadGauges(in.gauges, rec.GaugeValues)
-				in.events = append(in.events, t)
-			} else {
-				in.events = append(in.events, ev.(control.Event))
+		case RecordEvent:
+			if h.addEvent(rec) {
+				order = append(order, rec.Instance)
 			}
-			order = append(order, rec.Instance)
 		}
 	}
 	for i, id := range order {
 		if !slices.Contains(order[:i], id) {
-			h.step(b.Now, id, reply)
+			h.step(batch.Now, id, reply)
 		}
 	}
 	return reply
 }
 
-func (h *Host) start(id uint32, ev InstanceStarted, reply *Reply) {
+// addEvent adds an event to those of its instance; false says that it belongs to a life that has ended.
+func (h *Host) addEvent(rec Record) bool {
+	target := h.instances[rec.Instance]
+	if target == nil {
+		return false
+	}
+	event := rec.Event
+	if tick, ok := event.(control.Tick); ok {
+		tick.Gauges = settings.ReadGauges(target.gaugeNames, rec.GaugeValues)
+		event = tick
+	}
+	target.events = append(target.events, event)
+	return true
+}
+
+// start begins the life of an instance.
+func (h *Host) start(id uint32, started InstanceStarted, reply *Reply) {
 	delete(h.instances, id)
-	s, gauges, err := settings.Parse(ev.Settings, ev.Seed)
+	parsed, gaugeNames, err := settings.Parse(started.Settings, started.Seed)
 	if err != nil {
 		reply.ReportFailure(id, err.Error())
 		return
 	}
-	ctl, err := control.New(s)
+	controller, err := control.New(parsed)
 	if err != nil {
 		reply.ReportFailure(id, err.Error())
 		return
 	}
-	h.instances[id] = &instance{ctl: ctl, gauges: gauges}
+	h.instances[id] = &instance{controller: controller, gaugeNames: gaugeNames}
 }
 
-// step runs one instance on its events. A panic is reported as the wire's internal error.
+// step runs one instance on its events. A panic of its controller is reported as the wire wants it, and ends only this
+// instance.
 func (h *Host) step(now time.Duration, id uint32, reply *Reply) {
-	in := h.instances[id]
-	if in == nil {
+	stepped := h.instances[id]
+	if stepped == nil {
 		return
 	}
 	defer func() {
-		if p := recover(); p != nil {
+		if cause := recover(); cause != nil {
 			delete(h.instances, id)
-			reply.ReportFailure(id, fmt.Sprintf("panic: %v", p))
+			reply.ReportFailure(id, fmt.Sprintf("panic: %v", cause))
 		}
 	}()
-	events := in.events
-	in.events = nil
-	for _, a := range in.ctl.Step(now, events) {
-		reply.Append(id, a)
+	events := stepped.events
+	stepped.events = nil
+	for _, action := range stepped.controller.Step(now, events) {
+		reply.Append(id, action)
 	}
 }
