--- a/internal/server/loopback_test.go
+++ b/internal/server/loopback_test.go
@@ -26,7 +26,7 @@
 	require.NoError(t, err)
 	closeStore := func() {}
 	if file != "" {
-		database, err := store.Open(store.SQLite, file, "n0", time.Minute)
+		database, err := store.Open(store.Config{Driver: store.SQLite, DSN: file, Server: "n0", Timeout: time.Minute})
 		require.NoError(t, err)
 		require.NoError(t, srv.UseStore(database, clock.Now()))
 		closeStore = func() { require.NoError(t, database.Close()) }
