--- a/example/toy/client.go
+++ b/example/toy/client.go
@@ -8,74 +8,93 @@
 	"strconv"
 	"time"
 
+	"pewterline/internal/frontend"
 	"pewterline/internal/protocol/ajp"
 	"pewterline/internal/protocol/thrift"
 )
 
-func sendThrift(addr, class, once string) error {
-	c, err := net.Dial("tcp", addr)
-	if err != nil {
-		return err
-	}
-	defer c.Close() //nolint:errcheck // only read from here on
-	fields := []thrift.Field{{Name: "class", Value: class}, {Name: "id", Value: fmt.Sprintf("%016x", rand.Uint64())},
-		{Name: "at", Value: strconv.FormatInt(time.Now().UnixMilli(), 10)}, {Name: "from", Value: "1"},
-		{Name: "tenant", Value: "hill-estate"}, {Name: "kb", Value: "24"}, {Name: "rank", Value: "0.5"}}
-	if once != "" {
-		fields = append(fields, thrift.Field{Name: "once", Value: once})
+const (
+	requestTenant = "hill-estate"
+	requestBody   = "three baskets"
+)
+
+// sendThrift sends a request as a proxy does, and prints the payload of the answer.
+func sendThrift(addr, class, idempotencyKey string) error {
+	fields := []thrift.Field{
+		{Name: frontend.FieldClass, Value: class},
+		{Name: frontend.FieldAttemptID, Value: fmt.Sprintf("%016x", rand.Uint64())},
+		{Name: frontend.FieldSentAt, Value: strconv.FormatInt(time.Now().UnixMilli(), 10)},
+		{Name: frontend.FieldCallerID, Value: "1"},
+		{Name: frontend.FieldTenant, Value: requestTenant},
+		{Name: frontend.FieldQueuedKB, Value: "24"},
+		{Name: frontend.FieldRank, Value: "0.5"},
 	}
-	if _, err := c.Write(thrift.AppendCall(nil, 1, fields, []byte("three baskets"))); err != nil {
-		return err
+	if idempotencyKey != "" {
+		fields = append(fields, thrift.Field{Name: frontend.FieldIdempotencyKey, Value: idempotencyKey})
 	}
-	return show(c, func(in []byte) ([]byte, int, error) { return thrift.SplitFrame(in) }, func(p []byte) bool {
-		fmt.Printf("%q\n", p)
-		return true
+	return exchange(addr, thrift.AppendCall(nil, 1, fields, []byte(requestBody)), thrift.SplitFrame,
+		func(payload []byte) bool {
+			fmt.Printf("%q\n", payload)
+			return true
+		})
+}
+
+// sendAJP sends a request as a web server does, and prints the response.
+func sendAJP(addr, class, idempotencyKey string) error {
+	body := []byte(requestBody)
+	request := ajp.AppendForwardRequest(nil, ajp.Request{
+		Method:     "POST",
+		URI:        "/" + class,
+		RemoteAddr: "127.0.0.1",
+		Headers: []ajp.Header{
+			{Name: "content-length", Value: strconv.Itoa(len(body))},
+			{Name: "X-Relay-Tenant", Value: requestTenant},
+			{Name: "X-Relay-Once", Value: idempotencyKey},
+		},
 	})
+	request, _ = ajp.AppendBodyChunk(request, body) // it fits one packet
+	split := func(in []byte) ([]byte, int, error) { return ajp.SplitPacket(in, ajp.FromContainer) }
+	return exchange(addr, request, split, printResponse)
 }
 
-func sendAJP(addr, class, once string) error {
-	c, err := net.Dial("tcp", addr)
+// printResponse prints a packet of a response; true: it was the last.
+func printResponse(payload []byte) bool {
+	response, err := ajp.ParseResponse(payload)
 	if err != nil {
-		return err
+		fmt.Println(err)
+		return true
 	}
-	defer c.Close() //nolint:errcheck // only read from here on
-	body := []byte("three baskets")
-	out := ajp.AppendForwardRequest(nil, ajp.Request{Method: "POST", URI: "/" + class, RemoteAddr: "127.0.0.1", Headers: []ajp.Header{
-		{Name: "content-length", Value: strconv.Itoa(len(body))}, {Name: "X-Relay-Tenant", Value: "hill-estate"},
-		{Name: "X-Relay-Once", Value: once}}})
-	out, _ = ajp.AppendBodyChunk(out, body)
-	if _, err := c.Write(out); err != nil {
-		return err
+	switch response.Code {
+	case ajp.CodeSendHeaders:
+		fmt.Println(response.Status, response.Headers)
+	case ajp.CodeSendBodyChunk:
+		fmt.Printf("%s\n", response.BodyChunk)
+	default: // it has nothing to print
 	}
-	return show(c, func(in []byte) ([]byte, int, error) { return ajp.SplitPacket(in, ajp.FromContainer) }, func(p []byte) bool {
-		r, err := ajp.ParseResponse(p)
-		if err != nil {
-			fmt.Println(err)
-			return true
-		}
-		switch r.Code {
-		case ajp.CodeSendHeaders:
-			fmt.Println(r.Status, r.Headers)
-		case ajp.CodeSendBodyChunk:
-			fmt.Printf("%s\n", r.BodyChunk)
-		}
-		return r.Code == ajp.CodeEndResponse
-	})
+	return response.Code == ajp.CodeEndResponse
 }
 
-// errLast ends the reading behind the last message.
-var errLast = errors.New("that was the last message")
+// errLastMessage ends the reading behind the last message.
+var errLastMessage = errors.New("that was the last message")
 
-// show reads messages until last says that there are no more.
-func show(conn net.Conn, split func([]byte) ([]byte, int, error), last func([]byte) bool) error {
-	err := readMessages(conn, func(in []byte) (int, error) {
-		message, n, err := split(in)
-		if message != nil && last(message) {
-			return n, errLast
+// exchange sends a request on a new connection and hands messages to show until that says that there are no more.
+func exchange(addr string, request []byte, split func([]byte) ([]byte, int, error), show func([]byte) bool) error {
+	conn, err := net.Dial("tcp", addr)
+	if err != nil {
+		return err
+	}
+	defer func() { _ = conn.Close() }() // all that is wanted has been read
+	if _, err := conn.Write(request); err != nil {
+		return err
+	}
+	err = readMessages(conn, func(in []byte) (int, error) {
+		message, size, err := split(in)
+		if message != nil && show(message) {
+			return size, errLastMessage
 		}
-		return n, err
+		return size, err
 	})
-	if errors.Is(err, errLast) {
+	if errors.Is(err, errLastMessage) {
 		return nil
 	}
 	return err
--- a/example/toy/main.go
+++ b/example/toy/main.go
@@ -1,4 +1,5 @@
-// Command toy is a worker pool and a vault to try the server with, and a client for either of its protocols.
+// Command toy is what is needed to try the server by hand: a worker pool and a vault on one side, and a client for
+// either of the server's protocols on the other. It keeps nothing and is no part of the server.
 package main
 
 import (
@@ -9,51 +10,77 @@
 	"time"
 )
 
-func main() {
-	listen := flag.String("listen", "", "serve as a worker pool on this address")
-	vaultAddr := flag.String("vault", "", "with -listen: serve as the vault on this address as well")
-	calls := flag.String("calls", "lot-update", "the class whose runs call the vault; it has to call in the server's configuration too")
-	send := flag.String("send", "", "send one request by Thrift to this address")
-	office := flag.String("ajp", "", "send one request by AJP to this address")
-	class := flag.String("class", "block-view", "the request's class")
-	once := flag.String("once", "", "the request's once-key")
-	work := flag.Duration("work", 200*time.Millisecond, "how long the pool takes over a request")
+// readBufferSize is how much is read from a connection at once, in bytes.
+const readBufferSize = 4096
+
+// options are the command line's.
+type options struct {
+	poolAddr       string
+	vaultAddr      string
+	callClass      string
+	thriftAddr     string
+	ajpAddr        string
+	class          string
+	idempotencyKey string
+	work           time.Duration
+}
+
+func parseOptions() options {
+	var opts options
+	flag.StringVar(&opts.poolAddr, "listen", "", "serve as a worker pool on this address")
+	flag.StringVar(&opts.vaultAddr, "vault", "", "with -listen: serve as the vault on this address as well")
+	flag.StringVar(&opts.callClass, "calls", "lot-update",
+		"the class whose runs call the vault; it has to call in the server's configuration too")
+	flag.StringVar(&opts.thriftAddr, "send", "", "send one request by Thrift to this address")
+	flag.StringVar(&opts.ajpAddr, "ajp", "", "send one request by AJP to this address")
+	flag.StringVar(&opts.class, "class", "block-view", "the request's class")
+	flag.StringVar(&opts.idempotencyKey, "once", "", "the request's idempotency key")
+	flag.DurationVar(&opts.work, "work", 200*time.Millisecond, "how long the pool takes over a request")
 	flag.Parse()
-	var err error
+	return opts
+}
+
+var errNothingToDo = errors.New("one of -listen, -send and -ajp is needed")
+
+func main() {
+	if err := run(parseOptions()); err != nil {
+		log.Fatal("toy: ", err)
+	}
+}
+
+func run(o options) error {
 	switch {
-	case *listen != "":
-		err = serve(*listen, *vaultAddr, workers{work: *work, calls: *calls})
-	case *send != "":
-		err = sendThrift(*send, *class, *once)
-	case *office != "":
-		err = sendAJP(*office, *class, *once)
+	case o.poolAddr != "":
+		return serve(o.poolAddr, o.vaultAddr, workerPool{work: o.work, callClass: o.callClass})
+	case o.thriftAddr != "":
+		return sendThrift(o.thriftAddr, o.class, o.idempotencyKey)
+	case o.ajpAddr != "":
+		return sendAJP(o.ajpAddr, o.class, o.idempotencyKey)
 	default:
-		err = errors.New("one of -listen, -send and -ajp is needed")
-	}
-	if err != nil {
-		log.Fatal("toy: ", err)
+		return errNothingToDo
 	}
 }
 
-// serve is a worker pool and, where it has an address, a vault, until either fails.
-func serve(poolAddr, vaultAddr string, pool workers) error {
+// serve is a worker pool and, where it has an address, a vault, until either fails. Their goroutines end with the
+// process.
+func serve(poolAddr, vaultAddr string, pool workerPool) error {
 	failed := make(chan error, 2)
-	go func() { failed <- accept("worker pool", poolAddr, pool.serveLink) }()
+	go func() { failed <- accept("worker pool", poolAddr, pool.serve) }()
 	if vaultAddr != "" {
 		go func() { failed <- accept("vault", vaultAddr, serveVault) }()
 	}
 	return <-failed
 }
 
-// accept serves each connection to an address.
-func accept(what, addr string, serve func(net.Conn)) error {
-	ln, err := net.Listen("tcp", addr)
+// accept serves each connection to an address, in a goroutine that ends with the connection.
+func accept(name, addr string, serve func(net.Conn)) error {
+	listener, err := net.Listen("tcp", addr)
 	if err != nil {
 		return err
 	}
-	log.Printf("%s on %v", what, ln.Addr())
+	log.Printf("%s on %v", name, listener.Addr())
 	for {
-		conn, err := ln.Accept()
+		conn, err := listener.Accept()
 		if err != nil {
 			return err
 		}
@@ -61,24 +88,24 @@
 	}
 }
 
-// readMessages hands what comes on a connection to parse until it ends. parse takes a message off, and returns 0 while there is no
-// whole one.
-func readMessages(conn net.Conn, parse func(in []byte) (n int, err error)) error {
+// readMessages hands what comes on a connection to parse until it ends. parse takes a message off, and returns 0 while
+// there is no whole one.
+func readMessages(conn net.Conn, parse func(in []byte) (size int, err error)) error {
 	var in []byte
-	more := make([]byte, 4096)
+	buffer := make([]byte, readBufferSize)
 	for {
-		n, err := parse(in)
+		size, err := parse(in)
 		if err != nil {
 			return err
 		}
-		if n > 0 {
-			in = in[n:]
+		if size > 0 {
+			in = in[size:]
 			continue
 		}
-		got, err := conn.Read(more)
+		n, err := conn.Read(buffer)
 		if err != nil {
 			return err
 		}
-		in = append(in, more[:got]...)
+		in = append(in, buffer[:n]...)
 	}
 }
--- a/example/toy/vault.go
+++ b/example/toy/vault.go
@@ -9,18 +9,18 @@
 
 // serveVault answers each call on a connection at once, with what it was given.
 func serveVault(conn net.Conn) {
-	defer conn.Close() //nolint:errcheck // nothing is left to write
+	defer func() { _ = conn.Close() }() // nothing is left to write
 	err := readMessages(conn, func(in []byte) (int, error) {
-		command, n, err := vault.ParseCommand(in)
-		if n == 0 || command.Verb != vault.Ask {
-			return n, err
+		command, size, err := vault.ParseCommand(in)
+		if size == 0 || command.Verb != vault.Ask {
+			return size, err
 		}
 		log.Printf("call for %s, which waits %d ms", command.ID, command.WaitMS)
 		reply := append([]byte("kept "), command.Body...)
 		if _, err := conn.Write(vault.AppendReply(nil, command.ID, vault.Yes, reply)); err != nil {
 			return 0, err
 		}
-		return n, nil
+		return size, nil
 	})
 	log.Printf("connection to the vault ended: %v", err)
 }
