--- a/cmd/pewterline/predecessor.go
+++ b/cmd/pewterline/predecessor.go
@@ -130,7 +130,7 @@
 			_ = os.Remove(path) // another process may have done so
 		case errors.Is(err, syscall.ENOTSOCK) || errors.Is(err, errNoSocket):
 			s.logger.Warn("no socket of this user's, passed over", zap.String("path", path))
-		case errors.Is(err, upgrade.ErrVersion):
+		case errors.Is(err, upgrade.ErrVersionMismatch):
 			return nil, nil, fmt.Errorf("%w: %s: %w", errNotOurs, path, err)
 		default:
 			busy = fmt.Errorf("%s: %w", path, err)
@@ -192,7 +192,7 @@
 			return nil, err
 		}
 		if received += size; received > maxStateBytes {
-			return nil, fmt.Errorf("%w: over %d bytes were told", upgrade.ErrFrame, maxStateBytes)
+			return nil, fmt.Errorf("%w: over %d bytes were told", upgrade.ErrMalformedFrame, maxStateBytes)
 		}
 		switch message.Kind {
 		case upgrade.Reject:
--- a/cmd/pewterline/serve.go
+++ b/cmd/pewterline/serve.go
@@ -142,7 +142,12 @@
 	if cfg.Driver == "" {
 		return nil
 	}
-	records, err := store.Open(cfg.Driver, cfg.DSN, p.cfg.Name, cfg.Timeout)
+	records, err := store.Open(store.Config{
+		Driver:  cfg.Driver,
+		DSN:     cfg.DSN,
+		Server:  p.cfg.Name,
+		Timeout: cfg.Timeout,
+	})
 	if err != nil {
 		return err
 	}
