--- a/internal/server/backends.go
+++ b/internal/server/backends.go
@@ -12,26 +12,26 @@
 	"pewterline/internal/vaultclient"
 )
 
-// backends holds the one backend that runs the requests of this server: other log servers, an AJP server or the worker
-// pool. The others are nil.
-type backends struct {
+// backendSet holds the one backend that runs the requests of this server: other log servers, an AJP server or the
+// worker pool. The others are nil.
+type backendSet struct {
 	upstream *upstream.Backend
 	ajp      *ajpbackend.Backend
 	pool     *workerpool.Backend
 	vault    *vaultclient.Client // Goes with pool: its runs make calls to the vault.
 }
 
-// newBackends builds the backend that the configuration names.
-func newBackends(cfg config.Config, clock WallClock, logf func(format string, args ...any)) (backends, error) {
+// newBackendSet builds the backend that the configuration names.
+func newBackendSet(cfg config.Config, clock WallClock, logf func(format string, args ...any)) (backendSet, error) {
 	switch {
 	case len(cfg.Fleet.Members) > 0:
 		backend, err := upstream.New(upstream.Config{Fleet: cfg.Fleet, Name: cfg.Name, Settings: cfg.Settings}, clock, logf)
-		return backends{upstream: backend}, err
+		return backendSet{upstream: backend}, err
 	case cfg.AJP.BackendAddress != "":
 		runTimeout := longestUse(cfg.Settings.Classes)
-		return backends{ajp: ajpbackend.New(ajpbackend.Config{AJP: cfg.AJP, RunTimeout: runTimeout}, logf)}, nil
+		return backendSet{ajp: ajpbackend.New(ajpbackend.Config{AJP: cfg.AJP, RunTimeout: runTimeout}, logf)}, nil
 	}
-	return backends{
+	return backendSet{
 		pool:  workerpool.New(workerpool.Config{Address: cfg.PoolAddress, Gauges: cfg.Gauges}, logf),
 		vault: vaultclient.New(cfg.VaultAddress, logf),
 	}, nil
@@ -47,7 +47,7 @@
 }
 
 // active is the backend that runs requests.
-func (b *backends) active() dispatch.Backend {
+func (b *backendSet) active() dispatch.Backend {
 	switch {
 	case b.upstream != nil:
 		return b.upstream
@@ -58,7 +58,7 @@
 }
 
 // attach starts the backend on the loop, and with it the core.
-func (b *backends) attach(core *dispatch.Core, loop EventLoop) {
+func (b *backendSet) attach(core *dispatch.Core, loop EventLoop) {
 	if b.upstream != nil {
 		b.upstream.Attach(core, loop)
 	}
@@ -74,7 +74,7 @@
 }
 
 // exchange is the gossip with other instances; it is nil where there is none.
-func (b *backends) exchange() *peers.Exchange {
+func (b *backendSet) exchange() *peers.Exchange {
 	if b.upstream == nil {
 		return nil
 	}
@@ -82,14 +82,14 @@
 }
 
 // expireCalls ends the calls to the vault that are due, before the core takes its step.
-func (b *backends) expireCalls(now microtime.Time) {
+func (b *backendSet) expireCalls(now microtime.Time) {
 	if b.vault != nil {
 		b.vault.Check(now)
 	}
 }
 
 // check does what is due in the backend. It returns when to check again.
-func (b *backends) check(now microtime.Time) microtime.Time {
+func (b *backendSet) check(now microtime.Time) microtime.Time {
 	switch {
 	case b.upstream != nil:
 		return b.upstream.Check(now)
--- a/internal/server/health_test.go
+++ b/internal/server/health_test.go
@@ -38,3 +38,18 @@
 		})
 	}
 }
+
+// A report is due at regular times, at once when health changes, and at once when the control plane has moved.
+func TestHealthReportIsDue(t *testing.T) {
+	reporter := newHealthReporter()
+	const now = microtime.Second
+	require.True(t, reporter.due(now, true), "the first one")
+	reporter.sent(now, true)
+	require.False(t, reporter.due(now+healthReportInterval-1, true))
+	require.True(t, reporter.due(now+healthReportInterval, true))
+	require.True(t, reporter.due(now+1, false), "health has changed")
+	reporter.sent(now+1, false)
+	require.False(t, reporter.due(now+2, false))
+	reporter.reportNow()
+	require.True(t, reporter.due(now+2, false))
+}
--- /dev/null
+++ b/internal/server/names_test.go
@@ -0,0 +1,80 @@
+package server
+
+import (
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"pewterline/control"
+	"pewterline/internal/microtime"
+)
+
+// A class that a reload retires is found until its acceptance ends: for its retention window, and for a minimum.
+func TestRetiredClassIsFoundForAWhile(t *testing.T) {
+	for _, tc := range []struct {
+		name      string
+		retention time.Duration
+		accepted  microtime.Time
+	}{
+		{"short retention", time.Second, minRetiredAcceptance},
+		{"long retention", 20 * time.Second, 20 * microtime.Second},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			class := control.Class{Name: "lot-intake", RetentionWindow: tc.retention}
+			old := control.Settings{Classes: []control.Class{{Name: "block-view"}, class}}
+			class.Retired = true
+			settings := control.Settings{Classes: []control.Class{{Name: "block-view"}, class}}
+			names := newNameIndex(old)
+			const now = microtime.Second
+			names.replace(old, settings, now)
+			place, known := names.class("lot-intake")
+			require.True(t, known)
+			require.Equal(t, 1, place)
+			require.True(t, names.accepted(1))
+			require.False(t, names.accepted(0))
+
+			end := now + tc.accepted
+			require.Equal(t, end, names.expireRetired(settings, end-1))
+			_, known = names.class("lot-intake")
+			require.True(t, known)
+			require.Equal(t, microtime.Never, names.expireRetired(settings, end))
+			_, known = names.class("lot-intake")
+			require.False(t, known)
+		})
+	}
+}
+
+// A new class takes the name over from a retired one at once, and a class that comes back to its place is served again.
+func TestRetiredClassIsReplaced(t *testing.T) {
+	old := control.Settings{Classes: []control.Class{{Name: "block-view"}}}
+	replaced := control.Settings{Classes: []control.Class{{Name: "block-view", Retired: true}, {Name: "block-view"}}}
+	names := newNameIndex(old)
+	names.replace(old, replaced, microtime.Second)
+	place, known := names.class("block-view")
+	require.True(t, known)
+	require.Equal(t, 1, place)
+	require.True(t, names.accepted(0), "its place is still in use")
+
+	names.replace(replaced, old, 2*microtime.Second)
+	place, known = names.class("block-view")
+	require.True(t, known)
+	require.Zero(t, place)
+	require.False(t, names.accepted(0))
+}
+
+// Where the settings name tenants, others are unknown; where they name none, each name is known.
+func TestTenantNames(t *testing.T) {
+	tenants := []control.Tenant{{Name: "hill-estate"}, {Name: "lake-vines"}}
+	named := newNameIndex(control.Settings{Tenants: tenants})
+	place, known := named.tenant("lake-vines")
+	require.True(t, known)
+	require.Equal(t, 1, place)
+	_, known = named.tenant("nobody")
+	require.False(t, known)
+
+	unnamed := newNameIndex(control.Settings{})
+	place, known = unnamed.tenant("anybody")
+	require.True(t, known)
+	require.Zero(t, place)
+}
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -31,17 +31,28 @@
 // idleSweepInterval is the time between two searches for idle client connections.
 const idleSweepInterval = 250 * microtime.Millisecond
 
-// EventLoop is what the server needs of the event loop.
+// EventLoop is what the server needs of the event loop. Package transport's Loop implements it.
 type EventLoop interface {
+	// Now is the time of the turn.
 	Now() microtime.Time
+	// Dial opens a connection to an address. It retries after a backoff until that opens, or until drop is called.
 	Dial(addr string, open func(transport.Conn) transport.Session) (drop func())
+	// DialOnce tries once to open a connection to an address, and calls failed where that fails. Neither open nor failed
+	// is called after drop.
 	DialOnce(addr string, open func(transport.Conn) transport.Session, failed func()) (drop func())
+	// SetDatagramPeer sets the address that SendDatagram sends to. After an error the one before stays.
 	SetDatagramPeer(addr string) error
+	// SendDatagram sends a datagram, which may be lost.
 	SendDatagram([]byte)
+	// Execute runs a task in a turn. It may be called from any goroutine; an error says that the loop has ended.
 	Execute(func()) error
-	Rand() uint64 // need not be secret
+	// Rand is a random number that need not be secret.
+	Rand() uint64
+	// CloseListener closes a listener once the connections that wait there are accepted, and then calls done.
 	CloseListener(listener int, done func())
-	Shutdown(by microtime.Time)
+	// Shutdown closes all accepted connections after what was written, and ends the loop once their peers have closed
+	// them, or at the deadline.
+	Shutdown(deadline microtime.Time)
 }
 
 // WallClock converts between the wall clock, in Unix milliseconds, and the program's time.
@@ -59,7 +70,7 @@
 
 	core      *dispatch.Core
 	clients   clients
-	backends  backends
+	backends  backendSet
 	replica   *replication.Replica // Nil unless executions are recorded with a replication group.
 	operators *admin.Handler
 
@@ -75,7 +86,7 @@
 
 // New builds a server. Attach must follow, on its loop.
 func New(cfg config.Config, clock WallClock, logf func(format string, args ...any)) (*Server, error) {
-	backends, err := newBackends(cfg, clock, logf)
+	backends, err := newBackendSet(cfg, clock, logf)
 	if err != nil {
 		return nil, fmt.Errorf("server: %w", err)
 	}
--- a/internal/server/shutdown_test.go
+++ b/internal/server/shutdown_test.go
@@ -10,6 +10,39 @@
 	"pewterline/internal/protocol/thrift"
 )
 
+// The loop ends somewhat before the process would be killed, and a drain stops accepting requests at the end of the
+// grace, or earlier where the time is too short for clients to close their connections.
+func TestShutdownTimes(t *testing.T) {
+	const notifiedAt = 10 * microtime.Second
+	for _, tc := range []struct {
+		name             string
+		timeout          microtime.Time
+		grace            microtime.Time
+		killMargin       microtime.Time
+		stopsAcceptingIn microtime.Time
+	}{
+		{"long timeout", 4 * microtime.Second, 2 * microtime.Second, maxKillMargin, 2 * microtime.Second},
+		{"grace up to the timeout", 2 * microtime.Second, 2 * microtime.Second, maxKillMargin, 1400 * microtime.Millisecond},
+		{"short timeout", 200 * microtime.Millisecond, 0, 50 * microtime.Millisecond, -350 * microtime.Millisecond},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			state := shutdownState{notifiedAt: notifiedAt}
+			state.stopWithin(notifiedAt, tc.timeout)
+			require.Equal(t, tc.killMargin, state.killMargin)
+			require.Equal(t, notifiedAt+tc.timeout-tc.killMargin, state.stopAt)
+			require.Equal(t, notifiedAt+tc.stopsAcceptingIn, state.drainStopsAccepting(tc.grace))
+		})
+	}
+}
+
+func TestLifecycleStageString(t *testing.T) {
+	for stage, want := range map[lifecycleStage]string{
+		serving: "serving", draining: "draining", handedOver: "handed over", 7: "lifecycleStage(7)",
+	} {
+		require.Equal(t, want, stage.String())
+	}
+}
+
 // Requests in the accept queue when the server comes to its end are answered: the system has accepted them, so that
 // they are the server's. They come while the loop is in the turn in which the last request before them is answered.
 func TestShutdownAnswersAcceptQueue(t *testing.T) {
