--- a/internal/testbed/sim/sim.go
+++ b/internal/testbed/sim/sim.go
@@ -295,6 +295,9 @@
 	l.obs.CallsRoutedTo(s.name, s.cfg.VaultAddress)
 	srv := s.program
 	between := l.opts.interposer()
+	if controllers, ok := between.(controllerInterposer); ok {
+		srv.UseController(controllers.newController)
+	}
 	s.host = simnet.NewHost(node, simnet.HostConfig{
 		Options: transport.Options{MaxConns: sockets - 40, MaxBuffered: memory / 8, Logf: logf},
 		Handler: between.handler(srv),
