--- a/control/admission.go
+++ b/control/admission.go
@@ -1,9 +1,7 @@
 package control
 
 import (
-	"cmp"
 	"math"
-	"slices"
 	"time"
 )
 
@@ -15,92 +13,102 @@
 	lateReadShare = 1.0 / 8
 )
 
-func (c *Controller) requestArrived(a RequestArrived) {
-	if a.Class < 0 || a.Class >= len(c.classes) {
-		c.emit(Fail{a.ID}) // nothing is known of it but that it is owed an answer
+// requestArrived counts, queues or rejects a request that was just read.
+func (c *Controller) requestArrived(event RequestArrived) {
+	if event.Class < 0 || event.Class >= len(c.classes.all) {
+		c.emit(Fail{ID: event.ID}) // Nothing is known of it but that it is owed an answer.
 		return
 	}
-	k := c.classes[a.Class]
-	r := &request{RequestArrived: a, arrivedAt: c.now - a.Age, dueAt: a.Deadline}
-	if !c.settings.DeadlinePropagated || a.Deadline == 0 {
-		r.dueAt = r.arrivedAt + k.Deadline
+	req := &request{RequestArrived: event, arrivedAt: c.now - event.Age, dueAt: event.Deadline}
+	class := c.classes.of(req)
+	if !c.settings.DeadlinePropagated || event.Deadline == 0 {
+		req.dueAt = req.arrivedAt + class.Deadline
 	}
-	c.requests[a.ID], c.requestOrder = r, append(c.requestOrder, r)
-	c.stateCounts[stateQueued], c.queuedKB, c.recentArrivals, c.signalArrivals = c.stateCounts[stateQueued]+1,
-		c.queuedKB+a.QueuedKB, c.recentArrivals+1, c.signalArrivals+1
-	c.noteCaller(r)
-	c.openPerCaller[r.Caller]++
-	c.maxOpenPerCaller = max(c.maxOpenPerCaller, c.openPerCaller[r.Caller])
-	c.chargeQuota(r)
-	if a.Retry {
-		c.recentRetries++
+	c.requests.add(req)
+	c.memory.requestQueued(req.QueuedKB)
+	c.demand.requestArrived(req.Retry)
+	c.signal.requestArrived(req.Caller)
+	c.connections.requestArrived(req.Caller, req.arrivedAt, c.now)
+	req.overQuota = c.quotas.charge(req.Tenant, req.Retry)
+	if req.CostHint > 0 {
+		class.costHint.add(req.CostHint.Seconds())
 	}
-	if a.CostHint > 0 {
-		k.costHint.add(a.CostHint.Seconds())
-	}
-	if a.Original != 0 && c.replayOriginal(r) {
+	if req.Original != 0 && c.replayOriginal(req) {
 		return
 	}
-	if !k.bestEffort {
-		c.priorityLoad += c.slotSeconds(r) / fadeTime.Seconds()
+	if !class.bestEffort {
+		c.demand.priorityRequestArrived(class.slotSeconds(req.CostHint))
 	}
-	k.queue = append(k.queue, r)
-	slices.SortStableFunc(k.queue, func(a, b *request) int { return cmp.Compare(a.arrivedAt, b.arrivedAt) })
-	if !c.retainKey(r) || c.mayNotStart(r) {
-		c.reject(r, false)
+	class.enqueue(req)
+	if !c.retainKey(req) || c.mayNotStart(req) {
+		c.reject(req, false)
 	}
 }
 
-// mayNotStart says that r cannot be run here whatever waits.
-func (c *Controller) mayNotStart(r *request) bool {
-	k, late := c.classes[r.Class], r.arrivedAt+r.Age > c.drainRequestedAt+c.settings.DrainGrace ||
-		c.now+c.serviceTime(r) > c.stopAt
-	return c.draining && late || c.unhealthyReason != "" && (k.Idempotency != Idempotent || len(k.queue) > 1)
+// serviceTime is the time from start to end that a request should take at present, with the margin of its class.
+func (c *Controller) serviceTime(req *request) time.Duration {
+	class := c.classes.of(req)
+	slotSeconds := class.slotSeconds(req.CostHint) * c.slowdown.factor
+	callSeconds := class.callsPerRequest.value * c.calls.callSeconds()
+	return seconds(class.serviceMargin * (slotSeconds + callSeconds))
+}
+
+// mayNotStart reports whether a request must not be run here, however short the queue is.
+func (c *Controller) mayNotStart(req *request) bool {
+	if c.drain.forbids(req.arrivedAt+req.Age, c.now+c.serviceTime(req)) {
+		return true
+	}
+	class := c.classes.of(req)
+	return c.health.reason != reasonNone && (class.Idempotency != Idempotent || len(class.queue) > 1)
 }
 
-// isTooLate says that r cannot be answered in time to be worth its work. Late answers are for idle times.
-func (c *Controller) isTooLate(r *request) bool {
-	use := c.usefulUntil(r)
-	if c.classes[r.Class].LateWeightShare > 0 && c.stateCounts[stateQueued] <= c.settings.Cores {
-		use = r.dueAt
+// isTooLate reports whether a request cannot be answered in time to be worth its work. Late answers are for idle
+// times.
+func (c *Controller) isTooLate(req *request) bool {
+	class := c.classes.of(req)
+	latest := class.usefulUntil(req)
+	if class.LateWeightShare > 0 && c.requests.counts[stateQueued] <= c.settings.Cores {
+		latest = req.dueAt
 	}
-	return c.now+c.serviceTime(r) > use || c.draining && c.mayNotStart(r)
+	return c.now+c.serviceTime(req) > latest || c.drain.requested && c.mayNotStart(req)
 }
 
-// reject turns away a request that never ran; the advice grows with the share turned away. What is past its
-// use, or would meet only full servers or add to late reading, should not be tried elsewhere.
-func (c *Controller) reject(r *request, last bool) {
-	c.recentRejections++
-	if k := c.classes[r.Class]; !r.overQuota && !c.draining && c.unhealthyReason == "" {
-		k.rejectedShare.add(1)
-		k.recentOutcomes, k.recentRejections, c.signalRejections = k.recentOutcomes+1, k.recentRejections+1,
-			c.signalRejections+1
+// reject rejects a request that never ran. The advised pause grows with the share of rejections. What is past its use,
+// or would meet only overloaded servers or add to late reading, should not be retried elsewhere.
+func (c *Controller) reject(req *request, noRetry bool) {
+	class := c.classes.of(req)
+	c.demand.rejections++
+	if !req.overQuota && !c.rejectsAll() {
+		class.requestRejected()
+		c.signal.requestRejected()
 	}
-	deep := math.Min(c.recentRejections/math.Max(c.recentArrivals, 1), 1)
-	fleet := deep // how full the others are
+	rejectedShare := math.Min(c.demand.rejectedShare(), 1)
+	fleetLoad := rejectedShare // How overloaded the other servers are.
 	if c.settings.RetriesMarked {
-		fleet = c.recentRetries / math.Max(c.recentArrivals-c.recentRetries, 1)
+		fleetLoad = c.demand.retryRatio()
 	}
-	late := r.Age > seconds(lateReadShare*c.classes[r.Class].LatencyObjective.Seconds())
-	last = last || c.now > c.usefulUntil(r) || fleet > overloadedShare || deep > overloadedShare && late
-	if c.unhealthyReason != "" || c.draining {
-		deep = 1
+	readLate := req.Age > seconds(lateReadShare*class.LatencyObjective.Seconds())
+	noRetry = noRetry || c.now > class.usefulUntil(req) || fleetLoad > overloadedShare ||
+		rejectedShare > overloadedShare && readLate
+	pause := rejectedShare
+	if c.rejectsAll() {
+		pause = 1
 	}
-	c.emit(Reject{ID: r.ID, NoRetry: last, RetryAfter: time.Duration(deep * float64(c.settings.MaxRetryAfter))})
-	c.releaseKey(r)
-	c.remove(r)
+	retryAfter := time.Duration(pause * float64(c.settings.MaxRetryAfter))
+	c.emit(Reject{ID: req.ID, NoRetry: noRetry, RetryAfter: retryAfter})
+	c.releaseKey(req)
+	c.remove(req)
 }
 
-// undoArrival takes back what the arrival of r counted, as nobody had asked for it. Guards against bursts of made-up
-// requests: a server that turned away nearly all that was real took itself for one with room.
-func (c *Controller) undoArrival(r *request) {
-	c.recentArrivals, c.signalArrivals = math.Max(c.recentArrivals-1, 0), math.Max(c.signalArrivals-1, 0)
-	if r.Retry {
-		c.recentRetries = math.Max(c.recentRetries-1, 0)
-	} else if r.Tenant >= 0 && r.Tenant < len(c.quotaTokens) && !r.overQuota {
-		c.quotaTokens[r.Tenant]++
+// undoArrival takes back what the arrival of a request counted, as nobody had asked for it. This guards against bursts
+// of made-up requests: a server that rejected nearly all that was real took itself for one with capacity to spare.
+func (c *Controller) undoArrival(req *request) {
+	c.demand.undoArrival(req.Retry)
+	c.signal.undoArrival()
+	if !req.Retry && !req.overQuota {
+		c.quotas.refund(req.Tenant)
 	}
-	if k := c.classes[r.Class]; !k.bestEffort && r.Original == 0 {
-		c.priorityLoad = math.Max(c.priorityLoad-c.slotSeconds(r)/fadeTime.Seconds(), 0)
+	if class := c.classes.of(req); !class.bestEffort && req.Original == 0 {
+		c.demand.undoPriorityArrival(class.slotSeconds(req.CostHint))
 	}
 }
--- a/control/completion.go
+++ b/control/completion.go
@@ -1,92 +1,101 @@
 package control
 
-import (
-	"slices"
-	"time"
-)
+import "time"
 
-const (
-	// answerLeadTime is how long before they are due answers are sent.
-	answerLeadTime = 10 * time.Millisecond
-)
+// answerLeadTime is how long before they are due answers are sent.
+const answerLeadTime = 10 * time.Millisecond
 
-func (c *Controller) requestFinished(e RequestFinished) {
-	r := c.requests[e.ID]
-	if r == nil || r.state == stateQueued || e.Outcome == OutcomeAlreadyEnded {
+// requestFinished forgets a request that has ended and learns from it.
+func (c *Controller) requestFinished(event RequestFinished) {
+	req := c.requests.byID[event.ID]
+	if req == nil || req.state == stateQueued || event.Outcome == OutcomeAlreadyEnded {
 		return
 	}
-	was := r.state
-	c.remove(r)
-	if e.Outcome == OutcomeRejected {
-		c.undoArrival(r)
+	replayed := req.state == stateReplaying
+	c.remove(req)
+	if event.Outcome == OutcomeRejected {
+		c.undoArrival(req)
 	}
-	// What was joined, or failed by ourselves, says nothing of the machine.
-	if e.Outcome == OutcomeError && !r.answered && was != stateReplaying {
-		c.recentRuns++
-		c.recentErrors++
+	if replayed {
+		return // The result of another run says nothing of the machine.
 	}
-	if e.Outcome != OutcomeOK || was == stateReplaying {
-		return
+	switch event.Outcome {
+	case OutcomeOK:
+		c.learnFrom(req)
+	case OutcomeError:
+		if !req.answered { // Otherwise it was failed here.
+			c.health.runFailed()
+		}
+	default: // The host stopped it: that says nothing of the machine.
 	}
-	k := c.classes[r.Class]
-	c.recentRuns++
-	k.rejectedShare.add(0)
-	k.recentOutcomes++
-	c.epochWork += c.slotSeconds(r)
-	c.learnSlotTime(r, r.slotTime)
-	k.callsPerRequest.add(r.callsSucceeded)
-	k.service.add((c.now - r.startedAt).Seconds())
-	if !r.answered {
-		k.latencies = append(k.latencies, (c.now - r.arrivedAt).Seconds())
-		k.latencies = k.latencies[max(0, len(k.latencies)-sampleWindow):]
+}
+
+// learnFrom learns from a request that ran to its end.
+func (c *Controller) learnFrom(req *request) {
+	class := c.classes.of(req)
+	c.health.runSucceeded()
+	class.requestCompleted()
+	c.limiter.epochWork += class.slotSeconds(req.CostHint)
+	c.learnSlotTime(req, req.slotTime)
+	class.callsPerRequest.add(req.callsSucceeded)
+	class.service.add((c.now - req.startedAt).Seconds())
+	if !req.answered {
+		class.addLatency(c.now - req.arrivedAt)
 	}
 }
 
-// learnSlotTime takes in the slot time of r, which has ended, or is stopped and would have taken longer yet.
-func (c *Controller) learnSlotTime(r *request, took time.Duration) {
-	c.expectedSeconds += c.slotSeconds(r)
-	// At the usual pace: a slow spell would else count twice, in the slots that it made longer and in the pace.
-	c.usualSlowdown.addWithin(c.slowdown, usualSlowdownSamples)
-	slot := took.Seconds() * c.usualSlowdown.value / c.slowdown
-	c.classes[r.Class].slot.add(slot)
-	c.slotTime.add(slot)
+// learnSlotTime learns from the slot time of a request that has ended, or is stopped and would have taken longer yet.
+func (c *Controller) learnSlotTime(req *request, took time.Duration) {
+	class := c.classes.of(req)
+	usualSeconds := c.slowdown.completed(class.slotSeconds(req.CostHint), took)
+	class.slot.add(usualSeconds)
 }
 
-// releaseCaller lets go of what is answered or whose caller left: what never ran ends, safe runs stop where they
-// can. Keyed work goes on: a repeat joins it.
-func (c *Controller) releaseCaller(r *request) {
-	r.answered = true
-	if r.state == stateQueued || r.state == stateReplaying {
-		c.releaseKey(r)
-		c.remove(r)
-	} else if c.settings.Preemption != PreemptNever && r.state == stateRunning &&
-		c.classes[r.Class].Idempotency == Idempotent {
-		c.emit(Preempt{r.ID})
+// requestCancelled ends or stops a request whose caller has left.
+func (c *Controller) requestCancelled(event RequestCancelled) {
+	if req := c.requests.byID[event.ID]; req != nil {
+		c.releaseCaller(req)
+	}
+}
+
+// releaseCaller ends or stops a request that is answered or whose caller has left: what never ran ends, and idempotent
+// runs are preempted where they can be. Runs with an idempotency key go on, as a repeat may want their result.
+func (c *Controller) releaseCaller(req *request) {
+	req.answered = true
+	if req.neverRan() {
+		c.releaseKey(req)
+		c.remove(req)
+		return
+	}
+	if c.settings.Preemption != PreemptNever && req.state == stateRunning &&
+		c.classes.of(req).Idempotency == Idempotent {
+		c.emit(Preempt{ID: req.ID})
 	}
 }
 
-// answerOverdue fails whatever nears its due time, and everything just before the process is stopped.
+// answerOverdue fails requests that are nearly due, all of them just before the process is stopped, and those that run
+// in vain.
 func (c *Controller) answerOverdue() {
-	c.requestOrder = slices.DeleteFunc(c.requestOrder, func(r *request) bool { return c.requests[r.ID] != r })
-	for _, r := range c.requestOrder {
-		if !r.answered && (c.now >= r.dueAt-answerLeadTime || c.draining && c.now >= c.stopAt-2*tickInterval) {
-			c.fail(r)
-		} else if c.runsInVain(r) {
-			c.learnSlotTime(r, r.slotTime+c.now-r.stateSince)
-			c.fail(r)
+	for _, req := range c.requests.open() {
+		if !req.answered && (c.now >= req.dueAt-answerLeadTime || c.drain.answersAreDue(c.now)) {
+			c.fail(req)
+		} else if c.runsInVain(req) {
+			c.learnSlotTime(req, req.slotTime+c.now-req.stateSince)
+			c.fail(req)
 		}
 	}
 }
 
-// runsInVain says that r runs past its use while its slot is wanted for work that still has one. Guards against
-// the few that take far longer than others: they held a tenth of the slots for answers worth nothing.
-func (c *Controller) runsInVain(r *request) bool {
-	k := c.classes[r.Class]
-	return r.state == stateRunning && !r.answered && k.Idempotency == Idempotent && k.LateWeightShare == 0 &&
-		c.settings.Preemption == PreemptDiscard && c.limitReached && c.now > c.usefulUntil(r)
+// runsInVain reports whether a request runs past its use while its slot is wanted for work that still has one. This
+// guards against the few that take far longer than others: they held a tenth of the slots for answers worth nothing.
+func (c *Controller) runsInVain(req *request) bool {
+	class := c.classes.of(req)
+	return req.state == stateRunning && !req.answered && class.Idempotency == Idempotent && class.LateWeightShare == 0 &&
+		c.settings.Preemption == PreemptDiscard && c.limiter.reached && c.now > class.usefulUntil(req)
 }
 
-func (c *Controller) fail(r *request) {
-	c.emit(Fail{r.ID})
-	c.releaseCaller(r)
+// fail answers a request with an error.
+func (c *Controller) fail(req *request) {
+	c.emit(Fail{ID: req.ID})
+	c.releaseCaller(req)
 }
