--- a/cmd/pewterline/upgrade.go
+++ b/cmd/pewterline/upgrade.go
@@ -218,7 +218,7 @@
 		if addr == "" {
 			continue
 		}
-		if err := l.Steer(i, place); err != nil {
+		if err := l.DirectConnections(i, place); err != nil {
 			h.logf("upgrade: %v: the kernel picks between both processes", err)
 		}
 	}
--- a/internal/backend/workerpool/backend.go
+++ b/internal/backend/workerpool/backend.go
@@ -26,8 +26,8 @@
 	SetGauges(control.Gauges)
 }
 
-// Loop is what the backend needs of the event loop.
-type Loop interface {
+// EventLoop is what the backend needs of the event loop.
+type EventLoop interface {
 	Now() microtime.Time
 	Dial(addr string, open func(transport.Conn) transport.Session) (drop func())
 }
@@ -42,7 +42,7 @@
 type Backend struct {
 	config Config
 	core   Core
-	loop   Loop
+	loop   EventLoop
 	logf   func(format string, args ...any)
 
 	current     transport.Conn // nil while there is no connection
@@ -73,7 +73,7 @@
 }
 
 // Attach ties the backend to its core and its loop, and opens the connection.
-func (b *Backend) Attach(core Core, loop Loop) {
+func (b *Backend) Attach(core Core, loop EventLoop) {
 	b.core, b.loop = core, loop
 	b.dial()
 }
--- a/internal/testbed/sim/planted_transport_test.go
+++ b/internal/testbed/sim/planted_transport_test.go
@@ -175,6 +175,7 @@
 				sent.sendAgain(conn)
 			case pool.Finished:
 				sent.finished(m.ID)
+			default: // it says nothing of whether a run has ended
 			}
 		}
 		return session.Receive(in)
--- a/internal/transport/sockets/listener.go
+++ b/internal/transport/sockets/listener.go
@@ -98,20 +98,20 @@
 	return 0
 }
 
-// Steer has the kernel give new connections to the listener of that index to one of the processes that share its
-// address by SO_REUSEPORT: the place counts them from 0, in the order in which they came to listen. Where there is no
-// such place, the kernel picks as it always does.
-func (l *Loop) Steer(index, place int) error {
+// DirectConnections has the kernel give new connections to the listener of that index to one of the processes that
+// share its address by SO_REUSEPORT: the place counts them from 0, in the order in which they came to listen. Where
+// there is no such place, the kernel picks as it always does.
+func (l *Loop) DirectConnections(index, place int) error {
 	fd, err := l.driver.engine.DupListener("tcp", l.driver.options.Listen[index])
 	if err != nil {
-		return fmt.Errorf("transport: steer: %w", err)
+		return fmt.Errorf("transport: direct connections: %w", err)
 	}
 	defer closeCopy(fd)
 	filter := []unix.SockFilter{
 		{Code: unix.BPF_RET | unix.BPF_K, K: uint32(place)},
 	}
 	if err := attachFilter(fd, unix.SO_ATTACH_REUSEPORT_CBPF, filter); err != nil {
-		return fmt.Errorf("transport: steer: %w", err)
+		return fmt.Errorf("transport: direct connections: %w", err)
 	}
 	return nil
 }
--- a/internal/vaultclient/client.go
+++ b/internal/vaultclient/client.go
@@ -15,8 +15,8 @@
 // MaxConns limits the descriptors of a client.
 const MaxConns = calls.MaxConns
 
-// Loop is what the client needs of the event loop.
-type Loop interface {
+// EventLoop is what the client needs of the event loop.
+type EventLoop interface {
 	Now() microtime.Time
 	// DialOnce tries once to open a connection: open gives its session, or failed reports the failure.
 	DialOnce(addr string, open func(transport.Conn) transport.Session, failed func()) (drop func())
@@ -28,7 +28,7 @@
 // Client makes calls. All its methods are called on the loop. CallEnded is only called by Check.
 type Client struct {
 	address    string
-	loop       Loop
+	loop       EventLoop
 	callEnded  CallEnded
 	logf       func(format string, args ...any)
 	pool       *calls.Pool
@@ -50,7 +50,7 @@
 }
 
 // Attach ties the client to its loop and to the caller.
-func (c *Client) Attach(loop Loop, callEnded CallEnded) { c.loop, c.callEnded = loop, callEnded }
+func (c *Client) Attach(loop EventLoop, callEnded CallEnded) { c.loop, c.callEnded = loop, callEnded }
 
 // Status is what operators may know of the client.
 type Status struct {
