--- a/internal/backend/workerpool/backend_test.go
+++ b/internal/backend/workerpool/backend_test.go
@@ -12,6 +12,7 @@
 	"pewterline/internal/microtime"
 	"pewterline/internal/protocol/pool"
 	"pewterline/internal/transport"
+	"pewterline/internal/transport/transporttest"
 )
 
 const (
@@ -28,21 +29,10 @@
 	backend  *Backend
 	now      microtime.Time
 	open     func(transport.Conn) transport.Session
-	conn     *conn
+	conn     *transporttest.Conn
 	reported []string // what the core was told of runs
 }
 
-type conn struct {
-	session transport.Session
-	out     string
-}
-
-func (c *conn) Write(p []byte)  { c.out += string(p) }
-func (c *conn) Close()          {}
-func (c *conn) Resume()         {}
-func (c *conn) MarkIdentified() {}
-func (c *conn) Remote() string  { return "pool" }
-
 func (b *testBench) Now() microtime.Time { return b.now }
 func (b *testBench) Dial(_ string, open func(transport.Conn) transport.Session) func() {
 	b.open = open
@@ -67,19 +57,18 @@
 // reconnect opens the next connection, on which the pool sends what was missed; it returns what it is sent once that
 // has been read.
 func (b *testBench) reconnect(missed string) string {
-	b.conn = &conn{}
-	b.conn.session = b.open(b.conn)
+	b.conn = transporttest.Open("pool", b.open)
 	b.sends("bound LOADED 0\r\n" + missed)
 	return b.sends(fmt.Sprintf("polled sync%d\r\n", b.backend.Status().Connections))
 }
 
 // sends has the pool send something; it returns what it is sent upon that.
 func (b *testBench) sends(text string) string {
-	b.conn.out = ""
-	n, err := b.conn.session.Receive([]byte(text))
+	b.conn.Written = ""
+	n, err := b.conn.Receive(text)
 	require.NoError(b.t, err)
 	require.Equal(b.t, len(text), n)
-	return b.conn.out
+	return b.conn.Written
 }
 
 // blocked starts a run that comes to its call under the first notice.
@@ -96,7 +85,7 @@
 	b.reported = nil
 }
 
-func (b *testBench) disconnect() { b.conn.session.Closed() }
+func (b *testBench) disconnect() { b.conn.Disconnect() }
 
 func finished(notice uint64, id string, end pool.Outcome) string {
 	return string(pool.AppendFinished(nil, notice, id, end, 1, nil))
@@ -117,7 +106,7 @@
 	require.Empty(t, bench.reported)
 	bench.sends(string(pool.AppendBlocked(nil, 3, repeatableRun, []byte("call"))))
 	bench.backend.DeliverReply(repeatableRun, []byte("again"))
-	require.Contains(t, bench.conn.out, "supply "+repeatableRun+" 5\r\nagain\r\n")
+	require.Contains(t, bench.conn.Written, "supply "+repeatableRun+" 5\r\nagain\r\n")
 	bench.sends(finished(4, repeatableRun, pool.Pass))
 	require.Equal(t, []string{
 		"blocked " + repeatableRun + " call",
@@ -144,7 +133,7 @@
 			bench.backend.Check(bench.now)
 		}
 		require.Equal(t, []string{fmt.Sprintf("finished %s %d", atMostOnceRun, want)}, bench.reported)
-		require.NotContains(t, bench.conn.out, atMostOnceRun)
+		require.NotContains(t, bench.conn.Written, atMostOnceRun)
 		require.Zero(t, bench.backend.Status().Runs)
 	}
 }
@@ -194,7 +183,7 @@
 	var answers []bool
 	ask := func() { bench.backend.Verify(func(good bool) { answers = append(answers, good) }) }
 	ask()
-	require.Equal(t, "verify check1\r\n", bench.conn.out[strings.LastIndex(bench.conn.out, "verify"):])
+	require.Equal(t, "verify check1\r\n", bench.conn.Written[strings.LastIndex(bench.conn.Written, "verify"):])
 	bench.disconnect()
 	ask()
 	require.Equal(t, "verify check1\r\n", bench.reconnect(""))
--- a/internal/vaultclient/client_test.go
+++ b/internal/vaultclient/client_test.go
@@ -11,6 +11,7 @@
 	"pewterline/internal/microtime"
 	"pewterline/internal/protocol/vault"
 	"pewterline/internal/transport"
+	"pewterline/internal/transport/transporttest"
 )
 
 // testBench is a client on a clock that the test moves, with connections that the test opens and reads.
@@ -29,18 +30,6 @@
 	dropped bool
 }
 
-type conn struct {
-	session transport.Session
-	out     string
-	closed  bool
-}
-
-func (c *conn) Write(p []byte)  { c.out += string(p) }
-func (c *conn) Close()          { c.closed = true }
-func (c *conn) Resume()         {}
-func (c *conn) MarkIdentified() {}
-func (c *conn) Remote() string  { return "vault" }
-
 func (b *testBench) Now() microtime.Time { return b.now }
 
 func (b *testBench) DialOnce(address string, open func(transport.Conn) transport.Session, failed func()) func() {
@@ -64,16 +53,14 @@
 }
 
 // connect opens the connection that is being dialled.
-func (b *testBench) connect() *conn {
+func (b *testBench) connect() *transporttest.Conn {
 	require.NotEmpty(b.t, b.dials)
-	c := &conn{}
-	c.session = b.dials[len(b.dials)-1].open(c)
-	return c
+	return transporttest.Open("vault", b.dials[len(b.dials)-1].open)
 }
 
 // sends has the vault send something on a connection.
-func (b *testBench) sends(c *conn, text string) {
-	n, err := c.session.Receive([]byte(text))
+func (b *testBench) sends(c *transporttest.Conn, text string) {
+	n, err := c.Receive(text)
 	require.NoError(b.t, err)
 	require.Equal(b.t, len(text), n)
 }
@@ -100,7 +87,7 @@
 	bench.call(2, second, false)
 	require.Len(t, bench.dials, 1)
 	c := bench.connect()
-	require.Equal(t, "ask "+id(1)+" 1000 1\r\nb\r\nask "+id(2)+" 1000 1\r\nb\r\n", c.out)
+	require.Equal(t, "ask "+id(1)+" 1000 1\r\nb\r\nask "+id(2)+" 1000 1\r\nb\r\n", c.Written)
 	bench.sends(c, string(vault.AppendReply(nil, id(2), vault.Yes, []byte("r\r\n2"))))
 	bench.sends(c, id(7)+" failed\r\n"+id(1)+" notnow\r\n"+id(1)+" failed\r\n")
 	require.Equal(t, []string{ended(2, calls.Answered, "r\r\n2"), ended(1, calls.Rejected, "")}, bench.after(0))
@@ -118,8 +105,8 @@
 	require.Equal(t, []string{ended(2, calls.ConnectFailed, "")}, bench.after(second), "a dial that hangs")
 	bench.call(3, second, false)
 	c := bench.connect()
-	require.NotContains(t, c.out, id(2), "its time was over before the connection opened")
-	c.session.Closed()
+	require.NotContains(t, c.Written, id(2), "its time was over before the connection opened")
+	c.Disconnect()
 	require.Equal(t, []string{ended(3, calls.ConnectionLost, "")}, bench.after(0))
 	bench.call(4, second, false)
 	require.Len(t, bench.dials, 3)
@@ -131,12 +118,12 @@
 	bench.call(1, 100*microtime.Millisecond, false)
 	bench.call(2, second, false)
 	c := bench.connect()
-	c.out = ""
+	c.Written = ""
 	bench.client.Abandon(id(2))
 	bench.client.Abandon(id(2))
-	require.Equal(t, "unask "+id(2)+"\r\n", c.out)
+	require.Equal(t, "unask "+id(2)+"\r\n", c.Written)
 	require.Equal(t, []string{ended(1, calls.Abandoned, "")}, bench.after(100*microtime.Millisecond))
-	require.Equal(t, "unask "+id(2)+"\r\nunask "+id(1)+"\r\n", c.out)
+	require.Equal(t, "unask "+id(2)+"\r\nunask "+id(1)+"\r\n", c.Written)
 	bench.sends(c, id(1)+" yes 1\r\nx\r\n"+id(2)+" yes 1\r\nx\r\n")
 	require.Empty(t, bench.after(0), "replies that cross")
 	bench.call(3, second, false)
@@ -149,19 +136,19 @@
 // that is made.
 func TestCrossingReplyIsNotOfTheNextCall(t *testing.T) {
 	bench := newBench(t)
-	var conns []*conn
+	var conns []*transporttest.Conn
 	for again := range 3 * calls.MaxServingConns {
 		bench.call(1, second, true) // gives up the one before
 		conns = append(conns, bench.connect())
 		require.Len(t, bench.dials, again+1, "a connection of its own")
 		if again > 0 {
-			require.True(t, strings.HasSuffix(conns[again-1].out, "unask "+id(1)+"\r\n"))
+			require.True(t, strings.HasSuffix(conns[again-1].Written, "unask "+id(1)+"\r\n"))
 			bench.sends(conns[again-1], id(1)+" yes 3\r\nold\r\n")
 		}
 		require.Empty(t, bench.after(0))
 		for _, c := range conns {
-			if c.closed {
-				c.session.Closed()
+			if c.Closed {
+				c.Disconnect()
 			}
 		}
 		require.LessOrEqual(t, bench.client.Status().Connections, MaxConns)
@@ -176,16 +163,16 @@
 	bench.call(1, second, false)
 	old := bench.connect()
 	bench.client.SetAddress("v2")
-	require.False(t, old.closed)
+	require.False(t, old.Closed)
 	bench.call(2, second, false)
 	require.Equal(t, "v2", bench.dials[1].address)
 	bench.client.SetAddress("v3")
 	require.True(t, bench.dials[1].dropped)
 	require.Equal(t, "v3", bench.dials[2].address)
-	require.Contains(t, bench.connect().out, "ask "+id(2))
+	require.Contains(t, bench.connect().Written, "ask "+id(2))
 	bench.sends(old, id(1)+" yes 1\r\nx\r\n")
 	require.Equal(t, []string{ended(1, calls.Answered, "x")}, bench.after(0))
-	require.True(t, old.closed, "with its last call")
+	require.True(t, old.Closed, "with its last call")
 }
 
 // A connection that has fallen silent gets no new calls. Once the vault has answered on another, its idempotent calls
@@ -197,12 +184,12 @@
 	silent := bench.connect()
 	require.Empty(t, bench.after(second/2))
 	bench.call(3, 3*second, true)
-	require.NotContains(t, silent.out, id(3))
+	require.NotContains(t, silent.Written, id(3))
 	other := bench.connect()
 	bench.sends(other, id(3)+" yes 1\r\nx\r\n")
 	require.Equal(t, []string{ended(3, calls.Answered, "x"), ended(1, calls.Abandoned, "")}, bench.after(0))
 	bench.call(4, second, true)
-	require.Contains(t, other.out, id(4))
+	require.Contains(t, other.Written, id(4))
 	bench.sends(other, id(4)+" yes 1\r\nx\r\n")
 	bench.sends(silent, id(2)+" yes 1\r\ny\r\n")
 	require.Equal(t, []string{ended(4, calls.Answered, "x"), ended(2, calls.Answered, "y")}, bench.after(0))
@@ -211,7 +198,7 @@
 // A vault that is slow on all connections is no reason to give anything up, nor to open connections without end.
 func TestSlowVault(t *testing.T) {
 	bench := newBench(t)
-	var conns []*conn
+	var conns []*transporttest.Conn
 	for n := range 400 {
 		bench.call(n, 10*second, true)
 		if len(bench.dials) > len(conns) {
@@ -223,7 +210,7 @@
 	require.Equal(t, 400, bench.client.Status().InFlight)
 	require.Len(t, conns, MaxConns-1)
 	for _, c := range conns {
-		require.False(t, c.closed)
+		require.False(t, c.Closed)
 	}
 }
 
@@ -241,8 +228,8 @@
 	}
 	require.Len(t, bench.after(0), calls.MaxCalls)
 	require.Empty(t, bench.after(calls.IdleTimeout-1))
-	require.False(t, c.closed)
+	require.False(t, c.Closed)
 	require.Empty(t, bench.after(1))
-	require.True(t, c.closed)
+	require.True(t, c.Closed)
 	require.Less(t, calls.IdleTimeout, 10*second)
 }
