--- a/cmd/pewterline-sim/main.go
+++ b/cmd/pewterline-sim/main.go
@@ -1,6 +1,6 @@
-// Command pewterline-sim plays the log server on a simulated clock against scripted faults, searches for scripts that break an
-// invariant, and makes failing scripts smaller. It exits with 0 where all invariants hold, 1 where one is broken, and 2 on bad
-// arguments or a bad script.
+// Command pewterline-sim plays the log server on a simulated clock against scripted faults, searches for scripts that
+// break an invariant, and makes failing scripts smaller. It exits with 0 where all invariants hold, 1 where one is
+// broken, and 2 on bad arguments or a bad script.
 //
 // It belongs to the test side: it is no part of the server and nothing of the server imports it.
 package main
--- a/cmd/pewterline-sim/main_test.go
+++ b/cmd/pewterline-sim/main_test.go
@@ -21,7 +21,8 @@
 	dir := t.TempDir()
 	bad, good := filepath.Join(dir, "bad.txt"), filepath.Join(dir, "good.txt")
 	require.NoError(t, os.WriteFile(bad, []byte("world seed=1 servers=1 seconds=1\nfault at=1s kind=quake\n"), 0o600))
-	require.NoError(t, os.WriteFile(good, []byte("world seed=1 servers=1 proxies=1 seconds=1 rate=5\nfault at=500ms kind=hup node=s0\n"), 0o600))
+	reload := "world seed=1 servers=1 proxies=1 seconds=1 rate=5\nfault at=500ms kind=hup node=s0\n"
+	require.NoError(t, os.WriteFile(good, []byte(reload), 0o600))
 	for _, test := range []struct {
 		args []string
 		code int
--- a/docs/architecture_test.go
+++ b/docs/architecture_test.go
@@ -43,6 +43,40 @@
 	}
 }
 
+// testName matches a test, a fuzz target or a benchmark.
+var testName = regexp.MustCompile(`\b(?:Test|Fuzz|Benchmark)[A-Z]\w+`)
+
+// A design note that names a test which is gone proves nothing.
+func TestPagesNameTestsThatExist(t *testing.T) {
+	declared := map[string]bool{}
+	walk(t, "..", "_test.go", func(text string) {
+		for _, match := range regexp.MustCompile(`(?m)^func (\w+)\(`).FindAllStringSubmatch(text, -1) {
+			declared[match[1]] = true
+		}
+	})
+	named := 0
+	walk(t, ".", ".md", func(text string) {
+		for _, name := range testName.FindAllString(text, -1) {
+			named++
+			require.True(t, declared[name], "%s is named, and is no test", name)
+		}
+	})
+	require.Positive(t, named)
+}
+
+// walk reads all files below a folder whose names end in a suffix.
+func walk(t *testing.T, root, suffix string, visit func(text string)) {
+	t.Helper()
+	require.NoError(t, filepath.WalkDir(root, func(name string, entry os.DirEntry, err error) error {
+		if err != nil || entry.IsDir() || !strings.HasSuffix(name, suffix) {
+			return err
+		}
+		text, err := os.ReadFile(name)
+		visit(string(text))
+		return err
+	}))
+}
+
 // declarations are all exported identifiers of the packages below a folder, as package.Name and package.Type.Member.
 func declarations(t *testing.T, root string) map[string]bool {
 	t.Helper()
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -145,9 +145,10 @@
 	answered bool
 	// recording says that the run has ended and its result is on its way to the execution store.
 	recording bool
-	// retryAfter and noRetry are the advice of a backend that declined the run.
-	retryAfter microtime.Time
+	// noRetry and retryAfter are the advice of a backend that declined the run. The flags stand together: another order
+	// costs a size class of the allocator.
 	noRetry    bool
+	retryAfter microtime.Time
 	entry      *keyEntry // nil unless the class is idempotent by key
 	call       *call     // while blocked or calling
 }
