--- a/control/controller.go
+++ b/control/controller.go
@@ -141,6 +141,7 @@
 	c.emit(SetHealth{Healthy: true, Cached: true}, ScheduleTick{After: tickInterval})
 }
 
+// handle applies one event.
 func (c *Controller) handle(event Event) {
 	switch event := event.(type) {
 	case RequestArrived:
--- a/control/controller_test.go
+++ b/control/controller_test.go
@@ -86,3 +86,36 @@
 	require.ErrorIs(t, controller.Reconfigure(fewerTenants), ErrInvalidSettings)
 	require.Equal(t, valid(), controller.settings)
 }
+
+// Reconfiguring keeps open requests as they were read: one of a class that is retired still ends well, and new ones are
+// judged by the new settings.
+func TestReconfigureKeepsOpenRequests(t *testing.T) {
+	controller := newTestController(t, nil)
+	controller.limiter.limit = 1
+	controller.Step(0, []Event{RequestArrived{ID: 1, QueuedKB: 1}, RequestArrived{ID: 2, QueuedKB: 1}})
+	settings := controller.settings
+	settings.Seed, settings.ColdStart = 77, true
+	settings.Classes = append([]Class(nil), settings.Classes...)
+	settings.Classes[0].Retired = true
+	settings.Classes = append(settings.Classes, Class{
+		Name: "new", LatencyObjective: time.Second, Deadline: 3 * time.Second, Weight: 1,
+	})
+	require.NoError(t, controller.Reconfigure(settings))
+	require.Zero(t, controller.settings.Seed, "the seed is that of the start")
+	require.False(t, controller.settings.ColdStart, "so is the cold start")
+	require.Equal(t, 8*time.Second, controller.requests.byID[2].dueAt)
+	actions := stepAfter(controller, tickInterval, RequestFinished{ID: 1, Outcome: OutcomeOK})
+	require.Contains(t, actions, Action(Start{ID: 2}))
+	stepAfter(controller, tickInterval, RequestArrived{ID: 3, Class: 2, QueuedKB: 1})
+	require.Equal(t, controller.now+3*time.Second, controller.requests.byID[3].dueAt)
+}
+
+// A request of a class that is not known is owed an answer all the same.
+func TestUnknownClassFails(t *testing.T) {
+	controller := newTestController(t, nil)
+	for _, class := range []int{-1, 2} {
+		actions := stepAfter(controller, tickInterval, RequestArrived{ID: 1, Class: class, QueuedKB: 1})
+		require.Contains(t, actions, Action(Fail{ID: 1}))
+		require.Empty(t, controller.requests.byID)
+	}
+}
--- a/control/doc.go
+++ b/control/doc.go
@@ -17,6 +17,18 @@
 // meets the disengagement target, less the mean service time of the class (UTSLO, "User Disengagement-Oriented Target
 // Enforcement for Multi-Tenant Database Systems"). A learned concurrency limit says how many requests run at once.
 //
+// # Structure
+//
+// Controller passes the events on and composes small types, each with its own state and file:
+//
+//   - requestTable holds the open requests, classTable the queue of each class and what is learned of it;
+//   - laneScheduler picks the request to start next, loadPlan sheds what would start too late;
+//   - concurrencyLimiter learns how many requests run at once, concurrencyCeiling and memoryBudget are guards on it;
+//   - keyTable keeps keyed requests from running twice, callBudget keeps the dependency from overload;
+//   - tenantQuotas, demand and slowdownEstimate measure what is asked of the server and how fast it is;
+//   - healthMonitor, loadSignal and idleConnections tell callers what to do;
+//   - drainState knows how far a graceful shutdown has come.
+//
 // # Units
 //
 // Clock times are time.Duration values from any fixed origin, memory is in kilobytes and estimates of times are
--- a/control/limiter.go
+++ b/control/limiter.go
@@ -20,6 +20,12 @@
 	limitEpoch = 2 * time.Second
 	// concurrencyCost is the throughput, as a share, that a core's worth of slots must bring.
 	concurrencyCost = 0.05
+	// climbCoresDivisor and climbLimitDivisor set the step up while cores idle: the larger part of cores and limit.
+	climbCoresDivisor = 6
+	climbLimitDivisor = 8
+	// stepCoresDivisor and stepLimitDivisor set all other steps, which are half as large.
+	stepCoresDivisor = 12
+	stepLimitDivisor = 16
 )
 
 // concurrencyLimiter learns how many requests run at once. It climbs fast while cores idle and work waits, backs off
@@ -91,11 +97,11 @@
 	case now < l.nextStep || l.cpuUtilization < 0:
 		return 0
 	case l.reached && l.cpuUtilization < saturatedUtilization:
-		return math.Max(l.cores/6, l.limit/8)
+		return math.Max(l.cores/climbCoresDivisor, l.limit/climbLimitDivisor)
 	case l.cpuUtilization >= saturatedUtilization && l.runnable > saturatedRunnable*l.cores:
 		// Unlike UTSLO: reading shares the cores with the runs. Where more wants them than they can carry, requests
 		// age unread, where none is chosen. Guards also against health checks, connections and neighbours on the cores.
-		return -math.Max(l.cores/12, l.limit/16)
+		return -l.smallStep()
 	default:
 		return 0
 	}
@@ -108,5 +114,10 @@
 		l.direction = -l.direction
 	}
 	l.score = score
-	l.limit += l.direction * math.Max(l.cores/12, l.limit/16)
+	l.limit += l.direction * l.smallStep()
+}
+
+// smallStep is the size of a step back and of a hill-climbing step.
+func (l *concurrencyLimiter) smallStep() float64 {
+	return math.Max(l.cores/stepCoresDivisor, l.limit/stepLimitDivisor)
 }
