--- a/control/controller.go
+++ b/control/controller.go
@@ -202,7 +202,7 @@
 func (c *Controller) checkHealth() {
 	changed, line := c.health.check(c.requests.counts[stateRunning], c.slowdown, c.classes.mostValuable())
 	if changed && !c.drain.requested {
-		c.emit(SetHealth{Healthy: c.health.healthy(), Cached: true}, Log{Text: line})
+		c.emit(SetHealth{Healthy: c.health.healthy(), Cached: true}, line)
 	}
 }
 
--- a/control/health.go
+++ b/control/health.go
@@ -85,17 +85,17 @@
 
 // check diagnoses the machine anew with so many running requests; top is the class of most weight. It returns whether
 // the diagnosis has changed, and a line that says so to the operators.
-func (h *healthMonitor) check(running int, slowdown *slowdownEstimate, top *classState) (changed bool, line string) {
+func (h *healthMonitor) check(running int, slowdown *slowdownEstimate, top *classState) (changed bool, line Log) {
 	reasonBefore, healthyBefore := h.reason, h.healthy()
 	h.reason = h.diagnose(running, slowdown)
 	h.overwhelmed = slowdown.factor > slowMachineFactor && top.recentRejections >= minRecentRejections &&
 		top.recentRejections > overwhelmedShare*top.recentOutcomes
 	if h.healthy() == healthyBefore && h.reason == reasonBefore {
-		return false, ""
+		return false, Log{}
 	}
-	return true, fmt.Sprintf("health: %v, %q after %q, %.0f%% errors, pace %.1f, %.0f of %.0f turned away",
+	return true, Log{Text: fmt.Sprintf("health: %v, %q after %q, %.0f%% errors, pace %.1f, %.0f of %.0f turned away",
 		h.healthy(), h.reason, reasonBefore, 100*h.recentErrors/math.Max(h.recentRuns, 1), slowdown.factor,
-		top.recentRejections, top.recentOutcomes)
+		top.recentRejections, top.recentOutcomes)}
 }
 
 func (h *healthMonitor) diagnose(running int, slowdown *slowdownEstimate) unhealthyReason {
