--- a/internal/replication/replica_test.go
+++ b/internal/replication/replica_test.go
@@ -66,6 +66,7 @@
 	require.Equal(t, execution.ActionServe, got[0].Action)
 	require.Equal(t, "theirs", got[0].Value.Result)
 	require.Equal(t, 1, group.servers[2].replica.Counters().ResultsFound)
+	require.Empty(t, group.servers[2].replica.requests.byKey, "what the register holds is kept there alone")
 }
 
 // A run that does not end in time leaves whoever waits elsewhere with an outcome that nobody knows, and with the time
@@ -159,7 +160,7 @@
 	server := group.servers[1]
 	require.Equal(t, execution.ActionStart, server.acquire(keyOne).Action)
 	require.Equal(t, execution.ActionServe, server.complete(keyOne, true, "old").Action)
-	server.replica.ExtendRetention(retention - 1)
+	server.replica.ExtendRetention(retention / 2) // is never lowered
 	group.now += retention + expirySlackMilli*microtime.Millisecond - 2*microtime.Second
 	group.turn()
 	require.Len(t, server.replica.Export("", 10), 1, "not yet")
@@ -192,11 +193,11 @@
 	failing *bool
 }
 
-func (f failingFile) Sync() error {
+func (f failingFile) Write(p []byte) (int, error) {
 	if *f.failing {
-		return errDisk
+		return 0, errDisk
 	}
-	return f.File.Sync()
+	return f.File.Write(p)
 }
 
 // Guards votes against a disk that fails: the server does not vote until its log could be opened again, and goes on
@@ -221,11 +222,65 @@
 
 	failing = false
 	group.until(func() bool { return server.replica.Status().Voting })
+	require.Zero(t, server.replica.node.Register(keyOne), "a promise that never was durable is forgotten")
 	require.Equal(t, "kept", server.lookup("before").Value.Result)
 	require.Equal(t, execution.ActionStart, server.acquire(keyOne).Action)
 	require.Equal(t, 1, server.replica.Counters().DiskFailures)
 }
 
+// Guards votes against what is in memory alone: a server whose disk has failed answers nobody, not even who only asks
+// what it holds.
+func TestBrokenReplicaDoesNotAnswer(t *testing.T) {
+	group := bootstrapped(t, 1, 2, 3)
+	require.Equal(t, execution.ActionStart, group.servers[1].acquire(keyOne).Action)
+	require.Equal(t, execution.ActionServe, group.servers[1].complete(keyOne, true, "kept").Action)
+	group.servers[2].stop()
+	broken := group.servers[3].replica
+	broken.storageFailed(broken.storage, errDisk)
+	var got []execution.Action
+	for _, id := range []uint32{1, 3} {
+		server := group.servers[id]
+		server.replica.Lookup(server.attempt(keyOne), func(o Outcome) { got = append(got, o.Action) })
+	}
+	group.until(func() bool { return len(got) == 2 })
+	require.False(t, broken.Status().Voting)
+	unknown := execution.ActionReportIndeterminate
+	require.Equal(t, []execution.Action{unknown, unknown}, got, "neither of them has a majority")
+	group.until(func() bool { return broken.Status().Voting })
+	require.Equal(t, "kept", group.servers[1].lookup(keyOne).Value.Result)
+}
+
+// Guards votes against a record that became durable behind a failure: the log is read again before this server votes.
+func TestVoteBehindAFailureIsNotSent(t *testing.T) {
+	group := bootstrapped(t, 1)
+	server := group.servers[1]
+	got := server.await(func(done func(Outcome)) {
+		server.replica.AcquireLease(server.attempt(keyOne), done)
+		group.turn() // the promise is durable, and the value is accepted next
+		require.False(t, server.replica.HasRecord(server.attempt(keyOne)))
+		require.NoError(t, group.Execute(func() {
+			require.True(t, server.replica.HasRecord(server.attempt(keyOne)), "it is on its way to the disk")
+			server.replica.storageFailed(server.replica.storage, errDisk)
+		}))
+	})
+	require.Equal(t, execution.ActionReject, got.Action)
+	require.Equal(t, 1, server.replica.Counters().DiskFailures)
+}
+
+// A raised retention counts for outcomes that are held already.
+func TestExtendRetention(t *testing.T) {
+	group := bootstrapped(t, 1)
+	server := group.servers[1]
+	require.Equal(t, execution.ActionStart, server.acquire(keyOne).Action)
+	require.Equal(t, execution.ActionServe, server.complete(keyOne, true, "old").Action)
+	server.replica.ExtendRetention(2 * retention)
+	group.now += 2*retention + expirySlackMilli*microtime.Millisecond - 2*microtime.Second
+	group.turn()
+	require.Len(t, server.replica.Export("", 10), 1)
+	group.pass(4 * microtime.Second)
+	require.Empty(t, server.replica.Export("", 10))
+}
+
 // Guards acceptors against a folder that was replaced while its disk was out of order: another incarnation's votes
 // are not its own.
 func TestFolderOfAnotherIncarnation(t *testing.T) {
--- a/internal/replication/state_test.go
+++ b/internal/replication/state_test.go
@@ -96,6 +96,8 @@
 		saved("hill-estate\x00runs"), saved("hill-estate\x00failed")}})
 	write(replicationwire.Record{ForgetBefore: 2000})
 	require.NoError(t, opened.close())
+	const snapshotBytes = 209
+	require.Equal(t, 2*snapshotBytes, opened.threshold, "the next snapshot comes when the records are twice as large")
 	require.Equal(t, dump(golden.Files(t, "testdata/v1")), dump(golden.Files(t, folder)))
 }
 
