--- a/internal/replication/counters.go
+++ b/internal/replication/counters.go
@@ -1,6 +1,6 @@
 package replication
 
-// Counters count events since the process started. The last six fields are gauges: they tell the present state.
+// Counters count events since the process started. The last five fields are gauges: they tell the present state.
 type Counters struct {
 	LeasesRequested      int    `json:"leaves_asked"`
 	LeasesGranted        int    `json:"leaves_granted"`
