--- a/cmd/pewterline/replication.go
+++ b/cmd/pewterline/replication.go
@@ -8,6 +8,7 @@
 	"net/url"
 	"strconv"
 
+	"pewterline/internal/admin"
 	"pewterline/internal/config"
 	"pewterline/internal/replication"
 )
@@ -49,22 +50,6 @@
 	parameterAfter   = "after"
 )
 
-// replicationStatus is what a server says of its group.
-type replicationStatus struct {
-	ServerID          uint32                     `json:"id"`
-	Incarnation       string                     `json:"life"`
-	ClusterID         string                     `json:"group"`
-	Epoch             uint64                     `json:"epoch"`
-	ReplicationFactor int                        `json:"copies"`
-	Changing          bool                       `json:"changing"`
-	Transferred       int                        `json:"changing_marked"` // members that have transferred their keys
-	Reason            string                     `json:"why"`             // of the last change
-	ForcedAtMS        int64                      `json:"lost_ms"`         // Unix time in ms; 0: no majority was lost
-	Voting            bool                       `json:"voting"`
-	Members           []replication.MemberStatus `json:"members"`
-	Counters          replication.Counters       `json:"counters"`
-}
-
 var (
 	errNoAdminAddress = errors.New("replication: the server has no address for operators; " +
 		"set admin or RELAY_ADMIN, or say --admin")
@@ -98,7 +83,7 @@
 	if err != nil {
 		return err
 	}
-	var status replicationStatus
+	var status admin.GroupState
 	if err := client.do(http.MethodPut, call, parameters, &status); err != nil {
 		return err
 	}
@@ -106,8 +91,8 @@
 }
 
 // status asks how the group is.
-func (c *replicationCommand) status(env *environment) (replicationStatus, error) {
-	var status replicationStatus
+func (c *replicationCommand) status(env *environment) (admin.GroupState, error) {
+	var status admin.GroupState
 	client, err := c.client(env)
 	if err != nil {
 		return status, err
--- a/cmd/pewterline/replication_report.go
+++ b/cmd/pewterline/replication_report.go
@@ -6,6 +6,7 @@
 	"text/tabwriter"
 	"time"
 
+	"pewterline/internal/admin"
 	"pewterline/internal/replication"
 )
 
@@ -13,12 +14,12 @@
 const columnPadding = 2
 
 // printMembers prints a table of the group's members.
-func printMembers(out io.Writer, status replicationStatus) error {
+func printMembers(out io.Writer, status admin.GroupState) error {
 	table := tabwriter.NewWriter(out, 0, 0, columnPadding, ' ', 0)
 	fmt.Fprintln(table, "ID\tADDRESS\tREACHED\tMEMBER\tINCARNATION")
 	for _, member := range status.Members {
 		fmt.Fprintf(table, "%d\t%s\t%v\t%s\t%s\n", member.ID, member.Address, member.Up,
-			membership(member, status.Changing), incarnation(member))
+			membership(member, status.ChangeInProgress), incarnation(member))
 	}
 	return table.Flush()
 }
@@ -44,20 +45,20 @@
 }
 
 // printStatus prints how the group is, its members and the counters of the server that was asked.
-func printStatus(out io.Writer, status replicationStatus) error {
+func printStatus(out io.Writer, status admin.GroupState) error {
 	if status.Epoch == 0 {
 		fmt.Fprintf(out, "Server %d has no group yet. With all servers up: pewterline replication bootstrap\n",
-			status.ServerID)
+			status.ID)
 		return nil
 	}
 	fmt.Fprintf(out, "Group %s, epoch %d, %d copies of each key; the last change: %s\n",
 		status.ClusterID, status.Epoch, status.ReplicationFactor, status.Reason)
-	if status.Changing {
+	if status.ChangeInProgress {
 		fmt.Fprintf(out, "Members change: %d of them have transferred their keys, %d keys here are pending\n",
-			status.Transferred, status.Counters.KeysPendingTransfer)
+			status.MembersTransferred, status.Counters.KeysPendingTransfer)
 	}
-	if status.ForcedAtMS > 0 {
-		forcedAt := time.UnixMilli(status.ForcedAtMS).UTC().Format(time.RFC3339)
+	if status.ForcedAt > 0 {
+		forcedAt := time.UnixMilli(status.ForcedAt).UTC().Format(time.RFC3339)
 		fmt.Fprintf(out, "A majority was given up: until %s and a retention window no unknown key is run\n", forcedAt)
 	}
 	if !status.Voting {
--- a/internal/admin/group.go
+++ b/internal/admin/group.go
@@ -17,8 +17,8 @@
 // maxExportedKeys bounds the keys in one response.
 const maxExportedKeys = 100
 
-// groupState is what a server tells of its replication group.
-type groupState struct {
+// GroupState is what a server tells of its replication group, as JSON.
+type GroupState struct {
 	ID                 uint32                     `json:"id"`
 	Incarnation        string                     `json:"life"`
 	ClusterID          string                     `json:"group"`
@@ -27,7 +27,7 @@
 	ChangeInProgress   bool                       `json:"changing"`
 	MembersTransferred int                        `json:"changing_marked"` // Members that have passed on their keys.
 	Reason             string                     `json:"why"`             // Of the last change.
-	ForcedAt           int64                      `json:"lost_ms"`
+	ForcedAt           int64                      `json:"lost_ms"`         // Unix time in ms; 0: no majority was lost.
 	Voting             bool                       `json:"voting"`
 	Members            []replication.MemberStatus `json:"members"`
 	Counters           replication.Counters       `json:"counters"`
@@ -47,7 +47,7 @@
 
 func (h *Handler) groupState(url.Values) (any, error) {
 	membership, status := h.replica.Membership(), h.replica.Status()
-	return groupState{
+	return GroupState{
 		ID:                 status.Self.ID,
 		Incarnation:        fmt.Sprintf("%x", status.Self.Incarnation),
 		ClusterID:          fmt.Sprintf("%x", membership.ClusterID),
