--- a/cmd/pewterline/process_host.go
+++ b/cmd/pewterline/process_host.go
@@ -60,7 +60,7 @@
 		if addr == "" {
 			continue
 		}
-		if err := loop.Steer(i, place); err != nil {
+		if err := loop.DirectConnections(i, place); err != nil {
 			h.logger.Warn("the kernel picks between both processes", zap.String("address", addr), zap.Error(err))
 		}
 	}
