--- a/cmd/pewterline/admin_client.go
+++ b/cmd/pewterline/admin_client.go
@@ -20,14 +20,14 @@
 	address string
 }
 
-// AdminError is the answer of a server that does not obey a call.
-type AdminError struct {
+// adminError is the answer of a server that does not obey a call.
+type adminError struct {
 	Status int    // of HTTP
 	Reason string // the server's
 }
 
 // Error is part of error.
-func (e *AdminError) Error() string {
+func (e *adminError) Error() string {
 	text := "replication: " + e.Reason
 	if e.Status == http.StatusNotFound {
 		text += "; is replication on (deploy/copies.toml)?"
@@ -68,5 +68,5 @@
 	for _, part := range []string{"copies: ", "replication: ", "consensus: "} {
 		reason = strings.TrimPrefix(reason, part)
 	}
-	return &AdminError{Status: response.StatusCode, Reason: reason}
+	return &adminError{Status: response.StatusCode, Reason: reason}
 }
--- a/cmd/pewterline/log_messages_test.go
+++ b/cmd/pewterline/log_messages_test.go
@@ -125,6 +125,9 @@
 		return // the texts of the decision module, which collectLogAction finds
 	}
 	found := logMessage{level: level, fields: logFields(message, call.Args[1:])}
+	if match := fieldsFormat.FindStringSubmatch(message); match != nil {
+		message = match[1]
+	}
 	if known, ok := out[message]; ok && known != found {
 		t.Errorf("%s: %q is logged elsewhere with other fields", files.Position(call.Pos()), message)
 	}
--- a/cmd/pewterline/logs.go
+++ b/cmd/pewterline/logs.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"io"
 	"os"
+	"regexp"
 	"strings"
 	"sync"
 	"time"
@@ -69,14 +70,13 @@
 
 // Logf writes a line of another package, each kind of them at a bounded rate: callers that would have a line written
 // for each of their messages must not take the time that proxies need. What was left out is counted in the next line
-// of its kind.
+// of its kind. A format such as "part: message: key=%v other_key=%d" is a constant message with fields.
 func (l *logs) Logf(format string, args ...any) {
 	omitted, allowed := l.limiter.allow(format)
 	if !allowed {
 		return
 	}
-	message := fmt.Sprintf(format, args...)
-	var fields []zap.Field
+	message, fields := formatLine(format, args)
 	if l.named {
 		var part string
 		part, message = splitPart(message)
@@ -88,6 +88,26 @@
 	l.logger.Info(message, fields...)
 }
 
+// fieldsFormat matches a format with a constant message and fields behind it.
+var fieldsFormat = regexp.MustCompile(`^([^%]+): (\w+=%[a-z](?: \w+=%[a-z])*)$`)
+
+// formatLine returns the message of a line, and its fields if the format has any.
+func formatLine(format string, args []any) (message string, fields []zap.Field) {
+	match := fieldsFormat.FindStringSubmatch(format)
+	if match == nil {
+		return fmt.Sprintf(format, args...), nil
+	}
+	names := strings.Fields(match[2])
+	if len(names) != len(args) {
+		return fmt.Sprintf(format, args...), nil
+	}
+	for i, name := range names {
+		name, _, _ = strings.Cut(name, "=")
+		fields = append(fields, zap.Any(name, args[i]))
+	}
+	return match[1], fields
+}
+
 // splitPart cuts the part of the program off that a line begins with.
 func splitPart(message string) (part, rest string) {
 	part, rest, ok := strings.Cut(message, ": ")
--- a/cmd/pewterline/logs_test.go
+++ b/cmd/pewterline/logs_test.go
@@ -91,6 +91,32 @@
 	require.ErrorContains(t, err, "RELAY_LOG")
 }
 
+// What other packages log as a message with fields has them as fields; any other line is one text.
+func TestLinesOfOtherPackagesHaveFields(t *testing.T) {
+	for _, tc := range []struct {
+		name   string
+		format string
+		args   []any
+		want   string
+	}{
+		{"fields", "ajp: request rejected: peer=%s status=%d error=%v",
+			[]any{"127.0.0.1:1", 400, fmt.Errorf("rank: %q", "x")},
+			`ajp: request rejected {"peer": "127.0.0.1:1", "status": 400, "error": "rank: \"x\""}`},
+		{"one field", "ajp: shutdown ignored: peer=%s", []any{"p"}, `ajp: shutdown ignored {"peer": "p"}`},
+		{"text", "pool: connection lost, %d runs in flight", []any{2}, "pool: connection lost, 2 runs in flight"},
+		{"text before a field", "pool: %s: n=%d", []any{"a", 2}, "pool: a: n=2"},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			var out bytes.Buffer
+			logs, err := newLogs(logFormText, &out)
+			require.NoError(t, err)
+			logs.Logf(tc.format, tc.args...)
+			_, text, _ := strings.Cut(strings.TrimSuffix(out.String(), "\n"), " INFO ")
+			require.Equal(t, tc.want, text)
+		})
+	}
+}
+
 // A line of text has the time of day, the level, the message and the fields.
 func TestLinesOfText(t *testing.T) {
 	var out bytes.Buffer
--- a/cmd/pewterline/predecessor.go
+++ b/cmd/pewterline/predecessor.go
@@ -37,6 +37,8 @@
 var (
 	// errNotOurs says that a process lives which this one cannot take over from.
 	errNotOurs = errors.New("upgrade: a process of this name lives that cannot be taken over from")
+	// errRejected says that a predecessor does not hand over to this process.
+	errRejected = errors.New("refused")
 	// errNoSocket says that a path is no socket of this user's.
 	errNoSocket = errors.New("no socket of this user's")
 )
@@ -196,7 +198,7 @@
 		}
 		switch message.Kind {
 		case upgrade.Reject:
-			return nil, fmt.Errorf("refused: %s", message.Reason)
+			return nil, fmt.Errorf("%w: %s", errRejected, message.Reason)
 		case upgrade.NextChunk:
 			if _, err := conn.Write(upgrade.Append(nil, message)); err != nil {
 				return nil, err
