--- a/internal/testbed/invariant/calls_test.go
+++ b/internal/testbed/invariant/calls_test.go
@@ -13,22 +13,22 @@
 )
 
 const (
-	order   = "lot-intake" // has an effect
-	view    = "block-view" // is safe
-	callBig = "00000000000000a1"
-	callTwo = "00000000000000b2"
+	keyedClass = "lot-intake" // has an effect
+	safeClass  = "block-view" // is safe
+	firstID    = "00000000000000a1"
+	secondID   = "00000000000000b2"
 )
 
 // block has the run of id wait for a call.
 func (s *scene) block(id string) {
-	s.made++
-	p := pool.AppendBlocked(nil, s.made, id, []byte("call"))
+	s.notices++
+	p := pool.AppendBlocked(nil, s.notices, id, []byte("call"))
 	s.event(2, simnet.Written, "w0", "s0", false, p)
 	s.event(2, simnet.Arrived, "s0", "w0", true, p)
 }
 
-// waiting has a request come and run to its call.
-func (s *scene) waiting(id, class string) int32 {
+// runToCall has a request come and run to its call.
+func (s *scene) runToCall(id, class string) int32 {
 	n := s.ask(id, class, id)
 	s.spawn(id, class, "body")
 	s.block(id)
@@ -39,7 +39,7 @@
 	s.event(conn, simnet.Written, "s0", "v0", true, vault.AppendAsk(nil, id, 1000, []byte("call")))
 }
 
-func (s *scene) unask(conn uint64, id string) {
+func (s *scene) cancelCall(conn uint64, id string) {
 	s.event(conn, simnet.Written, "s0", "v0", true, vault.AppendUnask(nil, id))
 }
 
@@ -58,155 +58,155 @@
 func TestEachRuleOfCalls(t *testing.T) {
 	again := func(status vault.Status, class string) func(s *scene) {
 		return func(s *scene) {
-			n := s.waiting(callBig, class)
-			s.call(4, callBig)
-			s.reply(4, callBig, status)
-			s.call(4, callBig)
-			s.reply(4, callBig, vault.Yes)
-			s.supply(callBig, "reply "+callBig)
-			s.ends(n, callBig)
+			n := s.runToCall(firstID, class)
+			s.call(4, firstID)
+			s.reply(4, firstID, status)
+			s.call(4, firstID)
+			s.reply(4, firstID, vault.Yes)
+			s.supply(firstID, "reply "+firstID)
+			s.ends(n, firstID)
 		}
 	}
 	for _, c := range []struct {
 		name, want string // the violation's key; "" for none
 		play       func(s *scene)
 	}{
-		{"again after notnow", "", again(vault.NotNow, order)},
-		{"again after pointless", "", again(vault.Pointless, order)},
-		{"again after failed", "call/made twice", again(vault.Failed, order)},
-		{"again after overdue", "call/made twice", again(vault.Overdue, order)},
-		{"again after overdue, safe", "", again(vault.Overdue, view)},
+		{"again after notnow", "", again(vault.NotNow, keyedClass)},
+		{"again after pointless", "", again(vault.Pointless, keyedClass)},
+		{"again after failed", "call/made twice", again(vault.Failed, keyedClass)},
+		{"again after overdue", "call/made twice", again(vault.Overdue, keyedClass)},
+		{"again after overdue, safe", "", again(vault.Overdue, safeClass)},
 		{"again after its connection broke", "call/made twice", func(s *scene) {
-			s.waiting(callBig, order)
-			s.call(4, callBig)
+			s.runToCall(firstID, keyedClass)
+			s.call(4, firstID)
 			s.event(4, simnet.Closed, "s0", "v0", true, nil)
-			s.call(5, callBig)
+			s.call(5, firstID)
 		}},
 		{"again after unask", "call/made twice", func(s *scene) {
-			s.waiting(callBig, order)
-			s.call(4, callBig)
-			s.unask(4, callBig)
-			s.call(5, callBig)
+			s.runToCall(firstID, keyedClass)
+			s.call(4, firstID)
+			s.cancelCall(4, firstID)
+			s.call(5, firstID)
 		}},
 		{"again after notnow crossed unask", "", func(s *scene) {
-			n := s.waiting(callBig, order)
-			s.call(4, callBig)
-			s.unask(4, callBig)
-			s.reply(4, callBig, vault.NotNow)
-			s.call(5, callBig)
-			s.unask(5, callBig)
+			n := s.runToCall(firstID, keyedClass)
+			s.call(4, firstID)
+			s.cancelCall(4, firstID)
+			s.reply(4, firstID, vault.NotNow)
+			s.call(5, firstID)
+			s.cancelCall(5, firstID)
 			s.answer(thrift.AppendBroken(nil, n, nil))
 		}},
 		{"a second call of the run", "", func(s *scene) {
-			n := s.waiting(callBig, order)
+			n := s.runToCall(firstID, keyedClass)
 			for range 2 {
-				s.call(4, callBig)
-				s.reply(4, callBig, vault.Yes)
-				s.supply(callBig, "reply "+callBig)
-				s.block(callBig)
+				s.call(4, firstID)
+				s.reply(4, firstID, vault.Yes)
+				s.supply(firstID, "reply "+firstID)
+				s.block(firstID)
 			}
 			s.answer(thrift.AppendBroken(nil, n, nil))
-			s.finish(callBig, pool.Killed)
+			s.finish(firstID, pool.Killed)
 		}},
 		{"two open", "call/two open", func(s *scene) {
-			s.waiting(callBig, view)
-			s.call(4, callBig)
-			s.call(5, callBig)
+			s.runToCall(firstID, safeClass)
+			s.call(4, firstID)
+			s.call(5, firstID)
 		}},
-		{"for no run", "call/for no run", func(s *scene) { s.giveUp(s.ask(callBig, view, "")); s.call(4, callBig) }},
+		{"for no run", "call/for no run", func(s *scene) { s.giveUp(s.ask(firstID, safeClass, "")); s.call(4, firstID) }},
 		{"body changed", "call/body changed", func(s *scene) {
-			s.waiting(callBig, view)
-			s.event(4, simnet.Written, "s0", "v0", true, vault.AppendAsk(nil, callBig, 1000, []byte("calm")))
+			s.runToCall(firstID, safeClass)
+			s.event(4, simnet.Written, "s0", "v0", true, vault.AppendAsk(nil, firstID, 1000, []byte("calm")))
 		}},
 		{"reply changed", "call/reply changed, or another's", func(s *scene) {
-			s.waiting(callBig, view)
-			s.call(4, callBig)
-			s.reply(4, callBig, vault.Yes)
-			s.supply(callBig, "reply")
+			s.runToCall(firstID, safeClass)
+			s.call(4, firstID)
+			s.reply(4, firstID, vault.Yes)
+			s.supply(firstID, "reply")
 		}},
 		{"reply of the first call to the second", "call/reply changed, or another's", func(s *scene) {
-			s.waiting(callBig, view)
-			s.call(4, callBig)
-			s.reply(4, callBig, vault.Yes)
-			s.supply(callBig, "reply "+callBig)
-			s.block(callBig)
-			s.supply(callBig, "reply "+callBig)
+			s.runToCall(firstID, safeClass)
+			s.call(4, firstID)
+			s.reply(4, firstID, vault.Yes)
+			s.supply(firstID, "reply "+firstID)
+			s.block(firstID)
+			s.supply(firstID, "reply "+firstID)
 		}},
 		{"another's reply", "call/reply changed, or another's", func(s *scene) {
-			s.waiting(callBig, view)
-			s.waiting(callTwo, view)
-			s.call(4, callBig)
-			s.call(4, callTwo)
-			s.reply(4, callBig, vault.Yes)
-			s.supply(callTwo, "reply "+callBig)
+			s.runToCall(firstID, safeClass)
+			s.runToCall(secondID, safeClass)
+			s.call(4, firstID)
+			s.call(4, secondID)
+			s.reply(4, firstID, vault.Yes)
+			s.supply(secondID, "reply "+firstID)
 		}},
 		{"supplied after the run's end", "", func(s *scene) {
-			n := s.waiting(callBig, view)
-			s.call(4, callBig)
-			s.reply(4, callBig, vault.Yes)
+			n := s.runToCall(firstID, safeClass)
+			s.call(4, firstID)
+			s.reply(4, firstID, vault.Yes)
 			s.answer(thrift.AppendBroken(nil, n, nil))
-			s.finish(callBig, pool.Killed)
-			s.supply(callBig, "reply "+callBig)
+			s.finish(firstID, pool.Killed)
+			s.supply(firstID, "reply "+firstID)
 		}},
 		{"called though answered", "call/for what is over", func(s *scene) {
-			s.answer(thrift.AppendBroken(nil, s.waiting(callBig, view), nil))
-			s.after(30 * microtime.Millisecond)
-			s.call(4, callBig)
+			s.answer(thrift.AppendBroken(nil, s.runToCall(firstID, safeClass), nil))
+			s.advance(30 * microtime.Millisecond)
+			s.call(4, firstID)
 		}},
 		{"called though given up", "call/for what is over", func(s *scene) {
-			s.giveUp(s.waiting(callBig, view))
-			s.after(30 * microtime.Millisecond)
-			s.call(4, callBig)
+			s.giveUp(s.runToCall(firstID, safeClass))
+			s.advance(30 * microtime.Millisecond)
+			s.call(4, firstID)
 		}},
 		{"called as the giveUp comes", "", func(s *scene) {
-			s.giveUp(s.waiting(callBig, view))
-			s.call(4, callBig)
-			s.unask(4, callBig)
+			s.giveUp(s.runToCall(firstID, safeClass))
+			s.call(4, firstID)
+			s.cancelCall(4, firstID)
 		}},
 		{"called though the caller has left", "call/for what is over", func(s *scene) {
-			s.waiting(callBig, view)
+			s.runToCall(firstID, safeClass)
 			s.event(1, simnet.Closed, "s0", "p0", false, nil)
-			s.after(30 * microtime.Millisecond)
-			s.call(4, callBig)
+			s.advance(30 * microtime.Millisecond)
+			s.call(4, firstID)
 		}},
 		{"not given up though answered", "call/not given up", func(s *scene) {
-			n := s.waiting(callBig, view)
-			s.call(4, callBig)
+			n := s.runToCall(firstID, safeClass)
+			s.call(4, firstID)
 			s.answer(thrift.AppendBroken(nil, n, nil))
 		}},
 		{"not given up though its run has ended", "call/not given up", func(s *scene) {
-			s.waiting(callBig, view)
-			s.call(4, callBig)
-			s.finish(callBig, pool.Killed)
+			s.runToCall(firstID, safeClass)
+			s.call(4, firstID)
+			s.finish(firstID, pool.Killed)
 		}},
 		{"not given up by its time", "call/not given up", func(s *scene) {
-			s.waiting(callBig, view)
-			s.call(4, callBig)
-			s.after(1200 * microtime.Millisecond)
+			s.runToCall(firstID, safeClass)
+			s.call(4, firstID)
+			s.advance(1200 * microtime.Millisecond)
 		}},
 		{"given up by its connection's end", "", func(s *scene) {
-			n := s.waiting(callBig, view)
-			s.call(4, callBig)
+			n := s.runToCall(firstID, safeClass)
+			s.call(4, firstID)
 			s.answer(thrift.AppendBroken(nil, n, nil))
 			s.event(4, simnet.Closed, "s0", "v0", true, nil)
 		}},
 		{"to the address before", "call/to another address", func(s *scene) {
-			s.o.CallsRoutedTo("s0", "v0/b")
-			s.after(30 * microtime.Millisecond)
-			s.waiting(callBig, view)
-			s.call(4, callBig)
+			s.observer.CallsRoutedTo("s0", "v0/b")
+			s.advance(30 * microtime.Millisecond)
+			s.runToCall(firstID, safeClass)
+			s.call(4, firstID)
 		}},
 		{"as the address changes", "", func(s *scene) {
-			n := s.waiting(callBig, view)
-			s.o.CallsRoutedTo("s0", "v0/b")
-			s.call(4, callBig)
-			s.reply(4, callBig, vault.Yes)
-			s.supply(callBig, "reply "+callBig)
-			s.ends(n, callBig)
+			n := s.runToCall(firstID, safeClass)
+			s.observer.CallsRoutedTo("s0", "v0/b")
+			s.call(4, firstID)
+			s.reply(4, firstID, vault.Yes)
+			s.supply(firstID, "reply "+firstID)
+			s.ends(n, firstID)
 		}},
 		{"deep check answered", "", func(s *scene) {
 			s.event(1, simnet.Arrived, "s0", "p0", false, thrift.AppendProbe(nil, 7, true))
-			s.after(microtime.Second)
+			s.advance(microtime.Second)
 			s.answer(thrift.AppendAnswer(nil, thrift.Answer{MethodName: "probe", SequenceID: 7}))
 		}},
 		{"deep check unanswered", "check/deep check unanswered", func(s *scene) {
@@ -214,26 +214,26 @@
 		}},
 		{"as many as may run, and more that wait", "", func(s *scene) {
 			for i := range 12 {
-				id := callBig[:14] + string([]byte{'0', "0123456789ab"[i]})
-				s.giveUp(s.ask(id, view, ""))
-				s.spawn(id, view, "body")
+				id := firstID[:14] + string([]byte{'0', "0123456789ab"[i]})
+				s.giveUp(s.ask(id, safeClass, ""))
+				s.spawn(id, safeClass, "body")
 				s.block(id)
 			}
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := newScene(t)
-			s.o.Limits.MemoryKB = 4000
+			s.observer.Limits.MemoryKB = 4000
 			s.open(4, "v0/a", "s0")
 			s.open(5, "v0/b", "s0")
 			c.play(s)
-			s.after(5 * microtime.Second)
+			s.advance(5 * microtime.Second)
 			if c.want == "" {
-				require.Empty(t, s.o.Violations)
+				require.Empty(t, s.observer.Violations)
 				return
 			}
-			require.NotEmpty(t, s.o.Violations)
-			require.Equal(t, c.want, s.o.Violations[0].Key(), s.o.Violations[0].String())
+			require.NotEmpty(t, s.observer.Violations)
+			require.Equal(t, c.want, s.observer.Violations[0].Key(), s.observer.Violations[0].String())
 		})
 	}
 }
--- a/internal/testbed/invariant/observer.go
+++ b/internal/testbed/invariant/observer.go
@@ -1,23 +1,8 @@
-// Package invariant looks on while a world runs and judges whether the program keeps its rules. It sees bytes and times
-// at the machines' edges, and nothing of the program's insides:
-//
-//   - lost: each request read gets one final answer by its time, unless its caller gave it up or left.
-//   - duplicate: no request is answered twice; an intake is run once on a server within its window, which counts from
-//     the 'at' of the try that ran; nobody who ran is refused.
-//   - result: what is served is what a run made for that request, or for another try of the same intake.
-//   - drain: nothing runs that arrived too long after the notice to leave (DrainMost), and all that was read is answered before
-//     the end.
-//   - fall-over: the memory booked and the crowd on the cores stay within the settings' bounds.
-//   - call: a call of a request with an effect is made once, unless it is proven not to have run; a request has one call open at
-//     most, and none once it is over; a reply reaches the run that it is for, unchanged.
-//   - check: a deep health check is answered in time.
 package invariant
 
 import (
-	"cmp"
 	"fmt"
 	"slices"
-	"strings"
 
 	"pewterline/control"
 	"pewterline/internal/microtime"
@@ -26,196 +11,178 @@
 )
 
 const (
-	socketGrace = 50 * microtime.Millisecond // by which every limit is longer on sockets
-	crossing    = 50 * microtime.Millisecond // a request that meets a close
-	bookedFrom  = 100 * microtime.Millisecond
-	auditEvery  = 50 * microtime.Millisecond
+	// socketGrace is how much longer every limit is than the settings say, for the way through the sockets.
+	socketGrace = 50 * microtime.Millisecond
+	// crossingGrace is how long before a close a request may have arrived without the server having seen it.
+	crossingGrace = 50 * microtime.Millisecond
+	// reservedAfter is how long after its arrival a request counts as one that the server has reserved memory for.
+	reservedAfter = 100 * microtime.Millisecond
+	// auditInterval is the pause between two audits of what is tied to no single message.
+	auditInterval = 50 * microtime.Millisecond
+	// defaultMaxViolations is how many violations are recorded unless the user of the observer says otherwise.
+	defaultMaxViolations = 5
 )
 
 // Limits are the figures of the settings that the rules need.
 type Limits struct {
 	Settings              control.Settings
-	AnswerGrace           microtime.Time // past a due time
-	DrainGrace            microtime.Time // after the notice
+	AnswerGrace           microtime.Time // past the time by which an answer is due
+	DrainGrace            microtime.Time // after the drain notice
 	Cores                 int
-	MaxConcurrencyPerCore float64 // multiple of the cores
-	MaxConcurrencyWindow  microtime.Time
+	MaxConcurrencyPerCore float64        // multiple of the cores
+	MaxConcurrencyWindow  microtime.Time // over which concurrency is averaged
 	MemoryKB              float64
-	RunningMemoryFactor   float64
-	WarmUpMinSpeed        float64
+	RunningMemoryFactor   float64 // memory of a running request, as a multiple of its size
+	WarmUpMinSpeed        float64 // share of the full speed at a cold start
 	WarmUpTime            microtime.Time
 	Store                 bool // a store of record is on: what was answered outlives the server
 }
 
-// Violation is a broken rule, with all that was seen of the request.
-type Violation struct {
-	Rule    string
-	Server  string
-	At      microtime.Time // since the world's start
-	Message string
-	History []string
-}
-
-func (v Violation) String() string {
-	s := fmt.Sprintf("%s on %s at %v: %s", v.Rule, v.Server, v.At.Duration(), v.Message)
-	for _, h := range v.History {
-		s += "\n    " + h
-	}
-	return s
-}
-
-// Key tells violations of one sort from others: what the shrinker must preserve.
-func (v Violation) Key() string {
-	head, _, _ := strings.Cut(v.Message, ":")
-	return v.Rule + "/" + head
-}
-
-// Observer judges one world.
+// Observer checks one world. It is used on the world's goroutine alone.
 type Observer struct {
 	Limits     Limits
 	Violations []Violation
-	// OnRequest and OnOver, where they are set, hear of each request that an edge has got to a server, and of its end: what a
-	// worker pool of the platform knows by itself.
-	OnRequest       func(id, server, class string, body []byte)
-	OnRequestEnded  func(id string)
-	MaxViolations   int // violations that are told; further ones are counted alone
-	Answers         map[string]int
-	SituationCounts map[string]int // how often each situation came about, faults aside
-	Replies         map[string]int // of the vault to calls, by status
-	Example         []string       // what was seen of the first request that was served after its run had made a call
-
-	w       *simnet.World
-	wall    simnet.WallClock
-	classes map[string]int
-	servers map[string]*server
-	order   []*server
-	conns   map[uint64]*conn
-	dues    []due // sorted by time, as deadlines of a class come in order
-	audit   microtime.Time
-	reached map[faultsearch.Situation]struct{}
-	faulty  []fault
-	made    map[string]bool        // results of all runs anywhere
-	ran     map[string][]globalRun // by once-key, at any server
-	stored  map[string]*run        // by server and once-key: intakes answered as served, in any life
-	begun   map[string]*run        // by server and once-key: intakes that reached the worker pool, in any life
+	// OnRequest, where it is set, hears of each request that an edge has got to a server: what a worker pool of the
+	// platform knows by itself.
+	OnRequest func(id, server, class string, body []byte)
+	// OnRequestEnded, where it is set, hears of the end of each such request.
+	OnRequestEnded func(id string)
+	// MaxViolations is how many violations are recorded; further ones are dropped.
+	MaxViolations int
+	// Answers counts final answers by kind: "served", "refused", "failed".
+	Answers map[string]int
+	// SituationCounts is how often each situation came about, faults aside.
+	SituationCounts map[string]int
+	// Replies counts the vault's replies to calls by status.
+	Replies map[string]int
+	// Example is the history of the first request that was served after its run had made a call.
+	Example []string
+
+	world          *simnet.World
+	wall           simnet.WallClock
+	classIndex     map[string]int // by name, into the settings' classes
+	servers        map[string]*serverState
+	serversInOrder []*serverState // in the order of their first start
+	conns          map[uint64]*connState
+	dueAnswers     []dueAnswer // sorted by time, as the deadlines of a class come in order
+	nextAudit      microtime.Time
+	situations     map[faultsearch.Situation]struct{}
+	activeFaults   []activeFault
+	resultsMade    map[string]bool        // the results of all runs anywhere
+	runsByKey      map[string][]globalRun // by idempotency key, at any server
+	recordedRuns   map[string]*run        // by server and idempotency key: answered as served, in any incarnation
+	begunRuns      map[string]*run        // by server and idempotency key: reached the worker pool, in any incarnation
 }
 
 // New returns an observer of a world. Its Tap is for the network.
-func New(w *simnet.World, r Limits) *Observer {
-	o := &Observer{Limits: r, MaxViolations: 5, w: w, classes: map[string]int{}, servers: map[string]*server{}, conns: map[uint64]*conn{},
-		Answers: map[string]int{}, SituationCounts: map[string]int{}, Replies: map[string]int{}, stored: map[string]*run{}, begun: map[string]*run{}, made: map[string]bool{}, ran: map[string][]globalRun{}, reached: map[faultsearch.Situation]struct{}{}}
-	for i, c := range r.Settings.Classes {
-		o.classes[c.Name] = i
+func New(world *simnet.World, limits Limits) *Observer {
+	observer := &Observer{
+		Limits:          limits,
+		MaxViolations:   defaultMaxViolations,
+		Answers:         map[string]int{},
+		SituationCounts: map[string]int{},
+		Replies:         map[string]int{},
+		world:           world,
+		classIndex:      map[string]int{},
+		servers:         map[string]*serverState{},
+		conns:           map[uint64]*connState{},
+		situations:      map[faultsearch.Situation]struct{}{},
+		resultsMade:     map[string]bool{},
+		runsByKey:       map[string][]globalRun{},
+		recordedRuns:    map[string]*run{},
+		begunRuns:       map[string]*run{},
 	}
-	return o
-}
-
-// ServerStarted says that a server starts, with a worker pool of its own.
-func (o *Observer) ServerStarted(name string, life int) {
-	s := &server{name: name, life: life, born: o.w.Now(), tried: o.w.Now(), noticed: microtime.Never, reqs: map[string]*request{}, keys: map[string]*key{}, runs: map[string]*run{}}
-	if old := o.servers[name]; old != nil {
-		i := slices.Index(o.order, old)
-		o.order[i] = s
+	for i, class := range limits.Settings.Classes {
+		observer.classIndex[class.Name] = i
+	}
+	return observer
+}
+
+// ServerStarted says that a server starts its incarnation of that number, with a worker pool of its own.
+func (o *Observer) ServerStarted(name string, incarnation int) {
+	started := &serverState{
+		name:        name,
+		incarnation: incarnation,
+		startedAt:   o.world.Now(),
+		lastDialAt:  o.world.Now(),
+		drainSentAt: microtime.Never,
+		requests:    map[string]*requestState{},
+		keys:        map[string]*keyState{},
+		runs:        map[string]*run{},
+	}
+	if previous := o.servers[name]; previous != nil {
+		o.serversInOrder[slices.Index(o.serversInOrder, previous)] = started
 	} else {
-		o.order = append(o.order, s)
+		o.serversInOrder = append(o.serversInOrder, started)
 	}
-	o.servers[name] = s
-	o.reach(s, fmt.Sprintf("boot life%d", min(life, 3)))
+	o.servers[name] = started
+	o.noteSituation(started, fmt.Sprintf("boot life%d", min(incarnation, maxCountedIncarnation)))
 }
 
-// DrainSent says that the notice to leave has been sent to a server.
+// DrainSent says that the drain notice has been sent to a server.
 func (o *Observer) DrainSent(name string) {
-	if s := o.servers[name]; s.noticed == microtime.Never {
-		s.noticed = o.w.Now()
+	if server := o.servers[name]; server.drainSentAt == microtime.Never {
+		server.drainSentAt = o.world.Now()
 	}
 }
 
 // ServerPaused says that a server's process stands still until a time, which is not counted against it.
 func (o *Observer) ServerPaused(name string, until microtime.Time) {
-	s := o.servers[name]
-	s.paused = append(s.paused, span{o.w.Now(), until})
+	server := o.servers[name]
+	server.pauses = append(server.pauses, span{o.world.Now(), until})
 }
 
-// ServerStopped says that a server's process is no more: killed, or ended of itself.
+// ServerStopped says that a server's process is no more: it was killed, or it ended of itself.
 func (o *Observer) ServerStopped(name string, itself bool) {
-	s := o.servers[name]
-	if s.ended {
+	server := o.servers[name]
+	if server.stopped {
 		return
 	}
-	s.ended = true
-	o.judgeEnd(s, itself)
-	s.open = nil
+	server.stopped = true
+	o.judgeStopped(server, itself)
+	server.open = nil
 }
 
-func (o *Observer) note(r *request, format string, args ...any) {
-	r.notes = append(r.notes, note{o.w.Since(), fmt.Sprintf(format, args...)})
-}
-
-func (o *Observer) report(rule string, s *server, r *request, format string, args ...any) {
-	v := Violation{Rule: rule, Server: s.name, At: o.w.Since(), Message: fmt.Sprintf(format, args...)}
-	if r != nil {
-		v.History = o.history(s, r)
-	}
-	if len(o.Violations) < o.MaxViolations {
-		o.Violations = append(o.Violations, v)
-	}
-}
-
-// history is what was seen of a request, with all tries of its intake, in the order of time.
-func (o *Observer) history(s *server, r *request) (out []string) {
-	all := []*request{r}
-	if k := s.keys[r.once]; r.once != "" && k != nil {
-		all = k.tries
-	}
-	type line struct {
-		note
-		id string
-	}
-	var lines []line
-	for _, q := range all {
-		for _, n := range q.notes {
-			lines = append(lines, line{n, q.id})
-		}
-	}
-	slices.SortStableFunc(lines, func(a, b line) int { return cmp.Compare(a.at, b.at) })
-	for _, l := range lines {
-		out = append(out, fmt.Sprintf("%v %s %s", l.at.Duration(), l.id, l.text))
-	}
-	return out
+// CallsRoutedTo says that from now on a server's configuration has its calls go to an address of the vault.
+func (o *Observer) CallsRoutedTo(name, address string) {
+	server := o.servers[name]
+	server.callAddress = address
+	server.callAddressSetAt = o.world.Now()
 }
 
 // Check judges what is due by the clock; it is called after every step of the world.
 func (o *Observer) Check() {
-	now := o.w.Now()
-	o.judgeDue(now)
-	if now < o.audit {
+	now := o.world.Now()
+	o.judgeOverdue(now)
+	if now < o.nextAudit {
 		return
 	}
-	o.audit = now + auditEvery
-	for _, s := range o.order {
-		if !s.ended {
-			o.auditServer(s, now)
+	o.nextAudit = now + auditInterval
+	for _, server := range o.serversInOrder {
+		if !server.stopped {
+			o.auditServer(server, now)
 		}
 	}
 }
 
 // auditServer judges what is not tied to one message.
-func (o *Observer) auditServer(s *server, now microtime.Time) {
-	o.judgeRedial(s, now)
-	o.auditCalls(s, now)
-	o.auditChecks(s, now)
-	o.judgeMemory(s, now)
-	o.judgeCrowd(s, now)
+func (o *Observer) auditServer(server *serverState, now microtime.Time) {
+	o.judgeReconnect(server, now)
+	o.auditCalls(server, now)
+	o.auditHealthChecks(server, now)
+	o.judgeMemory(server, now)
+	o.judgeConcurrency(server, now)
 }
 
 // Unanswered counts the requests that are owed an answer anywhere.
-func (o *Observer) Unanswered() (n int) {
-	for _, s := range o.order {
-		for _, r := range s.open {
-			if o.owed(r) {
-				n++
+func (o *Observer) Unanswered() int {
+	count := 0
+	for _, server := range o.serversInOrder {
+		for _, request := range server.open {
+			if request.isOwed() {
+				count++
 			}
 		}
 	}
-	return n
+	return count
 }
--- a/internal/testbed/invariant/observer_test.go
+++ b/internal/testbed/invariant/observer_test.go
@@ -18,22 +18,22 @@
 
 // scene is a world in which a test plays the server: what the observer sees are bytes that the test makes up.
 type scene struct {
-	t     *testing.T
-	w     *simnet.World
-	o     *Observer
-	seq   int32
-	conns uint64
-	made  uint64
+	t          *testing.T
+	world      *simnet.World
+	observer   *Observer
+	sequenceID int32
+	conns      uint64
+	notices    uint64
 }
 
 func newScene(t *testing.T) *scene {
-	s := &scene{t: t, w: simnet.NewWorld(1)}
-	s.o = New(s.w, Limits{Settings: control.Settings{Classes: []control.Class{
+	s := &scene{t: t, world: simnet.NewWorld(1)}
+	s.observer = New(s.world, Limits{Settings: control.Settings{Classes: []control.Class{
 		{Name: "block-view", Deadline: 4 * time.Second}, {Name: "lot-intake", Deadline: 4 * time.Second, Idempotency: control.IdempotentByKey, RetentionWindow: 10 * time.Second}}},
 		AnswerGrace: 100 * microtime.Millisecond, DrainGrace: 2500 * microtime.Millisecond, Cores: 2, MaxConcurrencyPerCore: 4, MaxConcurrencyWindow: microtime.Second, MemoryKB: 2000,
 		RunningMemoryFactor: 8, WarmUpMinSpeed: 0.25, WarmUpTime: 10 * microtime.Second, Store: true})
-	s.w.After = s.o.Check
-	s.o.ServerStarted("s0", 1)
+	s.world.After = s.observer.Check
+	s.observer.ServerStarted("s0", 1)
 	s.open(1, "s0/thrift", "p0")
 	s.open(2, "w0/a", "s0")
 	s.open(3, "s0/ajp", "o0")
@@ -42,16 +42,16 @@
 }
 
 func (s *scene) event(conn uint64, kind simnet.EventKind, node, peer string, dialer bool, p []byte) {
-	s.o.Tap(simnet.Event{At: s.w.Now(), Kind: kind, Conn: conn, Node: node, Peer: peer, Dialer: dialer, Bytes: p})
+	s.observer.Tap(simnet.Event{At: s.world.Now(), Kind: kind, Conn: conn, Node: node, Peer: peer, Dialer: dialer, Bytes: p})
 }
 
 func (s *scene) open(conn uint64, addr, from string) {
-	s.o.Tap(simnet.Event{At: s.w.Now(), Kind: simnet.Opened, Conn: conn, Node: from, Addr: addr, Dialer: true})
+	s.observer.Tap(simnet.Event{At: s.world.Now(), Kind: simnet.Opened, Conn: conn, Node: from, Addr: addr, Dialer: true})
 }
 
 // fields are those of a request asked some time ago.
 func (s *scene) fields(id, class, once string, ago microtime.Time) []thrift.Field {
-	at := strconv.FormatInt((&simnet.WallClock{}).UnixMilli(s.w.Now()-ago), 10)
+	at := strconv.FormatInt((&simnet.WallClock{}).UnixMilli(s.world.Now()-ago), 10)
 	return []thrift.Field{{Name: "class", Value: class}, {Name: "id", Value: id}, {Name: "at", Value: at}, {Name: "kb", Value: "20"},
 		{Name: "tenant", Value: "t"}, {Name: "once", Value: once}}
 }
@@ -60,9 +60,9 @@
 func (s *scene) ask(id, class, once string) int32 { return s.askAgo(id, class, once, 0) }
 
 func (s *scene) askAgo(id, class, once string, ago microtime.Time) int32 {
-	s.seq++
-	s.event(1, simnet.Arrived, "s0", "p0", false, thrift.AppendCall(nil, s.seq, s.fields(id, class, once, ago), []byte("body")))
-	return s.seq
+	s.sequenceID++
+	s.event(1, simnet.Arrived, "s0", "p0", false, thrift.AppendCall(nil, s.sequenceID, s.fields(id, class, once, ago), []byte("body")))
+	return s.sequenceID
 }
 
 func (s *scene) giveUp(seq int32) {
@@ -79,12 +79,12 @@
 
 // finish has the run of id end, and its notice reach the server; it returns the result.
 func (s *scene) finish(id string, end pool.Outcome) []byte {
-	s.made++
+	s.notices++
 	var result []byte
 	if end == pool.Pass {
-		result = Result([]byte("body"), s.made)
+		result = Result([]byte("body"), s.notices)
 	}
-	p := pool.AppendFinished(nil, s.made, id, end, 5, result)
+	p := pool.AppendFinished(nil, s.notices, id, end, 5, result)
 	s.event(2, simnet.Written, "w0", "s0", false, p)
 	s.event(2, simnet.Arrived, "s0", "w0", true, p)
 	return result
@@ -95,10 +95,10 @@
 	return s.finish(id, pool.Pass)
 }
 
-func (s *scene) after(d microtime.Time) {
-	for end := s.w.Now() + d; s.w.Now() < end; {
-		s.w.At(min(s.w.Now()+20*microtime.Millisecond, end), func() {})
-		s.w.Step(end)
+func (s *scene) advance(d microtime.Time) {
+	for end := s.world.Now() + d; s.world.Now() < end; {
+		s.world.At(min(s.world.Now()+20*microtime.Millisecond, end), func() {})
+		s.world.Step(end)
 	}
 }
 
@@ -118,14 +118,14 @@
 		}},
 		{"answered late", "lost/answered late", func(s *scene) {
 			n := s.askAgo("a", "block-view", "", 4*microtime.Second)
-			s.after(140 * microtime.Millisecond)
-			s.w.Run(s.w.Now() + 100*microtime.Millisecond) // no step, so that nothing is judged meanwhile
+			s.advance(140 * microtime.Millisecond)
+			s.world.Run(s.world.Now() + 100*microtime.Millisecond) // no step, so that nothing is judged meanwhile
 			s.answer(thrift.AppendBroken(nil, n, nil))
 		}},
 		{"stood still meanwhile", "", func(s *scene) {
 			n := s.ask("a", "block-view", "")
-			s.o.ServerPaused("s0", s.w.Now()+6*microtime.Second)
-			s.after(6100 * microtime.Millisecond)
+			s.observer.ServerPaused("s0", s.world.Now()+6*microtime.Second)
+			s.advance(6100 * microtime.Millisecond)
 			s.answer(thrift.AppendBroken(nil, n, nil))
 		}},
 		{"answered twice", "duplicate/answered twice", func(s *scene) {
@@ -155,19 +155,19 @@
 		}},
 		{"run twice", "duplicate/run twice within its window", func(s *scene) {
 			s.served(s.ask("a", "lot-intake", "k"), s.run("a", "lot-intake"))
-			s.after(9 * microtime.Second)
+			s.advance(9 * microtime.Second)
 			s.served(s.ask("b", "lot-intake", "k"), s.run("b", "lot-intake"))
 		}},
 		{"run again after its window", "", func(s *scene) {
 			s.served(s.ask("a", "lot-intake", "k"), s.run("a", "lot-intake"))
-			s.after(11 * microtime.Second)
+			s.advance(11 * microtime.Second)
 			s.served(s.ask("b", "lot-intake", "k"), s.run("b", "lot-intake"))
 		}},
 		{"the window counts from the try that ran", "duplicate/run twice within its window", func(s *scene) {
 			s.giveUp(s.ask("a", "lot-intake", "k"))
-			s.after(8 * microtime.Second)
+			s.advance(8 * microtime.Second)
 			s.served(s.ask("b", "lot-intake", "k"), s.run("b", "lot-intake"))
-			s.after(8 * microtime.Second)
+			s.advance(8 * microtime.Second)
 			s.served(s.ask("c", "lot-intake", "k"), s.run("c", "lot-intake"))
 		}},
 		{"not started, so it may run", "", func(s *scene) {
@@ -187,11 +187,11 @@
 		}},
 		{"on record, and run in a later life", "duplicate/run again though it is on record", func(s *scene) {
 			s.served(s.ask("a", "lot-intake", "k"), s.run("a", "lot-intake"))
-			s.o.ServerStopped("s0", false)
-			s.o.ServerStarted("s0", 2)
+			s.observer.ServerStopped("s0", false)
+			s.observer.ServerStarted("s0", 2)
 			s.open(4, "w0/a", "s0")
 			s.open(1, "s0/thrift", "p0")
-			s.seq = 0
+			s.sequenceID = 0
 			s.ask("b", "lot-intake", "k")
 			s.event(4, simnet.Arrived, "w0", "s0", false, pool.AppendSpawn(nil, "b", "lot-intake", []byte("body")))
 		}},
@@ -206,47 +206,47 @@
 		}},
 		{"refused", "", func(s *scene) { s.answer(thrift.AppendThrottled(nil, s.ask("a", "lot-intake", "k"), nil)) }},
 		{"run past the drain's limit", "drain/run past the limit", func(s *scene) {
-			s.o.DrainSent("s0")
-			s.after(2600 * microtime.Millisecond)
+			s.observer.DrainSent("s0")
+			s.advance(2600 * microtime.Millisecond)
 			s.served(s.ask("a", "block-view", ""), s.run("a", "block-view"))
 		}},
 		{"run within the drain's limit", "", func(s *scene) {
-			s.o.DrainSent("s0")
-			s.after(2400 * microtime.Millisecond)
+			s.observer.DrainSent("s0")
+			s.advance(2400 * microtime.Millisecond)
 			s.served(s.ask("a", "block-view", ""), s.run("a", "block-view"))
 		}},
 		{"ended with a request open", "drain/unanswered at the end", func(s *scene) {
 			s.ask("a", "block-view", "")
-			s.after(60 * microtime.Millisecond)
-			s.o.ServerStopped("s0", true)
+			s.advance(60 * microtime.Millisecond)
+			s.observer.ServerStopped("s0", true)
 		}},
 		{"killed with a request open", "", func(s *scene) {
 			s.ask("a", "block-view", "")
-			s.after(60 * microtime.Millisecond)
-			s.o.ServerStopped("s0", false)
+			s.advance(60 * microtime.Millisecond)
+			s.observer.ServerStopped("s0", false)
 		}},
 		{"closed with a request open", "lost/closed by the server", func(s *scene) {
 			s.ask("a", "block-view", "")
-			s.after(60 * microtime.Millisecond)
+			s.advance(60 * microtime.Millisecond)
 			s.event(1, simnet.Closed, "s0", "p0", false, nil)
 		}},
 		{"shut with a request open", "lost/closed by the server", func(s *scene) {
 			s.ask("a", "block-view", "")
-			s.after(60 * microtime.Millisecond)
+			s.advance(60 * microtime.Millisecond)
 			s.event(1, simnet.HalfClosed, "s0", "p0", false, nil)
 		}},
 		{"cut by the network with a request open", "", func(s *scene) {
 			s.ask("a", "block-view", "")
-			s.after(60 * microtime.Millisecond)
-			s.o.Tap(simnet.Event{At: s.w.Now(), Kind: simnet.HalfClosed, Cause: simnet.CauseCut, Conn: 1, Node: "s0", Peer: "p0"})
+			s.advance(60 * microtime.Millisecond)
+			s.observer.Tap(simnet.Event{At: s.world.Now(), Kind: simnet.HalfClosed, Cause: simnet.CauseCut, Conn: 1, Node: "s0", Peer: "p0"})
 		}},
 		{"shut as a request comes", "", func(s *scene) {
 			s.ask("a", "block-view", "")
 			s.event(1, simnet.HalfClosed, "s0", "p0", false, nil)
 			s.ask("b", "block-view", "")
-			s.after(60 * microtime.Millisecond)
+			s.advance(60 * microtime.Millisecond)
 			s.event(1, simnet.Closed, "s0", "p0", false, nil)
-			s.o.ServerStopped("s0", true)
+			s.observer.ServerStopped("s0", true)
 		}},
 		{"the caller left", "", func(s *scene) {
 			s.ask("a", "block-view", "")
@@ -280,33 +280,33 @@
 				s.ask(fmt.Sprint(i), "block-view", "")
 				s.spawn(fmt.Sprint(i), "block-view", "body")
 			}
-			s.after(200 * microtime.Millisecond)
+			s.advance(200 * microtime.Millisecond)
 			for i := range 13 {
 				s.served(int32(i+1), s.finish(fmt.Sprint(i), pool.Pass))
 			}
 		}},
-		{"AJP", "", func(s *scene) { s.office("b", "200", s.office("a", "200", nil)) }},
+		{"AJP", "", func(s *scene) { s.askByAJP("b", "200", s.askByAJP("a", "200", nil)) }},
 		{"AJP, refused though it ran", "duplicate/refused though the intake ran", func(s *scene) {
-			s.office("a", "200", nil)
-			s.office("b", "503", nil)
+			s.askByAJP("a", "200", nil)
+			s.askByAJP("b", "503", nil)
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := newScene(t)
 			c.play(s)
-			s.after(5 * microtime.Second)
+			s.advance(5 * microtime.Second)
 			if c.want == "" {
-				require.Empty(t, s.o.Violations)
+				require.Empty(t, s.observer.Violations)
 				return
 			}
-			require.NotEmpty(t, s.o.Violations)
-			require.Equal(t, c.want, s.o.Violations[0].Key(), s.o.Violations[0].String())
+			require.NotEmpty(t, s.observer.Violations)
+			require.Equal(t, c.want, s.observer.Violations[0].Key(), s.observer.Violations[0].String())
 		})
 	}
 }
 
-// office asks for an intake by AJP and has it answered: by its run, or by a result.
-func (s *scene) office(id, status string, result []byte) []byte {
+// askByAJP asks for an intake by AJP and has it answered: by its run, or by a result.
+func (s *scene) askByAJP(id, status string, result []byte) []byte {
 	req := ajp.Request{Method: "POST", URI: "/lot-intake", RemoteAddr: "127.0.0.1", Headers: []ajp.Header{{Name: "content-length", Value: "4"}}}
 	for _, f := range s.fields(id, "lot-intake", "k", 0) {
 		req.Headers = append(req.Headers, ajp.Header{Name: "X-Relay-" + f.Name, Value: f.Value})
@@ -329,10 +329,10 @@
 func TestHistoryHasAllTries(t *testing.T) {
 	s := newScene(t)
 	s.served(s.ask("a", "lot-intake", "k"), s.run("a", "lot-intake"))
-	s.after(microtime.Second)
+	s.advance(microtime.Second)
 	s.ask("b", "lot-intake", "k")
 	s.spawn("b", "lot-intake", "body")
-	require.Len(t, s.o.Violations, 1)
+	require.Len(t, s.observer.Violations, 1)
 	require.Equal(t, []string{"0s a lot-intake read, asked at 0s, due at 4s", "0s a run", "0s a run ended: 1", "0s a served",
-		"1s b lot-intake read, asked at 1s, due at 5s", "1s b run"}, s.o.Violations[0].History)
+		"1s b lot-intake read, asked at 1s, due at 5s", "1s b run"}, s.observer.Violations[0].History)
 }
--- a/internal/testbed/invariant/situations.go
+++ b/internal/testbed/invariant/situations.go
@@ -10,76 +10,88 @@
 	"pewterline/internal/testbed/faultsearch"
 )
 
-// FaultInjected says that something goes wrong with a server until a time: only for what Reached tells.
+const (
+	// faultAftermath is how long after its end a fault still counts as at work.
+	faultAftermath = 2 * microtime.Second
+	// maxCountedIncarnation is from which incarnation on situations are no longer told apart by it.
+	maxCountedIncarnation = 3
+)
+
+// FaultInjected says that a fault is at work on a server until a time. It matters for what Situations lists alone.
 func (o *Observer) FaultInjected(kind, name string, until microtime.Time) {
-	o.faulty = append(o.faulty, fault{kind, name, until})
-	s := o.servers[name]
-	if s == nil {
+	o.activeFaults = append(o.activeFaults, activeFault{kind, name, until})
+	server := o.servers[name]
+	if server == nil {
 		return
 	}
-	open, joined := 0, 0
-	for _, r := range s.open {
-		if o.owed(r) {
-			open++
-			if r.once != "" && len(s.keys[r.once].tries) > 1 {
-				joined++
-			}
+	owed, joined := 0, 0
+	for _, request := range server.open {
+		if !request.isOwed() {
+			continue
+		}
+		owed++
+		if request.idempotencyKey != "" && len(server.keys[request.idempotencyKey].attempts) > 1 {
+			joined++
 		}
 	}
-	o.reach(s, fmt.Sprintf("at %s open%d run%d joined%d link%v drain%d life%d", kind, size(open), size(s.running), size(joined), s.links > 0,
-		o.drainPhase(s), min(s.life, 3)))
+	o.noteSituation(server, fmt.Sprintf("at %s open%d run%d joined%d link%v drain%d life%d", kind,
+		orderOfMagnitude(owed), orderOfMagnitude(server.running), orderOfMagnitude(joined), server.openLinks > 0,
+		o.drainPhase(server), min(server.incarnation, maxCountedIncarnation)))
 }
 
-// size is a count's order of magnitude.
-func size(n int) int {
+// orderOfMagnitude sorts counts into five groups: none, one, a few, some, many.
+func orderOfMagnitude(count int) int {
 	switch {
-	case n < 2:
-		return n
-	case n < 8:
+	case count < 2:
+		return count
+	case count < 8:
 		return 2
-	case n < 40:
+	case count < 40:
 		return 3
 	}
 	return 4
 }
 
-func (o *Observer) drainPhase(s *server) int {
-	switch now := o.w.Now(); {
-	case s.noticed == microtime.Never:
+// drainPhase is 0 before the drain notice, 1 while requests may still start after it, and 2 later.
+func (o *Observer) drainPhase(server *serverState) int {
+	switch {
+	case server.drainSentAt == microtime.Never:
 		return 0
-	case now < s.noticed+o.Limits.DrainGrace:
+	case o.world.Now() < server.drainSentAt+o.Limits.DrainGrace:
 		return 1
 	}
 	return 2
 }
 
-// reach notes a situation, alone and with each fault that is at work on the server.
-func (o *Observer) reach(s *server, what string) {
+// noteSituation notes a situation, alone and with each fault that is at work on the server.
+func (o *Observer) noteSituation(server *serverState, what string) {
 	o.SituationCounts[what]++
-	now := o.w.Now()
-	o.faulty = slices.DeleteFunc(o.faulty, func(f fault) bool { return f.until+2*microtime.Second < now })
-	add := func(parts ...string) {
-		h := xxhash.New()
-		for _, p := range parts {
-			_, _ = h.WriteString(p)
-			_, _ = h.WriteString("|")
+	now := o.world.Now()
+	o.activeFaults = slices.DeleteFunc(o.activeFaults, func(f activeFault) bool { return f.until+faultAftermath < now })
+	o.situations[situationOf(what)] = struct{}{}
+	for _, fault := range o.activeFaults {
+		if fault.server == server.name {
+			o.situations[situationOf(what, fault.kind)] = struct{}{}
 		}
-		o.reached[faultsearch.Situation(h.Sum64())] = struct{}{}
 	}
-	add(what)
-	for _, f := range o.faulty {
-		if f.server == s.name {
-			add(what, f.kind)
-		}
+}
+
+// situationOf is the fingerprint of a situation.
+func situationOf(parts ...string) faultsearch.Situation {
+	hash := xxhash.New()
+	for _, part := range parts {
+		_, _ = hash.WriteString(part) // a hash takes everything
+		_, _ = hash.WriteString("|")
 	}
+	return faultsearch.Situation(hash.Sum64())
 }
 
 // Situations lists the situations so far, in order.
 func (o *Observer) Situations() []faultsearch.Situation {
-	out := make([]faultsearch.Situation, 0, len(o.reached))
-	for x := range o.reached {
-		out = append(out, x)
+	list := make([]faultsearch.Situation, 0, len(o.situations))
+	for situation := range o.situations {
+		list = append(list, situation)
 	}
-	slices.Sort(out)
-	return out
+	slices.Sort(list)
+	return list
 }
