--- a/internal/testbed/invariant/scene_test.go
+++ b/internal/testbed/invariant/scene_test.go
@@ -205,7 +205,8 @@
 
 // reply has the vault reply to the first call, on the first connection.
 func (s *scene) reply(status vault.Status) {
-	s.event(firstVaultConn, simnet.Arrived, "s0", "v0", true, vault.AppendReply(nil, firstID, status, []byte("reply "+firstID)))
+	reply := vault.AppendReply(nil, firstID, status, []byte("reply "+firstID))
+	s.event(firstVaultConn, simnet.Arrived, "s0", "v0", true, reply)
 }
 
 // supply has a reply reach the worker pool.
