--- a/internal/testbed/fakes/caller.go
+++ b/internal/testbed/fakes/caller.go
@@ -92,11 +92,22 @@
 	last    bool
 }
 
-// NewCaller returns a caller that begins at once and asks until a time.
-func NewCaller(st *Environment, name string, number int, isAJP bool, rate float64, until microtime.Time, list []string, seed uint64) *Caller {
-	c := &Caller{st: st, node: st.Net.Node(name), number: number, ajp: isAJP, rate: rate, until: until, list: slices.Clone(list),
-		heard: map[string]allowance{}}
-	c.rng = st.World.Fork(seed, name)
+// CallerConfig is what tells one caller from another.
+type CallerConfig struct {
+	Name      string         // of its node
+	Number    int            // that it states to the servers
+	AJP       bool           // it is a web front end that speaks AJP, and else a proxy that speaks Thrift
+	Rate      float64        // jobs a second
+	Until     microtime.Time // when it stops sending new jobs
+	Endpoints []string       // the servers that it knows at the start
+	Seed      uint64
+}
+
+// NewCaller returns a caller that begins at once.
+func NewCaller(st *Environment, config CallerConfig) *Caller {
+	c := &Caller{st: st, node: st.Net.Node(config.Name), number: config.Number, ajp: config.AJP, rate: config.Rate,
+		until: config.Until, list: slices.Clone(config.Endpoints), heard: map[string]allowance{}}
+	c.rng = st.World.Fork(config.Seed, config.Name)
 	st.Registry.callers = append(st.Registry.callers, c)
 	c.boot()
 	return c
--- a/internal/testbed/fakes/environment.go
+++ b/internal/testbed/fakes/environment.go
@@ -30,11 +30,20 @@
 	wall          simnet.WallClock
 }
 
-// NewEnvironment returns a stage with a control plane.
-func NewEnvironment(net *simnet.Net, s control.Settings, d Deployment, seed uint64) *Environment {
-	st := &Environment{Net: net, World: net.World(), Settings: s, Deployment: d, Requests: &RequestRegistry{tries: map[string]*sent{}}, TrafficFactor: map[string]float64{},
+// EnvironmentConfig is what the fakes of a world are built from.
+type EnvironmentConfig struct {
+	Net        *simnet.Net
+	Settings   control.Settings
+	Deployment Deployment
+	Seed       uint64
+}
+
+// NewEnvironment returns an environment with a control plane.
+func NewEnvironment(config EnvironmentConfig) *Environment {
+	st := &Environment{Net: config.Net, World: config.Net.World(), Settings: config.Settings, Deployment: config.Deployment,
+		Requests: &RequestRegistry{tries: map[string]*sent{}}, TrafficFactor: map[string]float64{},
 		Served: map[string]int{}, Asked: map[string]int{}}
-	st.Registry = newControl(st, st.World.Fork(seed, "control"))
+	st.Registry = newControl(st, st.World.Fork(config.Seed, "control"))
 	return st
 }
 
--- a/internal/testbed/fakes/pool.go
+++ b/internal/testbed/fakes/pool.go
@@ -61,8 +61,16 @@
 	blocked bool    // it waits, off the cores, for the reply to a call
 }
 
+// PoolConfig is what tells one worker pool from another.
+type PoolConfig struct {
+	Server string // that it belongs to
+	Cold   bool   // it warms up over its first seconds
+	Seed   uint64
+}
+
 // NewPool starts the worker pool of a server.
-func NewPool(st *Environment, server string, seed uint64, cold bool) *Pool {
+func NewPool(st *Environment, config PoolConfig) *Pool {
+	server, cold, seed := config.Server, config.Cold, config.Seed
 	name := "w" + server[1:]
 	p := &Pool{st: st, node: st.Net.Node(name), server: server, cores: float64(st.Settings.Cores), cold: cold, born: st.World.Now(),
 		at: st.World.Now(), slow: 1, costly: map[string]float64{}, known: map[string]*work{}, first: 1}
--- a/internal/testbed/sim/sim.go
+++ b/internal/testbed/sim/sim.go
@@ -129,7 +129,12 @@
 	}
 	l.net.Tap = l.obs.Tap
 	l.w.After = l.obs.Check
-	l.st = fakes.NewEnvironment(l.net, set, deployment.traffic, script.Seed)
+	l.st = fakes.NewEnvironment(fakes.EnvironmentConfig{
+		Net:        l.net,
+		Settings:   set,
+		Deployment: deployment.traffic,
+		Seed:       script.Seed,
+	})
 	l.base = config.Config{ShutdownTimeout: l.stop, MemoryLimit: memory, SocketLimit: sockets, Settings: set, Gauges: gauges,
 		AJP: config.AJP{Listen: "on", BodyTimeout: 2 * microtime.Second, MaxBody: 2 << 10, MaxConnections: officeMax}}
 	if script.Vault {
@@ -257,7 +262,15 @@
 				rate = 0.25 * l.script.Rate / float64(l.script.WebFrontends)
 			}
 		}
-		l.callers[name] = fakes.NewCaller(l.st, name, i+1, isAJP, rate, until, list, l.script.Seed)
+		l.callers[name] = fakes.NewCaller(l.st, fakes.CallerConfig{
+			Name:      name,
+			Number:    i + 1,
+			AJP:       isAJP,
+			Rate:      rate,
+			Until:     until,
+			Endpoints: list,
+			Seed:      l.script.Seed,
+		})
 	}
 	for i := range callers {
 		if i < l.script.Proxies && l.script.WebFrontends > 0 {
@@ -277,7 +290,7 @@
 	node.Boot()
 	s.leaving = false
 	if !s.edge {
-		s.pool = fakes.NewPool(l.st, s.name, l.script.Seed, cold)
+		s.pool = fakes.NewPool(l.st, fakes.PoolConfig{Server: s.name, Cold: cold, Seed: l.script.Seed})
 		s.cfg.PoolAddress = s.pool.Addr()
 	}
 	rng := l.w.Fork(l.script.Seed, fmt.Sprintf("%s/%d", s.name, node.Incarnation))
