--- a/cmd/pewterline/upgrade_test.go
+++ b/cmd/pewterline/upgrade_test.go
@@ -659,19 +659,27 @@
 	cfg := config.Config{Name: "n0", Listen: "127.0.0.1:2", AdminAddress: "127.0.0.1:1"}
 	listener, err := net.Listen("unix", filepath.Join(dir, socketPrefix(cfg)+"1"))
 	require.NoError(t, err)
-	t.Cleanup(func() { require.NoError(t, listener.Close()) })
+	var held []net.Conn // an unreferenced connection would be closed by the garbage collector
+	accepting := make(chan struct{})
 	go func() { // ends with the listener
-		first, err := listener.Accept()
-		if err != nil {
-			return
-		}
-		_, _ = first.Write([]byte("HTTP/1.1"))
-		for { // later connections wait in vain
-			if _, err := listener.Accept(); err != nil {
+		defer close(accepting)
+		for {
+			conn, err := listener.Accept()
+			if err != nil {
 				return
 			}
+			if held = append(held, conn); len(held) == 1 {
+				_, _ = conn.Write([]byte("HTTP/1.1")) // later connections wait in vain
+			}
 		}
 	}()
+	t.Cleanup(func() {
+		require.NoError(t, listener.Close())
+		<-accepting
+		for _, conn := range held {
+			require.NoError(t, conn.Close())
+		}
+	})
 	search := predecessorSearch{dir: dir, cfg: cfg, patience: 10 * predecessorRetryInterval, logger: zap.NewNop()}
 	_, err = search.run()
 	require.ErrorIs(t, err, errNotOurs)
