--- a/control/actions.go
+++ b/control/actions.go
@@ -15,43 +15,44 @@
 	RetryAfter time.Duration // advice not to use this server for so long; 0 = none
 }
 
-// Fail answers with an error. Running work goes on until it ends, reaches a call or is preempted.
+// Fail answers with an error. A run that has started continues until it ends, reaches a call or is preempted.
 type Fail struct{ ID RequestID }
 
-// Preempt stops running work in the way of Settings.Preemption; work that is already answered ends.
+// Preempt stops a run as Settings.Preemption says. The run of a request that is already answered ends for good.
 type Preempt struct{ ID RequestID }
 
-// Call makes the call that a request waits for.
+// Call makes the downstream call that a request waits for.
 type Call struct {
 	ID      RequestID
-	Timeout time.Duration
+	Timeout time.Duration // the host abandons the call after this
 }
 
-// SkipCall lets a request go on without its call.
+// SkipCall resumes a request without its downstream call.
 type SkipCall struct{ ID RequestID }
 
-// RetainKey keeps the idempotency key of a request for TTL, so that repeats name the request as their Original.
+// RetainKey makes the host keep the idempotency key of a request for TTL. Until then RequestArrived.Original of a
+// repeat names this request.
 type RetainKey struct {
 	ID  RequestID
 	TTL time.Duration
 }
 
-// ReleaseKey drops what RetainKey keeps.
+// ReleaseKey makes the host forget a key that was retained by RetainKey.
 type ReleaseKey struct{ ID RequestID }
 
 // ReplayResult answers a queued request with the result of its Original.
 type ReplayResult struct{ ID RequestID }
 
-// SetHealth sets the answer to health checks; a Cached answer is given without work.
+// SetHealth sets the answer to health checks. A Cached answer is sent without using the cores.
 type SetHealth struct{ Healthy, Cached bool }
 
-// SetLoadSignal sets the load signal that goes with every answer from now on.
+// SetLoadSignal sets the load signal that every answer carries from now on. Settings.LoadSignal defines its meaning.
 type SetLoadSignal struct{ Value float64 }
 
 // CloseIdleConnections closes connections that have been idle for IdleTimeout, now and from now on.
 type CloseIdleConnections struct{ IdleTimeout time.Duration }
 
-// ScheduleTick asks for a Tick with the same Token.
+// ScheduleTick requests one Tick with the same Token after the delay After.
 type ScheduleTick struct {
 	After time.Duration
 	Token uint64
--- a/control/admission.go
+++ b/control/admission.go
@@ -6,17 +6,17 @@
 )
 
 const (
-	// overloadedShare is the share of rejections or of retries above which the whole fleet is taken to be overloaded.
+	// overloadedShare is the share of rejections or of retries above which the whole fleet is assumed to be overloaded.
 	overloadedShare = 0.5
-	// lateReadShare is the part of the latency objective after which a request was read so late that reading itself is
-	// what is short.
+	// lateReadShare is a share of the latency objective. A request that was read later than this after its arrival
+	// shows that the server cannot even read its connections fast enough.
 	lateReadShare = 1.0 / 8
 )
 
 // requestArrived counts, queues or rejects a request that was just read.
 func (c *Controller) requestArrived(event RequestArrived) {
 	if event.Class < 0 || event.Class >= len(c.classes.all) {
-		c.emit(Fail{ID: event.ID}) // Nothing is known of it but that it is owed an answer.
+		c.emit(Fail{ID: event.ID}) // Settings that do not fit the host; the request must still be answered.
 		return
 	}
 	req := &request{RequestArrived: event, arrivedAt: c.now - event.Age, dueAt: event.Deadline}
@@ -40,12 +40,13 @@
 		c.demand.priorityRequestArrived(class.slotSeconds(req.CostHint))
 	}
 	class.enqueue(req)
-	if !c.retainKey(req) || c.mayNotStart(req) {
+	if !c.retainKey(req) || !c.mayRunHere(req) {
 		c.reject(req, false)
 	}
 }
 
-// serviceTime is the time from start to end that a request should take at present, with the margin of its class.
+// serviceTime is the expected time from the start to the end of a request at the current speed of the machine,
+// multiplied by the safety margin of its class.
 func (c *Controller) serviceTime(req *request) time.Duration {
 	class := c.classes.of(req)
 	slotSeconds := class.slotSeconds(req.CostHint) * c.slowdown.factor
@@ -53,28 +54,33 @@
 	return seconds(class.serviceMargin * (slotSeconds + callSeconds))
 }
 
-// mayNotStart reports whether a request must not be run here, however short the queue is.
-func (c *Controller) mayNotStart(req *request) bool {
+// mayRunHere reports whether drain and health permit to run a request here, regardless of the load. An unhealthy
+// machine accepts one idempotent request of each class at a time, to find out whether it has recovered.
+func (c *Controller) mayRunHere(req *request) bool {
 	if c.drain.forbids(req.arrivedAt+req.Age, c.now+c.serviceTime(req)) {
+		return false
+	}
+	if c.health.reason == reasonNone {
 		return true
 	}
 	class := c.classes.of(req)
-	return c.health.reason != reasonNone && (class.Idempotency != Idempotent || len(class.queue) > 1)
+	return class.Idempotency == Idempotent && len(class.queue) <= 1
 }
 
-// isTooLate reports whether a request cannot be answered in time to be worth its work. Late answers are for idle
-// times.
+// isTooLate reports whether the answer to a request would come too late to be worth its work. Answers between the
+// latency objective and the deadline count only while the queue is short, in classes that earn weight for them.
 func (c *Controller) isTooLate(req *request) bool {
 	class := c.classes.of(req)
 	latest := class.usefulUntil(req)
 	if class.LateWeightShare > 0 && c.requests.counts[stateQueued] <= c.settings.Cores {
 		latest = req.dueAt
 	}
-	return c.now+c.serviceTime(req) > latest || c.drain.requested && c.mayNotStart(req)
+	return c.now+c.serviceTime(req) > latest
 }
 
-// reject rejects a request that never ran. The advised pause grows with the share of rejections. What is past its use,
-// or would meet only overloaded servers or add to late reading, should not be retried elsewhere.
+// reject rejects a request that never ran. The Retry-After advice grows with the share of rejections. The caller is
+// asked not to retry at another server if a retry would come too late, if the whole fleet seems overloaded, or if
+// this server is overloaded and already reads its connections late.
 func (c *Controller) reject(req *request, noRetry bool) {
 	class := c.classes.of(req)
 	c.demand.rejections++
@@ -100,8 +106,8 @@
 	c.remove(req)
 }
 
-// undoArrival takes back what the arrival of a request counted, as nobody had asked for it. This guards against bursts
-// of made-up requests: a server that rejected nearly all that was real took itself for one with capacity to spare.
+// undoArrival removes an unsupported request from the counts, so that made-up requests cannot lower the rejection
+// share.
 func (c *Controller) undoArrival(req *request) {
 	c.demand.undoArrival(req.Retry)
 	c.signal.undoArrival()
--- a/control/calls.go
+++ b/control/calls.go
@@ -6,23 +6,23 @@
 )
 
 const (
-	// callBackoff is the pause before the next attempt of a call; it doubles each time.
+	// callBackoff is the pause before the second attempt of a call; it doubles with each further attempt.
 	callBackoff = 50 * time.Millisecond
-	// maxBackoffDoublings bounds the pause.
+	// maxBackoffDoublings bounds the backoff at callBackoff << maxBackoffDoublings.
 	maxBackoffDoublings = 6
 	// maxCallAttempts bounds the attempts of a call of an idempotent request.
 	maxCallAttempts = 3
 )
 
-// callNeeded queues a running request for its call.
+// callNeeded queues a running request for permission to make its call.
 func (c *Controller) callNeeded(event CallNeeded) {
 	if req := c.requests.byID[event.ID]; req != nil && req.state == stateRunning {
 		c.transition(req, stateAwaitingCall)
 	}
 }
 
-// grantCalls makes the calls that requests wait for, the earliest due first, and ends the requests for which a call
-// comes too late.
+// grantCalls makes the calls that requests wait for, in the order of their due starts. It fails idempotent requests
+// whose call would come too late, and skips the call where the class permits it.
 func (c *Controller) grantCalls() {
 	waiting := slices.DeleteFunc(slices.Clone(c.requests.ordered), func(req *request) bool {
 		return req.state != stateAwaitingCall || req.answered
@@ -34,7 +34,7 @@
 		switch {
 		case c.now > class.usefulUntil(req) && class.LateWeightShare == 0 && class.Idempotency == Idempotent:
 			c.fail(req)
-		case req.stateSince > c.now: // Its last call failed a moment ago.
+		case req.stateSince > c.now: // The backoff after a failed attempt is not over.
 		case c.calls.allows(requiredStock):
 			timeout := c.calls.timeout(req.dueAt - c.now)
 			c.transition(req, stateCalling)
@@ -46,8 +46,9 @@
 	}
 }
 
-// callFinished goes on with a request whose call has ended, or has it wait for the next attempt. A call that may have
-// taken effect is never repeated for a request that is not idempotent.
+// callFinished resumes a request whose call has succeeded. After any other outcome the request waits for the next
+// attempt, or fails if none is left. A call that may have taken effect is never repeated for a request that is not
+// idempotent.
 func (c *Controller) callFinished(event CallFinished) {
 	req := c.requests.byID[event.ID]
 	if req == nil || req.state != stateCalling {
@@ -63,7 +64,7 @@
 		return
 	}
 	c.transition(req, stateAwaitingCall)
-	// The backoff keeps a storm of calls away from a dependency that is overloaded already.
+	// The backoff prevents retries from overloading the dependency further.
 	req.stateSince = c.now + callBackoff<<min(req.callsFailed, maxBackoffDoublings)
 	req.callsFailed++
 	final := c.classes.of(req).Idempotency != Idempotent || req.callsFailed >= maxCallAttempts
--- a/control/class.go
+++ b/control/class.go
@@ -8,51 +8,51 @@
 )
 
 const (
-	// priorSamples is the weight, in completions, of the prior that a class's moments start from.
+	// priorSamples is the weight, in completions, of the prior for the statistics of a class.
 	priorSamples = 100.0
-	// assumedServiceShare is the service time, as a share of the latency objective, that is assumed of a new class.
+	// assumedServiceShare is the assumed service time of a new class, as a share of its latency objective.
 	assumedServiceShare = 1.0 / 8
-	// assumedSamples is the weight, in completions, of what is assumed of a new class.
+	// assumedSamples is the weight, in completions, of the assumptions about a new class.
 	assumedSamples = 4.0
-	// bestEffortServiceMargin is how many mean service times a request of best effort must have left to be started:
-	// with less of it, too many would be late.
+	// bestEffortServiceMargin is how many mean service times a best-effort request must have left to be started: with
+	// less, too many would be late.
 	bestEffortServiceMargin = 1.5
-	// priorityServiceMargin is the same for the other classes: a fair chance to be in time is worth more there than
-	// the best effort in its place.
+	// priorityServiceMargin is the same for the priority classes, whose requests are started with less time to spare:
+	// even a moderate chance to be in time is worth more than the best-effort request that would run instead.
 	priorityServiceMargin = 0.5
-	// retryObjectiveShare is the part of the latency objective that a retry is taken to have left. It counts from the
-	// first attempt, which came at a time that nobody tells.
+	// retryObjectiveShare is the assumed part of the latency objective that a retry has left. The objective counts from
+	// the first attempt, whose time is not known here.
 	retryObjectiveShare = 0.7
-	// maxHintRatio bounds a cost hint over the mean hint of its class: hints are rough.
+	// maxHintRatio bounds the ratio of a cost hint to the mean hint of its class, as hints are rough.
 	maxHintRatio = 4
-	// minBudgetShare is the part of the latency objective that a queue budget keeps when the service time outgrows
-	// the mean latency; it keeps the order of the objectives.
+	// minBudgetShare bounds a queue budget from below, as a share of the latency objective. It applies when the service
+	// time exceeds the mean latency budget, and keeps the classes ordered by their objectives.
 	minBudgetShare = 1.0 / 8
 )
 
-// classState is the queue of one class and what has been learned of it.
+// classState is the queue of one class and the statistics of its requests.
 type classState struct {
 	Class
-	bestEffort    bool // of the lowest weight, where weights differ
-	serviceMargin float64
+	bestEffort    bool    // the class has the lowest weight, and weights differ
+	serviceMargin float64 // mean service times that a request must have left to be started
 
 	queue       []*request    // oldest first
-	queueBudget time.Duration // a request should start within this of its arrival
+	queueBudget time.Duration // a request should start within this time after its arrival
 
 	latencies       []float64   // seconds, of the last sampleWindow completions
-	service         runningMean // seconds from start to end
-	slot            runningMean // seconds of that on the cores or at the disk
+	service         runningMean // seconds from start to end of a run
+	slot            runningMean // seconds of a run on the cores or at the disk
 	costHint        runningMean // seconds
 	callsPerRequest runningMean
-	rejectedShare   runningMean // of the last outcomes: rejected for want of time
+	rejectedShare   runningMean // share of outcomes that were rejections under load
 	cv              float64     // coefficient of variation of the latencies
 	disengagement   float64     // share of users who gave up on the latencies
 
-	recentOutcomes   float64 // ended by a run or rejected; fades twice as fast as other recent counts
-	recentRejections float64 // of them
+	recentOutcomes   float64 // successful runs and rejections; fades twice as fast as other recent counts
+	recentRejections float64 // the rejections among recentOutcomes
 }
 
-// newClassState assumes of a class what its latency objective suggests.
+// newClassState returns the state of a class without samples. Its estimates are derived from the latency objective.
 func newClassState(class Class) *classState {
 	assumed := runningMean{count: assumedSamples, value: class.LatencyObjective.Seconds() * assumedServiceShare}
 	return &classState{
@@ -66,7 +66,7 @@
 	}
 }
 
-// inherit takes up what was learned of the class under another number.
+// inherit copies the statistics of the class of the same name that had another index.
 func (k *classState) inherit(from *classState) {
 	k.latencies = slices.Clone(from.latencies)
 	k.service = from.service
@@ -78,54 +78,54 @@
 	k.disengagement = from.disengagement
 }
 
-// enqueue adds a request to the queue, behind those that reached the machine no later.
+// enqueue adds a request to the queue, which is ordered by the time at which requests reached the machine.
 func (k *classState) enqueue(req *request) {
 	k.queue = append(k.queue, req)
 	slices.SortStableFunc(k.queue, func(a, b *request) int { return cmp.Compare(a.arrivedAt, b.arrivedAt) })
 }
 
-// dequeue takes a request out of the queue.
+// dequeue removes a request from the queue.
 func (k *classState) dequeue(req *request) {
 	k.queue = slices.DeleteFunc(k.queue, func(queued *request) bool { return queued == req })
 }
 
-// advance multiplies the recent counts by fade twice, so that they fade twice as fast as other figures: callers hear of
-// them late enough.
+// advance multiplies the recent counts by fade twice, so that they fade twice as fast as other figures: the health that
+// is derived from them reaches callers with a delay already.
 func (k *classState) advance(fade float64) {
 	k.recentOutcomes = k.recentOutcomes * fade * fade
 	k.recentRejections = k.recentRejections * fade * fade
 }
 
-// requestRejected counts a rejection for want of time.
+// requestRejected counts a rejection under load.
 func (k *classState) requestRejected() {
 	k.rejectedShare.add(1)
 	k.recentOutcomes++
 	k.recentRejections++
 }
 
-// requestCompleted counts a run that ended well.
+// requestCompleted counts a successful run.
 func (k *classState) requestCompleted() {
 	k.rejectedShare.add(0)
 	k.recentOutcomes++
 }
 
-// addLatency takes in the latency of an answer that was sent to its caller.
+// addLatency adds the latency of an answer that was sent to its caller.
 func (k *classState) addLatency(latency time.Duration) {
 	k.latencies = append(k.latencies, latency.Seconds())
 	k.latencies = k.latencies[max(0, len(k.latencies)-sampleWindow):]
 }
 
-// fit measures the latencies and computes the queue budget from them.
+// fit recomputes the statistics of the latencies and derives the queue budget from them.
 func (k *classState) fit() {
 	k.measure()
 	meanBudget := meanLatencyBudget(k.cv, k.LatencyObjective, k.Deadline)
-	// Unlike UTSLO: the service time may outgrow the mean latency, and a budget below zero would order requests by
+	// Unlike UTSLO: the service time may exceed the mean latency budget, and negative budgets would order requests by
 	// their service time alone.
 	k.queueBudget = max(meanBudget-seconds(k.service.value), seconds(minBudgetShare*k.LatencyObjective.Seconds()))
 }
 
-// measure computes CV and disengagement of the latencies. The disengagement curve is zero up to the objective, one from
-// the deadline on and linear between them.
+// measure computes the coefficient of variation and the disengagement of the latencies. The disengagement curve is zero
+// up to the objective, one from the deadline on and linear between them.
 func (k *classState) measure() {
 	var sum, squares, disengaged float64
 	for _, latency := range k.latencies {
@@ -137,17 +137,18 @@
 	count := float64(len(k.latencies))
 	mean := math.Max(sum/math.Max(count, 1), time.Microsecond.Seconds())
 	cv := math.Sqrt(math.Max(squares/math.Max(count, 1)-mean*mean, 0)) / mean
-	// Unlike UTSLO: a thin class is drawn towards the near-exponential law that just meets its target.
+	// Unlike UTSLO: a class with few samples is drawn towards the exponential law (CV 1) that just meets its target.
 	const priorDisengagement = priorSamples * disengagementTarget * (minTargetRatio + maxTargetRatio) / 2
 	k.cv = (count*cv + priorSamples) / (count + priorSamples)
 	k.disengagement = (disengaged + priorDisengagement) / (count + priorSamples)
 }
 
-// missedShare is the share of users who give up on the class. Unlike UTSLO it counts those who are rejected: latencies
-// alone tell nothing of them, and the more of a class were given up, the more of its slots would go to best effort.
+// missedShare is the share of users that the class fails. Unlike UTSLO it includes rejections, which the latencies do
+// not show. Without them, a heavily rejected class would look satisfied and lose slots to best effort.
 func (k *classState) missedShare() float64 { return k.disengagement + k.rejectedShare.value }
 
-// slotSeconds is the slot time that a request should take. Its hint scales one half of it, as hints are rough.
+// slotSeconds is the expected slot time of a request, in seconds. A cost hint scales only half of the estimate, as
+// hints are rough.
 func (k *classState) slotSeconds(costHint time.Duration) float64 {
 	if costHint > 0 && k.costHint.value > 0 {
 		return k.slot.value * (1 + math.Min(costHint.Seconds()/k.costHint.value, maxHintRatio)) / 2
@@ -155,7 +156,7 @@
 	return k.slot.value
 }
 
-// usefulUntil is when an answer to a request stops earning its full weight.
+// usefulUntil is the clock time after which an answer to a request no longer earns its full weight.
 func (k *classState) usefulUntil(req *request) time.Duration {
 	objective := k.LatencyObjective
 	if req.Retry {
--- a/control/class_table.go
+++ b/control/class_table.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// classTable holds the classes under their numbers.
+// classTable holds the state of each class, by its index in Settings.Classes.
 type classTable struct {
 	all    []*classState
 	active []*classState // those that are not retired
 }
 
-// configure takes up settings. A class that keeps number and name keeps its state; under another number it inherits
-// what was learned of its name.
+// configure applies the settings. A class that keeps index and name keeps its state; under another index it inherits
+// the statistics of the class of its name.
 func (t *classTable) configure(settings *Settings) {
 	byWeight := func(a, b Class) int { return cmp.Compare(a.Weight, b.Weight) }
 	activeClasses := settings.activeClasses()
@@ -28,7 +28,7 @@
 		if class.Weight > lowest {
 			state.serviceMargin = priorityServiceMargin
 		}
-		// Where all classes tie there is no lowest: none is best effort.
+		// If all classes have the same weight, none is best effort.
 		state.bestEffort = class.Weight == lowest && lowest < highest
 		t.all = append(t.all, state)
 		if !class.Retired {
@@ -37,7 +37,7 @@
 	}
 }
 
-// keptClassState is the state of a class that may have been among those before.
+// keptClassState returns the state of a class at an index, reusing that of before as configure describes.
 func keptClassState(before []*classState, number int, class Class) *classState {
 	if number < len(before) && before[number].Name == class.Name {
 		return before[number]
@@ -50,18 +50,18 @@
 	return state
 }
 
-// of is the class of a request.
+// of returns the class of a request.
 func (t *classTable) of(req *request) *classState { return t.all[req.Class] }
 
-// mostValuable is the first active class of the highest weight.
+// mostValuable returns the first active class of the highest weight.
 func (t *classTable) mostValuable() *classState {
 	return slices.MaxFunc(t.active, func(a, b *classState) int { return cmp.Compare(a.Weight, b.Weight) })
 }
 
-// dueToStart is when a request should start.
+// dueToStart is the clock time by which a request should start.
 func (t *classTable) dueToStart(req *request) time.Duration {
 	return req.arrivedAt + t.of(req).queueBudget
 }
 
-// byDueStart orders requests by the time at which they should start.
+// byDueStart compares requests by dueToStart.
 func (t *classTable) byDueStart(a, b *request) int { return int(t.dueToStart(a) - t.dueToStart(b)) }
--- a/control/completion.go
+++ b/control/completion.go
@@ -5,7 +5,7 @@
 // answerLeadTime is how long before they are due answers are sent.
 const answerLeadTime = 10 * time.Millisecond
 
-// requestFinished forgets a request that has ended and learns from it.
+// requestFinished removes a request that has ended and updates the estimates with it.
 func (c *Controller) requestFinished(event RequestFinished) {
 	req := c.requests.byID[event.ID]
 	if req == nil || req.state == stateQueued || event.Outcome == OutcomeAlreadyEnded {
@@ -17,20 +17,20 @@
 		c.undoArrival(req)
 	}
 	if replayed {
-		return // The result of another run says nothing of the machine.
+		return // A replayed result says nothing about this machine.
 	}
 	switch event.Outcome {
 	case OutcomeOK:
 		c.learnFrom(req)
 	case OutcomeError:
-		if !req.answered { // Otherwise it was failed here.
+		if !req.answered { // Otherwise the controller itself has failed it.
 			c.health.runFailed()
 		}
-	default: // The host stopped it: that says nothing of the machine.
+	default: // The host stopped the run, which says nothing about the machine.
 	}
 }
 
-// learnFrom learns from a request that ran to its end.
+// learnFrom updates the estimates with a successful run.
 func (c *Controller) learnFrom(req *request) {
 	class := c.classes.of(req)
 	c.health.runSucceeded()
@@ -44,7 +44,8 @@
 	}
 }
 
-// learnSlotTime learns from the slot time of a request that has ended, or is stopped and would have taken longer yet.
+// learnSlotTime updates the slot time estimates with a run that has ended, or with a stopped run, for which the time
+// spent is a lower bound.
 func (c *Controller) learnSlotTime(req *request, took time.Duration) {
 	class := c.classes.of(req)
 	usualSeconds := c.slowdown.completed(class.slotSeconds(req.CostHint), took)
@@ -58,8 +59,9 @@
 	}
 }
 
-// releaseCaller ends or stops a request that is answered or whose caller has left: what never ran ends, and idempotent
-// runs are preempted where they can be. Runs with an idempotency key go on, as a repeat may want their result.
+// releaseCaller ends or stops a request that is answered or whose caller has left. A request that never ran ends, and
+// an idempotent run is preempted if the settings permit. A run with an idempotency key continues, as a repeat may want
+// its result.
 func (c *Controller) releaseCaller(req *request) {
 	req.answered = true
 	if req.neverRan() {
@@ -73,8 +75,8 @@
 	}
 }
 
-// answerOverdue fails requests that are nearly due, all of them just before the process is stopped, and those that run
-// in vain.
+// answerOverdue fails requests whose deadline is near, every open request just before the process is stopped, and runs
+// that runsInVain reports.
 func (c *Controller) answerOverdue() {
 	for _, req := range c.requests.open() {
 		if !req.answered && (c.now >= req.dueAt-answerLeadTime || c.drain.answersAreDue(c.now)) {
@@ -86,8 +88,8 @@
 	}
 }
 
-// runsInVain reports whether a request runs past its use while its slot is wanted for work that still has one. This
-// guards against the few that take far longer than others: they held a tenth of the slots for answers worth nothing.
+// runsInVain reports whether the answer to a running request is already worthless while its slot is needed for others.
+// This prevents the few requests that take far longer than others from holding slots.
 func (c *Controller) runsInVain(req *request) bool {
 	class := c.classes.of(req)
 	return req.state == stateRunning && !req.answered && class.Idempotency == Idempotent && class.LateWeightShare == 0 &&
--- a/control/concurrency_ceiling.go
+++ b/control/concurrency_ceiling.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// concurrencySafetyShare is the part of the survivable concurrency that is used, calls included.
+// concurrencySafetyShare is the part of the survivable concurrency that may be used. Requests in calls count too.
 const concurrencySafetyShare = 0.8
 
-// concurrencyCeiling is how many running requests the server survives. A cold server is taken to warm up no faster
-// than the settings promise. The ceiling is a guard, not a target.
+// concurrencyCeiling is how many running requests the server survives. A cold server is assumed to warm up no faster
+// than the settings promise. The ceiling bounds the concurrency limit; it is not a target.
 type concurrencyCeiling struct {
 	cores      float64
-	perCore    float64 // of a warm server; 0 = not stated
+	perCore    float64 // running requests per core that a warm server survives; 0 = not stated
 	coldStart  bool
 	minSpeed   float64 // a cold server starts at no less than this share of its speed
 	warmUpTime time.Duration
 	startedAt  time.Duration
 }
 
-// configure takes up settings.
+// configure applies the settings.
 func (c *concurrencyCeiling) configure(settings *Settings) {
 	c.cores = float64(settings.Cores)
 	c.perCore = settings.MaxConcurrencyPerCore
@@ -28,7 +28,7 @@
 	c.warmUpTime = settings.WarmUpTime
 }
 
-// usable is how many running requests may be risked now.
+// usable is how many running requests are safe now.
 func (c *concurrencyCeiling) usable(now time.Duration) float64 {
 	speed := 1.0
 	if c.coldStart && c.warmUpTime > 0 {
@@ -37,7 +37,7 @@
 	return concurrencySafetyShare * (c.cores * (1 + (c.perCore-1)*speed))
 }
 
-// limit is the highest concurrency limit that is of use now.
+// limit is the upper bound of the concurrency limit now.
 func (c *concurrencyCeiling) limit(now time.Duration) float64 {
 	if c.perCore > 0 {
 		return c.usable(now)
@@ -45,7 +45,7 @@
 	return maxLimitPerCore * c.cores
 }
 
-// allows reports whether so many requests may be running now.
+// allows reports whether the given number of requests may be running now.
 func (c *concurrencyCeiling) allows(now time.Duration, running int) bool {
 	return c.perCore <= 0 || float64(running) <= c.usable(now)
 }
--- a/control/controller.go
+++ b/control/controller.go
@@ -7,14 +7,14 @@
 )
 
 const (
-	// tickInterval is the distance of the timers by which slow changes are followed: a quarter of the usual grace on
-	// an answer.
+	// tickInterval is the interval of Tick events. It is small against Settings.AnswerGrace, by which an answer may be
+	// late (usually 80 to 100 ms), as overdue requests are answered at the next event or tick.
 	tickInterval = 20 * time.Millisecond
-	// refitInterval is how often the latency law is fitted anew: budgets follow a change of load within seconds.
+	// refitInterval is how often the latency law is refitted, so that budgets follow a change of load within seconds.
 	refitInterval = time.Second
 )
 
-// Controller decides for one server. It is not safe for concurrent use.
+// Controller decides for one server. Its methods must not be called concurrently.
 type Controller struct {
 	settings Settings
 	started  bool
@@ -30,7 +30,7 @@
 	slowdown    *slowdownEstimate
 	demand      demand
 	quotas      tenantQuotas
-	keys        *keyTable
+	keys        *retainedKeys
 	memory      memoryBudget
 	calls       callBudget
 	health      *healthMonitor
@@ -39,7 +39,7 @@
 	drain       drainState
 }
 
-// New checks the settings and returns a Controller at its start. Its errors wrap ErrInvalidSettings.
+// New checks the settings and returns a Controller that has seen no events. Its errors wrap ErrInvalidSettings.
 func New(settings Settings) (*Controller, error) {
 	if err := settings.validate(); err != nil {
 		return nil, err
@@ -49,7 +49,7 @@
 		lanes:       newLaneScheduler(settings.Seed),
 		limiter:     newConcurrencyLimiter(settings.Cores),
 		slowdown:    newSlowdownEstimate(),
-		keys:        newKeyTable(),
+		keys:        newRetainedKeys(),
 		health:      newHealthMonitor(),
 		signal:      newLoadSignal(settings.LoadSignal),
 		connections: newIdleConnections(),
@@ -61,10 +61,10 @@
 	return controller, nil
 }
 
-// Reconfigure takes up other settings while serving. An error wraps ErrInvalidSettings and says that nothing has
-// changed. Classes and tenants keep their numbers: a class that is gone is retired, and one whose number has gone over
-// to another name has ended. What was learned of a class is kept under its name, and open requests stay as they were
-// read. Seed and cold start are those of New.
+// Reconfigure replaces the settings while serving. On an error, which wraps ErrInvalidSettings, nothing has changed.
+// Classes and tenants keep their indices: a class that was removed stays in Settings.Classes as Retired, and its index
+// may get another name only after its last request has ended. The statistics of a class are kept under its name, and
+// open requests keep their deadlines. Seed and ColdStart are ignored; those of New stay in force.
 func (c *Controller) Reconfigure(settings Settings) error {
 	if err := settings.validate(); err != nil {
 		return err
@@ -79,7 +79,7 @@
 	return nil
 }
 
-// configure hands settings on to all that depends on them and keeps the state.
+// configure applies the settings to every component and keeps the state.
 func (c *Controller) configure(settings Settings) {
 	c.settings = settings
 	c.classes.configure(&settings)
@@ -94,8 +94,8 @@
 	c.drain.grace = settings.DrainGrace
 }
 
-// Step takes the events of one moment, in their order, and returns what to do. The time must not go back from one step
-// to the next.
+// Step handles the events of one moment, in their order, and returns the actions that the host must carry out. now must
+// not decrease from one step to the next.
 func (c *Controller) Step(now time.Duration, events []Event) []Action {
 	c.actions = nil
 	c.advance(now)
@@ -109,10 +109,10 @@
 	return c.actions
 }
 
-// emit adds to the actions of this step.
+// emit appends to the actions of this step.
 func (c *Controller) emit(actions ...Action) { c.actions = append(c.actions, actions...) }
 
-// advance moves the clock and all that fades or grows with time.
+// advance moves the clock and updates everything that depends on elapsed time.
 func (c *Controller) advance(now time.Duration) {
 	if !c.started {
 		c.begin(now)
@@ -161,13 +161,13 @@
 	}
 }
 
-// drainRequested starts the graceful shutdown and has callers go elsewhere.
+// drainRequested starts the graceful shutdown and reports unhealthy, so that callers use other servers.
 func (c *Controller) drainRequested(event DrainRequested) {
 	c.drain.request(c.now-event.Age, event.StopAt)
 	c.emit(SetHealth{Healthy: false, Cached: true}, Log{Text: "draining: notice to leave"})
 }
 
-// tick follows slow changes.
+// tick does the periodic work.
 func (c *Controller) tick(event Tick) {
 	c.limiter.observe(event.Gauges)
 	c.signal.observe(c.requests.counts[stateQueued])
@@ -182,7 +182,7 @@
 	c.updateLoadSignal()
 }
 
-// refit computes what rests on many samples.
+// refit recomputes the estimates that need many samples.
 func (c *Controller) refit() {
 	c.fitBudgets()
 	if timeout, changed := c.connections.refit(c.now); changed {
@@ -190,7 +190,7 @@
 	}
 }
 
-// fitBudgets computes the queue budgets of the classes and the share of the priority lane.
+// fitBudgets recomputes the queue budgets of the classes and the share of the priority lane.
 func (c *Controller) fitBudgets() {
 	for _, class := range c.classes.all {
 		class.fit()
@@ -198,7 +198,7 @@
 	c.lanes.adjustPriorityShare(&c.classes)
 }
 
-// checkHealth tells callers and operators of a change of the machine's health. A draining server stays unhealthy.
+// checkHealth reports a change of the machine's health to callers and operators. A draining server stays unhealthy.
 func (c *Controller) checkHealth() {
 	changed, line := c.health.check(c.requests.counts[stateRunning], c.slowdown, c.classes.mostValuable())
 	if changed && !c.drain.requested {
@@ -206,7 +206,7 @@
 	}
 }
 
-// updateLoadSignal tells callers of a change of the load signal.
+// updateLoadSignal reports a change of the load signal to callers.
 func (c *Controller) updateLoadSignal() {
 	changed := c.signal.update(c.now, loadConditions{
 		rejectsAll:       c.rejectsAll(),
@@ -220,14 +220,14 @@
 	}
 }
 
-// rejectsAll reports whether rejections are due to a drain or to the machine's health rather than to the load.
+// rejectsAll reports whether rejections are caused by a drain or by the machine's health rather than by load.
 func (c *Controller) rejectsAll() bool { return c.drain.requested || c.health.reason != reasonNone }
 
 // memoryUse is the share of memory that is in use.
 func (c *Controller) memoryUse() float64 { return c.memory.use(c.keys.live, 0) }
 
-// transition brings a request into another state, in all that follows its state. When a run or a call goes on or ends,
-// the machine has progressed.
+// transition moves a request to another state and updates every component that depends on the state. A run that leaves
+// the running state and a call that ends are progress of the machine.
 func (c *Controller) transition(req *request, to requestState) {
 	switch req.state {
 	case stateQueued:
@@ -237,7 +237,7 @@
 	case stateCalling:
 		c.calls.inFlight--
 		c.health.progressed(c.slowdown.factor)
-	default: // Nothing else follows the other states.
+	default: // No component depends on the other states.
 	}
 	if to == stateCalling {
 		c.calls.inFlight++
@@ -245,7 +245,7 @@
 	c.requests.move(req, to, c.now)
 }
 
-// remove forgets a request that has ended.
+// remove drops a request that has ended from all components.
 func (c *Controller) remove(req *request) {
 	if req.neverRan() {
 		c.memory.queuedEnded(req.QueuedKB)
--- a/control/demand.go
+++ b/control/demand.go
@@ -2,12 +2,12 @@
 
 import "math"
 
-// demand counts what was recently asked of the server and what of it was rejected, fading with fadeTime.
+// demand counts the recent arrivals and rejections. All figures fade with time constant fadeTime.
 type demand struct {
 	arrivals     float64
 	retries      float64 // arrivals that were marked as retries
 	rejections   float64
-	priorityLoad float64 // slot seconds a second that the priority classes ask for
+	priorityLoad float64 // slot seconds per second that arrivals of the priority classes need
 }
 
 // advance multiplies all figures by fade.
@@ -26,12 +26,12 @@
 	}
 }
 
-// priorityRequestArrived counts the slot time that a request of a priority class asks for.
+// priorityRequestArrived counts the slot time that a request of a priority class needs.
 func (d *demand) priorityRequestArrived(slotSeconds float64) {
 	d.priorityLoad += slotSeconds / fadeTime.Seconds()
 }
 
-// undoArrival takes back what requestArrived counted.
+// undoArrival reverts requestArrived.
 func (d *demand) undoArrival(retry bool) {
 	d.arrivals = math.Max(d.arrivals-1, 0)
 	if retry {
@@ -39,13 +39,13 @@
 	}
 }
 
-// undoPriorityArrival takes back what priorityRequestArrived counted.
+// undoPriorityArrival reverts priorityRequestArrived.
 func (d *demand) undoPriorityArrival(slotSeconds float64) {
 	d.priorityLoad = math.Max(d.priorityLoad-slotSeconds/fadeTime.Seconds(), 0)
 }
 
-// rejectedShare is the share of arrivals that were rejected. It may exceed 1, as a rejection comes after its arrival.
+// rejectedShare is the share of arrivals that were rejected. It may exceed 1, as an arrival fades before its rejection.
 func (d *demand) rejectedShare() float64 { return d.rejections / math.Max(d.arrivals, 1) }
 
-// retryRatio is the number of retries for each first attempt.
+// retryRatio is the number of retries per first attempt.
 func (d *demand) retryRatio() float64 { return d.retries / math.Max(d.arrivals-d.retries, 1) }
--- a/control/doc.go
+++ b/control/doc.go
@@ -4,10 +4,10 @@
 // A host owns one Controller for each server: the request core of the server (internal/dispatch) and the adapter for
 // the operators' simulator (internal/simadapter). The host passes everything that has happened at one moment to
 // Controller.Step as Events and carries out the returned Actions in their order. The Controller owns the state of the
-// requests that the host has told it of and all that it has estimated of the machine, the classes of requests, the
-// tenants, the callers and the dependency.
+// requests that the host has reported and its estimates of the machine, the classes of requests, the tenants, the
+// callers and the dependency.
 //
-// The package never does I/O, never reads a clock and never starts a goroutine. Time is the time that is passed to
+// The package never does I/O, never reads a clock and never starts a goroutine. The only time is the one passed to
 // Step, and all randomness comes from Settings.Seed, so that the same events always give the same actions.
 //
 // # Scheduling
@@ -19,15 +19,15 @@
 //
 // # Structure
 //
-// Controller passes the events on and composes small types, each with its own state and file:
+// Controller dispatches the events to small types, each with its own state and file:
 //
-//   - requestTable holds the open requests, classTable the queue of each class and what is learned of it;
-//   - laneScheduler picks the request to start next, loadPlan sheds what would start too late;
-//   - concurrencyLimiter learns how many requests run at once, concurrencyCeiling and memoryBudget are guards on it;
-//   - keyTable keeps keyed requests from running twice, callBudget keeps the dependency from overload;
-//   - tenantQuotas, demand and slowdownEstimate measure what is asked of the server and how fast it is;
-//   - healthMonitor, loadSignal and idleConnections tell callers what to do;
-//   - drainState knows how far a graceful shutdown has come.
+//   - requestTable holds the open requests, classTable the queue and the statistics of each class;
+//   - laneScheduler picks the request to start next, loadPlan sheds requests that would start too late;
+//   - concurrencyLimiter learns how many requests run at once, concurrencyCeiling and memoryBudget bound it;
+//   - retainedKeys keeps keyed requests from running twice, callBudget prevents overload of the dependency;
+//   - tenantQuotas and demand measure the demand, slowdownEstimate the speed of the machine;
+//   - healthMonitor, loadSignal and idleConnections decide what callers are advised to do;
+//   - drainState holds the state of a graceful shutdown.
 //
 // # Units
 //
--- a/control/drain.go
+++ b/control/drain.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// drainState is how far a graceful shutdown has come.
+// drainState is the state of a graceful shutdown.
 type drainState struct {
-	grace       time.Duration // requests that reach the machine later than this after the notice are not run
+	grace       time.Duration // requests that are read later than this after requestedAt are not run
 	requested   bool
 	requestedAt time.Duration
-	stopAt      time.Duration // the process is stopped
+	stopAt      time.Duration // when the process is stopped
 }
 
 // request starts the graceful shutdown.
@@ -17,7 +17,7 @@
 	d.stopAt = stopAt
 }
 
-// forbids reports whether a request that was read at readAt and would end at endsAt must not be started.
+// forbids reports whether the drain forbids to start a request that was read at readAt and would end at endsAt.
 func (d *drainState) forbids(readAt, endsAt time.Duration) bool {
 	return d.requested && (readAt > d.requestedAt+d.grace || endsAt > d.stopAt)
 }
--- a/control/events.go
+++ b/control/events.go
@@ -12,12 +12,12 @@
 const (
 	OutcomeOK           Outcome = iota
 	OutcomeError                // failed, possibly after taking effect
-	OutcomeRejected             // rejected unseen
+	OutcomeRejected             // rejected before anything ran
 	OutcomeTimeout              // abandoned; may have taken effect
 	OutcomeUnreachable          // could not be reached
-	OutcomeReset                // broken off; may have taken effect
+	OutcomeReset                // the connection broke; may have taken effect
 	OutcomeCancelled            // stopped, or ended at a call after its answer was sent or its caller had left
-	OutcomeAlreadyEnded         // nothing started, the request had already ended
+	OutcomeAlreadyEnded         // nothing started, as the request had already ended
 )
 
 // String returns the outcome in words.
@@ -43,16 +43,17 @@
 	return "unknown outcome"
 }
 
-// provesNotRun reports whether what ended so never ran, so that it may be attempted again whatever its effect.
+// provesNotRun reports whether the outcome proves that nothing ran, so that even a call that is not idempotent may be
+// repeated.
 func (o Outcome) provesNotRun() bool {
 	return o == OutcomeRejected || o == OutcomeUnreachable || o == OutcomeAlreadyEnded
 }
 
-// Gauges are the host's own readings; a negative value means "not known".
+// Gauges are readings of the host's machine; a negative value means "not known".
 type Gauges struct {
-	CPUUtilization float64 // busy share of the cores over the last half second
-	Runnable       float64 // all that wants a core now: runs, reading, health checks, new connections
-	Memory         float64 // memory in use, as a share
+	CPUUtilization float64 // busy share of the cores over the last half second, 0 to 1
+	Runnable       float64 // tasks that need a core now: runs, reading, health checks, new connections
+	Memory         float64 // share of the memory in use, 0 to 1
 	Connections    float64 // open connections
 }
 
@@ -61,44 +62,46 @@
 
 // RequestArrived is a request just read; it is queued until an action ends or starts it.
 type RequestArrived struct {
-	ID       RequestID
-	Class    int           // index into Settings.Classes
-	Tenant   int           // index into Settings.Tenants
-	Key      uint64        // its subject; 0 = none
-	Deadline time.Duration // clock time at which its caller gives up; 0 = not told
-	Age      time.Duration // time since it reached the machine
-	CostHint time.Duration // expected work; 0 = no hint
-	QueuedKB float64       // memory while it is queued
-	Rank     float64       // 0 to 1, by weight
-	Retry    bool          // a retry or a hedged request
-	Caller   uint32        // names the caller that sent it
-	Original RequestID     // the request with a retained key that this one repeats; 0 = none
+	ID         RequestID
+	Class      int           // index into Settings.Classes
+	Tenant     int           // index into Settings.Tenants
+	SubjectKey uint64        // names what the request is about, for ResultFreshness; 0 = none
+	Deadline   time.Duration // clock time at which its caller gives up; 0 = not known
+	Age        time.Duration // time since it reached the machine
+	CostHint   time.Duration // expected work; 0 = no hint
+	QueuedKB   float64       // memory while it is queued
+	Rank       float64       // 0 to 1, as compared with LoadSignalThreshold by callers; not used here
+	Retry      bool          // a retry or a hedged request
+	Caller     uint32        // names the caller that sent it
+	Original   RequestID     // the request with a retained key that this one repeats; 0 = none
 }
 
-// RequestFinished ends a Start or a ReplayResult. On OutcomeOK and OutcomeError the host has sent the answer.
+// RequestFinished reports the end of a Start or a ReplayResult. On OutcomeOK and OutcomeError the host has sent the
+// answer.
 type RequestFinished struct {
 	ID      RequestID
 	Outcome Outcome
 	Took    time.Duration // since the action that started it
 }
 
-// CallNeeded says that a running request waits, off the cores, for Call, SkipCall or Fail.
+// CallNeeded reports that a running request waits for Call, SkipCall or Fail. It does not use the cores meanwhile.
 type CallNeeded struct{ ID RequestID }
 
-// CallFinished is the outcome of a Call; other than on OutcomeOK the request waits as after CallNeeded.
+// CallFinished reports the end of a Call. After OutcomeOK the request runs again; after any other outcome it waits as
+// after CallNeeded.
 type CallFinished struct {
 	ID      RequestID
 	Outcome Outcome
 	Took    time.Duration
 }
 
-// RequestCancelled says that a caller has left: no answer is owed.
+// RequestCancelled reports that the caller of a request has left, so that no answer is needed.
 type RequestCancelled struct{ ID RequestID }
 
 // DrainRequested asks for a graceful shutdown. It was sent Age before this step; the process is stopped at StopAt.
 type DrainRequested struct{ StopAt, Age time.Duration }
 
-// Tick is a timer set by ScheduleTick, with the host's gauges.
+// Tick reports that a timer set by ScheduleTick is due, with the host's gauges.
 type Tick struct {
 	Token  uint64 // of the ScheduleTick that asked for it
 	Gauges Gauges
--- a/control/health.go
+++ b/control/health.go
@@ -8,26 +8,28 @@
 const (
 	// maxErrorShare is the share of errors above which answering errors is worse than rejecting.
 	maxErrorShare = 0.3
-	// minErrors is how many recent errors it takes to tell a failing machine from chance.
+	// minErrors is how many recent errors are needed to distinguish a failing machine from chance.
 	minErrors = 3.0
-	// stallServices is how many mean services of slot time without progress mean a hang: by chance, e^-24.
+	// stallServices is how many mean service times of slot time without progress mean a hang. If service times are
+	// exponential, P(no completion) = e^-24.
 	stallServices = 24.0
-	// minRecentRejections is how many recent rejections of the class of most weight it takes to tell.
+	// minRecentRejections is how many recent rejections of the class of highest weight are needed to judge their share.
 	minRecentRejections = 4.0
-	// slowMachineFactor is the slowdown above which a machine is far slower than usual: neither overload nor a cause
-	// that all servers share.
+	// slowMachineFactor is the slowdown above which the machine itself is slow: overload and causes that all servers
+	// share slow it down less.
 	slowMachineFactor = 2.5
-	// overwhelmedShare is the share of rejections, in the class of most weight, above which the server is of no use.
+	// overwhelmedShare is the share of rejections in the class of highest weight above which callers should avoid the
+	// server.
 	overwhelmedShare = 0.6
 )
 
-// unhealthyReason says what is wrong with the machine.
+// unhealthyReason is why a machine is unhealthy.
 type unhealthyReason uint8
 
 const (
 	reasonNone    unhealthyReason = iota
 	reasonFailing                 // too many runs end with an error
-	reasonHung                    // nothing gets on
+	reasonHung                    // no run and no call makes progress
 )
 
 // String returns the reason in a word; it is empty for reasonNone.
@@ -43,35 +45,36 @@
 	return "unknown reason"
 }
 
-// healthMonitor tells a machine that hangs or fails, or that cannot do even its most valuable work in time: it rejects
-// that at once, which draws callers that count outstanding requests, more than they sent before. The evidence fades,
-// so that a machine is tried again.
+// healthMonitor detects a machine that hangs or fails, or that cannot do even its most valuable work in time. The last
+// kind must be reported too: quick rejections keep the number of outstanding requests low, which attracts callers that
+// balance by it. The evidence fades, so that a machine is tried again.
 type healthMonitor struct {
 	reason      unhealthyReason
-	overwhelmed bool // even the class of most weight is rejected
+	overwhelmed bool // even the class of highest weight is mostly rejected
 
 	recentRuns         float64 // runs that ended, fading with fadeTime
-	recentErrors       float64 // of them, with an error
-	stalledSeconds     float64 // slot time spent since anything progressed
-	slowdownAtProgress float64 // slowdown factor at that time, at least 1
+	recentErrors       float64 // the runs among recentRuns that ended with an error
+	stalledSeconds     float64 // slot time spent since the last progress
+	slowdownAtProgress float64 // slowdown factor at the last progress, at least 1
 }
 
 func newHealthMonitor() *healthMonitor { return &healthMonitor{slowdownAtProgress: 1} }
 
-// advance spends elapsed seconds on so many running requests; recent figures are multiplied by fade.
+// advance adds elapsed seconds × running to the slot time without progress and multiplies the recent counts by fade.
 func (h *healthMonitor) advance(elapsed, fade float64, running int) {
 	h.recentErrors *= fade
 	h.recentRuns *= fade
 	h.stalledSeconds += elapsed * float64(running)
 }
 
-// progressed notes that a run or a call got on: a cold or slow machine is judged against its slowdown at that time.
+// progressed records that a run or a call made progress. It keeps the slowdown of that time, so that a cold or slow
+// machine is not taken for a hung one.
 func (h *healthMonitor) progressed(slowdown float64) {
 	h.stalledSeconds = 0
 	h.slowdownAtProgress = math.Max(slowdown, 1)
 }
 
-// runSucceeded counts a run that ended well.
+// runSucceeded counts a successful run.
 func (h *healthMonitor) runSucceeded() { h.recentRuns++ }
 
 // runFailed counts a run that ended with an error.
@@ -80,11 +83,11 @@
 	h.recentErrors++
 }
 
-// healthy is the answer to health checks.
+// healthy reports whether health checks are to be answered with healthy.
 func (h *healthMonitor) healthy() bool { return h.reason == reasonNone && !h.overwhelmed }
 
-// check diagnoses the machine anew with so many running requests; top is the class of most weight. It returns whether
-// the diagnosis has changed, and a line that says so to the operators.
+// check repeats the diagnosis. running counts the running requests, top is the class of highest weight. It returns
+// whether the diagnosis has changed, and a log line about the change for the operators.
 func (h *healthMonitor) check(running int, slowdown *slowdownEstimate, top *classState) (changed bool, line Log) {
 	reasonBefore, healthyBefore := h.reason, h.healthy()
 	h.reason = h.diagnose(running, slowdown)
--- a/control/idempotency.go
+++ b/control/idempotency.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// expiredKeyRetention is how long an expired key is remembered: a repeat that is read late may still name it.
+// expiredKeyRetention is how long an expired key is kept, as a repeat that is read late may still name it.
 const expiredKeyRetention = time.Minute
 
 // retainedKey is the idempotency key of one request in the host's table.
@@ -14,30 +14,30 @@
 	started   bool // the request was started: it may have taken effect
 }
 
-// keyTable mirrors the host's table of idempotency keys, under the requests that they came with.
-type keyTable struct {
+// retainedKeys mirrors the idempotency keys that the host retains, by the request that RetainKey named.
+type retainedKeys struct {
 	keys map[RequestID]*retainedKey
 	live int // keys that have not expired, as of the last expire
 }
 
-func newKeyTable() *keyTable { return &keyTable{keys: map[RequestID]*retainedKey{}} }
+func newRetainedKeys() *retainedKeys { return &retainedKeys{keys: map[RequestID]*retainedKey{}} }
 
-// retain enters the key of a request.
-func (t *keyTable) retain(id RequestID, expiresAt time.Duration) {
+// retain adds the key of a request.
+func (t *retainedKeys) retain(id RequestID, expiresAt time.Duration) {
 	t.keys[id] = &retainedKey{expiresAt: expiresAt}
 	t.live++
 }
 
-// requestStarted notes that the request of a key, if it has one, may have taken effect from now on.
-func (t *keyTable) requestStarted(id RequestID) {
+// requestStarted records that a request was started. If it has a key, the request may have taken effect from now on.
+func (t *retainedKeys) requestStarted(id RequestID) {
 	if key := t.keys[id]; key != nil {
 		key.started = true
 	}
 }
 
-// release removes the key of a request that never ran and reports whether there was one. Such a key must cost neither
-// memory nor a later attempt's chance.
-func (t *keyTable) release(id RequestID) bool {
+// release removes the key of a request that never ran and reports whether there was one. Such a key must neither use
+// memory nor prevent a later attempt from running.
+func (t *retainedKeys) release(id RequestID) bool {
 	key := t.keys[id]
 	if key == nil || key.started {
 		return false
@@ -47,8 +47,8 @@
 	return true
 }
 
-// expire counts the live keys anew and drops those that no repeat can name any more.
-func (t *keyTable) expire(now time.Duration) {
+// expire recounts the live keys and drops those that no repeat can name any more.
+func (t *retainedKeys) expire(now time.Duration) {
 	t.live = 0
 	maps.DeleteFunc(t.keys, func(_ RequestID, key *retainedKey) bool {
 		if now < key.expiresAt {
@@ -64,7 +64,7 @@
 	class := c.classes.of(req)
 	ttl := class.RetentionWindow - req.Age + tickInterval
 	switch {
-	case class.Idempotency == Idempotent && c.settings.ResultFreshness > 0 && req.Key != 0:
+	case class.Idempotency == Idempotent && c.settings.ResultFreshness > 0 && req.SubjectKey != 0:
 		ttl = class.Deadline + c.settings.ResultFreshness
 	case class.Idempotency != IdempotentByKey:
 		return true
@@ -84,9 +84,9 @@
 	}
 }
 
-// replayOriginal answers a repeat with the result of its original, if that has a key. An original that is still
-// queued gives way to the repeat, whose caller waits longer; then, or without a key, it returns false and the repeat
-// goes on like any other request.
+// replayOriginal answers a repeat with the result of its original and returns true. It returns false if the original
+// has no retained key, and also if the original is still queued: that is rejected in favour of the repeat, whose caller
+// waits longer. The repeat is then queued like any other request.
 func (c *Controller) replayOriginal(req *request) bool {
 	id := req.Original
 	// The original may be a repeat itself, whose key is under its own original.
@@ -104,7 +104,8 @@
 		return false
 	}
 	if c.memoryUse() > 1 {
-		// Once the original ran the repeat must not be rejected, and many of them must not use up the memory.
+		// Once the original has started, a rejection would wrongly state that nothing ran. Waiting repeats must not use
+		// up the memory either.
 		c.fail(req)
 		return true
 	}
--- a/control/idempotency_test.go
+++ b/control/idempotency_test.go
@@ -9,7 +9,7 @@
 
 // The key of a request that never ran is released, that of one that was started stays.
 func TestOnlyUnusedKeysAreReleased(t *testing.T) {
-	table := newKeyTable()
+	table := newRetainedKeys()
 	table.retain(1, time.Second)
 	table.retain(2, time.Second)
 	table.requestStarted(2)
@@ -23,7 +23,7 @@
 
 // An expired key costs no memory any more, but is remembered for repeats that are read late.
 func TestExpiredKeysAreRememberedForAWhile(t *testing.T) {
-	table := newKeyTable()
+	table := newRetainedKeys()
 	table.retain(1, time.Second)
 	table.retain(2, time.Minute)
 	table.expire(999 * time.Millisecond)
@@ -47,8 +47,8 @@
 		wantTTL time.Duration // 0: no key is retained
 	}{
 		{"keyed", RequestArrived{Class: 1, Age: time.Second}, 0, 29*time.Second + tickInterval},
-		{"read", RequestArrived{Key: 5}, 0, 0},
-		{"read of fresh results", RequestArrived{Key: 5}, time.Second, 9 * time.Second},
+		{"read", RequestArrived{SubjectKey: 5}, 0, 0},
+		{"read of fresh results", RequestArrived{SubjectKey: 5}, time.Second, 9 * time.Second},
 		{"read of fresh results without a subject", RequestArrived{}, time.Second, 0},
 	}
 	for _, tc := range tests {
--- a/control/idle_connections.go
+++ b/control/idle_connections.go
@@ -7,32 +7,32 @@
 )
 
 const (
-	// handshakeIdleSeconds is how many seconds of idle connections cost as much as a handshake.
+	// handshakeIdleSeconds is how many seconds of one idle connection cost as much as one handshake.
 	handshakeIdleSeconds = 12.0
-	// gapFade is the part of the counted gaps that is kept at each refit.
+	// gapFade is the factor of the gap counts at each refit.
 	gapFade = 0.9
 	// minKeepAlive is the shortest idle timeout of a connection.
 	minKeepAlive = 100 * time.Millisecond
 )
 
-// idleConnections decides how long idle connections are kept: for as long as returning callers pay for. It guards
-// against connection tables full of callers that hardly return, which shut others out. It does harm where a handshake
-// is far dearer than handshakeIdleSeconds.
+// idleConnections chooses the idle timeout that minimizes the cost of handshakes and idle connections. It prevents
+// callers that rarely return from filling the connection table and shutting others out. The timeout is too short if a
+// handshake costs far more than handshakeIdleSeconds.
 type idleConnections struct {
 	maxKeepAlive time.Duration
 	lastSeen     map[uint32]time.Duration // by caller: when it last sent a request or got an answer
-	// gapCounts are the arrivals by the time since their caller was last seen, in doublings of minKeepAlive. The last
-	// one stands for longer gaps and for callers that are seen for the first time.
+	// gapCounts is a histogram of the time since the caller of an arrival was last seen. Bucket i counts gaps up to
+	// minKeepAlive << i; the last one counts longer gaps and callers that are seen for the first time.
 	gapCounts   []float64
-	idleTimeout time.Duration // the timeout that is in force; 0 = none was set
+	idleTimeout time.Duration // the timeout in force; 0 = none was set
 }
 
 func newIdleConnections() *idleConnections {
 	return &idleConnections{lastSeen: map[uint32]time.Duration{}}
 }
 
-// configure takes up the longest time that callers keep an idle connection. Gaps that were counted under another one
-// are dropped.
+// configure applies the longest time that callers keep an idle connection. A change of the number of histogram buckets
+// resets the counts.
 func (c *idleConnections) configure(maxKeepAlive time.Duration) {
 	c.maxKeepAlive = maxKeepAlive
 	doublings := math.Log2(math.Max(1, float64(maxKeepAlive)/float64(minKeepAlive)))
@@ -41,7 +41,7 @@
 	}
 }
 
-// requestArrived counts how long the caller had been away when its request reached the machine.
+// requestArrived counts the gap between the caller's last request or answer and the arrival of this request.
 func (c *idleConnections) requestArrived(caller uint32, arrivedAt, now time.Duration) {
 	gap := len(c.gapCounts) - 1
 	if last, known := c.lastSeen[caller]; known {
@@ -52,7 +52,7 @@
 	c.lastSeen[caller] = now
 }
 
-// requestEnded notes that a caller got its answer.
+// requestEnded records that a caller got its answer.
 func (c *idleConnections) requestEnded(caller uint32, now time.Duration) { c.lastSeen[caller] = now }
 
 // refit returns the idle timeout with the least cost of handshakes and idle connections, and whether it has changed.
--- a/control/invariants_test.go
+++ b/control/invariants_test.go
@@ -93,7 +93,7 @@
 		require.NoError(t, err)
 		for i := range 300 {
 			events := []control.Event{
-				control.RequestArrived{ID: control.RequestID(i + 1), Class: i % 2, QueuedKB: 1, Key: uint64(i)},
+				control.RequestArrived{ID: control.RequestID(i + 1), Class: i % 2, QueuedKB: 1, SubjectKey: uint64(i)},
 				control.Tick{},
 			}
 			if i > 20 {
--- a/control/latency_law.go
+++ b/control/latency_law.go
@@ -12,22 +12,22 @@
 const (
 	// disengagementTarget is the share of disengaged users that a class may suffer.
 	disengagementTarget = 0.01
-	// minTargetRatio and maxTargetRatio bound the disengagement over its target at which the mean latency is right.
+	// minTargetRatio and maxTargetRatio bound the ratio of disengagement to target at which the bisection accepts a mean.
 	minTargetRatio = 0.95
 	maxTargetRatio = 0.98
-	// bisectionPrecision is the width, as a share of the deadline, at which the bisection of the mean latency stops.
+	// bisectionPrecision is the bracket width, as a share of the deadline, at which the bisection of the mean stops.
 	bisectionPrecision = 1.0 / 4096
-	// curveSteps is how finely the disengagement curve is summed; the error stays below maxTargetRatio-minTargetRatio.
+	// curveSteps is the number of integration steps; the relative error stays below maxTargetRatio-minTargetRatio.
 	curveSteps = 64
-	// shapeBisections halve the bracket of the shape's logarithm far below what the law can tell apart.
+	// shapeBisections is the number of halvings of the bracket of the shape's logarithm, which exhaust its precision.
 	shapeBisections = 60
-	// minCV and maxCV bound the coefficient of variation: less of it is chance, more of it is outliers.
+	// minCV and maxCV bound the coefficient of variation: values below are chance, values above are due to outliers.
 	minCV = 0.1
 	maxCV = 3.0
 )
 
-// lawShape returns the shape of the law that has this coefficient of variation. The CV falls as the shape grows and
-// does not depend on the scale.
+// lawShape returns the shape parameter of the law with the given coefficient of variation. The CV falls as the shape
+// grows and does not depend on the scale.
 func lawShape(cv float64) float64 {
 	cv = clamp(cv, minCV, maxCV)
 	low, high := -12.0, 40.0 // The logarithm of the shape: covers every CV between the bounds.
@@ -42,7 +42,7 @@
 	return math.Exp((low + high) / 2)
 }
 
-// unitMoments returns mean and variance of the law of this shape with a scale of one.
+// unitMoments returns mean and variance of the law with the given shape and a scale of one.
 func unitMoments(shape float64) (mean, variance float64) {
 	return mathext.Digamma(shape+1) - mathext.Digamma(1), mathext.Zeta(2, 1) - mathext.Zeta(2, shape+1)
 }
@@ -68,8 +68,8 @@
 	return seconds((low + high) / 2)
 }
 
-// disengagement sums the disengagement curve over the law. The curve is zero below the objective, one beyond the
-// deadline and linear between them.
+// disengagement integrates the disengagement curve over the law and returns the expected share of disengaged users.
+// The curve is zero below the objective, one beyond the deadline and linear between them.
 func disengagement(shape, scale float64, objective, deadline time.Duration) float64 {
 	distribution := func(x float64) float64 { return math.Pow(-math.Expm1(-x/scale), shape) }
 	start, end := objective.Seconds(), deadline.Seconds()
--- a/control/learned.go
+++ b/control/learned.go
@@ -1,32 +1,37 @@
 package control
 
 const (
-	// maxRestoredLimitPerCore bounds a restored concurrency limit for each core.
+	// maxRestoredLimitPerCore bounds a restored concurrency limit, per core.
 	maxRestoredLimitPerCore = 100
-	// maxRestoredMean bounds a restored mean: no time and no count of a request comes near it.
+	// maxRestoredMean bounds a restored mean, in seconds or calls: no real mean comes near it.
 	maxRestoredMean = 3600
 )
 
-// LearnedState is what a Controller has learned of its machine and its classes, so that a successor on the same machine
-// need not learn it anew. It holds no decisions. Times are in seconds.
+// LearnedState holds the estimates of a Controller, so that its successor on the same machine need not learn them
+// again. It holds no decisions. Times are in seconds.
 type LearnedState struct {
-	ConcurrencyLimit, PriorityShare, LoadSignal float64 // of running requests; of the lanes; the free value
-	UsualSlowdown, SlotTime                     MeanEstimate
-	CallTime                                    MeanEstimate // of calls below
-	Classes                                     []LearnedClassState
+	ConcurrencyLimit float64 // running requests
+	PriorityShare    float64 // chance, 0 to 1, that a slot goes to the priority classes
+	LoadSignal       float64 // last value of SetLoadSignal
+	UsualSlowdown    MeanEstimate
+	SlotTime         MeanEstimate // of a request of any class
+	CallTime         MeanEstimate // of downstream calls
+	Classes          []LearnedClassState
 }
 
-// MeanEstimate is a mean and the completions behind it.
+// MeanEstimate is a mean and the number of completions that it rests on.
 type MeanEstimate struct{ Count, Value float64 }
 
-// LearnedClassState is what is known of the class of that name.
+// LearnedClassState holds the estimates of the class of that name.
 type LearnedClassState struct {
-	Name                                 string
-	ServiceTime, SlotTime, RejectedShare MeanEstimate
-	CallsPerRequest                      MeanEstimate // of a request
+	Name            string
+	ServiceTime     MeanEstimate // from start to end of a run
+	SlotTime        MeanEstimate // of a run on the cores or at the disk
+	RejectedShare   MeanEstimate // of the requests, under load
+	CallsPerRequest MeanEstimate
 }
 
-// LearnedState returns what has been learned.
+// LearnedState returns the current estimates.
 func (c *Controller) LearnedState() LearnedState {
 	learned := LearnedState{
 		ConcurrencyLimit: c.limiter.limit,
@@ -48,8 +53,8 @@
 	return learned
 }
 
-// RestoreLearned takes up what a predecessor on the same machine has learned. Figures that make no sense are skipped
-// one by one, as they come from another process.
+// RestoreLearned replaces the estimates by those of a predecessor on the same machine. Each figure that is out of range
+// is ignored, as the state comes from another process.
 func (c *Controller) RestoreLearned(learned LearnedState) {
 	cores := float64(c.settings.Cores)
 	limit := learned.ConcurrencyLimit
@@ -77,10 +82,10 @@
 	}
 }
 
-// estimate returns the mean for a LearnedState.
+// estimate returns the mean in the form of LearnedState.
 func (m *runningMean) estimate() MeanEstimate { return MeanEstimate{Count: m.count, Value: m.value} }
 
-// restore takes up a predecessor's mean of at most maxCount samples, if it makes sense.
+// restore replaces the mean by a predecessor's, unless that is out of range or rests on more than maxCount samples.
 func (m *runningMean) restore(from MeanEstimate, maxCount float64) {
 	if from.Count > 0 && from.Count <= maxCount && from.Value > 0 && from.Value < maxRestoredMean {
 		m.count, m.value = from.Count, from.Value
--- a/control/load_signal.go
+++ b/control/load_signal.go
@@ -6,36 +6,36 @@
 )
 
 const (
-	// loadSignalInterval is a quarter of the time for which callers usually keep a value.
+	// loadSignalInterval is the interval of updates: a quarter of the usual Settings.LoadSignalTTL.
 	loadSignalInterval = 250 * time.Millisecond
-	// toleratedRejectionShare is the share of rejections below which a server is not overloaded.
+	// toleratedRejectionShare is the share of rejections up to which a server does not count as overloaded.
 	toleratedRejectionShare = 0.02
-	// weightDecrease and weightIncrease are the factors of a weight at a step: a second of overload cuts it to a
-	// quarter, and it recovers without a wave of returning callers.
+	// weightDecrease and weightIncrease are the factors of a weight at each update: a second of overload cuts it to a
+	// quarter, and it recovers slowly enough that callers do not all return at once.
 	weightDecrease = 0.7
 	weightIncrease = 1.15
 	// minWeight is the probability that a caller still tries a server that is overloaded.
 	minWeight = 0.01
-	// minAllowancePerCore, split over the callers, is the smallest allowance.
+	// minAllowancePerCore, times the cores and split evenly over the callers, is the smallest allowance.
 	minAllowancePerCore = 1.5
-	// maxAllowancePerSlot is the largest allowance over the concurrency limit.
+	// maxAllowancePerSlot is the largest allowance, as a multiple of the concurrency limit.
 	maxAllowancePerSlot = 2.0
-	// queuedGoal is the length of the queue, over the concurrency limit, that ends all growth of an allowance.
+	// queuedGoal is the queue length, as a share of the concurrency limit, that counts as full overload for an allowance.
 	queuedGoal = 0.1
-	// rejectedGoal is the share of rejections that does.
+	// rejectedGoal is the share of rejections that counts as full overload for an allowance.
 	rejectedGoal = 0.1
-	// allowanceIdleGain is the growth of an allowance at a step while all cores idle.
+	// allowanceIdleGain is the relative growth of an allowance at each update while all cores idle.
 	allowanceIdleGain = 0.25
-	// allowanceOverloadGain is its reduction at a step while queue or rejections are at their goal.
+	// allowanceOverloadGain is its relative reduction at each update at full overload.
 	allowanceOverloadGain = 0.05
-	// thresholdRise and thresholdFall are the steps of an admission threshold, in ranks: one that is kept too long
-	// leaves cores idle.
+	// thresholdRise and thresholdFall are the steps of an admission threshold, in ranks. It falls faster than it rises,
+	// as a threshold that is kept too long leaves cores idle.
 	thresholdRise = 0.05
 	thresholdFall = 0.1
 )
 
-// loadSignal sets the value that callers read as Settings.LoadSignal says. It moves in small steps, as callers hear of
-// it late.
+// loadSignal controls the value of SetLoadSignal, whose meaning Settings.LoadSignal defines. It moves in small steps,
+// as the value reaches callers with a delay.
 type loadSignal struct {
 	kind          LoadSignalKind
 	cores         int
@@ -46,18 +46,18 @@
 	nextUpdate time.Duration
 	queuedMean float64 // length of the queue, smoothed
 
-	// Since the last update.
+	// Counts since the last update.
 	arrivals         float64
-	rejections       float64 // of requests within their tenant's quota
-	maxOpenPerCaller int     // the most requests that one caller had open
+	rejections       float64 // only of requests within their tenant's quota
+	maxOpenPerCaller int     // the largest number of requests that one caller had open at once
 
 	openPerCaller map[uint32]int // requests that each caller has open here
 }
 
-// loadConditions are what a load signal follows, beside what it counts itself.
+// loadConditions are the inputs of a load signal beside its own counts.
 type loadConditions struct {
 	rejectsAll       bool // the server drains or is unhealthy
-	overwhelmed      bool // even the class of most weight is rejected
+	overwhelmed      bool // even the class of highest weight is mostly rejected
 	rejectedShare    float64
 	cpuUtilization   float64
 	concurrencyLimit float64
@@ -71,7 +71,7 @@
 	return signal
 }
 
-// configure takes up settings and keeps the value.
+// configure applies the settings and keeps the value.
 func (s *loadSignal) configure(settings *Settings) {
 	s.kind = settings.LoadSignal
 	s.cores = settings.Cores
@@ -86,13 +86,13 @@
 	s.maxOpenPerCaller = max(s.maxOpenPerCaller, s.openPerCaller[caller])
 }
 
-// undoArrival takes back the count of an arrival that nobody had asked for.
+// undoArrival removes an unsupported request from the counts.
 func (s *loadSignal) undoArrival() { s.arrivals = math.Max(s.arrivals-1, 0) }
 
-// requestRejected counts a rejection for want of time.
+// requestRejected counts a rejection under load.
 func (s *loadSignal) requestRejected() { s.rejections++ }
 
-// requestEnded notes that a caller has one request less open here.
+// requestEnded records that a caller has one open request fewer.
 func (s *loadSignal) requestEnded(caller uint32) {
 	s.openPerCaller[caller]--
 	if s.openPerCaller[caller] == 0 {
@@ -100,10 +100,10 @@
 	}
 }
 
-// observe takes in the length of the queue, once a tick.
+// observe records the queue length. It is called once per tick.
 func (s *loadSignal) observe(queued int) { s.queuedMean = smoothed(s.queuedMean, float64(queued)) }
 
-// update moves the value, if it is time, and reports whether it has changed.
+// update moves the value if loadSignalInterval has passed, and reports whether it has changed.
 func (s *loadSignal) update(now time.Duration, conditions loadConditions) (changed bool) {
 	if now < s.nextUpdate || s.kind == LoadSignalNone {
 		return false
@@ -124,8 +124,8 @@
 
 func (s *loadSignal) overloaded() bool { return s.rejections > toleratedRejectionShare*s.arrivals }
 
-// weight is the probability that a caller does not skip this server. It is never zero: a caller that never comes never
-// hears that the server has recovered.
+// weight is the probability that a caller does not skip this server. It is never zero, as a caller that sends nothing
+// would never learn that the server has recovered.
 func (s *loadSignal) weight(conditions loadConditions) float64 {
 	factor := weightIncrease
 	switch {
@@ -137,8 +137,8 @@
 	return clamp(s.value*factor, minWeight, 1)
 }
 
-// threshold is the rank below which callers send nothing. The class of most weight is always asked for, unless the
-// server is of no use.
+// threshold is the rank below which callers send nothing. It always admits the class of highest weight, unless the
+// server drains, is unhealthy or is overwhelmed.
 func (s *loadSignal) threshold(conditions loadConditions) float64 {
 	step, highest := -thresholdFall, 1-1/float64(s.activeClasses)
 	switch {
@@ -153,10 +153,10 @@
 	return clamp(s.value+step, 0, highest)
 }
 
-// allowance is how many requests a caller may have outstanding here. It grows while the cores idle and a caller uses
-// it up, and shrinks as work is queued and rejected. This guards against an even split, which shuts out the few
-// callers that send most of the work while the cores idle. It is never far below an even split, as a caller that hears
-// nothing for Settings.LoadSignalTTL sends without bound what other servers did not let it.
+// allowance is how many requests a caller may have outstanding here. It grows while cores idle and a caller uses it up,
+// and shrinks as requests are queued and rejected. An even split over the callers would starve busy callers while cores
+// idle. It is never far below an even split: a caller that gets no answer for Settings.LoadSignalTTL forgets the value,
+// and then sends without bound the requests that other servers did not admit.
 func (s *loadSignal) allowance(conditions loadConditions) float64 {
 	overload := s.queuedMean/conditions.concurrencyLimit/queuedGoal + conditions.rejectedShare/rejectedGoal
 	factor := 1 + allowanceIdleGain*(1-conditions.cpuUtilization) - allowanceOverloadGain*overload
@@ -164,13 +164,13 @@
 	if conditions.rejectsAll {
 		factor = weightDecrease
 	} else if float64(s.maxOpenPerCaller) < math.Floor(s.value) {
-		factor = math.Min(factor, 1) // No caller asks for more.
+		factor = math.Min(factor, 1) // No caller needs more.
 	}
 	least := minAllowancePerCore * float64(s.cores) / math.Max(1, float64(s.callers))
 	return clamp(s.value*factor, least, math.Max(least, maxAllowancePerSlot*conditions.concurrencyLimit))
 }
 
-// maxValue is the highest value that makes sense.
+// maxValue is the highest valid value.
 func (s *loadSignal) maxValue(concurrencyLimit float64) float64 {
 	if s.kind == LoadSignalAllowance {
 		return maxAllowancePerSlot * concurrencyLimit
--- a/control/mean.go
+++ b/control/mean.go
@@ -5,22 +5,23 @@
 	"time"
 )
 
-// sampleWindow is how many completions the estimates of a class look back on, as in UTSLO.
+// sampleWindow is how many completions the estimates of a class rest on, as in UTSLO.
 const sampleWindow = 1000
 
-// runningMean is a mean over about the last samples. It starts from a guess that weighs as much as count samples.
+// runningMean is an arithmetic mean that becomes exponentially weighted once count reaches its bound. Its initial value
+// weighs as much as count samples.
 type runningMean struct{ count, value float64 }
 
-// add takes in one sample and looks back on about sampleWindow of them.
+// add adds one sample to the mean over about the last sampleWindow samples.
 func (m *runningMean) add(sample float64) { m.addWithin(sample, sampleWindow) }
 
-// addWithin takes in one sample and looks back on about maxCount of them.
+// addWithin adds one sample to the mean over about the last maxCount samples.
 func (m *runningMean) addWithin(sample, maxCount float64) {
 	m.count = math.Min(m.count+1, maxCount)
 	m.value += (sample - m.value) / m.count
 }
 
-// smoothed moves a gauge that is read once a tick towards its sample. It follows changes within limitStepInterval.
+// smoothed returns the low-pass filtered gauge after one sample per tick. Its time constant is limitStepInterval.
 func smoothed(gauge, sample float64) float64 {
 	return gauge + (sample-gauge)*tickInterval.Seconds()/limitStepInterval.Seconds()
 }
--- a/control/memory.go
+++ b/control/memory.go
@@ -1,9 +1,9 @@
 package control
 
-// memoryHighWater is the share of memory above which no key is retained and no request started.
+// memoryHighWater is the share of memory in use above which no key is retained and no request is started.
 const memoryHighWater = 0.95
 
-// memoryBudget counts the memory of queued and running requests. That of retained keys is counted by keyTable.
+// memoryBudget counts the memory of queued and running requests. The retained keys are counted by retainedKeys.
 type memoryBudget struct {
 	totalKB       float64 // 0 = not limited
 	keyKB         float64 // of a retained key
@@ -13,7 +13,7 @@
 	queuedKB, runningKB float64
 }
 
-// configure takes up settings.
+// configure applies the settings.
 func (m *memoryBudget) configure(settings *Settings) {
 	m.totalKB = settings.MemoryKB
 	m.keyKB = settings.KeyKB
@@ -21,7 +21,7 @@
 	m.cores = settings.Cores
 }
 
-// requestQueued counts a request that needs so much memory while it is queued.
+// requestQueued counts a request that needs queuedKB while it is queued.
 func (m *memoryBudget) requestQueued(queuedKB float64) { m.queuedKB += queuedKB }
 
 // requestStarted counts a queued request as running.
@@ -36,7 +36,7 @@
 // runningEnded frees the memory of a request that ran.
 func (m *memoryBudget) runningEnded(queuedKB float64) { m.runningKB -= queuedKB * m.runningFactor }
 
-// use is the share of memory that is in use, with so many retained keys and extraKB more.
+// use is the share of memory in use if keys are retained and extraKB is needed on top.
 func (m *memoryBudget) use(keys int, extraKB float64) float64 {
 	if m.totalKB <= 0 {
 		return 0
@@ -49,8 +49,8 @@
 	return m.use(keys, queuedKB*(m.runningFactor-1)) <= memoryHighWater
 }
 
-// fitsKey reports whether there is memory to retain the key of a request. Keys outlive their requests by far: they
-// must leave the cores memory to run requests like this one, or those starve.
+// fitsKey reports whether there is memory to retain the key of a request. Keys outlive their requests by far, so they
+// must leave enough memory to run one request like this one per core.
 func (m *memoryBudget) fitsKey(keys int, queuedKB float64) bool {
 	if m.totalKB <= 0 {
 		return true
--- a/control/quota.go
+++ b/control/quota.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// quotaBurst is how much of its quota a tenant may use at once.
+// quotaBurst is the time over which a tenant may save up its quota for a burst.
 const quotaBurst = time.Second
 
 // tenantQuotas are token buckets, one for each tenant, that hold this server's part of the tenant's quota. Requests
-// beyond a quota weigh less where load must be shed, and are served otherwise.
+// beyond a quota weigh less when load must be shed; otherwise they are served like others.
 type tenantQuotas struct {
 	tenants  []Tenant
 	peers    int       // servers that share each quota
 	enforced bool      // requests beyond a quota weigh less than others
-	tokens   []float64 // by tenant: first attempts within its quota that may still come at once
+	tokens   []float64 // by tenant: first attempts that are still within its quota
 }
 
-// configure takes up settings. Tenants keep their numbers and their tokens.
+// configure applies the settings. Tenants keep their indices and their tokens.
 func (q *tenantQuotas) configure(settings *Settings) {
 	q.tenants = settings.Tenants
 	q.peers = settings.Peers
@@ -27,7 +27,7 @@
 	}
 }
 
-// refill adds the tokens of elapsed seconds.
+// refill adds the tokens for elapsed seconds.
 func (q *tenantQuotas) refill(elapsed float64) {
 	for i, tenant := range q.tenants {
 		rate := tenant.Quota / math.Max(1, float64(q.peers))
@@ -50,7 +50,7 @@
 	return false
 }
 
-// refund gives back the token of a request that nobody had asked for.
+// refund returns the token of an unsupported request.
 func (q *tenantQuotas) refund(tenant int) {
 	if q.known(tenant) {
 		q.tokens[tenant]++
--- a/control/reference_test.go
+++ b/control/reference_test.go
@@ -107,13 +107,13 @@
 	t := h.t
 	h.lastID++
 	event := control.RequestArrived{
-		ID:       h.lastID,
-		Class:    rapid.IntRange(0, len(h.settings.Classes)-1).Draw(t, "class"),
-		Tenant:   1,
-		Age:      time.Duration(rapid.IntRange(0, 900).Draw(t, "age")) * time.Millisecond,
-		QueuedKB: rapid.Float64Range(1, 60).Draw(t, "queued kB"),
-		Key:      uint64(rapid.IntRange(1, 5).Draw(t, "key")),
-		Caller:   uint32(rapid.IntRange(0, 900).Draw(t, "caller")),
+		ID:         h.lastID,
+		Class:      rapid.IntRange(0, len(h.settings.Classes)-1).Draw(t, "class"),
+		Tenant:     1,
+		Age:        time.Duration(rapid.IntRange(0, 900).Draw(t, "age")) * time.Millisecond,
+		QueuedKB:   rapid.Float64Range(1, 60).Draw(t, "queued kB"),
+		SubjectKey: uint64(rapid.IntRange(1, 5).Draw(t, "key")),
+		Caller:     uint32(rapid.IntRange(0, 900).Draw(t, "caller")),
 	}
 	req := &referenceRequest{event: event, arrivedAt: h.now - event.Age}
 	req.due = req.arrivedAt + h.settings.Classes[event.Class].Deadline
@@ -130,15 +130,15 @@
 
 // nameOriginal gives a keyed request a key of its class and the request that it repeats.
 func (h *referenceHost) nameOriginal(req *referenceRequest) {
-	req.event.Key += 100 * uint64(req.event.Class)
-	if key := h.key(req.event.Key); key.retained && req.arrivedAt < key.expiresAt {
+	req.event.SubjectKey += 100 * uint64(req.event.Class)
+	if key := h.key(req.event.SubjectKey); key.retained && req.arrivedAt < key.expiresAt {
 		req.event.Original = key.retainedBy
 	}
 	// Attempts that are read in one step see each other even before their key is retained.
-	if id, ok := h.readThisStep[req.event.Key]; ok {
+	if id, ok := h.readThisStep[req.event.SubjectKey]; ok {
 		req.event.Original = id
 	}
-	h.readThisStep[req.event.Key] = req.event.ID
+	h.readThisStep[req.event.SubjectKey] = req.event.ID
 }
 
 // progress draws one event for a request, legal in its phase; nil if nothing happens.
@@ -244,7 +244,7 @@
 	case control.Call:
 		h.call(action)
 	case control.RetainKey:
-		key := h.key(h.request(action.ID).event.Key)
+		key := h.key(h.request(action.ID).event.SubjectKey)
 		key.retained, key.retainedBy, key.expiresAt = true, action.ID, h.now+action.TTL
 	case control.ReleaseKey:
 		h.releaseKey(action)
@@ -262,7 +262,7 @@
 		h.failf("start of %d after the grace", action.ID)
 	}
 	if class := h.class(req); class.Idempotency == control.IdempotentByKey {
-		key := h.key(req.event.Key)
+		key := h.key(req.event.SubjectKey)
 		if key.retainedBy != action.ID || !key.retained || key.expiresAt < req.arrivedAt+class.RetentionWindow {
 			h.failf("keyed %d starts without a key for its window", action.ID)
 		}
@@ -316,7 +316,7 @@
 	if req.started {
 		h.failf("key of %d released though it was started", action.ID)
 	}
-	if key := h.key(req.event.Key); key.retainedBy == action.ID {
+	if key := h.key(req.event.SubjectKey); key.retainedBy == action.ID {
 		key.retained = false
 	}
 }
--- a/control/request.go
+++ b/control/request.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// requestState is where a request is on its way through the server.
+// requestState is the stage of an open request.
 type requestState uint8
 
 const (
@@ -15,7 +15,7 @@
 	stateCalling                   // its call is in flight
 	stateReplaying                 // waits for the result of its original
 	stateEnded
-	requestStates // how many there are
+	requestStates // the number of states
 )
 
 // String returns the state in words.
@@ -38,17 +38,17 @@
 	return "unknown state"
 }
 
-// request is an attempt of a request that is open here.
+// request is an open request: one attempt of its caller.
 type request struct {
 	RequestArrived
 	arrivedAt      time.Duration // when it reached the machine
-	dueAt          time.Duration // when an answer is owed
+	dueAt          time.Duration // when its caller gives up
 	state          requestState
-	stateSince     time.Duration // awaiting a call: when its next attempt may be made
+	stateSince     time.Duration // start of the state; of stateAwaitingCall: when the next attempt may be made
 	startedAt      time.Duration
-	slotTime       time.Duration // spent on the cores or at the disk, before stateSince
+	slotTime       time.Duration // time on the cores or at the disk before stateSince
 	answered       bool          // an answer was sent, or its caller has left
-	overQuota      bool
+	overQuota      bool          // beyond its tenant's quota
 	callsSucceeded float64
 	callsFailed    int
 }
@@ -59,20 +59,20 @@
 // requestTable holds the open requests and counts them by state.
 type requestTable struct {
 	byID    map[RequestID]*request
-	ordered []*request // in the order in which they were read; may hold some that have ended
+	ordered []*request // in the order of their events; may hold ended requests until open is called
 	counts  [requestStates]int
 }
 
 func newRequestTable() *requestTable { return &requestTable{byID: map[RequestID]*request{}} }
 
-// add enters a request that was just read.
+// add adds a request that was just read.
 func (t *requestTable) add(req *request) {
 	t.byID[req.ID] = req
 	t.ordered = append(t.ordered, req)
 	t.counts[req.state]++
 }
 
-// move brings a request into another state.
+// move sets the state of a request and counts the slot time of a run that it leaves.
 func (t *requestTable) move(req *request, to requestState, now time.Duration) {
 	if req.state == stateRunning {
 		req.slotTime += now - req.stateSince
@@ -83,11 +83,11 @@
 	req.stateSince = now
 }
 
-// remove forgets a request that has ended.
+// remove drops a request that has ended.
 func (t *requestTable) remove(req *request) { delete(t.byID, req.ID) }
 
-// open returns the open requests in the order in which they were read. It is called at each step, so that the table
-// drops those that have ended.
+// open returns the open requests in the order of their events. It also drops the ended ones from ordered, and is
+// called at each step for that reason.
 func (t *requestTable) open() []*request {
 	t.ordered = slices.DeleteFunc(t.ordered, func(req *request) bool { return t.byID[req.ID] != req })
 	return t.ordered
--- a/control/scheduler.go
+++ b/control/scheduler.go
@@ -6,30 +6,30 @@
 )
 
 const (
-	// priorityShareStep (gamma of UTSLO), over the mean CV, is by how much the share of the priority classes falls
-	// while they meet their targets.
+	// priorityShareStep (gamma of UTSLO), divided by the mean CV, is the decrease of the priority share while the
+	// priority classes meet their targets.
 	priorityShareStep = 0.05
-	// priorityShareGrowth (beta of UTSLO) is by what share of itself it grows when the worst class misses its target.
+	// priorityShareGrowth (beta of UTSLO) is its relative increase when the worst class misses its target.
 	priorityShareGrowth = 0.25
-	// minPriorityShare and maxPriorityShare bound it: neither lane is ever shut.
+	// minPriorityShare and maxPriorityShare bound the share, so that neither lane is ever starved.
 	minPriorityShare = 0.5
 	maxPriorityShare = 0.95
 )
 
-// laneScheduler splits the slots between two lanes: the priority classes, by earliest due start, and best effort, by
-// class in turn.
+// laneScheduler splits the slots between two lanes: the priority classes, by earliest due start, and the best-effort
+// classes, round-robin.
 type laneScheduler struct {
 	rng            *rand.Rand
 	priorityShare  float64 // alpha of UTSLO: the chance that a slot goes to the priority classes
-	nextBestEffort int     // number of the class from which the next one of best effort is looked for
+	nextBestEffort int     // class index where the next best-effort scan starts
 }
 
 func newLaneScheduler(seed uint64) *laneScheduler {
 	return &laneScheduler{rng: rand.New(rand.NewPCG(seed, 0)), priorityShare: maxPriorityShare}
 }
 
-// next returns the queued request to start next, nil if there is none. The lane that is empty yields to the other.
-// While calls are backlogged, classes that make calls are passed over: more of their work would only pile up at its
+// next returns the queued request to start next, nil if there is none. If one lane is empty the other one is served.
+// While calls are backlogged, classes that make calls are skipped, as their requests would only wait for permission to
 // call.
 func (s *laneScheduler) next(classes *classTable, callsBacklogged bool) *request {
 	var priority, bestEffort *request
@@ -52,8 +52,8 @@
 	return bestEffort
 }
 
-// adjustPriorityShare moves the share by how well the priority classes meet their targets. Classes with few samples
-// slow it down.
+// adjustPriorityShare moves the share according to how well the priority classes meet their targets. Classes with few
+// samples reduce the step.
 func (s *laneScheduler) adjustPriorityShare(classes *classTable) {
 	worst, best, confidence := 0.0, math.Inf(1), 1.0
 	cvSum, count := 0.0, 0.0
@@ -75,7 +75,7 @@
 	}
 }
 
-// startQueued starts requests while there are slots for them.
+// startQueued starts queued requests while the limits permit, and rejects those that would end too late.
 func (c *Controller) startQueued() {
 	c.limiter.reached = false
 	for {
@@ -83,7 +83,7 @@
 		if req == nil {
 			return
 		}
-		if c.isTooLate(req) {
+		if c.isTooLate(req) || c.drain.requested && !c.mayRunHere(req) {
 			c.reject(req, true)
 			continue
 		}
@@ -94,20 +94,21 @@
 	}
 }
 
-// callsBacklogged reports whether as many requests wait for their calls as may be in flight at once.
+// callsBacklogged reports whether the requests that wait for permission to call would fill all calls in flight.
 func (c *Controller) callsBacklogged() bool {
 	waiting := c.requests.counts[stateAwaitingCall]
 	return waiting > 0 && float64(waiting) >= c.calls.maxInFlight()
 }
 
-// canStart checks the concurrency limit, then the guards on memory and on the concurrency that the server survives.
+// canStart reports whether the concurrency limit, the health, the concurrency ceiling and the memory permit to start a
+// request. It records whether the limit was reached.
 func (c *Controller) canStart(req *request) bool {
 	running := c.requests.counts[stateRunning]
 	if c.limiter.checkReached(running) {
 		return false
 	}
 	if c.health.reason != reasonNone && running > 0 {
-		return false // An unhealthy machine is probed with one run at a time.
+		return false // An unhealthy machine is tried with one run at a time.
 	}
 	concurrency := running + c.requests.counts[stateAwaitingCall] + c.calls.occupied()
 	return c.ceiling.allows(c.now, concurrency+1) && c.memory.fitsRun(c.keys.live, req.QueuedKB)
--- a/control/settings.go
+++ b/control/settings.go
@@ -10,7 +10,7 @@
 // ErrInvalidSettings is wrapped by every error about settings that a Controller cannot work with.
 var ErrInvalidSettings = errors.New("control: invalid settings")
 
-// Idempotency says how often a class's request may run.
+// Idempotency is how often a request of a class may run.
 type Idempotency uint8
 
 // The kinds of idempotency.
@@ -33,14 +33,14 @@
 	return "unknown idempotency"
 }
 
-// PreemptionMode says what Preempt does to running work.
+// PreemptionMode is what Preempt does to a run.
 type PreemptionMode uint8
 
-// The ways of preempting running work.
+// The preemption modes.
 const (
-	PreemptNever   PreemptionMode = iota // running work cannot be stopped
-	PreemptDiscard                       // the work done so far is lost, the request is queued again
-	PreemptSuspend                       // the work keeps its progress and its running memory
+	PreemptNever   PreemptionMode = iota // a run cannot be stopped
+	PreemptDiscard                       // the run's progress is lost, and the request is queued again
+	PreemptSuspend                       // the run keeps its progress and its running memory
 )
 
 // String returns the preemption mode in words.
@@ -56,14 +56,14 @@
 	return "unknown preemption mode"
 }
 
-// LoadSignalKind says how callers read the value of SetLoadSignal.
+// LoadSignalKind is how callers interpret the value of SetLoadSignal.
 type LoadSignalKind uint8
 
 // The meanings of the load signal.
 const (
-	LoadSignalNone      LoadSignalKind = iota // never send one
-	LoadSignalThreshold                       // admission threshold: callers send nothing that is ranked below it
-	LoadSignalAllowance                       // requests that a caller may have outstanding here
+	LoadSignalNone      LoadSignalKind = iota // no load signal is sent
+	LoadSignalThreshold                       // admission threshold: callers send no request of a lower rank
+	LoadSignalAllowance                       // requests that a caller may have outstanding at this server
 	LoadSignalWeight                          // probability, 0 to 1, that a caller does not skip this server
 )
 
@@ -82,14 +82,14 @@
 	return "unknown load signal"
 }
 
-// Dependency says what running requests call.
+// Dependency is what running requests call.
 type Dependency uint8
 
 // The kinds of dependency.
 const (
 	DependencyNone   Dependency = iota // requests call nothing
-	DependencyShared                   // one dependency that all servers share
-	DependencyTier                     // a further tier of servers that run this code
+	DependencyShared                   // one service that all servers share
+	DependencyTier                     // another tier of servers that run this code
 )
 
 // String returns the dependency in words.
@@ -108,64 +108,64 @@
 // Class describes one class of requests.
 type Class struct {
 	Name                   string
-	LatencyObjective       time.Duration // an answer within this of the client's first attempt earns the full weight
-	ObjectiveStretch       float64       // the objective also grows by this multiple of the request's own work
-	Deadline               time.Duration // the client waits no longer than this
+	LatencyObjective       time.Duration // an answer within this time of the first attempt earns the full weight
+	ObjectiveStretch       float64       // the objective grows by this multiple of RequestArrived.CostHint
+	Deadline               time.Duration // the caller waits no longer than this
 	RetentionWindow        time.Duration // IdempotentByKey: how long after its arrival a request may be repeated
 	Weight                 float64       // priority weight of a request
 	LateWeightShare        float64       // share of the weight earned between latency objective and deadline
 	Idempotency            Idempotency
 	MakesCalls             bool    // requests may call the dependency
 	SkippedCallWeightShare float64 // share of the weight earned when a call was skipped; 0 forbids SkipCall
-	Retired                bool    // of earlier settings: only requests that arrived under those are of this class
+	Retired                bool    // removed from the settings: only requests that arrived before are of this class
 }
 
 // Tenant is one customer of the fleet.
 type Tenant struct {
 	Name  string
-	Quota float64 // requests a second within its quota, summed over all servers
+	Quota float64 // requests per second, summed over all servers; 0 = not limited
 }
 
-// Settings are what a Controller is told at its start. Zero values mean "not limited" or "not offered".
+// Settings configure a Controller. Zero values mean "not limited" or "not offered".
 type Settings struct {
-	Seed      uint64 // all randomness comes from it
+	Seed      uint64 // of all random draws
 	Classes   []Class
 	Tenants   []Tenant
 	Cores     int
 	Tier      int  // 0 for the tier that clients reach, 1 for the one that it calls, ...
 	Peers     int  // servers of this tier, this one included
-	Callers   int  // callers of this tier
+	Callers   int  // callers of this tier; a load signal is split over them
 	ColdStart bool // the server has just started and is warming up
 
-	MemoryKB            float64 // queued, running and suspended requests and retained keys share it
-	KeyKB               float64 // cost of a retained key
-	RunningMemoryFactor float64 // memory of a running request over that of a queued one
+	MemoryKB            float64 // for queued, running and suspended requests and retained keys together
+	KeyKB               float64 // memory of a retained key
+	RunningMemoryFactor float64 // memory of a running request, as a multiple of RequestArrived.QueuedKB
 
-	MaxConcurrencyPerCore float64       // running requests on the cores, per core, that a warm server survives
-	MaxConcurrencyWindow  time.Duration // averaged over this
+	MaxConcurrencyPerCore float64       // running requests per core that a warm server survives
+	MaxConcurrencyWindow  time.Duration // window over which MaxConcurrencyPerCore is averaged
 	WarmUpMinSpeed        float64       // a cold server starts at no less than this share of its speed
-	WarmUpTime            time.Duration // and is warm within this
+	WarmUpTime            time.Duration // a cold server is warm after this time
 
 	Dependency            Dependency
 	CallConcurrencyShare  float64       // this server's share of the calls in flight that the dependency survives
-	CallConcurrencyWindow time.Duration // averaged over this
-	AbandonedCallTime     time.Duration // an abandoned call occupies the dependency for so long
+	CallConcurrencyWindow time.Duration // window over which CallConcurrencyShare is averaged
+	AbandonedCallTime     time.Duration // how long an abandoned call still occupies the dependency
 
-	AnswerGrace time.Duration // grace after a due time
-	DrainGrace  time.Duration // arrivals later than this after a DrainRequested are not run
+	AnswerGrace time.Duration // how long after its deadline an answer still counts
+	DrainGrace  time.Duration // requests read later than this after a DrainRequested are not run
 
-	EndpointListIgnoresHealth bool // callers' endpoint lists follow starts and drains, but not SetHealth
+	EndpointListIgnoresHealth bool // callers' endpoint lists reflect starts and drains, but not SetHealth
 
-	DeadlinePropagated   bool    // RequestArrived.Deadline is given
-	RetriesMarked        bool    // RequestArrived.Retry is given
-	WeightPerWork        bool    // weight counts for each unit of work rather than each request
+	DeadlinePropagated   bool    // RequestArrived.Deadline is set by callers
+	RetriesMarked        bool    // RequestArrived.Retry is set by callers
+	WeightPerWork        bool    // a class's weight is earned per unit of work rather than per request
 	OverQuotaWeightShare float64 // share of the weight that a request beyond its tenant's quota earns
 	Preemption           PreemptionMode
 	LoadSignal           LoadSignalKind
-	LoadSignalTTL        time.Duration // how long a caller keeps the load signal
+	LoadSignalTTL        time.Duration // how long a caller uses a received load signal
 	MaxRetryAfter        time.Duration // longest Reject.RetryAfter that callers honour
-	MaxKeepAlive         time.Duration // callers drop idle connections after this
-	ResultFreshness      time.Duration // how long a read's answer may serve others; 0 = never
+	MaxKeepAlive         time.Duration // callers close idle connections after this
+	ResultFreshness      time.Duration // how long an idempotent request's result may answer others; 0 = never
 }
 
 // validate returns an error that wraps ErrInvalidSettings if a figure is out of range.
@@ -187,7 +187,7 @@
 	return nil
 }
 
-// activeClasses are the classes that new requests may be of.
+// activeClasses returns the classes that are not retired.
 func (s *Settings) activeClasses() []Class {
 	return slices.DeleteFunc(slices.Clone(s.Classes), func(class Class) bool { return class.Retired })
 }
--- a/control/shedding.go
+++ b/control/shedding.go
@@ -6,23 +6,23 @@
 )
 
 const (
-	// bestEffortRateDivisor divides the throughput into the least part that best effort is planned with.
+	// bestEffortRateDivisor sets the minimum throughput planned for best effort: the total divided by it.
 	bestEffortRateDivisor = 10
-	// minCallsPerRequest keeps the weight for each call finite where a class hardly calls.
+	// minCallsPerRequest keeps the weight per call finite for a class that rarely makes calls.
 	minCallsPerRequest = 0.1
 )
 
-// loadPlan walks the queued requests in the order of their starts and sums what is planned before each of them. Where
-// one would start too late it sheds the least valuable so far.
+// loadPlan adds the queued requests in the order of their starts and sums the work before each of them. If a request
+// would start too late, the least valuable one planned so far is shed.
 type loadPlan struct {
 	controller *Controller
 	planned    []*request
-	slots      float64
+	slots      float64 // requests that run at once
 	work       float64 // slot seconds of the planned requests
 	calls      float64 // calls of the planned requests
 }
 
-// shedLoad rejects queued requests where not all can be answered in time or held in memory.
+// shedLoad rejects queued requests if not all of them can be answered in time or held in memory.
 func (c *Controller) shedLoad() {
 	plan := loadPlan{
 		controller: c,
@@ -34,14 +34,14 @@
 	}
 	rate := plan.slots / c.slowdown.factor
 	plan.addLane(false, rate)
-	// Priority requests that are still to come go before best effort.
+	// Priority requests that have yet to arrive will be started before best effort.
 	plan.addLane(true, math.Max(rate-c.demand.priorityLoad, rate/bestEffortRateDivisor))
 	for c.memoryUse() > memoryHighWater && len(plan.planned) > 0 {
 		plan.shedLeastValuable(false)
 	}
 }
 
-// addLane plans the queued requests of a lane, which is served at rate slot seconds a second.
+// addLane plans the queued requests of a lane that is served at rate, in slot seconds per second.
 func (p *loadPlan) addLane(bestEffort bool, rate float64) {
 	var lane []*request
 	for _, class := range p.controller.classes.all {
@@ -56,7 +56,7 @@
 		p.planned = append(p.planned, req)
 		startsLate := p.controller.now+seconds(p.work/rate) > latestStart
 		p.work += class.slotSeconds(req.CostHint)
-		// Unlike UTSLO: calls are a second queue behind the first, with a bound and a shortage of their own.
+		// Unlike UTSLO: calls are a second queue behind the first, with a capacity of their own.
 		callsLate := class.MakesCalls && p.controller.now+p.controller.calls.wait(p.calls) > latestStart
 		p.calls += class.callsPerRequest.value
 		if startsLate || callsLate {
@@ -65,7 +65,7 @@
 	}
 }
 
-// shedLeastValuable rejects the least valuable planned request. If calls are what is short, it is one that makes calls.
+// shedLeastValuable rejects the least valuable planned request; with forCalls, of the requests that make calls.
 func (p *loadPlan) shedLeastValuable(forCalls bool) {
 	victim := p.leastValuable(forCalls)
 	req := p.planned[victim]
@@ -76,8 +76,8 @@
 	p.planned = slices.Delete(p.planned, victim, victim+1)
 }
 
-// leastValuable is the index of the planned request with the least weight for its work, the last one of equals. If
-// calls are what is short, it is the one with the least weight for its calls.
+// leastValuable returns the index of the planned request with the lowest weight per work, the last one of equals. With
+// forCalls it is the one with the lowest weight per call, of the requests that make calls.
 func (p *loadPlan) leastValuable(forCalls bool) int {
 	victim, lowest := len(p.planned)-1, math.Inf(1)
 	for i, req := range p.planned {
@@ -96,7 +96,7 @@
 	return victim
 }
 
-// weightForWork is the weight of a request for each unit of work.
+// weightForWork is the weight that a request earns per slot second.
 func (c *Controller) weightForWork(req *request) float64 {
 	class := c.classes.of(req)
 	weight := class.Weight
--- a/internal/dispatch/submit.go
+++ b/internal/dispatch/submit.go
@@ -54,20 +54,20 @@
 // admit hands a request to the decision module.
 func (c *Core) admit(req *request) {
 	event := control.RequestArrived{
-		ID:       req.id,
-		Class:    req.Class,
-		Tenant:   req.Tenant,
-		Key:      req.SubjectKey,
-		Age:      max(c.now-req.ArrivedAt, req.readAt-req.ArrivedAt, 0).Duration(),
-		CostHint: req.CostHint.Duration(),
-		QueuedKB: req.QueuedKB,
-		Rank:     req.Rank,
-		Retry:    req.Retry,
-		Caller:   req.CallerID,
+		ID:         req.id,
+		Class:      req.Class,
+		Tenant:     req.Tenant,
+		SubjectKey: req.SubjectKey,
+		Age:        max(c.now-req.ArrivedAt, req.readAt-req.ArrivedAt, 0).Duration(),
+		CostHint:   req.CostHint.Duration(),
+		QueuedKB:   req.QueuedKB,
+		Rank:       req.Rank,
+		Retry:      req.Retry,
+		Caller:     req.CallerID,
 	}
 	if c.keyed(req) {
 		req.entry, event.Original = c.keys.attach(req)
-		event.Key = 0
+		event.SubjectKey = 0
 		if req.entry.restored { // The module has not seen its run.
 			req.state = stateJoined
 			c.respondLater(req, req.entry.response())
--- a/internal/simadapter/batch.go
+++ b/internal/simadapter/batch.go
@@ -123,17 +123,17 @@
 func decodeRequestArrived(fields record) control.RequestArrived {
 	marks := fields.uint8(48)
 	event := control.RequestArrived{
-		ID:       fields.requestID(atRequest),
-		Class:    int(fields.uint16(10)),
-		Tenant:   int(fields.uint32(12)),
-		Key:      fields.uint64(16),
-		Deadline: fields.duration(24),
-		QueuedKB: fields.float32(40),
-		Rank:     fields.float32(44),
-		Retry:    marks&markRetry != 0,
-		Caller:   fields.uint32(49),
-		Age:      fields.duration(53),
-		Original: fields.requestID(61),
+		ID:         fields.requestID(atRequest),
+		Class:      int(fields.uint16(10)),
+		Tenant:     int(fields.uint32(12)),
+		SubjectKey: fields.uint64(16),
+		Deadline:   fields.duration(24),
+		QueuedKB:   fields.float32(40),
+		Rank:       fields.float32(44),
+		Retry:      marks&markRetry != 0,
+		Caller:     fields.uint32(49),
+		Age:        fields.duration(53),
+		Original:   fields.requestID(61),
 	}
 	if marks&markCostHint != 0 {
 		event.CostHint = fields.duration(32)
--- a/internal/simadapter/batch_test.go
+++ b/internal/simadapter/batch_test.go
@@ -34,7 +34,7 @@
 			fields.putFloat64(53, 1.25)
 			fields.putUint32(61, 70)
 		}, Record{Event: control.RequestArrived{
-			ID: 77, Class: 1, Tenant: 2, Key: 12345, Deadline: 5000500 * time.Microsecond,
+			ID: 77, Class: 1, Tenant: 2, SubjectKey: 12345, Deadline: 5000500 * time.Microsecond,
 			Age: 1250 * time.Microsecond, CostHint: 12250 * time.Microsecond, QueuedKB: 1.5, Rank: 0.625, Retry: true,
 			Caller: 17, Original: 70,
 		}}},
--- a/internal/testbed/sim/tables_test.go
+++ b/internal/testbed/sim/tables_test.go
@@ -81,7 +81,7 @@
 			faults.Fault{At: at + 30*microtime.Second, Kind: faults.DuplicateNotices, Node: "w0", For: 5 * microtime.Second},
 			faults.Fault{At: at + 36*microtime.Second, Kind: faults.SlowPool, Node: "w0", For: 5 * microtime.Second, Amount: 4})
 	}
-	flat(t, s, 30_000, "control.keyTable.keys", "control.requestTable.byID", "control.idleConnections.lastSeen", "control.classState.latencies",
+	flat(t, s, 30_000, "control.retainedKeys.keys", "control.requestTable.byID", "control.idleConnections.lastSeen", "control.classState.latencies",
 		"dispatch.keyTable.byKey", "dispatch.keyTable.byHolder", "dispatch.tickSchedule.ticks", "workerpool.Backend.runs", "transport.connGroup.conns", "transport.Connection.received")
 }
 
