--- a/internal/decide/calls/conn.go
+++ b/internal/decide/calls/conn.go
@@ -62,12 +62,12 @@
 	}
 	old.retired = true
 	if old.load() == 0 {
-		p.do(Close{old.id})
+		p.emit(Close{old.id})
 		return
 	}
 	if p.retiredConns() > maxRetiredConns { // The oldest of them ends, with the calls in flight on it.
 		oldest := slices.IndexFunc(p.conns, func(open *conn) bool { return open.retired })
-		p.do(Close{p.conns[oldest].id})
+		p.emit(Close{p.conns[oldest].id})
 	}
 }
 
--- a/internal/decide/calls/pool.go
+++ b/internal/decide/calls/pool.go
@@ -68,7 +68,7 @@
 	return actions
 }
 
-func (p *Pool) do(action Action) { p.actions = append(p.actions, action) }
+func (p *Pool) emit(action Action) { p.actions = append(p.actions, action) }
 
 // Counts are the connections that are open, the calls in flight, and those of them that wait for a connection.
 func (p *Pool) Counts() (conns, inFlight, waiting int) {
@@ -84,7 +84,7 @@
 func (p *Pool) Call(now microtime.Time, request Request) {
 	p.Abandon(now, request.ID)
 	if len(p.inFlight) >= MaxCalls {
-		p.do(Complete{ID: request.ID, Outcome: NotSent})
+		p.emit(Complete{ID: request.ID, Outcome: NotSent})
 		return
 	}
 	made := &call{Request: request, deadline: now + request.Timeout}
@@ -131,7 +131,7 @@
 func (p *Pool) dial() {
 	if !p.dialling {
 		p.dialling = true
-		p.do(Dial{})
+		p.emit(Dial{})
 	}
 }
 
@@ -141,7 +141,7 @@
 	on.calls[made.ID] = made
 	on.idleSince = now
 	p.wakeBy(now + p.replyTime.silenceLimit(on.load()))
-	p.do(Send{Conn: on.id, ID: made.ID, Timeout: made.deadline - now, Body: made.Body})
+	p.emit(Send{Conn: on.id, ID: made.ID, Timeout: made.deadline - now, Body: made.Body})
 }
 
 // Opened takes up the connection that was dialled; the calls that wait go out on it.
@@ -178,7 +178,7 @@
 		p.retire(open)
 	}
 	if p.dialling {
-		p.do(Redial{})
+		p.emit(Redial{})
 	}
 }
 
@@ -256,7 +256,7 @@
 func (p *Pool) finish(made *call, outcome Outcome, reply []byte) {
 	if !made.over {
 		p.remove(made)
-		p.do(Complete{made.ID, outcome, reply})
+		p.emit(Complete{made.ID, outcome, reply})
 	}
 }
 
@@ -275,7 +275,7 @@
 	if on == nil || on.calls[made.ID] != made {
 		return
 	}
-	p.do(Abandon{on.id, made.ID})
+	p.emit(Abandon{on.id, made.ID})
 	on.abandoned[made.ID] = true
 	p.release(now, made)
 	if len(on.abandoned) >= abandonedPerConn {
@@ -290,6 +290,6 @@
 	on.idleSince = now
 	p.wakeBy(now + IdleTimeout)
 	if on.retired && on.load() == 0 {
-		p.do(Close{on.id})
+		p.emit(Close{on.id})
 	}
 }
--- a/internal/decide/calls/silence.go
+++ b/internal/decide/calls/silence.go
@@ -62,7 +62,7 @@
 	}
 	if !open.silent {
 		open.silent = true
-		p.do(ReportSilence{Calls: open.load(), Duration: now - since})
+		p.emit(ReportSilence{Calls: open.load(), Duration: now - since})
 	}
 	if open.retired {
 		return microtime.Never // Its calls end by their deadline.
--- a/internal/decide/handoff/handoff.go
+++ b/internal/decide/handoff/handoff.go
@@ -196,7 +196,7 @@
 		k.State = Free
 		return []Action{NotifyReleased}
 	}
-	return k.takeUp(waiting)
+	return k.claimForWaiters(waiting)
 }
 
 func (k *Key) peerStarted() []Action {
@@ -222,7 +222,7 @@
 		k.State = Requested
 		return []Action{Claim}
 	}
-	return k.takeUp(waiting)
+	return k.claimForWaiters(waiting)
 }
 
 func (k *Key) peerClaimed(role Role) []Action {
@@ -259,7 +259,7 @@
 	if k.State != Requested {
 		return nil
 	}
-	return k.takeUp(waiting)
+	return k.claimForWaiters(waiting)
 }
 
 func (k *Key) ownershipPassed() []Action {
@@ -276,14 +276,14 @@
 		k.State = Indeterminate
 		return []Action{Fail}
 	case Requested: // An owner tells of a run before it begins: none has.
-		return k.takeUp(waiting)
+		return k.claimForWaiters(waiting)
 	default:
 		return nil
 	}
 }
 
-// takeUp lets the waiting attempts go; without any, nothing is known of the key.
-func (k *Key) takeUp(waiting bool) []Action {
+// claimForWaiters lets the waiting attempts go; without any, nothing is known of the key.
+func (k *Key) claimForWaiters(waiting bool) []Action {
 	if !waiting {
 		k.State = Free
 		return nil
--- a/internal/dispatch/execution.go
+++ b/internal/dispatch/execution.go
@@ -86,7 +86,6 @@
 		return
 	}
 	entry := c.addRestored(request, handoff.Free)
-	entry.ran = true
 	entry.finish(RunSucceeded, request.Result)
 }
 
@@ -140,7 +139,7 @@
 		entry.finish(RunSucceeded, lease.Result)
 		c.finishAll(entry, req, RunSucceeded, lease.Result)
 	case lease.Verdict == VerdictFailed:
-		entry.finished, entry.outcome = true, RunFailed
+		entry.finish(RunFailed, nil)
 		c.finishAll(entry, req, RunFailed, nil)
 	case lease.Verdict == VerdictIndeterminate:
 		c.keys.markIndeterminate(entry, req.ArrivedAt+c.retentionWindow(req.Class))
@@ -162,10 +161,10 @@
 		return false
 	}
 	// Parked first, as the word may come at once: a group of one server asks nobody else.
-	req.state = stateJoined
+	req.state = stateWaiting
 	c.parked.add(req)
 	asked := c.store.Lookup(req.keyedRequest(), func(lease LeaseResult) {
-		waits := c.requests.byID[req.id] == req && req.state == stateJoined && req.entry == nil
+		waits := c.requests.byID[req.id] == req && req.state == stateWaiting && req.entry == nil
 		if waits { // Else it was answered meanwhile, or its caller has left.
 			c.resumeAfterLookup(req, lease)
 		}
@@ -187,7 +186,6 @@
 		c.admit(req)
 	case lease.Verdict == VerdictSucceeded:
 		entry := c.addRestored(req.keyedRequest(), handoff.Free)
-		entry.ran = true
 		entry.finish(RunSucceeded, lease.Result)
 		entry.arrivedAt = lease.ArrivedAt
 		entry.expires = lease.ArrivedAt + c.retentionWindow(req.Class)
@@ -202,16 +200,15 @@
 // recordResult records the result of a key's run; req is the run's request, nil when a repeat tries again to record it.
 // What cannot be recorded is not answered as succeeded, and not run again either: a repeat tries to record it.
 func (c *Core) recordResult(entry *keyEntry, req *request) {
-	entry.recording = true
+	entry.run = runRecording
 	c.store.RecordResult(entry.keyedRequest(), func(err error) {
-		entry.recording = false
 		if err != nil {
+			entry.run = runUnrecorded
 			c.logf("dispatch: result of key %q is not on record: %v", entry.key.text, err)
 			c.finishAll(entry, req, RunFailed, nil)
 			return
 		}
-		entry.unrecorded = false
-		entry.finished, entry.outcome = true, RunSucceeded
+		entry.finish(RunSucceeded, entry.result)
 		c.notifyFinished(entry)
 		c.finishAll(entry, req, RunSucceeded, entry.result)
 	})
--- a/internal/dispatch/keys.go
+++ b/internal/dispatch/keys.go
@@ -30,47 +30,63 @@
 	return cmp.Or(cmp.Compare(a.tenant, b.tenant), cmp.Compare(a.text, b.text))
 }
 
+// runState is how far the run of a key has come. A key runs once within its retention window.
+type runState uint8
+
+const (
+	// runNone has not been started, or is proven not to have run.
+	runNone runState = iota
+	// runActive was started and has not ended.
+	runActive
+	// runRecording has succeeded, and its result is being written to the execution store.
+	runRecording
+	// runUnrecorded has succeeded, but its result could not be written. A repeat makes the core try again.
+	runUnrecorded
+	// runFinished has ended, with the outcome and the result of the entry.
+	runFinished
+)
+
 // keyEntry is what is known of one request with an idempotency key.
 type keyEntry struct {
 	key      IdempotencyKey
 	class    int
 	bodyHash uint64            // all attempts have the same body
 	holder   control.RequestID // the attempt that the decision module knows as the original
-	expires  microtime.Time    // the end of the retention that the module has asked for
-	retained bool              // false: only seen in this turn
+	expires  microtime.Time    // the end of the retention that the decision module has requested
+	retained bool              // the decision module has retained the key; false: the entry lasts for this turn only
+	restored bool              // known from the store or the peer process: the decision module has not seen the run
 
-	ran                bool
+	run                runState
 	ranBy              control.RequestID // the attempt that ran
-	arrivedAt          microtime.Time    // when that attempt came
-	arrivedAtUnixMilli int64             // the same by its caller
-	finished           bool              // that run has ended, with outcome and result
-	outcome            RunOutcome
-	result             []byte
-	waiters            []*request
-
-	unrecorded bool // the run has ended, but its result is not on record
-	recording  bool // the result is on its way there
-	restored   bool // from the store or the peer process: the decision module has not seen its run
-
-	peerState   handoff.State // Requested, Remote or Indeterminate where the peer process has a say; else Free
+	arrivedAt          microtime.Time    // when that attempt arrived
+	arrivedAtUnixMilli int64             // the same as its caller stated it, in Unix milliseconds
+	outcome            RunOutcome        // of runFinished
+	result             []byte            // from runRecording on
+	waiters            []*request        // attempts that are answered when the run ends
+
+	peerState   handoff.State // Requested, Remote or Indeterminate if the peer process may run the key; else Free
 	peerWaiting bool          // the peer process waits for the end of the run
 }
 
-// claim marks the key as run by req, unless another attempt has run.
+// claim marks the key as run by req. It returns false if another attempt has run.
 func (e *keyEntry) claim(req *request) bool {
-	if e.ran && e.ranBy != req.id {
+	if e.run == runNone {
+		e.run = runActive
+	} else if e.ranBy != req.id {
 		return false
 	}
-	e.ran = true
 	e.ranBy = req.id
 	e.arrivedAt = req.ArrivedAt
 	e.arrivedAtUnixMilli = req.ArrivedAtUnixMilli
 	return true
 }
 
-// finish notes how the run of the key ended.
+// unfinished reports whether the key has a run whose end is not known or not recorded yet.
+func (e *keyEntry) unfinished() bool { return e.run != runNone && e.run != runFinished }
+
+// finish records how the run of the key ended.
 func (e *keyEntry) finish(outcome RunOutcome, result []byte) {
-	e.finished = true
+	e.run = runFinished
 	e.outcome = outcome
 	e.result = result
 }
@@ -165,7 +181,7 @@
 	switch {
 	case entry == nil, !entry.retained, arrivedAt < entry.expires:
 		return entry
-	case entry.ran && !entry.finished:
+	case entry.unfinished():
 		return entry
 	case entry.peerState == handoff.Requested, entry.peerState == handoff.Remote:
 		return entry
@@ -192,7 +208,7 @@
 
 // release drops the entry of a holder, unless an attempt of it has run.
 func (t *keyTable) release(holder control.RequestID) {
-	if entry := t.byHolder[holder]; entry != nil && !entry.ran {
+	if entry := t.byHolder[holder]; entry != nil && entry.run == runNone {
 		t.drop(entry)
 	}
 }
@@ -210,7 +226,7 @@
 
 // markNotRun forgets that an attempt has run: proof came that nothing was started.
 func (t *keyTable) markNotRun(entry *keyEntry) {
-	entry.ran = false
+	entry.run = runNone
 	t.drop(entry)
 }
 
@@ -239,7 +255,7 @@
 // endTurn drops the entries that the decision module did not retain in the turn that brought them.
 func (t *keyTable) endTurn() {
 	for _, entry := range t.unretained {
-		if !entry.retained && !entry.ran {
+		if !entry.retained && entry.run == runNone {
 			t.drop(entry)
 		}
 	}
@@ -254,7 +270,7 @@
 	t.sweptAt = now
 	maps.DeleteFunc(t.indeterminate, func(_ IdempotencyKey, until microtime.Time) bool { return now >= until })
 	for _, entry := range t.byKey { // In any order: each stays or goes by itself.
-		inUse := entry.recording || entry.ran && !entry.finished && !entry.unrecorded
+		inUse := entry.run == runActive || entry.run == runRecording
 		if now > entry.expires+expiredEntryGrace && !inUse {
 			t.remove(entry)
 		}
--- a/internal/dispatch/parked.go
+++ b/internal/dispatch/parked.go
@@ -18,8 +18,8 @@
 	p.requests = slices.DeleteFunc(p.requests, func(parked *request) bool { return parked == req })
 }
 
-// of are the requests that wait for an entry; nil for no entry.
-func (p *parkedRequests) of(entry *keyEntry) []*request {
+// waitingFor are the requests that wait for an entry; nil for no entry.
+func (p *parkedRequests) waitingFor(entry *keyEntry) []*request {
 	if entry == nil {
 		return nil
 	}
--- a/internal/dispatch/peer.go
+++ b/internal/dispatch/peer.go
@@ -32,7 +32,7 @@
 		return handoff.Key{State: handoff.Free}
 	case e.peerState != handoff.Free:
 		return handoff.Key{State: e.peerState, PeerWaiting: e.peerWaiting}
-	case e.finished:
+	case e.run == runFinished:
 		return handoff.Key{State: handoff.Done, PeerWaiting: e.peerWaiting}
 	}
 	return handoff.Key{State: handoff.Local, PeerWaiting: e.peerWaiting}
@@ -50,7 +50,7 @@
 	if actions[0] == handoff.Admit {
 		return false
 	}
-	req.state = stateJoined
+	req.state = stateWaiting
 	if entry == nil {
 		entry = c.addRestored(req.keyedRequest(), key.State)
 	}
@@ -95,7 +95,7 @@
 
 // stepKey takes a key a step on; entry is what is known of it, nil for nothing.
 func (c *Core) stepKey(entry *keyEntry, event keyEvent) {
-	waiting := c.parked.of(entry)
+	waiting := c.parked.waitingFor(entry)
 	key := entry.handoffKey()
 	before := key.State
 	actions := key.Step(c.role, event.kind, len(waiting) > 0)
@@ -107,7 +107,7 @@
 	}
 	for _, action := range actions {
 		c.resumeParked(action, entry, waiting)
-		c.tellPeer(action, entry, event.request)
+		c.applyToPeer(action, entry, event.request)
 	}
 }
 
@@ -137,7 +137,6 @@
 		entry = c.addRestored(event.request, handoff.Free)
 	}
 	entry.peerState = handoff.Free
-	entry.ran = true
 	entry.finish(event.outcome, event.request.Result)
 	entry.arrivedAt = event.request.ArrivedAt
 	entry.expires = event.request.ArrivedAt + c.retentionWindow(event.request.Class)
@@ -167,8 +166,8 @@
 	}
 }
 
-// tellPeer carries out an action of the handoff on the peer process.
-func (c *Core) tellPeer(action handoff.Action, entry *keyEntry, request KeyedRequest) {
+// applyToPeer carries out an action of the handoff on the peer process.
+func (c *Core) applyToPeer(action handoff.Action, entry *keyEntry, request KeyedRequest) {
 	if c.peer == nil {
 		return
 	}
@@ -180,7 +179,7 @@
 	case handoff.NotifyStarted:
 		c.peer.NotifyStarted(request)
 	case handoff.NotifyFinished:
-		if entry != nil && entry.finished {
+		if entry != nil && entry.run == runFinished {
 			c.peer.NotifyFinished(entry.keyedRequest(), entry.outcome)
 		} else {
 			c.peer.NotifyFinished(request, RunFailed) // It may have run.
@@ -191,11 +190,16 @@
 	}
 }
 
-// notifyFinished tells the peer process that the run of a key has ended here.
+// notifyFinished notifies the peer process that the run of a key has ended here.
 func (c *Core) notifyFinished(entry *keyEntry) {
-	if c.peer != nil {
-		entry.peerWaiting = false
-		c.peer.NotifyFinished(entry.keyedRequest(), entry.outcome)
+	if c.peer == nil {
+		return
+	}
+	key := entry.handoffKey()
+	actions := key.Step(c.role, handoff.LocalFinished, false)
+	entry.peerWaiting = key.PeerWaiting
+	for _, action := range actions {
+		c.applyToPeer(action, entry, entry.keyedRequest())
 	}
 }
 
@@ -212,7 +216,7 @@
 			if action == handoff.Grant {
 				c.addRestored(request, handoff.Remote)
 			}
-			c.tellPeer(action, nil, request)
+			c.applyToPeer(action, nil, request)
 		}
 	}
 }
@@ -223,7 +227,7 @@
 // AnnounceKey tells the peer process what is known of a key, if it has run here or may have.
 func (c *Core) AnnounceKey(key IdempotencyKey) {
 	entry := c.keys.byKey[key]
-	if entry == nil || c.peer == nil || c.now >= entry.expires && (entry.finished || !entry.ran) {
+	if entry == nil || c.peer == nil || c.now >= entry.expires && !entry.unfinished() {
 		return
 	}
 	switch state := entry.handoffKey().State; {
@@ -231,7 +235,7 @@
 		c.peer.NotifyFinished(entry.keyedRequest(), entry.outcome)
 	case state == handoff.Indeterminate:
 		c.peer.NotifyFinished(entry.keyedRequest(), RunFailed)
-	case entry.ran:
+	case entry.run != runNone:
 		c.peer.NotifyStarted(entry.keyedRequest())
 	}
 }
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -126,8 +126,8 @@
 	stateBlocked
 	// stateCalling has a run that waits for the reply to a call in flight.
 	stateCalling
-	// stateJoined waits for something else than the module: the run of another attempt, the peer process or the store.
-	stateJoined
+	// stateWaiting waits for something else than the module: the run of another attempt, the peer process or the store.
+	stateWaiting
 )
 
 // started says that a run was launched for the request and has not ended.
--- a/internal/dispatch/run.go
+++ b/internal/dispatch/run.go
@@ -91,16 +91,16 @@
 	if req == nil || req.state != stateQueued {
 		return
 	}
-	req.state = stateJoined
+	req.state = stateWaiting
 	entry := req.entry
 	switch {
-	case entry == nil || !entry.ran:
+	case entry == nil || entry.run == runNone:
 		c.finish(req, RunFailed, nil)
-	case entry.finished:
+	case entry.run == runFinished:
 		c.finish(req, entry.outcome, entry.result)
 	default:
 		entry.waiters = append(entry.waiters, req)
-		if entry.unrecorded && !entry.recording {
+		if entry.run == runUnrecorded {
 			c.recordResult(entry, nil)
 		}
 	}
@@ -139,7 +139,7 @@
 		}
 		c.finishAll(entry, req, outcome, nil)
 	case outcome == RunSucceeded && c.store != nil:
-		entry.result, entry.unrecorded, req.recording = result, true, true
+		entry.result, req.recording = result, true
 		c.recordResult(entry, req)
 	default:
 		entry.finish(outcome, result)
@@ -175,29 +175,35 @@
 	}
 }
 
-// startWaiterInstead lets a waiting attempt run in the place of req, which was not started: nothing has run, and the
-// decision module counts one run for both. It returns false where no waiter may run.
+// startWaiterInstead starts a waiting attempt in the place of req, whose run was not started. It returns false if no
+// waiter may be started.
 func (c *Core) startWaiterInstead(req *request, outcome RunOutcome) bool {
 	entry := req.entry
 	if len(entry.waiters) > 0 && entry.waiters[0].RunID == req.RunID {
-		// req runs in the place of this waiter already, which was not started either.
+		// req already ran in the place of this waiter, whose run was not started either.
 		c.finish(entry.waiters[0], outcome, nil)
 	}
 	index := slices.IndexFunc(entry.waiters, c.mayStart)
 	if index < 0 {
 		return false
 	}
-	if c.store != nil { // The lease was for the attempt that was not started; the other one acquires its own.
+	c.promoteWaiter(entry, req, index)
+	return true
+}
+
+// promoteWaiter answers req, whose run was not started, and runs the waiter at index in its place. For the decision
+// module req is still running: it counts one run for both. The waiter goes to the front of the waiters and is answered
+// with the run, which has its RunID from now on.
+func (c *Core) promoteWaiter(entry *keyEntry, req *request, index int) {
+	if c.store != nil { // The lease was for the attempt that was not started; the waiter acquires its own.
 		c.store.Release(entry.keyedRequest())
 	}
 	waiter := entry.waiters[index]
 	entry.waiters[0], entry.waiters[index] = waiter, entry.waiters[0]
 	entry.moveWindow(req, waiter)
 	c.respond(req, failed(reasonRunNotStarted))
-	// The waiter stays joined and is answered with the run, to which its RunID leads now.
 	c.requests.runAs(req, waiter)
 	c.launch(req)
-	return true
 }
 
 // mayStart says that a request may still be run, as far as the notice to leave goes: what was read later than the grace
--- a/internal/dispatch/submit.go
+++ b/internal/dispatch/submit.go
@@ -69,7 +69,7 @@
 		req.entry, event.Original = c.keys.attach(req)
 		event.SubjectKey = 0
 		if req.entry.restored { // The module has not seen its run.
-			req.state = stateJoined
+			req.state = stateWaiting
 			c.respondLater(req, req.entry.response())
 			return
 		}
