--- a/internal/dispatch/apply.go
+++ b/internal/dispatch/apply.go
@@ -5,7 +5,7 @@
 	"pewterline/internal/microtime"
 )
 
-// apply carries out the actions of a step of the decision module, in their order.
+// apply carries out the actions that a step of the decision module returned, in their order.
 func (c *Core) apply(now microtime.Time, actions []control.Action) {
 	for _, action := range actions {
 		if !c.applyToRequest(now, action) && !c.applyToServer(now, action) {
--- a/internal/dispatch/backend.go
+++ b/internal/dispatch/backend.go
@@ -12,27 +12,28 @@
 	ID    string
 	Class string
 	Body  []byte
-	// AtMostOnce says that the run must not be started twice: its class is idempotent by key, or not at all.
+	// AtMostOnce means that the run must not be started twice: its class is idempotent by key, or not idempotent.
 	AtMostOnce bool
-	// Deadline is when nobody waits for the end of the run any more.
+	// Deadline is when the end of the run is no longer of use to any caller.
 	Deadline microtime.Time
-	// Request is what the run came from, for backends that forward it. It is not to be changed.
+	// Request is the request of the run, for backends that forward it. It must not be modified.
 	Request *Request
 }
 
-// Backend does the work. Each Start is followed by one Core.RunFinished, whatever becomes of the backend's connections.
+// Backend runs requests. Each Start is followed by exactly one Core.RunFinished, even if a connection of the backend
+// fails.
 type Backend interface {
 	Start(Run)
-	// Cancel stops a run whose response nobody wants any more. Its end is still reported.
+	// Cancel stops a run whose response is no longer needed. Its end is still reported.
 	Cancel(id string)
-	// RequestGauges asks for the readings of the machine, which come by Core.SetGauges.
+	// RequestGauges requests the gauges of the backend's machine, which are passed to Core.SetGauges.
 	RequestGauges()
 }
 
-// CallingBackend is a Backend whose runs may wait for calls, of which it tells by Core.RunBlocked.
+// CallingBackend is a Backend whose runs may wait for calls, which it reports by Core.RunBlocked.
 type CallingBackend interface {
 	Backend
-	// DeliverReply hands a run the reply that it waits for. The reply is not changed.
+	// DeliverReply passes a run the reply that it waits for. The backend must not modify the reply.
 	DeliverReply(id string, reply []byte)
 }
 
@@ -42,17 +43,17 @@
 // The outcomes of a run.
 const (
 	RunSucceeded RunOutcome = iota
-	// RunFailed has failed, possibly after taking effect.
+	// RunFailed ended with an error, possibly after taking effect.
 	RunFailed
 	// RunCancelled was stopped, and its work is lost.
 	RunCancelled
-	// RunNotStarted never ran, as its caller had left already.
+	// RunNotStarted never ran, as its caller had left.
 	RunNotStarted
-	// RunUnsupported never ran, as the backend does not take such a request.
+	// RunUnsupported never ran, as the backend does not support such a request.
 	RunUnsupported
-	// RunRejected never ran, as it was turned away; see Core.RunDeclined.
+	// RunRejected never ran, as the backend or the store rejected it; see Core.RunDeclined.
 	RunRejected
-	// RunIndeterminate may have run. The backend sees to it that it does not run twice.
+	// RunIndeterminate may have run. The backend ensures that it does not run twice.
 	RunIndeterminate
 )
 
@@ -67,25 +68,24 @@
 	return fmt.Sprintf("RunOutcome(%d)", uint8(o))
 }
 
-// neverRan says that the outcome proves that nothing was started.
+// neverRan reports whether the outcome proves that nothing was started.
 func (o RunOutcome) neverRan() bool {
 	return o == RunNotStarted || o == RunUnsupported || o == RunRejected
 }
 
-// controlOutcome is the outcome as the decision module knows it.
+// controlOutcome converts the outcome for the decision module.
 func (o RunOutcome) controlOutcome() control.Outcome {
 	switch o {
 	case RunSucceeded:
 		return control.OutcomeOK
 	case RunUnsupported, RunRejected:
-		// An unsupported request is no sign of a machine that fails, nor of what is asked of it: counted as rejected, it
-		// moves neither the health nor the shares, whatever requests a caller makes up.
+		// An unsupported request says nothing about the health or the load of the machine. As a rejection it is removed
+		// from the counts, so that a caller's made-up requests cannot influence them.
 		return control.OutcomeRejected
 	case RunIndeterminate:
 		return control.OutcomeTimeout
 	case RunCancelled, RunNotStarted:
-		// The module takes no notice of a run that it is told never to have started, and would count it as running for
-		// ever; a cancelled one is at its end.
+		// Not OutcomeAlreadyEnded, which the module ignores: it would count the run as running for ever.
 		return control.OutcomeCancelled
 	case RunFailed:
 	}
--- a/internal/dispatch/calls.go
+++ b/internal/dispatch/calls.go
@@ -6,25 +6,27 @@
 	"pewterline/internal/microtime"
 )
 
-// Downstream carries out the calls that runs wait for. Each Call is followed by one Core.CallEnded with its ID, unless
-// Abandon or another Call with that ID comes first; none of them comes before Call or Abandon has returned.
+// Downstream makes the calls that runs wait for. Each Call is followed by one Core.CallEnded with its ID, unless
+// Abandon or another Call with that ID comes first. CallEnded is never called before Call or Abandon has returned.
 type Downstream interface {
-	// Call makes a call. Its body is not changed.
+	// Call makes a call. It must not modify the body.
 	Call(calls.Request)
-	// Abandon ends the wait for a call, whose effect is not known then.
+	// Abandon stops waiting for a call. Whether the call had an effect is then not known.
 	Abandon(id string)
 }
 
-// call is what a run waits for.
+// call is a call that a run waits for.
 type call struct {
 	body   []byte
 	sentAt microtime.Time // while it is in flight
-	// lastOutcome is how the call ended before, where it was made: what may follow depends on it.
+	// lastOutcome decides whether the call may be repeated. It is that of the last attempt, or of the first attempt that
+	// left the effect of the call open.
 	lastOutcome calls.Outcome
-	made        bool
+	made        bool // an attempt of the call has ended
 }
 
-// ended notes an end of the call. What one end has left open, no later one proves.
+// ended records the end of an attempt of the call. If an attempt may have had an effect, no later attempt proves
+// otherwise.
 func (k *call) ended(outcome calls.Outcome) {
 	if !k.made || k.lastOutcome.Effect() == calls.NotExecuted {
 		k.lastOutcome = outcome
@@ -32,7 +34,7 @@
 	k.made = true
 }
 
-// checkCalls turns down settings whose calls the backend cannot carry out.
+// checkCalls returns ErrCallsUnsupported if the settings have calls and the backend does not support them.
 func checkCalls(settings control.Settings, backend Backend) error {
 	if settings.Dependency == control.DependencyNone {
 		return nil
@@ -43,10 +45,10 @@
 	return nil
 }
 
-// UseDownstream has runs make their calls by way of downstream.
+// UseDownstream sets the client by which calls are made. Until then runs cannot make calls.
 func (c *Core) UseDownstream(downstream Downstream) { c.downstream = downstream }
 
-// RunBlocked says that the run of an attempt waits for a call with this body. The core keeps body.
+// RunBlocked reports that the run of an attempt waits for a call with the given body, which the core keeps.
 func (c *Core) RunBlocked(id string, body []byte) {
 	req := c.requests.byRunID[id]
 	if req == nil || !req.state.started() {
@@ -57,7 +59,7 @@
 	req.state = stateBlocked
 	if req.call == nil {
 		req.call = &call{}
-	} // Else the run has had no reply, and cannot have gone on: what became of its call before still counts.
+	} // Otherwise it waits for the same call as before, whose last outcome still counts.
 	req.call.body = body
 	switch before {
 	case stateRunning:
@@ -65,12 +67,12 @@
 	case stateCalling:
 		outcome := calls.ConnectionLost.ControlOutcome()
 		c.events = append(c.events, control.CallFinished{ID: req.id, Outcome: outcome})
-	default: // It was told before, and the decision module knows.
+	default: // stateBlocked: the decision module knows already.
 	}
 }
 
-// makeCall makes the call that a run waits for. A call that may have had its effect is not made again for a request
-// that may run once, whatever was decided.
+// makeCall makes the call that a run waits for. Whatever the decision module decided, a call that may have had an
+// effect is not repeated for a request that is not idempotent.
 func (c *Core) makeCall(req *request, timeout microtime.Time) {
 	if req == nil || req.state != stateBlocked || req.answered || c.downstream == nil {
 		return
@@ -79,7 +81,7 @@
 	if req.call.made && !calls.MayRepeat(class.Idempotency, req.call.lastOutcome) {
 		c.logf("dispatch: call of %s withheld: the one before may have run", req.RunID)
 		c.respond(req, failed(reasonCallUncertain))
-		// The decision module takes the call for made.
+		// The decision module assumes that the call is in flight.
 		c.events = append(c.events, control.RequestCancelled{ID: req.id})
 		return
 	}
@@ -95,7 +97,8 @@
 	})
 }
 
-// skipCall lets a run go on without its call. The worker pool has no word for it: an empty reply has the run go on.
+// skipCall resumes a run without its call. The protocol of the worker pool has no message for it, so the run gets an
+// empty reply.
 func (c *Core) skipCall(req *request) {
 	if req == nil || req.state != stateBlocked || req.answered {
 		return
@@ -103,7 +106,7 @@
 	c.resume(req, nil)
 }
 
-// CallEnded says how a call ended that Downstream.Call made. The core keeps reply, which only calls.Answered has.
+// CallEnded reports how a call ended that Downstream.Call made. The core keeps reply, which only calls.Answered has.
 func (c *Core) CallEnded(now microtime.Time, id string, outcome calls.Outcome, reply []byte) {
 	req := c.requests.byRunID[id]
 	if req == nil || req.state != stateCalling {
@@ -119,7 +122,7 @@
 	req.call.ended(outcome)
 }
 
-// resume hands a run the reply to its call.
+// resume passes a run the reply to its call.
 func (c *Core) resume(req *request, reply []byte) {
 	req.state, req.call = stateRunning, nil
 	if backend, ok := c.backend.(CallingBackend); ok {
@@ -127,7 +130,7 @@
 	}
 }
 
-// abandonCall ends the wait for a call in flight, of a request that is over or whose run has ended or is stopped.
+// abandonCall stops waiting for a call in flight, as its request is answered or its run has ended or is stopped.
 func (c *Core) abandonCall(req *request) {
 	if req.state != stateCalling {
 		return
--- a/internal/dispatch/core.go
+++ b/internal/dispatch/core.go
@@ -18,11 +18,11 @@
 	RestoreLearned(control.LearnedState)
 }
 
-// Config is what a Core is made of.
+// Config holds the parameters of a Core.
 type Config struct {
 	Settings control.Settings
 	Backend  Backend
-	// Logf takes lines for the operators.
+	// Logf writes a log line for the operators.
 	Logf func(format string, args ...any)
 }
 
@@ -31,11 +31,11 @@
 	settings      control.Settings
 	newController func(control.Settings) (Controller, error)
 	controller    Controller            // nil until Start
-	learned       *control.LearnedState // of a predecessor; nil where there was none
+	learned       *control.LearnedState // of a predecessor; nil if there was none
 	backend       Backend
 	downstream    Downstream     // nil: runs make no calls
 	store         ExecutionStore // nil: results are kept in memory only
-	peer          PeerProcess    // nil: this process is alone
+	peer          PeerProcess    // nil: there is no other process of this server
 	role          handoff.Role
 	logf          func(format string, args ...any)
 
@@ -55,20 +55,20 @@
 	idleTimeout microtime.Time
 }
 
-// deferredResponse goes out with the next step, without the decision module.
+// deferredResponse is a response that the next step sends without asking the decision module.
 type deferredResponse struct {
 	request  *request
 	response Response
 }
 
-// drainNotice is the notice to leave.
+// drainNotice is the request for a graceful shutdown.
 type drainNotice struct {
 	received bool
 	at       microtime.Time
 }
 
-// New returns a core whose decision module starts with Start. An error wraps that of the module where the settings make
-// no sense, or is ErrCallsUnsupported.
+// New returns a core whose decision module starts with Start. The error is ErrCallsUnsupported, or wraps
+// control.ErrInvalidSettings.
 func New(config Config) (*Core, error) {
 	if err := checkCalls(config.Settings, config.Backend); err != nil {
 		return nil, err
@@ -84,7 +84,7 @@
 		gauges:        control.Gauges{CPUUtilization: -1, Runnable: -1, Memory: -1, Connections: -1},
 		health:        healthStatus{healthy: true},
 	}
-	// A trial, so that settings that make no sense fail early: whether the machine is cold is known at Start alone.
+	// Only a check, so that invalid settings fail early. The controller is made by Start, which knows if it starts cold.
 	if _, err := control.New(config.Settings); err != nil {
 		return nil, fmt.Errorf("dispatch: settings: %w", err)
 	}
@@ -92,16 +92,16 @@
 	return core, nil
 }
 
-// UseController has the core decide by another module than control.New makes. It counts before Start alone.
+// UseController replaces control.New as the constructor of the decision module. It has no effect after Start.
 func (c *Core) UseController(newController func(control.Settings) (Controller, error)) {
 	c.newController = newController
 }
 
 func newControlModule(settings control.Settings) (Controller, error) { return control.New(settings) }
 
-// Start starts the decision module, on a machine that has been up for age; cold says that the machine started cold.
-// Only the first call counts. The module dates the start of its machine by its first step, so that step is dated
-// back.
+// Start starts the decision module for a machine that has been up for age; cold means that the machine started cold.
+// Later calls have no effect. The module takes the time of its first step for the start of the machine, so the first
+// step has a time in the past.
 func (c *Core) Start(now, age microtime.Time, cold bool) {
 	if c.controller != nil {
 		return
@@ -109,28 +109,28 @@
 	settings := c.settings
 	settings.ColdStart = settings.ColdStart || cold
 	controller, err := c.newController(settings)
-	if err != nil { // New and Reload have tried the same settings.
+	if err != nil { // New and Reload have checked the same settings.
 		panic(fmt.Sprintf("dispatch: settings: %v", err))
 	}
 	c.controller = controller
 	if c.learned != nil {
 		controller.RestoreLearned(*c.learned)
-		// A predecessor that has advertised nothing yet has learned 0, which an allowance would take for "send nothing".
+		// A predecessor that has advertised no value yet has learned 0, which as an allowance means "send nothing".
 		c.signal.value = c.learned.LoadSignal
 		c.signal.known = settings.LoadSignal != control.LoadSignalNone && c.learned.LoadSignal > 0
 	}
 	bornAt := max(now-age, 0)
 	c.apply(now, controller.Step(bornAt.Duration(), nil))
-	c.ticks.postponeTo(now) // The tick that the dated step has asked for counts from now on.
+	c.ticks.postponeTo(now) // The tick that the first step scheduled may be due in the past.
 }
 
-// SetGauges notes the latest readings of the backend's machine.
+// SetGauges records the latest gauges of the backend's machine.
 func (c *Core) SetGauges(gauges control.Gauges) { c.gauges = gauges }
 
-// OpenRequests counts the requests that are owed a response.
+// OpenRequests counts the requests without a response whose caller has not left.
 func (c *Core) OpenRequests() int { return c.requests.unanswered }
 
-// LearnedState is what the decision module has found out about its machine.
+// LearnedState returns the estimates of the decision module; the zero value before Start.
 func (c *Core) LearnedState() control.LearnedState {
 	if c.controller == nil {
 		return control.LearnedState{}
@@ -138,10 +138,10 @@
 	return c.controller.LearnedState()
 }
 
-// RestoreLearned has the decision module start with what a predecessor has found out. It counts before Start alone.
+// RestoreLearned sets the estimates of a predecessor with which Start starts the decision module.
 func (c *Core) RestoreLearned(learned control.LearnedState) { c.learned = &learned }
 
-// Drain is the notice to leave, which came at a time up to now; the process is stopped at stopAt.
+// Drain starts the graceful shutdown, which was requested at a time up to now; the process is stopped at stopAt.
 func (c *Core) Drain(now, at, stopAt microtime.Time) {
 	if c.drain.received {
 		return
@@ -151,10 +151,10 @@
 	c.events = append(c.events, control.DrainRequested{StopAt: stopAt.Duration(), Age: (now - at).Duration()})
 }
 
-// Drained says that the notice to leave has come and no request is owed a response.
+// Drained reports whether a graceful shutdown was requested and no request needs a response any more.
 func (c *Core) Drained() bool { return c.drain.received && c.requests.unanswered == 0 }
 
-// NextWakeup is when Step has something to do, whatever happens before that.
+// NextWakeup is when Step must be called at the latest.
 func (c *Core) NextWakeup() microtime.Time {
 	if len(c.events)+len(c.deferred) > 0 {
 		return c.now
@@ -166,7 +166,7 @@
 	return next
 }
 
-// Step hands all that has come in since the last step to the decision module, and carries out its actions.
+// Step passes the events since the last step to the decision module and carries out its actions.
 func (c *Core) Step(now microtime.Time) {
 	c.now = now
 	if c.controller == nil {
@@ -196,12 +196,12 @@
 	}
 }
 
-// respondLater has a response go out with the next step.
+// respondLater sends a response with the next step, as a Responder must not be called within Submit.
 func (c *Core) respondLater(req *request, response Response) {
 	c.deferred = append(c.deferred, deferredResponse{req, response})
 }
 
-// respond sends the one response to a request. It goes nowhere where the caller has one already, or has left.
+// respond sends the response to a request, unless it was answered before or its caller has left.
 func (c *Core) respond(req *request, response Response) {
 	if req.answered {
 		return
@@ -211,7 +211,7 @@
 	req.Responder.Respond(response)
 }
 
-// settle notes that no response is owed any more.
+// settle records that a request is answered or that its caller has left.
 func (c *Core) settle(req *request) {
 	if req.answered {
 		return
@@ -221,7 +221,7 @@
 	c.abandonCall(req)
 }
 
-// forget drops a request that is over.
+// forget removes a request that has ended.
 func (c *Core) forget(req *request) {
 	c.requests.remove(req)
 	c.parked.remove(req)
@@ -230,7 +230,7 @@
 	}
 }
 
-// FailAll fails all requests that are owed a response: the process ends now.
+// FailAll fails all open requests, as the process ends now.
 func (c *Core) FailAll() {
 	ids := make([]control.RequestID, 0, len(c.requests.byID))
 	for id := range c.requests.byID {
@@ -247,15 +247,15 @@
 	}
 }
 
-// class is the settings of a request's class.
+// class returns the settings of a request's class.
 func (c *Core) class(req *request) control.Class { return c.settings.Classes[req.Class] }
 
-// deadline is when the caller of a request waits no longer.
+// deadline is when the caller of a request gives up.
 func (c *Core) deadline(req *request) microtime.Time {
 	return req.ArrivedAt + microtime.FromDuration(c.class(req).Deadline)
 }
 
-// retentionWindow is how long after arriving a request of a class may come again.
+// retentionWindow is how long after its arrival a request of a class may be repeated.
 func (c *Core) retentionWindow(class int) microtime.Time {
 	return microtime.FromDuration(c.settings.Classes[class].RetentionWindow)
 }
--- a/internal/dispatch/counters.go
+++ b/internal/dispatch/counters.go
@@ -7,8 +7,8 @@
 	"pewterline/control"
 )
 
-// Counters count what became of the requests of a class since the process started. A request counts once, where it gets
-// its response; one whose caller left before that counts nowhere.
+// Counters count the responses and runs of a class since the process started. A request is counted once, when it is
+// answered; a request whose caller leaves before is not counted.
 type Counters struct {
 	Succeeded int
 	Rejected  int // never ran
@@ -16,10 +16,10 @@
 	Attempts  int // runs handed to the backend
 }
 
-// counterTable holds the counters of all classes that there are or were.
+// counterTable holds the counters of all current and former classes.
 type counterTable struct {
 	byName  map[string]*Counters
-	byClass []*Counters // by place; classes of one name share their counters
+	byClass []*Counters // by index; classes of the same name share their counters
 }
 
 func newCounterTable() counterTable { return counterTable{byName: map[string]*Counters{}} }
@@ -47,10 +47,10 @@
 	}
 }
 
-// Counters are the counts of the class of that name, which is one of CountedClasses.
+// Counters returns the counts of a class, which must be one of CountedClasses.
 func (c *Core) Counters(class string) Counters { return *c.counters.byName[class] }
 
-// CountedClasses are the names of all classes that there are or were, in order.
+// CountedClasses returns the sorted names of all current and former classes.
 func (c *Core) CountedClasses() []string { return slices.Sorted(maps.Keys(c.counters.byName)) }
 
 // CountMalformed counts a request of a known class that its frontend answered with an error.
--- a/internal/dispatch/errors.go
+++ b/internal/dispatch/errors.go
@@ -2,15 +2,15 @@
 
 import "errors"
 
-// ErrCallsUnsupported says that the settings have runs make calls, which the backend cannot carry out.
+// ErrCallsUnsupported means that the settings have calls, which the backend does not support.
 var ErrCallsUnsupported = errors.New(
 	"dispatch: settings.extra.downstream: calls need a worker pool to do the work")
 
-// RequestError says why Submit does not take a request. Frontends send its text to the caller.
+// RequestError is why Submit refuses a request. Frontends send its text to the caller.
 type RequestError struct {
-	// Field is the field at fault, as callers know it.
+	// Field is the invalid field, by its name in the callers' protocol.
 	Field string
-	// Problem says in words what is wrong with it.
+	// Problem describes what is wrong with the field.
 	Problem string
 }
 
--- a/internal/dispatch/execution.go
+++ b/internal/dispatch/execution.go
@@ -7,80 +7,83 @@
 	"pewterline/internal/microtime"
 )
 
-// storeRetryAfter is when to come back to a server whose store does not record that a request is about to run.
+// storeRetryAfter is the Retry-After of a rejection because the store could not record the start of a run.
 const storeRetryAfter = microtime.Second
 
 // KeyedRequest is a request with an idempotency key, as the execution store and the peer process know it.
 type KeyedRequest struct {
 	Class, Tenant  int
 	IdempotencyKey string
-	// ArrivedAt is when the attempt that ran came; negative if before the process started.
+	// ArrivedAt is when the attempt that ran arrived; negative if before the process started.
 	ArrivedAt microtime.Time
-	// ArrivedAtUnixMilli is the same as the caller gave it, in Unix milliseconds; 0 where it gave none.
+	// ArrivedAtUnixMilli is the same as the caller stated it, in Unix milliseconds; 0 if it stated none.
 	ArrivedAtUnixMilli int64
-	// Retry says that its caller has tried before, here or elsewhere.
+	// Retry means that the caller has made an earlier attempt, here or at another server.
 	Retry bool
-	// Result is what its run made.
+	// Result is the result of the run.
 	Result []byte
 }
 
-// Verdict says whether a request with an idempotency key may run.
+// Verdict is what an execution store knows of a request with an idempotency key.
 type Verdict uint8
 
-// The verdicts. All but VerdictGranted and VerdictUnavailable come from stores that other servers write to as well.
+// The verdicts. All but VerdictGranted and VerdictUnavailable come only from stores that other servers write to.
 const (
-	// VerdictGranted is the lease to run it.
+	// VerdictGranted is the lease to run the request. Only Acquire gives it.
 	VerdictGranted Verdict = iota
-	// VerdictSucceeded says that it has run, with LeaseResult.Result.
+	// VerdictSucceeded means that the request has run, with LeaseResult.Result.
 	VerdictSucceeded
-	// VerdictFailed says that it has run, and failed.
+	// VerdictFailed means that the request has run and failed.
 	VerdictFailed
-	// VerdictIndeterminate says that another server runs it, or ran it when it died.
+	// VerdictIndeterminate means that another server runs the request, or ran it when it crashed.
 	VerdictIndeterminate
-	// VerdictUnavailable says that it cannot be put on record, and is not to run.
+	// VerdictUnavailable means that no lease could be recorded, so that the request must not run.
 	VerdictUnavailable
+	// VerdictUnknown means that the store has no record of the request. Only Lookup gives it; it is no lease.
+	VerdictUnknown
 )
 
 // String names the verdict for logs and tests.
 func (v Verdict) String() string {
-	names := [...]string{"granted", "succeeded", "failed", "indeterminate", "unavailable"}
+	names := [...]string{"granted", "succeeded", "failed", "indeterminate", "unavailable", "unknown"}
 	if int(v) < len(names) {
 		return names[v]
 	}
 	return fmt.Sprintf("Verdict(%d)", uint8(v))
 }
 
-// LeaseResult is the word of an execution store on a request.
+// LeaseResult is the answer of an execution store to Lookup or Acquire.
 type LeaseResult struct {
 	Verdict Verdict
-	// ArrivedAt is, with VerdictSucceeded, when the attempt that ran came.
+	// ArrivedAt is when the attempt that ran arrived, with VerdictSucceeded.
 	ArrivedAt microtime.Time
-	Result    []byte
-	// Err says, with VerdictUnavailable, why.
+	// Result is the result of the run, with VerdictSucceeded.
+	Result []byte
+	// Err is the cause of VerdictUnavailable.
 	Err error
 }
 
-// ExecutionStore is the store of record for the runs of requests with an idempotency key. Each done is called once,
-// on the event loop, possibly before the method returns; without an error, what was to be recorded is durable then.
+// ExecutionStore durably records the runs of requests with an idempotency key. Each done is called once, on the event
+// loop, possibly before the method returns; without an error, the record is durable by then.
 type ExecutionStore interface {
-	// Lookup asks what is known of a request that this core knows nothing of, before it is admitted. It returns false
-	// where there is nobody to ask; done is not called then. Its VerdictGranted is no lease to run.
+	// Lookup asks what the store knows of a request that this core does not know, before the request is admitted. It
+	// returns false, and never calls done, if there is no reason to ask other servers.
 	Lookup(request KeyedRequest, done func(LeaseResult)) bool
-	// Acquire records that a request is about to run: from then on it may have.
+	// Acquire records that a request is about to run: from then on it may have run.
 	Acquire(request KeyedRequest, done func(LeaseResult))
-	// Release takes that back in its own time: the request did not run.
+	// Release asynchronously reverts Acquire: the request did not run.
 	Release(request KeyedRequest)
-	// RecordFailure records in its own time that the request ran and failed.
+	// RecordFailure asynchronously records that the request ran and failed.
 	RecordFailure(request KeyedRequest)
 	// RecordResult records the result of a request that ran.
 	RecordResult(request KeyedRequest, done func(error))
 }
 
-// UseExecutionStore has every request with an idempotency key recorded before it runs, and its result before its
-// response goes out.
+// UseExecutionStore sets the store in which every request with an idempotency key is recorded before it runs, and its
+// result before its response is sent.
 func (c *Core) UseExecutionStore(store ExecutionStore) { c.store = store }
 
-// Restore takes up a request that an earlier incarnation of this server ran: repeats within its window get its result.
+// Restore adds a request that an earlier process of this server ran: repeats within its window get its result.
 func (c *Core) Restore(request KeyedRequest) {
 	if !c.knownClass(request.Class) {
 		return
@@ -89,15 +92,15 @@
 	entry.finish(RunSucceeded, request.Result)
 }
 
-// RestoreLease takes up a request that an earlier incarnation was about to run, or ran, and that has no result on
-// record. That incarnation may have been killed in between: whether it ran is not known until its window is over.
+// RestoreLease adds a request that an earlier process of this server was about to run, or ran, without a recorded
+// result. As that process may have been killed at any time, repeats fail as indeterminate until the window is over.
 func (c *Core) RestoreLease(request KeyedRequest) {
 	if c.knownClass(request.Class) {
 		c.addRestored(request, handoff.Indeterminate)
 	}
 }
 
-// addRestored makes the entry of a key whose run the decision module has not seen.
+// addRestored adds the entry of a key whose run the decision module has not seen.
 func (c *Core) addRestored(request KeyedRequest, peerState handoff.State) *keyEntry {
 	entry := &keyEntry{
 		key:       IdempotencyKey{request.Tenant, request.IdempotencyKey},
@@ -112,7 +115,8 @@
 	return entry
 }
 
-// launch has an attempt run, once it is on record that it may. What cannot be put on record never ran: it is rejected.
+// launch starts the run of an attempt once the store, if there is one, has granted the lease. Without a lease the
+// attempt never ran and is rejected.
 func (c *Core) launch(req *request) {
 	if req.entry == nil || c.store == nil {
 		c.startBackend(req)
@@ -128,7 +132,7 @@
 	})
 }
 
-// launchWithLease takes up the store's word on an attempt that is about to run.
+// launchWithLease handles the store's answer to Acquire for an attempt that is about to run.
 func (c *Core) launchWithLease(req *request, lease LeaseResult) {
 	entry := req.entry
 	switch {
@@ -147,25 +151,25 @@
 	case lease.Verdict == VerdictUnavailable:
 		c.logf("dispatch: key %q is not run, as it is not on record that it may be: %v", entry.key.text, lease.Err)
 		c.RunDeclined(req.RunID, storeRetryAfter, false)
-	case req.answered && len(entry.waiters) == 0: // It is too late, and nobody waits.
+	case req.answered && len(entry.waiters) == 0: // No caller waits for the result any more.
 		c.RunFinished(req.RunID, RunNotStarted, nil)
 	default:
 		c.startBackend(req)
 	}
 }
 
-// deferToStore asks the store about an attempt of which nothing is known here, so that the repeat of a run of another
-// server's is not turned away, however full this one is. It returns false where the attempt is to be admitted.
+// deferToStore looks up an attempt whose key is not known here, so that a repeat of a run at another server is answered
+// even if this server is overloaded. It returns false if the attempt has to be admitted at once.
 func (c *Core) deferToStore(req *request) bool {
 	if c.store == nil || c.keys.current(req.scopedKey(), req.ArrivedAt) != nil {
 		return false
 	}
-	// Parked first, as the word may come at once: a group of one server asks nobody else.
+	// Parked first, as a cluster of one server answers before Lookup returns.
 	req.state = stateWaiting
 	c.parked.add(req)
 	asked := c.store.Lookup(req.keyedRequest(), func(lease LeaseResult) {
 		waits := c.requests.byID[req.id] == req && req.state == stateWaiting && req.entry == nil
-		if waits { // Else it was answered meanwhile, or its caller has left.
+		if waits { // Otherwise it was answered meanwhile, or its caller has left.
 			c.resumeAfterLookup(req, lease)
 		}
 	})
@@ -176,12 +180,12 @@
 	return asked
 }
 
-// resumeAfterLookup goes on with an attempt that has waited for the store's word.
+// resumeAfterLookup admits or answers an attempt that has waited for the store's answer to Lookup.
 func (c *Core) resumeAfterLookup(req *request, lease LeaseResult) {
 	c.parked.remove(req)
 	known := c.keys.current(req.scopedKey(), req.ArrivedAt)
 	switch {
-	case lease.Verdict == VerdictGranted || known != nil: // Another attempt may have been quicker here.
+	case lease.Verdict == VerdictUnknown || known != nil: // Another attempt may have arrived here meanwhile.
 		req.state = stateQueued
 		c.admit(req)
 	case lease.Verdict == VerdictSucceeded:
@@ -197,8 +201,9 @@
 	}
 }
 
-// recordResult records the result of a key's run; req is the run's request, nil when a repeat tries again to record it.
-// What cannot be recorded is not answered as succeeded, and not run again either: a repeat tries to record it.
+// recordResult writes the result of a key's run to the store. req is the request of the run, nil if a repeat makes the
+// core try again. If the result cannot be recorded the request fails and is not run again; a repeat makes the core try
+// again.
 func (c *Core) recordResult(entry *keyEntry, req *request) {
 	entry.run = runRecording
 	c.store.RecordResult(entry.keyedRequest(), func(err error) {
--- a/internal/dispatch/execution_test.go
+++ b/internal/dispatch/execution_test.go
@@ -176,7 +176,7 @@
 	}
 	for i, tc := range tests {
 		response, _ := env.try(tc.key)
-		env.lookupDone[i](LeaseResult{})
+		env.lookupDone[i](LeaseResult{Verdict: VerdictUnknown})
 		env.endTurn()
 		require.Empty(t, response.got, tc.key)
 		env.acquireDone[i](tc.lease)
@@ -186,7 +186,7 @@
 	require.Empty(t, env.started)
 
 	response, id := env.try("mine")
-	env.lookupDone[len(tests)](LeaseResult{})
+	env.lookupDone[len(tests)](LeaseResult{Verdict: VerdictUnknown})
 	env.endTurn()
 	env.acquireDone[len(tests)](LeaseResult{})
 	require.Equal(t, []string{id}, env.started)
--- a/internal/dispatch/keys.go
+++ b/internal/dispatch/keys.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// expiredEntryGrace is how long past its window an entry stays to be found: a repeat that arrived within the window
-	// may be read, or waited for, that much later.
+	// expiredEntryGrace is how long an entry is kept after its window, as a repeat that arrived within the window may be
+	// read later.
 	expiredEntryGrace = 10 * microtime.Second
 	// sweepInterval is how often expired entries are dropped.
 	sweepInterval = microtime.Second
@@ -25,7 +25,7 @@
 	text   string
 }
 
-// compareKeys orders keys by nothing but themselves.
+// compareKeys orders keys by tenant and text.
 func compareKeys(a, b IdempotencyKey) int {
 	return cmp.Or(cmp.Compare(a.tenant, b.tenant), cmp.Compare(a.text, b.text))
 }
@@ -91,7 +91,7 @@
 	e.result = result
 }
 
-// moveWindow has the retention window count from another attempt, which runs in the place of the one before.
+// moveWindow makes the retention window count from attempt, which runs in the place of before.
 func (e *keyEntry) moveWindow(before, attempt *request) {
 	e.expires += max(attempt.ArrivedAt-before.ArrivedAt, 0)
 	if attempt.ArrivedAt > e.arrivedAt {
@@ -104,7 +104,7 @@
 	e.waiters = slices.DeleteFunc(e.waiters, func(waiter *request) bool { return waiter == req })
 }
 
-// response is what an attempt gets from a run that has ended.
+// response returns the response to an attempt of a key whose run has finished.
 func (e *keyEntry) response() Response {
 	if e.outcome == RunSucceeded {
 		return succeeded(e.result)
@@ -120,15 +120,15 @@
 	}
 }
 
-// keyTable is the one table of idempotency keys, whatever frontend an attempt came by.
+// keyTable holds the entries of the idempotency keys of all frontends.
 type keyTable struct {
 	byKey      map[IdempotencyKey]*keyEntry
 	byHolder   map[control.RequestID]*keyEntry
-	unretained []*keyEntry // first seen in this turn
+	unretained []*keyEntry // added in this turn
 	// released are the entries that were dropped without a run since the last step.
 	released []*keyEntry
-	// indeterminate are keys that the backend has lost sight of: they may have run, until the time given. Their repeats go
-	// to the backend again, but none is told that it was turned away.
+	// indeterminate holds, until the time given, the keys of runs whose outcome the backend does not know. Their repeats
+	// are passed to the backend again, but are never answered as rejected, as the key may have run.
 	indeterminate map[IdempotencyKey]microtime.Time
 	hashSeed      maphash.Seed
 	sweptAt       microtime.Time
@@ -143,14 +143,14 @@
 	}
 }
 
-// checkSameRequest turns down an attempt whose key is another request's, so that nobody gets the result of what was
-// never asked for: all attempts of one request have its class and body. An entry that was restored has no hash.
+// checkSameRequest returns a *RequestError if the key of an attempt belongs to a request of another class or body, so
+// that no caller gets the result of another request. The body of a restored entry is not known and not checked.
 func (t *keyTable) checkSameRequest(attempt *Request, classes []control.Class) error {
 	entry := t.byKey[attempt.scopedKey()]
 	switch {
 	case entry == nil || attempt.IdempotencyKey == "":
 		return nil
-	case classes[entry.class].Name != classes[attempt.Class].Name: // Its settings may have changed since.
+	case classes[entry.class].Name != classes[attempt.Class].Name: // By name, as a reload may change the index.
 		return &RequestError{"once", "the key is of a request of another class"}
 	case !entry.restored && entry.bodyHash != maphash.Bytes(t.hashSeed, attempt.Body):
 		return &RequestError{"once", "the key is of a request with another body"}
@@ -158,8 +158,9 @@
 	return nil
 }
 
-// attach finds the entry of a request, or makes one that lasts for this turn unless the decision module retains it.
-// The ID is that of the attempt it repeats, 0 for none. What counts is when the repeat arrived, not when it is read.
+// attach returns the entry of a request's key and the ID of the attempt that the request repeats. If there is no entry
+// it adds one, which lasts for this turn unless the decision module retains it, and the ID is 0. The window is compared
+// with the time at which the request arrived, not with that at which it was read.
 func (t *keyTable) attach(req *request) (*keyEntry, control.RequestID) {
 	key := req.scopedKey()
 	if entry := t.current(key, req.ArrivedAt); entry != nil {
@@ -175,7 +176,8 @@
 	return entry, 0
 }
 
-// current is the entry that counts for an attempt that arrived at a time; one whose window is over is removed.
+// current returns the entry of a key for an attempt that arrived at arrivedAt; nil if there is none. An entry whose
+// window has ended by then is removed, unless its run is unfinished or the peer process may run it.
 func (t *keyTable) current(key IdempotencyKey, arrivedAt microtime.Time) *keyEntry {
 	entry := t.byKey[key]
 	switch {
@@ -193,7 +195,7 @@
 // retain makes req the holder of its entry until expires.
 func (t *keyTable) retain(req *request, expires microtime.Time) {
 	entry := req.entry
-	if known := t.byKey[entry.key]; known != entry { // It was dropped while req was queued.
+	if known := t.byKey[entry.key]; known != entry { // The entry was dropped while req was queued.
 		if known != nil {
 			return
 		}
@@ -213,24 +215,25 @@
 	}
 }
 
-// markIndeterminate forgets a run whose outcome the backend does not know, except that it may have been one.
+// markIndeterminate drops the entry of a run whose outcome the backend does not know, and records until when the key
+// may have run.
 func (t *keyTable) markIndeterminate(entry *keyEntry, until microtime.Time) {
 	t.indeterminate[entry.key] = max(t.indeterminate[entry.key], until)
 	t.markNotRun(entry)
 }
 
-// mayHaveRun says that the key of a request may have run, and nobody here knows.
+// mayHaveRun reports whether the key of a request had a run whose outcome is not known.
 func (t *keyTable) mayHaveRun(req *request, now microtime.Time) bool {
 	return now < t.indeterminate[req.scopedKey()]
 }
 
-// markNotRun forgets that an attempt has run: proof came that nothing was started.
+// markNotRun drops the entry of a key whose run was not started.
 func (t *keyTable) markNotRun(entry *keyEntry) {
 	entry.run = runNone
 	t.drop(entry)
 }
 
-// drop removes an entry without a run, of which the peer process is to hear.
+// drop removes an entry without a run and queues it for notifyReleasedKeys.
 func (t *keyTable) drop(entry *keyEntry) {
 	t.remove(entry)
 	t.released = append(t.released, entry)
@@ -262,14 +265,14 @@
 	t.unretained = t.unretained[:0]
 }
 
-// sweep drops what has expired.
+// sweep removes the expired entries, once per sweepInterval.
 func (t *keyTable) sweep(now microtime.Time) {
 	if now < t.sweptAt+sweepInterval {
 		return
 	}
 	t.sweptAt = now
 	maps.DeleteFunc(t.indeterminate, func(_ IdempotencyKey, until microtime.Time) bool { return now >= until })
-	for _, entry := range t.byKey { // In any order: each stays or goes by itself.
+	for _, entry := range t.byKey { // The order does not matter, as entries are independent.
 		inUse := entry.run == runActive || entry.run == runRecording
 		if now > entry.expires+expiredEntryGrace && !inUse {
 			t.remove(entry)
@@ -277,7 +280,7 @@
 	}
 }
 
-// sorted are all keys, in an order that depends on nothing but themselves.
+// sorted returns all keys in the order of compareKeys, so that iterations are deterministic.
 func (t *keyTable) sorted() []IdempotencyKey {
 	return slices.SortedFunc(maps.Keys(t.byKey), compareKeys)
 }
--- a/internal/dispatch/parked.go
+++ b/internal/dispatch/parked.go
@@ -9,7 +9,7 @@
 // parkedResponseLead is how long before its deadline a request that is still parked is answered.
 const parkedResponseLead = 10 * microtime.Millisecond
 
-// parkedRequests wait for the word of the peer process or of the execution store, oldest first.
+// parkedRequests holds the requests that wait for the peer process or for the execution store, oldest first.
 type parkedRequests struct{ requests []*request }
 
 func (p *parkedRequests) add(req *request) { p.requests = append(p.requests, req) }
@@ -18,7 +18,7 @@
 	p.requests = slices.DeleteFunc(p.requests, func(parked *request) bool { return parked == req })
 }
 
-// waitingFor are the requests that wait for an entry; nil for no entry.
+// waitingFor returns the requests that wait for an entry; none if entry is nil.
 func (p *parkedRequests) waitingFor(entry *keyEntry) []*request {
 	if entry == nil {
 		return nil
@@ -32,7 +32,7 @@
 	return waiting
 }
 
-// parkedDeadline is when a request is parked no longer.
+// parkedDeadline is when a parked request is answered as expired.
 func (c *Core) parkedDeadline(req *request) microtime.Time {
 	return c.deadline(req) - parkedResponseLead
 }
--- a/internal/dispatch/peer.go
+++ b/internal/dispatch/peer.go
@@ -4,28 +4,28 @@
 	"pewterline/internal/decide/handoff"
 )
 
-// PeerProcess is the other process of this server, while an old one and its successor live side by side. It takes these
-// messages in the order of the calls.
+// PeerProcess is the other process of this server during a hot restart, while an old process and its successor run side
+// by side. It sends the messages in the order of the calls.
 type PeerProcess interface {
-	// Claim asks whether a key may be run here.
+	// Claim asks for permission to run a key here.
 	Claim(KeyedRequest)
-	// Grant lets the peer run a key.
+	// Grant permits the peer to run a key.
 	Grant(KeyedRequest)
-	// NotifyStarted tells that a key is held or run here.
+	// NotifyStarted reports that this process runs a key or may run it.
 	NotifyStarted(KeyedRequest)
-	// NotifyFinished tells that a run of a key has ended here.
+	// NotifyFinished reports that the run of a key has ended here.
 	NotifyFinished(KeyedRequest, RunOutcome)
-	// NotifyReleased tells that a key is held here no more, and has not run.
+	// NotifyReleased reports that this process has given up a key without running it.
 	NotifyReleased(KeyedRequest)
 }
 
-// JoinPeer has the core decide about keys together with another process from now on.
+// JoinPeer makes the core share its keys with another process of this server from now on.
 func (c *Core) JoinPeer(peer PeerProcess, role handoff.Role) { c.peer, c.role = peer, role }
 
-// Role is what this process is to its peer.
+// Role returns the role of this process in the handoff.
 func (c *Core) Role() handoff.Role { return c.role }
 
-// handoffKey is what is known of a key, as the state machine of the handoff sees it; e may be nil.
+// handoffKey converts an entry to the state of package handoff; e may be nil.
 func (e *keyEntry) handoffKey() handoff.Key {
 	switch {
 	case e == nil:
@@ -38,8 +38,8 @@
 	return handoff.Key{State: handoff.Local, PeerWaiting: e.peerWaiting}
 }
 
-// deferToPeer decides on an attempt whose key the peer process may have something to say about. It returns false
-// where the attempt is to be admitted.
+// deferToPeer parks or fails an attempt whose key the peer process may run or have run. It returns false if the attempt
+// has to be admitted at once.
 func (c *Core) deferToPeer(req *request) bool {
 	entry := c.keys.current(req.scopedKey(), req.ArrivedAt)
 	if c.peer == nil && (entry == nil || entry.peerState == handoff.Free) {
@@ -63,20 +63,20 @@
 			c.respondLater(req, failed(reasonIndeterminate))
 		case handoff.Claim:
 			c.peer.Claim(req.keyedRequest())
-		default: // An attempt has no other effect.
+		default: // The event Attempt has no other actions.
 		}
 	}
 	return true
 }
 
-// keyEvent is something that happens to a key while there is a peer process.
+// keyEvent is an event of the handoff with the request that it is about.
 type keyEvent struct {
 	kind    handoff.Event
 	request KeyedRequest
 	outcome RunOutcome // of PeerFinished
 }
 
-// receive takes up what the peer process says of a key.
+// receive handles a message of the peer process about a key. A class that is not known here is ignored.
 func (c *Core) receive(event keyEvent) {
 	if !c.knownClass(event.request.Class) {
 		return
@@ -85,7 +85,7 @@
 	c.stepKey(c.keys.current(key, event.request.ArrivedAt), event)
 }
 
-// stepAll has the same happen to all keys, in an order that depends on nothing but themselves.
+// stepAll applies an event of the handoff to all keys, in the order of compareKeys.
 func (c *Core) stepAll(kind handoff.Event) {
 	for _, name := range c.keys.sorted() {
 		entry := c.keys.byKey[name]
@@ -93,7 +93,7 @@
 	}
 }
 
-// stepKey takes a key a step on; entry is what is known of it, nil for nothing.
+// stepKey applies an event of the handoff to a key and carries out the actions. entry may be nil.
 func (c *Core) stepKey(entry *keyEntry, event keyEvent) {
 	waiting := c.parked.waitingFor(entry)
 	key := entry.handoffKey()
@@ -111,7 +111,7 @@
 	}
 }
 
-// enterState notes the new state of a key, and returns its entry.
+// enterState updates the entry of a key to its new state and returns the entry.
 func (c *Core) enterState(entry *keyEntry, state handoff.State, event keyEvent) *keyEntry {
 	switch state {
 	case handoff.Requested, handoff.Remote, handoff.Indeterminate:
@@ -123,7 +123,7 @@
 		if event.kind == handoff.PeerFinished {
 			entry = c.finishRemote(entry, event)
 		}
-	default: // Local, by the attempts that waited, or Free.
+	default: // Free, or Local, for which the attempts that waited are admitted again.
 		if entry != nil && entry.peerState != handoff.Free {
 			c.keys.remove(entry)
 		}
@@ -131,7 +131,7 @@
 	return entry
 }
 
-// finishRemote notes the end of a run in the peer process.
+// finishRemote records the end of a run in the peer process.
 func (c *Core) finishRemote(entry *keyEntry, event keyEvent) *keyEntry {
 	if entry == nil {
 		entry = c.addRestored(event.request, handoff.Free)
@@ -143,7 +143,7 @@
 	return entry
 }
 
-// resumeParked carries out an action of the handoff on the requests that wait for a key.
+// resumeParked carries out the actions of the handoff that are about the requests that wait for a key.
 func (c *Core) resumeParked(action handoff.Action, entry *keyEntry, waiting []*request) {
 	switch action {
 	case handoff.Release:
@@ -162,11 +162,11 @@
 			c.parked.remove(req)
 			c.respondLater(req, failed(reasonIndeterminate))
 		}
-	default: // The others are for the peer process.
+	default: // The other actions are for the peer process.
 	}
 }
 
-// applyToPeer carries out an action of the handoff on the peer process.
+// applyToPeer carries out the actions of the handoff that are messages to the peer process.
 func (c *Core) applyToPeer(action handoff.Action, entry *keyEntry, request KeyedRequest) {
 	if c.peer == nil {
 		return
@@ -182,11 +182,11 @@
 		if entry != nil && entry.run == runFinished {
 			c.peer.NotifyFinished(entry.keyedRequest(), entry.outcome)
 		} else {
-			c.peer.NotifyFinished(request, RunFailed) // It may have run.
+			c.peer.NotifyFinished(request, RunFailed) // The key may have run.
 		}
 	case handoff.NotifyReleased:
 		c.peer.NotifyReleased(request)
-	default: // The others are for the requests that wait here.
+	default: // The other actions are for the requests that wait here.
 	}
 }
 
@@ -203,8 +203,8 @@
 	}
 }
 
-// notifyReleasedKeys tells the peer process of keys that are held here no more. It waits until all actions of a step
-// are carried out: the decision module may release a key and retain it again for a newer attempt.
+// notifyReleasedKeys notifies the peer process of the keys that were given up here without a run. It is called after
+// all actions of a step, as the module may release a key and retain it again for a newer attempt in the same step.
 func (c *Core) notifyReleasedKeys() {
 	for _, entry := range c.keys.takeReleased() {
 		if c.peer == nil || c.keys.byKey[entry.key] != nil {
@@ -221,10 +221,10 @@
 	}
 }
 
-// Keys are all keys of which something is known, for AnnounceKey.
+// Keys returns all keys that have an entry, for AnnounceKey.
 func (c *Core) Keys() []IdempotencyKey { return c.keys.sorted() }
 
-// AnnounceKey tells the peer process what is known of a key, if it has run here or may have.
+// AnnounceKey notifies the peer process of the run of a key, if the key has run here or may have.
 func (c *Core) AnnounceKey(key IdempotencyKey) {
 	entry := c.keys.byKey[key]
 	if entry == nil || c.peer == nil || c.now >= entry.expires && !entry.unfinished() {
@@ -240,32 +240,32 @@
 	}
 }
 
-// PeerClaimed is the peer's question whether it may run a key.
+// PeerClaimed handles the peer's request for permission to run a key.
 func (c *Core) PeerClaimed(request KeyedRequest) {
 	c.receive(keyEvent{kind: handoff.PeerClaimed, request: request})
 }
 
-// PeerGranted is the peer's permission to run a key here.
+// PeerGranted handles the peer's permission to run a key here.
 func (c *Core) PeerGranted(request KeyedRequest) {
 	c.receive(keyEvent{kind: handoff.PeerGranted, request: request})
 }
 
-// PeerStarted says that the peer holds or runs a key.
+// PeerStarted handles the peer's message that it runs a key or may run it.
 func (c *Core) PeerStarted(request KeyedRequest) {
 	c.receive(keyEvent{kind: handoff.PeerStarted, request: request})
 }
 
-// PeerFinished says how a run of the peer's ended. The core keeps its result.
+// PeerFinished handles the peer's message about the end of a run. The core keeps request.Result.
 func (c *Core) PeerFinished(request KeyedRequest, outcome RunOutcome) {
 	c.receive(keyEvent{kind: handoff.PeerFinished, request: request, outcome: outcome})
 }
 
-// PeerReleased says that the peer holds a key no more and has not run it.
+// PeerReleased handles the peer's message that it has given up a key without running it.
 func (c *Core) PeerReleased(request KeyedRequest) {
 	c.receive(keyEvent{kind: handoff.PeerReleased, request: request})
 }
 
-// PassOwnership makes the peer the owner of all keys; it hears of what is held or run here.
+// PassOwnership makes the peer the owner of all keys and notifies it of those that this process runs or may run.
 func (c *Core) PassOwnership() {
 	c.stepAll(handoff.OwnershipPassed)
 	c.role = handoff.Requester
@@ -277,14 +277,14 @@
 	c.stepAll(handoff.OwnershipTaken)
 }
 
-// PeerLost says that the peer is gone: what it held may have run.
+// PeerLost handles the loss of the peer process. The keys that it ran or could have run become indeterminate.
 func (c *Core) PeerLost() {
 	c.peer = nil
 	c.stepAll(handoff.PeerLost)
 	c.role = handoff.Alone
 }
 
-// KeyedRuns counts the runs of requests with an idempotency key that have not ended.
+// KeyedRuns counts the unfinished runs of requests with an idempotency key.
 func (c *Core) KeyedRuns() int {
 	count := 0
 	for _, req := range c.requests.byRunID {
--- a/internal/dispatch/reload.go
+++ b/internal/dispatch/reload.go
@@ -7,13 +7,13 @@
 	"pewterline/internal/decide/reload"
 )
 
-// maxClassNames bounds the counters that are kept of classes that are gone.
+// maxClassNames bounds the class names with counters. Those of removed classes are kept, so that no count is lost.
 const maxClassNames = 1000
 
-// Reload takes up other settings while serving. Open requests and kept results stay in their class, and what was
-// learned of classes that stay is kept. inUse says that the place of a class is held on to outside of the core.
-// Reload returns the settings as they are now, with the places of all classes and tenants; an error says that nothing
-// has changed.
+// Reload replaces the settings while serving. Open requests and retained results stay in their class, and the
+// statistics of classes that stay are kept. inUse reports whether the index of a class is in use outside of the core.
+// Reload returns the settings in force, in which classes and tenants have kept their indices. On an error nothing has
+// changed.
 func (c *Core) Reload(next control.Settings, inUse func(class int) bool) (control.Settings, error) {
 	current := c.settings
 	placed, err := c.place(next, inUse)
@@ -38,7 +38,7 @@
 	return placed, nil
 }
 
-// place gives the classes and tenants of new settings their places.
+// place assigns indices to the classes and tenants of new settings.
 func (c *Core) place(next control.Settings, inUse func(class int) bool) (placed control.Settings, err error) {
 	held := c.heldClasses()
 	free := func(class int) bool { return !held[class] && !inUse(class) }
@@ -50,7 +50,7 @@
 	return placed, err
 }
 
-// heldClasses says, for each class, that an open request or a kept key is of it.
+// heldClasses reports, for each class, whether an open request or a retained key belongs to it.
 func (c *Core) heldClasses() []bool {
 	held := make([]bool, len(c.settings.Classes))
 	for _, r := range c.requests.byID {
@@ -62,7 +62,7 @@
 	return held
 }
 
-// reconfigure has the decision module take up settings, or tries them where it has not started.
+// reconfigure passes the settings to the decision module, or only checks them before Start.
 func (c *Core) reconfigure(settings control.Settings) error {
 	if c.controller != nil {
 		return c.controller.Reconfigure(settings)
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -16,9 +16,9 @@
 	StatusSucceeded Status = iota
 	// StatusRejected proves that this attempt never ran.
 	StatusRejected
-	// StatusFailed is an error; whether the attempt took effect is left open.
+	// StatusFailed is an error; the attempt may have taken effect.
 	StatusFailed
-	// StatusExpired is a failure because the deadline has come.
+	// StatusExpired is a failure because the deadline has passed.
 	StatusExpired
 )
 
@@ -40,17 +40,17 @@
 // Response is the one response to a request.
 type Response struct {
 	Status Status
-	// Result is what the run made; StatusSucceeded alone has one.
+	// Result is the result of the run, with StatusSucceeded.
 	Result []byte
-	// RetryAfter says, with StatusRejected, how long to leave this server alone; 0 gives no advice.
+	// RetryAfter is how long the caller should not use this server, with StatusRejected; 0 gives no advice.
 	RetryAfter microtime.Time
-	// NoRetry asks, with StatusRejected, that no other server is tried.
+	// NoRetry asks the caller not to retry at another server, with StatusRejected.
 	NoRetry bool
-	// Reason says in words what went wrong, with StatusFailed and StatusExpired. Frontends send it to the caller.
+	// Reason describes the error, with StatusFailed and StatusExpired. Frontends send it to the caller.
 	Reason string
 }
 
-// The reasons of failed and expired responses, as callers read them.
+// The reasons of failed and expired responses. The texts are part of the responses.
 const (
 	reasonRunFailed       = "the run failed"
 	reasonRunStopped      = "the run was stopped"
@@ -69,35 +69,35 @@
 
 func expired() Response { return Response{Status: StatusExpired, Reason: reasonPastDeadline} }
 
-// Responder takes a request's response to its caller. It is called at most once.
+// Responder sends the response to a request to its caller. It is called at most once.
 type Responder interface {
 	Respond(Response)
 }
 
 // Request is one attempt of a request, as a frontend has read it. The core keeps Body until the attempt is over.
 type Request struct {
-	// RunID names the attempt for the backend. No other open attempt has the same.
+	// RunID identifies the attempt for the backend. It is unique among the open attempts.
 	RunID string
-	// Class and Tenant are the places of the request's class and tenant in the settings.
+	// Class and Tenant are the indices of the request's class and tenant in the settings.
 	Class, Tenant int
 	// IdempotencyKey is the same for all attempts of one request of a class that is idempotent by key; else empty.
 	IdempotencyKey string
-	// SubjectKey names what the request is about; 0 for nothing.
+	// SubjectKey identifies what the request is about; 0 if it is not known.
 	SubjectKey uint64
-	// ArrivedAt is when the attempt reached the machine, by the caller's word.
+	// ArrivedAt is when the attempt reached the machine, as its caller stated it.
 	ArrivedAt microtime.Time
-	// ArrivedAtUnixMilli is ArrivedAt as the caller gave it, in Unix milliseconds; 0 where it gave none. Servers whose
+	// ArrivedAtUnixMilli is ArrivedAt as the caller stated it, in Unix milliseconds; 0 if it stated none. Servers whose
 	// clocks differ agree on it.
 	ArrivedAtUnixMilli int64
-	// CostHint is roughly the work to expect, on one core; 0 where the caller gave none.
+	// CostHint is the expected work, in time on one core; 0 if the caller stated none.
 	CostHint microtime.Time
 	// QueuedKB is the memory that the request takes while it is queued, in kilobytes.
 	QueuedKB float64
 	// Rank orders the requests of a class, from 0 up to but not including 1.
 	Rank float64
-	// Retry says that the caller has tried before.
+	// Retry means that the caller has made an earlier attempt, here or at another server.
 	Retry bool
-	// CallerID names the connection or process that the request came from.
+	// CallerID identifies the connection or process that the request came from.
 	CallerID  uint32
 	Body      []byte
 	Responder Responder
@@ -114,23 +114,24 @@
 	}
 }
 
-// requestState is how far an attempt has come.
+// requestState is the stage of an open attempt.
 type requestState uint8
 
 const (
 	// stateQueued waits for the decision module to start it.
 	stateQueued requestState = iota
-	// stateRunning was handed to the backend, and its run has not ended.
+	// stateRunning was passed to the backend, and its run has not ended.
 	stateRunning
 	// stateBlocked has a run that waits for permission to make a call.
 	stateBlocked
 	// stateCalling has a run that waits for the reply to a call in flight.
 	stateCalling
-	// stateWaiting waits for something else than the module: the run of another attempt, the peer process or the store.
+	// stateWaiting waits for something else than the decision module: for the run of another attempt, for the peer
+	// process or the execution store (parked), or, already answered, for the next step to send its response.
 	stateWaiting
 )
 
-// started says that a run was launched for the request and has not ended.
+// started reports whether a run was started for the request and has not ended.
 func (s requestState) started() bool {
 	return s == stateRunning || s == stateBlocked || s == stateCalling
 }
@@ -141,12 +142,12 @@
 	id     control.RequestID
 	readAt microtime.Time
 	state  requestState
-	// answered says that the caller has its response, or has left.
+	// answered means that the response was sent, or that the caller has left.
 	answered bool
-	// recording says that the run has ended and its result is on its way to the execution store.
+	// recording means that the run has ended and its result is being written to the execution store.
 	recording bool
-	// noRetry and retryAfter are the advice of a backend that declined the run. The flags stand together: another order
-	// costs a size class of the allocator.
+	// noRetry and retryAfter are the advice of a backend that declined the run. Field order keeps the struct in the
+	// smaller size class of the allocator.
 	noRetry    bool
 	retryAfter microtime.Time
 	entry      *keyEntry // nil unless the class is idempotent by key
@@ -157,9 +158,9 @@
 type registry struct {
 	lastID control.RequestID
 	byID   map[control.RequestID]*request
-	// byRunID leads to the request that a run belongs to, until the attempt is over.
+	// byRunID maps the ID of a run to its request, until the attempt has ended.
 	byRunID map[string]*request
-	// unanswered counts the requests that are owed a response.
+	// unanswered counts the requests without a response whose caller has not left.
 	unanswered int
 }
 
@@ -167,7 +168,7 @@
 	return registry{byID: map[control.RequestID]*request{}, byRunID: map[string]*request{}}
 }
 
-// add registers an attempt that was read now, under a fresh ID.
+// add registers an attempt that was read now, under a new ID.
 func (g *registry) add(now microtime.Time, attempt Request) *request {
 	g.lastID++
 	req := &request{Request: attempt, id: g.lastID, readAt: now}
@@ -177,7 +178,7 @@
 	return req
 }
 
-// remove forgets a request that is over.
+// remove drops a request that has ended.
 func (g *registry) remove(req *request) {
 	delete(g.byID, req.id)
 	if g.byRunID[req.RunID] == req {
@@ -185,7 +186,7 @@
 	}
 }
 
-// runAs has the run of req be that of another attempt from now on, whose RunID leads to req then.
+// runAs makes req run with the RunID and body of another attempt. That RunID maps to req from now on.
 func (g *registry) runAs(req, attempt *request) {
 	delete(g.byRunID, req.RunID)
 	req.RunID = attempt.RunID
--- a/internal/dispatch/run.go
+++ b/internal/dispatch/run.go
@@ -8,11 +8,11 @@
 	"pewterline/internal/microtime"
 )
 
-// expiryLead is how far before its deadline a failed request still counts as expired: the decision module fails what
-// nears its deadline a little ahead of it.
+// expiryLead is how long before its deadline a failed request counts as expired, as the decision module fails requests
+// shortly before their deadlines.
 const expiryLead = 100 * microtime.Millisecond
 
-// start has a queued request run. A key that has run is not run again, whatever was decided.
+// start starts the run of a queued request. Whatever the decision module decided, a key that has run is not run again.
 func (c *Core) start(req *request) {
 	if req == nil || req.state != stateQueued {
 		return
@@ -24,13 +24,13 @@
 	}
 	req.state = stateRunning
 	if req.entry != nil && c.peer != nil && c.role == handoff.Owner {
-		// Before the run begins, as what the peer knows outlives this process.
+		// Before the run begins, so that the peer knows of it even if this process dies.
 		c.peer.NotifyStarted(req.entry.keyedRequest())
 	}
 	c.launch(req)
 }
 
-// startBackend hands an attempt to the backend. Its end is of use as long as a repeat of it may come.
+// startBackend passes an attempt to the backend. Its result is of use as long as a repeat may arrive.
 func (c *Core) startBackend(req *request) {
 	class := c.class(req)
 	c.counters.byClass[req.Class].Attempts++
@@ -44,7 +44,7 @@
 	})
 }
 
-// reject turns a request away, unless it has run or may have.
+// reject rejects a request, unless it was started.
 func (c *Core) reject(req *request, action control.Reject) {
 	if req == nil || req.state.started() {
 		return
@@ -54,7 +54,7 @@
 	c.forget(req)
 }
 
-// rejection is the response to a request that is turned away. One whose key may have run is failed instead.
+// rejection returns the response to a rejected request. If its key may have run, the response is a failure instead.
 func (c *Core) rejection(req *request, retryAfter microtime.Time, noRetry bool) Response {
 	if req.entry != nil && c.keys.mayHaveRun(req, c.now) {
 		return failed(reasonIndeterminate)
@@ -62,7 +62,7 @@
 	return Response{Status: StatusRejected, RetryAfter: retryAfter, NoRetry: noRetry}
 }
 
-// fail answers a request with an error; what runs for it goes on.
+// fail answers a request with an error. A run that was started continues.
 func (c *Core) fail(now microtime.Time, req *request) {
 	if req == nil {
 		return
@@ -86,7 +86,7 @@
 	c.backend.Cancel(req.RunID)
 }
 
-// replay answers a request from the result of its key, or lets it wait for the run.
+// replay answers a request with the result of its key, or makes it wait for the run.
 func (c *Core) replay(req *request) {
 	if req == nil || req.state != stateQueued {
 		return
@@ -106,7 +106,7 @@
 	}
 }
 
-// RunFinished tells how the run of an attempt ended. The core keeps result.
+// RunFinished reports how the run of an attempt ended. The core keeps result.
 func (c *Core) RunFinished(id string, outcome RunOutcome, result []byte) {
 	req := c.requests.byRunID[id]
 	if req == nil || !req.state.started() || req.recording {
@@ -121,12 +121,12 @@
 	c.finishKeyed(req, outcome, result)
 }
 
-// finishKeyed ends the run of a key.
+// finishKeyed handles the end of the run of a key.
 func (c *Core) finishKeyed(req *request, outcome RunOutcome, result []byte) {
 	entry := req.entry
 	switch {
 	case outcome == RunIndeterminate:
-		// A repeat is passed to the backend again, which alone knows where it may have run and can ask there.
+		// A repeat is passed to the backend again, as only the backend knows where the key may have run.
 		c.keys.markIndeterminate(entry, req.ArrivedAt+c.retentionWindow(req.Class))
 		c.finishAll(entry, req, outcome, nil)
 	case outcome.neverRan():
@@ -151,8 +151,8 @@
 	}
 }
 
-// RunDeclined says that a run was turned away and never started anywhere: the request is rejected, with advice when to
-// come back that is cut to what the settings allow.
+// RunDeclined reports that a run was refused and never started anywhere, so that the request is rejected. retryAfter
+// and noRetry are passed on to the caller; retryAfter is bounded by Settings.MaxRetryAfter.
 func (c *Core) RunDeclined(id string, retryAfter microtime.Time, noRetry bool) {
 	req := c.requests.byRunID[id]
 	if req == nil {
@@ -163,7 +163,8 @@
 	c.RunFinished(id, RunRejected, nil)
 }
 
-// finishAll ends the run of a key and the waits for it. req is nil where the run itself has ended before.
+// finishAll finishes the request that ran a key and those that wait for the run. req is nil if the former has ended
+// before.
 func (c *Core) finishAll(entry *keyEntry, req *request, outcome RunOutcome, result []byte) {
 	waiters := entry.waiters
 	entry.waiters = nil
@@ -206,22 +207,21 @@
 	c.launch(req)
 }
 
-// mayStart says that a request may still be run, as far as the notice to leave goes: what was read later than the grace
-// after the notice waits for a run that goes on, and does not run in its place.
+// mayStart reports whether the drain permits to start a request: requests that were read later than DrainGrace after
+// the start of the drain must not be started.
 func (c *Core) mayStart(req *request) bool {
 	limit := c.drain.at + microtime.FromDuration(c.settings.DrainGrace)
 	return !c.drain.received || req.readAt <= limit
 }
 
-// finish ends a run or the wait for one: the response goes out and the decision module hears of it.
+// finish answers a request whose run, or whose wait for a run, has ended, and reports the end to the decision module.
 func (c *Core) finish(req *request, outcome RunOutcome, result []byte) {
 	c.respond(req, c.responseTo(req, outcome, result))
 	c.events = append(c.events, control.RequestFinished{ID: req.id, Outcome: outcome.controlOutcome()})
 	c.forget(req)
 }
 
-// responseTo is what a request gets from a run that ended. A caller that has left is not hurt by the response to a run
-// that was not started, and one that has not left is owed it.
+// responseTo returns the response to a request whose run has ended with the outcome.
 func (c *Core) responseTo(req *request, outcome RunOutcome, result []byte) Response {
 	switch outcome {
 	case RunSucceeded:
--- a/internal/dispatch/small_test.go
+++ b/internal/dispatch/small_test.go
@@ -23,7 +23,8 @@
 		"RunOutcome(7)": RunIndeterminate + 1,
 		"granted":       VerdictGranted,
 		"unavailable":   VerdictUnavailable,
-		"Verdict(5)":    VerdictUnavailable + 1,
+		"unknown":       VerdictUnknown,
+		"Verdict(6)":    VerdictUnknown + 1,
 	}
 	for want, value := range tests {
 		require.Equal(t, want, value.String())
--- a/internal/dispatch/status.go
+++ b/internal/dispatch/status.go
@@ -2,14 +2,14 @@
 
 import "pewterline/internal/microtime"
 
-// unhealthyGrace is how long the decision module may take its machine for unhealthy before callers hear of it. They
-// see a change a second or two late and would stay away for as long, so that a doubt of a moment is kept from them.
+// unhealthyGrace is how long a machine must be unhealthy before callers see it. Callers poll the health, so a shorter
+// fault would keep them away for one or two seconds.
 const unhealthyGrace = 250 * microtime.Millisecond
 
-// healthStatus is what the decision module says of the server's health.
+// healthStatus is the health of the server as the decision module has set it.
 type healthStatus struct {
 	healthy        bool
-	unhealthySince microtime.Time // where it is not healthy
+	unhealthySince microtime.Time // only if not healthy
 }
 
 func (h *healthStatus) set(now microtime.Time, healthy bool) {
@@ -21,21 +21,21 @@
 
 func (h *healthStatus) inGrace(now microtime.Time) bool { return now < h.unhealthySince+unhealthyGrace }
 
-// loadSignal is the value that the decision module has every response carry.
+// loadSignal is the value that every response carries, as the decision module has set it.
 type loadSignal struct {
 	value float64
 	known bool
 }
 
-// Healthy is the answer to health checks and load reports. A notice to leave is told at once, any other trouble once it
-// has lasted for unhealthyGrace.
+// Healthy is the answer to health checks and in load reports. It is false as soon as a drain starts, and for any other
+// cause once that has lasted for unhealthyGrace.
 func (c *Core) Healthy() bool {
 	return c.health.healthy || !c.drain.received && c.health.inGrace(c.now)
 }
 
-// AdvertisedValue is the load signal that responses carry; its meaning is the settings' LoadSignal. It is false while
-// none was set.
+// AdvertisedValue returns the load signal that responses carry, whose meaning Settings.LoadSignal defines. known is
+// false if none was set.
 func (c *Core) AdvertisedValue() (value float64, known bool) { return c.signal.value, c.signal.known }
 
-// IdleTimeout is how long a connection may stay idle; 0 for any time.
+// IdleTimeout is how long a connection may stay idle; 0 means without limit.
 func (c *Core) IdleTimeout() microtime.Time { return c.idleTimeout }
--- a/internal/dispatch/submit.go
+++ b/internal/dispatch/submit.go
@@ -7,12 +7,12 @@
 	"pewterline/internal/microtime"
 )
 
-// maxQueuedKB bounds the memory that a request may say to take; more is a slip of its caller.
+// maxQueuedKB bounds Request.QueuedKB, in kilobytes; a larger value is an error of the caller.
 const maxQueuedKB = 2000
 
-// Submit takes a request that a frontend has read. The returned ID is for Abandon; the response comes by the
-// request's Responder, never before Submit has returned. The error is a *RequestError; the core knows nothing of the
-// request then.
+// Submit accepts a request that a frontend has read. The returned ID is for Abandon. The response is sent by the
+// request's Responder, never before Submit has returned. If Submit returns an error, which is a *RequestError, the
+// request is not accepted and its Responder is never called.
 func (c *Core) Submit(now microtime.Time, attempt Request) (control.RequestID, error) {
 	if err := c.validate(&attempt); err != nil {
 		return 0, err
@@ -32,7 +32,7 @@
 		return &RequestError{"class", "none of that number"}
 	case c.requests.byRunID[attempt.RunID] != nil:
 		return &RequestError{"id", fmt.Sprintf("%q is open already", attempt.RunID)}
-	case !(attempt.QueuedKB > 0 && attempt.QueuedKB < maxQueuedKB): // Also false for what is no number.
+	case !(attempt.QueuedKB > 0 && attempt.QueuedKB < maxQueuedKB): // Also true for NaN.
 		return &RequestError{"kb", fmt.Sprintf("%v is not within 0 to %d", attempt.QueuedKB, maxQueuedKB)}
 	case !(attempt.Rank >= 0 && attempt.Rank < 1):
 		return &RequestError{"rank", fmt.Sprintf("%v is not within 0 to 1", attempt.Rank)}
@@ -46,12 +46,12 @@
 	return c.settings.Classes[attempt.Class].Idempotency
 }
 
-// keyed says that a request has an idempotency key that counts.
+// keyed reports whether a request belongs to a class that is idempotent by key.
 func (c *Core) keyed(req *request) bool {
 	return c.idempotency(&req.Request) == control.IdempotentByKey
 }
 
-// admit hands a request to the decision module.
+// admit passes a request to the decision module, unless its key has run and the module has not seen the run.
 func (c *Core) admit(req *request) {
 	event := control.RequestArrived{
 		ID:         req.id,
@@ -68,8 +68,8 @@
 	if c.keyed(req) {
 		req.entry, event.Original = c.keys.attach(req)
 		event.SubjectKey = 0
-		if req.entry.restored { // The module has not seen its run.
-			req.state = stateWaiting
+		if req.entry.restored { // The decision module has not seen the run, and cannot replay it.
+			req.state = stateWaiting // for the next step, which sends the response
 			c.respondLater(req, req.entry.response())
 			return
 		}
@@ -77,7 +77,7 @@
 	c.events = append(c.events, event)
 }
 
-// Abandon says that the caller of a request has left: no response is owed.
+// Abandon reports that the caller of a request has left, so that no response is sent.
 func (c *Core) Abandon(id control.RequestID) {
 	req := c.requests.byID[id]
 	if req == nil || req.answered {
--- a/internal/dispatch/ticks.go
+++ b/internal/dispatch/ticks.go
@@ -2,20 +2,20 @@
 
 import "pewterline/internal/microtime"
 
-// scheduledTick is a tick that the decision module has asked for.
+// scheduledTick is a tick that the decision module has scheduled.
 type scheduledTick struct {
 	at    microtime.Time
 	token uint64
 }
 
-// tickSchedule holds the ticks to come, in the order in which they were asked for.
+// tickSchedule holds the ticks that are not due yet, in the order in which they were scheduled.
 type tickSchedule struct{ ticks []scheduledTick }
 
 func (s *tickSchedule) add(at microtime.Time, token uint64) {
 	s.ticks = append(s.ticks, scheduledTick{at, token})
 }
 
-// next is when the first tick is due.
+// next is when the first tick is due; microtime.Never if there is none.
 func (s *tickSchedule) next() microtime.Time {
 	next := microtime.Never
 	for _, tick := range s.ticks {
@@ -24,7 +24,7 @@
 	return next
 }
 
-// postponeTo has no tick be due before a time.
+// postponeTo delays the ticks that are due before earliest until then.
 func (s *tickSchedule) postponeTo(earliest microtime.Time) {
 	for i := range s.ticks {
 		s.ticks[i].at = max(s.ticks[i].at, earliest)
@@ -34,14 +34,14 @@
 // takeDue removes the ticks that are due and returns their tokens.
 func (s *tickSchedule) takeDue(now microtime.Time) []uint64 {
 	var due []uint64
-	left := s.ticks[:0]
+	remaining := s.ticks[:0]
 	for _, tick := range s.ticks {
 		if tick.at > now {
-			left = append(left, tick)
+			remaining = append(remaining, tick)
 		} else {
 			due = append(due, tick.token)
 		}
 	}
-	s.ticks = left
+	s.ticks = remaining
 	return due
 }
--- a/internal/server/replicated_store.go
+++ b/internal/server/replicated_store.go
@@ -90,7 +90,11 @@
 		return false
 	}
 	r.replica.Lookup(attempt, func(outcome replication.Outcome) {
-		done(r.leaseResult(request, outcome))
+		result := r.leaseResult(request, outcome)
+		if result.Verdict == dispatch.VerdictGranted { // A lookup acquires no lease.
+			result.Verdict = dispatch.VerdictUnknown
+		}
+		done(result)
 	})
 	return true
 }
