--- a/internal/decide/calls/action.go
+++ b/internal/decide/calls/action.go
@@ -2,7 +2,7 @@
 
 import "pewterline/internal/microtime"
 
-// ConnID names a connection to the host of a Pool. It is never used twice.
+// ConnID identifies a connection between a Pool and its host. It is never reused.
 type ConnID int
 
 // Action is something that the host of a Pool carries out, in the order given.
@@ -11,7 +11,7 @@
 // Dial opens a connection; Pool.Opened or Pool.DialFailed follows, unless Redial comes first.
 type Dial struct{}
 
-// Redial gives up the connection that is being dialled, and opens one to the address as it is now.
+// Redial cancels the connection that is being dialled, and dials the current address instead.
 type Redial struct{}
 
 // Send makes a call on a connection.
@@ -22,7 +22,7 @@
 	Body    []byte
 }
 
-// Abandon tells the service that nobody waits for a call any more that was made on a connection.
+// Abandon notifies the service, on the connection on which a call was made, that its reply is no longer needed.
 type Abandon struct {
 	Conn ConnID
 	ID   string
@@ -31,14 +31,14 @@
 // Close closes a connection; Pool.ConnClosed follows.
 type Close struct{ Conn ConnID }
 
-// Complete tells how a call ended. Only Answered has a reply.
+// Complete reports how a call ended. Reply is set only with Answered.
 type Complete struct {
 	ID      string
 	Outcome Outcome
 	Reply   []byte
 }
 
-// ReportSilence tells, for the log, that a connection has been silent for longer than its calls usually take.
+// ReportSilence reports, for the log, that a connection has been silent for longer than its calls usually take.
 type ReportSilence struct {
 	Calls    int // in flight on it
 	Duration microtime.Time
--- a/internal/decide/calls/calls.go
+++ b/internal/decide/calls/calls.go
@@ -1,8 +1,8 @@
 // Package calls decides about the calls that runs make to the service downstream: what the end of a call proves about
 // its effect, whether it may be made again, and over which connection each call goes.
 //
-// The request core (package dispatch) asks what an Outcome proves. The client of the service (package vaultclient) is
-// the host of a Pool: it tells the pool what happens and carries out its Actions.
+// The request core (package dispatch) uses Outcome.Effect and MayRepeat. The client of the service (package
+// vaultclient) is the host of a Pool: it reports events to the pool and carries out its Actions.
 //
 // The package is pure: no I/O, no clock, no goroutines. The table of effects is in docs/design/calls.md.
 package calls
@@ -18,23 +18,23 @@
 
 // The outcomes. Each but Answered leaves the run waiting for its call.
 const (
-	// Answered has a reply, which goes to the run.
+	// Answered means that the service replied.
 	Answered Outcome = iota
-	// Rejected was turned away by the service.
+	// Rejected means that the service rejected the call, for example under overload.
 	Rejected
-	// Failed has failed at the service, possibly after taking effect.
+	// Failed means that the call failed at the service, possibly after taking effect.
 	Failed
-	// DeadlineExceeded was not finished in time at the service.
+	// DeadlineExceeded means that the service did not finish the call in time.
 	DeadlineExceeded
-	// Unwanted was turned down by the service, as no run waits for the call.
+	// Unwanted means that the service refused the call, as no run waits for it.
 	Unwanted
-	// ConnectFailed was never sent: the connection was refused, or could not be opened.
+	// ConnectFailed means that the call was never sent, as no connection could be opened.
 	ConnectFailed
-	// ConnectionLost was sent on a connection that broke.
+	// ConnectionLost means that the call was sent on a connection that broke.
 	ConnectionLost
-	// Abandoned was sent and waited for long enough.
+	// Abandoned means that the call was sent, and that its timeout has passed or its request has ended.
 	Abandoned
-	// NotSent was never sent, as there was no capacity for the call.
+	// NotSent means that the call was never sent, as there was no capacity for it.
 	NotSent
 	outcomeCount
 )
@@ -56,11 +56,11 @@
 
 // The effects.
 const (
-	// Executed ran once, and its reply is here.
+	// Executed means that the call ran once.
 	Executed Effect = iota
-	// NotExecuted has had no effect.
+	// NotExecuted means that the call had no effect.
 	NotExecuted
-	// MaybeExecuted proves nothing.
+	// MaybeExecuted means that the call may have had an effect.
 	MaybeExecuted
 )
 
@@ -77,7 +77,7 @@
 	return fmt.Sprintf("Effect(%d)", uint8(e))
 }
 
-// Effect tells what an outcome proves about the effect of the call. One that is not known proves nothing.
+// Effect returns what the outcome proves about the effect of the call; MaybeExecuted for an unknown outcome.
 func (o Outcome) Effect() Effect {
 	switch o {
 	case Answered:
@@ -89,9 +89,8 @@
 	}
 }
 
-// MayRepeat tells whether a call of a request of this idempotency may be made again after an outcome. A request that
-// may run once makes a call again only where the call before is proven not to have run, so that no effect happens
-// twice.
+// MayRepeat reports whether a call may be made again after an outcome, given the idempotency of its request. If the
+// request is not idempotent, a call is repeated only if it is proven not to have run, so that no effect happens twice.
 func MayRepeat(idempotency control.Idempotency, outcome Outcome) bool {
 	switch outcome.Effect() {
 	case NotExecuted:
@@ -103,7 +102,7 @@
 	return false
 }
 
-// ControlOutcome is the outcome as the decision module knows it.
+// ControlOutcome converts the outcome for the decision module (package control).
 func (o Outcome) ControlOutcome() control.Outcome {
 	switch o {
 	case Answered:
--- a/internal/decide/calls/conn.go
+++ b/internal/decide/calls/conn.go
@@ -6,17 +6,17 @@
 	"pewterline/internal/microtime"
 )
 
-// conn is one connection to the service. Replies come in any order and name a request alone: an ID that was abandoned
-// on a connection is not used on it again, so that a reply that crosses the abandoning is never taken for that of a
-// later call.
+// conn is one connection to the service. Replies come in any order and identify their call only by the request's ID. An
+// ID that was abandoned on a connection is therefore not used on it again: otherwise a late reply to the abandoned call
+// could be taken for the reply to the later one.
 type conn struct {
 	id           ConnID
-	calls        map[string]*call // in flight on it
+	calls        map[string]*call // in flight on it, by ID
 	abandoned    map[string]bool
-	idleSince    microtime.Time // the last thing that happened to a call on it
-	lastReceived microtime.Time // when something came last, or it was opened
-	silent       bool           // nothing has come for longer than usual
-	retired      bool           // it takes no new calls, and is closed with the last one
+	idleSince    microtime.Time // when a call on it was last sent or ended
+	lastReceived microtime.Time // when data was last received, or when it was opened
+	silent       bool           // nothing was received for longer than usual
+	retired      bool           // it takes no new calls and is closed after the last call in flight
 }
 
 func newConn(id ConnID, now microtime.Time) *conn {
@@ -36,17 +36,17 @@
 	return c.load() < other.load()
 }
 
-// silentSince is when the silence of a connection began that has a call in flight: nothing has come since that was
-// sent.
+// silentSince returns the time since which a connection with calls in flight has received nothing. silent is false if
+// no call is in flight.
 func (c *conn) silentSince() (since microtime.Time, silent bool) {
 	oldest := microtime.Never
-	for _, made := range c.calls { // In any order: the smallest is the same.
+	for _, made := range c.calls { // The order does not matter for the minimum.
 		oldest = min(oldest, made.sentAt)
 	}
 	return max(oldest, c.lastReceived), oldest != microtime.Never
 }
 
-// conn finds an open connection; nil if there is none of that ID.
+// conn returns the open connection with the given ID; nil if there is none.
 func (p *Pool) conn(id ConnID) *conn {
 	index := slices.IndexFunc(p.conns, func(open *conn) bool { return open.id == id })
 	if index < 0 {
@@ -55,7 +55,7 @@
 	return p.conns[index]
 }
 
-// retire has a connection finish what is in flight on it.
+// retire stops sending calls on a connection, and closes it once the calls in flight on it have ended.
 func (p *Pool) retire(old *conn) {
 	if old.retired {
 		return
@@ -65,7 +65,7 @@
 		p.emit(Close{old.id})
 		return
 	}
-	if p.retiredConns() > maxRetiredConns { // The oldest of them ends, with the calls in flight on it.
+	if p.retiredConns() > maxRetiredConns { // The oldest one is closed, which ends the calls in flight on it.
 		oldest := slices.IndexFunc(p.conns, func(open *conn) bool { return open.retired })
 		p.emit(Close{p.conns[oldest].id})
 	}
@@ -91,7 +91,7 @@
 	return count
 }
 
-// checkConn looks whether a connection has been silent or idle for long; it returns when to look again.
+// checkConn checks whether a connection has been silent or idle for too long. It returns when to check again.
 func (p *Pool) checkConn(now microtime.Time, open *conn) microtime.Time {
 	if open.load() > 0 {
 		return p.checkSilence(now, open)
--- a/internal/decide/calls/pool.go
+++ b/internal/decide/calls/pool.go
@@ -8,38 +8,38 @@
 
 // The bounds of a Pool.
 const (
-	// MaxServingConns bounds the connections for new calls.
+	// MaxServingConns bounds the connections that take new calls.
 	MaxServingConns = 4
-	// maxRetiredConns bounds the connections that only finish what is in flight on them.
+	// maxRetiredConns bounds the retired connections, which only finish their calls in flight.
 	maxRetiredConns = 4
 	// MaxConns bounds all connections, the one that is being dialled included.
 	MaxConns = MaxServingConns + maxRetiredConns + 1
-	// callsPerConn is how many calls share a connection before another one is opened.
+	// callsPerConn is how many calls are in flight on a connection before another one is opened.
 	callsPerConn = 32
-	// MaxCalls bounds the calls in flight over all connections. One more ends at once, and is not sent.
+	// MaxCalls bounds the calls in flight over all connections. A further call ends at once with NotSent.
 	MaxCalls = 1024
-	// abandonedPerConn bounds the IDs that a connection remembers as abandoned; then it is retired.
+	// abandonedPerConn bounds the abandoned IDs that a connection keeps; a connection that reaches it is retired.
 	abandonedPerConn = 256
-	// IdleTimeout is how long a connection is kept without a call. The service closes one after 10 s, and a call that
-	// crosses that close would be lost.
+	// IdleTimeout is how long a connection is kept without a call. The service closes idle connections after 10 s, and a
+	// call that is sent at that moment would be lost.
 	IdleTimeout = 5 * microtime.Second
 )
 
-// Request is a call that is to be made.
+// Request is a call to make.
 type Request struct {
-	ID         string         // of the request that it is made for
-	Timeout    microtime.Time // how long its reply is waited for
-	Idempotent bool           // it may be made again whatever became of it
+	ID         string         // of the request that needs the call
+	Timeout    microtime.Time // how long to wait for the reply
+	Idempotent bool           // the call may be repeated whatever its outcome
 	Body       []byte
 }
 
 // Pool decides over which connection each call is made, and when connections are opened, retired and closed. It has
-// no I/O and no clock: its host tells it what happens and carries out its Actions.
+// no I/O and no clock: its host reports events to it and carries out its Actions.
 type Pool struct {
 	actions    []Action
 	inFlight   map[string]*call // by the request's ID
-	byAge      []*call          // the same, oldest first; those that are over are taken out by Expire
-	waiting    []*call          // for the connection that is being dialled, oldest first
+	byAge      []*call          // the same, oldest first; Expire removes those that have ended
+	waiting    []*call          // calls for the connection that is being dialled, oldest first
 	conns      []*conn          // oldest first
 	lastConn   ConnID
 	dialling   bool
@@ -61,7 +61,7 @@
 	return &Pool{inFlight: map[string]*call{}, nextWakeup: microtime.Never}
 }
 
-// Actions takes what is to be done since the last time.
+// Actions returns the actions since the last call and forgets them.
 func (p *Pool) Actions() []Action {
 	actions := p.actions
 	p.actions = nil
@@ -70,17 +70,17 @@
 
 func (p *Pool) emit(action Action) { p.actions = append(p.actions, action) }
 
-// Counts are the connections that are open, the calls in flight, and those of them that wait for a connection.
+// Counts returns the numbers of open connections, of calls in flight, and of those that wait for a connection.
 func (p *Pool) Counts() (conns, inFlight, waiting int) {
 	return len(p.conns), len(p.inFlight), len(p.waiting)
 }
 
-// NextWakeup is when Expire has something to do, whatever happens before that.
+// NextWakeup is when Expire must be called at the latest.
 func (p *Pool) NextWakeup() microtime.Time { return p.nextWakeup }
 
 func (p *Pool) wakeBy(due microtime.Time) { p.nextWakeup = min(p.nextWakeup, due) }
 
-// Call makes a call. One that is in flight for the same request is abandoned.
+// Call makes a call. A call in flight for the same request is abandoned first.
 func (p *Pool) Call(now microtime.Time, request Request) {
 	p.Abandon(now, request.ID)
 	if len(p.inFlight) >= MaxCalls {
@@ -94,7 +94,7 @@
 	p.place(now, made)
 }
 
-// place sends a call on a connection, or has it wait for one that is being dialled.
+// place sends a call on a connection, or queues it for the one that is being dialled.
 func (p *Pool) place(now microtime.Time, made *call) {
 	best, serving := p.bestConn(made.ID)
 	full := serving >= MaxServingConns
@@ -102,9 +102,9 @@
 	case best != nil && (!best.silent || full):
 		p.send(now, best, made)
 		if best.load() >= callsPerConn && !full {
-			p.dial() // For those to come.
+			p.dial() // For the next calls.
 		}
-	case !full, p.retireOldest(): // No connection may carry this ID again: one makes room for a fresh one.
+	case !full, p.retireOldest(): // If all are full of abandoned IDs, one is replaced.
 		p.waiting = append(p.waiting, made)
 		p.dial()
 	default:
@@ -112,8 +112,8 @@
 	}
 }
 
-// bestConn is the connection with the fewest calls of those that may carry an ID, a silent one only where there is no
-// other; nil if none may. serving counts the connections that take calls.
+// bestConn returns the connection with the fewest calls of those that may carry the ID, a silent one only if there is
+// no other; nil if there is none. serving counts the connections that take calls.
 func (p *Pool) bestConn(id string) (best *conn, serving int) {
 	for _, candidate := range p.conns {
 		if candidate.retired {
@@ -127,7 +127,7 @@
 	return best, serving
 }
 
-// dial opens a connection, unless one is being opened: one at a time, so that dials that hang hold one descriptor.
+// dial opens a connection, unless one is being opened: a dial that hangs must not use more than one descriptor.
 func (p *Pool) dial() {
 	if !p.dialling {
 		p.dialling = true
@@ -144,7 +144,7 @@
 	p.emit(Send{Conn: on.id, ID: made.ID, Timeout: made.deadline - now, Body: made.Body})
 }
 
-// Opened takes up the connection that was dialled; the calls that wait go out on it.
+// Opened adds the connection that was dialled and sends the waiting calls on it. It returns the connection's ID.
 func (p *Pool) Opened(now microtime.Time) ConnID {
 	p.dialling = false
 	p.lastConn++
@@ -171,8 +171,8 @@
 	return waiting
 }
 
-// AddressChanged says that connections are to go to another address from now on. Calls in flight end on the connections
-// that they were made on; those that have not been sent go to the new address.
+// AddressChanged reports that the address of the service has changed. All connections are retired and finish their
+// calls in flight; calls that have not been sent use the new address.
 func (p *Pool) AddressChanged() {
 	for _, open := range slices.Clone(p.conns) {
 		p.retire(open)
@@ -182,9 +182,9 @@
 	}
 }
 
-// Abandon ends the wait for the call of a request, if one is in flight. Its effect is not known.
+// Abandon stops waiting for the call of a request, if one is in flight. Whether it had an effect is not known.
 func (p *Pool) Abandon(now microtime.Time, id string) {
-	p.actions = slices.DeleteFunc(p.actions, func(action Action) bool { // An end that nobody has heard of yet.
+	p.actions = slices.DeleteFunc(p.actions, func(action Action) bool { // An end that was not returned yet.
 		complete, ok := action.(Complete)
 		return ok && complete.ID == id
 	})
@@ -194,8 +194,8 @@
 	}
 }
 
-// Replied takes up a reply on a connection. One for no call in flight there is dropped: it has crossed the
-// abandoning, or is none of ours.
+// Replied handles a reply on a connection. A reply is ignored if no call of that request is in flight there: the call
+// was abandoned before the reply arrived, or is unknown.
 func (p *Pool) Replied(now microtime.Time, id ConnID, request string, outcome Outcome, reply []byte) {
 	from := p.conn(id)
 	if from == nil || from.calls[request] == nil {
@@ -212,8 +212,8 @@
 	}
 }
 
-// ConnClosed says that a connection is no more: what was in flight on it may have had its effect. It returns how many
-// calls that were.
+// ConnClosed reports that a connection was closed or broke. The calls in flight on it end with ConnectionLost. It
+// returns their number.
 func (p *Pool) ConnClosed(id ConnID) (lost int) {
 	closed := p.conn(id)
 	if closed == nil {
@@ -229,7 +229,7 @@
 	return lost
 }
 
-// Expire abandons the calls whose deadline has come, and goes through the connections.
+// Expire abandons the calls whose deadline has passed, and checks the connections.
 func (p *Pool) Expire(now microtime.Time) {
 	if now < p.nextWakeup {
 		return
@@ -252,7 +252,7 @@
 	}
 }
 
-// finish notes how a call in flight ended.
+// finish ends a call in flight and reports its outcome.
 func (p *Pool) finish(made *call, outcome Outcome, reply []byte) {
 	if !made.over {
 		p.remove(made)
@@ -260,7 +260,7 @@
 	}
 }
 
-// remove forgets a call that is over.
+// remove drops a call that has ended.
 func (p *Pool) remove(made *call) {
 	made.over = true
 	delete(p.inFlight, made.ID)
@@ -269,7 +269,7 @@
 	}
 }
 
-// abandonSent tells the service that nobody waits for a call that was sent.
+// abandonSent notifies the service that the reply to a call that was sent is no longer needed.
 func (p *Pool) abandonSent(now microtime.Time, made *call) {
 	on := made.conn
 	if on == nil || on.calls[made.ID] != made {
@@ -283,7 +283,7 @@
 	}
 }
 
-// release takes a call off its connection.
+// release removes a call from its connection.
 func (p *Pool) release(now microtime.Time, made *call) {
 	on := made.conn
 	delete(on.calls, made.ID)
--- a/internal/decide/calls/silence.go
+++ b/internal/decide/calls/silence.go
@@ -6,25 +6,26 @@
 	"pewterline/internal/microtime"
 )
 
-// A connection whose other end is gone without a word looks like one on which every call is slow. Nothing on the
-// connection tells the two apart, so that silence alone only has new calls go elsewhere. Once the service has
-// answered a later call on another connection, this one itself is at fault: its idempotent calls are made again, and
-// the others wait for their deadline.
+// A connection whose other end has vanished without closing it looks like one on which every call is slow, so a silent
+// connection only stops getting new calls. Once the service has answered a later call on another connection, the silent
+// connection must be broken: its idempotent calls end, so that they can be made again, and the others wait for their
+// deadline.
 const (
-	// silenceParts says when a connection with n calls in flight counts as silent: after the usual reply time and this
-	// many n-th parts of it. The more calls, the sooner one of them should have been answered.
+	// silenceParts sets when a connection with n calls in flight counts as silent: after mean + silenceParts*mean/n,
+	// where mean is the mean reply time. The more calls, the sooner one of them should have been answered.
 	silenceParts = 4
-	minSilence   = 50 * microtime.Millisecond
-	maxSilence   = microtime.Second
-	// firstSilence counts before any reply has come.
+	// minSilence and maxSilence bound that time.
+	minSilence = 50 * microtime.Millisecond
+	maxSilence = microtime.Second
+	// firstSilence is used before any reply was received.
 	firstSilence = 500 * microtime.Millisecond
-	// retireSilence is the silence after which a connection takes no calls at all, even where all connections are silent.
+	// retireSilence is the silence after which a connection is retired, even if all connections are silent.
 	retireSilence = microtime.Second
-	// replyWeight is the part of the latest reply in the mean reply time.
+	// replyWeight is the inverse weight of the latest reply in the mean reply time.
 	replyWeight = 8
 )
 
-// replyTime is a moving mean of the time that replies take; 0: none has come.
+// replyTime is an exponentially weighted mean of the time that replies take; 0 before the first reply.
 type replyTime struct{ mean microtime.Time }
 
 func (r *replyTime) add(took microtime.Time) {
@@ -35,7 +36,7 @@
 	r.mean += (took - r.mean) / replyWeight
 }
 
-// silenceLimit is how long a connection with so many calls in flight may be silent.
+// silenceLimit is how long a connection with inFlight calls may be silent.
 func (r *replyTime) silenceLimit(inFlight int) microtime.Time {
 	if r.mean == 0 {
 		return firstSilence
@@ -44,14 +45,14 @@
 	return min(max(usual, minSilence), maxSilence)
 }
 
-// Received says that something has come on a connection: it is not silent.
+// Received reports that data was received on a connection, which is therefore not silent.
 func (p *Pool) Received(now microtime.Time, id ConnID) {
 	if open := p.conn(id); open != nil {
 		open.lastReceived, open.silent = now, false
 	}
 }
 
-// checkSilence judges a connection; it returns when to do so again.
+// checkSilence marks or retires a connection that has been silent for too long. It returns when to check again.
 func (p *Pool) checkSilence(now microtime.Time, open *conn) microtime.Time {
 	since, waits := open.silentSince()
 	if !waits {
@@ -65,19 +66,19 @@
 		p.emit(ReportSilence{Calls: open.load(), Duration: now - since})
 	}
 	if open.retired {
-		return microtime.Never // Its calls end by their deadline.
+		return microtime.Never // Its calls end at their deadline.
 	}
 	if due := since + retireSilence; now < due {
 		return due
 	}
-	if p.retiredConns() < maxRetiredConns { // Else it serves on: a service that is slow everywhere breaks no call.
+	if p.retiredConns() < maxRetiredConns { // Otherwise retire would close a connection with calls in flight.
 		p.retire(open)
 	}
 	return now + retireSilence
 }
 
-// outlive says that the service has answered a call on another connection that was sent at a time. Where this
-// connection has been silent since before then, its idempotent calls end.
+// outlive reports that the service has answered a call that was sent at sentAt on another connection. If this
+// connection has been silent since before sentAt, its idempotent calls end and it is retired.
 func (p *Pool) outlive(now microtime.Time, silent *conn, sentAt microtime.Time) {
 	since, waits := silent.silentSince()
 	if !silent.silent || !waits || sentAt < since {
--- a/internal/decide/execution/lifecycle.go
+++ b/internal/decide/execution/lifecycle.go
@@ -1,12 +1,13 @@
-// Package execution decides what becomes of the request under an idempotency key on one log server of a cluster:
-// whether an attempt of it runs, waits for another server's run, is served a result that is agreed on, or is told that
-// nobody knows. It is a state machine for each key in each process.
+// Package execution decides, on one server of a cluster, about the request of an idempotency key: whether an attempt
+// runs, waits for the run of another server, is answered with the result of a run, or fails because it is not known
+// whether the request ran. It is a state machine for each key in each process.
 //
-// What is agreed on is the value of the key's register (package consensus); the state machine is what the process makes
-// of it. Package replication drives it with a replicated register, and package server with a database in its place.
-// Both feed events to Lifecycle.Step and carry out the actions that it returns.
+// The servers agree on the value of the key's register (package consensus), which holds the execution lease or the
+// result; the state machine decides how this process reacts to that value. Package replication drives it with a
+// replicated register, and package server with a database in its place. Both pass events to Lifecycle.Step and carry
+// out the actions that it returns.
 //
-// The package does no I/O, starts no goroutines and reads no clock: deadlines and pauses are events to it.
+// The package does no I/O, starts no goroutines and reads no clock: deadlines and pauses are events.
 package execution
 
 import "pewterline/internal/decide/consensus"
@@ -14,13 +15,13 @@
 // Lifecycle is the state of the request under one idempotency key in one process. The zero value is idle.
 type Lifecycle struct {
 	State State
-	// Started says that a run was begun in this process. The next lease is then not asked for as if none had been had
-	// before; see NeverStarted of consensus.Change.
+	// Started means that a run was started in this process. If it is false, the next lease may replace an earlier, unused
+	// one of this process; see consensus.Change.NeverStarted.
 	Started bool
 }
 
-// Step takes an event, and returns what has to be done, in that order. The slice must not be changed. An event that the
-// state does not expect changes nothing: it is of a change of the register that was given up.
+// Step applies an event and returns the actions that the caller must carry out, in that order. The slice must not be
+// modified. An event that the state does not expect is ignored: it is the late result of an abandoned proposal.
 func (l *Lifecycle) Step(event Event) []Action {
 	to, expected := transitions[l.State][event]
 	if !expected {
@@ -36,7 +37,7 @@
 	return to.actions
 }
 
-// transition is the state after an event, and what has to be done.
+// transition is the state after an event, and the actions to carry out.
 type transition struct {
 	state   State
 	actions []Action
@@ -44,11 +45,11 @@
 
 func to(state State, actions ...Action) transition { return transition{state, actions} }
 
-// transitions has the events that each state expects.
+// transitions holds the events that each state expects.
 var transitions = [stateCount]map[Event]transition{
 	StateIdle: {
 		EventAttemptArrived: to(StateAcquiring, ActionAcquireLease),
-		// The lease comes too late: whoever asked was told that the request does not run.
+		// The lease comes too late: the attempt was already rejected.
 		EventLeaseGranted: to(StateReleasing, ActionReleaseLease),
 	},
 	StateAcquiring: {
@@ -56,8 +57,8 @@
 		EventResultFound:  to(StateIdle, ActionServe),
 		EventFailureFound: to(StateIdle, ActionReportFailed),
 		EventHeldByOther:  to(StateHeldByOther, ActionRetryLater),
-		// The lease may have been agreed on all the same, or may be yet. It is released, so that others need not wait for a
-		// run that there is none of. Where that comes to nothing too, this process' next lease takes its place.
+		// The lease may have been granted nevertheless, or may still be. It is released, so that other servers do not wait
+		// for a run that never starts. If the release fails too, the next lease of this process replaces it.
 		EventUnavailable:     to(StateReleasing, ActionReject, ActionReleaseLease),
 		EventDeadlineReached: to(StateReleasing, ActionReject, ActionReleaseLease),
 	},
@@ -90,7 +91,7 @@
 		EventRunSucceeded: to(StateRecording, ActionRecord),
 	},
 	StateRecorded: {
-		EventRunSucceeded:   to(StateRecorded, ActionServe), // a repeat, whose dispatcher has not heard of the result
+		EventRunSucceeded:   to(StateRecorded, ActionServe), // a repeated report, as the host did not get the answer
 		EventAttemptArrived: to(StateAcquiring, ActionAcquireLease),
 	},
 	StateReleasing: {
@@ -101,7 +102,7 @@
 	},
 }
 
-// EventOf returns the event of what a change of the register has come to; known is false where nobody can say.
+// EventOf returns the event for the outcome of a proposal; known is false if no majority replied in time.
 func EventOf(outcome consensus.Outcome, known bool) Event {
 	if !known {
 		return EventUnavailable
--- a/internal/decide/execution/state.go
+++ b/internal/decide/execution/state.go
@@ -2,20 +2,20 @@
 
 import "strconv"
 
-// State is how far the execution of a request has come in this process.
+// State is the state of the execution of a request in this process.
 type State uint8
 
 // The states.
 const (
 	StateIdle        State = iota // nothing is in flight
-	StateAcquiring                // the lease to run is being asked for
-	StateRunning                  // the request was handed to its backend, or is about to be
-	StateRecording                // the end of the run is being recorded in the register
-	StateUnrecorded               // the end is known here alone: no majority accepted it in time; it is retried
-	StateRecorded                 // a majority has accepted the end
+	StateAcquiring                // the lease to run is being acquired
+	StateRunning                  // the request was passed to its backend, or is about to be
+	StateRecording                // the outcome of the run is being recorded in the register
+	StateUnrecorded               // no majority has accepted the outcome in time; recording it is retried
+	StateRecorded                 // a majority has accepted the outcome
 	StateHeldByOther              // another process has the lease; it is polled until the caller's deadline
 	StatePolling                  // the register is being read
-	StateReleasing                // a lease that came to nothing is being released
+	StateReleasing                // an unused lease is being released
 )
 
 const stateCount = int(StateReleasing) + 1
@@ -35,24 +35,24 @@
 // String returns the name of the state.
 func (s State) String() string { return enumName("State", stateNames[:], int(s)) }
 
-// Event is what happens to the execution of a request.
+// Event is an event of the execution of a request.
 type Event uint8
 
-// The events. The first seven are what a change of the register has come to; see EventOf.
+// The events. The first seven are outcomes of proposals to the register; see EventOf.
 const (
 	EventLeaseGranted    Event = iota // this process has the lease
-	EventResultFound                  // the result of a run is agreed on
-	EventFailureFound                 // it is agreed on that a run has failed
+	EventResultFound                  // the register holds the result of a run
+	EventFailureFound                 // the register says that a run has failed
 	EventHeldByOther                  // another process has the lease, or had it when it crashed
 	EventUnavailable                  // no majority replied in time, or too much is in flight here
-	EventVacant                       // nothing is agreed on, or not any more
-	EventLeaseLost                    // the register has moved on: this process' run is of a retention that is over
-	EventAttemptArrived               // an attempt is to run
-	EventRunSucceeded                 // the run has ended well
+	EventVacant                       // the register is empty or expired
+	EventLeaseLost                    // the register holds a later lease: the retention of this process' run is over
+	EventAttemptArrived               // an attempt arrived that should run
+	EventRunSucceeded                 // the run has succeeded
 	EventRunFailed                    // the run has failed
-	EventRunNotStarted                // the run was not begun: the backend did not take it
+	EventRunNotStarted                // the run was not started: the backend refused it
 	EventRetryDue                     // the pause after ActionRetryLater is over
-	EventDeadlineReached              // whoever waits has to be answered now
+	EventDeadlineReached              // the waiting attempt must be answered now
 )
 
 const eventCount = int(EventDeadlineReached) + 1
@@ -76,25 +76,25 @@
 // String returns the name of the event.
 func (e Event) String() string { return enumName("Event", eventNames[:], int(e)) }
 
-// Action is what has to be done.
+// Action is something that the caller of Step must do.
 type Action uint8
 
-// The actions. ActionStart and those from ActionServe on answer whoever waits.
+// The actions. ActionStart and those from ActionServe on answer the waiting attempt.
 const (
-	ActionAcquireLease        Action = iota + 1 // ask the register for the lease to run
-	ActionStart                                 // begin the run
-	ActionRecord                                // record the end of the run in the register
+	ActionAcquireLease        Action = iota + 1 // propose the lease to the register
+	ActionStart                                 // start the run
+	ActionRecord                                // record the outcome of the run in the register
 	ActionPoll                                  // read the register now
-	ActionRetryLater                            // feed EventRetryDue after a pause
-	ActionReleaseLease                          // give the lease back
-	ActionServe                                 // answer with the agreed result
+	ActionRetryLater                            // pass EventRetryDue after a pause
+	ActionReleaseLease                          // release the lease in the register
+	ActionServe                                 // answer with the result in the register
 	ActionReportFailed                          // answer that the run has failed
-	ActionReportIndeterminate                   // answer that it is not known whether it ran, until the retention is over
-	ActionReportUnrecorded                      // answer that it ran, and that no majority has accepted its result yet
-	ActionReject                                // answer that it has not run and does not: it can't be recorded in time
+	ActionReportIndeterminate                   // answer that the request may have run, until the retention is over
+	ActionReportUnrecorded                      // answer that it ran, but that its outcome is not recorded yet
+	ActionReject                                // answer that it has not run and will not, as no lease could be acquired
 )
 
-const actionCount = int(ActionReject) + 1 // with 0, which is none
+const actionCount = int(ActionReject) + 1 // including 0, which is no action
 
 var actionNames = [actionCount]string{
 	ActionAcquireLease:        "acquire lease",
@@ -113,7 +113,7 @@
 // String returns the name of the action.
 func (a Action) String() string { return enumName("Action", actionNames[:], int(a)) }
 
-// enumName returns the name of a value, or its type and number where it has none.
+// enumName returns the name of a value, or its type and number if it has none.
 func enumName(enum string, names []string, value int) string {
 	if value < len(names) && names[value] != "" {
 		return names[value]
--- a/internal/decide/handoff/handoff.go
+++ b/internal/decide/handoff/handoff.go
@@ -1,26 +1,26 @@
-// Package handoff decides who may run an idempotency key while two processes of one server live side by side: an old
-// one and its successor. The request core (package dispatch) keeps a Key for each key and each process, steps it with
-// what happens and carries out the actions.
+// Package handoff decides which process may run an idempotency key during a hot restart, while an old process of a
+// server and its successor run side by side. The request core (package dispatch) of each process keeps a Key for each
+// idempotency key, passes it the events and carries out the actions.
 //
-// One process, the Owner, may run a key that nobody knows of; the other, the Requester, claims each key before it
-// runs it. The owner tells the requester of each run before it begins, and of its end. Ownership passes once, from
-// the old process to its successor, which makes the old one the requester. Messages come in the order in which they
-// were sent.
+// One process, the Owner, may run a key that neither process knows; the other one, the Requester, claims each key
+// before it runs it. The owner notifies the requester of each run before it begins, and of its end. Ownership passes
+// once, from the old process to its successor, which makes the old one the requester. Messages must arrive in the order
+// in which they were sent.
 //
-// The package is a state machine without I/O, goroutines or a clock. It never sees a request: what waits for a key, and
-// the results, are the core's.
+// The package is a state machine without I/O, goroutines or a clock. It never sees a request: the core keeps the
+// requests that wait for a key, and the results.
 package handoff
 
 import "fmt"
 
-// Role is what a process is to its peer.
+// Role is the role of a process towards its peer, the other process of the server.
 type Role uint8
 
 // The roles.
 const (
 	// Alone has no peer.
 	Alone Role = iota
-	// Owner may run a key that nobody knows of.
+	// Owner may run a key that neither process knows.
 	Owner
 	// Requester claims each key before it runs it.
 	Requester
@@ -34,17 +34,17 @@
 
 // The states of a key.
 const (
-	// Free is a key of which nothing is known.
+	// Free means that nothing is known of the key.
 	Free State = iota
-	// Requested was claimed; attempts wait here until the owner answers.
+	// Requested means that this process has claimed the key; attempts wait until the owner answers.
 	Requested
-	// Local is held or run by this process.
+	// Local means that this process runs the key or may run it.
 	Local
-	// Done has a run that ended, here or there: attempts get its end.
+	// Done means that the run of the key has ended in either process; attempts get its result.
 	Done
-	// Remote is held or run by the peer: attempts wait here.
+	// Remote means that the peer runs the key or may run it; attempts wait.
 	Remote
-	// Indeterminate was held or run by a peer that is gone: it may have run.
+	// Indeterminate means that the peer was lost in state Remote: the key may have run.
 	Indeterminate
 	stateCount
 )
@@ -54,32 +54,32 @@
 	return name("State", int(s), "free", "requested", "local", "done", "remote", "indeterminate")
 }
 
-// Event is what happens to a key.
+// Event is an event that concerns a key.
 type Event uint8
 
 // The events.
 const (
-	// Attempt is an attempt that is read here.
+	// Attempt means that an attempt of the key was read here.
 	Attempt Event = iota
-	// PeerGranted is the owner's permission to run the key here.
+	// PeerGranted means that the owner permits to run the key here.
 	PeerGranted
-	// PeerStarted says that the peer holds or runs the key.
+	// PeerStarted means that the peer runs the key or may run it.
 	PeerStarted
-	// PeerFinished says that a run of the peer's has ended, well or not.
+	// PeerFinished means that a run of the peer has ended, with any outcome.
 	PeerFinished
-	// PeerReleased says that the peer holds the key no more, and it has not run there.
+	// PeerReleased means that the peer has given up the key without running it.
 	PeerReleased
-	// PeerClaimed is the peer's claim to the key.
+	// PeerClaimed means that the peer claims the key.
 	PeerClaimed
-	// LocalFinished says that a run here has ended.
+	// LocalFinished means that a run of this process has ended, with any outcome.
 	LocalFinished
-	// LocalReleased says that the key is held here no more, and has not run.
+	// LocalReleased means that this process has given up the key without running it.
 	LocalReleased
-	// OwnershipTaken makes this process the owner.
+	// OwnershipTaken means that this process has become the owner.
 	OwnershipTaken
-	// OwnershipPassed makes the peer the owner.
+	// OwnershipPassed means that the peer has become the owner.
 	OwnershipPassed
-	// PeerLost says that the peer is gone, or cannot be reached any more.
+	// PeerLost means that the peer has ended or cannot be reached any more.
 	PeerLost
 	eventCount
 )
@@ -90,31 +90,31 @@
 		"peer claimed", "local finished", "local released", "ownership taken", "ownership passed", "peer lost")
 }
 
-// Action is what the host is to do. Queue and Admit are about the attempt of the event, the others about the attempts
-// that wait, or about the peer.
+// Action is something that the host must do. Queue and Admit are about the attempt of the event, Release, Serve and
+// Fail about the attempts that wait, and the others are messages to the peer.
 type Action uint8
 
 // The actions.
 const (
-	// Queue has the attempt wait.
+	// Queue makes the attempt wait.
 	Queue Action = iota
-	// Admit hands the attempt to the decision module.
+	// Admit passes the attempt to the decision module.
 	Admit
-	// Release hands the waiting attempts to the decision module.
+	// Release passes the waiting attempts to the decision module.
 	Release
-	// Serve answers the waiting attempts with the end of the run.
+	// Serve answers the waiting attempts with the result of the run.
 	Serve
 	// Fail answers the waiting attempts, or the attempt of the event, with an error: whether the key ran is not known.
 	Fail
-	// Claim asks the owner for the key.
+	// Claim requests permission from the owner to run the key.
 	Claim
-	// Grant lets the peer run the key.
+	// Grant permits the peer to run the key.
 	Grant
-	// NotifyStarted tells the peer that the key is held or run here.
+	// NotifyStarted notifies the peer that this process runs the key or may run it.
 	NotifyStarted
-	// NotifyFinished tells the peer that a run of the key has ended here.
+	// NotifyFinished notifies the peer that the run of the key has ended here.
 	NotifyFinished
-	// NotifyReleased tells the peer that the key is held here no more, and has not run.
+	// NotifyReleased notifies the peer that this process has given up the key without running it.
 	NotifyReleased
 )
 
@@ -124,7 +124,7 @@
 		"notify finished", "notify released")
 }
 
-// name is the name of an enumeration's value, or its number where it has none.
+// name returns the name of an enumeration's value, or its type and number if it has none.
 func name(kind string, value int, names ...string) string {
 	if value < len(names) {
 		return names[value]
@@ -135,11 +135,12 @@
 // Key is the state of one key in one process.
 type Key struct {
 	State State
-	// PeerWaiting says that the peer waits for the end of what is held or run here.
+	// PeerWaiting means that the peer has claimed a Local key and waits for its end.
 	PeerWaiting bool
 }
 
-// Step moves a key on; waiting says that attempts of it wait here. It returns what is to be done, in that order.
+// Step applies an event. waiting reports whether attempts of the key wait here. It returns the actions that the host
+// must carry out, in that order.
 func (k *Key) Step(role Role, event Event, waiting bool) []Action {
 	switch event {
 	case Attempt:
@@ -181,13 +182,13 @@
 		return []Action{Queue}
 	case Indeterminate:
 		return []Action{Fail}
-	default: // Local and Done: the decision module knows of the run.
+	default: // Local and Done: the decision module knows the run.
 	}
 	return []Action{Admit}
 }
 
-// peerGranted counts in Remote as well: the peer held the key, and has dropped it. Without a waiting attempt the key is
-// given back.
+// peerGranted is also expected in state Remote: the peer had the key when it was claimed, and has given it up since. If
+// no attempt waits any more the key is given up again.
 func (k *Key) peerGranted(waiting bool) []Action {
 	if k.State != Requested && k.State != Remote {
 		return nil
@@ -227,7 +228,7 @@
 
 func (k *Key) peerClaimed(role Role) []Action {
 	if role != Owner {
-		return nil // The peer had sent it before it knew that it is the owner itself.
+		return nil // The peer sent the claim before it learned that it is the owner itself.
 	}
 	switch k.State {
 	case Local:
@@ -275,14 +276,14 @@
 	case Remote:
 		k.State = Indeterminate
 		return []Action{Fail}
-	case Requested: // An owner tells of a run before it begins: none has.
+	case Requested: // The owner would have notified us of a run before its begin, so there was none.
 		return k.claimForWaiters(waiting)
 	default:
 		return nil
 	}
 }
 
-// claimForWaiters lets the waiting attempts go; without any, nothing is known of the key.
+// claimForWaiters makes the key Local and releases the waiting attempts. If none waits the key becomes Free.
 func (k *Key) claimForWaiters(waiting bool) []Action {
 	if !waiting {
 		k.State = Free
--- a/internal/decide/loadbalancer/gossip.go
+++ b/internal/decide/loadbalancer/gossip.go
@@ -85,8 +85,8 @@
 		return false
 	}
 	b.gossip = next
-	// The instance that told will find out when the endpoint is back; this one probes only after a while, each instance at
-	// a time of its own.
+	// The instance that told will find out when the endpoint is back; this one probes only after a while, each instance
+	// at a time of its own.
 	if observation.Kind == Unreachable && target.state == Unobserved && target.probe.at <= now {
 		wait := microtime.Time(b.rng.Int64N(int64(b.config.MaxProbeBackoff)))
 		target.probe.at = now + b.config.MaxProbeBackoff/2 + wait
--- a/internal/decide/reload/reload.go
+++ b/internal/decide/reload/reload.go
@@ -1,9 +1,9 @@
-// Package reload decides which slots of a table classes and tenants have after a reload of the settings. Open
-// requests, kept keys and what was learned hold on to a slot, so that each keeps the class it was read in, whatever
-// the new settings say.
+// Package reload assigns the classes and tenants of reloaded settings to slots of the tables in force. Open requests,
+// retained keys and statistics refer to a slot by its index, so that a slot must keep its class as long as it is in
+// use.
 //
-// The request core (package dispatch) calls it with the tables in force and keeps the tables it returns. The package
-// owns nothing and never changes its arguments; it is without I/O, goroutines or a clock.
+// The request core (package dispatch) calls it with the tables in force and uses the tables that it returns. The
+// package has no state, never modifies its arguments, and uses no I/O, goroutines or clock.
 package reload
 
 import (
@@ -13,16 +13,16 @@
 	"pewterline/control"
 )
 
-// MaxSlots is how many slots a table may have: a bound on reloads that change everything each time.
+// MaxSlots bounds the slots of a table, which would otherwise grow with each reload that changes all classes.
 const MaxSlots = 256
 
-// TooManyError says that a table would have more than MaxSlots slots.
+// TooManyError means that a table would need more than MaxSlots slots.
 type TooManyError struct {
-	// Setting is the list at fault, "classes" or "tenants".
+	// Setting is the list that is too long, "classes" or "tenants".
 	Setting string
-	// Count is how many slots there would be.
+	// Count is how many slots would be needed.
 	Count int
-	// Including says which slots of earlier settings count as well.
+	// Including describes the slots of earlier settings that are included in Count.
 	Including string
 }
 
@@ -30,9 +30,9 @@
 	return fmt.Sprintf("settings.%s: %d %s, those %s included, are too many", e.Setting, e.Count, e.Setting, e.Including)
 }
 
-// PlaceClasses places the classes of new settings in a table. An unchanged class keeps its slot, which may have been
-// retired; a new or changed one takes the first retired slot that is free, or one at the end. All others are retired.
-// free says that nothing holds on to a slot. The error is a *TooManyError.
+// PlaceClasses returns a copy of table with the classes of new settings. An unchanged class keeps its slot, even if it
+// was retired before; a new or changed one gets the first retired slot that is free, or a new one at the end. All other
+// slots are retired. free reports whether a slot is not in use. The error is a *TooManyError.
 func PlaceClasses(table, next []control.Class, free func(slot int) bool) ([]control.Class, error) {
 	placed := slices.Clone(table)
 	for i := range placed {
@@ -60,7 +60,7 @@
 	return placed, nil
 }
 
-// unchangedSlot finds the first retired slot that has just this class; -1 if there is none.
+// unchangedSlot returns the first retired slot whose class is otherwise equal to class; -1 if there is none.
 func unchangedSlot(table []control.Class, class control.Class) int {
 	return slices.IndexFunc(table, func(before control.Class) bool {
 		retired := before.Retired
@@ -69,7 +69,7 @@
 	})
 }
 
-// freeSlot finds the first retired slot that nothing holds on to; -1 if there is none.
+// freeSlot returns the first retired slot that is free; -1 if there is none.
 func freeSlot(table []control.Class, free func(slot int) bool) int {
 	for slot := range table {
 		if table[slot].Retired && free(slot) {
@@ -79,8 +79,8 @@
 	return -1
 }
 
-// PlaceTenants places the tenants of new settings in a table, by their names. Those that are gone keep their slot and
-// quota. The error is a *TooManyError.
+// PlaceTenants returns a copy of table with the tenants of new settings, which keep their slot by name. Removed tenants
+// keep their slot and quota. The error is a *TooManyError.
 func PlaceTenants(table, next []control.Tenant) ([]control.Tenant, error) {
 	placed := slices.Clone(table)
 	for _, tenant := range next {
@@ -95,7 +95,7 @@
 	return placed, nil
 }
 
-// tenantSlot finds the last slot of a tenant; -1 if there is none.
+// tenantSlot returns the last slot of a tenant; -1 if there is none.
 func tenantSlot(table []control.Tenant, name string) int {
 	for slot, tenant := range slices.Backward(table) {
 		if tenant.Name == name {
--- a/internal/orderedset/set.go
+++ b/internal/orderedset/set.go
@@ -1,16 +1,16 @@
-// Package orderedset has a set that is iterated in an order that depends on nothing but the calls made to it. The
-// random order of a map would make replays of the same events differ.
+// Package orderedset provides a set whose iteration order depends only on the calls made to it, so that replays of the
+// same events behave the same. The iteration order of a map is random.
 //
 // The frontends and backends keep their sessions, connections and runs in it. It is not safe for concurrent use.
 package orderedset
 
-// Position is the place of an element in its set. A type whose pointers are to be elements embeds it; each element is
-// in one set at most.
+// Position is the index of an element in its set. A type whose pointers are elements embeds it. An element must be in
+// one set at most.
 type Position struct{ index int }
 
 func (p *Position) position() *Position { return p }
 
-// Element is what can be in a set: a pointer to a type that embeds Position.
+// Element is the constraint of a set's elements: pointers to a type that embeds Position.
 type Element interface{ position() *Position }
 
 // Set is a set of elements. Adding and removing take constant time. The zero value is empty.
@@ -22,14 +22,14 @@
 	s.items = append(s.items, element)
 }
 
-// Remove removes an element that is in the set; the last one takes its place.
+// Remove removes an element, which must be in the set. The last element takes its place in the order.
 func (s *Set[E]) Remove(element E) {
 	index := element.position().index
 	last := len(s.items) - 1
 	s.items[index] = s.items[last]
 	s.items[index].position().index = index
 	var none E
-	s.items[last] = none // So that the element can be collected.
+	s.items[last] = none // Drop the reference for the garbage collector.
 	s.items = s.items[:last]
 }
 
--- a/internal/settings/document.go
+++ b/internal/settings/document.go
@@ -1,7 +1,7 @@
 package settings
 
-// document is the settings text, a JSON object. Its keys are fixed by the platform; a key that is not named here is
-// skipped. Names that end in MS are milliseconds.
+// document is the settings text, a JSON object. Its keys are fixed by the platform; unknown keys are ignored. Fields
+// that end in MS are in milliseconds.
 type document struct {
 	Classes         []classText  `json:"classes"`
 	Tenants         []tenantText `json:"tenants"`
@@ -14,7 +14,7 @@
 	Site            siteText     `json:"extra"`
 }
 
-// classText describes a class of requests.
+// classText is a class of requests.
 type classText struct {
 	Name               string  `json:"name"`
 	LatencyObjectiveMS float64 `json:"aim_ms"`
@@ -26,24 +26,24 @@
 	Idempotency        string  `json:"effect"`
 }
 
-// tenantText describes a tenant; the quota is in requests a second.
+// tenantText is a tenant. The quota is in requests per second over all servers.
 type tenantText struct {
 	Name  string  `json:"name"`
 	Quota float64 `json:"quota_rps"`
 }
 
-// clientsText are the habits of the callers.
+// clientsText describes the behaviour of the callers.
 type clientsText struct {
 	RetriesMarked bool `json:"marks_retry"`
 }
 
-// limitsText are what the site permits.
+// limitsText holds what the platform permits a server.
 type limitsText struct {
 	MaxRetryAfterMS     float64 `json:"max_retry_after_ms"`
 	RetryAfterForwarded bool    `json:"retry_after"`
 }
 
-// rulesText are the figures of the invariants that a server must keep.
+// rulesText holds the parameters of the invariants that a server must keep.
 type rulesText struct {
 	AnswerGraceMS          float64 `json:"grace_to_answer_ms"`
 	WarmUpMinSpeed         float64 `json:"cold_from"`
@@ -53,7 +53,7 @@
 	MaxConcurrencyWindowMS float64 `json:"tip_after_ms"`
 }
 
-// siteText are facts about the server and its site.
+// siteText describes the server and its environment.
 type siteText struct {
 	Callers                 int       `json:"callers"`
 	CallConcurrencyShare    float64   `json:"calls_out"`
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,7 +1,7 @@
-// Package settings parses the settings that an operator gives a server, and the names of the gauges that come with
-// them, into what the control module works with. The configuration of the server (internal/config) and the adapter for
-// the simulator (internal/simadapter) share it, so that both understand the same text. It owns the fixed names of the
-// text, which occur nowhere else, and never keeps any state.
+// Package settings parses the settings text that an operator gives a server into control.Settings and the names of the
+// gauges. The configuration of the server (internal/config) and the adapter for the simulator (internal/simadapter)
+// share it, so that both accept the same text. Only this package uses the fixed keys and words of the text. It has no
+// state.
 package settings
 
 import (
@@ -13,7 +13,7 @@
 	"pewterline/control"
 )
 
-// UnknownValueError says that a setting has a value that it does not offer.
+// UnknownValueError means that a setting has none of its allowed values.
 type UnknownValueError struct {
 	Setting string // its key in the text
 	Value   string
@@ -24,9 +24,8 @@
 	return fmt.Sprintf("settings: unknown %s %q", e.Setting, e.Value)
 }
 
-// Parse reads the settings text; unknown keys are skipped. All randomness of a controller with these settings comes
-// from the seed. It also returns the names of the gauges that come with each tick, in their order. An error is of the
-// JSON text or an UnknownValueError.
+// Parse reads the settings text; unknown keys are ignored. seed becomes Settings.Seed. Parse also returns the names of
+// the gauges of each tick, in their order. The error is an *UnknownValueError or wraps that of encoding/json.
 func Parse(text []byte, seed uint64) (settings control.Settings, gauges []string, err error) {
 	var doc document
 	if err := json.Unmarshal(text, &doc); err != nil {
@@ -52,7 +51,7 @@
 	return settings, doc.Site.Gauges, nil
 }
 
-// figures are the settings that need no parsing of words.
+// figures returns the settings that are numbers or booleans; only WeightPerWork is a word in the text.
 func (d *document) figures() control.Settings {
 	settings := control.Settings{
 		Cores:                     d.Site.Cores,
@@ -86,7 +85,7 @@
 	return settings
 }
 
-// classes are the classes with what the site says of each.
+// classes returns the classes, combined with the lists by class in the site's part of the text.
 func (d *document) classes() ([]control.Class, error) {
 	var classes []control.Class
 	for i, text := range d.Classes {
@@ -170,8 +169,8 @@
 	return 0, &UnknownValueError{Setting: "effect", Value: word}
 }
 
-// ReadGauges sorts the values of a tick by the names that Parse returned. A gauge without a name or a value is -1,
-// which means "not known".
+// ReadGauges assigns the values of a tick to gauges by the names that Parse returned, in the same order. A gauge
+// without a value is -1, which means "not known".
 func ReadGauges(names []string, values []float64) control.Gauges {
 	gauges := control.Gauges{CPUUtilization: -1, Runnable: -1, Memory: -1, Connections: -1}
 	for i, name := range names[:min(len(names), len(values))] {
@@ -189,8 +188,8 @@
 	return gauges
 }
 
-// FromMillis turns milliseconds, as settings and wire have them, into a duration of whole microseconds. What is no
-// number is zero; what is out of range becomes the longest duration that sums of a few still hold.
+// FromMillis converts milliseconds, the unit of settings and wire, to a duration of whole microseconds. NaN becomes
+// zero. Values out of range become a quarter of the longest duration, so that sums of a few durations do not overflow.
 func FromMillis(milliseconds float64) time.Duration {
 	const longest = math.MaxInt64 / 4
 	nanoseconds := milliseconds * 1e6
--- a/internal/simadapter/batch.go
+++ b/internal/simadapter/batch.go
@@ -8,21 +8,21 @@
 	"pewterline/control"
 )
 
-// Batch is one decoded frame: what happened at one moment.
+// Batch is one decoded frame: the events of one moment.
 type Batch struct {
 	Number  uint32
 	Now     time.Duration // the simulator's clock
 	Records []Record
 }
 
-// RecordKind says what a Record holds.
+// RecordKind is what a Record holds.
 type RecordKind uint8
 
 // The kinds of records.
 const (
 	RecordEvent           RecordKind = iota // an event for the controller of an instance
 	RecordInstanceStarted                   // an instance starts
-	RecordInstanceKilled                    // an instance dies, and all that it knew
+	RecordInstanceKilled                    // an instance is killed and loses its state
 )
 
 // String returns the kind in words.
@@ -47,13 +47,13 @@
 	GaugeValues []float64       // of a Tick, in the order of the names in the settings
 }
 
-// InstanceStarted begins the life of an instance.
+// InstanceStarted starts an instance. A running instance of the same number is replaced.
 type InstanceStarted struct {
 	Seed     uint64
 	Settings []byte // the settings text
 }
 
-// Decode reads one whole frame. Its errors are FrameErrors.
+// Decode decodes one whole frame. Its errors are of type *FrameError.
 func Decode(frame []byte) (Batch, error) {
 	if len(frame) < batchHeaderSize {
 		return Batch{}, frameErrorf(0, "%w: a frame of %d bytes is shorter than its header", ErrTruncated, len(frame))
@@ -82,7 +82,7 @@
 	return batch, nil
 }
 
-// decodeRecord reads one event record.
+// decodeRecord decodes one event record.
 func decodeRecord(fields record, tail []byte) (decoded Record, err error) {
 	decoded.Instance = fields.uint32(atInstance)
 	switch code := eventCode(fields.uint16(atCode)); code {
@@ -151,7 +151,7 @@
 	return control.CallFinished{ID: fields.requestID(atRequest), Outcome: outcome, Took: fields.duration(10)}, err
 }
 
-// decodeOutcome reads an outcome: the wire counts 10, 20, ... in control's order.
+// decodeOutcome decodes an outcome. The wire numbers the outcomes 10, 20, ... in the order of package control.
 func decodeOutcome(code uint8) (control.Outcome, error) {
 	if code < 10 || code > 80 || code%10 != 0 {
 		return 0, fmt.Errorf("%w %d", ErrUnknownOutcome, code)
--- a/internal/simadapter/host.go
+++ b/internal/simadapter/host.go
@@ -12,10 +12,10 @@
 	"pewterline/internal/settings"
 )
 
-// inputBufferSize is the size of the buffer before the input, in bytes.
+// inputBufferSize is the size of the input buffer, in bytes.
 const inputBufferSize = 1 << 16
 
-// Host carries the instances of one process between the wire and their controllers. It is not safe for concurrent use.
+// Host runs the controllers of the instances of one process. It must not be used concurrently.
 type Host struct {
 	instances map[uint32]*instance
 }
@@ -24,14 +24,14 @@
 type instance struct {
 	controller *control.Controller
 	gaugeNames []string
-	events     []control.Event // of this batch
+	events     []control.Event // of the current batch
 }
 
 // NewHost returns a Host without instances.
 func NewHost() *Host { return &Host{instances: map[uint32]*instance{}} }
 
-// Serve answers frames until the input ends between two of them. Its errors name the number of the frame; those of
-// unreadable frames wrap a FrameError.
+// Serve reads frames and writes one reply to each. It returns nil when the input ends between two frames. Its errors
+// contain the number of the frame; those of invalid frames wrap a *FrameError.
 func (h *Host) Serve(input io.Reader, output io.Writer) error {
 	reader, writer := bufio.NewReaderSize(input, inputBufferSize), bufio.NewWriter(output)
 	for number := 0; ; number++ {
@@ -55,7 +55,7 @@
 	}
 }
 
-// readFrame reads one whole frame; io.EOF says that there is none.
+// readFrame reads one whole frame. The error is io.EOF if the input has ended.
 func readFrame(reader *bufio.Reader) ([]byte, error) {
 	header := make(record, batchHeaderSize)
 	if read, err := io.ReadFull(reader, header); err != nil {
@@ -68,7 +68,7 @@
 	if length < batchHeaderSize || length > maxFrameSize {
 		return nil, frameErrorf(4, "%w: %d is out of range", ErrLength, length)
 	}
-	// Read through a limit, so that a wrong length never allocates more than what is there.
+	// Read through a limit, so that a corrupt length never allocates more than the input holds.
 	wanted := int64(length) - batchHeaderSize
 	rest, err := io.ReadAll(io.LimitReader(reader, wanted))
 	if err != nil {
@@ -80,15 +80,15 @@
 	return append(header, rest...), nil
 }
 
-// HandleBatch hands each instance its events, in their order, and gathers what it does. Instances act in the order in
-// which the batch first names them.
+// HandleBatch passes each instance its events, in their order, and collects its actions. Instances are stepped in the
+// order in which the batch first names them.
 func (h *Host) HandleBatch(batch Batch) *Reply {
 	reply := &Reply{}
 	var order []uint32
 	for _, rec := range batch.Records {
 		switch rec.Kind {
 		case RecordInstanceKilled:
-			// What the old life had not yet been told dies with it.
+			// Earlier events of this batch for the killed instance are dropped with it.
 			delete(h.instances, rec.Instance)
 		case RecordInstanceStarted:
 			h.start(rec.Instance, rec.Started, reply)
@@ -107,7 +107,7 @@
 	return reply
 }
 
-// addEvent adds an event to those of its instance; false says that it belongs to a life that has ended.
+// addEvent queues an event for its instance. It returns false if there is no such instance any more.
 func (h *Host) addEvent(rec Record) bool {
 	target := h.instances[rec.Instance]
 	if target == nil {
@@ -122,7 +122,7 @@
 	return true
 }
 
-// start begins the life of an instance.
+// start creates the controller of an instance. An error is reported in the reply.
 func (h *Host) start(id uint32, started InstanceStarted, reply *Reply) {
 	delete(h.instances, id)
 	parsed, gaugeNames, err := settings.Parse(started.Settings, started.Seed)
@@ -138,8 +138,8 @@
 	h.instances[id] = &instance{controller: controller, gaugeNames: gaugeNames}
 }
 
-// step runs one instance on its events. A panic of its controller is reported as the wire wants it, and ends only this
-// instance.
+// step passes an instance its queued events. A panic of its controller is reported in the reply, as the wire protocol
+// requires, and ends only this instance.
 func (h *Host) step(now time.Duration, id uint32, reply *Reply) {
 	stepped := h.instances[id]
 	if stepped == nil {
--- a/internal/simadapter/reply.go
+++ b/internal/simadapter/reply.go
@@ -2,7 +2,7 @@
 
 import "pewterline/control"
 
-// Reply gathers the actions that answer one batch. Its zero value is an empty reply.
+// Reply collects the actions that answer one batch. The zero value is an empty reply.
 type Reply struct {
 	records []byte
 	tail    []byte
@@ -57,12 +57,12 @@
 	}
 }
 
-// ReportFailure reports that the code of an instance has failed, which ends the simulation.
+// ReportFailure reports that an instance could not start or has panicked, which ends the simulation.
 func (p *Reply) ReportFailure(instance uint32, text string) {
 	p.addText(actionReportFailure, instance, text)
 }
 
-// Encode returns the whole reply to the batch of that number.
+// Encode returns the encoded reply to the batch with the given number.
 func (p *Reply) Encode(number uint32) []byte {
 	size := replyHeaderSize + len(p.records) + len(p.tail)
 	header := make(record, replyHeaderSize, size)
@@ -72,7 +72,7 @@
 	return append(append(header, p.records...), p.tail...)
 }
 
-// add appends a record with the fields that all have.
+// add appends a record with the fields that all records have.
 func (p *Reply) add(code actionCode, instance uint32) record {
 	start := len(p.records)
 	p.records = append(p.records, make([]byte, actionRecordSize)...)
--- a/internal/simadapter/wire.go
+++ b/internal/simadapter/wire.go
@@ -1,7 +1,7 @@
-// Package simadapter carries controllers on the wire of the platform's simulator: it turns the simulator's frames into
-// the events of the control module and its actions into frames. cmd/simadapter runs one Host on standard input and
-// output. A Host owns the controllers of the instances in its process, which share nothing. The package never decides
-// anything about requests and never looks at a clock: time is that of the batches.
+// Package simadapter connects controllers to the platform's simulator: it decodes the simulator's frames into events of
+// package control and encodes the actions into frames. cmd/simadapter runs one Host on standard input and output. A
+// Host owns the controllers of the instances in its process, which share no state. The package makes no decisions about
+// requests and reads no clock: the time is that of the batches.
 package simadapter
 
 import (
@@ -15,13 +15,13 @@
 	"pewterline/internal/settings"
 )
 
-// Sizes in bytes. Frames are little-endian: a header, records of one size and a tail for what varies in size.
+// Sizes in bytes. A frame is little-endian and consists of a header, records of fixed size, and a tail with the texts.
 const (
 	batchHeaderSize  = 20
 	replyHeaderSize  = 12
 	eventRecordSize  = 72
 	actionRecordSize = 24
-	maxFrameSize     = 1 << 28 // Batches run to megabytes: anything near this is a corrupt length.
+	maxFrameSize     = 1 << 28 // Batches have a few megabytes: a larger length is corrupt.
 )
 
 // eventCode is the first field of an event record.
@@ -62,21 +62,21 @@
 	actionReportFailure                              // internal_error
 )
 
-// Positions of fields from the start of their record. Each record starts with a code and an instance; most go on with
-// a request.
+// Byte offsets of fields from the start of their record. Each record starts with a code and an instance; most continue
+// with a request.
 const (
 	atCode     = 0
 	atInstance = 2
 	atRequest  = 6
 )
 
-// Bits of the marks of a request.
+// Bits of the marks field of a request.
 const (
 	markCostHint = 1 // the cost hint is valid
 	markRetry    = 2 // a retry or a hedged request
 )
 
-// The reasons why a frame cannot be read.
+// The reasons why a frame is invalid. A *FrameError wraps one of them.
 var (
 	ErrTruncated      = errors.New("input ends too early")
 	ErrLength         = errors.New("bad length")
@@ -86,24 +86,24 @@
 	ErrUnknownEvent   = errors.New("unknown event code")
 )
 
-// FrameError says which byte of a frame cannot be read, and why.
+// FrameError is the error of an invalid frame.
 type FrameError struct {
-	Offset int64
+	Offset int64 // of the invalid byte in the frame
 	Err    error // wraps one of the reasons above
 }
 
-// Error names the offset and the reason.
+// Error returns the offset and the reason.
 func (e *FrameError) Error() string { return fmt.Sprintf("offset %d: %v", e.Offset, e.Err) }
 
 // Unwrap returns the reason.
 func (e *FrameError) Unwrap() error { return e.Err }
 
-// frameErrorf returns a FrameError whose reason wraps the error among the arguments.
+// frameErrorf returns a *FrameError whose reason wraps the error among the arguments.
 func frameErrorf(offset int64, format string, args ...any) error {
 	return &FrameError{Offset: offset, Err: fmt.Errorf(format, args...)}
 }
 
-// record is one record, or a header. Its methods read and write fields at positions that the wire fixes.
+// record is the bytes of one record or header. Its methods read and write fields at byte offsets.
 type record []byte
 
 func (r record) uint8(at int) uint8   { return r[at] }
