--- a/internal/decide/consensus/acceptor.go
+++ b/internal/decide/consensus/acceptor.go
@@ -5,28 +5,29 @@
 	"slices"
 )
 
-// compactKeyOrderFrom is how many stale entries the order of keys may have before it is compacted.
+// compactKeyOrderFrom is how many stale entries keyOrder may always have before it is compacted.
 const compactKeyOrderFrom = 1000
 
-// Register is what an acceptor keeps of a key. It has to be durable before the reply goes out that it was changed for.
+// Register is the state of a key at an acceptor. A change must be durable before the reply that depends on it is sent.
 type Register struct {
-	Promised, Accepted Ballot
-	Value              Value
-	LastAttemptAt      int64  // the last attempt that the key was asked for, Unix milliseconds
-	TransferredEpoch   uint64 // the last epoch in which the key was transferred to the replicas of the next configuration
+	Promised         Ballot // the highest ballot that was promised
+	Accepted         Ballot // the ballot of Value
+	Value            Value
+	LastAttemptAt    int64  // time of the last attempt of the key, Unix milliseconds
+	TransferredEpoch uint64 // the last epoch in which the key was transferred to the replicas of the next configuration
 }
 
-// Acceptor is the acceptors' side of the protocol: it promises, accepts and remembers.
+// Acceptor is the acceptor role of the protocol: it promises ballots, accepts values and keeps the registers.
 type Acceptor struct {
 	Self      Identity
-	Epoch     uint64 // of the membership that it goes by
+	Epoch     uint64 // of the membership in force
 	registers map[string]Register
-	// keyOrder has the keys as they came, so that they can be gone through a part at a time. It may have keys that have
-	// expired, and keys twice.
+	// keyOrder holds the keys in the order in which they were added, so that a scan can process them in batches. It may
+	// hold expired keys, and keys twice.
 	keyOrder []string
 }
 
-// NewAcceptor returns an acceptor with the registers that it had made durable; nil: none, as a new incarnation has.
+// NewAcceptor returns an acceptor with its durable registers; nil for a new incarnation, which has none.
 func NewAcceptor(self Identity, registers map[string]Register) *Acceptor {
 	if registers == nil {
 		registers = map[string]Register{}
@@ -34,8 +35,8 @@
 	return &Acceptor{Self: self, registers: registers, keyOrder: slices.Sorted(maps.Keys(registers))}
 }
 
-// Handle answers a request. changed says that the key's register has to be made durable before the reply goes out. ok
-// is false where there is no reply, because the request is for another incarnation.
+// Handle answers a request. changed means that the key's register must be made durable before the reply is sent. ok is
+// false, and there is no reply, if the request is for another incarnation.
 func (a *Acceptor) Handle(request Request) (_ Reply, changed, ok bool) {
 	if request.To != a.Self {
 		return Reply{}, false, false
@@ -75,11 +76,12 @@
 	return reply, changed, true
 }
 
-// Register returns what is kept of a key.
+// Register returns the register of a key; the zero value if there is none.
 func (a *Acceptor) Register(key string) Register { return a.registers[key] }
 
-// Expire drops the keys whose last attempt came before a time (Unix milliseconds), and returns how many they were. All
-// replicas of a key have to be past its retention by more than any request is on its way.
+// Expire drops the keys whose last attempt was before a time (Unix milliseconds), and returns their number. The time
+// must be earlier than now by more than the retention plus the longest delay of a message: a replica that drops a key
+// while an attempt of it is still in flight could grant the lease again.
 func (a *Acceptor) Expire(before int64) (dropped int) {
 	for key, register := range a.registers {
 		if register.LastAttemptAt < before {
@@ -93,8 +95,8 @@
 // Len returns how many keys have a register.
 func (a *Acceptor) Len() int { return len(a.registers) }
 
-// setEpoch goes by the membership of an epoch from now on. Registers of earlier memberships are dropped, as requests of
-// earlier epochs are refused.
+// setEpoch sets the epoch of the membership in force. The registers that decided earlier memberships are dropped, as
+// requests of earlier epochs are refused.
 func (a *Acceptor) setEpoch(epoch uint64) {
 	a.Epoch = epoch
 	for key := range a.registers {
@@ -104,7 +106,7 @@
 	}
 }
 
-// markTransferred notes that a majority of the key's next replicas has accepted its value.
+// markTransferred records that a majority of the key's replicas in the next configuration has accepted its value.
 func (a *Acceptor) markTransferred(key string) (_ Register, changed bool) {
 	register, ok := a.registers[key]
 	if !ok || register.TransferredEpoch == a.Epoch {
@@ -115,7 +117,7 @@
 	return register, true
 }
 
-// compactKeyOrder drops stale entries from the order of keys, where these are most of it.
+// compactKeyOrder drops the stale entries of keyOrder if they are the majority.
 func (a *Acceptor) compactKeyOrder() {
 	if len(a.keyOrder) <= 2*len(a.registers)+compactKeyOrderFrom {
 		return
@@ -129,12 +131,12 @@
 	})
 }
 
-// repairable reports whether a key has a value that may have to be brought to other replicas.
+// repairable reports whether a key has a value that other replicas may lack.
 func (a *Acceptor) repairable(key string) bool {
 	return !isMembershipKey(key) && a.registers[key].Value.Kind != KindNone
 }
 
-// valueKeys returns the keys that have a value, without those of memberships, in their order.
+// valueKeys returns the sorted keys that have a value, without those of memberships.
 func (a *Acceptor) valueKeys() (keys []string) {
 	for key := range a.registers {
 		if a.repairable(key) {
--- a/internal/decide/consensus/ballot.go
+++ b/internal/decide/consensus/ballot.go
@@ -2,16 +2,16 @@
 
 import "cmp"
 
-// Identity names one incarnation of a server. As an acceptor a server keeps its incarnation as long as its disk: one
-// whose disk was lost is another acceptor, and no vote of it counts as one of its old self. As a proposer it has a new
-// incarnation with each process.
+// Identity identifies one incarnation of a server. As an acceptor a server keeps its incarnation as long as its disk: a
+// server that lost its disk is another acceptor, whose votes do not count as those of the former one. As a proposer it
+// has a new incarnation with each process.
 type Identity struct {
 	ID          uint32
 	Incarnation uint64
 }
 
-// Ballot orders the attempts to change a key. No two attempts have the same ballot: a process that starts anew may not
-// know which numbers the one before it has used, and is another proposer.
+// Ballot orders the attempts to change a key. Ballots are unique: a restarted process, which does not know the numbers
+// that the former one has used, is another proposer.
 type Ballot struct {
 	Number   uint64
 	Proposer Identity
--- a/internal/decide/consensus/change.go
+++ b/internal/decide/consensus/change.go
@@ -2,15 +2,15 @@
 
 import "strconv"
 
-// ValueKind is how far the execution under an idempotency key has come.
+// ValueKind is the state of the execution of an idempotency key.
 type ValueKind uint8
 
-// The kinds of values. The numbers are part of the format on the wire and on disk.
+// The kinds of values. The numbers are part of the wire and disk formats.
 const (
-	KindNone       ValueKind = iota // nothing is agreed on
-	KindLeased                      // the owner may run the request, and may have
+	KindNone       ValueKind = iota // no value
+	KindLeased                      // the owner may run the request, and may have run it
 	KindSucceeded                   // the request ran, with Result
-	KindFailed                      // the request ran and failed, or the end of its run is lost
+	KindFailed                      // the request ran and failed, or the outcome of its run is lost
 	KindMembership                  // Result is the text of the membership that follows another one
 )
 
@@ -31,13 +31,13 @@
 	return "ValueKind(" + strconv.Itoa(int(k)) + ")"
 }
 
-// Value is what is agreed on a key. Times are those that the callers' attempts carry, in Unix milliseconds, so that no
-// server's clock matters.
+// Value is the value of a key on which its replicas agree. Times are those that the callers' attempts carry, in Unix
+// milliseconds, so that no server's clock matters.
 type Value struct {
 	Kind        ValueKind
 	Owner       uint32 // the server that holds or held the lease
-	Incarnation uint64 // of the owner's process: the next process knows nothing of what this one ran
-	Attempt     uint64 // number of the lease within that process: two leases of one process differ as well
+	Incarnation uint64 // of the owner's process, as the next process does not know what this one ran
+	Attempt     uint64 // number of the lease, unique within that process
 	AttemptedAt int64  // time of the attempt that runs
 	Result      string
 }
@@ -47,10 +47,10 @@
 
 // The kinds of changes.
 const (
-	AcquireLease     ChangeKind = iota // takes the lease to run the request
-	RecordResult                       // records the end of a run
-	ReadValue                          // changes nothing, and has a majority accept what is agreed on
-	ReleaseLease                       // gives the lease back: the run was not begun
+	AcquireLease     ChangeKind = iota // acquires the lease to run the request
+	RecordResult                       // records the outcome of a run
+	ReadValue                          // changes nothing, but makes a majority accept the value
+	ReleaseLease                       // releases the lease: the run was not started
 	DecideMembership                   // decides which membership follows another one
 )
 
@@ -71,7 +71,7 @@
 	return "ChangeKind(" + strconv.Itoa(int(k)) + ")"
 }
 
-// Outcome is what a change means for its proposer.
+// Outcome is the result of a change for its proposer.
 type Outcome uint8
 
 // The outcomes.
@@ -81,8 +81,8 @@
 	OutcomeFailed                               // the request ran and failed
 	OutcomeIndeterminate                        // another process may have run it: unknown until the retention is over
 	OutcomeLeaseLost                            // the proposer does not hold the lease any more
-	OutcomeVacant                               // nothing that is known stands in the way of a run
-	OutcomeMembershipDecided                    // the value's result is the membership that follows
+	OutcomeVacant                               // the key has no value in force, so that the request may run
+	OutcomeMembershipDecided                    // Value.Result is the membership that follows
 )
 
 // String returns the name of the outcome.
@@ -106,25 +106,25 @@
 	return "Outcome(" + strconv.Itoa(int(o)) + ")"
 }
 
-// Change is a change of a key's value that a server wants: the change function of CASPaxos.
+// Change is a proposed change of a key's value: the change function of CASPaxos.
 type Change struct {
 	Kind        ChangeKind
 	Proposer    Identity
-	Attempt     uint64 // within the proposer's process: of a lease its number, of all else that of the lease it is about
+	Attempt     uint64 // number of the lease that is acquired, recorded or released; unique within the process
 	AttemptedAt int64  // time of the attempt, Unix milliseconds
-	Retention   int64  // how long a value stays in force, milliseconds
-	Succeeded   bool   // of RecordResult: how the run has ended
+	Retention   int64  // how long a value stays in force after its AttemptedAt, milliseconds
+	Succeeded   bool   // of RecordResult: whether the run has succeeded
 	Result      string // of RecordResult and DecideMembership
-	// NeverStarted says that no lease that this process has had for the key before led to a run, or will. AcquireLease
-	// may take the place of such a lease.
+	// NeverStarted means that no earlier lease of this process for the key has led to a run, or ever will. AcquireLease
+	// may replace such a lease.
 	NeverStarted bool
-	// ForcedAt is when an operator went on without a majority, Unix milliseconds; 0: never. For the retention after that
-	// time an empty register does not prove that nothing ran.
+	// ForcedAt is when an operator last forced a membership without a majority, Unix milliseconds; 0: never. Until the
+	// retention after that time is over, an empty register does not prove that nothing ran.
 	ForcedAt int64
 }
 
-// Apply returns what the change makes of a value, and what that means for the proposer. It may be called several times,
-// with whatever is agreed on by then: a change that was made already is not made again.
+// Apply returns the changed value and the outcome for the proposer. A proposal that is retried calls it again, possibly
+// with a value that already contains the change; Apply is idempotent.
 func (c Change) Apply(value Value) (Value, Outcome) {
 	switch c.Kind {
 	case RecordResult:
@@ -147,7 +147,7 @@
 func (c Change) recordResult(value Value) (Value, Outcome) {
 	holds := c.holdsLease(value)
 	switch {
-	// A register may be empty though the request did run: the lease was given up together with its replicas.
+	// The register of a request that ran may be empty: its lease was lost together with the replicas.
 	case (holds || value.Kind == KindNone) && c.Succeeded:
 		succeeded := c.ownValue(KindSucceeded)
 		succeeded.Result = c.Result
@@ -163,7 +163,8 @@
 	return value, OutcomeLeaseLost
 }
 
-// acquireOrRead compares times of attempts alone: what counts is when a repeated request was sent by its own word.
+// acquireOrRead applies AcquireLease and ReadValue. Expiry is decided by the times that the attempts carry, not by a
+// clock.
 func (c Change) acquireOrRead(value Value) (Value, Outcome) {
 	expired := value.Kind == KindNone || c.AttemptedAt >= value.AttemptedAt+c.Retention
 	switch {
@@ -183,14 +184,15 @@
 	return value, OutcomeIndeterminate
 }
 
-// withinForcedRetention reports whether values that were lost when an operator went on without a majority may still be
-// in force.
+// withinForcedRetention reports whether values that were lost when an operator forced a membership may still be in
+// force.
 func (c Change) withinForcedRetention() bool {
 	return c.ForcedAt > 0 && c.AttemptedAt < c.ForcedAt+c.Retention
 }
 
 // supersedes reports whether v is an earlier lease of the same process that led to no run. A later lease is never
-// superseded: guards a run against a lease that was given up before it and is agreed on after it.
+// superseded: a proposal that was abandoned may still take effect, and must not replace the lease of a run that was
+// started since.
 func (c Change) supersedes(v Value) bool {
 	return v.Kind == KindLeased && c.sameProcess(v) && c.NeverStarted && v.Attempt < c.Attempt
 }
--- a/internal/decide/consensus/config.go
+++ b/internal/decide/consensus/config.go
@@ -7,16 +7,16 @@
 	"pewterline/internal/microtime"
 )
 
-// Config is how a Node goes about its proposals. Its errors name the keys of the settings file.
+// Config holds the parameters of a Node. The errors of Validate name the keys of the settings file.
 type Config struct {
-	AttemptTimeout  microtime.Time // for the replicas' replies, before a proposal is retried
-	ProposalTimeout microtime.Time // for a proposal in all: after it, it is not known whether the change was made
-	MaxInFlight     int            // proposals at once, without repairs; more are refused
-	RepairRate      int            // keys a second that are brought to replicas that may lack them
-	MaxRepairs      int            // repairs at once
+	AttemptTimeout  microtime.Time // how long to wait for replies before a proposal is retried
+	ProposalTimeout microtime.Time // how long to retry a proposal; then it is not known whether the change was made
+	MaxInFlight     int            // proposals in flight, without repairs; more are refused
+	RepairRate      int            // repairs started per second
+	MaxRepairs      int            // repairs in flight
 }
 
-// Validate returns an error that names what makes no sense.
+// Validate returns an error that names the first parameter that is out of range.
 func (c Config) Validate() error {
 	switch {
 	case c.AttemptTimeout <= 0 || c.ProposalTimeout < 2*c.AttemptTimeout:
@@ -30,8 +30,8 @@
 	return nil
 }
 
-// The errors of proposals and of changes of the membership. Nothing was changed where one is returned. Their texts are
-// part of the responses of the operators' API, which calls a membership a group and its commands copies.
+// The errors of proposals and of changes of the membership. If one is returned nothing has changed. Their texts are
+// part of the responses of the operators' API, in which a membership is a group and the replication is called copies.
 var (
 	ErrTooManyInFlight  = errors.New("copies: too many changes are under way")
 	ErrNoMembership     = errors.New("copies: no group is known here yet")
--- a/internal/decide/consensus/inflight.go
+++ b/internal/decide/consensus/inflight.go
@@ -7,26 +7,27 @@
 )
 
 const (
-	// firstPreemptionShift makes the first pause after a preemption a 16th of the attempt timeout: the number that is
-	// known by then will be too low after a while.
+	// firstPreemptionShift makes the longest backoff after the first preemption a 16th of the attempt timeout. It is
+	// short, as the ballot number that the reply told is soon outdated.
 	firstPreemptionShift = 5
-	// maxPreemptionShift bounds the growth of that pause.
+	// maxPreemptionShift bounds the doublings of that backoff.
 	maxPreemptionShift = 10
 )
 
-// inFlightProposal is a proposal, and the times at which something is due for it.
+// inFlightProposal is a proposal with its timers.
 type inFlightProposal struct {
 	id          uint64
 	proposal    *Proposal
 	repair      bool
 	retryAt     microtime.Time
 	deadline    microtime.Time
-	backoff     microtime.Time // until the retry after the next one
-	preemptions int
+	backoff     microtime.Time // mean interval after the next retry
+	preemptions int            // how often a higher ballot preempted it
 }
 
-// Propose starts a change of a key, and returns the ID of its Result. The errors are ErrNoMembership and
-// ErrTooManyInFlight. The number of a lease's attempt is the ID; changes that follow from the lease have to carry it.
+// Propose starts a change of a key and returns the ID of its Result. The errors are ErrNoMembership and
+// ErrTooManyInFlight. For AcquireLease the ID is also the number of the lease, which the changes that record or release
+// it must have as their Attempt.
 func (n *Node) Propose(now microtime.Time, key string, change Change) (uint64, error) {
 	switch {
 	case n.membership.Epoch == 0:
@@ -42,7 +43,7 @@
 	return n.start(now, ProposalConfig{Key: key, Change: change, Configurations: configurations}), nil
 }
 
-// start puts a proposal in flight; the epoch, the proposer and the ballot's number are filled in.
+// start starts a proposal. It sets the epoch, the proposer and the ballot number of config.
 func (n *Node) start(now microtime.Time, config ProposalConfig) uint64 {
 	n.lastID++
 	n.ballotNumber++
@@ -62,7 +63,7 @@
 	return n.lastID
 }
 
-// HandleReply takes a reply to a request of this node.
+// HandleReply handles a reply to a request of this node.
 func (n *Node) HandleReply(now microtime.Time, reply Reply) {
 	if !reply.OK && reply.Epoch < n.membership.Epoch {
 		n.notify(reply.From.ID)
@@ -83,8 +84,8 @@
 	}
 }
 
-// backOffAfterPreemption draws when a preempted proposal is retried. The pause is random and grows, so that two
-// proposers of a key don't go on standing in each other's way.
+// backOffAfterPreemption draws when a preempted proposal is retried. The backoff is random and grows, so that two
+// proposers of a key do not preempt each other for ever.
 func (n *Node) backOffAfterPreemption(now microtime.Time, p *inFlightProposal) {
 	p.preemptions++
 	longest := n.config.AttemptTimeout >> firstPreemptionShift << min(p.preemptions, maxPreemptionShift)
@@ -92,7 +93,7 @@
 	p.retryAt = min(p.retryAt, now+1+microtime.Time(n.rng.Int64N(int64(longest+1))))
 }
 
-// tickProposals retries and ends what is due.
+// tickProposals retries the proposals whose retry is due and ends those whose deadline has passed.
 func (n *Node) tickProposals(now microtime.Time) {
 	for i := 0; i < len(n.inFlight); i++ {
 		entry := n.inFlight[i]
@@ -111,7 +112,7 @@
 	}
 }
 
-// end takes off a proposal that is done, or whose time is over.
+// end removes a proposal that is done, or whose deadline has passed, and reports its result.
 func (n *Node) end(now microtime.Time, index int) {
 	ended := n.inFlight[index]
 	n.inFlight = slices.Delete(n.inFlight, index, index+1)
@@ -129,11 +130,11 @@
 	}
 }
 
-// reconfigure has the proposals in flight go on at the replicas of the membership that was adopted just now.
+// reconfigure restarts the proposals in flight at the replicas of the membership that was just adopted.
 func (n *Node) reconfigure(now microtime.Time) {
 	for i := 0; i < len(n.inFlight); i++ {
 		entry := n.inFlight[i]
-		if isMembershipKey(entry.proposal.Key) { // what it was to decide is known now
+		if isMembershipKey(entry.proposal.Key) { // its decision is superseded by the adopted membership
 			n.change.proposalID = 0
 			n.inFlight = slices.Delete(n.inFlight, i, i+1)
 			i--
@@ -152,8 +153,8 @@
 	}
 }
 
-// unreachable returns the replicas of which no reply can be expected. Guards repairs against a lost member: each would
-// wait for it in vain.
+// unreachable returns the replicas from which no reply can be expected. Without it, each repair would wait in vain for
+// a lost member.
 func (n *Node) unreachable(configurations [][]Identity) (out []Identity) {
 	for _, configuration := range configurations {
 		for _, replica := range configuration {
--- a/internal/decide/consensus/member_change.go
+++ b/internal/decide/consensus/member_change.go
@@ -9,27 +9,29 @@
 )
 
 const (
-	// transferAckInterval is how often acknowledgements are sent while members change: they may be lost.
+	// transferAckInterval is how often acknowledgements are repeated during a change of members, as they may be lost.
 	transferAckInterval = 500 * microtime.Millisecond
-	// rejoinInterval is how often, at least, an acceptor that lost its disk proposes to take its old self's place.
+	// rejoinInterval is the shortest interval at which a server that lost its disk proposes to replace its former
+	// incarnation. The intervals are drawn up to twice as long.
 	rejoinInterval = 2 * microtime.Second
-	// forcedEpochSkip is far above what the members that are given up may have decided on among themselves.
+	// forcedEpochSkip is added to the epoch of a forced membership. It exceeds the number of memberships that the removed
+	// members may have decided on their own.
 	forcedEpochSkip = 1000
 )
 
-// memberChange is how far the change of members is.
+// memberChange is the progress of a change of members.
 type memberChange struct {
-	acks       map[Identity]bool // members that have transferred all that they keep
-	nextAck    microtime.Time
-	nextRejoin microtime.Time
-	proposalID uint64 // of the proposal in flight that decides the next membership; 0: there is none
+	acks       map[Identity]bool // current members that have transferred all their keys
+	nextAck    microtime.Time    // when acknowledgeTransfers is due
+	nextRejoin microtime.Time    // no earlier proposal of a server that lost its disk
+	proposalID uint64            // of the proposal in flight that decides the next membership; 0: there is none
 }
 
-// TransferAcks returns how many members have acknowledged that they have transferred all that they keep.
+// TransferAcks returns how many members have acknowledged the transfer of all their keys.
 func (n *Node) TransferAcks() int { return len(n.change.acks) }
 
-// AdoptMembership takes up a membership that was decided. One that is no newer changes nothing; one of another cluster
-// is an error.
+// AdoptMembership puts a membership that was decided into force. A membership that is not newer is ignored. The error,
+// which wraps ErrInvalidMembership, means that the membership is invalid or of another cluster.
 func (n *Node) AdoptMembership(now microtime.Time, membership Membership) error {
 	if err := membership.Validate(); err != nil {
 		return err
@@ -50,7 +52,7 @@
 	return nil
 }
 
-// setMembership goes by a membership from now on.
+// setMembership puts a membership into force and resets the progress of the change of members.
 func (n *Node) setMembership(m Membership) {
 	n.membership = m
 	n.acceptor.setEpoch(m.Epoch)
@@ -59,19 +61,19 @@
 	n.change.nextAck = 0
 	n.change.nextRejoin = 0
 	if len(m.Next) > 0 {
-		// What a majority has accepted in the current configuration has to be accepted by one of the next.
+		// Each value must also be accepted by a majority of its replicas in the next configuration.
 		n.repairs.startScan(scanTransfers, 0, len(n.acceptor.keyOrder))
 	}
 }
 
-// HandleTransferAck takes a member's word that it has transferred all that it keeps.
+// HandleTransferAck handles the acknowledgement of a member that it has transferred all its keys.
 func (n *Node) HandleTransferAck(ack TransferAck) {
 	if ack.Epoch == n.membership.Epoch && containsIdentity(n.membership.Current, ack.From) {
 		n.change.acks[ack.From] = true
 	}
 }
 
-// tickMemberChange goes on with a change of members; it returns when the next step is due.
+// tickMemberChange continues a change of members. It returns when the next step is due.
 func (n *Node) tickMemberChange(now microtime.Time) microtime.Time {
 	switch {
 	case n.membership.Epoch == 0:
@@ -81,14 +83,14 @@
 	case n.abandonLostSelf(now):
 		return n.change.nextRejoin
 	case len(n.repairs.pendingTransfers) > 0 || n.repairs.scansTransfers():
-		return microtime.Never // repairs have a time of their own
+		return microtime.Never // tickRepairs has a due time of its own
 	}
 	n.acknowledgeTransfers(now)
 	return n.change.nextAck
 }
 
-// replaceLostSelf has an acceptor that lost its disk, and is another one since, take the place of its old self by a
-// change of members like any other. It returns when that is due next.
+// replaceLostSelf proposes, after this server has lost its disk, to replace its former incarnation as an acceptor by
+// the present one. It is a change of members like any other. It returns when the proposal is due next.
 func (n *Node) replaceLostSelf(now microtime.Time) microtime.Time {
 	old, ok := n.membership.Find(n.AcceptorID.ID)
 	if !ok || old.Identity == n.AcceptorID {
@@ -103,8 +105,8 @@
 	return n.change.nextRejoin
 }
 
-// abandonLostSelf has a newcomer that lost its disk amid the change abandon it: it will never accept what it is to
-// replicate. It reports whether it has proposed that.
+// abandonLostSelf proposes to abandon the change that adds this server, if the server lost its disk meanwhile: the
+// incarnation that is being added can no longer accept any key. It reports whether it has made the proposal.
 func (n *Node) abandonLostSelf(now microtime.Time) bool {
 	old, ok := n.membership.Find(n.AcceptorID.ID)
 	if !ok || n.membership.Contains(n.AcceptorID) || slices.Contains(n.membership.Current, old) || !n.rejoinDue(now) {
@@ -114,8 +116,8 @@
 	return true
 }
 
-// rejoinDue reports whether an acceptor that lost its disk may propose what becomes of its old self. If so it draws
-// when it may do so again.
+// rejoinDue reports whether a server that lost its disk may make a proposal about its former incarnation now. If so it
+// draws the time of the next one.
 func (n *Node) rejoinDue(now microtime.Time) bool {
 	if now < n.change.nextRejoin || n.change.proposalID != 0 {
 		return false
@@ -124,8 +126,8 @@
 	return true
 }
 
-// acknowledgeTransfers tells all members that this one has transferred all that it keeps, and completes the change once
-// enough of them have.
+// acknowledgeTransfers notifies all members that this one has transferred all its keys, and completes the change once
+// enough members have acknowledged.
 func (n *Node) acknowledgeTransfers(now microtime.Time) {
 	if now < n.change.nextAck {
 		return
@@ -135,35 +137,35 @@
 		n.change.acks[n.AcceptorID] = true
 		n.ready.TransferAcks = append(n.ready.TransferAcks, TransferAck{n.membership.Epoch, n.AcceptorID})
 	}
-	// So many members that the majority of each key's replicas, whichever it was, has one among them. As each of them
-	// goes by this epoch, no proposal of an earlier one can have a majority any more.
+	// With this many members, every majority of the replicas of any key contains at least one of them. As they refuse
+	// requests of earlier epochs, no proposal of an earlier epoch can get a majority any more.
 	needed := len(n.membership.Current) - n.membership.ToleratedFailures()
 	if len(n.change.acks) >= needed && n.change.proposalID == 0 {
 		n.decideMembership(now, n.membership.completed())
 	}
 }
 
-// decideMembership proposes the membership that follows, to the current members.
+// decideMembership proposes the membership that follows to the current members.
 func (n *Node) decideMembership(now microtime.Time, m Membership) {
 	n.change.proposalID = n.start(now, ProposalConfig{
 		Key: membershipKey(n.membership.Epoch),
-		// The register never expires by its time: it goes with the epoch.
+		// The register never expires by time, but is dropped with its epoch.
 		Change:         Change{Kind: DecideMembership, AttemptedAt: math.MaxInt64, Result: m.String()},
 		Configurations: n.membership.configurations()[:1],
 	})
 }
 
-// membershipDecided adopts the membership that was decided, whoever has proposed it.
+// membershipDecided adopts the membership that was decided, which another member may have proposed.
 func (n *Node) membershipDecided(now microtime.Time, v Value) {
 	m, err := ParseMembership(v.Result)
 	if v.Kind != KindMembership || err != nil {
-		return // not to be: its proposer has validated it
+		return // cannot happen, as its proposer has validated it
 	}
-	// One that can't be adopted is of another cluster, whose members this node does not ask.
+	// The error is not possible: the membership is valid and was decided by members of this cluster.
 	_ = n.AdoptMembership(now, m)
 }
 
-// AbandonChange proposes to end the change of members that is in progress: the members stay as they were.
+// AbandonChange proposes to abandon the change of members in progress, so that the current members stay.
 func (n *Node) AbandonChange(now microtime.Time) error {
 	if len(n.membership.Next) == 0 {
 		return fmt.Errorf("%w: none is under way", ErrInvalidChange)
@@ -174,9 +176,9 @@
 	return nil
 }
 
-// ProposeMembership proposes a change of members. The membership that follows tells whether it was this one that was
-// decided. The errors are ErrNoMembership, ErrChangeInProgress, and those that wrap ErrInvalidMembership or
-// ErrInvalidChange.
+// ProposeMembership proposes a change of members. Another proposal may win: the caller must compare the next membership
+// in force with its own. The errors are ErrNoMembership, ErrChangeInProgress, and those that wrap ErrInvalidMembership
+// or ErrInvalidChange.
 func (n *Node) ProposeMembership(now microtime.Time, next []Member, reason string) error {
 	switch {
 	case n.membership.Epoch == 0:
@@ -199,7 +201,7 @@
 	return nil
 }
 
-// Bootstrap adopts the first membership of a cluster, where none is known.
+// Bootstrap adopts the first membership of a cluster. Its errors wrap ErrInvalidChange or ErrInvalidMembership.
 func (n *Node) Bootstrap(now microtime.Time, m Membership) error {
 	if n.membership.Epoch > 0 {
 		return fmt.Errorf("%w: a group is known here, of epoch %d", ErrInvalidChange, n.membership.Epoch)
@@ -211,9 +213,10 @@
 	return n.AdoptMembership(now, m)
 }
 
-// ForceMembership goes on with the members to keep alone, though no majority has agreed: an operator's word that the
-// others are lost. What only those had accepted is lost with them. So for the retention after forcedAt (Unix
-// milliseconds, with room for callers' clocks that are ahead) no lease is granted for a key of which nothing is known.
+// ForceMembership removes all members but those to keep without the agreement of a majority. It is for operators who
+// know that the other members are lost for good. Values that only those had accepted are lost too. Therefore no lease
+// is granted for a key without a value until the retention after forcedAt is over. forcedAt is in Unix milliseconds,
+// with a margin for callers' clocks that are ahead.
 func (n *Node) ForceMembership(now microtime.Time, keep []uint32, forcedAt int64, reason string) error {
 	if n.membership.Epoch == 0 {
 		return ErrNoMembership
--- a/internal/decide/consensus/membership.go
+++ b/internal/decide/consensus/membership.go
@@ -8,41 +8,41 @@
 )
 
 const (
-	// MaxMembers is the most members that a configuration may have.
+	// MaxMembers bounds the members of a configuration.
 	MaxMembers = 300
 	// maxReplicationFactor bounds the replicas of a key.
 	maxReplicationFactor = 9
 )
 
-// ErrInvalidMembership is wrapped by the errors of a membership that makes no sense, and of one of another cluster. Its
-// text is part of the responses of the operators' API, as are those that wrap it.
+// ErrInvalidMembership is wrapped by the errors about an invalid membership, or one of another cluster. Its text is
+// part of the responses of the operators' API, as are those of the errors that wrap it.
 var ErrInvalidMembership = errors.New("copies: group")
 
-// Member is a server of a cluster as an acceptor, and the address at which the others reach it.
+// Member is an acceptor of a cluster, with the address at which the other servers reach it.
 type Member struct {
 	Identity
 	Addr string
 }
 
-// Membership is which servers replicate the keys of a cluster. Each membership decides the one that follows it, in a
-// register of its own at all its current members: so there is one line of memberships, and who has heard of the newest
-// knows it all.
+// Membership is the set of servers that replicate the keys of a cluster. The current members of each membership decide
+// the one that follows it, in a register of its own. The memberships therefore form a single sequence, ordered by
+// epoch.
 //
 // A change of members takes two steps, as in joint consensus. First a membership with a Next configuration is decided,
 // and from then on each key needs a majority of its replicas in both. Once all keys have been transferred to the
-// replicas of Next, a membership with Next alone is decided. The members of Current alone decide, so that a change
-// whose newcomer is lost can be abandoned.
+// replicas of Next, a membership whose Current configuration is that Next one is decided. Only the members of Current
+// decide, so that a change can be abandoned if the new member is lost.
 type Membership struct {
-	ClusterID         uint64 // drawn when the cluster was founded
-	Epoch             uint64 // one more with each membership; 0: none is known
+	ClusterID         uint64 // drawn at random when the cluster was created
+	Epoch             uint64 // incremented with each membership; 0: no membership is known
 	ReplicationFactor int    // replicas of each key
 	Current           []Member
 	Next              []Member // empty: no change is in progress
-	ForcedAt          int64    // when an operator went on without a majority, Unix milliseconds; 0: never
-	Reason            string   // for operators
+	ForcedAt          int64    // when an operator last forced a membership, Unix milliseconds; 0: never
+	Reason            string   // of the last change, for operators
 }
 
-// Validate returns an error that names what makes no sense.
+// Validate returns an error that wraps ErrInvalidMembership if the membership is invalid.
 func (m Membership) Validate() error {
 	if m.ClusterID == 0 || m.Epoch == 0 {
 		return fmt.Errorf("%w: it has no name or no epoch", ErrInvalidMembership)
@@ -77,7 +77,7 @@
 	return nil
 }
 
-// Find returns the member with a server's number; of both configurations, the next one goes first.
+// Find returns the member with the ID of a server, from the next configuration if both contain it.
 func (m Membership) Find(id uint32) (Member, bool) {
 	for _, configuration := range [][]Member{m.Next, m.Current} {
 		for _, member := range configuration {
@@ -114,12 +114,12 @@
 	return configurations
 }
 
-// ToleratedFailures returns how many members may be lost without any key losing the majority of its replicas.
+// ToleratedFailures returns how many members may fail before a key may lose the majority of its replicas.
 func (m Membership) ToleratedFailures() int {
 	return (min(m.ReplicationFactor, len(m.Current)) - 1) / 2
 }
 
-// configurations returns the members of the current configuration, and of the next one if there is any.
+// configurations returns the identities of the current members, and of the next ones during a change.
 func (m Membership) configurations() [][]Identity {
 	if len(m.Next) == 0 {
 		return [][]Identity{identities(m.Current)}
--- a/internal/decide/consensus/membership_text.go
+++ b/internal/decide/consensus/membership_text.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// membershipKeyPrefix marks the registers of memberships. No idempotency key begins with a zero byte and this word.
+// membershipKeyPrefix is the prefix of the registers of memberships. No idempotency key starts with a zero byte.
 const membershipKeyPrefix = "\x00group/"
 
 // membershipKey is the register in which the membership that follows an epoch is decided.
@@ -16,13 +16,13 @@
 func isMembershipKey(key string) bool { return strings.HasPrefix(key, membershipKeyPrefix) }
 
 const (
-	// memberFields are the words of a member's text: number, incarnation and address.
+	// memberFields is the number of fields of a member: ID, incarnation and address.
 	memberFields = 3
-	// membershipParts are the parts of a membership's text: numbers, both configurations, and the quoted reason.
+	// membershipParts is the number of parts of a membership: numbers, both configurations, and the quoted reason.
 	membershipParts = 4
 )
 
-// String returns the text that ParseMembership reads. It is part of the format on the wire and on disk.
+// String returns the text that ParseMembership reads. It is part of the wire and disk formats.
 func (m Membership) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%d %d %d %d", m.ClusterID, m.Epoch, m.ReplicationFactor, m.ForcedAt)
@@ -35,7 +35,7 @@
 	return b.String() + " | " + strconv.Quote(m.Reason)
 }
 
-// ParseMembership reads the text of a membership. All errors wrap ErrInvalidMembership.
+// ParseMembership parses the text of a membership and validates it. All errors wrap ErrInvalidMembership.
 func ParseMembership(text string) (m Membership, err error) {
 	parts := strings.SplitN(text, " |", membershipParts)
 	if len(parts) != membershipParts {
--- a/internal/decide/consensus/message.go
+++ b/internal/decide/consensus/message.go
@@ -1,15 +1,15 @@
 package consensus
 
-// Request is what a proposer asks of an acceptor. With neither Accept nor Read it is the first phase of CASPaxos: the
-// acceptor is asked for its promise and for what it has accepted.
+// Request is a request of a proposer to an acceptor. With neither Accept nor Read it is the prepare phase of CASPaxos,
+// which asks for a promise and for the accepted value.
 type Request struct {
 	To          Identity
 	Key         string
-	Epoch       uint64 // of the membership that the proposer goes by
-	AttemptedAt int64  // of the attempt that it is for, Unix milliseconds: the key expires by that
+	Epoch       uint64 // of the membership in force at the proposer
+	AttemptedAt int64  // time of the attempt, Unix milliseconds: it sets when the key expires
 	Ballot      Ballot
-	Accept      bool  // the second phase: Value is to be accepted
-	Read        bool  // what was accepted is wanted, without a promise
+	Accept      bool  // the accept phase: asks to accept Value
+	Read        bool  // asks for the accepted value without a promise
 	Value       Value // of Accept
 }
 
@@ -17,17 +17,17 @@
 type Reply struct {
 	From     Identity
 	Key      string
-	Epoch    uint64 // of the membership that the acceptor goes by; it takes no request of another epoch
+	Epoch    uint64 // of the membership in force at the acceptor, which refuses requests of other epochs
 	Ballot   Ballot // of the request
 	Accept   bool   // as in the request
 	Read     bool   // as in the request
-	OK       bool
-	Promised Ballot // where the reply is not OK: the ballot that stands in the way
+	OK       bool   // the request was granted
+	Promised Ballot // if not OK: the higher ballot that was promised; zero for another epoch
 	Accepted Ballot // of Value
-	Value    Value  // the value that the acceptor has accepted last
+	Value    Value  // the accepted value
 }
 
-// TransferAck says that a member has transferred all keys that it replicates to the replicas of the next configuration.
+// TransferAck acknowledges that a member has transferred all its keys to their replicas in the next configuration.
 type TransferAck struct {
 	Epoch uint64
 	From  Identity
--- a/internal/decide/consensus/node.go
+++ b/internal/decide/consensus/node.go
@@ -8,22 +8,22 @@
 	"pewterline/internal/microtime"
 )
 
-// randomStream is the second half of the seed of a node's random numbers.
+// randomStream separates a node's random numbers from those of other users of the same seed.
 const randomStream = 5
 
-// NodeOptions are what a Node begins with.
+// NodeOptions are the arguments of NewNode.
 type NodeOptions struct {
 	Acceptor           Identity // this server as an acceptor
-	ProcessIncarnation uint64   // unlike that of any process before it on this server
+	ProcessIncarnation uint64   // different from that of every earlier process of this server
 	Config             Config
-	Membership         Membership          // as it was made durable; the zero value: none is known
-	Registers          map[string]Register // as they were made durable; nil: none, as a new incarnation has
-	Seed               uint64              // of random pauses
-	Hash               func(key string) uint64
+	Membership         Membership              // the durable one; the zero value if none is known
+	Registers          map[string]Register     // the durable ones; nil for a new incarnation
+	Seed               uint64                  // of the random backoffs
+	Hash               func(key string) uint64 // the same on all servers
 }
 
-// Node is one server of a cluster: it replicates keys for others, and makes proposals for the requests of its own
-// callers. It is for one goroutine.
+// Node is the state machine of one server of a cluster: it replicates keys and makes proposals for the requests of its
+// callers. It is not safe for concurrent use.
 type Node struct {
 	AcceptorID Identity // this server as an acceptor: a new incarnation with each disk
 	ProposerID Identity // this server as a proposer: a new incarnation with each process
@@ -35,14 +35,14 @@
 	acceptor     *Acceptor
 	inFlight     []*inFlightProposal // oldest first
 	lastID       uint64
-	ballotNumber uint64 // the highest that was used or seen
-	reachable    map[uint32]bool
+	ballotNumber uint64          // the highest that was used or seen
+	reachable    map[uint32]bool // by server ID
 	repairs      repairQueue
 	change       memberChange
 	ready        Ready
 }
 
-// NewNode returns a node.
+// NewNode returns a node. The error means that the Config or the Membership is invalid.
 func NewNode(options NodeOptions) (*Node, error) {
 	if err := options.Config.Validate(); err != nil {
 		return nil, fmt.Errorf("copies: %w", err)
@@ -67,35 +67,36 @@
 	return node, nil
 }
 
-// Membership returns the newest membership that is known here; of epoch 0: none is.
+// Membership returns the membership in force. Its epoch is 0 if none is known.
 func (n *Node) Membership() Membership { return n.membership }
 
-// Register returns what this server keeps of a key.
+// Register returns this server's register of a key; the zero value if there is none.
 func (n *Node) Register(key string) Register { return n.acceptor.Register(key) }
 
-// KeyCount returns how many keys this server keeps.
+// KeyCount returns how many keys have a register at this server.
 func (n *Node) KeyCount() int { return n.acceptor.Len() }
 
-// Keys returns the keys after a given one that have a value here, in their order and at most so many.
-func (n *Node) Keys(after string, most int) []string {
+// Keys returns the sorted keys that have a value here and are greater than after, at most limit of them.
+func (n *Node) Keys(after string, limit int) []string {
 	keys := slices.DeleteFunc(n.acceptor.valueKeys(), func(key string) bool { return key <= after })
-	return keys[:min(most, len(keys))]
+	return keys[:min(limit, len(keys))]
 }
 
 // InFlight returns how many proposals are in flight, repairs included.
 func (n *Node) InFlight() int { return len(n.inFlight) }
 
-// Ready returns what the host has to do since the last call.
+// Ready returns what the host must do since the last call, and forgets it.
 func (n *Node) Ready() Ready {
 	ready := n.ready
 	n.ready = Ready{}
 	return ready
 }
 
-// Expire drops the keys whose last attempt came before a time; see Acceptor.Expire.
+// Expire drops the keys whose last attempt was before a time; see Acceptor.Expire.
 func (n *Node) Expire(before int64) int { return n.acceptor.Expire(before) }
 
-// SetReachable says whether a server can be reached. One that could not may have missed what it should replicate.
+// SetReachable reports whether a server can be reached. When it becomes reachable again its keys are repaired, as it
+// may have missed values.
 func (n *Node) SetReachable(id uint32, reachable bool) {
 	before := n.reachable[id]
 	n.reachable[id] = reachable
@@ -104,22 +105,22 @@
 	}
 }
 
-// Restore goes by these registers from now on, and saves the membership again: the disk has failed, and this is what it
-// holds.
+// Restore replaces the registers by those that are on the disk, after writes to it have failed. The membership is
+// written again.
 func (n *Node) Restore(registers map[string]Register) {
 	n.acceptor = NewAcceptor(n.AcceptorID, registers)
 	n.repairs.scans = nil
 	if membership := n.membership; membership.Epoch > 0 {
-		n.setMembership(membership) // the pending transfers have to be looked for anew
+		n.setMembership(membership) // scans for the pending transfers again
 		n.ready.Membership = &membership
 	}
 }
 
-// HandleRequest answers a request of another node's proposer, or of this node's own.
+// HandleRequest answers a request of a proposer, which may be this node itself.
 func (n *Node) HandleRequest(from Identity, r Request) {
 	reply, changed, ok := n.acceptor.Handle(r)
 	if !ok {
-		return // it is for an earlier incarnation
+		return // the request is for another incarnation
 	}
 	if changed {
 		n.save(r.Key, n.acceptor.Register(r.Key))
@@ -130,8 +131,8 @@
 	n.ready.Replies = append(n.ready.Replies, AddressedReply{from, reply})
 }
 
-// Tick retries proposals that are due, ends those whose time is over, and goes on with repairs and with a change of
-// members. It returns when it is due next.
+// Tick retries and ends proposals, and continues repairs and a change of members. It returns when it must be called
+// again at the latest.
 func (n *Node) Tick(now microtime.Time) microtime.Time {
 	n.tickProposals(now)
 	next := n.tickRepairs(now)
@@ -146,7 +147,7 @@
 	n.ready.Registers = append(n.ready.Registers, SavedRegister{key, register})
 }
 
-// notify has the membership sent to another server.
+// notify queues the membership to be sent to another server.
 func (n *Node) notify(id uint32) {
 	if id != n.AcceptorID.ID && !slices.Contains(n.ready.Notify, id) {
 		n.ready.Notify = append(n.ready.Notify, id)
--- a/internal/decide/consensus/proposal.go
+++ b/internal/decide/consensus/proposal.go
@@ -2,16 +2,16 @@
 
 import "slices"
 
-// phase is the round of messages that a proposal is in.
+// phase is the phase of the protocol that a proposal is in.
 type phase uint8
 
 const (
-	phasePrepare phase = iota // promises and accepted values are collected
-	phaseAccept               // the value is to be accepted
-	phaseRead                 // accepted values are collected without promises; where they agree, the proposal ends here
+	phasePrepare phase = iota // collects promises and accepted values
+	phaseAccept               // asks the replicas to accept the value
+	phaseRead                 // collects accepted values without promises; if they agree, the proposal is done
 )
 
-// ProposalConfig is what a proposal begins with.
+// ProposalConfig holds the arguments of NewProposal.
 type ProposalConfig struct {
 	Key    string
 	Epoch  uint64 // of the membership that the configurations are of
@@ -20,14 +20,14 @@
 	// Configurations are the key's replicas: of the current configuration and, while members change, of the next one. A
 	// majority of each is needed.
 	Configurations [][]Identity
-	// WaitForAll has the proposal wait for all reachable replicas beyond the majorities, as repairs do, until
-	// SettleForMajority ends that.
+	// WaitForAll makes the proposal wait for all reachable replicas instead of majorities, until SettleForMajority is
+	// called. Repairs use it.
 	WaitForAll bool
 	// Unreachable are the replicas that WaitForAll does not wait for.
 	Unreachable []Identity
 }
 
-// Proposal is one change on its way through the phases of CASPaxos.
+// Proposal is the state of one change in the protocol of CASPaxos.
 type Proposal struct {
 	Key    string
 	Change Change
@@ -39,15 +39,15 @@
 	unreachable    []Identity
 
 	phase       phase
-	voters      []Identity // replicas whose OK was received in this phase
+	voters      []Identity // replicas that have granted the request of this phase
 	newest      Ballot     // of value
 	value       Value
 	outcome     Outcome
-	preemptedBy uint64 // the highest ballot number that stands in the way
+	preemptedBy uint64 // the highest ballot number that a refusal contained
 	done        bool
 }
 
-// NewProposal begins a proposal, and returns its first requests.
+// NewProposal starts a proposal and returns its first requests.
 func NewProposal(c ProposalConfig) (*Proposal, []Request) {
 	proposal := &Proposal{
 		Key:            c.Key,
@@ -64,20 +64,20 @@
 	return proposal, proposal.requests()
 }
 
-// Retry begins anew, under a ballot number of at least the one given that is above what stood in the way.
+// Retry restarts the proposal. Its ballot number is at least number, and higher than any that has preempted it.
 func (p *Proposal) Retry(number uint64) []Request {
 	p.Ballot = Ballot{Number: max(number, p.preemptedBy+1), Proposer: p.Change.Proposer}
 	return p.prepare()
 }
 
-// Reconfigure begins anew at the replicas of another membership.
+// Reconfigure restarts the proposal at the replicas of another membership.
 func (p *Proposal) Reconfigure(epoch uint64, configurations [][]Identity, number uint64) []Request {
 	p.Epoch = epoch
 	p.configurations = configurations
 	return p.Retry(number)
 }
 
-// prepare begins the first phase under the present ballot.
+// prepare starts the prepare phase with the current ballot.
 func (p *Proposal) prepare() []Request {
 	p.phase = phasePrepare
 	p.voters = nil
@@ -86,7 +86,7 @@
 	return p.requests()
 }
 
-// requests returns a request of this phase for each replica.
+// requests returns the request of this phase for each replica.
 func (p *Proposal) requests() (requests []Request) {
 	var asked []Identity
 	for _, configuration := range p.configurations {
@@ -110,8 +110,8 @@
 	return requests
 }
 
-// HandleReply takes a reply, and returns the requests that follow from it. Replies to earlier attempts and repeated
-// ones change nothing.
+// HandleReply handles a reply and returns the requests of the next phase, if that starts. Duplicate replies and replies
+// to earlier attempts are ignored.
 func (p *Proposal) HandleReply(reply Reply) []Request {
 	if p.done || !p.expects(reply) {
 		return nil
@@ -155,7 +155,7 @@
 	}
 	empty := p.value.Kind == KindNone
 	p.value, p.outcome = p.Change.Apply(p.value)
-	if p.Change.Kind == ReadValue && empty { // there is nothing that the replicas would have to accept
+	if p.Change.Kind == ReadValue && empty { // no value, so there is nothing to accept
 		p.done = true
 		return nil
 	}
@@ -164,10 +164,10 @@
 	return p.requests()
 }
 
-// handleRead takes a reply of the phase without promises. Where a majority has accepted a value under one ballot, that
-// value is agreed on, and nothing newer was when the read began: a newer value would have a majority too, and one of
-// its replicas would have answered with it. Guards proposers that change a key against those that only read it, each of
-// which would stand in their way with a ballot of its own.
+// handleRead handles a reply of the read phase. If a majority has accepted a value under the same ballot, that value is
+// chosen, and no newer value was chosen before the read began: every majority that could have accepted it shares a
+// replica with this one, which would have replied with the newer value. Reading without a ballot prevents readers from
+// preempting the proposers that change the key.
 func (p *Proposal) handleRead(r Reply) []Request {
 	if len(p.voters) > 1 && r.Accepted != p.newest {
 		return p.prepare()
@@ -214,16 +214,16 @@
 	return true
 }
 
-// SettleForMajority ends a proposal that waits for replicas beyond the majorities. It reports whether the proposal is
-// done.
+// SettleForMajority ends the wait of WaitForAll: the proposal is done if majorities have accepted its value. It reports
+// whether the proposal is done.
 func (p *Proposal) SettleForMajority() bool {
 	p.done = p.done || p.phase == phaseAccept && p.hasMajority()
 	return p.done
 }
 
-// Preempted reports whether an attempt under a higher ballot number stands in the way. Retry is due after a while that
-// differs by server.
+// Preempted reports whether a replica has promised a higher ballot number, so that this attempt cannot succeed. The
+// caller should call Retry after a random backoff.
 func (p *Proposal) Preempted() bool { return !p.done && p.preemptedBy >= p.Ballot.Number }
 
-// Done returns the outcome and the value that is agreed on, and whether these are known.
+// Done returns the outcome and the chosen value, and whether the proposal is done. Otherwise both are meaningless.
 func (p *Proposal) Done() (Outcome, Value, bool) { return p.outcome, p.value, p.done }
--- a/internal/decide/consensus/ready.go
+++ b/internal/decide/consensus/ready.go
@@ -1,32 +1,32 @@
 package consensus
 
-// Ready is what the host of a Node has to do, in this order: make Membership and Registers durable, send Requests,
-// Replies, Notify and TransferAcks, and take the Results. Requests may be sent at once where Membership is nil: a vote
-// of this server is a reply.
+// Ready is what the host of a Node must do, in this order: make Membership and Registers durable, then send Requests,
+// Replies, Notify and TransferAcks, and handle the Results. If Membership is nil, Requests may be sent before Registers
+// are durable, as the votes of this server are Replies.
 type Ready struct {
-	Membership   *Membership // nil: as before
+	Membership   *Membership // nil: not changed
 	Registers    []SavedRegister
 	Requests     []Request
 	Replies      []AddressedReply
-	Notify       []uint32      // servers to which the membership has to be sent
-	TransferAcks []TransferAck // for all members
+	Notify       []uint32      // IDs of servers to which the membership must be sent
+	TransferAcks []TransferAck // to be sent to all members
 	Results      []Result
 }
 
-// SavedRegister is a register that has to be durable before what comes with it is sent.
+// SavedRegister is a changed register, which must be durable before the Replies of the same Ready are sent.
 type SavedRegister struct {
 	Key      string
 	Register Register
 }
 
-// AddressedReply is a reply, and the proposer that it is for.
+// AddressedReply is a reply with the proposer that it must be sent to.
 type AddressedReply struct {
 	To Identity
 	Reply
 }
 
-// Result is what a proposal has come to. Where it is not Known nobody can say whether the change was made: no majority
-// replied in time.
+// Result is the end of a proposal. If it is not Known, no majority replied in time, and the change may or may not have
+// been made.
 type Result struct {
 	ID      uint64
 	Key     string
--- a/internal/decide/consensus/repair.go
+++ b/internal/decide/consensus/repair.go
@@ -7,51 +7,52 @@
 )
 
 const (
-	// scanBatch is how many keys are gone through in one Tick: guards a turn against all keys at once.
+	// scanBatch is how many keys a Tick scans, so that a scan of many keys does not block the event loop.
 	scanBatch = 1000
-	// repairBurstDivisor makes the repairs that may begin at once a 20th of a second's worth.
+	// repairBurstDivisor bounds the repairs that start at once to RepairRate divided by it.
 	repairBurstDivisor = 20
 )
 
-// scanReason is why the keys are gone through.
+// scanReason is why the keys are scanned.
 type scanReason uint8
 
 const (
-	scanTransfers   scanReason = iota // the replicas of the next configuration lack keys
-	scanReconnected                   // a server can be reached again
-	scanAll                           // an operator asked for it
+	scanTransfers   scanReason = iota // the keys must be transferred to the next configuration
+	scanReconnected                   // a server has become reachable again
+	scanAll                           // an operator has requested a repair of all keys
 )
 
-// scan goes through the keys that this server keeps, a batch at a time.
+// scan is a scan of this server's keys for those to repair, one batch per Tick.
 type scan struct {
 	reason scanReason
-	server uint32 // of scanReconnected
-	next   int    // index into the acceptor's order of keys
-	end    int    // of that order when the scan began: keys that came since need no repair
+	server uint32 // the ID of the server of scanReconnected
+	next   int    // index into Acceptor.keyOrder
+	end    int    // length of keyOrder when the scan was started: keys that were added since need no repair
 }
 
-// repairState is how far the repair of a key is.
+// repairState is the state of the repair of a key. Its zero value means that no repair is needed.
 type repairState uint8
 
 const (
 	repairQueued   repairState = iota + 1
-	repairInFlight             // a proposal for it is in flight
-	repairRequeued             // it is in flight and due once more: a replica has come back meanwhile
+	repairInFlight             // its proposal is in flight
+	repairRequeued             // its proposal is in flight, and must be repeated: a replica became reachable meanwhile
 )
 
-// repairQueue has the keys that are to be brought to replicas that may lack them, at a bounded rate.
+// repairQueue holds the keys whose values must be copied to replicas that may lack them. A token bucket limits the
+// rate.
 type repairQueue struct {
 	scans    []scan
-	priority []string // keys to be transferred before a change of members goes on
-	queue    []string
-	// states are of the keys that wait or are in flight: two repairs of a key would only stand in each other's way.
+	priority []string // pending transfers, for which a change of members waits
+	queue    []string // other repairs
+	// states holds the queued and in-flight repairs by key: two proposals for a key would only preempt each other.
 	states map[string]repairState
-	// pendingTransfers are the keys that the replicas of the next configuration have to accept before the change of
-	// members goes on.
+	// pendingTransfers holds the keys that must be accepted in the next configuration before the change of members can
+	// be completed.
 	pendingTransfers map[string]bool
-	active           int    // in flight
-	completed        uint64 // since the node began
-	tokens           float64
+	active           int     // repairs in flight
+	completed        uint64  // repairs since the node was created
+	tokens           float64 // repairs that may be started now
 	refilledAt       microtime.Time
 }
 
@@ -59,18 +60,18 @@
 	return repairQueue{states: map[string]repairState{}, pendingTransfers: map[string]bool{}}
 }
 
-// startScan begins to go through all keys.
+// startScan starts a scan of the keys in keyOrder, whose length is keys. It replaces an equal scan.
 func (q *repairQueue) startScan(reason scanReason, server uint32, keys int) {
 	q.scans = slices.DeleteFunc(q.scans, func(s scan) bool { return s.reason == reason && s.server == server })
 	q.scans = append(q.scans, scan{reason: reason, server: server, end: keys})
 }
 
-// scansTransfers reports whether the pending transfers are not all known yet.
+// scansTransfers reports whether a scan for pending transfers is still in progress.
 func (q *repairQueue) scansTransfers() bool {
 	return slices.ContainsFunc(q.scans, func(s scan) bool { return s.reason == scanTransfers })
 }
 
-// forgetTransfers drops what was pending for an earlier membership. Its keys stay to be repaired.
+// forgetTransfers drops the pending transfers of an earlier membership. Their keys are still repaired.
 func (q *repairQueue) forgetTransfers() {
 	clear(q.pendingTransfers)
 	q.queue = append(q.priority, q.queue...)
@@ -80,6 +81,7 @@
 
 func (q *repairQueue) empty() bool { return len(q.priority)+len(q.queue) == 0 }
 
+// enqueue queues the repair of a key, unless one is queued.
 func (q *repairQueue) enqueue(key string) {
 	switch q.states[key] {
 	case 0:
@@ -91,20 +93,20 @@
 	}
 }
 
-// enqueueTransfer puts a key before those that no change of members waits for.
+// enqueueTransfer queues the transfer of a key, before all other repairs.
 func (q *repairQueue) enqueueTransfer(key string) {
 	if q.pendingTransfers[key] {
 		return
 	}
 	q.pendingTransfers[key] = true
-	if q.states[key] <= repairQueued { // else it is in flight, and has moved on to this membership
+	if q.states[key] <= repairQueued { // otherwise its proposal in flight is already of this membership
 		q.states[key] = repairQueued
 		q.priority = append(q.priority, key)
 	}
 }
 
-// pop returns the key that is due next. Transfers go first: guards a change of members against links that come and go,
-// each of which asks for repairs.
+// pop removes and returns the next key. Transfers go first, so that repairs after each reconnection cannot delay a
+// change of members.
 func (q *repairQueue) pop() (key string) {
 	if len(q.priority) > 0 {
 		key, q.priority = q.priority[0], q.priority[1:]
@@ -114,17 +116,17 @@
 	return key
 }
 
-// refill adds the tokens of the time that has passed.
+// refill adds the tokens for the time since the last call. rate is in tokens per second.
 func (q *repairQueue) refill(now microtime.Time, rate float64) {
 	passed := float64(now-q.refilledAt) / float64(microtime.Second)
 	q.tokens = min(q.tokens+passed*rate, max(rate/repairBurstDivisor, 1))
 	q.refilledAt = now
 }
 
-// RepairAll has all keys that this server keeps brought to all their replicas.
+// RepairAll starts the repair of all keys of this server.
 func (n *Node) RepairAll() { n.repairs.startScan(scanAll, 0, len(n.acceptor.keyOrder)) }
 
-// RepairProgress returns how many keys may have to be brought to other replicas yet, and how many were.
+// RepairProgress returns how many keys have yet to be scanned or repaired, and how many were repaired.
 func (n *Node) RepairProgress() (left int, done uint64) {
 	left = len(n.repairs.priority) + len(n.repairs.queue) + n.repairs.active
 	for _, s := range n.repairs.scans {
@@ -133,20 +135,20 @@
 	return left, n.repairs.completed
 }
 
-// PendingTransfers returns how many keys have to be transferred before a change of members can end.
+// PendingTransfers returns how many keys of this server must be transferred before a change of members can complete.
 func (n *Node) PendingTransfers() int { return len(n.repairs.pendingTransfers) }
 
-// tickRepairs goes on with the scans and begins repairs. It returns when it is due next.
+// tickRepairs continues the scans and starts repairs. It returns when it is due next.
 func (n *Node) tickRepairs(now microtime.Time) microtime.Time {
 	scanning := n.scanKeys()
 	next := n.startRepairs(now)
 	if scanning {
-		next = min(next, now+1) // the rest in the next turn
+		next = min(next, now+1) // the next batch
 	}
 	return next
 }
 
-// scanKeys goes through a batch of keys; it reports whether there are more.
+// scanKeys scans a batch of keys. It reports whether there are more.
 func (n *Node) scanKeys() bool {
 	queue := &n.repairs
 	for left := scanBatch; len(queue.scans) > 0 && left > 0; {
@@ -168,7 +170,7 @@
 	return len(queue.scans) > 0
 }
 
-// scanKey has a key repaired where the reason of the scan calls for it.
+// scanKey queues the repair of a key if the reason of the scan requires it.
 func (n *Node) scanKey(current scan, key string) {
 	switch current.reason {
 	case scanAll:
@@ -188,8 +190,8 @@
 	}
 }
 
-// repairsFor reports whether it is on this server to bring a key to a replica that can be reached again: on the first
-// of the others that can be reached.
+// repairsFor reports whether this server must repair a key for a server that has become reachable again. Among the
+// other replicas of the key, the first reachable one does it.
 func (n *Node) repairsFor(server uint32, replicas []Identity) bool {
 	isReplica := slices.ContainsFunc(replicas, func(replica Identity) bool { return replica.ID == server })
 	first := slices.IndexFunc(replicas, func(replica Identity) bool {
@@ -198,7 +200,7 @@
 	return isReplica && first >= 0 && replicas[first] == n.AcceptorID
 }
 
-// startRepairs begins repairs, as many as the rate allows. It returns when it is due next.
+// startRepairs starts as many repairs as the rate and MaxRepairs permit. It returns when it is due next.
 func (n *Node) startRepairs(now microtime.Time) microtime.Time {
 	queue := &n.repairs
 	if queue.empty() {
@@ -216,14 +218,14 @@
 	return now + max(microtime.Time((1-queue.tokens)/rate*float64(microtime.Second)), microtime.Millisecond)
 }
 
-// startRepair begins the repair of a key: a read that has all its reachable replicas accept what is agreed on.
+// startRepair starts the repair of a key: a read that makes all reachable replicas accept its value.
 func (n *Node) startRepair(now microtime.Time, key string) {
 	queue := &n.repairs
 	if queue.states[key] != repairQueued {
-		return // it was queued twice
+		return // the key was queued twice
 	}
 	register := n.acceptor.Register(key)
-	if register.Value.Kind == KindNone { // it has expired
+	if register.Value.Kind == KindNone { // the key has expired
 		delete(queue.pendingTransfers, key)
 		delete(queue.states, key)
 		return
@@ -241,7 +243,7 @@
 	})
 }
 
-// endRepair takes a repair off; one that no majority has replied to stays to be done.
+// endRepair handles the end of a repair. It is queued again if no majority has replied.
 func (n *Node) endRepair(proposal *Proposal, known bool) {
 	queue := &n.repairs
 	queue.active--
@@ -258,8 +260,8 @@
 		return
 	}
 	delete(queue.pendingTransfers, proposal.Key)
-	// So that a process that starts anew amid a change goes on with the rest: guards the change against servers that die
-	// more often than they can transfer all their keys.
+	// Persist progress, so a restart during a membership change resumes instead of restarting. Otherwise servers that
+	// crash more often than they can transfer all their keys would never complete the change.
 	if register, changed := n.acceptor.markTransferred(proposal.Key); changed {
 		n.save(proposal.Key, register)
 	}
--- a/internal/decide/consensus/replicas.go
+++ b/internal/decide/consensus/replicas.go
@@ -10,8 +10,8 @@
 )
 
 // Replicas returns the count members that replicate a key: those with the highest weights of key and member, highest
-// first (D. Thaler and C. Ravishankar, rendezvous hashing, 1998). So one member more or less moves only the keys that
-// it replicates. hash is that of the key; each member's number is mixed into it.
+// first (D. Thaler and C. Ravishankar, rendezvous hashing, 1998). Adding or removing a member therefore moves only the
+// keys that it replicates. The weight is the hash of the key mixed with the ID of the member.
 func Replicas(key string, members []Identity, count int, hash func(string) uint64) []Identity {
 	type candidate struct {
 		member Identity
