--- a/internal/decide/loadbalancer/balancer.go
+++ b/internal/decide/loadbalancer/balancer.go
@@ -7,7 +7,7 @@
 	"pewterline/internal/microtime"
 )
 
-// Balancer selects endpoints for attempts by what one instance has observed of them and by gossip. It is not safe for
+// Balancer selects endpoints for attempts, based on the observations of this instance and on gossip. It is not safe for
 // concurrent use.
 type Balancer struct {
 	config    Config
@@ -36,7 +36,7 @@
 	}, nil
 }
 
-// Add adds an endpoint; one that is known stays as it is.
+// Add adds an endpoint. An endpoint that is known already keeps its state.
 func (b *Balancer) Add(now microtime.Time, name string) {
 	if b.byName[name] != nil {
 		return
@@ -46,7 +46,7 @@
 	b.endpoints = append(b.endpoints, e)
 }
 
-// Remove forgets an endpoint that is no longer in the endpoint list.
+// Remove removes an endpoint that is no longer in the endpoint list, with its statistics.
 func (b *Balancer) Remove(name string) {
 	e := b.byName[name]
 	if e == nil {
@@ -73,7 +73,7 @@
 	}
 }
 
-// EndpointStatus is what a balancer knows of an endpoint. Spans are in microseconds.
+// EndpointStatus is the status of an endpoint, for operators. Spans are in microseconds.
 type EndpointStatus struct {
 	Name    string
 	State   State
@@ -84,10 +84,10 @@
 	P50              microtime.Time // latency of successful attempts, over all classes
 	P95              microtime.Time
 	SinceAnswer      microtime.Time // since it last answered; -1 if it never has
-	SinceRecovery    microtime.Time // since it came back from Down; -1 if that was not seen
-	RetryAfter       microtime.Time // it asked to get no attempts for this long
-	Observed         int            // attempts that told something of it
-	GossipWeight     float64        // weight of gossip against it
+	SinceRecovery    microtime.Time // since it recovered from Down; -1 if this instance has not observed that
+	RetryAfter       microtime.Time // remaining time for which it requested to get no attempts
+	Observed         int            // attempts that ended there, without cancelled ones
+	GossipWeight     float64        // weight of the gossip that it is unreachable
 }
 
 // Endpoints returns the status of all endpoints in the order in which they were added.
--- a/internal/decide/loadbalancer/concurrency.go
+++ b/internal/decide/loadbalancer/concurrency.go
@@ -3,19 +3,19 @@
 import "math"
 
 const (
-	// minGradient bounds how fast the limit falls.
+	// minGradient bounds the factor by which the limit falls.
 	minGradient = 0.5
-	// baselineDrift lets the baseline latency rise with each success, so that a lasting change is accepted.
+	// baselineDrift is the factor by which the baseline rises with each success, so that it adapts to lasting changes.
 	baselineDrift = 1.002
-	// latencyTolerance is how far the latency may rise over the baseline before the limit falls.
+	// latencyTolerance is the multiple of the baseline up to which the latency does not lower the limit.
 	latencyTolerance = 1.5
-	// limitSmoothing is the part of the way that the limit goes towards its new value.
+	// limitSmoothing is the weight of the new value in the limit.
 	limitSmoothing = 0.2
-	// rejectionFactor is the part of the limit that is left after a rejection or a failure.
+	// rejectionFactor is the factor of the limit after a rejection or a failure.
 	rejectionFactor = 0.9
 )
 
-// concurrencyLimit is how many attempts may be in flight at an endpoint. It follows the gradient of the latency, as
+// concurrencyLimit is how many attempts may be in flight at an endpoint. It follows the gradient of the latency, like
 // gradient2 of Netflix's concurrency-limits: while the latency is near its recent minimum, the limit rises by its
 // square root; as the latency grows, it falls.
 type concurrencyLimit struct {
@@ -32,7 +32,7 @@
 	gradient := min(1, max(minGradient, latencyTolerance*l.baseline/meanLatency))
 	next := l.limit*gradient + math.Sqrt(l.limit)
 	if next > l.limit && float64(inFlight) < l.limit/2 {
-		return // A limit that is not used up has not been shown to be too low.
+		return // Latencies at low concurrency do not show that the limit is too low.
 	}
 	l.limit += limitSmoothing * (min(max(next, 1), maxLimit) - l.limit)
 }
--- a/internal/decide/loadbalancer/config.go
+++ b/internal/decide/loadbalancer/config.go
@@ -7,7 +7,7 @@
 	"pewterline/internal/microtime"
 )
 
-// maxClasses bounds the request classes: each endpoint keeps latency statistics of every class.
+// maxClasses bounds the request classes, as each endpoint keeps latency statistics for every class.
 const maxClasses = 64
 
 // Config holds the parameters of a Balancer. Zero values take the defaults.
@@ -24,25 +24,25 @@
 	MaxProbeBackoff microtime.Time
 	// SlowStart is how long an endpoint that recovered gets less than its full share of the traffic.
 	SlowStart microtime.Time
-	// SlowStartShare is the part of its full share with which slow start begins, over 0 and at most 1.
+	// SlowStartShare is the share of its normal traffic with which slow start begins, over 0 and at most 1.
 	SlowStartShare float64
-	// MaxEjectedShare is the part of the endpoints that may be ejected; beyond it, selection goes among all of them.
+	// MaxEjectedShare is the share of the endpoints that may be ejected; beyond it, all endpoints are selected from.
 	MaxEjectedShare float64
-	// InitialConcurrency is the concurrency limit of an endpoint before anything is learned of it.
+	// InitialConcurrency is the initial concurrency limit of an endpoint.
 	InitialConcurrency float64
 	// MaxConcurrency bounds the concurrency limit of an endpoint.
 	MaxConcurrency float64
-	// GossipThreshold is the weight of gossip that ejects an endpoint of which the instance knows nothing itself.
+	// GossipThreshold is the weight of gossip that ejects an endpoint that this instance has not observed itself.
 	GossipThreshold float64
-	// GossipHopFactor is the part of its weight that an observation keeps with each hop, between 0 and 1.
+	// GossipHopFactor is the factor of an observation's weight with each hop, between 0 and 1.
 	GossipHopFactor float64
 }
 
 // ConfigError reports a parameter that is out of bounds.
 type ConfigError struct {
-	// Setting names the parameter as the operators' settings do.
+	// Setting is the key of the parameter in the operators' settings.
 	Setting string
-	// Reason says which values are allowed.
+	// Reason describes the violated bounds.
 	Reason string
 }
 
--- a/internal/decide/loadbalancer/doc.go
+++ b/internal/decide/loadbalancer/doc.go
@@ -1,7 +1,7 @@
 // Package loadbalancer decides how one instance uses many upstream endpoints. It selects the endpoint of each attempt,
 // detects outliers and ejects them, schedules health probes, ramps up endpoints that have recovered (slow start),
 // limits the concurrency at each endpoint, budgets retries, keeps requests with an idempotency key at one endpoint, and
-// weighs what other instances tell about the endpoints by gossip.
+// weighs the gossip of other instances about the endpoints.
 //
 // The package internal/backend/upstream carries out the decisions, and internal/peers exchanges the gossip. All state
 // belongs to the values that the constructors return: a Balancer, a RetryPolicy and a PeerScheduler, each for one event
--- a/internal/decide/loadbalancer/endpoint.go
+++ b/internal/decide/loadbalancer/endpoint.go
@@ -6,10 +6,10 @@
 	"pewterline/internal/microtime"
 )
 
-// never marks an instant that has not been seen.
+// never stands for an instant that was not observed.
 const never microtime.Time = -1
 
-// endpoint is what one instance knows of an upstream endpoint by its own attempts.
+// endpoint is the state of an upstream endpoint, from the attempts of this instance.
 type endpoint struct {
 	name                string
 	state               State
@@ -17,7 +17,7 @@
 	consecutiveFailures int
 	lastFailureAt       microtime.Time
 	probe               probeSchedule
-	// retryAfter is the instant before which the endpoint asked to get no attempts.
+	// retryAfter is the instant until which the endpoint requested to get no attempts.
 	retryAfter microtime.Time
 	inFlight   int
 	// busySince is when the number of attempts in flight last rose from 0.
@@ -25,7 +25,7 @@
 	concurrency  concurrencyLimit
 	latency      []latencyStats // by class
 	lastAnswerAt microtime.Time
-	// recoveredAt is when it came back from Down, as far as this instance saw it; never otherwise.
+	// recoveredAt is when it last recovered from Down; never if this instance has not observed that.
 	recoveredAt  microtime.Time
 	observations int
 }
@@ -36,7 +36,7 @@
 	return e
 }
 
-// resetStatistics forgets what was learned of an earlier incarnation.
+// resetStatistics drops the statistics of an earlier incarnation of the endpoint.
 func (e *endpoint) resetStatistics(config *Config) {
 	e.latency = make([]latencyStats, config.Classes)
 	e.concurrency = concurrencyLimit{limit: config.InitialConcurrency}
@@ -58,7 +58,7 @@
 	return overall
 }
 
-// slowStartFactor is the part of its full share that the endpoint gets: less than 1 while it is warming up.
+// slowStartFactor is the share of its normal traffic that the endpoint gets: less than 1 while it is warming up.
 func (e *endpoint) slowStartFactor(now microtime.Time, config *Config) float64 {
 	if e.state != Warming {
 		return 1
@@ -67,20 +67,20 @@
 	return min(1, config.SlowStartShare+(1-config.SlowStartShare)*progress)
 }
 
-// atConcurrencyLimit reports whether the endpoint takes no further attempt for now. One attempt is always allowed.
+// atConcurrencyLimit reports whether the endpoint has no capacity for another attempt. One attempt is always allowed.
 func (e *endpoint) atConcurrencyLimit(now microtime.Time, config *Config) bool {
 	return float64(e.inFlight) >= e.concurrency.limit*e.slowStartFactor(now, config) && e.inFlight > 0
 }
 
-// probeSchedule says when an endpoint that is Suspect or Down is probed next.
+// probeSchedule is the schedule of the health probes of an endpoint that is Suspect or Down.
 type probeSchedule struct {
 	at       microtime.Time
 	backoff  microtime.Time
 	inFlight bool
 }
 
-// backOff doubles the mean wait within its bounds and draws the next probe from half to one and a half times of it, so
-// that many instances do not probe at once.
+// backOff doubles the mean wait within its bounds and schedules the next probe after 0.5 to 1.5 times of it, drawn at
+// random so that many instances do not probe at once.
 func (p *probeSchedule) backOff(now microtime.Time, config *Config, rng *rand.Rand, confirmedByGossip bool) {
 	p.backoff = min(max(2*p.backoff, config.InitialProbeBackoff), config.MaxProbeBackoff)
 	if confirmedByGossip {
--- a/internal/decide/loadbalancer/gossip.go
+++ b/internal/decide/loadbalancer/gossip.go
@@ -8,26 +8,27 @@
 )
 
 const (
-	// evidencePerSecond is how much an instance can have learned of one endpoint in a second of its life.
+	// evidencePerSecond bounds the evidence in an observation per second of its sender's uptime.
 	evidencePerSecond = 1.0
-	maxEvidence       = 20.0
+	// maxEvidence bounds the evidence in an observation.
+	maxEvidence = 20.0
 	// maxReachableEvidence and maxLatencyEvidence bound the evidence of the instance's own observations of these kinds.
 	maxReachableEvidence = 10
 	maxLatencyEvidence   = 10
-	// minDownEvidence and minSuspectEvidence are what the instance's own states count at least.
+	// minDownEvidence and minSuspectEvidence are the least evidence of the instance's own states Down and Suspect.
 	minDownEvidence    = 8
 	minSuspectEvidence = 4
-	// minLatencySamples is how many requests an endpoint must have served before its latency is told.
+	// minLatencySamples is how many requests an endpoint must have served before its latency is sent to others.
 	minLatencySamples = 5
 )
 
-// GossipResult counts what became of the observations of a message.
+// GossipResult counts the observations of a message by how they were handled.
 type GossipResult struct {
 	Accepted int
-	Stale    int // older than what is known, or of an earlier incarnation
+	Stale    int // not newer than a known one, or about an earlier incarnation of the endpoint
 	Ignored  int // about endpoints that are not in the endpoint list, or made by this instance
 	Invalid  int
-	Err      error // the first fault; it wraps ErrInvalidGossip
+	Err      error // of the first invalid one; it wraps ErrInvalidGossip
 }
 
 func (r *GossipResult) addInvalid(err error) {
@@ -37,9 +38,9 @@
 	}
 }
 
-// ApplyGossip takes over what another instance told. The instance's own observations take precedence: what is told
-// counts only for endpoints at which no attempt of this instance has ended. self is the name of this instance, whose
-// own observations come back to it.
+// ApplyGossip adds the observations of another instance's message to the gossip table. The instance's own observations
+// take precedence: gossip ejects only endpoints at which no attempt of this instance has ended. self is the name of
+// this instance, whose own observations come back to it and are ignored.
 func (b *Balancer) ApplyGossip(now microtime.Time, self string, sender GossipSender,
 	observations []Observation) GossipResult {
 	var result GossipResult
@@ -47,7 +48,7 @@
 		result.addInvalid(err)
 		return result
 	}
-	// A sender that has just started has seen little, whatever it says, and what it repeats rests on no more.
+	// A sender that has just started cannot have much evidence, whatever it claims. What it forwards is bounded too.
 	evidenceBound := min(maxEvidence, evidencePerSecond*sender.Uptime.Duration().Seconds())
 	for _, observation := range observations {
 		err := ValidateObservation(observation)
@@ -73,9 +74,9 @@
 	return result
 }
 
-// accept takes over a valid observation of an endpoint. It returns false if the observation tells nothing new.
+// accept adds a valid observation of an endpoint to the gossip table. It returns false if the observation is stale.
 func (b *Balancer) accept(now microtime.Time, target *endpoint, observation Observation) bool {
-	// The instance's own observation of a recovery goes before older gossip.
+	// The instance's own observation of a recovery overrides older gossip.
 	beforeRecovery := target.recoveredAt >= 0 && now-observation.Age < target.recoveredAt
 	if observation.Kind != Recovered && beforeRecovery || observation.Evidence <= 0 {
 		return false
@@ -85,8 +86,8 @@
 		return false
 	}
 	b.gossip = next
-	// The instance that told will find out when the endpoint is back; this one probes only after a while, each instance
-	// at a time of its own.
+	// The source of the observation will find out when the endpoint recovers. This instance probes it only after a random
+	// wait, so that not all instances probe at once.
 	if observation.Kind == Unreachable && target.state == Unobserved && target.probe.at <= now {
 		wait := microtime.Time(b.rng.Int64N(int64(b.config.MaxProbeBackoff)))
 		target.probe.at = now + b.config.MaxProbeBackoff/2 + wait
@@ -94,8 +95,8 @@
 	return true
 }
 
-// ComposeGossip returns what this instance tells another: its own observations, then what it was told, one hop further
-// and by falling weight. limit bounds the number of observations.
+// ComposeGossip returns the observations to send to another instance: the instance's own ones, then those of others by
+// falling weight, with one more hop. limit bounds their number.
 func (b *Balancer) ComposeGossip(now microtime.Time, self string, limit int) []Observation {
 	var observations []Observation
 	for _, e := range b.endpoints {
@@ -105,7 +106,7 @@
 	return observations[:min(len(observations), limit)]
 }
 
-// ownObservations returns what this instance has observed of an endpoint within MaxAge.
+// ownObservations returns this instance's observations of an endpoint that are not older than MaxAge.
 func (e *endpoint) ownObservations(now microtime.Time, self string) []Observation {
 	var own []Observation
 	add := func(kind ObservationKind, value, evidence float64, madeAt microtime.Time) {
@@ -141,7 +142,7 @@
 	return own
 }
 
-// forwardedObservations returns what others have told, one hop further and by falling weight.
+// forwardedObservations returns the observations of other instances by falling weight, with one more hop.
 func (b *Balancer) forwardedObservations(now microtime.Time) []Observation {
 	var held []heldObservation
 	for iterator := b.gossip.observations.Iterator(); !iterator.Done(); {
@@ -163,10 +164,10 @@
 	return forwarded
 }
 
-// GossipSnapshot returns what others have told as of now; it does not change afterwards.
+// GossipSnapshot returns an immutable snapshot of the observations of other instances.
 func (b *Balancer) GossipSnapshot() GossipTable { return b.gossip }
 
-// ExpireGossip forgets what has lost its weight. It is to be called from time to time.
+// ExpireGossip drops the observations that have lost their weight. It should be called periodically.
 func (b *Balancer) ExpireGossip(now microtime.Time) {
 	b.gossip = b.gossip.expire(now, func(endpoint string) bool { return b.byName[endpoint] != nil })
 }
--- a/internal/decide/loadbalancer/gossip_table.go
+++ b/internal/decide/loadbalancer/gossip_table.go
@@ -13,23 +13,23 @@
 const (
 	// maxSources bounds the observations of one kind about one endpoint.
 	maxSources = 4
-	// contemporary is the span within which two observations of an endpoint count as made at the same time.
+	// contemporary is the span within which two observations count as simultaneous.
 	contemporary = microtime.Second
 	// minWeight is the weight below which an observation is dropped.
 	minWeight = 0.001
-	// minLatencyWeight is the weight from which on what is told about a latency counts.
+	// minLatencyWeight is the total weight that observations of a latency must exceed to be used.
 	minLatencyWeight = 0.05
 )
 
-// GossipTable holds the observations that other instances have told. It is a value: a copy is a snapshot that stays as
-// it is while the event loop goes on with its own, because the map inside is persistent.
+// GossipTable holds the observations of other instances. A copy is a snapshot that does not change, because the map
+// inside is persistent.
 type GossipTable struct {
 	hopFactor    float64
 	observations *immutable.SortedMap[observationKey, heldObservation]
 }
 
-// observationKey identifies an observation: each source has one of a kind about an endpoint, so that what many
-// instances repeat stays one observation.
+// observationKey identifies an observation. Each source has one observation of each kind about an endpoint, so that an
+// observation that many instances forward counts once.
 type observationKey struct {
 	endpoint string
 	kind     ObservationKind
@@ -54,7 +54,7 @@
 	return observationKey{endpoint: h.observation.Endpoint, kind: h.observation.Kind, source: h.observation.Source}
 }
 
-// NewGossipTable returns an empty table. hopFactor is the part of its weight that an observation keeps with each hop.
+// NewGossipTable returns an empty table. hopFactor is the factor of an observation's weight with each hop.
 func NewGossipTable(hopFactor float64) GossipTable {
 	return GossipTable{
 		hopFactor:    hopFactor,
@@ -65,8 +65,8 @@
 // Len returns the number of observations.
 func (g GossipTable) Len() int { return g.observations.Len() }
 
-// weight is what an observation counts now: its evidence, halved with each half-life of its kind, and discounted by the
-// hops that it has gone.
+// weight is the current weight of an observation: its evidence, halved with each half-life of its kind, and multiplied
+// by the hop factor for each of its hops.
 func (g GossipTable) weight(now microtime.Time, held *heldObservation) float64 {
 	age := float64(now - held.madeAt)
 	decay := math.Exp2(-age / float64(held.observation.Kind.halfLife()))
@@ -88,7 +88,8 @@
 	return found
 }
 
-// FailureWeight is the weight of what was told against an endpoint, less what was told for it since; never below 0.
+// FailureWeight is the weight of the observations that an endpoint is unreachable, less that of later ones that it is
+// reachable; at least 0.
 func (g GossipTable) FailureWeight(now microtime.Time, endpoint string) float64 {
 	sum := 0.0
 	last := never
@@ -100,7 +101,7 @@
 		return 0
 	}
 	for _, held := range g.about(endpoint, Reachable) {
-		// An instance that reached it well before it failed does not know better.
+		// An observation from well before the failure does not contradict it.
 		if held.madeAt > last-contemporary {
 			sum -= g.weight(now, &held)
 		}
@@ -108,8 +109,8 @@
 	return max(sum, 0)
 }
 
-// Latency is the latency that was told of an endpoint, in microseconds: the mean of the sources by weight. It returns
-// false if what was told has too little weight.
+// Latency is the latency of an endpoint in microseconds according to gossip: the weighted mean of the sources. It
+// returns false if the observations have too little weight.
 func (g GossipTable) Latency(now microtime.Time, endpoint string) (float64, bool) {
 	sum := 0.0
 	weights := 0.0
@@ -121,7 +122,7 @@
 	return sum / weights, weights > minLatencyWeight
 }
 
-// lastRecovery is when an endpoint last recovered as far as anybody told; never if nobody did.
+// lastRecovery is when an endpoint last recovered according to gossip; never if there is no such observation.
 func (g GossipTable) lastRecovery(endpoint string) microtime.Time {
 	last := never
 	for _, held := range g.about(endpoint, Recovered) {
@@ -130,11 +131,11 @@
 	return last
 }
 
-// insert returns the table with a valid observation. It returns false, with the table as it was, if something newer is
-// known.
+// insert returns the table with a valid observation added. It returns false and the unchanged table if the observation
+// is stale.
 func (g GossipTable) insert(now microtime.Time, observation Observation) (GossipTable, bool) {
 	added := heldObservation{observation: observation, madeAt: now - observation.Age}
-	// What was observed before the endpoint recovered is about an incarnation that has ended.
+	// Observations from before the recovery are about an earlier incarnation of the endpoint.
 	if observation.Kind != Recovered && added.madeAt < g.lastRecovery(observation.Endpoint) {
 		return g, false
 	}
@@ -156,7 +157,7 @@
 	return h.observation.Hops < known.observation.Hops
 }
 
-// withoutEarlierIncarnations drops what was observed of an endpoint before it recovered.
+// withoutEarlierIncarnations drops the observations of an endpoint from before its recovery.
 func (g GossipTable) withoutEarlierIncarnations(recovery *heldObservation) GossipTable {
 	for _, kind := range []ObservationKind{Unreachable, Reachable, TypicalLatency} {
 		for _, held := range g.about(recovery.observation.Endpoint, kind) {
@@ -168,7 +169,7 @@
 	return g
 }
 
-// withBoundedSources drops the observation of the lowest weight where an endpoint has too many of a kind.
+// withBoundedSources drops the observation of the lowest weight if an endpoint has more than maxSources of a kind.
 func (g GossipTable) withBoundedSources(now microtime.Time, endpoint string, kind ObservationKind) GossipTable {
 	all := g.about(endpoint, kind)
 	if len(all) <= maxSources {
@@ -181,7 +182,7 @@
 	return g
 }
 
-// expire returns the table without what has lost its weight and what is about endpoints that are not known.
+// expire returns the table without the observations that have lost their weight or are about unknown endpoints.
 func (g GossipTable) expire(now microtime.Time, known func(endpoint string) bool) GossipTable {
 	for iterator := g.observations.Iterator(); !iterator.Done(); {
 		key, held, _ := iterator.Next()
--- a/internal/decide/loadbalancer/latency.go
+++ b/internal/decide/loadbalancer/latency.go
@@ -14,13 +14,13 @@
 )
 
 const (
-	// histogramRetention is the part of the counts that is kept from one observation to the next.
+	// histogramRetention is the factor by which the counts fade with each observation.
 	histogramRetention = 0.98
-	// maxHistogramWeight is the weight of an observation at which all counts are scaled down to keep their precision.
+	// maxHistogramWeight is the weight of an observation above which all counts are scaled down to keep precision.
 	maxHistogramWeight = 1e6
-	// meanSmoothing is the part of a new observation in the mean.
+	// meanSmoothing is the weight of a new observation in the mean.
 	meanSmoothing = 0.1
-	// peakDecay is the part of the way that the peak falls towards a lower observation.
+	// peakDecay is the weight of a lower observation in the peak.
 	peakDecay = 0.05
 )
 
@@ -30,7 +30,7 @@
 	count int
 	mean  float64 // microseconds
 	peak  float64 // microseconds
-	// weight is that of the next observation: it grows, in place of all counts fading.
+	// weight is the weight of the last observation. Instead of fading all counts, it grows with each observation.
 	weight float32
 	total  float32 // sum of the buckets
 	bucket [histogramBuckets]float32
@@ -67,7 +67,7 @@
 	s.total += s.weight
 }
 
-// rescale divides all counts by the weight, which becomes 1.
+// rescale divides all counts by the weight, so that the weight becomes 1.
 func (s *latencyStats) rescale() {
 	for i := range s.bucket {
 		s.bucket[i] /= s.weight
@@ -76,7 +76,7 @@
 	s.weight = 1
 }
 
-// merge adds the histogram and the count of another. The mean and the peak stay.
+// merge adds the histogram and the count of other. The mean and the peak do not change.
 func (s *latencyStats) merge(other *latencyStats) {
 	if other.count == 0 {
 		return
--- a/internal/decide/loadbalancer/observation.go
+++ b/internal/decide/loadbalancer/observation.go
@@ -8,7 +8,7 @@
 	"pewterline/internal/microtime"
 )
 
-// ObservationKind is what an observation says of an endpoint. The numbers go over the wire.
+// ObservationKind is what an observation says about an endpoint. The numbers are part of the wire format.
 type ObservationKind uint8
 
 // The kinds of observation.
@@ -16,7 +16,7 @@
 	Unreachable    ObservationKind = iota + 1 // attempts there failed
 	Reachable                                 // it answered
 	TypicalLatency                            // Value is the latency of a request there in microseconds
-	Recovered                                 // it came back: what is older is about an incarnation that has ended
+	Recovered                                 // it recovered: older observations are about an earlier incarnation
 	endOfKinds
 )
 
@@ -36,7 +36,7 @@
 	}
 }
 
-// halfLife is after how long an observation of each kind has half of its weight.
+// halfLife is the time after which an observation of the kind has half of its weight.
 func (k ObservationKind) halfLife() microtime.Time {
 	switch k {
 	case Unreachable, Reachable:
@@ -48,25 +48,25 @@
 	}
 }
 
-// Observation is what some instance has observed of an endpoint. It goes from instance to instance with its age, never
-// with a time, because clocks disagree.
+// Observation is an observation of an endpoint by some instance. It is sent with its age instead of a time, because the
+// clocks of the instances differ.
 type Observation struct {
 	Endpoint string
 	Kind     ObservationKind
-	Value    float64        // by kind
-	Evidence float64        // number of attempts behind it, over 0
+	Value    float64        // of TypicalLatency: microseconds
+	Evidence float64        // number of attempts that it rests on, over 0
 	Age      microtime.Time // since it was made
 	Source   string         // the instance that made it
-	Hops     int            // instances that have passed it on; 1 when its source tells it
+	Hops     int            // how often it was sent; 1 if its source sent it directly
 }
 
 // GossipSender is the instance that sent a gossip message.
 type GossipSender struct {
 	Name   string
-	Uptime microtime.Time // what it tells cannot rest on more than it can have observed
+	Uptime microtime.Time // bounds the evidence of its observations
 }
 
-// The bounds of what is accepted from others.
+// The bounds of observations that are accepted from other instances.
 const (
 	MaxHops = 4
 	MaxAge  = 600 * microtime.Second
@@ -115,7 +115,8 @@
 	return nil
 }
 
-// validateOwn checks what a sender says of its own observations: they come from it directly, and it was up.
+// validateOwn checks an observation whose source is the sender: it has one hop and is not older than the sender's
+// uptime.
 func (s *GossipSender) validateOwn(observation *Observation) error {
 	if observation.Source != s.Name || observation.Hops == 1 && observation.Age <= s.Uptime {
 		return nil
--- a/internal/decide/loadbalancer/outlier.go
+++ b/internal/decide/loadbalancer/outlier.go
@@ -2,7 +2,8 @@
 
 import "pewterline/internal/microtime"
 
-// An endpoint with attempts in flight that says nothing for a multiple of the usual latency, within bounds, is suspect.
+// An endpoint with attempts in flight that does not answer for silenceLatencyFactor times the usual latency, within
+// bounds, becomes Suspect.
 const (
 	silenceLatencyFactor = 3
 	minSilenceTimeout    = 300 * microtime.Millisecond
@@ -17,7 +18,7 @@
 	Class      int
 	Outcome    Outcome
 	Latency    microtime.Time
-	RetryAfter microtime.Time // of a rejection: how long the endpoint is to get no attempts
+	RetryAfter microtime.Time // of a rejection: how long the endpoint must get no attempts
 	NoRetry    bool           // of a rejection: no other endpoint should be tried
 }
 
@@ -59,7 +60,7 @@
 		target.retryAfter = max(target.retryAfter, now+result.RetryAfter)
 		target.concurrency.decrease()
 	case Failed:
-		target.lastAnswerAt = now // It answers, but does no work.
+		target.lastAnswerAt = now // A failure is an answer, but does not bring the endpoint back into use.
 		target.concurrency.decrease()
 	default:
 		b.recordFailure(now, target, result.Outcome)
@@ -73,7 +74,7 @@
 	target.concurrency.recordSuccess(stats.mean, target.inFlight, b.config.MaxConcurrency)
 }
 
-// recordAnswer records a sign of life, which brings the endpoint back into use.
+// recordAnswer records a success or a rejection, which brings an ejected endpoint back into use.
 func (b *Balancer) recordAnswer(now microtime.Time, target *endpoint) {
 	target.lastAnswerAt = now
 	target.consecutiveFailures = 0
@@ -82,13 +83,13 @@
 	case Unobserved:
 		target.setState(now, Up)
 	case Down:
-		// The incarnation that this instance knew has ended.
+		// It may have restarted, so that the earlier statistics do not apply.
 		target.recoveredAt = now
 		target.resetStatistics(&b.config)
 		target.setState(now, Warming)
 	case Suspect:
 		target.setState(now, Warming)
-		target.stateSince -= b.config.SlowStart / 2 // It may only have been slow.
+		target.stateSince -= b.config.SlowStart / 2 // A shorter slow start, as it may only have been slow.
 	case Warming:
 		if now >= target.stateSince+b.config.SlowStart {
 			target.setState(now, Up)
@@ -97,7 +98,7 @@
 	}
 }
 
-// recordFailure counts an attempt that got no answer. It ejects the endpoint if they are too many in a row.
+// recordFailure counts an attempt without an answer. It ejects the endpoint after too many consecutive ones.
 func (b *Balancer) recordFailure(now microtime.Time, target *endpoint, outcome Outcome) {
 	target.consecutiveFailures++
 	target.lastFailureAt = now
@@ -116,7 +117,7 @@
 	target.probe.backOff(now, &b.config, b.rng, confirmedByGossip)
 }
 
-// SilenceTimeout is how long an endpoint with attempts in flight may say nothing before it becomes suspect.
+// SilenceTimeout is how long an endpoint with attempts in flight may give no answer before it becomes Suspect.
 func (b *Balancer) SilenceTimeout() microtime.Time {
 	usual := microtime.Time(0)
 	for class := range b.latency {
@@ -125,9 +126,9 @@
 	return min(max(silenceLatencyFactor*usual, minSilenceTimeout), maxSilenceTimeout)
 }
 
-// detectSilence makes endpoints suspect that have fallen silent. It guards against a machine that vanished: its
-// connections stay open, and what is sent on them waits until its deadline. Measurements of the gossip showed the need:
-// instances took a machine for up, seconds after it had vanished, and could not warn others of it.
+// detectSilence makes endpoints Suspect that have not answered for SilenceTimeout. This detects a machine that has
+// vanished without closing its connections, before the attempts there reach their deadlines. Without it, gossip would
+// report such a machine as reachable for seconds.
 func (b *Balancer) detectSilence(now microtime.Time) {
 	timeout := b.SilenceTimeout()
 	for _, e := range b.endpoints {
@@ -141,7 +142,7 @@
 	}
 }
 
-// unhealthy reports whether an endpoint is ejected, unless more than the allowed share of them is.
+// unhealthy reports whether an endpoint should be ejected. candidates ignores it if too many endpoints are unhealthy.
 func (b *Balancer) unhealthy(now microtime.Time, target *endpoint) bool {
 	switch target.state {
 	case Suspect, Down, Draining:
@@ -153,7 +154,7 @@
 	return false
 }
 
-// ejectedShare is the part of the endpoints that are unhealthy.
+// ejectedShare is the share of the endpoints that are unhealthy.
 func (b *Balancer) ejectedShare(now microtime.Time) float64 {
 	unhealthy := 0
 	for _, e := range b.endpoints {
--- a/internal/decide/loadbalancer/peer_scheduler.go
+++ b/internal/decide/loadbalancer/peer_scheduler.go
@@ -11,7 +11,7 @@
 const (
 	// maxBackoffIntervals bounds the mean wait after failed exchanges with a peer, in exchange intervals.
 	maxBackoffIntervals = 30
-	// forgetFactor: a peer is forgotten after so many times the failures after which it counts as dead.
+	// forgetFactor, times DeadAfterFailures, is the number of consecutive failures after which a peer is removed.
 	forgetFactor = 3
 	// peerSchedulerStream separates the scheduler's random numbers from those of other users of the same seed.
 	peerSchedulerStream = 0x70656572
@@ -27,7 +27,7 @@
 	StartupTimeout microtime.Time
 	// DeadAfterFailures is the number of consecutive failed exchanges after which a peer counts as dead.
 	DeadAfterFailures int
-	// MaxPeers bounds the number of peers that are remembered.
+	// MaxPeers bounds the number of known peers.
 	MaxPeers int
 }
 
@@ -39,17 +39,16 @@
 	c.MaxPeers = cmp.Or(c.MaxPeers, 64)
 }
 
-// PeerScheduler decides which other instances this one exchanges gossip with, and when. An exchange is a sign of life
-// in both directions. A peer whose exchanges fail is asked with a growing backoff, and forgotten in the end unless it
-// is a seed.
+// PeerScheduler decides which other instances this one exchanges gossip with, and when. A peer whose exchanges fail is
+// retried with exponential backoff. After too many failures it is removed, unless it is a seed from the configuration.
 type PeerScheduler struct {
 	config  PeerSchedulerConfig
 	rng     *rand.Rand
 	peers   []*peer
 	started microtime.Time
 	next    microtime.Time // when the next exchange begins
-	ready   bool
-	asked   bool // the first exchanges have begun
+	ready   bool           // the result of Ready
+	asked   bool           // the first exchanges have begun
 }
 
 // peer is another instance.
@@ -60,12 +59,12 @@
 	consecutiveFailures int
 	lastAnswerAt        microtime.Time // 0: never
 	backoff             microtime.Time
-	notBefore           microtime.Time // the next exchange with it
-	exchanging          bool
+	notBefore           microtime.Time // the next exchange begins no earlier
+	exchanging          bool           // an exchange is in flight
 }
 
-// NewPeerScheduler returns the scheduler of an instance that starts now. seeds are the addresses of the peers that it
-// knows from its configuration, seed is that of the random numbers.
+// NewPeerScheduler returns the scheduler of an instance that starts now. seeds are the addresses of the peers in its
+// configuration, and seed initializes the random numbers.
 func NewPeerScheduler(now microtime.Time, config PeerSchedulerConfig, seeds []string, seed uint64) *PeerScheduler {
 	config.applyDefaults()
 	s := &PeerScheduler{
@@ -81,8 +80,8 @@
 	return s
 }
 
-// Ready reports whether requests may be served: the first answer has come, all first exchanges have failed, or
-// StartupTimeout has passed. Once ready, the instance stays so.
+// Ready reports whether requests may be served: the first peer has answered, all first exchanges have failed, or
+// StartupTimeout has passed. Once ready, the instance stays ready.
 func (s *PeerScheduler) Ready(now microtime.Time) bool {
 	exchanging := func(p *peer) bool { return p.exchanging }
 	switch {
@@ -106,11 +105,11 @@
 // NextPeers returns the addresses to exchange with now: several at first, then one per interval. ExchangeSucceeded or
 // ExchangeFailed must follow for each of them.
 func (s *PeerScheduler) NextPeers(now microtime.Time) []string {
-	s.Ready(now) // It may have waited long enough.
+	s.Ready(now) // Update ready, which NextCheck depends on.
 	if now < s.next {
 		return nil
 	}
-	// Jitter, so that instances that were started together do not go on in step.
+	// Jitter, so that instances that were started together do not stay synchronized.
 	jitter := microtime.Time(s.rng.Int64N(int64(s.config.Interval) / 2))
 	s.next = now + s.config.Interval*3/4 + jitter
 	count := 1
@@ -158,7 +157,7 @@
 	p.lastAnswerAt = now
 }
 
-// ExchangeFailed records that an exchange with the peer at an address brought no answer.
+// ExchangeFailed records that the peer at an address did not answer.
 func (s *PeerScheduler) ExchangeFailed(now microtime.Time, address string) {
 	p := s.lookup(address)
 	if p == nil {
@@ -173,7 +172,7 @@
 	}
 }
 
-// AddPeer adds an instance that another has told of, unless its address is known or MaxPeers are.
+// AddPeer adds an instance that a peer has reported, unless its address is known or there are MaxPeers peers.
 func (s *PeerScheduler) AddPeer(address, name string) {
 	if address == "" || s.lookup(address) != nil || len(s.peers) >= s.config.MaxPeers {
 		return
@@ -181,7 +180,7 @@
 	s.peers = append(s.peers, &peer{address: address, name: name})
 }
 
-// PeerStatus is what is known of another instance.
+// PeerStatus is the status of another instance, for operators.
 type PeerStatus struct {
 	Name        string // empty before a seed has answered
 	Address     string
--- a/internal/decide/loadbalancer/retry.go
+++ b/internal/decide/loadbalancer/retry.go
@@ -12,7 +12,7 @@
 
 // RetryConfig holds the parameters of a RetryPolicy. Zero values take the defaults.
 type RetryConfig struct {
-	// TokensPerSuccess is the part of a token that a success earns; a retry or a hedged request costs one.
+	// TokensPerSuccess is the fraction of a token that a success earns; a retry or a hedged request costs one token.
 	TokensPerSuccess float64
 	// MaxTokens bounds the tokens of the instance.
 	MaxTokens float64
@@ -22,7 +22,7 @@
 	MaxCallers int
 	// MaxAttempts bounds the attempts of a request, including the first.
 	MaxAttempts int
-	// MaxKeys bounds the idempotency keys whose endpoint is remembered; beyond it, requests with new keys are rejected.
+	// MaxKeys bounds the idempotency keys with a known endpoint; beyond it, requests with new keys are rejected.
 	MaxKeys int
 }
 
@@ -81,11 +81,11 @@
 	p.budget.caller(now, caller)
 }
 
-// RecordSuccess earns a part of a token for the instance and the caller.
+// RecordSuccess adds TokensPerSuccess to the budgets of the instance and the caller.
 func (p *RetryPolicy) RecordSuccess(now microtime.Time, caller uint32) { p.budget.earn(now, caller) }
 
-// SpendToken takes a token for a retry or a hedged request. It returns false, and takes nothing, if the instance or the
-// caller has none.
+// SpendToken spends a token of the instance and of the caller for a retry or a hedged request. It returns false, and
+// spends nothing, if either has none.
 func (p *RetryPolicy) SpendToken(now microtime.Time, caller uint32) bool {
 	if !p.budget.spend(now, caller) {
 		return false
@@ -102,7 +102,7 @@
 	return 1 + float64(p.retries)/float64(p.firstAttempts)
 }
 
-// Decision is what is done after a failed attempt.
+// Decision is how to proceed after a failed attempt.
 type Decision uint8
 
 // The decisions.
@@ -139,12 +139,12 @@
 	Key            IdempotencyKey
 	Attempts       int // so far, including the first
 	Outcome        Outcome
-	NoRetry        bool           // the endpoint asked that no other be tried
-	EarliestFinish microtime.Time // of a further attempt; microtime.Never if no endpoint takes it
+	NoRetry        bool           // the endpoint requested that no other be tried
+	EarliestFinish microtime.Time // of another attempt; microtime.Never if no endpoint has capacity
 	Deadline       microtime.Time
 }
 
-// Decide decides what is done after a failed attempt. A retry takes a token of the budget.
+// Decide decides how to proceed after a failed attempt. A retry spends a token of the budget.
 func (p *RetryPolicy) Decide(now microtime.Time, attempt FailedAttempt) Decision {
 	retry := RetryElsewhere
 	report := ReportFailed
@@ -152,9 +152,9 @@
 	mayHaveExecuted := !rejected && attempt.Keyed && p.MayHaveExecuted(now, attempt.Key)
 	switch {
 	case rejected, attempt.Outcome == ConnectFailed && !mayHaveExecuted:
-		report = ReportRejected // It was executed nowhere, and that is what its caller is told.
+		report = ReportRejected // The request was executed nowhere.
 	case mayHaveExecuted:
-		// It goes to that endpoint or nowhere. An endpoint that still answers can tell the outcome; a lost one cannot.
+		// It may be retried only at that endpoint. One that still answers knows the outcome; a lost one cannot be asked.
 		if p.sticky.byKey[attempt.Key].indeterminate || attempt.Outcome.endpointLost() {
 			return ReportIndeterminate
 		}
@@ -163,7 +163,7 @@
 	case !attempt.Idempotent && !attempt.Outcome.ProvesNotExecuted():
 		return ReportFailed // It may have been executed, and a retry could execute it a second time.
 	}
-	// No retry that cannot finish in time, or that the endpoint asked not to be made.
+	// No retry that cannot finish in time, or that the endpoint requested not to make.
 	hopeless := attempt.NoRetry || attempt.Attempts >= p.config.MaxAttempts || attempt.EarliestFinish >= attempt.Deadline
 	if hopeless || !p.SpendToken(now, attempt.Caller) {
 		return report
@@ -177,7 +177,8 @@
 }
 
 // StickyEndpoint returns the endpoint that may have executed a request within the retention window of its key, or "".
-// It returns false if so many keys are remembered that a new one cannot be taken, as it could then be executed twice.
+// ok is false if the key is new and MaxKeys keys are known: the request must be rejected, as it could be executed
+// twice.
 func (p *RetryPolicy) StickyEndpoint(now microtime.Time, key IdempotencyKey) (endpoint string, ok bool) {
 	if sticky := p.sticky.lookup(now, key); sticky != nil {
 		return sticky.endpoint, true
@@ -209,7 +210,7 @@
 	return 0, false
 }
 
-// Tracked returns the numbers of the idempotency keys and of the callers that are remembered.
+// Tracked returns the numbers of known idempotency keys and of callers with a budget.
 func (p *RetryPolicy) Tracked() (keys, callers int) {
 	return len(p.sticky.byKey), len(p.budget.callers)
 }
--- a/internal/decide/loadbalancer/selection.go
+++ b/internal/decide/loadbalancer/selection.go
@@ -8,39 +8,39 @@
 )
 
 const (
-	// sampleSize is the number of endpoints of which one is chosen. Two are enough to keep queues short; four came nearer
-	// to the least loaded of all in our measurements, and still spread what many instances send.
+	// sampleSize is the number of random endpoints of which the best is chosen. Two are enough to keep queues short; four
+	// came closer to the least loaded endpoint in our measurements, and still spread the load of many instances.
 	sampleSize = 4
-	// explorationInterval: one idempotent request in so many takes the first endpoint drawn, so that each endpoint is
-	// observed, also one that never looks best.
+	// explorationInterval is the mean number of idempotent requests per one that uses the first endpoint drawn, so that
+	// even an endpoint that never looks best is observed.
 	explorationInterval = 32
 	// maxSlowStartDraws bounds how often a draw is repeated because an endpoint is warming up.
 	maxSlowStartDraws = 8
-	// peakLatencyHalfLife is after how long without an answer the excess of a peak latency counts half.
+	// peakLatencyHalfLife is the half-life of the excess of a peak latency over the mean while no answer comes.
 	peakLatencyHalfLife = 2 * microtime.Second
-	// defaultLatency is assumed while no request of a class has been served.
+	// defaultLatency is the assumed latency before a request of a class has been served.
 	defaultLatency = 100 * microtime.Millisecond
 	// minHedgeSamples is how many requests of a class must have been served before one of them is hedged.
 	minHedgeSamples = 50
 )
 
-// Request is what a selection depends on.
+// Request describes a request for the selection of an endpoint.
 type Request struct {
 	Class      int
 	Idempotent bool     // it may be executed more than once
 	Cheap      bool     // it costs little, so that it may probe an endpoint
-	Exclude    []string // endpoints that were tried already; they are chosen only where there is no other
+	Exclude    []string // endpoints that were tried already; they are chosen only if there is no other
 }
 
 // Choice is the endpoint of an attempt.
 type Choice struct {
 	Endpoint string
-	Probe    bool // the attempt finds out whether the endpoint has recovered
+	Probe    bool // the attempt is a health probe
 }
 
 // Pick chooses the endpoint of an attempt: of a few drawn at random, the one with the lowest expected cost, as in
 // M. Mitzenmacher, "The Power of Two Choices in Randomized Load Balancing" (2001). An endpoint whose probe is due is
-// chosen first if the request is idempotent and cheap. It returns false if no endpoint takes the request now.
+// chosen first if the request is idempotent and cheap. It returns false if no endpoint has capacity now.
 //
 // Pick records no attempt: AttemptStarted must follow.
 func (b *Balancer) Pick(now microtime.Time, request Request) (Choice, bool) {
@@ -58,8 +58,8 @@
 	}
 	for range sampleSize - 1 {
 		other := b.draw(now, candidates)
-		// An endpoint that is warming up can only be the first drawn, so that its share stays what slow start allows,
-		// however fast it seems.
+		// An endpoint that is warming up can only be the first drawn, so that slow start limits its share even if it has
+		// the lowest cost.
 		if other.state != Warming && b.cost(now, other, request.Class) < b.cost(now, best, request.Class) {
 			best = other
 		}
@@ -83,9 +83,9 @@
 
 func (r *Request) excludes(e *endpoint) bool { return slices.Contains(r.Exclude, e.name) }
 
-// candidates returns the endpoints that may take the request: the healthy ones with capacity, or all with capacity
-// where more than the allowed share is ejected. Where most look unhealthy, it is likelier that this instance is, or
-// that all are slow; then the last few must not be overloaded, and the concurrency limits alone hold.
+// candidates returns the endpoints to select from: the healthy ones with capacity, or all with capacity if more than
+// MaxEjectedShare are unhealthy. If most endpoints look unhealthy, the cause is probably this instance or an overload
+// of all of them, and ejecting them would overload the few that remain.
 func (b *Balancer) candidates(now microtime.Time, request *Request) []*endpoint {
 	healthy, available := b.available(now, request)
 	if b.ejectedShare(now) > b.config.MaxEjectedShare {
@@ -94,8 +94,8 @@
 	return healthy
 }
 
-// available returns the endpoints that are known to take requests, and the healthy ones among them. Excluded endpoints
-// come in only if no other is healthy.
+// available returns the endpoints with capacity, and the healthy ones among them. Excluded endpoints are included only
+// if no other one is healthy.
 func (b *Balancer) available(now microtime.Time, request *Request) (healthy, available []*endpoint) {
 	for _, excluded := range []bool{false, true} {
 		for _, e := range b.endpoints {
@@ -126,8 +126,8 @@
 	return candidates[b.rng.IntN(len(candidates))]
 }
 
-// cost is the expected latency of a further request, in microseconds, times the requests that would then be in flight:
-// the cost function of Finagle's peak EWMA balancer. It serves for comparison only.
+// cost is the expected latency of another request, in microseconds, times the requests that would then be in flight:
+// the cost function of Finagle's peak EWMA balancer. It is used for comparison only.
 func (b *Balancer) cost(now microtime.Time, target *endpoint, class int) float64 {
 	latency := target.latency[class].peak
 	if target.latency[class].count == 0 {
@@ -136,8 +136,8 @@
 			latency = max(latency, told)
 		}
 	}
-	// A peak that no later request confirms fades towards the mean. Otherwise one slow answer would keep an endpoint out
-	// of every choice, and nobody would find out that it is fast again, or gone.
+	// The peak fades towards the mean while no request is in flight. Otherwise an endpoint would never be chosen after
+	// one slow answer, and no request would show that it is fast again.
 	if mean := b.latency[class].mean; latency > mean && target.inFlight == 0 {
 		latency = mean + (latency-mean)*math.Exp2(-float64(now-target.lastAnswerAt)/float64(peakLatencyHalfLife))
 	}
@@ -157,12 +157,12 @@
 	return b.latency[class].quantile(quantile)
 }
 
-// EarliestFinish estimates when an attempt that is sent now would be answered at best. It is microtime.Never if no
-// endpoint takes the request.
+// EarliestFinish estimates the earliest time at which an attempt that is sent now could be answered. It is
+// microtime.Never if no endpoint has capacity.
 func (b *Balancer) EarliestFinish(now microtime.Time, request Request) microtime.Time {
 	lowest := math.Inf(1)
 	for _, e := range b.candidates(now, &request) {
-		// The requests in flight run side by side, so that they do not count here.
+		// The requests in flight run concurrently, so they do not delay the attempt.
 		lowest = min(lowest, b.cost(now, e, request.Class)/float64(1+e.inFlight))
 	}
 	if math.IsInf(lowest, 1) {
--- a/internal/decide/loadbalancer/state.go
+++ b/internal/decide/loadbalancer/state.go
@@ -10,7 +10,7 @@
 	Unobserved State = iota // no attempt of this instance has ended there
 	Up                      // it answers
 	Warming                 // it has recovered, and gets a growing share of the traffic (slow start)
-	Suspect                 // it failed lately; idempotent and cheap requests probe it
+	Suspect                 // it failed recently; idempotent and cheap requests probe it
 	Down                    // it accepts no connection, or several attempts in a row failed
 	Draining                // it takes no new requests
 )
@@ -42,10 +42,10 @@
 	Succeeded      Outcome = iota
 	Rejected               // the endpoint did not execute it; RetryAfter and NoRetry may come with it
 	Failed                 // the endpoint reported a failure; it may have executed it
-	TimedOut               // no answer came in time; it may have been executed
+	TimedOut               // no answer was received in time; it may have been executed
 	ConnectionLost         // the connection ended after the request was written; it may have been executed
 	ConnectFailed          // no connection could be opened: nothing was written
-	Cancelled              // this instance gave the attempt up; it says nothing about the endpoint
+	Cancelled              // this instance cancelled the attempt; it says nothing about the endpoint
 )
 
 // String names the outcome.
--- a/internal/decide/loadbalancer/sticky_keys.go
+++ b/internal/decide/loadbalancer/sticky_keys.go
@@ -8,13 +8,13 @@
 	Value  string
 }
 
-// stickyKeys remembers which endpoint may have executed a request with an idempotency key, until the retention window
-// of the key ends. Within it the request goes to no other endpoint, as it could then be executed twice.
+// stickyKeys records which endpoint may have executed a request with an idempotency key, until the retention window of
+// the key ends. Until then the request is sent to no other endpoint, as it could be executed twice.
 type stickyKeys struct {
 	maxKeys int
 	byKey   map[IdempotencyKey]*stickyKey
-	// byExpiry is in the order in which the keys were added. That is about the order in which they expire, as the windows
-	// of one class come in order.
+	// byExpiry holds the keys in the order in which they were added. This is roughly their order of expiry, as the keys
+	// of one class have the same window.
 	byExpiry []*stickyKey
 }
 
@@ -33,14 +33,14 @@
 	return stickyKeys{maxKeys: maxKeys, byKey: map[IdempotencyKey]*stickyKey{}}
 }
 
-// full reports whether no further key can be remembered.
+// full reports whether no other key can be added.
 func (s *stickyKeys) full() bool { return len(s.byKey) >= s.maxKeys }
 
 // lookup finds a key whose window has not ended; nil if there is none.
 func (s *stickyKeys) lookup(now microtime.Time, key IdempotencyKey) *stickyKey {
 	s.expire(now)
 	sticky := s.byKey[key]
-	if sticky != nil && sticky.expiresAt <= now { // It is behind one that lasts longer.
+	if sticky != nil && sticky.expiresAt <= now { // expire has not reached it, behind one that expires later.
 		s.remove(sticky)
 		return nil
 	}
@@ -59,10 +59,10 @@
 	sticky.expiresAt = max(sticky.expiresAt, now+window)
 }
 
-// recordOutcome records how an attempt ended. What proves that it was not executed frees the key, unless another
-// attempt may have been: one in flight, or one that ended without proof, whichever request of the caller's it
-// belonged to. Found by the fault search: an endpoint that had executed a request and restarted rejected a repeat,
-// and the next one was executed elsewhere.
+// recordOutcome records how an attempt ended. An outcome that proves that the attempt was not executed removes the key,
+// unless another attempt may have been executed: one in flight, or one that ended without such a proof. Without this
+// condition, an endpoint that had executed a request and then restarted could reject a repeat, and the next repeat
+// would be executed at another endpoint.
 func (s *stickyKeys) recordOutcome(key IdempotencyKey, outcome Outcome) {
 	sticky := s.byKey[key]
 	if sticky == nil {
@@ -90,7 +90,7 @@
 	delete(s.byKey, sticky.key)
 }
 
-// expire forgets keys whose window has ended, as far as those added before them have expired.
+// expire drops the keys whose window has ended, up to the first one in byExpiry whose window has not.
 func (s *stickyKeys) expire(now microtime.Time) {
 	expired := 0
 	for expired < len(s.byExpiry) && (s.byExpiry[expired].removed || s.byExpiry[expired].expiresAt <= now) {
