--- a/control/health.go
+++ b/control/health.go
@@ -83,7 +83,7 @@
 	h.recentErrors++
 }
 
-// healthy reports whether health checks are to be answered with healthy.
+// healthy is the answer to health checks.
 func (h *healthMonitor) healthy() bool { return h.reason == reasonNone && !h.overwhelmed }
 
 // check repeats the diagnosis. running counts the running requests, top is the class of highest weight. It returns
--- a/internal/decide/calls/pool.go
+++ b/internal/decide/calls/pool.go
@@ -207,7 +207,7 @@
 	p.finish(made, outcome, reply)
 	for _, other := range slices.Clone(p.conns) {
 		if other != from {
-			p.outlive(now, other, made.sentAt)
+			p.abandonSilentCalls(now, other, made.sentAt)
 		}
 	}
 }
--- a/internal/decide/calls/silence.go
+++ b/internal/decide/calls/silence.go
@@ -77,9 +77,9 @@
 	return now + retireSilence
 }
 
-// outlive reports that the service has answered a call that was sent at sentAt on another connection. If this
+// abandonSilentCalls reports that the service has answered a call that was sent at sentAt on another connection. If this
 // connection has been silent since before sentAt, its idempotent calls end and it is retired.
-func (p *Pool) outlive(now microtime.Time, silent *conn, sentAt microtime.Time) {
+func (p *Pool) abandonSilentCalls(now microtime.Time, silent *conn, sentAt microtime.Time) {
 	since, waits := silent.silentSince()
 	if !silent.silent || !waits || sentAt < since {
 		return
--- a/internal/decide/consensus/inflight.go
+++ b/internal/decide/consensus/inflight.go
@@ -8,7 +8,7 @@
 
 const (
 	// firstPreemptionShift makes the longest backoff after the first preemption a 16th of the attempt timeout. It is
-	// short, as the ballot number that the reply told is soon outdated.
+	// short, as the ballot number in the reply is soon outdated.
 	firstPreemptionShift = 5
 	// maxPreemptionShift bounds the doublings of that backoff.
 	maxPreemptionShift = 10
--- a/internal/decide/handoff/handoff.go
+++ b/internal/decide/handoff/handoff.go
@@ -90,8 +90,8 @@
 		"peer claimed", "local finished", "local released", "ownership taken", "ownership passed", "peer lost")
 }
 
-// Action is something that the host must do. Queue and Admit are about the attempt of the event, Release, Serve and
-// Fail about the attempts that wait, and the others are messages to the peer.
+// Action is something that the host must do. Queue and Admit are about the attempt of the event, AdmitWaiting, Serve
+// and Fail about the attempts that wait, and the others are messages to the peer.
 type Action uint8
 
 // The actions.
@@ -100,8 +100,8 @@
 	Queue Action = iota
 	// Admit passes the attempt to the decision module.
 	Admit
-	// Release passes the waiting attempts to the decision module.
-	Release
+	// AdmitWaiting passes the waiting attempts to the decision module.
+	AdmitWaiting
 	// Serve answers the waiting attempts with the result of the run.
 	Serve
 	// Fail answers the waiting attempts, or the attempt of the event, with an error: whether the key ran is not known.
@@ -120,7 +120,7 @@
 
 // String names the action for logs and tests.
 func (a Action) String() string {
-	return name("Action", int(a), "queue", "admit", "release", "serve", "fail", "claim", "grant", "notify started",
+	return name("Action", int(a), "queue", "admit", "admit waiting", "serve", "fail", "claim", "grant", "notify started",
 		"notify finished", "notify released")
 }
 
@@ -290,5 +290,5 @@
 		return nil
 	}
 	k.State = Local
-	return []Action{Release}
+	return []Action{AdmitWaiting}
 }
--- a/internal/decide/handoff/handoff_test.go
+++ b/internal/decide/handoff/handoff_test.go
@@ -82,7 +82,7 @@
 		switch action {
 		case Queue:
 			stepped.waiting = true
-		case Release, Serve, Fail:
+		case AdmitWaiting, Serve, Fail:
 			stepped.waiting = false
 		case Admit:
 		default:
--- a/internal/decide/loadbalancer/gossip.go
+++ b/internal/decide/loadbalancer/gossip.go
@@ -144,18 +144,18 @@
 
 // forwardedObservations returns the observations of other instances by falling weight, with one more hop.
 func (b *Balancer) forwardedObservations(now microtime.Time) []Observation {
-	var held []heldObservation
+	var received []receivedObservation
 	for iterator := b.gossip.observations.Iterator(); !iterator.Done(); {
 		_, h, _ := iterator.Next()
 		if h.observation.Hops < MaxHops && now-h.madeAt <= MaxAge {
-			held = append(held, h)
+			received = append(received, h)
 		}
 	}
-	slices.SortStableFunc(held, func(first, second heldObservation) int {
+	slices.SortStableFunc(received, func(first, second receivedObservation) int {
 		return cmp.Compare(b.gossip.weight(now, &second), b.gossip.weight(now, &first))
 	})
-	forwarded := make([]Observation, 0, len(held))
-	for _, h := range held {
+	forwarded := make([]Observation, 0, len(received))
+	for _, h := range received {
 		observation := h.observation
 		observation.Age = now - h.madeAt
 		observation.Hops++
--- a/internal/decide/loadbalancer/gossip_table.go
+++ b/internal/decide/loadbalancer/gossip_table.go
@@ -25,7 +25,7 @@
 // inside is persistent.
 type GossipTable struct {
 	hopFactor    float64
-	observations *immutable.SortedMap[observationKey, heldObservation]
+	observations *immutable.SortedMap[observationKey, receivedObservation]
 }
 
 // observationKey identifies an observation. Each source has one observation of each kind about an endpoint, so that an
@@ -44,13 +44,13 @@
 	return cmp.Or(cmp.Compare(a.endpoint, b.endpoint), cmp.Compare(a.kind, b.kind), cmp.Compare(a.source, b.source))
 }
 
-// heldObservation is an observation with the instant, on this instance's clock, when it was made.
-type heldObservation struct {
+// receivedObservation is an observation with the instant, on this instance's clock, when it was made.
+type receivedObservation struct {
 	observation Observation
 	madeAt      microtime.Time
 }
 
-func (h *heldObservation) key() observationKey {
+func (h *receivedObservation) key() observationKey {
 	return observationKey{endpoint: h.observation.Endpoint, kind: h.observation.Kind, source: h.observation.Source}
 }
 
@@ -58,7 +58,7 @@
 func NewGossipTable(hopFactor float64) GossipTable {
 	return GossipTable{
 		hopFactor:    hopFactor,
-		observations: immutable.NewSortedMap[observationKey, heldObservation](observationOrder{}),
+		observations: immutable.NewSortedMap[observationKey, receivedObservation](observationOrder{}),
 	}
 }
 
@@ -67,23 +67,23 @@
 
 // weight is the current weight of an observation: its evidence, halved with each half-life of its kind, and multiplied
 // by the hop factor for each of its hops.
-func (g GossipTable) weight(now microtime.Time, held *heldObservation) float64 {
-	age := float64(now - held.madeAt)
-	decay := math.Exp2(-age / float64(held.observation.Kind.halfLife()))
-	return held.observation.Evidence * decay * math.Pow(g.hopFactor, float64(held.observation.Hops))
+func (g GossipTable) weight(now microtime.Time, received *receivedObservation) float64 {
+	age := float64(now - received.madeAt)
+	decay := math.Exp2(-age / float64(received.observation.Kind.halfLife()))
+	return received.observation.Evidence * decay * math.Pow(g.hopFactor, float64(received.observation.Hops))
 }
 
 // about lists the observations of a kind about an endpoint, by source.
-func (g GossipTable) about(endpoint string, kind ObservationKind) []heldObservation {
-	var found []heldObservation
+func (g GossipTable) about(endpoint string, kind ObservationKind) []receivedObservation {
+	var found []receivedObservation
 	iterator := g.observations.Iterator()
 	iterator.Seek(observationKey{endpoint: endpoint, kind: kind})
 	for !iterator.Done() {
-		key, held, _ := iterator.Next()
+		key, received, _ := iterator.Next()
 		if key.endpoint != endpoint || key.kind != kind {
 			break
 		}
-		found = append(found, held)
+		found = append(found, received)
 	}
 	return found
 }
@@ -93,17 +93,17 @@
 func (g GossipTable) FailureWeight(now microtime.Time, endpoint string) float64 {
 	sum := 0.0
 	last := never
-	for _, held := range g.about(endpoint, Unreachable) {
-		sum += g.weight(now, &held)
-		last = max(last, held.madeAt)
+	for _, received := range g.about(endpoint, Unreachable) {
+		sum += g.weight(now, &received)
+		last = max(last, received.madeAt)
 	}
 	if sum == 0 {
 		return 0
 	}
-	for _, held := range g.about(endpoint, Reachable) {
+	for _, received := range g.about(endpoint, Reachable) {
 		// An observation from well before the failure does not contradict it.
-		if held.madeAt > last-contemporary {
-			sum -= g.weight(now, &held)
+		if received.madeAt > last-contemporary {
+			sum -= g.weight(now, &received)
 		}
 	}
 	return max(sum, 0)
@@ -114,9 +114,9 @@
 func (g GossipTable) Latency(now microtime.Time, endpoint string) (float64, bool) {
 	sum := 0.0
 	weights := 0.0
-	for _, held := range g.about(endpoint, TypicalLatency) {
-		weight := g.weight(now, &held)
-		sum += weight * held.observation.Value
+	for _, received := range g.about(endpoint, TypicalLatency) {
+		weight := g.weight(now, &received)
+		sum += weight * received.observation.Value
 		weights += weight
 	}
 	return sum / weights, weights > minLatencyWeight
@@ -125,8 +125,8 @@
 // lastRecovery is when an endpoint last recovered according to gossip; never if there is no such observation.
 func (g GossipTable) lastRecovery(endpoint string) microtime.Time {
 	last := never
-	for _, held := range g.about(endpoint, Recovered) {
-		last = max(last, held.madeAt)
+	for _, received := range g.about(endpoint, Recovered) {
+		last = max(last, received.madeAt)
 	}
 	return last
 }
@@ -134,7 +134,7 @@
 // insert returns the table with a valid observation added. It returns false and the unchanged table if the observation
 // is stale.
 func (g GossipTable) insert(now microtime.Time, observation Observation) (GossipTable, bool) {
-	added := heldObservation{observation: observation, madeAt: now - observation.Age}
+	added := receivedObservation{observation: observation, madeAt: now - observation.Age}
 	// Observations from before the recovery are about an earlier incarnation of the endpoint.
 	if observation.Kind != Recovered && added.madeAt < g.lastRecovery(observation.Endpoint) {
 		return g, false
@@ -150,7 +150,7 @@
 }
 
 // supersedes reports whether an observation is newer than a known one of the same key, or the same over fewer hops.
-func (h *heldObservation) supersedes(known *heldObservation) bool {
+func (h *receivedObservation) supersedes(known *receivedObservation) bool {
 	if h.madeAt != known.madeAt {
 		return h.madeAt > known.madeAt
 	}
@@ -158,11 +158,11 @@
 }
 
 // withoutEarlierIncarnations drops the observations of an endpoint from before its recovery.
-func (g GossipTable) withoutEarlierIncarnations(recovery *heldObservation) GossipTable {
+func (g GossipTable) withoutEarlierIncarnations(recovery *receivedObservation) GossipTable {
 	for _, kind := range []ObservationKind{Unreachable, Reachable, TypicalLatency} {
-		for _, held := range g.about(recovery.observation.Endpoint, kind) {
-			if held.madeAt < recovery.madeAt {
-				g.observations = g.observations.Delete(held.key())
+		for _, received := range g.about(recovery.observation.Endpoint, kind) {
+			if received.madeAt < recovery.madeAt {
+				g.observations = g.observations.Delete(received.key())
 			}
 		}
 	}
@@ -175,7 +175,7 @@
 	if len(all) <= maxSources {
 		return g
 	}
-	lightest := slices.MinFunc(all, func(a, b heldObservation) int {
+	lightest := slices.MinFunc(all, func(a, b receivedObservation) int {
 		return cmp.Compare(g.weight(now, &a), g.weight(now, &b))
 	})
 	g.observations = g.observations.Delete(lightest.key())
@@ -185,9 +185,9 @@
 // expire returns the table without the observations that have lost their weight or are about unknown endpoints.
 func (g GossipTable) expire(now microtime.Time, known func(endpoint string) bool) GossipTable {
 	for iterator := g.observations.Iterator(); !iterator.Done(); {
-		key, held, _ := iterator.Next()
-		light := g.weight(now, &held) < minWeight && key.kind != Recovered
-		if now-held.madeAt > MaxAge || !known(key.endpoint) || light {
+		key, received, _ := iterator.Next()
+		light := g.weight(now, &received) < minWeight && key.kind != Recovered
+		if now-received.madeAt > MaxAge || !known(key.endpoint) || light {
 			g.observations = g.observations.Delete(key)
 		}
 	}
--- a/internal/dispatch/core.go
+++ b/internal/dispatch/core.go
@@ -206,13 +206,13 @@
 	if req.answered {
 		return
 	}
-	c.settle(req)
+	c.markAnswered(req)
 	c.counters.count(req.Class, response.Status)
 	req.Responder.Respond(response)
 }
 
-// settle records that a request is answered or that its caller has left.
-func (c *Core) settle(req *request) {
+// markAnswered records that a request is answered or that its caller has left.
+func (c *Core) markAnswered(req *request) {
 	if req.answered {
 		return
 	}
--- a/internal/dispatch/execution.go
+++ b/internal/dispatch/execution.go
@@ -71,8 +71,8 @@
 	Lookup(request KeyedRequest, done func(LeaseResult)) bool
 	// Acquire records that a request is about to run: from then on it may have run.
 	Acquire(request KeyedRequest, done func(LeaseResult))
-	// Release asynchronously reverts Acquire: the request did not run.
-	Release(request KeyedRequest)
+	// ReleaseLease asynchronously reverts Acquire: the request did not run.
+	ReleaseLease(request KeyedRequest)
 	// RecordFailure asynchronously records that the request ran and failed.
 	RecordFailure(request KeyedRequest)
 	// RecordResult records the result of a request that ran.
--- a/internal/dispatch/harness_test.go
+++ b/internal/dispatch/harness_test.go
@@ -54,7 +54,7 @@
 	done(LeaseResult{})
 }
 
-func (h *harness) Release(request KeyedRequest) {
+func (h *harness) ReleaseLease(request KeyedRequest) {
 	h.releasedKeys = append(h.releasedKeys, request.IdempotencyKey)
 }
 
--- a/internal/dispatch/keys.go
+++ b/internal/dispatch/keys.go
@@ -51,7 +51,7 @@
 	key      IdempotencyKey
 	class    int
 	bodyHash uint64            // all attempts have the same body
-	holder   control.RequestID // the attempt that the decision module knows as the original
+	original control.RequestID // the attempt that the decision module knows as the original
 	expires  microtime.Time    // the end of the retention that the decision module has requested
 	retained bool              // the decision module has retained the key; false: the entry lasts for this turn only
 	restored bool              // known from the store or the peer process: the decision module has not seen the run
@@ -123,7 +123,7 @@
 // keyTable holds the entries of the idempotency keys of all frontends.
 type keyTable struct {
 	byKey      map[IdempotencyKey]*keyEntry
-	byHolder   map[control.RequestID]*keyEntry
+	byOriginal map[control.RequestID]*keyEntry
 	unretained []*keyEntry // added in this turn
 	// released are the entries that were dropped without a run since the last step.
 	released []*keyEntry
@@ -137,7 +137,7 @@
 func newKeyTable() keyTable {
 	return keyTable{
 		byKey:         map[IdempotencyKey]*keyEntry{},
-		byHolder:      map[control.RequestID]*keyEntry{},
+		byOriginal:    map[control.RequestID]*keyEntry{},
 		indeterminate: map[IdempotencyKey]microtime.Time{},
 		hashSeed:      maphash.MakeSeed(),
 	}
@@ -164,14 +164,14 @@
 func (t *keyTable) attach(req *request) (*keyEntry, control.RequestID) {
 	key := req.scopedKey()
 	if entry := t.current(key, req.ArrivedAt); entry != nil {
-		return entry, entry.holder
+		return entry, entry.original
 	}
 	entry := &keyEntry{
-		key: key, class: req.Class, bodyHash: maphash.Bytes(t.hashSeed, req.Body), holder: req.id,
+		key: key, class: req.Class, bodyHash: maphash.Bytes(t.hashSeed, req.Body), original: req.id,
 		arrivedAt: req.ArrivedAt, arrivedAtUnixMilli: req.ArrivedAtUnixMilli,
 	}
 	t.byKey[key] = entry
-	t.byHolder[req.id] = entry
+	t.byOriginal[req.id] = entry
 	t.unretained = append(t.unretained, entry)
 	return entry, 0
 }
@@ -192,7 +192,7 @@
 	return nil
 }
 
-// retain makes req the holder of its entry until expires.
+// retain makes req the original of its entry until expires.
 func (t *keyTable) retain(req *request, expires microtime.Time) {
 	entry := req.entry
 	if known := t.byKey[entry.key]; known != entry { // The entry was dropped while req was queued.
@@ -201,16 +201,16 @@
 		}
 		t.byKey[entry.key] = entry
 	}
-	delete(t.byHolder, entry.holder)
-	entry.holder = req.id
+	delete(t.byOriginal, entry.original)
+	entry.original = req.id
 	entry.retained = true
 	entry.expires = expires
-	t.byHolder[req.id] = entry
+	t.byOriginal[req.id] = entry
 }
 
-// release drops the entry of a holder, unless an attempt of it has run.
-func (t *keyTable) release(holder control.RequestID) {
-	if entry := t.byHolder[holder]; entry != nil && entry.run == runNone {
+// release drops the entry of an original, unless an attempt of it has run.
+func (t *keyTable) release(original control.RequestID) {
+	if entry := t.byOriginal[original]; entry != nil && entry.run == runNone {
 		t.drop(entry)
 	}
 }
@@ -243,8 +243,8 @@
 	if t.byKey[entry.key] == entry {
 		delete(t.byKey, entry.key)
 	}
-	if t.byHolder[entry.holder] == entry {
-		delete(t.byHolder, entry.holder)
+	if t.byOriginal[entry.original] == entry {
+		delete(t.byOriginal, entry.original)
 	}
 }
 
--- a/internal/dispatch/peer.go
+++ b/internal/dispatch/peer.go
@@ -146,7 +146,7 @@
 // resumeParked carries out the actions of the handoff that are about the requests that wait for a key.
 func (c *Core) resumeParked(action handoff.Action, entry *keyEntry, waiting []*request) {
 	switch action {
-	case handoff.Release:
+	case handoff.AdmitWaiting:
 		for _, req := range waiting {
 			c.parked.remove(req)
 			req.state, req.entry = stateQueued, nil
--- a/internal/dispatch/reload.go
+++ b/internal/dispatch/reload.go
@@ -40,8 +40,8 @@
 
 // place assigns indices to the classes and tenants of new settings.
 func (c *Core) place(next control.Settings, inUse func(class int) bool) (placed control.Settings, err error) {
-	held := c.heldClasses()
-	free := func(class int) bool { return !held[class] && !inUse(class) }
+	used := c.classesInUse()
+	free := func(class int) bool { return !used[class] && !inUse(class) }
 	placed = next
 	if placed.Classes, err = reload.PlaceClasses(c.settings.Classes, next.Classes, free); err != nil {
 		return placed, err
@@ -50,16 +50,16 @@
 	return placed, err
 }
 
-// heldClasses reports, for each class, whether an open request or a retained key belongs to it.
-func (c *Core) heldClasses() []bool {
-	held := make([]bool, len(c.settings.Classes))
+// classesInUse reports, for each class, whether an open request or a retained key belongs to it.
+func (c *Core) classesInUse() []bool {
+	used := make([]bool, len(c.settings.Classes))
 	for _, r := range c.requests.byID {
-		held[r.Class] = true
+		used[r.Class] = true
 	}
 	for _, entry := range c.keys.byKey {
-		held[entry.class] = true
+		used[entry.class] = true
 	}
-	return held
+	return used
 }
 
 // reconfigure passes the settings to the decision module, or only checks them before Start.
--- a/internal/dispatch/run.go
+++ b/internal/dispatch/run.go
@@ -135,7 +135,7 @@
 		}
 		c.keys.markNotRun(entry)
 		if c.store != nil {
-			c.store.Release(entry.keyedRequest())
+			c.store.ReleaseLease(entry.keyedRequest())
 		}
 		c.finishAll(entry, req, outcome, nil)
 	case outcome == RunSucceeded && c.store != nil:
@@ -197,7 +197,7 @@
 // with the run, which has its RunID from now on.
 func (c *Core) promoteWaiter(entry *keyEntry, req *request, index int) {
 	if c.store != nil { // The lease was for the attempt that was not started; the waiter acquires its own.
-		c.store.Release(entry.keyedRequest())
+		c.store.ReleaseLease(entry.keyedRequest())
 	}
 	waiter := entry.waiters[index]
 	entry.waiters[0], entry.waiters[index] = waiter, entry.waiters[0]
--- a/internal/dispatch/submit.go
+++ b/internal/dispatch/submit.go
@@ -83,7 +83,7 @@
 	if req == nil || req.answered {
 		return
 	}
-	c.settle(req)
+	c.markAnswered(req)
 	c.events = append(c.events, control.RequestCancelled{ID: id})
 	if !req.state.started() {
 		c.forget(req)
--- a/internal/server/database_store.go
+++ b/internal/server/database_store.go
@@ -79,9 +79,9 @@
 	})
 }
 
-// Release is part of dispatch.ExecutionStore. Where the write is lost, a retry after a restart fails only because it is
-// not known that the request never ran.
-func (d *databaseStore) Release(request dispatch.KeyedRequest) {
+// ReleaseLease is part of dispatch.ExecutionStore. Where the write is lost, a retry after a restart fails only because
+// it is not known that the request never ran.
+func (d *databaseStore) ReleaseLease(request dispatch.KeyedRequest) {
 	d.apply(request, execution.EventRunNotStarted, func(execution.Action, error) {})
 }
 
--- a/internal/server/replicated_store.go
+++ b/internal/server/replicated_store.go
@@ -114,8 +114,8 @@
 	})
 }
 
-// Release is part of dispatch.ExecutionStore.
-func (r *replicatedStore) Release(request dispatch.KeyedRequest) {
+// ReleaseLease is part of dispatch.ExecutionStore.
+func (r *replicatedStore) ReleaseLease(request dispatch.KeyedRequest) {
 	r.replica.ReleaseLease(r.key(request))
 }
 
--- a/internal/testbed/sim/tables_test.go
+++ b/internal/testbed/sim/tables_test.go
@@ -82,7 +82,7 @@
 			faults.Fault{At: at + 36*microtime.Second, Kind: faults.SlowPool, Node: "w0", For: 5 * microtime.Second, Amount: 4})
 	}
 	flat(t, s, 30_000, "control.retainedKeys.keys", "control.requestTable.byID", "control.idleConnections.lastSeen", "control.classState.latencies",
-		"dispatch.keyTable.byKey", "dispatch.keyTable.byHolder", "dispatch.tickSchedule.ticks", "workerpool.Backend.runs", "transport.connGroup.conns", "transport.Connection.received")
+		"dispatch.keyTable.byKey", "dispatch.keyTable.byOriginal", "dispatch.tickSchedule.ticks", "workerpool.Backend.runs", "transport.connGroup.conns", "transport.Connection.received")
 }
 
 // The same over 30 minutes of calls that are given up, cut off, silent, and moved.
