--- a/cmd/pewterline-sim/balancers.go
+++ b/cmd/pewterline-sim/balancers.go
@@ -78,8 +78,8 @@
 	fmt.Fprintf(out, "%-9s %-12s %8.0f %8.0f %7.3f %7.3f %6.2f %7.0f\n", impairment, policy,
 		medianOf(func(r sim.PolicyResult) float64 { return float64(r.P50) / 1000 }),
 		medianOf(func(r sim.PolicyResult) float64 { return float64(r.P99) / 1000 }),
-		medianOf(func(r sim.PolicyResult) float64 { return r.Worth }),
-		medianOf(func(r sim.PolicyResult) float64 { return r.FirstWorth }),
+		medianOf(func(r sim.PolicyResult) float64 { return r.OnTime }),
+		medianOf(func(r sim.PolicyResult) float64 { return r.EarlyOnTime }),
 		medianOf(func(r sim.PolicyResult) float64 { return r.Amplification }),
 		medianOf(func(r sim.PolicyResult) float64 { return float64(r.Wasted) }))
 }
--- a/cmd/pewterline-sim/gossip.go
+++ b/cmd/pewterline-sim/gossip.go
@@ -79,10 +79,10 @@
 		return quantile(values, q)
 	}
 	wasted := func(r sim.GossipResult) float64 { return float64(r.Wasted) }
-	early := func(r sim.GossipResult) float64 { return float64(r.Early) }
-	served := func(r sim.GossipResult) float64 { return r.Worth }
+	early := func(r sim.GossipResult) float64 { return float64(r.EarlyWasted) }
+	served := func(r sim.GossipResult) float64 { return r.WeightedGoodput }
 	bytesPerSecond := func(r sim.GossipResult) float64 {
-		return float64(r.Exchanged) / exchangeSeconds / float64(c.Edges)
+		return float64(r.GossipBytes) / exchangeSeconds / float64(c.Edges)
 	}
 	fmt.Fprintf(out, "%-8v %20.0f %7.0f %22.0f %7.0f %17.3f %6.3f %10.0f\n", isOn,
 		at(0.5, wasted), at(0.9, wasted), at(0.5, early), at(0.9, early),
--- a/cmd/pewterline-sim/run.go
+++ b/cmd/pewterline-sim/run.go
@@ -54,7 +54,7 @@
 	simulated := outcome.Simulated.Duration()
 	fmt.Fprintf(out, "%v simulated in %v (%.1f to one), %d events, %d turns, ",
 		simulated, took.Round(time.Millisecond), simulated.Seconds()/took.Seconds(), outcome.Events, outcome.Turns)
-	fmt.Fprintf(out, "%d answers %v, weight served in time %.3f\n", outcome.Requests, outcome.Answers, outcome.Worth)
+	fmt.Fprintf(out, "%d answers %v, weight served in time %.3f\n", outcome.Requests, outcome.Answers, outcome.WeightedGoodput)
 }
 
 // printCalls prints what became of the downstream calls, and the history of one request that made one.
--- a/internal/testbed/sim/balancer.go
+++ b/internal/testbed/sim/balancer.go
@@ -31,10 +31,10 @@
 type PolicyResult struct {
 	Policy        string
 	P50, P99      microtime.Time // of what was served
-	Worth         float64        // served within the aim, of all
+	OnTime        float64        // served within the aim, of all
 	Amplification float64        // tries for each request
 	Wasted        int            // tries at servers that were dead
-	FirstWorth    float64        // of the first ten seconds
+	EarlyOnTime   float64        // of the first ten seconds
 }
 
 const (
@@ -113,8 +113,8 @@
 	}
 	l.w.Run(simnet.Start + o.Length + 10*microtime.Second)
 	r := PolicyResult{Policy: policy, P50: microtime.Time(l.hist.ValueAtQuantile(50)), P99: microtime.Time(l.hist.ValueAtQuantile(99)),
-		Worth: float64(l.inTime) / float64(max(l.asked, 1)), Amplification: float64(l.tries) / float64(max(l.asked, 1)), Wasted: l.wasted,
-		FirstWorth: float64(l.first[1]) / float64(max(l.first[0], 1))}
+		OnTime: float64(l.inTime) / float64(max(l.asked, 1)), Amplification: float64(l.tries) / float64(max(l.asked, 1)), Wasted: l.wasted,
+		EarlyOnTime: float64(l.first[1]) / float64(max(l.first[0], 1))}
 	return r, nil
 }
 
--- a/internal/testbed/sim/gossip.go
+++ b/internal/testbed/sim/gossip.go
@@ -23,12 +23,12 @@
 
 // GossipResult is how the fresh instance did in its first ten seconds.
 type GossipResult struct {
-	Wasted     int     // tries that came to nothing for want of a server
-	Connects   int     // to dead servers
-	Early      int     // tries wasted in the first two seconds
-	Worth      float64 // served in time, of what callers asked for while the fresh instance was young
-	Exchanged  int     // bytes that all instances have told each other, over the whole run
-	Violations int
+	Wasted          int     // tries that came to nothing for want of a server
+	DeadConnects    int     // to dead servers
+	EarlyWasted     int     // tries wasted in the first two seconds
+	WeightedGoodput float64 // served in time, of what callers asked for while the fresh instance was young
+	GossipBytes     int     // bytes that all instances have told each other, over the whole run
+	Violations      int
 }
 
 const (
@@ -63,17 +63,17 @@
 		l.net.Tap = func(v simnet.Event) {
 			tap(v)
 			if v.Kind == simnet.Written && len(v.Addr) > 9 && v.Addr[len(v.Addr)-9:] == "/exchange" {
-				r.Exchanged += len(v.Bytes)
+				r.GossipBytes += len(v.Bytes)
 			}
 			if v.Kind != simnet.ConnectAttempted || v.Node != "e0" || v.At < fresh || v.At > fresh+learnYoung {
 				return
 			}
 			if t := l.server(v.Peer); t != nil && t.host.Ended {
-				r.Connects++
+				r.DeadConnects++
 			}
 		}
 		l.w.At(fresh, func() { worth[0], wanted[0] = l.st.WeightServed, l.st.WeightAsked })
-		l.w.At(fresh+2*microtime.Second, func() { r.Early = l.edges[0].program.WastedAttempts() })
+		l.w.At(fresh+2*microtime.Second, func() { r.EarlyWasted = l.edges[0].program.WastedAttempts() })
 		l.w.At(fresh+learnYoung, func() {
 			r.Wasted = l.edges[0].program.WastedAttempts()
 			worth[1], wanted[1] = l.st.WeightServed, l.st.WeightAsked
@@ -82,7 +82,7 @@
 	if err != nil {
 		return r, err
 	}
-	r.Worth = (worth[1] - worth[0]) / max(wanted[1]-wanted[0], 1)
+	r.WeightedGoodput = (worth[1] - worth[0]) / max(wanted[1]-wanted[0], 1)
 	r.Violations = len(out.Violations)
 	return r, nil
 }
--- a/internal/testbed/sim/sim.go
+++ b/internal/testbed/sim/sim.go
@@ -53,7 +53,7 @@
 	Example         []string       // what was seen of a request that was served after its run had made a call
 	Asked           map[string]int // jobs, by class
 	Served          map[string]int
-	Worth           float64        // served within its aim, as a share of what was asked
+	WeightedGoodput float64        // served within its aim, as a share of what was asked
 	SituationCounts map[string]int // situations that came about, by name
 	Panic           string         // the program's, with the violation that it is
 }
@@ -156,7 +156,7 @@
 		out.Requests += n
 	}
 	if l.st.WeightAsked > 0 {
-		out.Worth = l.st.WeightServed / l.st.WeightAsked
+		out.WeightedGoodput = l.st.WeightServed / l.st.WeightAsked
 	}
 	return out, nil
 }
--- a/internal/testbed/sim/sim_test.go
+++ b/internal/testbed/sim/sim_test.go
@@ -261,7 +261,7 @@
 		require.Greater(t, out.Requests, 15_000)
 		require.Greater(t, out.SituationCounts["boot life2"], 50)
 		require.Positive(t, out.SituationCounts["tried nobody"])
-		t.Logf("seed %d: worth %.3f, %d requests, %v", seed, out.Worth, out.Requests, out.Answers)
+		t.Logf("seed %d: worth %.3f, %d requests, %v", seed, out.WeightedGoodput, out.Requests, out.Answers)
 	}
 }
 
