--- a/internal/testbed/sim/figures_test.go
+++ b/internal/testbed/sim/figures_test.go
@@ -22,12 +22,12 @@
 		script, err := shape.Draw(rapid.Uint64().Draw(t, "seed"), profile)
 		require.NoError(t, err)
 		var log []string
-		_, err = Play(script, Options{Log: func(line string) { log = append(log, line) }, end: func(l *world) {
+		_, err = Play(script, Options{Log: func(line string) { log = append(log, line) }, afterRun: func(l *simulation) {
 			for _, s := range l.servers {
-				if s.host.Ended || s.leaving {
+				if s.host.Ended || s.draining {
 					continue
 				}
-				seen, strays := l.obs.CountsOf(s.name)
+				seen, strays := l.observer.CountsOf(s.name)
 				c := s.program.Counters()
 				runs := 0
 				for class, k := range seen {
--- a/internal/testbed/sim/gossip.go
+++ b/internal/testbed/sim/gossip.go
@@ -1,90 +1,150 @@
 package sim
 
 import (
-	"fmt"
+	"strings"
 
 	"pewterline/internal/microtime"
 	"pewterline/internal/testbed/faults"
 	"pewterline/internal/testbed/simnet"
 )
 
-// GossipExperiment measures what advice is worth to a fresh instance: some servers are dead and some are slow when one of the
-// edges dies and comes back knowing nothing.
+// GossipExperiment measures what gossip is worth to an instance that has just started: some servers are down and some
+// are slow when one of the edges dies and comes back with nothing learned.
 type GossipExperiment struct {
 	Seed       uint64
 	Edges      int
 	Servers    int
-	Dead       int // servers whose machine is gone: a connect there takes its whole second
-	Slow       int // whose work takes five times as long
+	Dead       int // servers whose machine is lost: a connect there takes its whole timeout
+	Slow       int // servers whose work takes slowPoolFactor times as long
 	Rate       float64
-	Gossip     bool
-	DrawFaults bool // also draw faults of the profile worst from the seed
+	Gossip     bool // the edges exchange gossip
+	DrawFaults bool // faults of the profile "worst" are drawn from the seed as well
 }
 
-// GossipResult is how the fresh instance did in its first ten seconds.
+// GossipResult is how the restarted edge did while it was young.
 type GossipResult struct {
-	Wasted          int     // tries that came to nothing for want of a server
-	DeadConnects    int     // to dead servers
-	EarlyWasted     int     // tries wasted in the first two seconds
-	WeightedGoodput float64 // served in time, of what callers asked for while the fresh instance was young
-	GossipBytes     int     // bytes that all instances have told each other, over the whole run
+	Wasted       int // attempts that came to nothing for want of a server
+	EarlyWasted  int // of them, those of the first two seconds
+	DeadConnects int // connects to servers that were down
+	// WeightedGoodput is the priority weight that was served in time, as a share of the weight that was asked for.
+	WeightedGoodput float64
+	GossipBytes     int // that all edges sent each other in the whole run
 	Violations      int
 }
 
+// The course of the experiment, in time since the start.
 const (
-	learnDown  = 4 * microtime.Second
-	learnFresh = 9 * microtime.Second
-	learnYoung = 10 * microtime.Second
+	impairedAt  = 4 * microtime.Second // servers go down or become slow
+	restartAt   = 9 * microtime.Second // the edge dies
+	youngTime   = 10 * microtime.Second
+	earlyTime   = 2 * microtime.Second
+	restartTime = 50 * microtime.Millisecond
+	// impairedTime is longer than the experiment.
+	impairedTime = 300 * microtime.Second
 )
 
-// Run plays it.
-func (o GossipExperiment) Run() (r GossipResult, err error) {
-	s := faults.Script{Seed: o.Seed, Servers: o.Servers, Proxies: 2 * o.Edges, Edges: o.Edges, Gossip: o.Gossip, Length: learnFresh + learnYoung, Rate: o.Rate}
-	if o.DrawFaults {
-		world := faults.World{Servers: o.Servers, Proxies: 2 * o.Edges, Edges: o.Edges, Length: s.Length, Rate: o.Rate}
-		if s, err = world.Draw(o.Seed, "worst"); err != nil {
-			return r, err
-		}
-		s.Gossip = o.Gossip
+const (
+	slowPoolFactor = 5
+	proxiesPerEdge = 2
+	worstProfile   = "worst"
+)
+
+// Run plays the experiment. An error says that its settings are not valid.
+func (e GossipExperiment) Run() (GossipResult, error) {
+	script, err := e.script()
+	if err != nil {
+		return GossipResult{}, err
 	}
-	add := func(f faults.Fault) { s.Faults = append(s.Faults, f) }
-	for i := range o.Dead {
-		add(faults.Fault{At: learnDown, Kind: faults.MachineLost, Node: name('s', i), For: 300 * microtime.Second})
+	measurement := gossipMeasurement{}
+	outcome, err := Play(script, Options{beforeRun: measurement.schedule})
+	if err != nil {
+		return GossipResult{}, err
 	}
-	for i := o.Dead; i < o.Dead+o.Slow; i++ {
-		add(faults.Fault{At: learnDown, Kind: faults.SlowPool, Node: name('w', i), For: 300 * microtime.Second, Amount: 5})
+	result := measurement.result
+	served := measurement.end.served - measurement.start.served
+	result.WeightedGoodput = served / max(measurement.end.asked-measurement.start.asked, 1)
+	result.Violations = len(outcome.Violations)
+	return result, nil
+}
+
+// script returns the script of the experiment.
+func (e GossipExperiment) script() (faults.Script, error) {
+	script := faults.Script{
+		Seed:    e.Seed,
+		Servers: e.Servers,
+		Proxies: proxiesPerEdge * e.Edges,
+		Edges:   e.Edges,
+		Length:  restartAt + youngTime,
+		Rate:    e.Rate,
 	}
-	add(faults.Fault{At: learnFresh, Kind: faults.Kill, Node: "e0", For: 50 * microtime.Millisecond})
-	s.SortFaults()
-	var worth, wanted [2]float64 // at the fresh instance's start, and when it is no longer young
-	out, err := Play(s, Options{begin: func(l *world) {
-		fresh := simnet.Start + learnFresh
-		tap := l.net.Tap
-		l.net.Tap = func(v simnet.Event) {
-			tap(v)
-			if v.Kind == simnet.Written && len(v.Addr) > 9 && v.Addr[len(v.Addr)-9:] == "/exchange" {
-				r.GossipBytes += len(v.Bytes)
-			}
-			if v.Kind != simnet.ConnectAttempted || v.Node != "e0" || v.At < fresh || v.At > fresh+learnYoung {
-				return
-			}
-			if t := l.server(v.Peer); t != nil && t.host.Ended {
-				r.DeadConnects++
-			}
+	if e.DrawFaults {
+		world := faults.World{
+			Servers: e.Servers,
+			Proxies: script.Proxies,
+			Edges:   e.Edges,
+			Length:  script.Length,
+			Rate:    e.Rate,
+		}
+		var err error
+		if script, err = world.Draw(e.Seed, worstProfile); err != nil {
+			return script, err
 		}
-		l.w.At(fresh, func() { worth[0], wanted[0] = l.st.WeightServed, l.st.WeightAsked })
-		l.w.At(fresh+2*microtime.Second, func() { r.EarlyWasted = l.edges[0].program.WastedAttempts() })
-		l.w.At(fresh+learnYoung, func() {
-			r.Wasted = l.edges[0].program.WastedAttempts()
-			worth[1], wanted[1] = l.st.WeightServed, l.st.WeightAsked
+	}
+	script.Gossip = e.Gossip
+	add := func(fault faults.Fault) { script.Faults = append(script.Faults, fault) }
+	for i := range e.Dead {
+		add(faults.Fault{At: impairedAt, Kind: faults.MachineLost, Node: nodeName('s', i), For: impairedTime})
+	}
+	for i := e.Dead; i < e.Dead+e.Slow; i++ {
+		add(faults.Fault{
+			At: impairedAt, Kind: faults.SlowPool, Node: nodeName('w', i), For: impairedTime, Amount: slowPoolFactor,
 		})
-	}})
-	if err != nil {
-		return r, err
 	}
-	r.WeightedGoodput = (worth[1] - worth[0]) / max(wanted[1]-wanted[0], 1)
-	r.Violations = len(out.Violations)
-	return r, nil
+	add(faults.Fault{At: restartAt, Kind: faults.Kill, Node: nodeName('e', 0), For: restartTime})
+	script.SortFaults()
+	return script, nil
 }
 
-func name(letter byte, i int) string { return fmt.Sprintf("%c%d", letter, i) }
+// gossipMeasurement measures one run.
+type gossipMeasurement struct {
+	result     GossipResult
+	start, end weightTotals // of the time in which the restarted edge is young
+}
+
+// weightTotals is the priority weight that was served in time and asked for until an instant.
+type weightTotals struct{ served, asked float64 }
+
+// schedule has the figures taken at their times.
+func (m *gossipMeasurement) schedule(sim *simulation) {
+	restarted := simnet.Start + restartAt
+	judge := sim.net.Tap
+	sim.net.Tap = func(event simnet.Event) {
+		judge(event)
+		m.observe(sim, event)
+	}
+	totals := func() weightTotals {
+		return weightTotals{served: sim.environment.WeightServed, asked: sim.environment.WeightAsked}
+	}
+	edge := sim.edges[0]
+	sim.clock.At(restarted, func() { m.start = totals() })
+	sim.clock.At(restarted+earlyTime, func() { m.result.EarlyWasted = edge.program.WastedAttempts() })
+	sim.clock.At(restarted+youngTime, func() {
+		m.result.Wasted = edge.program.WastedAttempts()
+		m.end = totals()
+	})
+}
+
+// observe counts the bytes of gossip, and the young edge's connects to servers that are down.
+func (m *gossipMeasurement) observe(sim *simulation, event simnet.Event) {
+	if event.Kind == simnet.Written && strings.HasSuffix(event.Addr, gossipSuffix) {
+		m.result.GossipBytes += len(event.Bytes)
+	}
+	restarted := simnet.Start + restartAt
+	isYoung := event.At >= restarted && event.At <= restarted+youngTime
+	if event.Kind != simnet.ConnectAttempted || event.Node != sim.edges[0].name || !isYoung {
+		return
+	}
+	if server := sim.instance(event.Peer); server != nil && server.host.Ended {
+		m.result.DeadConnects++
+	}
+}
--- a/internal/testbed/sim/planted_bug_test.go
+++ b/internal/testbed/sim/planted_bug_test.go
@@ -46,7 +46,7 @@
 	if folder == "" {
 		return
 	}
-	least, violation, err := shrink(finding.Script, 1000, nil, Options{StopAtFirst: true, interpose: b.interpose})
+	least, violation, err := shrinking{maxPlays: 1000, options: Options{StopAtFirst: true, interpose: b.interpose}}.run(finding.Script)
 	require.NoError(t, err)
 	text := "# " + b.name + ": " + violation.Key() + "\n" + least.String()
 	require.NoError(t, os.WriteFile(filepath.Join(folder, b.name+".txt"), []byte(text), 0o600))
--- a/internal/testbed/sim/planted_server_test.go
+++ b/internal/testbed/sim/planted_server_test.go
@@ -11,22 +11,22 @@
 
 // plantEarlyStop ends each draining server once its grace is over, whatever is unanswered. The server itself would wait:
 // its event loop is stopped behind its back.
-func plantEarlyStop(l *world) {
+func plantEarlyStop(l *simulation) {
 	const farewellTime = 10 * microtime.Millisecond // The server has told its clients to close by then.
 	const closeTime = 500 * microtime.Millisecond   // They get this long, as from the server.
 	planted := map[*simnet.Host]bool{}
-	check := l.w.After
-	l.w.After = func() {
+	check := l.clock.After
+	l.clock.After = func() {
 		check()
 		for _, s := range l.servers {
 			host := s.host
-			if !s.leaving || host.Ended || planted[host] {
+			if !s.draining || host.Ended || planted[host] {
 				continue
 			}
 			planted[host] = true
-			l.w.In(microtime.FromDuration(s.cfg.Settings.DrainGrace)+farewellTime, func() {
+			l.clock.In(microtime.FromDuration(s.config.Settings.DrainGrace)+farewellTime, func() {
 				// An error says that the server has ended by itself.
-				_ = host.Loop().Execute(func() { host.Loop().Shutdown(l.w.Now() + closeTime) })
+				_ = host.Loop().Execute(func() { host.Loop().Shutdown(l.clock.Now() + closeTime) })
 			})
 		}
 	}
@@ -39,7 +39,7 @@
 	out, err := Play(script, Options{})
 	require.NoError(t, err)
 	clean(t, script, out)
-	out, err = Play(script, Options{StopAtFirst: true, begin: plantEarlyStop})
+	out, err = Play(script, Options{StopAtFirst: true, beforeRun: plantEarlyStop})
 	require.NoError(t, err)
 	require.NotEmpty(t, out.Violations)
 	require.Equal(t, "lost/closed by the server", out.Violations[0].Key(), out.Violations[0].String())
@@ -48,7 +48,7 @@
 // The search finds a server that ends its drain with requests unanswered.
 func TestSearchFindsEarlyStop(t *testing.T) {
 	search := Search{FirstSeed: 1, LastSeed: 300, Profile: "worst", Servers: 2, Proxies: 3,
-		Length: 8 * microtime.Second, Jobs: 2, MaxFindings: 1, begin: plantEarlyStop}
+		Length: 8 * microtime.Second, Jobs: 2, MaxFindings: 1, beforeRun: plantEarlyStop}
 	progress, err := search.Run()
 	require.NoError(t, err)
 	require.NotEmpty(t, progress.Findings)
--- a/internal/testbed/sim/sabotage_test.go
+++ b/internal/testbed/sim/sabotage_test.go
@@ -18,7 +18,7 @@
 type sabotage struct {
 	name  string // of its kept script
 	want  string // key of the violation that tells of it
-	plant func(*world)
+	plant func(*simulation)
 }
 
 var sabotages = []sabotage{
@@ -35,7 +35,7 @@
 func toPool(e *simnet.Stream) bool { return e.Node()[0] == 's' && e.Peer()[0] == 'w' }
 
 // plantAgainAfterOverdue makes each call again, on the same connection, once "overdue" has come for it.
-func plantAgainAfterOverdue(l *world) {
+func plantAgainAfterOverdue(l *simulation) {
 	bodies, read := map[string][]byte{}, map[uint64][]byte{}
 	tap := l.net.Tap
 	l.net.Tap = func(v simnet.Event) {
@@ -57,7 +57,7 @@
 				}
 				read[v.Conn] = read[v.Conn][n:]
 				if r.Status == vault.Overdue {
-					l.w.In(microtime.Millisecond, func() { l.write(v, vault.AppendAsk(nil, r.ID, 1000, bodies[r.ID])) })
+					l.clock.In(microtime.Millisecond, func() { l.write(v, vault.AppendAsk(nil, r.ID, 1000, bodies[r.ID])) })
 				}
 			}
 		}
@@ -65,7 +65,7 @@
 }
 
 // write has a server's end of a connection, where it is still open, send what the program did not.
-func (l *world) write(v simnet.Event, p []byte) {
+func (l *simulation) write(v simnet.Event, p []byte) {
 	for _, e := range l.net.Node(v.Node).Streams() {
 		if e.ConnID() == v.Conn {
 			e.Write(p)
@@ -74,7 +74,7 @@
 }
 
 // plantReplyToNextRun supplies a reply to another run of the server's that waits, where there is one.
-func plantReplyToNextRun(l *world) {
+func plantReplyToNextRun(l *simulation) {
 	waiting := map[string][]string{} // by server, in the order in which they came to wait
 	tap := l.net.Tap
 	l.net.Tap = func(v simnet.Event) {
@@ -114,10 +114,10 @@
 }
 
 // plantOpenAtDrain keeps back what gives a call up, once the server has had the notice to leave.
-func plantOpenAtDrain(l *world) {
+func plantOpenAtDrain(l *simulation) {
 	l.net.Intercept = func(e *simnet.Stream, p []byte) []byte {
-		s := l.server(e.Node())
-		if s == nil || !s.leaving || e.Node()[0] != 's' || e.Peer() != "v0" {
+		s := l.instance(e.Node())
+		if s == nil || !s.draining || e.Node()[0] != 's' || e.Peer() != "v0" {
 			return p
 		}
 		var out []byte
@@ -152,14 +152,14 @@
 // The hunt finds each sabotage within a few hundred scripts, which is well under two minutes.
 func TestHuntFindsSabotage(t *testing.T) {
 	for _, bug := range sabotages {
-		h := Search{FirstSeed: 1, LastSeed: 300, Profile: "worst", Servers: 2, Proxies: 3, Length: 8 * microtime.Second, Vault: true, Jobs: 2, MaxFindings: 1, begin: bug.plant}
+		h := Search{FirstSeed: 1, LastSeed: 300, Profile: "worst", Servers: 2, Proxies: 3, Length: 8 * microtime.Second, Vault: true, Jobs: 2, MaxFindings: 1, beforeRun: bug.plant}
 		p, err := h.Run()
 		require.NoError(t, err)
 		require.NotEmpty(t, p.Findings, bug.name)
 		require.Equal(t, bug.want, p.Findings[0].Violation.Key(), "%s: %s", bug.name, p.Findings[0].Violation)
 		t.Logf("%s: script %d, after %v", bug.name, p.Findings[0].Run, p.Findings[0].After)
 		if folder := os.Getenv("LAB_SABOTAGE"); folder != "" { // writes the kept scripts anew
-			least, v, err := shrink(p.Findings[0].Script, 1000, nil, Options{StopAtFirst: true, begin: bug.plant})
+			least, v, err := shrinking{maxPlays: 1000, options: Options{StopAtFirst: true, beforeRun: bug.plant}}.run(p.Findings[0].Script)
 			require.NoError(t, err)
 			require.NoError(t, os.WriteFile(folder+"/"+bug.name+".txt", []byte("# "+v.Key()+"\n"+least.String()), 0o644))
 		}
@@ -173,7 +173,7 @@
 		out, err := Play(s, Options{})
 		require.NoError(t, err)
 		clean(t, s, out)
-		out, err = Play(s, Options{StopAtFirst: true, begin: bug.plant})
+		out, err = Play(s, Options{StopAtFirst: true, beforeRun: bug.plant})
 		require.NoError(t, err)
 		require.NotEmpty(t, out.Violations, bug.name)
 		require.Equal(t, bug.want, out.Violations[0].Key(), out.Violations[0].String())
--- a/internal/testbed/sim/sim_test.go
+++ b/internal/testbed/sim/sim_test.go
@@ -123,13 +123,13 @@
 
 // hard plays a script of a hard case for several traffics; each situation must have come about, and no rule may be
 // broken.
-func hard(t *testing.T, name string, begin func(*world), situations ...string) {
+func hard(t *testing.T, name string, begin func(*simulation), situations ...string) {
 	t.Helper()
 	seen := map[string]int{}
 	for seed := range uint64(12) {
 		s := read(t, "testdata/hard/"+name+".txt")
 		s.Seed += seed
-		out, err := Play(s, Options{begin: begin})
+		out, err := Play(s, Options{beforeRun: begin})
 		require.NoError(t, err)
 		clean(t, s, out)
 		for k, n := range out.SituationCounts {
@@ -163,9 +163,9 @@
 // else is on the server is served.
 func TestHardNumberUsedAgain(t *testing.T) {
 	errors, ended := 0, 0
-	hard(t, "calm", func(l *world) {
+	hard(t, "calm", func(l *simulation) {
 		errors, ended = 0, 0
-		l.w.In(2*microtime.Second, func() {
+		l.clock.In(2*microtime.Second, func() {
 			n := l.net.Node("x1")
 			n.Boot()
 			n.Dial("s0/thrift", func(e *simnet.Stream, err error) {
@@ -179,8 +179,8 @@
 	require.Equal(t, []int{1, 1}, []int{errors, ended}, "one error under that number, then the end")
 }
 
-func call(l *world, seq int32, id string) []byte {
-	at := fmt.Sprint((&simnet.WallClock{}).UnixMilli(l.w.Now()))
+func call(l *simulation, seq int32, id string) []byte {
+	at := fmt.Sprint((&simnet.WallClock{}).UnixMilli(l.clock.Now()))
 	return thrift.AppendCall(nil, seq, []thrift.Field{{Name: "class", Value: "block-view"}, {Name: "id", Value: "00000000000000f" + id}, {Name: "at", Value: at},
 		{Name: "from", Value: "9"}, {Name: "tenant", Value: "hill-estate"}, {Name: "kb", Value: "20"}, {Name: "rank", Value: "0.2"}}, nil)
 }
@@ -269,8 +269,8 @@
 // program is a violation too.
 func TestCrashIsAViolation(t *testing.T) {
 	s := faults.Script{Seed: 1, Servers: 1, Proxies: 1, Length: 2 * microtime.Second, Rate: 5}
-	out, err := Play(s, Options{begin: func(l *world) {
-		l.w.In(microtime.Second, func() { _ = l.servers[0].host.Queue(func() { panic("as planted") }) })
+	out, err := Play(s, Options{beforeRun: func(l *simulation) {
+		l.clock.In(microtime.Second, func() { _ = l.servers[0].host.Queue(func() { panic("as planted") }) })
 	}})
 	require.NoError(t, err)
 	require.Len(t, out.Violations, 1)
--- /dev/null
+++ b/internal/testbed/sim/simulation.go
@@ -0,0 +1,129 @@
+package sim
+
+import (
+	"fmt"
+	"slices"
+	"strconv"
+
+	"pewterline/internal/config"
+	"pewterline/internal/microtime"
+	"pewterline/internal/testbed/fakes"
+	"pewterline/internal/testbed/faults"
+	"pewterline/internal/testbed/invariant"
+	"pewterline/internal/testbed/simnet"
+)
+
+const (
+	// socketLimit is the fewest descriptors that a configuration may have, so that connection tables fill.
+	socketLimit = 64
+	// reservedSockets are those of them that accepted connections do not get.
+	reservedSockets = 40
+	// memoryLimit is a server's, in bytes.
+	memoryLimit       = 32 << 20
+	maxAJPConnections = 48
+	maxAJPBody        = 2 << 10
+	ajpBodyTimeout    = 2 * microtime.Second
+)
+
+// vaultAddress is where the vault listens at first; a reload moves the calls to another address of the same node.
+const vaultAddress = "v0/a"
+
+// defaultPath is the quality of every path of the network while no fault impairs it.
+var defaultPath = simnet.Quality{Latency: 500, Jitter: 300, Bandwidth: 50 << 20}
+
+// simulation is one run: servers with everything that they talk to, on one simulated clock.
+type simulation struct {
+	script          faults.Script
+	options         Options
+	clock           *simnet.World
+	net             *simnet.Net
+	environment     *fakes.Environment
+	vault           *fakes.Vault   // nil: requests call nothing
+	shutdownTimeout microtime.Time // from the notice to drain until the process is killed
+	observer        *invariant.Observer
+	baseConfig      config.Config // what the configurations of all instances share
+	servers         []*instance
+	edges           []*instance
+	callers         map[string]*fakes.Caller
+	endedTurns      uint64 // of event loops that have ended
+}
+
+// newSimulation returns a simulation without servers and callers; build adds them.
+func newSimulation(script faults.Script, options Options) (*simulation, error) {
+	deployment, err := parseDeployment(script)
+	if err != nil {
+		return nil, err
+	}
+	sim := &simulation{
+		script:          script,
+		options:         options,
+		clock:           simnet.NewWorld(script.Seed),
+		shutdownTimeout: deployment.shutdownTimeout,
+		callers:         map[string]*fakes.Caller{},
+	}
+	sim.net = simnet.NewNet(sim.clock, defaultPath)
+	sim.observer = invariant.New(sim.clock, deployment.limits)
+	if script.Edges > 0 {
+		sim.observer.OnRequest = func(id, server, class string, body []byte) {
+			sim.environment.Requests.Add(id, server, class, body)
+		}
+		sim.observer.OnRequestEnded = func(id string) { sim.environment.Requests.MarkEnded(id) }
+	}
+	sim.net.Tap = sim.observer.Tap
+	sim.clock.After = sim.observer.Check
+	sim.environment = fakes.NewEnvironment(sim.net, deployment.settings, deployment.traffic, script.Seed)
+	sim.baseConfig = config.Config{
+		ShutdownTimeout: deployment.shutdownTimeout,
+		MemoryLimit:     memoryLimit,
+		SocketLimit:     socketLimit,
+		Settings:        deployment.settings,
+		Gauges:          deployment.gauges,
+		AJP: config.AJP{
+			Listen:         "on",
+			BodyTimeout:    ajpBodyTimeout,
+			MaxBody:        maxAJPBody,
+			MaxConnections: maxAJPConnections,
+		},
+	}
+	if script.Vault {
+		sim.vault = fakes.NewVault(sim.environment, script.Seed)
+		sim.baseConfig.VaultAddress = vaultAddress
+	}
+	return sim, nil
+}
+
+// instances returns the servers, then the edges.
+func (s *simulation) instances() []*instance { return append(slices.Clone(s.servers), s.edges...) }
+
+// allServing reports that no instance is draining or down.
+func (s *simulation) allServing() bool {
+	return !slices.ContainsFunc(s.instances(), func(i *instance) bool { return i.host.Ended || i.draining })
+}
+
+// instance returns the instance of a node: that of the name, or the one whose worker pool has the name; nil where the
+// node is neither.
+func (s *simulation) instance(node string) *instance {
+	if node == "" {
+		return nil
+	}
+	var instances []*instance
+	switch node[0] {
+	case 's', 'w':
+		instances = s.servers
+	case 'e':
+		instances = s.edges
+	}
+	index, err := strconv.Atoi(node[1:])
+	if err != nil || index < 0 || index >= len(instances) {
+		return nil
+	}
+	return instances[index]
+}
+
+// logf logs a line with the simulated time.
+func (s *simulation) logf(format string, args ...any) {
+	if s.options.Log != nil {
+		elapsed := fmt.Sprintf("%10.6f ", float64(s.clock.Since())/1e6)
+		s.options.Log(elapsed + fmt.Sprintf(format, args...))
+	}
+}
--- a/internal/testbed/sim/tables_test.go
+++ b/internal/testbed/sim/tables_test.go
@@ -109,11 +109,11 @@
 func flat(t *testing.T, s faults.Script, requests int, wanted ...string) {
 	peaks := [3]map[string]int{{}, {}, {}}
 	samples := 0
-	out, err := Play(s, Options{begin: func(l *world) {
+	out, err := Play(s, Options{beforeRun: func(l *simulation) {
 		l.callers["p3"].RetryAtOnce(s.Length)
 		var look func()
 		look = func() {
-			third := int(l.w.Since() * 3 / s.Length)
+			third := int(l.clock.Since() * 3 / s.Length)
 			if third < len(peaks) {
 				samples++
 				for name, n := range tables(l.servers[0].program) {
@@ -122,7 +122,7 @@
 				for name, n := range tables(l.servers[0].host.Loop()) {
 					peaks[third][name] = max(peaks[third][name], n)
 				}
-				l.w.In(microtime.Second, look)
+				l.clock.In(microtime.Second, look)
 			}
 		}
 		look()
