--- a/internal/testbed/sim/planted_bug_test.go
+++ b/internal/testbed/sim/planted_bug_test.go
@@ -10,44 +10,61 @@
 	"pewterline/internal/microtime"
 )
 
-// plantedBug is a bug that is planted between the server and its event loop.
+// plantedBug is a bug that a test plants around the server, which itself has no part in it: between the server and its
+// event loop, or between the event loop and the network.
 type plantedBug struct {
-	name      string // of its kept script
-	want      string // key of the violation that it leads to
-	interpose func() interposer
+	name      string            // of its kept script in testdata/planted
+	want      string            // key of the violation that it leads to
+	interpose func() interposer // nil: nothing stands between the server and its event loop
+	beforeRun func(*simulation) // nil: nothing is changed in the simulation
 }
 
-// requireSeen requires that the rules see the bug on its kept script, and that the server without it keeps them there.
+// wideSearch and narrowSearch are the searches by which bugs are found.
+var (
+	wideSearch = Search{
+		FirstSeed: 1, LastSeed: 500, Profile: "worst", Servers: 3, Proxies: 4, Length: 12 * microtime.Second,
+		Jobs: 2, MaxFindings: 1,
+	}
+	narrowSearch = Search{
+		FirstSeed: 1, LastSeed: 300, Profile: "worst", Servers: 2, Proxies: 3, Length: 8 * microtime.Second,
+		Jobs: 2, MaxFindings: 1,
+	}
+)
+
+// options plays a script with the bug to its first violation.
+func (b plantedBug) options() Options {
+	return Options{StopAtFirst: true, interpose: b.interpose, beforeRun: b.beforeRun}
+}
+
+// requireSeen requires that the invariants show the bug on its kept script, and that the server without it keeps them
+// there.
 func (b plantedBug) requireSeen(t *testing.T) {
 	t.Helper()
-	script := read(t, filepath.Join("testdata", "planted", b.name+".txt"))
-	out, err := Play(script, Options{})
-	require.NoError(t, err)
-	clean(t, script, out)
-	out, err = Play(script, Options{StopAtFirst: true, interpose: b.interpose})
-	require.NoError(t, err)
-	require.NotEmpty(t, out.Violations)
-	require.Equal(t, b.want, out.Violations[0].Key(), out.Violations[0].String())
+	script := readScript(t, filepath.Join("testdata", "planted", b.name+".txt"))
+	playClean(t, script, Options{})
+	outcome := mustPlay(t, script, b.options())
+	require.NotEmpty(t, outcome.Violations, b.name)
+	require.Equal(t, b.want, outcome.Violations[0].Key(), outcome.Violations[0].String())
 }
 
-// requireFound requires that the search finds the bug within a few hundred scripts. With SIM_PLANTED it writes the kept
+// requireFound requires that a search finds the bug within a few hundred scripts. With SIM_PLANTED it writes the kept
 // script anew to the folder of that name.
-func (b plantedBug) requireFound(t *testing.T) {
+func (b plantedBug) requireFound(t *testing.T, search Search) {
 	t.Helper()
-	search := Search{FirstSeed: 1, LastSeed: 500, Profile: "worst", Servers: 3, Proxies: 4,
-		Length: 12 * microtime.Second, Jobs: 2, MaxFindings: 1, interpose: b.interpose}
+	search.interpose = b.interpose
+	search.beforeRun = b.beforeRun
 	progress, err := search.Run()
 	require.NoError(t, err)
-	require.NotEmpty(t, progress.Findings)
+	require.NotEmpty(t, progress.Findings, b.name)
 	finding := progress.Findings[0]
-	require.Equal(t, b.want, finding.Violation.Key(), finding.Violation.String())
+	require.Equal(t, b.want, finding.Violation.Key(), "%s: %s", b.name, finding.Violation)
 	t.Logf("script %d, after %v: %s", finding.Run, finding.After, finding.Violation.Key())
 	folder := os.Getenv("SIM_PLANTED")
 	if folder == "" {
 		return
 	}
-	least, violation, err := shrinking{maxPlays: 1000, options: Options{StopAtFirst: true, interpose: b.interpose}}.run(finding.Script)
+	smallest, violation, err := shrinking{maxPlays: 1000, options: b.options()}.run(finding.Script)
 	require.NoError(t, err)
-	text := "# " + b.name + ": " + violation.Key() + "\n" + least.String()
+	text := "# " + b.name + ": " + violation.Key() + "\n" + smallest.String()
 	require.NoError(t, os.WriteFile(filepath.Join(folder, b.name+".txt"), []byte(text), 0o600))
 }
--- a/internal/testbed/sim/planted_dispatch_test.go
+++ b/internal/testbed/sim/planted_dispatch_test.go
@@ -14,19 +14,26 @@
 // Bugs of the request core that break one rule.
 var (
 	plantedKeyTwice = plantedBug{
-		"key-twice", "duplicate/run twice within its window", plantCoreBug(forgetRunningKey{})}
-	plantedAnswerTwice = plantedBug{"answer-twice", "duplicate/answered twice", plantCoreBug(answerFailedAgain{})}
-	plantedRefuseRun   = plantedBug{"refuse-run", "duplicate/refused after a run", plantCoreBug(rejectRunning{})}
-	plantedPassLate    = plantedBug{"pass-late", "drain/run past the limit", plantCoreBug(startLateWaiter{})}
+		name: "key-twice", want: "duplicate/run twice within its window", interpose: plantCoreBug(forgetRunningKey{}),
+	}
+	plantedAnswerTwice = plantedBug{
+		name: "answer-twice", want: "duplicate/answered twice", interpose: plantCoreBug(answerFailedAgain{}),
+	}
+	plantedRefuseRun = plantedBug{
+		name: "refuse-run", want: "duplicate/refused after a run", interpose: plantCoreBug(rejectRunning{}),
+	}
+	plantedPassLate = plantedBug{
+		name: "pass-late", want: "drain/run past the limit", interpose: plantCoreBug(startLateWaiter{}),
+	}
 )
 
-// plantLateStart keeps the notice to leave from the decision module. What it leads to is a matter of the script:
+// plantLateStart keeps the notice to drain from the decision module. What it leads to is a matter of the script:
 // requests run that come too late, or are unanswered when the server ends.
 func plantLateStart() interposer { return drainUnheard{} }
 
 var plantedLateStart = []plantedBug{
-	{"late-start", "lost/closed by the server", plantLateStart},
-	{"late-start-run", "drain/run past the limit", plantLateStart},
+	{name: "late-start", want: "lost/closed by the server", interpose: plantLateStart},
+	{name: "late-start-run", want: "drain/run past the limit", interpose: plantLateStart},
 }
 
 // forgetRunningKey forgets a key while its run goes on: the core reads a repeat as another request.
@@ -85,7 +92,7 @@
 	}
 }
 
-// drainUnheard keeps the notice to leave from the decision module.
+// drainUnheard keeps the notice to drain from the decision module.
 type drainUnheard struct{ passThrough }
 
 func (drainUnheard) newController(settings control.Settings) (dispatch.Controller, error) {
@@ -103,7 +110,7 @@
 	return c.Controller.Step(now, heard)
 }
 
-// The rules see each planted bug on its kept script, and the server without it keeps them there.
+// The invariants show each planted bug on its kept script, and the server without it keeps them there.
 func TestPlantedDispatchBugsAreSeen(t *testing.T) {
 	bugs := []plantedBug{plantedKeyTwice, plantedAnswerTwice, plantedRefuseRun, plantedPassLate}
 	for _, bug := range append(bugs, plantedLateStart...) {
@@ -116,6 +123,6 @@
 func TestSearchFindsPlantedDispatchBugs(t *testing.T) {
 	t.Parallel()
 	for _, bug := range []plantedBug{plantedKeyTwice, plantedAnswerTwice, plantedRefuseRun, plantedLateStart[1]} {
-		t.Run(bug.name, bug.requireFound)
+		t.Run(bug.name, func(t *testing.T) { bug.requireFound(t, wideSearch) })
 	}
 }
--- a/internal/testbed/sim/planted_frontend_test.go
+++ b/internal/testbed/sim/planted_frontend_test.go
@@ -6,15 +6,14 @@
 	"testing"
 
 	"pewterline/internal/protocol/thrift"
+	"pewterline/internal/server"
 	"pewterline/internal/transport"
 )
 
-// thriftListener is the index of the listener for proxies.
-const thriftListener = 0
-
 // plantedFrontendBug has a cancellation of a request that is not in flight cancel another one.
-var plantedFrontendBug = plantedBug{"give-up-other", "lost/unanswered",
-	func() interposer { return cancelsOthers{} }}
+var plantedFrontendBug = plantedBug{
+	name: "give-up-other", want: "lost/unanswered", interpose: func() interposer { return cancelsOthers{} },
+}
 
 type cancelsOthers struct{ passThrough }
 
@@ -25,7 +24,7 @@
 type cancelMisdirector struct{ transport.Handler }
 
 func (h cancelMisdirector) Accept(listener int, conn transport.Conn) transport.Session {
-	if listener != thriftListener {
+	if listener != server.ThriftListener {
 		return h.Handler.Accept(listener, conn)
 	}
 	tracked := &trackedConn{Conn: conn, inFlight: map[int32]bool{}}
@@ -38,8 +37,8 @@
 	inFlight map[int32]bool // by sequence ID
 }
 
-func (c *trackedConn) Write(p []byte) {
-	for rest := p; len(rest) > 0; {
+func (c *trackedConn) Write(out []byte) {
+	for rest := out; len(rest) > 0; {
 		payload, size, err := thrift.SplitFrame(rest)
 		if err != nil || payload == nil {
 			panic("sim: the server wrote half a message")
@@ -49,7 +48,7 @@
 		}
 		rest = rest[size:]
 	}
-	c.Conn.Write(p)
+	c.Conn.Write(out)
 }
 
 // misdirectedSession hands the server's session one message at a time, some of them changed.
@@ -89,11 +88,11 @@
 	return message
 }
 
-// The rules see the planted bug on its kept script, and the server without it keeps them there.
+// The invariants show the planted bug on its kept script, and the server without it keeps them there.
 func TestPlantedFrontendBugIsSeen(t *testing.T) { plantedFrontendBug.requireSeen(t) }
 
 // The search finds the planted bug.
 func TestSearchFindsPlantedFrontendBug(t *testing.T) {
 	t.Parallel()
-	plantedFrontendBug.requireFound(t)
+	plantedFrontendBug.requireFound(t, wideSearch)
 }
--- a/internal/testbed/sim/planted_transport_test.go
+++ b/internal/testbed/sim/planted_transport_test.go
@@ -12,12 +12,30 @@
 // plantedTransportBugs are bugs of the event loop and of the worker pool's client, as the server and its peers would
 // see them.
 var plantedTransportBugs = []plantedBug{
-	{"room-open", "lost/closed by the server", func() interposer { return evictsBusyConnections{} }},
-	{"stranger-vouched", "lost/closed by the server", func() interposer { return neverIdentifies{} }},
-	{"no-redial", "recovery/no try to reach the worker pool", func() interposer { return redialsOnce{} }},
-	{"notices-past", "result/notices passed over", func() interposer { return poolBug(skipNotice) }},
-	{"sent-before", "duplicate/run twice", func() interposer { return poolBug(spawnBeforeNotices) }},
-	{"wrong-try", "result/served what no run made for it", func() interposer { return poolBug(overwriteResults) }},
+	{
+		name: "room-open", want: "lost/closed by the server",
+		interpose: func() interposer { return evictsBusyConnections{} },
+	},
+	{
+		name: "stranger-vouched", want: "lost/closed by the server",
+		interpose: func() interposer { return neverIdentifies{} },
+	},
+	{
+		name: "no-redial", want: "recovery/no try to reach the worker pool",
+		interpose: func() interposer { return redialsOnce{} },
+	},
+	{
+		name: "notices-past", want: "result/notices passed over",
+		interpose: func() interposer { return poolBug(skipNotice) },
+	},
+	{
+		name: "sent-before", want: "duplicate/run twice",
+		interpose: func() interposer { return poolBug(spawnBeforeNotices) },
+	},
+	{
+		name: "wrong-try", want: "result/served what no run made for it",
+		interpose: func() interposer { return poolBug(overwriteResults) },
+	},
 }
 
 // evictsBusyConnections has connections evicted that have open requests.
@@ -175,6 +193,7 @@
 				sent.sendAgain(conn)
 			case pool.Finished:
 				sent.finished(m.ID)
+			default: // The others tell nothing of what has ended.
 			}
 		}
 		return session.Receive(in)
@@ -199,20 +218,8 @@
 	}}
 }
 
-// poolMessages parses the whole messages in what was received. Their bodies share its memory.
-func poolMessages(in []byte) (messages []pool.Message) {
-	for {
-		m, n, err := pool.ParseMessage(in)
-		if err != nil || n == 0 {
-			return messages
-		}
-		messages = append(messages, m)
-		in = in[n:]
-	}
-}
-
-// On its kept script each planted bug leads to its violation, and the server without it breaks no rule there. A rule
-// that saw nothing would pass everything.
+// On its kept script each planted bug leads to its violation, and the server without it breaks no invariant there. An
+// invariant that saw nothing would pass everything.
 func TestPlantedTransportBugsAreSeen(t *testing.T) {
 	for _, bug := range plantedTransportBugs {
 		t.Run(bug.name, bug.requireSeen)
@@ -223,6 +230,6 @@
 func TestSearchFindsPlantedTransportBugs(t *testing.T) {
 	t.Parallel()
 	for _, bug := range plantedTransportBugs {
-		t.Run(bug.name, bug.requireFound)
+		t.Run(bug.name, func(t *testing.T) { bug.requireFound(t, wideSearch) })
 	}
 }
