--- a/internal/testbed/sim/build.go
+++ b/internal/testbed/sim/build.go
@@ -90,7 +90,15 @@
 	number := 0
 	start := func(name string, isAJP bool, rate float64) {
 		number++
-		s.callers[name] = fakes.NewCaller(s.environment, name, number, isAJP, rate, until, targets, s.script.Seed)
+		s.callers[name] = fakes.NewCaller(s.environment, fakes.CallerConfig{
+			Name:      name,
+			Number:    number,
+			AJP:       isAJP,
+			Rate:      rate,
+			Until:     until,
+			Endpoints: targets,
+			Seed:      s.script.Seed,
+		})
 	}
 	for index := range s.script.Proxies {
 		start(nodeName('p', index), false, proxyRate)
--- a/internal/testbed/sim/instance.go
+++ b/internal/testbed/sim/instance.go
@@ -48,7 +48,7 @@
 	node.Boot()
 	i.draining = false
 	if !i.isEdge {
-		i.pool = fakes.NewPool(sim.environment, i.name, sim.script.Seed, cold)
+		i.pool = fakes.NewPool(sim.environment, fakes.PoolConfig{Server: i.name, Cold: cold, Seed: sim.script.Seed})
 		i.config.PoolAddress = i.pool.Addr()
 	}
 	rng := sim.clock.Fork(sim.script.Seed, fmt.Sprintf("%s/%d", i.name, node.Incarnation))
--- a/internal/testbed/sim/simulation.go
+++ b/internal/testbed/sim/simulation.go
@@ -71,7 +71,12 @@
 	}
 	sim.net.Tap = sim.observer.Tap
 	sim.clock.After = sim.observer.Check
-	sim.environment = fakes.NewEnvironment(sim.net, deployment.settings, deployment.traffic, script.Seed)
+	sim.environment = fakes.NewEnvironment(fakes.EnvironmentConfig{
+		Net:        sim.net,
+		Settings:   deployment.settings,
+		Deployment: deployment.traffic,
+		Seed:       script.Seed,
+	})
 	sim.baseConfig = config.Config{
 		ShutdownTimeout: deployment.shutdownTimeout,
 		MemoryLimit:     memoryLimit,
