--- a/docs/architecture_test.go
+++ b/docs/architecture_test.go
@@ -24,12 +24,10 @@
 // A page that names what is gone sends its reader the wrong way.
 func TestPagesNameWhatExists(t *testing.T) {
 	declared := declarations(t, "..")
-	for _, page := range []string{"ARCHITECTURE.md", "../README.md"} {
+	for _, page := range pages(t) {
 		text, err := os.ReadFile(page)
 		require.NoError(t, err)
-		paths := packagePath.FindAllStringSubmatch(string(text), -1)
-		require.NotEmpty(t, paths, page)
-		for _, match := range paths {
+		for _, match := range packagePath.FindAllStringSubmatch(string(text), -1) {
 			_, err := os.Stat(filepath.Join("..", strings.TrimSuffix(match[1], "/...")))
 			require.NoError(t, err, page)
 		}
@@ -43,6 +41,19 @@
 	}
 }
 
+// pages are all pages that describe the program as it is.
+func pages(t *testing.T) []string {
+	t.Helper()
+	found := []string{"../README.md", "../example/README.md"}
+	for _, pattern := range []string{"*.md", "*/*.md"} {
+		names, err := filepath.Glob(pattern)
+		require.NoError(t, err)
+		found = append(found, names...)
+	}
+	require.Contains(t, found, "ARCHITECTURE.md")
+	return found
+}
+
 // testName matches a test, a fuzz target or a benchmark.
 var testName = regexp.MustCompile(`\b(?:Test|Fuzz|Benchmark)[A-Z]\w+`)
 
