--- a/internal/testbed/fakes/allowance.go
+++ b/internal/testbed/fakes/allowance.go
@@ -17,20 +17,23 @@
 	until    microtime.Time
 }
 
-// hears takes the free value on an answer of a server.
-func (c *Caller) hears(server, say string) {
-	requests, err := strconv.ParseFloat(say, 64)
-	if err == nil && c.st.Settings.LoadSignal == control.LoadSignalAllowance && c.number%deafCallers != 0 {
-		c.heard[server] = allowance{requests, c.st.World.Now() + microtime.FromDuration(c.st.Settings.LoadSignalTTL)}
+// allowanceReceived takes the load signal on an answer of a server.
+func (c *Caller) allowanceReceived(server, signal string) {
+	requests, err := strconv.ParseFloat(signal, 64)
+	if err != nil || c.env.Settings.LoadSignal != control.LoadSignalAllowance || c.number%deafCallers == 0 {
+		return
 	}
+	until := c.env.World.Now() + microtime.FromDuration(c.env.Settings.LoadSignalTTL)
+	c.allowances[server] = allowance{requests, until}
 }
 
-// willing is the server itself, or else another of the list, where the caller may have one more request; "" where there is none.
-func (c *Caller) willing(first string) string {
-	if c.allowed(first) {
-		return first
+// allowedServer is the preferred server, or else another of the list, where the caller may have one more request;
+// empty where there is none.
+func (c *Caller) allowedServer(preferred string) string {
+	if c.allowed(preferred) {
+		return preferred
 	}
-	for _, server := range c.list {
+	for _, server := range c.endpoints {
 		if c.allowed(server) {
 			return server
 		}
@@ -40,15 +43,15 @@
 
 // allowed tells whether the caller may have one more request at a server; a fraction is allowed by chance.
 func (c *Caller) allowed(server string) bool {
-	a, ok := c.heard[server]
-	if !ok || c.st.World.Now() > a.until {
+	granted, known := c.allowances[server]
+	if !known || c.env.World.Now() > granted.until {
 		return true
 	}
-	open := 0
-	for _, k := range c.conns {
-		if k.server == server {
-			open += len(k.open) + len(k.waiting)
+	outstanding := 0
+	for _, conn := range c.conns {
+		if conn.server == server {
+			outstanding += conn.load()
 		}
 	}
-	return float64(open) < math.Floor(a.requests+c.rng.Float64())
+	return float64(outstanding) < math.Floor(granted.requests+c.rng.Float64())
 }
--- /dev/null
+++ b/internal/testbed/fakes/caller_health.go
@@ -0,0 +1,47 @@
+package fakes
+
+import (
+	"pewterline/internal/microtime"
+	"pewterline/internal/protocol/thrift"
+	"pewterline/internal/testbed/simnet"
+)
+
+const (
+	// healthCheckInterval is the mean pause between two health checks of a caller.
+	healthCheckInterval = 2 * microtime.Second
+	// healthCheckTimeout is how long the connection of a health check stays open without an answer.
+	healthCheckTimeout = 3 * microtime.Second
+)
+
+// scheduleHealthCheck plans the next health check, and the ones after it.
+func (c *Caller) scheduleHealthCheck() {
+	incarnation := c.incarnation
+	c.env.World.In(healthCheckInterval/2+randomUpTo(c.rng, healthCheckInterval), func() {
+		if !c.alive(incarnation) || c.env.World.Now() > c.until {
+			return
+		}
+		c.scheduleHealthCheck()
+		if len(c.endpoints) > 0 {
+			c.checkHealth()
+		}
+	})
+}
+
+// checkHealth asks a server of the list for its health, on a connection of its own.
+func (c *Caller) checkHealth() {
+	deep := c.env.Deployment.Vault && c.rng.IntN(2) == 0
+	c.node.Dial(c.randomEndpoint()+"/thrift", func(stream *simnet.Stream, err error) {
+		if err != nil {
+			return
+		}
+		stream.SetHandler(healthChecker{})
+		stream.Write(thrift.AppendProbe(nil, 1, deep))
+		c.env.World.In(healthCheckTimeout, stream.Close)
+	})
+}
+
+// healthChecker closes the connection of a health check once it is answered.
+type healthChecker struct{ silent }
+
+// Received is part of simnet.Handler.
+func (healthChecker) Received(stream *simnet.Stream, _ []byte) { stream.Close() }
--- a/internal/testbed/fakes/store.go
+++ b/internal/testbed/fakes/store.go
@@ -11,70 +11,88 @@
 )
 
 // ErrStore is what a failing store says.
-var ErrStore = errors.New("standin: the store failed")
+var ErrStore = errors.New("fakes: the store failed")
 
-// Store is a store of record on the virtual clock. It outlives the servers that use it.
+// writeTime is what a write takes.
+const writeTime = 2 * microtime.Millisecond
+
+// Store is a store of record on the simulated clock. It outlives the servers that use it.
 type Store struct {
-	w     *simnet.World
-	rows  []store.Record
-	free  microtime.Time // when it has written all before
-	slow  microtime.Time // added to each write
-	until microtime.Time // of its being slow
-	fails microtime.Time // until then
+	world     *simnet.World
+	records   []store.Record
+	idleAt    microtime.Time // when it has written all before
+	slowBy    microtime.Time // added to each write
+	slowUntil microtime.Time
+	failUntil microtime.Time
 }
 
-// NewStore returns an empty one.
-func NewStore(w *simnet.World) *Store { return &Store{w: w} }
+// NewStore returns an empty store.
+func NewStore(world *simnet.World) *Store { return &Store{world: world} }
 
-// Slow has each write take longer until a time; Fail has writes fail until one.
-func (s *Store) Slow(by, until microtime.Time) { s.slow, s.until = by, until }
+// Slow has each write take longer until a time.
+func (s *Store) Slow(by, until microtime.Time) {
+	s.slowBy = by
+	s.slowUntil = until
+}
 
 // Fail has writes fail until a time. Every other one is on record all the same, as where the answer is lost.
-func (s *Store) Fail(until microtime.Time) { s.fails = until }
+func (s *Store) Fail(until microtime.Time) { s.failUntil = until }
 
-// Load is part of edge.Records.
+// Load lists the records since a time by the caller's clock, in its order; an intent is left out once its result is
+// on record. It is part of server.Records.
 func (s *Store) Load(sinceMilli int64) ([]store.Record, error) {
-	var out []store.Record
-	for _, r := range s.rows {
-		settled := r.Intent && slices.ContainsFunc(s.rows, func(o store.Record) bool {
-			return !o.Intent && o.Class == r.Class && o.Tenant == r.Tenant && o.IdempotencyKey == r.IdempotencyKey && o.ArrivedAtMilli >= r.ArrivedAtMilli
-		})
-		if r.ArrivedAtMilli >= sinceMilli && !settled {
-			out = append(out, r)
+	var loaded []store.Record
+	for _, record := range s.records {
+		if record.ArrivedAtMilli >= sinceMilli && !s.settled(record) {
+			loaded = append(loaded, record)
 		}
 	}
-	slices.SortStableFunc(out, func(a, b store.Record) int { return cmp.Compare(a.ArrivedAtMilli, b.ArrivedAtMilli) })
-	return out, nil
+	slices.SortStableFunc(loaded, func(a, b store.Record) int { return cmp.Compare(a.ArrivedAtMilli, b.ArrivedAtMilli) })
+	return loaded, nil
+}
+
+// settled tells whether a record is an intent whose result is on record.
+func (s *Store) settled(intent store.Record) bool {
+	return intent.Intent && slices.ContainsFunc(s.records, func(other store.Record) bool {
+		return !other.Intent && sameKey(intent, other) && other.ArrivedAtMilli >= intent.ArrivedAtMilli
+	})
 }
 
-// Record is part of edge.Records.
-func (s *Store) Record(r store.Record, done func(error)) {
-	now := s.w.Now()
-	took := 2 * microtime.Millisecond
-	if now < s.until {
-		took += s.slow
+// Record writes a record, after those before it. It is part of server.Records.
+func (s *Store) Record(record store.Record, done func(error)) {
+	now := s.world.Now()
+	took := writeTime
+	if now < s.slowUntil {
+		took += s.slowBy
 	}
-	s.free = max(s.free, now) + took
-	r.Result = slices.Clone(r.Result)
-	s.w.At(s.free, func() {
-		if s.w.Now() < s.fails {
-			if len(s.rows)%2 == 0 {
-				s.put(r)
-			}
+	s.idleAt = max(s.idleAt, now) + took
+	record.Result = slices.Clone(record.Result)
+	s.world.At(s.idleAt, func() {
+		failing := s.world.Now() < s.failUntil
+		if !failing || len(s.records)%2 == 0 {
+			s.put(record)
+		}
+		if failing {
 			done(ErrStore)
 			return
 		}
-		s.put(r)
 		done(nil)
 	})
 }
 
-func (s *Store) put(r store.Record) {
-	for i, o := range s.rows {
-		if o.Intent == r.Intent && o.Class == r.Class && o.Tenant == r.Tenant && o.IdempotencyKey == r.IdempotencyKey {
-			s.rows[i] = r
-			return
-		}
+// put enters a record in place of the one of its kind under the same key.
+func (s *Store) put(record store.Record) {
+	index := slices.IndexFunc(s.records, func(other store.Record) bool {
+		return other.Intent == record.Intent && sameKey(other, record)
+	})
+	if index < 0 {
+		s.records = append(s.records, record)
+		return
 	}
-	s.rows = append(s.rows, r)
+	s.records[index] = record
+}
+
+// sameKey tells whether two records are under the same idempotency key.
+func sameKey(a, b store.Record) bool {
+	return a.Class == b.Class && a.Tenant == b.Tenant && a.IdempotencyKey == b.IdempotencyKey
 }
--- a/internal/testbed/fakes/vault.go
+++ b/internal/testbed/fakes/vault.go
@@ -13,9 +13,13 @@
 )
 
 const (
-	callTime  = 30 * microtime.Millisecond // of a call, on average
-	vaultIdle = 10 * microtime.Second      // a connection that is idle for so long is closed
-	holdBack  = 80 * microtime.Millisecond // replies that are shuffled are held back for up to this
+	vaultNode = "v0"
+	// meanCallTime is what a call takes on average.
+	meanCallTime = 30 * microtime.Millisecond
+	// vaultIdleTimeout is how long a connection stays open without a call.
+	vaultIdleTimeout = 10 * microtime.Second
+	// maxShuffleDelay is for how long a reply is held back that is to come in another order.
+	maxShuffleDelay = 80 * microtime.Millisecond
 )
 
 // VaultFault is something that a vault can be told to do wrong for a while.
@@ -33,31 +37,39 @@
 	vaultFaults
 )
 
-// Vault is the store that all servers of a world call, on the node v0. It does each call in a while of its own, and replies as the
-// calls end.
+// String is the fault's name.
+func (f VaultFault) String() string {
+	names := [vaultFaults]string{"refuses", "fails", "overruns", "breaks", "shuffles", "strays", "silent"}
+	if f >= vaultFaults {
+		return fmt.Sprintf("VaultFault(%d)", uint8(f))
+	}
+	return names[f]
+}
+
+// Vault is the store that all servers of a world call, on a node of its own. It does each call in a while of its
+// own, and replies as the calls end.
 type Vault struct {
-	st     *Environment
-	rng    *rand.Rand
-	node   *simnet.Node
-	lis    []*simnet.Listener
-	slow   float64
-	until  [vaultFaults]microtime.Time
-	chance [vaultFaults]float64
-	made   uint64
-	calls  map[string]*vaultCall // in hand, by id
-	Calls  map[vault.Status]int  // replies, by status
+	env       *Environment
+	rng       *rand.Rand
+	node      *simnet.Node
+	listeners []*simnet.Listener // none while it is down
+	slowdown  float64
+	until     [vaultFaults]microtime.Time
+	chance    [vaultFaults]float64
+	replies   uint64                // made so far
+	calls     map[string]*vaultCall // in flight, by request ID
 }
 
 // vaultLink is one connection of a server's.
 type vaultLink struct {
-	v    *Vault
-	e    *simnet.Stream
-	in   []byte
-	open int // calls in hand
-	idle *simnet.Timer
+	vault  *Vault
+	stream *simnet.Stream
+	in     []byte // read and not yet whole
+	open   int    // calls in flight
+	idle   *simnet.Timer
 }
 
-// vaultCall is one call in hand.
+// vaultCall is one call in flight.
 type vaultCall struct {
 	id    string
 	link  *vaultLink
@@ -65,159 +77,167 @@
 	timer *simnet.Timer
 }
 
-// NewVault starts the vault; it listens at v0/a and v0/b.
-func NewVault(st *Environment, seed uint64) *Vault {
-	v := &Vault{st: st, rng: st.World.Fork(seed, "v0"), node: st.Net.Node("v0"), slow: 1, calls: map[string]*vaultCall{}, Calls: map[vault.Status]int{}}
-	v.node.Boot()
-	v.listen()
-	return v
+// NewVault starts the vault; it listens at two addresses.
+func NewVault(env *Environment, seed uint64) *Vault {
+	started := &Vault{
+		env:      env,
+		rng:      env.World.Fork(seed, vaultNode),
+		node:     env.Net.Node(vaultNode),
+		slowdown: 1,
+		calls:    map[string]*vaultCall{},
+	}
+	started.node.Boot()
+	started.listen()
+	return started
 }
 
 func (v *Vault) listen() {
-	for _, address := range []string{"v0/a", "v0/b"} {
-		accept := func(e *simnet.Stream) simnet.Handler {
-			link := &vaultLink{v: v, e: e}
-			link.rest()
-			return link
-		}
-		lis, err := v.node.Listen(address, simnet.Listener{Accept: accept})
-		if err != nil {
-			panic(err) // its addresses are its own
-		}
-		v.lis = append(v.lis, lis)
+	for _, address := range []string{vaultNode + "/a", vaultNode + "/b"} {
+		v.listeners = append(v.listeners, mustListen(v.node, address, simnet.Listener{Accept: v.accept}))
 	}
 }
 
+// accept takes a new connection.
+func (v *Vault) accept(stream *simnet.Stream) simnet.Handler {
+	link := &vaultLink{vault: v, stream: stream}
+	link.rest()
+	return link
+}
+
 // Down has it refuse connections until a time; those that it has break at once.
 func (v *Vault) Down(until microtime.Time) {
-	for _, lis := range v.lis {
-		lis.Close()
+	for _, listener := range v.listeners {
+		listener.Close()
 	}
-	down := len(v.lis) == 0
-	v.lis = nil
-	for _, e := range slices.Clone(v.node.Streams()) {
-		e.Reset()
+	alreadyDown := len(v.listeners) == 0
+	v.listeners = nil
+	for _, stream := range slices.Clone(v.node.Streams()) {
+		stream.Reset()
 	}
-	if !down { // else the first fault's end brings it back
-		v.st.World.At(until, v.listen)
+	if !alreadyDown { // else the first fault's end brings it back
+		v.env.World.At(until, v.listen)
 	}
 }
 
 // Slow has calls that start from now on take so many times as long.
-func (v *Vault) Slow(factor float64) { v.slow = factor }
+func (v *Vault) Slow(factor float64) { v.slowdown = factor }
 
 // Fault has something go wrong with a chance until a time.
 func (v *Vault) Fault(fault VaultFault, chance float64, until microtime.Time) {
-	v.until[fault], v.chance[fault] = until, chance
+	v.until[fault] = until
+	v.chance[fault] = chance
 }
 
+// faulty draws whether a fault is at work now.
 func (v *Vault) faulty(fault VaultFault) bool {
-	return v.st.World.Now() < v.until[fault] && v.rng.Float64() < v.chance[fault]
+	return v.env.World.Now() < v.until[fault] && v.rng.Float64() < v.chance[fault]
+}
+
+// end takes a call out of flight.
+func (v *Vault) end(ended *vaultCall) {
+	ended.timer.Stop()
+	ended.link.open--
+	delete(v.calls, ended.id)
 }
 
-// rest closes the link once it has been idle for a while.
+// rest closes the connection once it has been idle for a while.
 func (l *vaultLink) rest() {
 	l.idle.Stop()
 	l.idle = nil
-	if l.open == 0 && l.e.IsOpen() {
-		l.idle = l.v.st.World.In(vaultIdle, l.e.Close)
+	if l.open == 0 && l.stream.IsOpen() {
+		l.idle = l.vault.env.World.In(vaultIdleTimeout, l.stream.Close)
 	}
 }
 
 // EOF is part of simnet.Handler.
-func (l *vaultLink) EOF(e *simnet.Stream) {
-	e.Close()
-	l.Reset(e)
+func (l *vaultLink) EOF(stream *simnet.Stream) {
+	stream.Close()
+	l.Reset(stream)
 }
 
 // Reset is part of simnet.Handler: the end of a connection gives up every call on it.
 func (l *vaultLink) Reset(*simnet.Stream) {
 	l.idle.Stop()
-	for _, c := range l.v.calls {
-		if c.link == l {
-			l.v.end(c) // in any order: each by itself
+	for _, call := range l.vault.calls {
+		if call.link == l {
+			l.vault.end(call) // the order of the map does not matter, as each ends by itself
 		}
 	}
 }
 
 // Received is part of simnet.Handler.
-func (l *vaultLink) Received(e *simnet.Stream, in []byte) {
+func (l *vaultLink) Received(stream *simnet.Stream, in []byte) {
 	l.in = append(l.in, in...)
-	for e.IsOpen() {
-		c, n, err := vault.ParseCommand(l.in)
-		if err != nil { // the rules see it too
-			e.Close()
-			l.Reset(e)
+	for stream.IsOpen() {
+		command, size, err := vault.ParseCommand(l.in)
+		if err != nil { // the invariant checker sees it too
+			stream.Close()
+			l.Reset(stream)
 		}
-		if n == 0 {
+		if size == 0 {
 			break
 		}
-		if c.Verb == vault.Ask {
-			l.ask(c)
-		} else if open := l.v.calls[c.ID]; open != nil && open.link == l {
-			l.v.end(open)
+		if command.Verb == vault.Ask {
+			l.ask(command)
+		} else if call := l.vault.calls[command.ID]; call != nil && call.link == l {
+			l.vault.end(call)
 		}
-		l.in = l.in[:copy(l.in, l.in[n:])]
+		l.in = l.in[:copy(l.in, l.in[size:])]
 	}
 	l.rest()
 }
 
-// end takes a call out of hand.
-func (v *Vault) end(c *vaultCall) {
-	c.timer.Stop()
-	c.link.open--
-	delete(v.calls, c.id)
-}
-
 // ask takes a call. A second one for the same request gives up the first.
 func (l *vaultLink) ask(command vault.Command) {
-	v := l.v
-	if first := v.calls[command.ID]; first != nil {
-		v.end(first)
+	owner := l.vault
+	if first := owner.calls[command.ID]; first != nil {
+		owner.end(first)
 		first.link.rest()
 	}
-	c := &vaultCall{id: command.ID, link: l, body: slices.Clone(command.Body)}
-	v.calls[c.id] = c
+	call := &vaultCall{id: command.ID, link: l, body: slices.Clone(command.Body)}
+	owner.calls[call.id] = call
 	l.open++
-	took := microtime.Time(float64(callTime) * v.slow * (0.2 + 0.8*v.rng.ExpFloat64()))
+	took := microtime.Time(float64(meanCallTime) * owner.slowdown * (0.2 + 0.8*owner.rng.ExpFloat64()))
 	status := vault.Yes
 	switch {
-	case !v.st.Requests.waits(c.id):
-		status, took = vault.Pointless, 0
-	case v.faulty(VaultRefuses):
-		status, took = vault.NotNow, 0
-	case v.faulty(VaultFails):
+	case !owner.env.Requests.awaitsCall(call.id):
+		status = vault.Pointless
+		took = 0
+	case owner.faulty(VaultRefuses):
+		status = vault.NotNow
+		took = 0
+	case owner.faulty(VaultFails):
 		status = vault.Failed
-	case v.faulty(VaultOverruns):
+	case owner.faulty(VaultOverruns):
 		status = vault.Overdue
-	case v.faulty(VaultSilent):
+	case owner.faulty(VaultSilent):
 		return
 	}
-	if v.faulty(VaultShuffles) {
-		took += microtime.Time(v.rng.Int64N(int64(holdBack)))
+	if owner.faulty(VaultShuffles) {
+		took += randomUpTo(owner.rng, maxShuffleDelay)
 	}
-	c.timer = v.st.World.In(took, func() { l.reply(c, status) })
+	call.timer = owner.env.World.In(took, func() { l.reply(call, status) })
 }
 
 // reply ends a call.
-func (l *vaultLink) reply(c *vaultCall, status vault.Status) {
-	v := l.v
-	v.end(c)
-	if status == vault.Yes && !v.st.Requests.waits(c.id) {
+func (l *vaultLink) reply(call *vaultCall, status vault.Status) {
+	owner := l.vault
+	owner.end(call)
+	if status == vault.Yes && !owner.env.Requests.awaitsCall(call.id) {
 		status = vault.Overdue // its run has ended meanwhile
 	}
-	v.made++
-	v.Calls[status]++
-	out := vault.AppendReply(nil, c.id, status, fmt.Appendf(nil, "reply %d to %016x\r\n", v.made, xxhash.Sum64(c.body)))
+	owner.replies++
+	body := fmt.Appendf(nil, "reply %d to %016x\r\n", owner.replies, xxhash.Sum64(call.body))
+	reply := vault.AppendReply(nil, call.id, status, body)
 	switch {
-	case v.faulty(VaultBreaks):
-		l.e.CutAfter(1 + v.rng.IntN(len(out)-1))
-	case v.faulty(VaultStrays) && v.rng.IntN(2) == 0:
-		out = append(out, out...)
-	case v.faulty(VaultStrays):
-		stray := vault.AppendReply(nil, fmt.Sprintf("%016x", v.rng.Uint64()), vault.Yes, []byte("for nobody"))
-		out = append(stray, out...)
+	case owner.faulty(VaultBreaks):
+		l.stream.CutAfter(1 + owner.rng.IntN(len(reply)-1))
+	case owner.faulty(VaultStrays) && owner.rng.IntN(2) == 0:
+		reply = append(reply, reply...)
+	case owner.faulty(VaultStrays):
+		stray := vault.AppendReply(nil, fmt.Sprintf("%016x", owner.rng.Uint64()), vault.Yes, []byte("for nobody"))
+		reply = append(stray, reply...)
 	}
-	l.e.Write(out)
+	l.stream.Write(reply)
 	l.rest()
 }
