--- a/internal/testbed/sim/tables_test.go
+++ b/internal/testbed/sim/tables_test.go
@@ -172,7 +172,7 @@
 		}
 	})
 	flatCase{script: script, minRequests: 30_000, tables: []string{
-		"control.keyTable.keys", "control.requestTable.byID", "control.idleConnections.lastSeen",
+		"control.retainedKeys.keys", "control.requestTable.byID", "control.idleConnections.lastSeen",
 		"control.classState.latencies", "dispatch.keyTable.byKey", "dispatch.keyTable.byHolder",
 		"dispatch.tickSchedule.ticks", "workerpool.Backend.runs", "transport.connGroup.conns",
 		"transport.Connection.received",
