--- a/internal/admin/group.go
+++ b/internal/admin/group.go
@@ -25,8 +25,8 @@
 	Epoch              uint64                     `json:"epoch"`
 	ReplicationFactor  int                        `json:"copies"`
 	ChangeInProgress   bool                       `json:"changing"`
-	MembersTransferred int                        `json:"changing_marked"` // Members that have passed on their keys.
-	Reason             string                     `json:"why"`             // Of the last change.
+	MembersTransferred int                        `json:"changing_marked"` // members that have passed on their keys
+	Reason             string                     `json:"why"`             // of the last change
 	ForcedAt           int64                      `json:"lost_ms"`         // Unix time in ms; 0: no majority was lost.
 	Voting             bool                       `json:"voting"`
 	Members            []replication.MemberStatus `json:"members"`
--- a/internal/admin/handler.go
+++ b/internal/admin/handler.go
@@ -39,7 +39,7 @@
 	Succeeded    map[string]int `json:"passed"`
 	Rejected     map[string]int `json:"dropped"`
 	Failed       map[string]int `json:"bad_gateway"`
-	Attempts     int            `json:"upstream_tries"` // Runs that were handed to the backend.
+	Attempts     int            `json:"upstream_tries"` // runs that were handed to the backend
 	InProgress   int            `json:"in_progress"`
 	Reloads      int            `json:"loads"`
 	ReloadErrors int            `json:"load_errors"`
@@ -48,7 +48,7 @@
 // Handler carries out requests. Its methods are called on the loop.
 type Handler struct {
 	server  Server
-	replica *replication.Replica // Nil unless the server belongs to a replication group.
+	replica *replication.Replica // nil unless the server belongs to a replication group
 	logf    func(format string, args ...any)
 }
 
--- a/internal/backend/upstream/attempt.go
+++ b/internal/backend/upstream/attempt.go
@@ -137,7 +137,7 @@
 		return
 	}
 	if outcome == loadbalancer.Cancelled {
-		outcome = loadbalancer.TimedOut // It may be executed, and nobody waits for the answer.
+		outcome = loadbalancer.TimedOut // it may be executed, and nobody waits for the answer
 	}
 	b.retries.RecordOutcome(owner.key, outcome)
 }
@@ -159,7 +159,7 @@
 	owner.retryAfter = result.RetryAfter
 	owner.noRetry = result.NoRetry
 	if len(owner.attempts) > 0 {
-		return // The other attempt is still in flight.
+		return // the other attempt is still in flight
 	}
 	b.retryOrReport(ended, result)
 }
--- a/internal/backend/upstream/backend.go
+++ b/internal/backend/upstream/backend.go
@@ -208,7 +208,7 @@
 // to be called again.
 func (b *Backend) checkRuns(now microtime.Time) microtime.Time {
 	next := microtime.Never
-	for i := b.ordered.Len() - 1; i >= 0; i-- { // From the end, as the last run takes the place of one that ends.
+	for i := b.ordered.Len() - 1; i >= 0; i-- { // from the end, as the last run takes the place of one that ends
 		if i >= b.ordered.Len() {
 			continue
 		}
--- a/internal/backend/upstream/connection.go
+++ b/internal/backend/upstream/connection.go
@@ -171,13 +171,13 @@
 	}
 	answered := c.inFlight[reply.SequenceID]
 	if answered == nil {
-		return // The reply crossed the message that the attempt was abandoned.
+		return // the reply crossed the message that the attempt was abandoned
 	}
 	delete(c.inFlight, reply.SequenceID)
 	c.idleSince = c.backend.now()
 	var body []byte
 	if reply.Kind == thrift.ReplyAnswer {
-		body = append([]byte(nil), reply.Body...) // The buffer is the connection's own.
+		body = append([]byte(nil), reply.Body...) // the buffer is the connection's own
 	}
 	c.backend.attemptEnded(answered, resultOf(&reply), body)
 	c.closeIfDrained()
--- a/internal/peers/exchange.go
+++ b/internal/peers/exchange.go
@@ -65,7 +65,7 @@
 		x.ask(now, address)
 	}
 	next := x.scheduler.NextCheck()
-	for i := x.links.Len() - 1; i >= 0; i-- { // From the end, as the last link takes the place of one that ends.
+	for i := x.links.Len() - 1; i >= 0; i-- { // from the end, as the last link takes the place of one that ends
 		link := x.links.Items()[i]
 		switch {
 		case !link.asking:
@@ -164,7 +164,7 @@
 // fail ends a connection that brings no answer.
 func (l *exchangeLink) fail(now microtime.Time) {
 	if l.conn != nil {
-		l.conn.Close() // Closed follows.
+		l.conn.Close() // closed follows
 		return
 	}
 	if l.cancelDial != nil {
--- a/internal/peers/links.go
+++ b/internal/peers/links.go
@@ -97,7 +97,7 @@
 
 // SendReply sends a reply at the end of the turn to the process that asked, if it can still be reached.
 func (l *Links) SendReply(to consensus.Identity, reply consensus.Reply) {
-	for _, link := range slices.Backward(l.inbound) { // The newest first.
+	for _, link := range slices.Backward(l.inbound) { // the newest first
 		if link.greeted && link.from.ID == to.ID && link.from.ProcessIncarnation == to.Incarnation {
 			link.replies = append(link.replies, reply)
 			return
--- a/internal/peers/outbound.go
+++ b/internal/peers/outbound.go
@@ -68,7 +68,7 @@
 	switch {
 	case o.conn != nil && now >= o.lastReadAt+silenceTimeout:
 		o.links.logf("peers: server %d at %s has not answered for %v", o.id, o.address, silenceTimeout.Duration())
-		o.conn.Close() // Closed follows.
+		o.conn.Close() // closed follows
 	case o.conn != nil:
 		o.flush(now)
 		return min(o.lastPingAt+pingInterval, o.lastReadAt+silenceTimeout)
--- a/internal/protocol/adminhttp/adminhttp.go
+++ b/internal/protocol/adminhttp/adminhttp.go
@@ -32,7 +32,7 @@
 type Error struct {
 	Status int
 	Text   string
-	Allow  string // For StatusMethodNotAllowed: the method that is allowed.
+	Allow  string // for StatusMethodNotAllowed: the method that is allowed
 }
 
 // Error returns the text that the response carries.
@@ -99,7 +99,7 @@
 func AppendResponse(out []byte, status int, allow string, body any) []byte {
 	text, err := json.Marshal(body)
 	if err != nil {
-		panic(fmt.Sprintf("adminhttp: %v", err)) // The types of bodies are the program's own.
+		panic(fmt.Sprintf("adminhttp: %v", err)) // the types of bodies are the program's own
 	}
 	text = append(text, '\n')
 	out = append(out, "HTTP/1.1 "+strconv.Itoa(status)+" "+http.StatusText(status)+"\r\n"...)
--- a/internal/replication/cluster_test.go
+++ b/internal/replication/cluster_test.go
@@ -165,7 +165,7 @@
 		return
 	}
 	done := make(chan struct{})
-	s.replica.storage.log.Do(func(*wal.Log) error { return nil }, func(error) { close(done) })
+	s.replica.storage.committer.Do(func(*wal.Log) error { return nil }, func(error) { close(done) })
 	<-done
 }
 
--- a/internal/replication/completions.go
+++ b/internal/replication/completions.go
@@ -2,15 +2,15 @@
 
 import "sync"
 
-// completionQueue carries callbacks from the write-ahead log's goroutine to the event loop. Callbacks that come while
-// the loop has not run yet share one call on it.
+// completionQueue passes callbacks from the write-ahead log's goroutine to the event loop. All callbacks that are
+// posted before the loop next runs share one task on it.
 type completionQueue struct {
 	mu        sync.Mutex
 	pending   []func()
-	scheduled bool // run is on its way to the loop
+	scheduled bool // a task that calls run is queued on the loop
 }
 
-// post has a callback run on the loop, behind those that were posted before it.
+// post runs a callback on the loop, after those that were posted before it.
 func (q *completionQueue) post(execute func(func()) error, callback func()) {
 	q.mu.Lock()
 	q.pending = append(q.pending, callback)
@@ -20,7 +20,7 @@
 	if !first {
 		return
 	}
-	// Once the loop has ended there is nobody left who would want to know.
+	// Execute fails only after the loop has ended, when no caller waits for the callbacks.
 	_ = execute(q.run)
 }
 
--- a/internal/replication/config.go
+++ b/internal/replication/config.go
@@ -8,28 +8,28 @@
 	"pewterline/internal/wal"
 )
 
-// Config says how a server takes part in its replication group.
+// Config configures a Replica.
 type Config struct {
 	ID                uint32             // of this server, unique in its group
 	Directory         string             // of the write-ahead log; created if it is missing
 	ReplicationFactor int                // of a group that is bootstrapped by this server
 	Consensus         consensus.Config   // timeouts and limits of proposals and repairs
-	Peers             []consensus.Member // members of the group to come, or other addresses of present members
+	Peers             []consensus.Member // members for Bootstrap, or other addresses of present members
 
-	// Retention is the longest that the outcome of any key is kept.
+	// Retention is the longest time for which the outcome of any key is kept.
 	Retention microtime.Time
 	// UnixMilli converts a time of the event loop to Unix milliseconds.
 	UnixMilli func(microtime.Time) int64
 	// Logf writes a line to the server's log.
 	Logf func(format string, args ...any)
 
-	// filesystem replaces the system's folder in tests of a failing disk; nil: Directory.
+	// filesystem replaces Directory in tests of a failing disk; nil: Directory.
 	filesystem wal.FS
 	// snapshotThreshold replaces minSnapshotThreshold in tests; 0: that.
 	snapshotThreshold int
 }
 
-// Loop is what a replica needs of the event loop.
+// Loop is what a replica needs from the event loop.
 type Loop interface {
 	peers.EventLoop
 	// Execute runs f on the loop. It may be called from any goroutine; an error says that the loop has ended and f will
@@ -42,14 +42,14 @@
 	Key            string
 	ArrivedAtMilli int64          // when it arrived, in Unix milliseconds
 	RetentionMilli int64          // how long an outcome is kept, counted from the arrival of the attempt that ran
-	Deadline       microtime.Time // by which whoever waits needs an answer
+	Deadline       microtime.Time // by which the caller needs an answer
 }
 
 // Outcome answers AcquireLease, Complete or Lookup.
 type Outcome struct {
 	// Action is ActionStart, ActionServe, ActionReject or one of the ActionReport constants of package execution.
 	Action execution.Action
-	// Value is what the group has agreed on, as far as it is known.
+	// Value is the value that the group has agreed on, as far as this server knows it.
 	Value consensus.Value
 	// RetryAtMilli comes with ActionReportIndeterminate: the Unix milliseconds from which another attempt may run; 0:
 	// unknown.
--- a/internal/replication/counters.go
+++ b/internal/replication/counters.go
@@ -1,13 +1,13 @@
 package replication
 
-// Counters count events since the process started. The last five fields are gauges: they tell the present state.
+// Counters count events since the process started. The last five fields are gauges of the present state.
 type Counters struct {
 	LeasesRequested      int    `json:"leaves_asked"`
 	LeasesGranted        int    `json:"leaves_granted"`
 	ResultsFound         int    `json:"results_found"`    // of runs that other processes had made
-	ResultsReplicated    int    `json:"results_copied"`   // of this server's runs, held by a majority
+	ResultsReplicated    int    `json:"results_copied"`   // of this server's runs, stored by a majority
 	ResultsAtRisk        int    `json:"results_at_risk"`  // of this server's runs, accepted by no majority in time
-	OutcomesUnknown      int    `json:"outcomes_unknown"` // nobody could say whether the request ran
+	OutcomesUnknown      int    `json:"outcomes_unknown"` // attempts answered as indeterminate: the request may or may not have run
 	RejectedUnreplicated int    `json:"refused_uncopied"` // before they ran: no majority answered in time
 	DiskFailures         int    `json:"disk_failures"`
 	DiskSyncs            int64  `json:"disk_syncs"` // since the log was opened
@@ -25,7 +25,7 @@
 	counters := r.counters
 	counters.KeysToRepair, counters.KeysRepaired = r.node.RepairProgress()
 	counters.KeysPendingTransfer = r.node.PendingTransfers()
-	counters.DiskSyncs, counters.DiskBytes = r.storage.log.Written()
+	counters.DiskSyncs, counters.DiskBytes = r.storage.committer.Written()
 	counters.KeysHeld = r.node.KeyCount()
 	counters.ProposalsInFlight = r.node.InFlight()
 	for _, member := range r.node.Membership().Members() {
--- a/internal/replication/fs_faults.go
+++ b/internal/replication/fs_faults.go
@@ -35,7 +35,7 @@
 	faultFile string
 }
 
-// has says whether a fault is asked for.
+// has reports whether the fault file asks for a fault.
 func (d *faultyFS) has(fault string) bool {
 	text, err := os.ReadFile(d.faultFile)
 	return err == nil && strings.TrimSpace(string(text)) == fault
--- a/internal/replication/lease.go
+++ b/internal/replication/lease.go
@@ -5,10 +5,10 @@
 	"pewterline/internal/decide/execution"
 )
 
-// AcquireLease asks whether an attempt may run. done is called once, on the loop, by the deadline or soon after it:
-// with ActionStart where the lease is granted, ActionServe or ActionReportFailed where a run has ended, ActionReject
-// where the attempt has not run and will not, and else with ActionReportIndeterminate. A caller has one attempt of a
-// key in progress at a time.
+// AcquireLease requests the lease to run an attempt. done is called once, on the loop, by the deadline or soon after
+// it: with ActionStart if the lease is granted, ActionServe or ActionReportFailed if an earlier run has ended,
+// ActionReject if the attempt has not run and will not, and ActionReportIndeterminate otherwise. The caller must have
+// at most one attempt of a key in progress.
 func (r *Replica) AcquireLease(attempt Attempt, done func(Outcome)) {
 	request := r.requests.findOrCreate(attempt.Key)
 	request.attempt = attempt
@@ -23,7 +23,7 @@
 	}
 }
 
-// ReleaseLease gives back a lease that was granted and does not lead to a run.
+// ReleaseLease returns a lease that was granted but not used for a run.
 func (r *Replica) ReleaseLease(key string) {
 	if request := r.requests.byKey[key]; request != nil {
 		r.step(request, execution.EventRunNotStarted, consensus.Value{})
@@ -52,8 +52,8 @@
 	r.step(request, event, consensus.Value{})
 }
 
-// mayComplete says whether a run can end in a state. A caller that repeats its report finds one of those behind
-// StateRunning.
+// mayComplete reports whether Complete is valid in a state. The states after StateRunning are those in which a caller
+// repeats its report.
 func mayComplete(state execution.State) bool {
 	switch state {
 	case execution.StateRunning, execution.StateRecording, execution.StateUnrecorded, execution.StateRecorded:
@@ -63,26 +63,26 @@
 	}
 }
 
-// Lookup asks what is agreed on a key, without a wish to run it. done is called once, on the loop: with ActionStart
-// where nothing stands in the way of a run, ActionServe, ActionReportFailed or ActionReportIndeterminate.
+// Lookup reads the agreed value of a key without requesting the lease. done is called once, on the loop: with
+// ActionStart if no record prevents a run, or else with ActionServe, ActionReportFailed or ActionReportIndeterminate.
 func (r *Replica) Lookup(attempt Attempt, done func(Outcome)) {
 	request := r.requests.create(attempt.Key)
 	request.lookupOnly = true
 	request.attempt = attempt
 	request.done = done
-	request.lifecycle.State = execution.StateHeldByOther // so that it is polled, now and while another server runs it
+	request.lifecycle.State = execution.StateHeldByOther // polled while another server runs it
 	r.step(request, execution.EventRetryDue, consensus.Value{})
 }
 
-// HasRecord says whether this server holds something of the key that is within its retention when the attempt
-// arrives.
+// HasRecord reports whether this server stores a value of the key that was still within its retention when the attempt
+// arrived.
 func (r *Replica) HasRecord(attempt Attempt) bool {
 	value := r.node.Register(attempt.Key).Value
 	return value.Kind != consensus.KindNone && attempt.ArrivedAtMilli < value.AttemptedAt+attempt.RetentionMilli
 }
 
-// step moves a request on by an event, and carries out what follows from it. value is what the group has agreed on,
-// if the event is the end of a proposal.
+// step applies an event to a request and performs the resulting actions. value is the value that the group has agreed
+// on, if the event is the end of a proposal.
 func (r *Replica) step(request *keyedRequest, event execution.Event, value consensus.Value) {
 	before := request.lifecycle.State
 	if value.Kind == consensus.KindLeased {
@@ -100,7 +100,7 @@
 	}
 }
 
-// perform carries out an action that a request in state before has led to.
+// perform performs an action. before is the state of the request before the event that led to the action.
 func (r *Replica) perform(
 	request *keyedRequest, action execution.Action, before execution.State, value consensus.Value,
 ) {
@@ -132,7 +132,7 @@
 	}
 }
 
-// countGranted counts the good outcomes: those that report does not count.
+// countGranted counts granted leases and results. The other outcomes are counted by report.
 func (r *Replica) countGranted(action execution.Action, before execution.State) {
 	switch {
 	case action == execution.ActionStart:
@@ -144,7 +144,7 @@
 	}
 }
 
-// report answers whoever waits for a request, if anybody does.
+// report answers the caller that waits for a request, if there is one.
 func (r *Replica) report(request *keyedRequest, action execution.Action, value consensus.Value) {
 	outcome := Outcome{Action: action, Value: value}
 	switch action {
@@ -166,7 +166,8 @@
 	}
 }
 
-// propose starts a proposal for a request. One that cannot be started counts as one that no majority has answered.
+// propose starts a proposal for a request. If it cannot be started, the request proceeds as if no majority had
+// answered.
 func (r *Replica) propose(request *keyedRequest, change consensus.Change) {
 	id, err := r.node.Propose(r.loop.Now(), request.key, change)
 	if err != nil {
--- a/internal/replication/membership.go
+++ b/internal/replication/membership.go
@@ -8,10 +8,11 @@
 	"pewterline/internal/decide/consensus"
 )
 
-// forceSlackMilli is added to the present when a membership is forced: callers' clocks may be ahead by that much.
+// forceSlackMilli is the most by which callers' clocks are assumed to be ahead, in milliseconds. It is added to the
+// present time when a membership is forced.
 const forceSlackMilli = 15_000
 
-// The reasons of membership changes for which the operator gives none. They are stored with the membership.
+// The default reasons of membership changes. They are stored with the membership.
 const (
 	reasonBootstrapped = "founded"
 	reasonAdded        = "added server %d"
@@ -19,7 +20,7 @@
 	reasonForced       = "forced: kept %v"
 )
 
-// PeerNotReadyError says that a configured peer cannot become a member of a new group.
+// PeerNotReadyError means that a configured peer cannot become a member of a new group.
 type PeerNotReadyError struct {
 	ID      uint32
 	Address string
@@ -30,8 +31,8 @@
 	return fmt.Sprintf("server %d at %s is unreachable or already in a group", e.ID, e.Address)
 }
 
-// Bootstrap makes a new group of the configured peers, all of which have to be reachable and in no group. Its error
-// wraps consensus.ErrInvalidChange and a PeerNotReadyError for each peer that is not.
+// Bootstrap creates a group of the configured peers, all of which have to be reachable and in no group. Its error wraps
+// consensus.ErrInvalidChange and a PeerNotReadyError for each peer that is not.
 func (r *Replica) Bootstrap() error {
 	clusterID, err := newIncarnation()
 	if err != nil {
@@ -56,7 +57,8 @@
 	return r.flushAfter(r.node.Bootstrap(r.loop.Now(), membership))
 }
 
-// mayJoin says whether a server is reachable and in no group. Of this server itself the node decides.
+// mayJoin reports whether a server is reachable and in no group. For this server itself it is always true: the node
+// checks that.
 func (r *Replica) mayJoin(id uint32) bool {
 	if id == r.config.ID {
 		return true
@@ -70,8 +72,7 @@
 }
 
 // AddMember proposes a membership with one more server, or with another incarnation or address of a member. An empty
-// address means the configured one; an empty reason a usual one. The error may wrap one of those of package
-// consensus.
+// address means the configured one, an empty reason the default one. The error may wrap an error of package consensus.
 func (r *Replica) AddMember(id uint32, address, reason string) error {
 	incarnation, known := r.incarnation(id)
 	if !known {
@@ -96,30 +97,30 @@
 	return ""
 }
 
-// RemoveMember proposes a membership without a server. The error may wrap one of those of package consensus.
+// RemoveMember proposes a membership without a server. The error may wrap an error of package consensus.
 func (r *Replica) RemoveMember(id uint32, reason string) error {
 	reason = reasonOr(reason, fmt.Sprintf(reasonRemoved, id))
 	return r.flushAfter(r.node.ProposeMembership(r.loop.Now(), r.membersWithout(id), reason))
 }
 
-// membersWithout returns the members in force but one.
+// membersWithout returns the current members except one.
 func (r *Replica) membersWithout(id uint32) []consensus.Member {
 	isRemoved := func(member consensus.Member) bool { return member.ID == id }
 	return slices.DeleteFunc(slices.Clone(r.node.Membership().Current), isRemoved)
 }
 
-// AbandonChange proposes to end the membership change in progress. The error may wrap one of those of package
-// consensus.
+// AbandonChange proposes to return to the membership before the change in progress. The error may wrap an error of
+// package consensus.
 func (r *Replica) AbandonChange() error { return r.flushAfter(r.node.AbandonChange(r.loop.Now())) }
 
-// Repair brings all that is held here to all the replicas of each key.
+// Repair starts to copy every register of this server to all replicas of its key.
 func (r *Replica) Repair() {
 	r.node.RepairAll()
 	r.flush()
 }
 
-// ForceMembership goes on with some members and without a majority; see consensus.Node. What only other members held
-// is lost. The error may wrap one of those of package consensus.
+// ForceMembership makes keep the only members, without the agreement of a majority; see consensus.Node. Data that only
+// the removed members held is lost. The error may wrap an error of package consensus.
 func (r *Replica) ForceMembership(keep []uint32, reason string) error {
 	now := r.loop.Now()
 	forcedAt := r.config.UnixMilli(now) + forceSlackMilli
@@ -131,13 +132,13 @@
 	return r.flushAfter(err)
 }
 
-// flushAfter sends what an operator's command has led to, and returns the command's error.
+// flushAfter sends the messages that an operator's command has caused, and returns the command's error.
 func (r *Replica) flushAfter(err error) error {
 	r.flush()
 	return err
 }
 
-// reasonOr returns the operator's reason, or else the usual one.
+// reasonOr returns the operator's reason, or the default if it is empty.
 func reasonOr(reason, usual string) string {
 	if reason != "" {
 		return reason
--- a/internal/replication/recovery.go
+++ b/internal/replication/recovery.go
@@ -11,13 +11,13 @@
 const (
 	// reopenInterval is the time between two attempts to open a storage that has failed.
 	reopenInterval = 2 * microtime.Second
-	// expirySlackMilli is added to the retention before an outcome is forgotten: wall clocks differ among servers, and
-	// messages may be on their way.
+	// expirySlackMilli is added to the retention before an outcome is forgotten, because wall clocks differ among
+	// servers, and messages may still be in flight. In milliseconds.
 	expirySlackMilli = 60_000
 )
 
-// openStorage opens the storage of the configured directory, which it creates if it is missing.
-func (r *Replica) openStorage() (*storage, error) {
+// openConfiguredStorage opens the storage of the configured directory, which it creates if it is missing.
+func (r *Replica) openConfiguredStorage() (*storage, error) {
 	if err := os.MkdirAll(r.config.Directory, 0o700); err != nil {
 		return nil, fmt.Errorf("replication: %w", err)
 	}
@@ -36,14 +36,14 @@
 	return opened, nil
 }
 
-// attachStorage has the storage report to this replica.
+// attachStorage connects the storage's callbacks to the loop and to this replica.
 func (r *Replica) attachStorage() {
 	attached := r.storage
 	attached.attach(r.loop.Execute, func(err error) { r.storageFailed(attached, err) })
 }
 
-// storageFailed stops this server's votes until the log has been opened and read again: what was not made durable is
-// not vouched for. It guards against a vote that a restart would not know of.
+// storageFailed stops this server from voting until the log has been opened and read again. Otherwise it might send a
+// vote that a restart would forget.
 func (r *Replica) storageFailed(failed *storage, err error) {
 	if failed != r.storage || r.broken {
 		return
@@ -54,11 +54,11 @@
 	r.counters.DiskFailures++
 }
 
-// reopenStorage opens the log again, and goes on from what it holds.
+// reopenStorage opens the log again, and restores the node's registers from it.
 func (r *Replica) reopenStorage(now microtime.Time) {
 	r.reopenAt = now + reopenInterval
-	_ = r.storage.close() // it has failed, and what it could report is known
-	opened, err := r.openStorage()
+	_ = r.storage.close() // it has failed already; a second error adds nothing
+	opened, err := r.openConfiguredStorage()
 	if err != nil {
 		r.config.Logf("%v", err)
 		return
@@ -66,7 +66,7 @@
 	if opened.state.incarnation != r.node.AcceptorID.Incarnation {
 		r.config.Logf("replication: %s holds another incarnation; this server does not vote until it is restarted",
 			r.config.Directory)
-		_ = opened.close() // nothing was written to it but its own incarnation
+		_ = opened.close() // at most its new incarnation was written to it
 		return
 	}
 	r.storage = opened
@@ -89,8 +89,8 @@
 	r.storage.compact()
 }
 
-// ExtendRetention raises the longest that any key's outcome is kept, when the settings have changed. It never lowers
-// it: outcomes may have been promised for the longer time.
+// ExtendRetention raises the longest time for which any key's outcome is kept, after a change of the settings. It never
+// lowers it, because callers may rely on the longer time.
 func (r *Replica) ExtendRetention(retention microtime.Time) {
 	r.retentionMilli = max(r.retentionMilli, int64(retention/microtime.Millisecond))
 }
--- a/internal/replication/replica.go
+++ b/internal/replication/replica.go
@@ -15,9 +15,10 @@
 )
 
 const (
-	// expiryInterval is the time between two looks for outcomes whose retention is over.
+	// expiryInterval is the time between two searches for outcomes whose retention is over.
 	expiryInterval = microtime.Second
-	// maxFlushRounds bounds what one turn of the event loop carries out; what is left comes with the next turn.
+	// maxFlushRounds is the most Ready values that one call of flush processes. The rest is left to the next turn of
+	// the event loop.
 	maxFlushRounds = 64
 )
 
@@ -35,11 +36,12 @@
 	flushing       bool // flush is on the stack
 
 	storage  *storage
-	broken   bool           // the storage has failed: this server does not vote
+	broken   bool           // the storage has failed, so this server does not vote
 	reopenAt microtime.Time // while it is broken: the next attempt to open it again
 }
 
-// Open reads what this server holds on its disk. It comes before the event loop runs.
+// Open opens the storage and restores the replica's state from it. It may wait for the disk, so it must be called
+// before the event loop runs.
 func Open(config Config) (*Replica, error) {
 	replica := &Replica{
 		config:         config,
@@ -47,7 +49,7 @@
 		requests:       newRequestTable(),
 	}
 	var err error
-	if replica.storage, err = replica.openStorage(); err != nil {
+	if replica.storage, err = replica.openConfiguredStorage(); err != nil {
 		return nil, err
 	}
 	if err := replica.newNode(); err != nil {
@@ -59,7 +61,7 @@
 	return replica, nil
 }
 
-// newNode makes the node of what the storage holds.
+// newNode creates the consensus node from the state in the storage.
 func (r *Replica) newNode() error {
 	process, err := newIncarnation()
 	if err != nil {
@@ -78,7 +80,7 @@
 	return err
 }
 
-// Attach opens the links to the other servers. It comes before all other methods but Close.
+// Attach opens the links to the other servers. It must be called before all other methods except Close.
 func (r *Replica) Attach(loop Loop) {
 	r.loop = loop
 	r.links = peers.New(loop, r, r.config.Logf)
@@ -86,7 +88,7 @@
 	r.connect()
 }
 
-// Close makes durable what is on its way to the disk, and closes the log. It comes after the event loop has ended.
+// Close writes and syncs the queued records, and closes the log. It must be called after the event loop has ended.
 func (r *Replica) Close() error { return r.storage.close() }
 
 // Accept returns the session of a connection that another server has opened.
@@ -116,7 +118,7 @@
 	}
 }
 
-// Membership implements peers.Handler: it returns the latest membership that is known.
+// Membership implements peers.Handler. It returns the latest membership that this server knows.
 func (r *Replica) Membership() consensus.Membership { return r.node.Membership() }
 
 // PeerStateChanged implements peers.Handler.
@@ -136,7 +138,7 @@
 	for _, ack := range message.TransferAcks {
 		r.node.HandleTransferAck(ack)
 	}
-	if !r.broken { // a vote that cannot be made durable is none
+	if !r.broken { // a vote must be durable before it is sent
 		sender := consensus.Identity{ID: from.ID, Incarnation: from.ProcessIncarnation}
 		for _, request := range message.Requests {
 			r.node.HandleRequest(sender, request)
@@ -147,7 +149,8 @@
 	}
 }
 
-// Tick carries out what is due, and what has come up in this turn of the event loop. It returns when it is due again.
+// Tick runs the timers that are due and flushes the node. It is called in each turn of the event loop, and returns when
+// it has to be called next.
 func (r *Replica) Tick(now microtime.Time) microtime.Time {
 	if r.broken && now >= r.reopenAt {
 		r.reopenStorage(now)
@@ -168,10 +171,10 @@
 	return min(next, r.links.Check(now))
 }
 
-// flush carries out what the node is ready for, until there is nothing left.
+// flush processes the node's Ready values until there are none left.
 func (r *Replica) flush() {
 	if r.flushing {
-		return // the result of a proposal has led to another one; the loop below goes on with it
+		return // called by way of step below, which has started a proposal: the loop below handles it
 	}
 	r.flushing = true
 	defer func() { r.flushing = false }()
@@ -198,8 +201,8 @@
 		len(ready.Notify) == 0 && len(ready.TransferAcks) == 0 && len(ready.Results) == 0
 }
 
-// persistAndSend makes durable what has to be before the messages of ready go out. Requests wait for a new membership
-// alone: the vote of this server is a reply.
+// persistAndSend writes the state of ready to the log, and sends its messages once that is durable. Requests wait only
+// for a new membership: they carry no vote of this server, as replies do.
 func (r *Replica) persistAndSend(ready consensus.Ready) {
 	if ready.Membership == nil {
 		r.sendRequests(ready.Requests)
@@ -215,11 +218,11 @@
 	records := recordsOf(ready)
 	last := len(records) - 1
 	for _, record := range records[:last] {
-		storage.write(record, func() {}) // durable before the last one is
+		storage.write(record, func() {}) // durable before the last record is
 	}
 	storage.write(records[last], func() {
 		if storage != r.storage || r.broken {
-			return // that log has failed since, and was read again
+			return // that log has failed since
 		}
 		if ready.Membership != nil {
 			r.sendRequests(ready.Requests)
@@ -240,7 +243,7 @@
 	}
 }
 
-// sendReplies sends all but the requests.
+// sendReplies sends all messages of ready except the requests.
 func (r *Replica) sendReplies(ready consensus.Ready) {
 	for _, reply := range ready.Replies {
 		if reply.To == r.node.ProposerID {
--- a/internal/replication/requests.go
+++ b/internal/replication/requests.go
@@ -9,17 +9,17 @@
 )
 
 const (
-	// The pause between two polls of a key that another server runs grows from the first of these to the second.
+	// The backoff between two polls of a key that another server runs grows from minPollInterval to maxPollInterval.
 	minPollInterval = 50 * microtime.Millisecond
 	maxPollInterval = 400 * microtime.Millisecond
 )
 
-// keyedRequest is the progress of a key's request on this server.
+// keyedRequest is the state of a key's request on this server.
 type keyedRequest struct {
 	lifecycle  execution.Lifecycle
 	key        string
 	sequence   uint64 // in the order of creation
-	lookupOnly bool   // it is polled without a wish to run it, and is not found by its key
+	lookupOnly bool   // made by Lookup: it never requests the lease, and is not in requestTable.byKey
 
 	attempt       Attempt // that is to run, or ran
 	lastArrival   int64   // the latest arrival of any attempt, in Unix milliseconds
@@ -28,20 +28,20 @@
 	otherArrival  int64   // of the attempt that another process leases, in Unix milliseconds; 0: unknown
 
 	retryAt microtime.Time // the next poll, or the next attempt to record a result
-	backoff microtime.Time // pause before the poll after that
+	backoff microtime.Time // time between that poll and the next
 
-	succeeded bool   // the run has, else it has failed
+	succeeded bool   // whether the run has succeeded; false: it has failed
 	result    string // of a run that has succeeded
 	done      func(Outcome)
 }
 
-// nextEvent returns when something is due for a request that waits.
+// nextEvent returns when the next timer of a waiting request is due.
 func (q *keyedRequest) nextEvent() microtime.Time {
 	switch q.lifecycle.State {
 	case execution.StateHeldByOther:
 		return min(q.retryAt, q.attempt.Deadline)
 	case execution.StateUnrecorded:
-		// Nobody may be waiting any more: the result is recorded for those who ask later.
+		// Recording is retried beyond the deadline, for later attempts of the key.
 		return q.retryAt
 	default:
 		return q.attempt.Deadline
@@ -56,7 +56,7 @@
 	return execution.EventRetryDue
 }
 
-// scheduleRetry sets the time of the next poll, and doubles the pause before the one after it.
+// scheduleRetry sets the time of the next poll, and doubles the backoff.
 func (q *keyedRequest) scheduleRetry(now microtime.Time) {
 	q.retryAt = now + q.backoff
 	q.backoff = min(2*q.backoff, maxPollInterval)
@@ -65,7 +65,7 @@
 // requestTable holds the requests in progress. It belongs to the event loop.
 type requestTable struct {
 	byKey        map[string]*keyedRequest
-	waiting      map[*keyedRequest]struct{} // requests with an event to come by a time
+	waiting      map[*keyedRequest]struct{} // requests with a timer
 	byProposal   map[uint64]*keyedRequest
 	lastSequence uint64
 }
@@ -78,13 +78,13 @@
 	}
 }
 
-// create returns a new request that is not found by its key yet.
+// create returns a new request, which is not in byKey.
 func (t *requestTable) create(key string) *keyedRequest {
 	t.lastSequence++
 	return &keyedRequest{key: key, sequence: t.lastSequence, backoff: minPollInterval}
 }
 
-// findOrCreate returns the request of a key.
+// findOrCreate returns the request of a key. It creates one if there is none.
 func (t *requestTable) findOrCreate(key string) *keyedRequest {
 	request := t.byKey[key]
 	if request == nil {
@@ -94,7 +94,8 @@
 	return request
 }
 
-// update files a request by its state: those that wait for a time, and those of which there is nothing left to know.
+// update updates the table after a change of a request's state. It adds the request to waiting or removes it, and drops
+// a request that holds no information.
 func (t *requestTable) update(request *keyedRequest) {
 	switch request.lifecycle.State {
 	case execution.StateHeldByOther, execution.StateAcquiring, execution.StatePolling, execution.StateUnrecorded:
@@ -104,7 +105,7 @@
 	}
 	forgotten := request.lifecycle.State == execution.StateIdle && !request.lifecycle.Started
 	if forgotten && t.byKey[request.key] == request {
-		delete(t.byKey, request.key) // the register knows all that is known here
+		delete(t.byKey, request.key) // the key's register, if there is one, has all that is known
 	}
 }
 
@@ -129,13 +130,13 @@
 	return next
 }
 
-// proposed notes which request a proposal in flight is for.
+// proposed records which request a proposal in flight belongs to.
 func (t *requestTable) proposed(id uint64, request *keyedRequest) {
 	request.proposal = id
 	t.byProposal[id] = request
 }
 
-// finished takes a proposal off that has ended. It returns nil where the request waits for another one by now.
+// finished removes a proposal that has ended and returns its request, or nil if the request waits for a later proposal.
 func (t *requestTable) finished(id uint64) *keyedRequest {
 	request := t.byProposal[id]
 	delete(t.byProposal, id)
--- a/internal/replication/state.go
+++ b/internal/replication/state.go
@@ -16,10 +16,10 @@
 	snapshotChunkKeys   = 200 // registers in one record of a snapshot
 )
 
-// errTruncatedSnapshot says that a snapshot ends within a record, or within the length before one.
+// errTruncatedSnapshot means that a snapshot ends within a record, or within the length before one.
 var errTruncatedSnapshot = errors.New("the snapshot ends within a record")
 
-// durableState is what the records of the write-ahead log add up to.
+// durableState is the state that results from the records of the write-ahead log.
 type durableState struct {
 	incarnation uint64 // of this server as an acceptor; 0: none has been drawn yet
 	membership  consensus.Membership
@@ -71,7 +71,7 @@
 	return nil
 }
 
-// encodeSnapshot returns records that add up to the state, each behind its length.
+// encodeSnapshot encodes the state as a sequence of records, each of which follows its length.
 func (s *durableState) encodeSnapshot() ([]byte, error) {
 	first := replicationwire.Record{Incarnation: s.incarnation}
 	if s.membership.Epoch > 0 {
--- a/internal/replication/status.go
+++ b/internal/replication/status.go
@@ -15,9 +15,9 @@
 	Address     string `json:"address"`
 	Up          bool   `json:"up"`
 	InCurrent   bool   `json:"now"`     // of the members in force
-	InNext      bool   `json:"to_come"` // of the members to come, while a change is in progress
-	// CurrentIncarnation is what the server itself has last said; it differs from Incarnation where its disk was lost.
-	// "": unknown.
+	InNext      bool   `json:"to_come"` // of the next members, while a change is in progress
+	// CurrentIncarnation is the incarnation that the server itself has last announced. It differs from Incarnation if
+	// the server has lost its disk. "": unknown.
 	CurrentIncarnation string `json:"lives"`
 }
 
@@ -25,7 +25,7 @@
 type Status struct {
 	Self               consensus.Identity
 	Voting             bool // false: this server's disk has failed
-	MembersTransferred int  // members that have handed on what they hold to the members to come
+	MembersTransferred int  // members that have transferred their registers to the next members
 	Members            []MemberStatus
 }
 
@@ -56,7 +56,7 @@
 
 func formatIncarnation(incarnation uint64) string { return fmt.Sprintf("%x", incarnation) }
 
-// incarnation returns a server's incarnation as the server itself has last said it.
+// incarnation returns the incarnation that a server has last announced.
 func (r *Replica) incarnation(id uint32) (incarnation uint64, known bool) {
 	if id == r.config.ID {
 		return r.node.AcceptorID.Incarnation, true
@@ -74,7 +74,7 @@
 	Result         string `json:"result"` // in base64
 }
 
-// Export returns keys that this server holds, in their order, from behind after on, and at most limit of them.
+// Export returns the keys after the given one that this server holds, in ascending order, and at most limit of them.
 func (r *Replica) Export(after string, limit int) []ExportedKey {
 	exported := []ExportedKey{} // never nil: it is encoded as an empty list
 	for _, key := range r.node.Keys(after, limit) {
@@ -90,7 +90,7 @@
 	return exported
 }
 
-// exportedKind returns the word that the operators' pages have for a kind.
+// exportedKind returns the operators' word for a kind.
 func exportedKind(kind consensus.ValueKind) string {
 	switch kind {
 	case consensus.KindLeased:
--- a/internal/replication/storage.go
+++ b/internal/replication/storage.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	// queuedRecords bounds the records that wait for the disk.
+	// queuedRecords is the most records that may wait for the disk.
 	queuedRecords = 4096
 	// recordBytes is about the size at which a new record begins, far below the limit of the write-ahead log.
 	recordBytes = 256 << 10
@@ -21,10 +21,11 @@
 	registerOverhead = 100
 )
 
-// storage keeps the durable state of a replica in a write-ahead log, which it owns. Its state is what is durable, and
-// belongs to the goroutine of the log's committer once the log is in use.
+// storage keeps the durable state of a replica in a write-ahead log, which it owns. state reflects the durable records.
+// Until the first write it may be read by the caller that opened the storage; from then on only the committer's
+// goroutine uses it, and recordBytes and threshold with it.
 type storage struct {
-	log         *wal.Committer
+	committer   *wal.Committer
 	state       durableState
 	recordBytes int // bytes of records since the last snapshot
 	threshold   int // bytes of records at which the next snapshot is taken
@@ -35,7 +36,7 @@
 	failed  func(error)        // called on the event loop for each operation that has failed
 }
 
-// newIncarnation draws a number that no other incarnation has had, as far as chance allows. It is never 0.
+// newIncarnation draws a random number, which is unique with high probability and never 0.
 func newIncarnation() (uint64, error) {
 	var random [8]byte
 	if _, err := rand.Read(random[:]); err != nil {
@@ -59,11 +60,11 @@
 	if err := s.recover(log, recovery); err != nil {
 		return nil, errors.Join(err, log.Close())
 	}
-	s.log = wal.NewCommitter(log, wal.CommitOptions{QueueSize: queuedRecords})
+	s.committer = wal.NewCommitter(log, wal.CommitOptions{QueueSize: queuedRecords})
 	return s, nil
 }
 
-// recover rebuilds the state from what the log holds, and begins an incarnation where there is none.
+// recover rebuilds the state from the log. If the log holds no incarnation, recover draws one and makes it durable.
 func (s *storage) recover(log *wal.Log, recovery wal.Recovery) error {
 	if err := s.state.decodeSnapshot(recovery.Snapshot); err != nil {
 		return err
@@ -92,20 +93,22 @@
 	return log.Sync()
 }
 
-// attach says how callbacks reach the event loop, and who hears of failures. It comes before the first write.
+// attach sets how callbacks reach the event loop, and what is called on failures. It must be called before the first
+// write.
 func (s *storage) attach(execute func(func()) error, failed func(error)) {
 	s.execute = execute
 	s.failed = failed
 }
 
-// write makes a record durable, and then has durable called on the event loop.
+// write queues a record. Once it is durable, durable is called on the event loop; if the write fails, failed is called
+// instead.
 func (s *storage) write(record replicationwire.Record, durable func()) {
 	data, err := replicationwire.AppendRecord(nil, record)
 	if err != nil {
 		s.failed(err)
 		return
 	}
-	s.log.Submit(data, func(_ uint64, err error) {
+	s.committer.Submit(data, func(_ uint64, err error) {
 		if err == nil {
 			s.state.apply(record)
 			s.recordBytes += len(data)
@@ -120,9 +123,9 @@
 	})
 }
 
-// compact replaces the records by a snapshot, if there are enough of them.
+// compact replaces the records in the log by a snapshot, if they have reached the threshold.
 func (s *storage) compact() {
-	s.log.Do(s.snapshot, func(err error) {
+	s.committer.Do(s.snapshot, func(err error) {
 		if err != nil {
 			s.completions.post(s.execute, func() { s.failed(err) })
 		}
@@ -143,13 +146,13 @@
 	return log.Snapshot(snapshot)
 }
 
-// registers returns a copy of the registers, for a node to go on from. It comes before the first write.
+// registers returns a copy of the registers, as the initial state of a node. It must be called before the first write.
 func (s *storage) registers() map[string]consensus.Register { return maps.Clone(s.state.registers) }
 
-// close makes durable what was submitted, and closes the log.
-func (s *storage) close() error { return s.log.Close() }
+// close writes and syncs the queued records, and closes the log.
+func (s *storage) close() error { return s.committer.Close() }
 
-// recordsOf returns the records that make durable what has to be before the messages of ready are sent.
+// recordsOf returns the log records with the state of ready that must be durable before its messages are sent.
 func recordsOf(ready consensus.Ready) []replicationwire.Record {
 	var records []replicationwire.Record
 	record := replicationwire.Record{Membership: ready.Membership}
--- a/internal/server/admin.go
+++ b/internal/server/admin.go
@@ -27,8 +27,8 @@
 	}
 	s.outOfService = !inService
 	s.logf("admin: in service: %v, %d requests are open", inService, s.core.OpenRequests())
-	if s.handoff.peer != nil { // The command concerns the log server, not just this process.
-		s.handoff.peer.send(upgrade.Message{Kind: upgrade.ServiceChanged, OutOfService: s.outOfService})
+	if s.handoff.otherProcess != nil { // the command concerns the log server, not just this process
+		s.handoff.otherProcess.send(upgrade.Message{Kind: upgrade.ServiceChanged, OutOfService: s.outOfService})
 	}
 	return nil
 }
--- a/internal/server/backends.go
+++ b/internal/server/backends.go
@@ -18,7 +18,7 @@
 	upstream *upstream.Backend
 	ajp      *ajpbackend.Backend
 	pool     *workerpool.Backend
-	vault    *vaultclient.Client // Goes with pool: its runs make calls to the vault.
+	vault    *vaultclient.Client // goes with pool: its runs make calls to the vault
 }
 
 // newBackendSet builds the backend that the configuration names.
@@ -37,8 +37,8 @@
 	}, nil
 }
 
-// longestUse is the longest time after its arrival for which a request's result can be of use: until its deadline, or
-// until no retry with its idempotency key is served any more.
+// longestUse is the longest time after a request's arrival at which its result can still be used: by the request itself
+// until its deadline, or by a retry with the same idempotency key until the end of the retention window.
 func longestUse(classes []control.Class) (longest microtime.Time) {
 	for _, class := range classes {
 		longest = max(longest, microtime.FromDuration(class.Deadline), microtime.FromDuration(class.RetentionWindow))
@@ -70,10 +70,10 @@
 		return
 	}
 	b.vault.Attach(loop, core.CallEnded)
-	b.pool.Attach(core, loop) // It starts the core once the pool has answered.
+	b.pool.Attach(core, loop) // starts the core once the pool has answered
 }
 
-// exchange is the gossip with other instances; it is nil where there is none.
+// exchange is the gossip with other instances. It is nil unless the requests run on an upstream.
 func (b *backendSet) exchange() *peers.Exchange {
 	if b.upstream == nil {
 		return nil
@@ -81,14 +81,15 @@
 	return b.upstream.Exchange()
 }
 
-// expireCalls ends the calls to the vault that are due, before the core takes its step.
+// expireCalls ends the calls to the vault that have timed out. It must run before the core's step of the same turn, so
+// that the core sees them.
 func (b *backendSet) expireCalls(now microtime.Time) {
 	if b.vault != nil {
 		b.vault.Check(now)
 	}
 }
 
-// check does what is due in the backend. It returns when to check again.
+// check runs the backend's timers that are due. It returns when to check again.
 func (b *backendSet) check(now microtime.Time) microtime.Time {
 	switch {
 	case b.upstream != nil:
--- a/internal/server/database_store.go
+++ b/internal/server/database_store.go
@@ -9,12 +9,12 @@
 	"pewterline/internal/store"
 )
 
-// RecordStore is a database of executions. It is what store.Store implements.
+// RecordStore is a database of executions. Package store's Store implements it.
 type RecordStore interface {
 	// Load reads the records since a time in Unix milliseconds, oldest first.
 	Load(sinceMilli int64) ([]store.Record, error)
 	// Record writes a record. done is called once, from any goroutine but never before Record returns, when the record
-	// is durable; an error says that this is not known.
+	// is durable. After an error the record may or may not be durable.
 	Record(record store.Record, done func(error))
 }
 
@@ -29,7 +29,7 @@
 	for _, record := range restored {
 		class, known := s.names.class(record.Class)
 		if !known {
-			continue // Of settings that have changed since.
+			continue // the settings have changed since the record was written
 		}
 		tenant, _ := s.names.tenant(record.Tenant)
 		request := dispatch.KeyedRequest{
@@ -57,15 +57,16 @@
 	idempotencyKey string
 }
 
-// databaseStore is the core's dispatch.ExecutionStore on a database of this server's own, which works off the loop. It
-// keeps no results: the core does.
+// databaseStore is the core's dispatch.ExecutionStore on a database of this server's own. The database writes on
+// goroutines of its own, and its callbacks come back through EventLoop.Execute. Results are kept by the core, not here.
 type databaseStore struct {
 	server  *Server
 	records RecordStore
-	open    map[recordKey]*execution.Lifecycle // Executions that have not come to an end.
+	open    map[recordKey]*execution.Lifecycle // the executions in progress
 }
 
-// Lookup is part of dispatch.ExecutionStore. Nobody else writes to this database, so there is nothing to look up.
+// Lookup is part of dispatch.ExecutionStore. No other server writes to this database, and its records were loaded at
+// the start, so there is nothing to look up.
 func (d *databaseStore) Lookup(dispatch.KeyedRequest, func(dispatch.LeaseResult)) bool { return false }
 
 // Acquire is part of dispatch.ExecutionStore.
@@ -79,8 +80,8 @@
 	})
 }
 
-// Release is part of dispatch.ExecutionStore. Where the write is lost, a retry after a restart fails only because it is
-// not known that the request never ran.
+// Release is part of dispatch.ExecutionStore. If the write is lost, the intent stays on record, and a retry after a
+// restart fails: the server can no longer know that the request never ran.
 func (d *databaseStore) Release(request dispatch.KeyedRequest) {
 	d.apply(request, execution.EventRunNotStarted, func(execution.Action, error) {})
 }
@@ -106,8 +107,8 @@
 	}
 }
 
-// apply applies an event to the lifecycle of a request's execution. notify gets the actions that are meant for whoever
-// caused the event.
+// apply applies an event to the lifecycle of a request's execution. notify is called with each action that is addressed
+// to the caller rather than to the database.
 func (d *databaseStore) apply(
 	request dispatch.KeyedRequest, event execution.Event, notify func(execution.Action, error),
 ) {
@@ -122,17 +123,17 @@
 	change.step(event)
 }
 
-// lifecycleChange carries out one event of an execution, with the writes that it takes.
+// lifecycleChange applies one event to an execution and performs the resulting database writes.
 type lifecycleChange struct {
 	store     *databaseStore
 	key       recordKey
 	record    store.Record
 	lifecycle *execution.Lifecycle
 	notify    func(execution.Action, error)
-	err       error // Of the last write.
+	err       error // result of the last write
 }
 
-// step carries out an event.
+// step applies an event and performs the actions that it returns.
 func (c *lifecycleChange) step(event execution.Event) {
 	for _, action := range c.lifecycle.Step(event) {
 		switch action {
@@ -142,14 +143,14 @@
 			c.write(intent, execution.EventLeaseGranted)
 		case execution.ActionRecord:
 			if event == execution.EventRunFailed {
-				// The intent stays on record: a later incarnation takes the execution for one of unknown end.
+				// The intent stays on record: after a restart, the outcome of the execution is indeterminate.
 				c.step(execution.EventFailureFound)
 			} else {
 				c.write(c.record, execution.EventResultFound)
 			}
 		case execution.ActionReleaseLease:
 			c.write(c.record.Cancelled(), execution.EventVacant)
-		case execution.ActionRetryLater: // The client's next attempt retries it.
+		case execution.ActionRetryLater: // the client's next attempt retries
 		default:
 			c.notify(action, c.err)
 		}
@@ -161,7 +162,7 @@
 	}
 }
 
-// forgetEnded drops the lifecycle once it has come to an end: the core keeps the result.
+// forgetEnded drops the lifecycle once it has ended; the core keeps the result.
 func (c *lifecycleChange) forgetEnded() {
 	ended := c.lifecycle.State == execution.StateIdle || c.lifecycle.State == execution.StateRecorded
 	if ended && c.store.open[c.key] == c.lifecycle {
@@ -172,7 +173,7 @@
 // write writes a record; the event follows on the loop once the record is durable.
 func (c *lifecycleChange) write(record store.Record, durable execution.Event) {
 	c.store.records.Record(record, func(err error) {
-		// An error of Execute says that the loop has ended: nobody is left to answer.
+		// Execute fails only after the loop has ended, when no request is left to answer.
 		_ = c.store.server.loop.Execute(func() {
 			c.err = err
 			if err != nil {
--- a/internal/server/frontends.go
+++ b/internal/server/frontends.go
@@ -13,7 +13,7 @@
 type clients struct {
 	thrift    *thriftfrontend.Frontend
 	ajp       *ajpfrontend.Frontend
-	submitted int // Requests that the core has accepted so far.
+	submitted int // number of requests that the core has accepted so far
 }
 
 func newClients(server frontendServer, cfg config.AJP) clients {
@@ -23,7 +23,8 @@
 // connections counts the open connections.
 func (c *clients) connections() int { return c.thrift.Len() + c.ajp.Len() }
 
-// drain has all connections end: clients are told to close them, or they are closed once no response is owed on them.
+// drain starts to close all connections: either the client is asked to close, or the connection is closed once its last
+// response is sent.
 func (c *clients) drain(now microtime.Time) {
 	c.thrift.Drain(now)
 	c.ajp.Drain()
@@ -42,9 +43,9 @@
 
 func (f frontendServer) Classes() []control.Class { return f.server.cfg.Settings.Classes }
 
-func (f frontendServer) Class(name string) (place int, known bool) { return f.server.names.class(name) }
+func (f frontendServer) Class(name string) (index int, known bool) { return f.server.names.class(name) }
 
-func (f frontendServer) Tenant(name string) (place int, known bool) {
+func (f frontendServer) Tenant(name string) (index int, known bool) {
 	return f.server.names.tenant(name)
 }
 
@@ -72,7 +73,8 @@
 	return id, err
 }
 
-// CheckBackend asks the worker pool whether it does work. No other backend can be asked.
+// CheckBackend asks the worker pool whether it works, and calls done with the answer. Other backends have no such
+// query: for them the answer is always true.
 func (f frontendServer) CheckBackend(done func(good bool)) {
 	if f.server.backends.pool == nil {
 		done(true)
--- a/internal/server/handoff.go
+++ b/internal/server/handoff.go
@@ -10,44 +10,45 @@
 // MaxHandoffConns is how many connections of successors may be open at once.
 const MaxHandoffConns = 4
 
-// The times of a handoff. The platform gives an old process the longest deadline of a request, and a while beyond that,
-// until it kills it.
+// The times of a handoff. The platform kills an old process handoffKillDelay after the longest request deadline, of
+// which at most maxHandoffDeadline counts.
 const (
-	// maxHandoffDeadline bounds the longest deadline that the old process waits for.
+	// maxHandoffDeadline is the longest request deadline that the old process waits for.
 	maxHandoffDeadline = 3 * microtime.Second
-	// handoffKillDelay is the time beyond the longest deadline.
+	// handoffKillDelay is the time between the longest deadline and the kill.
 	handoffKillDelay = 700 * microtime.Millisecond
-	// handoffLinger is the time in which everything is read that was in the listener's queue at the handoff, or that
-	// crosses the final messages to clients.
+	// handoffLinger is how long the old process reads on after the handoff. It covers connections that were already in
+	// the listener's queue, and requests that clients sent before they read the request to close.
 	handoffLinger = 200 * microtime.Millisecond
 )
 
-// ProcessHost is what a handoff needs of the process. Its methods are called on the loop.
+// ProcessHost is what a handoff needs from the program around the server. Its methods are called on the loop.
 type ProcessHost interface {
 	// SteerListeners directs new connections to one of the processes that listen: 0 is the old one, 1 its successor.
 	SteerListeners(place int)
-	// ShareLimits has this process keep to what the limits leave beside the other process, which has that many
-	// connections. A negative number says that there is no other process.
+	// ShareLimits reduces this process's connection limit by others, the number of connections that the other process
+	// has open. A negative number means that there is no other process.
 	ShareLimits(others int)
-	// Orphaned says that the predecessor is out of reach and has not handed over.
+	// Orphaned reports that the link to the predecessor was lost before it handed over.
 	Orphaned()
 }
 
 // handoffState is this process's part in a hot restart.
 type handoffState struct {
-	host ProcessHost
-	peer *peerSession // The link to the other process; nil if there is none.
+	host         ProcessHost
+	otherProcess *peerSession // nil if there is no other process.
 }
 
 // UseProcessHost lets the server hand over to a successor, and take over from a predecessor.
 func (s *Server) UseProcessHost(host ProcessHost) { s.handoff.host = host }
 
-// Inherit takes up the messages that a predecessor sent before the loop runs. It must be called before Attach.
+// Inherit applies the messages that the predecessor sent before this process's loop runs. It must be called before
+// Attach.
 func (s *Server) Inherit(messages []upgrade.Message) error {
-	s.handoff.peer = &peerSession{server: s, preambleRead: true, keysSent: true}
-	s.core.JoinPeer(s.handoff.peer, handoff.Requester)
+	s.handoff.otherProcess = &peerSession{server: s, preambleRead: true, keysSent: true}
+	s.core.JoinPeer(s.handoff.otherProcess, handoff.Requester)
 	for _, message := range messages {
-		if err := s.handoff.peer.handle(message); err != nil {
+		if err := s.handoff.otherProcess.handle(message); err != nil {
 			return err
 		}
 	}
@@ -55,18 +56,18 @@
 	return nil
 }
 
-// AcceptPredecessor is the session of the link to the predecessor, whose first messages Inherit has taken up.
+// AcceptPredecessor returns the session of the link to the predecessor. Inherit must have been called before.
 func (s *Server) AcceptPredecessor(conn transport.Conn) transport.Session {
-	s.handoff.peer.conn = conn
-	return s.handoff.peer
+	s.handoff.otherProcess.conn = conn
+	return s.handoff.otherProcess
 }
 
 func (s *Server) acceptSuccessor(conn transport.Conn) transport.Session {
 	return &peerSession{server: s, conn: conn, successor: true}
 }
 
-// Shutdown ends the process after a notice that came at a time up to now: it hands over to a successor that stands
-// ready, or else drains.
+// Shutdown ends the process after a shutdown notice. It hands over to the successor if one is ready, and drains
+// otherwise. notifiedAt, at most now, is when the notice came: the shutdown timeout counts from then.
 func (s *Server) Shutdown(notifiedAt microtime.Time) {
 	if !s.successorReady() || s.shutdown.stage != serving {
 		s.Drain(notifiedAt)
@@ -79,20 +80,20 @@
 	s.handoff.host.SteerListeners(1)
 	s.closeListeners()
 	s.core.PassOwnership()
-	s.handoff.peer.ownershipPassed = true
-	s.handoff.peer.send(upgrade.Message{Kind: upgrade.OwnershipTransferred})
+	s.handoff.otherProcess.ownershipPassed = true
+	s.handoff.otherProcess.send(upgrade.Message{Kind: upgrade.OwnershipTransferred})
 	s.clients.drain(now)
 	s.logf("server: handed over with %d requests and %d connections open, to stop within %v",
 		s.core.OpenRequests(), s.clients.connections(), (s.shutdown.stopAt - now).Duration())
 }
 
-// successorReady reports whether a successor knows all idempotency keys.
+// successorReady reports whether there is a successor that has received all idempotency keys.
 func (s *Server) successorReady() bool {
-	peer := s.handoff.peer
+	peer := s.handoff.otherProcess
 	return peer != nil && peer.successor && peer.keysSent
 }
 
-// longestHandoff is the time that the platform gives a process that has handed over.
+// longestHandoff is how long after the shutdown notice the platform kills a process that has handed over.
 func (s *Server) longestHandoff() microtime.Time {
 	var longestDeadline microtime.Time
 	for _, class := range s.cfg.Settings.Classes {
@@ -101,17 +102,17 @@
 	return min(longestDeadline, maxHandoffDeadline) + handoffKillDelay
 }
 
-// checkSuccessor does what is due towards a successor. It returns when to check again.
+// checkSuccessor runs the timers of the link to a successor. It returns when to check again.
 func (s *Server) checkSuccessor(now microtime.Time) microtime.Time {
-	if s.handoff.peer == nil || !s.handoff.peer.successor {
+	if s.handoff.otherProcess == nil || !s.handoff.otherProcess.successor {
 		return microtime.Never
 	}
-	return s.handoff.peer.check(now)
+	return s.handoff.otherProcess.check(now)
 }
 
-// finishHandoff ends a process that has handed over, once everything that it read is answered and its runs with
-// idempotency keys have ended. By then its clients have closed their connections, as they were told to; those that
-// have not are cut off at the end. It returns when it has to be called again.
+// finishHandoff ends a process that has handed over, once every request that it read is answered and its runs with
+// idempotency keys have ended. Its clients were asked to close their connections; connections that are still open at
+// stopAt are cut off. It returns when it has to be called again.
 func (s *Server) finishHandoff(now microtime.Time) microtime.Time {
 	if s.shutdown.stage != handedOver || s.shutdown.loopStopped {
 		return microtime.Never
--- a/internal/server/health.go
+++ b/internal/server/health.go
@@ -5,14 +5,15 @@
 	"pewterline/internal/protocol/loadreport"
 )
 
-// healthReportInterval is the time between two reports to the control plane. Fifteen of them fit before an entry of
-// its list expires: a quarter of them may be lost, and a lost NotReady of a drain costs no more than this.
+// healthReportInterval is the time between two reports to the control plane. Fifteen of them fit into the lifetime of
+// an entry in its endpoint list, so the entry survives even if a quarter of the datagrams are lost, and a lost NotReady
+// at a drain is repeated after one interval.
 const healthReportInterval = 200 * microtime.Millisecond
 
 // healthReporter decides when to report health to the control plane: at regular times, and at once when it changes.
 type healthReporter struct {
 	nextAt   microtime.Time
-	reported bool // The health that was last reported.
+	reported bool // the health in the last report
 }
 
 func newHealthReporter() healthReporter { return healthReporter{reported: true} }
@@ -25,7 +26,7 @@
 	return now >= h.nextAt || healthy != h.reported
 }
 
-// sent notes that a report goes out.
+// sent records that a report goes out at now.
 func (h *healthReporter) sent(now microtime.Time, healthy bool) {
 	h.reported, h.nextAt = healthy, now+healthReportInterval
 }
@@ -46,9 +47,9 @@
 // healthy is the answer to health checks.
 func (s *Server) healthy() bool { return !s.outOfService && s.core.Healthy() }
 
-// reportedHealth is the health that reports tell of. Where the control plane's endpoint list shows only whether a
-// server runs or drains, doubtful health is no reason to be taken off it: callers hear of it by rejections and by what
-// the responses say.
+// reportedHealth is the health to put into reports. If the control plane's endpoint list shows only whether a server
+// runs or drains, poor health must not remove the server from it: callers learn of it from rejections and from the load
+// signal in responses.
 func (s *Server) reportedHealth() bool {
 	if s.cfg.Settings.EndpointListIgnoresHealth && s.shutdown.stage != draining {
 		return !s.outOfService
--- a/internal/server/names.go
+++ b/internal/server/names.go
@@ -5,15 +5,16 @@
 	"pewterline/internal/microtime"
 )
 
-// minRetiredAcceptance is how long at least a retired class is accepted from callers that learn late of its end.
+// minRetiredAcceptance is the least time for which a retired class is still accepted, for callers whose configuration
+// changes later.
 const minRetiredAcceptance = 5 * microtime.Second
 
-// nameIndex finds classes and tenants by their names, as places in the settings in force. A class that a reload has
-// retired is found until its acceptance ends, unless a class of the same name has come in its place.
+// nameIndex finds classes and tenants by their names, as indices in the settings in force. A class that a reload has
+// retired is found until its acceptance ends, unless a class of the same name has replaced it.
 type nameIndex struct {
 	classes      map[string]int
 	tenants      map[string]int
-	retiredUntil map[int]microtime.Time // The end of acceptance of retired classes, by place.
+	retiredUntil map[int]microtime.Time // when the acceptance of a retired class ends, by its index
 }
 
 func newNameIndex(settings control.Settings) nameIndex {
@@ -22,67 +23,67 @@
 	return n
 }
 
-// rebuild takes up the places of all names anew.
+// rebuild recomputes the index of each name.
 func (n *nameIndex) rebuild(settings control.Settings) {
 	clear(n.classes)
 	clear(n.tenants)
-	for place, class := range settings.Classes {
+	for index, class := range settings.Classes {
 		if !class.Retired {
-			n.classes[class.Name] = place
+			n.classes[class.Name] = index
 		}
 	}
-	for place, tenant := range settings.Tenants {
-		n.tenants[tenant.Name] = place
+	for index, tenant := range settings.Tenants {
+		n.tenants[tenant.Name] = index
 	}
-	for place, class := range settings.Classes {
+	for index, class := range settings.Classes {
 		_, replaced := n.classes[class.Name]
-		if n.accepted(place) && !replaced {
-			n.classes[class.Name] = place
+		if n.accepted(index) && !replaced {
+			n.classes[class.Name] = index
 		}
 	}
 }
 
-// class is the place of a class.
-func (n *nameIndex) class(name string) (place int, known bool) {
-	place, known = n.classes[name]
-	return place, known
+// class is the index of a class.
+func (n *nameIndex) class(name string) (index int, known bool) {
+	index, known = n.classes[name]
+	return index, known
 }
 
-// tenant is the place of a tenant. Where the settings name no tenants, each name is known, at place 0.
-func (n *nameIndex) tenant(name string) (place int, known bool) {
-	place, known = n.tenants[name]
-	return place, known || len(n.tenants) == 0
+// tenant is the index of a tenant. If the settings name no tenants, every name is known, with index 0.
+func (n *nameIndex) tenant(name string) (index int, known bool) {
+	index, known = n.tenants[name]
+	return index, known || len(n.tenants) == 0
 }
 
 // accepted reports whether a class is retired and still accepted.
-func (n *nameIndex) accepted(place int) bool {
-	_, ok := n.retiredUntil[place]
+func (n *nameIndex) accepted(index int) bool {
+	_, ok := n.retiredUntil[index]
 	return ok
 }
 
-// replace takes up the classes of new settings: those that these retire are accepted for their retention window, from
-// now on.
+// replace switches to new settings. Classes that they retire are accepted for their retention window from now on, and
+// for minRetiredAcceptance at least.
 func (n *nameIndex) replace(old, settings control.Settings, now microtime.Time) {
-	for place, class := range settings.Classes {
+	for index, class := range settings.Classes {
 		switch {
 		case !class.Retired:
-			delete(n.retiredUntil, place)
-		case place < len(old.Classes) && !old.Classes[place].Retired:
-			n.retiredUntil[place] = now + max(microtime.FromDuration(class.RetentionWindow), minRetiredAcceptance)
+			delete(n.retiredUntil, index)
+		case index < len(old.Classes) && !old.Classes[index].Retired:
+			n.retiredUntil[index] = now + max(microtime.FromDuration(class.RetentionWindow), minRetiredAcceptance)
 		}
 	}
 	n.rebuild(settings)
 }
 
-// expireRetired ends the acceptance of retired classes whose time is over. It returns when the next one's is.
+// expireRetired ends the acceptance of retired classes whose time is over. It returns when the next acceptance ends.
 func (n *nameIndex) expireRetired(settings control.Settings, now microtime.Time) microtime.Time {
 	next, expired := microtime.Never, false
-	for place, until := range n.retiredUntil {
+	for index, until := range n.retiredUntil {
 		if now < until {
 			next = min(next, until)
 			continue
 		}
-		delete(n.retiredUntil, place)
+		delete(n.retiredUntil, index)
 		expired = true
 	}
 	if expired {
--- a/internal/server/peer_session.go
+++ b/internal/server/peer_session.go
@@ -13,8 +13,8 @@
 const (
 	// connectionCountInterval is the time between two messages about the number of open connections.
 	connectionCountInterval = 100 * microtime.Millisecond
-	// keySyncTimeout is how long a successor may take to receive all keys. Its operators give up on one that is not
-	// ready within 6 s: one that takes longer has hung.
+	// keySyncTimeout is how long a successor may take to receive all keys. An upgrade is abandoned unless the successor
+	// is ready within 6 s, so one that takes longer has hung.
 	keySyncTimeout = 6 * microtime.Second
 )
 
@@ -22,15 +22,15 @@
 // towards the loop and dispatch.PeerProcess towards the core.
 type peerSession struct {
 	server    *Server
-	conn      transport.Conn // Nil on the successor's side until the loop runs.
-	successor bool           // The other process is the successor.
+	conn      transport.Conn // nil in the successor until its loop runs
+	successor bool           // the other process is the successor
 
 	preambleRead    bool
 	ownershipPassed bool
-	keysSent        bool                      // All keys are known on the other side.
-	unsentKeys      []dispatch.IdempotencyKey // Those that a successor has yet to receive.
+	keysSent        bool                      // the other process has all keys
+	unsentKeys      []dispatch.IdempotencyKey // the keys that a successor has yet to receive
 	startedAt       microtime.Time
-	connections     int // The number that was sent last.
+	connections     int // the number in the last ConnectionCount message
 	connectionsAt   microtime.Time
 	writeBuffer     []byte
 }
@@ -61,13 +61,13 @@
 // Idle is part of transport.Session.
 func (p *peerSession) Idle() bool { return false }
 
-// Closed is part of transport.Session: the other process has ended, or is out of reach.
+// Closed is part of transport.Session. The other process has ended, or hangs.
 func (p *peerSession) Closed() {
 	s := p.server
-	if s.handoff.peer != p {
+	if s.handoff.otherProcess != p {
 		return
 	}
-	s.handoff.peer = nil
+	s.handoff.otherProcess = nil
 	s.logf("server: the %s is gone, ownership passed: %v", p.role(), p.ownershipPassed)
 	s.core.PeerLost()
 	s.handoff.host.ShareLimits(-1)
@@ -91,22 +91,22 @@
 	}
 }
 
-// handle carries out one message. An error says that the other side does not keep to the protocol.
+// handle handles one message. It returns an error if the other side violates the protocol.
 func (p *peerSession) handle(message upgrade.Message) error {
 	switch {
-	case p.server.handoff.peer == p && message.Kind >= upgrade.Claim:
+	case p.server.handoff.otherProcess == p && message.Kind >= upgrade.Claim:
 		p.handleKey(message)
-	case p.server.handoff.peer == p:
+	case p.server.handoff.otherProcess == p:
 		p.handleProcess(message)
 	case message.Kind == upgrade.Hello && p.successor:
 		p.greet(message)
-	default: // It is unidentified until its hello.
+	default: // the other side is unidentified until its hello
 		return fmt.Errorf("%w: kind %d before hello", upgrade.ErrMalformedFrame, message.Kind)
 	}
 	return nil
 }
 
-// handleProcess carries out a message about the process. Kinds that have no meaning here are ignored.
+// handleProcess handles a message about the process. Kinds that are not listed here are ignored.
 func (p *peerSession) handleProcess(message upgrade.Message) {
 	server := p.server
 	switch message.Kind {
@@ -130,8 +130,8 @@
 	}
 }
 
-// handleKey carries out a message about an idempotency key. One of a class or tenant that this process does not have
-// is ignored: no attempt of it can come here.
+// handleKey handles a message about an idempotency key. Keys of a class or tenant that this process does not know are
+// ignored, because no request with such a key can arrive here.
 func (p *peerSession) handleKey(message upgrade.Message) {
 	server := p.server
 	class, classKnown := server.names.class(message.Class)
@@ -173,10 +173,10 @@
 		p.conn.Close()
 		return
 	}
-	server.handoff.peer, p.startedAt = p, server.loop.Now()
+	server.handoff.otherProcess, p.startedAt = p, server.loop.Now()
 	server.logf("server: a successor has connected")
 	server.handoff.host.SteerListeners(0)
-	server.handoff.host.ShareLimits(0) // The successor gets no connections yet.
+	server.handoff.host.ShareLimits(0) // the successor gets no connections yet
 	server.core.JoinPeer(p, handoff.Owner)
 	learned := server.core.LearnedState()
 	p.send(upgrade.Message{Kind: upgrade.Welcome, OutOfService: server.outOfService, Learned: &learned})
@@ -185,20 +185,20 @@
 	p.sendKeys()
 }
 
-// rejectSuccessor is the reason to reject a successor of that name; it is empty where there is none.
+// rejectSuccessor returns the reason to reject a successor of that name, or "" to accept it.
 func (s *Server) rejectSuccessor(name string) string {
 	switch {
 	case name != s.cfg.Name:
 		return "this is " + s.cfg.Name
 	case s.shutdown.stage != serving:
 		return "leaving"
-	case s.handoff.peer != nil:
+	case s.handoff.otherProcess != nil:
 		return "an upgrade is under way"
 	}
 	return ""
 }
 
-// sendKeys sends the next chunk of keys, or that there are no more.
+// sendKeys sends the next chunk of keys, or Synced if there are no more.
 func (p *peerSession) sendKeys() {
 	if p.keysSent {
 		return
@@ -216,8 +216,8 @@
 	p.send(upgrade.Message{Kind: upgrade.Synced})
 }
 
-// check does what is due; it returns when to check again. A successor that hangs while it receives the keys is cut
-// off: it would block the next upgrade for as long as it lives.
+// check runs the session's timers and returns when to check again. A successor that hangs while it receives the keys is
+// disconnected, because it would block further upgrades.
 func (p *peerSession) check(now microtime.Time) microtime.Time {
 	if !p.keysSent && now >= p.startedAt+keySyncTimeout {
 		p.server.logf("server: the successor has not received all keys within %v", keySyncTimeout.Duration())
@@ -272,8 +272,8 @@
 
 // NotifyFinished is part of dispatch.PeerProcess.
 func (p *peerSession) NotifyFinished(request dispatch.KeyedRequest, outcome dispatch.RunOutcome) {
-	// A result that is too long for a message comes from a run all the same: the other process must not run it again,
-	// and cannot serve it.
+	// A result that is too long for a message is reported as a failure: the other process cannot serve it, and must not
+	// run the request again.
 	if outcome == dispatch.RunSucceeded && len(request.Result) <= upgrade.MaxResult {
 		p.sendKey(upgrade.Succeeded, request)
 		return
--- a/internal/server/reload.go
+++ b/internal/server/reload.go
@@ -10,8 +10,7 @@
 	"pewterline/internal/config"
 )
 
-// ErrRestartRequired says that a configuration differs from the one in force in something that only a restart can
-// change.
+// ErrRestartRequired means that a configuration changes something that can only be changed by a restart.
 var ErrRestartRequired = errors.New("a restart is required")
 
 // reloadCounts counts the reloads of the configuration.
@@ -20,13 +19,13 @@
 	rejected int
 }
 
-// ReloadRejected counts a configuration that could not even be read.
+// ReloadRejected counts a reload that failed before Reload was called, because the configuration could not be read.
 func (s *Server) ReloadRejected() { s.reloads.rejected++ }
 
 // Reload applies a configuration while serving: the settings, the addresses of the worker pool, of the vault and of the
-// control plane, the endpoints of an upstream, and the shutdown timeout. Runs go on, and a new link to the pool resumes
-// after the last notice that was read. Everything else takes effect at the next restart. After an error nothing has
-// changed.
+// control plane, the endpoints of an upstream, and the shutdown timeout. Runs in progress are not interrupted, and a
+// new link to the pool resumes after the last notice that was read. Everything else takes effect at the next restart.
+// After an error nothing has changed.
 func (s *Server) Reload(next config.Config) error {
 	if err := s.applyConfig(next); err != nil {
 		s.reloads.rejected++
@@ -41,7 +40,8 @@
 		return err
 	}
 	if s.shutdown.stage == draining {
-		// Whoever sent the notice counts by the settings of that moment, as does the time to stop.
+		// A drain keeps the grace period that it began with: the supervisor counts on it, and stopAt was computed from
+		// the settings of that moment.
 		next.Settings.DrainGrace = s.cfg.Settings.DrainGrace
 	}
 	if err := s.applyFallibleParts(next); err != nil {
@@ -64,7 +64,7 @@
 	return nil
 }
 
-// applyFallibleParts applies the address of the control plane and the settings, or neither of them.
+// applyFallibleParts applies the address of the control plane and the settings: both, or after an error neither.
 func (s *Server) applyFallibleParts(next config.Config) error {
 	if next.ControlAddress == s.cfg.ControlAddress {
 		return s.applySettings(next)
@@ -103,7 +103,7 @@
 	return nil
 }
 
-// applyEndpoints applies the list of log servers that do the work.
+// applyEndpoints applies the endpoint list of the upstream.
 func (s *Server) applyEndpoints(next config.Config) {
 	endpoints := next.Fleet.Members
 	if s.backends.upstream == nil || len(endpoints) == 0 || slices.Equal(endpoints, s.cfg.Fleet.Members) {
--- a/internal/server/replicated_store.go
+++ b/internal/server/replicated_store.go
@@ -9,10 +9,11 @@
 	"pewterline/internal/replication"
 )
 
-// leaseAnswerLead is how long before its deadline an attempt is answered with what is known by then.
+// leaseAnswerLead is how long before its deadline an attempt is answered, with what is known by then. It leaves time
+// for the response to reach the caller.
 const leaseAnswerLead = 150 * microtime.Millisecond
 
-// The errors of a replication group that is out of reach.
+// The errors of a replication group without a quorum.
 var (
 	errLeaseNoQuorum  = errors.New("replication: lease: no quorum of the key's replicas answered in time")
 	errResultNoQuorum = errors.New("replication: record result: no quorum of the key's replicas accepted it in time")
@@ -24,12 +25,14 @@
 	replica *replication.Replica
 }
 
-// key identifies an execution to all members, whose settings may have the tenants at other places.
+// key identifies an execution within the group. It contains the tenant's name, because another member's settings may
+// list the tenants in another order.
 func (r *replicatedStore) key(request dispatch.KeyedRequest) string {
 	return r.server.tenantName(request.Tenant) + "\x00" + request.IdempotencyKey
 }
 
-// arrivedAtMilli is when the request came, as its caller says if it does.
+// arrivedAtMilli is when the request arrived, in Unix milliseconds: the time that its caller states, if any, or else
+// the time at which this server read it.
 func (r *replicatedStore) arrivedAtMilli(request dispatch.KeyedRequest) int64 {
 	if request.ArrivedAtUnixMilli != 0 {
 		return request.ArrivedAtUnixMilli
@@ -42,7 +45,7 @@
 	return request.ArrivedAt + microtime.FromDuration(class.Deadline)
 }
 
-// attempt is the request as the group sees it. It is answered with what is known some time before its deadline.
+// attempt converts a request to the group's terms. The group answers it leaseAnswerLead before the request's deadline.
 func (r *replicatedStore) attempt(request dispatch.KeyedRequest) replication.Attempt {
 	class := &r.server.cfg.Settings.Classes[request.Class]
 	return replication.Attempt{
@@ -53,7 +56,7 @@
 	}
 }
 
-// leaseResult is what an outcome of the group means for the core.
+// leaseResult converts an outcome of the group to the core's terms.
 func (r *replicatedStore) leaseResult(
 	request dispatch.KeyedRequest, outcome replication.Outcome,
 ) dispatch.LeaseResult {
@@ -70,8 +73,8 @@
 		return dispatch.LeaseResult{Verdict: dispatch.VerdictFailed}
 	case execution.ActionReject:
 		if request.Retry {
-			// An earlier attempt may have run on a member that is out of reach: this one must not say that the request
-			// was rejected.
+			// An earlier attempt may have run on a member that cannot be reached, so this one must not claim that the
+			// request was rejected.
 			return dispatch.LeaseResult{Verdict: dispatch.VerdictIndeterminate}
 		}
 		return dispatch.LeaseResult{Verdict: dispatch.VerdictUnavailable, Err: errLeaseNoQuorum}
@@ -82,8 +85,8 @@
 	}
 }
 
-// Lookup is part of dispatch.ExecutionStore. The group is asked about retries, which their callers mark, and about what
-// this server has a record of.
+// Lookup is part of dispatch.ExecutionStore. The group is asked only about requests that the caller marks as retries,
+// and about keys of which this server has a record.
 func (r *replicatedStore) Lookup(request dispatch.KeyedRequest, done func(dispatch.LeaseResult)) bool {
 	attempt := r.attempt(request)
 	if !request.Retry && !r.replica.HasRecord(attempt) {
@@ -95,8 +98,8 @@
 	return true
 }
 
-// Acquire is part of dispatch.ExecutionStore. A lease that comes after the attempt's deadline is given back unused:
-// this server may have been stalled, and another may have waited until the lease was over and run the request since.
+// Acquire is part of dispatch.ExecutionStore. A lease that is granted after the attempt's deadline is released unused:
+// this server may have stalled meanwhile, and another may have waited for the lease to expire and run the request.
 func (r *replicatedStore) Acquire(request dispatch.KeyedRequest, done func(dispatch.LeaseResult)) {
 	attempt := r.attempt(request)
 	r.replica.AcquireLease(attempt, func(outcome replication.Outcome) {
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -37,21 +37,21 @@
 	Now() microtime.Time
 	// Dial opens a connection to an address. It retries after a backoff until that opens, or until drop is called.
 	Dial(addr string, open func(transport.Conn) transport.Session) (drop func())
-	// DialOnce tries once to open a connection to an address, and calls failed where that fails. Neither open nor failed
+	// DialOnce tries once to open a connection to an address, and calls failed if that fails. Neither open nor failed
 	// is called after drop.
 	DialOnce(addr string, open func(transport.Conn) transport.Session, failed func()) (drop func())
-	// SetDatagramPeer sets the address that SendDatagram sends to. After an error the one before stays.
+	// SetDatagramPeer sets the address that SendDatagram sends to. After an error the previous address stays.
 	SetDatagramPeer(addr string) error
 	// SendDatagram sends a datagram, which may be lost.
 	SendDatagram([]byte)
-	// Execute runs a task in a turn. It may be called from any goroutine; an error says that the loop has ended.
+	// Execute runs a task in a turn. It may be called from any goroutine. It fails only if the loop has ended.
 	Execute(func()) error
 	// Rand is a random number that need not be secret.
 	Rand() uint64
-	// CloseListener closes a listener once the connections that wait there are accepted, and then calls done.
+	// CloseListener accepts the connections in the listener's queue, closes the listener, and then calls done.
 	CloseListener(listener int, done func())
-	// Shutdown closes all accepted connections after what was written, and ends the loop once their peers have closed
-	// them, or at the deadline.
+	// Shutdown flushes and closes all accepted connections. The loop ends once their peers have closed them too, or at
+	// the deadline.
 	Shutdown(deadline microtime.Time)
 }
 
@@ -63,22 +63,22 @@
 
 // Server is one log server. It is not for concurrent use: all its methods run on its event loop once it is attached.
 type Server struct {
-	cfg   config.Config // Its classes have the places that they were given over all reloads.
-	loop  EventLoop     // Nil until Attach.
+	cfg   config.Config // its classes keep their indices over all reloads
+	loop  EventLoop     // nil until Attach
 	clock WallClock
 	logf  func(format string, args ...any)
 
 	core      *dispatch.Core
 	clients   clients
 	backends  backendSet
-	replica   *replication.Replica // Nil unless executions are recorded with a replication group.
+	replica   *replication.Replica // nil unless executions are recorded with a replication group
 	operators *admin.Handler
 
 	names        nameIndex
-	fileSettings control.Settings // The settings as the file has them.
+	fileSettings control.Settings // the settings as the file gives them, without the retired classes
 	reloads      reloadCounts
 	health       healthReporter
-	outOfService bool // By an operator's command.
+	outOfService bool // by an operator's command
 	handoff      handoffState
 	shutdown     shutdownState
 	nextSweepAt  microtime.Time
@@ -119,7 +119,8 @@
 	s.core.UseExecutionStore(&replicatedStore{server: s, replica: replica})
 }
 
-// UseController has the server decide by another module than control.New makes. It must be called before Attach.
+// UseController replaces the constructor of the controller, which is control.New by default. It must be called before
+// Attach.
 func (s *Server) UseController(newController func(control.Settings) (dispatch.Controller, error)) {
 	s.core.UseController(newController)
 }
@@ -133,7 +134,7 @@
 	s.backends.attach(s.core, loop)
 }
 
-// Accept gives a new connection its session, by the listener that it came to.
+// Accept returns the session for a new connection, which depends on the listener that accepted it.
 func (s *Server) Accept(listener int, conn transport.Conn) transport.Session {
 	switch listener {
 	case AJPListener:
@@ -154,8 +155,8 @@
 	return s.clients.thrift.Accept(conn)
 }
 
-// Turn ends a turn of the loop: one step of the core, then everything that is due by the clock. It returns when the
-// next turn is due.
+// Turn ends a turn of the loop: it runs one step of the core, then all timers that are due. It returns when the next
+// turn is due.
 func (s *Server) Turn(now microtime.Time) microtime.Time {
 	if s.loop == nil {
 		return microtime.Never
@@ -171,7 +172,7 @@
 	next = min(next, s.clients.ajp.ExpireTimeouts(now))
 	next = min(next, s.backends.check(now))
 	next = min(next, s.continueDrain(now))
-	if s.replica != nil { // Last, so that the requests of the whole turn go out together.
+	if s.replica != nil { // last, so that the messages of the whole turn are sent together
 		next = min(next, s.replica.Tick(now))
 	}
 	return max(next, now)
@@ -186,7 +187,8 @@
 	return s.nextSweepAt
 }
 
-// WastedAttempts counts the attempts that failed because their log server was gone. It is 0 where requests run here.
+// WastedAttempts counts the attempts that failed because their log server was gone. It is 0 unless requests run on an
+// upstream.
 func (s *Server) WastedAttempts() int {
 	if s.backends.upstream == nil {
 		return 0
@@ -202,10 +204,10 @@
 	return longest
 }
 
-// tenantName is the name of a tenant by its place; it is empty where the settings name no tenants.
-func (s *Server) tenantName(place int) string {
-	if place >= len(s.cfg.Settings.Tenants) {
+// tenantName is the name of a tenant by its index; it is empty if the settings name no tenants.
+func (s *Server) tenantName(index int) string {
+	if index >= len(s.cfg.Settings.Tenants) {
 		return ""
 	}
-	return s.cfg.Settings.Tenants[place].Name
+	return s.cfg.Settings.Tenants[index].Name
 }
--- a/internal/server/shutdown.go
+++ b/internal/server/shutdown.go
@@ -8,20 +8,20 @@
 )
 
 const (
-	// maxKillMargin is how long before it would be killed the process has ended.
+	// maxKillMargin is the longest time between the planned end of the process and the moment when it would be killed.
 	maxKillMargin = 100 * microtime.Millisecond
 	// maxCloseTime is how long clients of the last connections get to close them.
 	maxCloseTime = 500 * microtime.Millisecond
 )
 
-// lifecycleStage says how far the end of this process has come.
+// lifecycleStage is a stage of this process's life, as far as its end is concerned.
 type lifecycleStage uint8
 
 // The stages. A process drains or hands over, never both.
 const (
 	serving    lifecycleStage = iota
-	draining                  // The shutdown notice has come; requests are accepted until the grace is over.
-	handedOver                // A successor owns the idempotency keys and gets all new connections.
+	draining                  // the shutdown notice has come; requests are accepted until the grace period ends
+	handedOver                // a successor owns the idempotency keys and gets all new connections
 )
 
 func (l lifecycleStage) String() string {
@@ -39,29 +39,29 @@
 // shutdownState is the progress of a graceful shutdown, or of the end of a process that has handed over.
 type shutdownState struct {
 	stage          lifecycleStage
-	notifiedAt     microtime.Time // When whoever sent the notice began to count.
+	notifiedAt     microtime.Time // when the notice was sent; the timeout counts from here
 	handedOverAt   microtime.Time
-	stopAt         microtime.Time // The loop ends by then.
-	killMargin     microtime.Time // The process would be killed this long after stopAt.
-	closingClients bool           // Client connections are to end.
-	openListeners  int            // Listeners that are to end and have not.
+	stopAt         microtime.Time // the loop ends by then
+	killMargin     microtime.Time // the process would be killed this long after stopAt
+	closingClients bool           // client connections are being closed
+	openListeners  int            // the number of listeners that are being closed
 	loopStopped    bool
 }
 
 // stopWithin sets the time at which the loop ends, somewhat before the process would be killed.
-func (d *shutdownState) stopWithin(notifiedAt, timeout microtime.Time) {
-	d.killMargin = min(maxKillMargin, timeout/4)
-	d.stopAt = notifiedAt + timeout - d.killMargin
+func (s *shutdownState) stopWithin(notifiedAt, timeout microtime.Time) {
+	s.killMargin = min(maxKillMargin, timeout/4)
+	s.stopAt = notifiedAt + timeout - s.killMargin
 }
 
-// drainStopsAccepting is when a draining process accepts no more requests. Clients get a part of their linger timeout
-// to close their connections before the loop ends.
-func (d *shutdownState) drainStopsAccepting(grace microtime.Time) microtime.Time {
-	return min(d.notifiedAt+grace, d.stopAt-frontend.LingerTimeout/4)
+// drainStopsAccepting is when a draining process stops accepting requests: at the end of the grace period, but early
+// enough that clients have a quarter of their linger timeout to close their connections before the loop ends.
+func (s *shutdownState) drainStopsAccepting(grace microtime.Time) microtime.Time {
+	return min(s.notifiedAt+grace, s.stopAt-frontend.LingerTimeout/4)
 }
 
-// Drain begins a graceful shutdown. The notice came at a time up to now: whoever sent it counts from then, however long
-// the program took to start, or to get here.
+// Drain begins a graceful shutdown. notifiedAt is when the shutdown notice was sent, at most now. All times of the
+// shutdown count from then, even if the program was still starting or busy when the notice came.
 func (s *Server) Drain(notifiedAt microtime.Time) {
 	if s.shutdown.stage != serving {
 		return
@@ -74,8 +74,8 @@
 }
 
 // continueDrain ends a draining process once every request that was read is answered. New requests are accepted until
-// none of them would run any more; then the listeners and the client connections are closed. The end waits until the
-// clients have closed theirs, so that no request is cut off unread. It returns when it has to be called again.
+// drainStopsAccepting; then the listeners and the client connections are closed. The process waits until the clients
+// have closed their ends, so that no request is lost unread. It returns when it has to be called again.
 func (s *Server) continueDrain(now microtime.Time) microtime.Time {
 	if s.shutdown.stage != draining {
 		return microtime.Never
@@ -104,7 +104,7 @@
 	return s.shutdown.closingClients && s.shutdown.openListeners == 0 && s.core.Drained() && s.clients.connections() == 0
 }
 
-// closeListeners ends the listeners for clients; connections that wait to be accepted are accepted first.
+// closeListeners closes the listeners for clients. Connections in their queues are accepted first.
 func (s *Server) closeListeners() {
 	for listener, address := range []string{ThriftListener: s.cfg.Listen, AJPListener: s.cfg.AJP.Listen} {
 		if address != "" {
