--- a/cmd/pewterline-sim/processes.go
+++ b/cmd/pewterline-sim/processes.go
@@ -10,7 +10,7 @@
 	"pewterline/internal/testbed/faults"
 	"pewterline/internal/testbed/faultsearch"
 	"pewterline/internal/testbed/processtest"
-	"pewterline/internal/testbed/processtest/hunt"
+	"pewterline/internal/testbed/processtest/clusterplay"
 )
 
 // playsPerScript is how often a smaller script is played before it counts as harmless: real processes do not do the
@@ -36,7 +36,7 @@
 
 func (f processesFlags) draw(seed uint64) faults.Script {
 	if f.Group {
-		return hunt.DrawScript(seed, f.Seconds)
+		return clusterplay.DrawScript(seed, f.Seconds)
 	}
 	return processtest.DrawScript(seed, f.Seconds)
 }
@@ -74,7 +74,7 @@
 func (f processesFlags) play(out io.Writer, script faults.Script, options processtest.Options) (bool, error) {
 	play := processtest.Play
 	if f.Group {
-		play = hunt.Play
+		play = clusterplay.Play
 	}
 	outcome, err := play(script, options)
 	if err != nil {
@@ -82,12 +82,12 @@
 	}
 	if f.Group {
 		fmt.Fprintf(out, "seed %d: %d servers, %d disks lost, %d times not known; ",
-			script.Seed, script.Servers, outcome.Wiped, outcome.Unknown)
+			script.Seed, script.Servers, outcome.DisksLost, outcome.Indeterminate)
 	}
 	fmt.Fprintf(out, "seed %d: %d faults, %d processes, %d upgrades; ",
 		script.Seed, len(script.Faults), outcome.Starts, outcome.Upgrades)
 	fmt.Fprintf(out, "%d answers, %d served, %d rejected, %d unanswered; %d rules broken\n",
-		outcome.Answered, outcome.Served, outcome.Refused, outcome.Unanswered, len(outcome.Violations))
+		outcome.Answered, outcome.Served, outcome.Rejected, outcome.Unanswered, len(outcome.Violations))
 	for _, violation := range outcome.Violations {
 		fmt.Fprintln(out, violation)
 	}
--- a/cmd/pewterline-sim/processes_cost.go
+++ b/cmd/pewterline-sim/processes_cost.go
@@ -63,7 +63,7 @@
 			return err
 		}
 		fmt.Fprintf(table, "%d\t%.0f\t%v\t%v\t%.2f\t%.0f\t%.1f\t%d\n",
-			r.Copies, r.PerSecond, r.P50, r.P99, r.SyncsEach, r.BytesEach, float64(r.Memory)/1e6, r.NotAnswered)
+			r.Replicas, r.PerSecond, r.P50, r.P99, r.SyncsEach, r.BytesEach, float64(r.Memory)/1e6, r.NotServed)
 	}
 	return table.Flush()
 }
@@ -78,13 +78,13 @@
 			return err
 		}
 		fmt.Fprintf(out, "repair of %d keys at %d keys/s at most: %v, %.1f MB in the server that was lost\n",
-			r.Holdings, rate, r.Took.Round(10*time.Millisecond), float64(r.Memory)/1e6)
+			r.Keys, rate, r.Took.Round(10*time.Millisecond), float64(r.Memory)/1e6)
 	}
 	return nil
 }
 
 func (c *processesCostCommand) measureLoss(out io.Writer, options processtest.Options) error {
-	seconds, err := measure.Kill(options.Program, options.Settings, lossLength, lossAt, lossUntil, lossRequest)
+	seconds, err := measure.Loss(options.Program, options.Settings, lossLength, lossAt, lossUntil, lossRequest)
 	if err != nil {
 		return err
 	}
--- a/cmd/pewterline/calls_test.go
+++ b/cmd/pewterline/calls_test.go
@@ -18,7 +18,7 @@
 	t.Cleanup(v.Close)
 	srv.Settings, err = processtest.WithCalls(srv.Settings, "lot-intake")
 	require.NoError(t, err)
-	srv.Vault = v.Addr()
+	srv.VaultAddress = v.Addr()
 	return srv, v
 }
 
--- a/cmd/pewterline/demo.go
+++ b/cmd/pewterline/demo.go
@@ -44,7 +44,12 @@
 	if err := json.Unmarshal(example.Config, &file); err != nil {
 		return err
 	}
-	cluster, err := processtest.NewCluster(program, file.Settings, demoServers, demoReplicas)
+	cluster, err := processtest.NewCluster(processtest.ClusterConfig{
+		Program:  program,
+		Settings: file.Settings,
+		Servers:  demoServers,
+		Replicas: demoReplicas,
+	})
 	if cluster != nil {
 		defer func() { err = errors.Join(err, cluster.Close()) }()
 	}
@@ -113,7 +118,13 @@
 
 // send sends a request, prints its answer, and keeps in wrong what it should not be.
 func (d *demo) send(request demoRequest) {
-	reply, err := d.cluster.Send(request.server, request.class, request.key, time.Now(), request.retry)
+	reply, err := d.cluster.Send(request.server, processtest.Request{
+		Class:     request.class,
+		Key:       request.key,
+		Body:      request.key,
+		ArrivedAt: time.Now(),
+		Retry:     request.retry,
+	})
 	runs := len(d.cluster.RunLog.Runs(request.key))
 	answer := describeReply(reply.Kind)
 	if err != nil {
--- a/cmd/pewterline/replication_test.go
+++ b/cmd/pewterline/replication_test.go
@@ -7,7 +7,6 @@
 	"os/exec"
 	"path/filepath"
 	"testing"
-	"time"
 
 	"github.com/stretchr/testify/require"
 
@@ -41,7 +40,12 @@
 	require.NoError(t, err)
 	var file struct{ Settings json.RawMessage }
 	require.NoError(t, json.Unmarshal(example.Config, &file))
-	cluster, err := processtest.NewCluster(program, file.Settings, 3, 3)
+	cluster, err := processtest.NewCluster(processtest.ClusterConfig{
+		Program:  program,
+		Settings: file.Settings,
+		Servers:  3,
+		Replicas: 3,
+	})
 	require.NoError(t, err)
 	t.Cleanup(func() { require.NoError(t, cluster.Close()) })
 	for id := 1; id <= 3; id++ {
@@ -59,7 +63,7 @@
 	code, out = do(2, "bootstrap")
 	require.Equal(t, exitFailed, code)
 	require.Contains(t, out, "a group is known here")
-	told, err := cluster.SendKeyed(1, "basket", time.Now(), false)
+	told, err := cluster.Send(1, processtest.NewIntake("basket"))
 	require.NoError(t, err)
 	require.Equal(t, thrift.ReplyAnswer, told.Kind)
 	code, out = do(2, "status")
--- a/cmd/pewterline/store_test.go
+++ b/cmd/pewterline/store_test.go
@@ -15,9 +15,9 @@
 func TestKilledWithStore(t *testing.T) {
 	t.Parallel()
 	srv := newTestServer(t)
-	srv.Store = filepath.Join(srv.Dir, "store.toml")
+	srv.StoreFile = filepath.Join(srv.Dir, "store.toml")
 	text := fmt.Sprintf("driver = \"sqlite\"\ndsn = %q\ntimeout_ms = 30000\n", filepath.Join(srv.Dir, "intakes.db"))
-	require.NoError(t, os.WriteFile(srv.Store, []byte(text), 0o600))
+	require.NoError(t, os.WriteFile(srv.StoreFile, []byte(text), 0o600))
 	first := srv.start()
 	c := srv.dial()
 	srv.served(srv.ask(c, "lot-intake", "k1", "one"), "one")
--- a/cmd/pewterline/upgrade_test.go
+++ b/cmd/pewterline/upgrade_test.go
@@ -90,7 +90,7 @@
 }
 
 func (s *testServer) ask(c *processtest.Conn, class, once, body string) processtest.PendingRequest {
-	a, err := c.Send(class, once, body, time.Now())
+	a, err := c.Send(processtest.Request{Class: class, Key: once, Body: body, ArrivedAt: time.Now()})
 	require.NoError(s.t, err)
 	return a
 }
@@ -253,7 +253,7 @@
 	next := srv.start()
 	require.NoError(t, old.Signal(syscall.SIGTERM))
 	// It crosses the farewell, if it has not read that yet.
-	first, err := silent.Send("lot-intake", "first", "first", time.Now())
+	first, err := silent.Send(processtest.NewIntake("first"))
 	if err != nil {
 		first = srv.ask(srv.dial(), "lot-intake", "first", "first")
 	}
@@ -337,7 +337,8 @@
 	idle := func() {
 		c := srv.dial()
 		crowd = append(crowd, c)
-		a, err := c.Send("block-view", "", "v", time.Now()) // known, then silent; or closed to make room
+		// The connection is known, then silent; or it is closed to make room.
+		a, err := c.Send(processtest.Request{Class: "block-view", Body: "v", ArrivedAt: time.Now()})
 		if err == nil {
 			_, _ = a.Await()
 		}
@@ -374,7 +375,7 @@
 			"name": "grape-count", "aim_ms": 900, "hard_limit_ms": 2000, "worth": 3, "effect": "free",
 		}
 		set["classes"] = append([]any{more}, classes[0], classes[2])
-		require.NoError(t, process.Rewrite(map[string]any{
+		require.NoError(t, process.WriteConfig(map[string]any{
 			"name":     "n0",
 			"listen":   srv.Listen,
 			"pool":     pool,
@@ -521,7 +522,7 @@
 
 // sendIntake sends an intake and waits for its answer.
 func sendIntake(conn *processtest.Conn, body string) error {
-	pending, err := conn.Send("lot-intake", body, body, time.Now())
+	pending, err := conn.Send(processtest.NewIntake(body))
 	if err == nil {
 		_, err = pending.Await()
 	}
@@ -562,13 +563,13 @@
 			if n++; n%16 == 0 || !c.Usable() {
 				c = srv.dial()
 			}
-			_, _ = c.Send("block-view", "", "v", time.Now())
+			_, _ = c.Send(processtest.Request{Class: "block-view", Body: "v", ArrivedAt: time.Now()})
 		}
 	}()
 	var took []float64
 	for time.Now().Before(until) {
 		began := time.Now()
-		status, body, err := process.Call(http.MethodGet, "/control/counters")
+		status, body, err := process.AdminCall(http.MethodGet, "/control/counters")
 		require.NoError(t, err)
 		require.Equal(t, http.StatusOK, status, body)
 		took = append(took, float64(time.Since(began).Microseconds())/1000)
@@ -576,7 +577,7 @@
 	}
 	wg.Wait()
 	slices.Sort(took)
-	_, body, err := process.Call(http.MethodGet, "/control/counters")
+	_, body, err := process.AdminCall(http.MethodGet, "/control/counters")
 	require.NoError(t, err)
 	t.Logf("%d calls: %.2f ms at the median, %.2f at 99%%, %.2f at most; %s",
 		len(took), took[len(took)/2], took[len(took)*99/100], took[len(took)-1], body)
@@ -612,7 +613,7 @@
 	srv := newTestServer(t)
 	old := srv.start()
 	call := func(p *processtest.Process, word string) {
-		status, body, err := p.Call(http.MethodPut, "/control/"+word)
+		status, body, err := p.AdminCall(http.MethodPut, "/control/"+word)
 		require.NoError(t, err)
 		require.Equal(t, http.StatusOK, status, body)
 	}
--- a/internal/server/call_fixture_test.go
+++ b/internal/server/call_fixture_test.go
@@ -59,7 +59,7 @@
 		}
 	})
 	fixture.reconnect()
-	_, err = workers.AwaitBound()
+	_, err = workers.AwaitBind()
 	require.NoError(t, err)
 	return fixture
 }
--- a/internal/server/calls_test.go
+++ b/internal/server/calls_test.go
@@ -45,7 +45,7 @@
 	fixture.requireFailed(once)
 	fixture.requireFailed(keyed)
 	fixture.vault.Release()
-	require.NoError(t, fixture.vault.AwaitConnection())
+	require.NoError(t, fixture.vault.AcceptConnections())
 	stop := fixture.runClock()
 	fixture.nextCall(safe)
 	fixture.requireServed(safe, "kept call 1 of lot")
@@ -198,7 +198,7 @@
 			for reachable := true; reachable; {
 				fixture.onLoop(func() { reachable = fixture.srv.backends.vault.Status().Reachable })
 			}
-			require.NoError(t, fixture.vault.AwaitConnection())
+			require.NoError(t, fixture.vault.AcceptConnections())
 			fixture.nextCall(refused)
 			fixture.requireServed(refused, "kept call 1 of lot")
 			stop()
@@ -243,14 +243,14 @@
 	running := fixture.submitClass(keyedClass)
 	require.NoError(t, fixture.workers.AwaitStart("lot"))
 
-	fixture.workers.Leave()
+	fixture.workers.Disconnect()
 	fixture.workers.Release() // The second run comes to its call.
-	seen, err := fixture.workers.AwaitBound()
+	seen, err := fixture.workers.AwaitBind()
 	require.NoError(t, err)
 	require.EqualValues(t, 1, seen)
 	call.Reply(vault.Yes, "while there was no link")
 	require.NoError(t, call.CloseConn())
-	fixture.workers.Return()
+	fixture.workers.Reconnect()
 	fixture.requireServed(blocked, "while there was no link")
 	fixture.nextCall(running).Reply(vault.Yes, "told late")
 	fixture.requireServed(running, "told late")
--- a/internal/server/deep_check_test.go
+++ b/internal/server/deep_check_test.go
@@ -76,7 +76,7 @@
 	requireChecked(true)
 	fixture.workers.Freeze()
 	requireChecked(false)
-	fixture.workers.Leave()
+	fixture.workers.Disconnect()
 	requireChecked(false)
 	fixture.stop()
 }
--- a/internal/testbed/processtest/caller.go
+++ b/internal/testbed/processtest/caller.go
@@ -114,25 +114,33 @@
 	}
 }
 
-// Send sends a request of a class, which came at a time; once is its key, "" for none.
-func (k *Conn) Send(class, once, body string, at time.Time) (PendingRequest, error) {
-	return k.ask(class, once, body, at, false)
+// Request is a request of a proxy.
+type Request struct {
+	Class     string
+	Key       string // its idempotency key; "": none
+	Body      string
+	ArrivedAt time.Time // at the proxy
+	Retry     bool      // it is not the first attempt
 }
 
-// Retry sends a further try of a request.
-func (k *Conn) Retry(class, once, body string, at time.Time) (PendingRequest, error) {
-	return k.ask(class, once, body, at, true)
+// intakeClass is the class of the settings whose requests have an idempotency key.
+const intakeClass = "lot-intake"
+
+// NewIntake returns the first attempt of a request with an idempotency key, which is its body too. It arrives now.
+func NewIntake(key string) Request {
+	return Request{Class: intakeClass, Key: key, Body: key, ArrivedAt: time.Now()}
 }
 
-func (k *Conn) ask(class, once, body string, at time.Time, retry bool) (PendingRequest, error) {
+// Send sends a request.
+func (k *Conn) Send(request Request) (PendingRequest, error) {
 	id := fmt.Sprintf("%016x", ids.Add(1))
-	fields := []thrift.Field{{Name: "class", Value: class}, {Name: "id", Value: id},
-		{Name: "at", Value: fmt.Sprint(at.UnixMilli())}, {Name: "from", Value: "1"}, {Name: "tenant", Value: "lake-vines"},
+	fields := []thrift.Field{{Name: "class", Value: request.Class}, {Name: "id", Value: id},
+		{Name: "at", Value: fmt.Sprint(request.ArrivedAt.UnixMilli())}, {Name: "from", Value: "1"}, {Name: "tenant", Value: "lake-vines"},
 		{Name: "kb", Value: "9"}, {Name: "rank", Value: "0.9"}}
-	if once != "" {
-		fields = append(fields, thrift.Field{Name: "once", Value: once})
+	if request.Key != "" {
+		fields = append(fields, thrift.Field{Name: "once", Value: request.Key})
 	}
-	if retry {
+	if request.Retry {
 		fields = append(fields, thrift.Field{Name: "retry", Value: "1"})
 	}
 	k.mu.Lock()
@@ -143,7 +151,7 @@
 	k.seq++
 	w := make(chan thrift.Reply, 1)
 	k.waiting[k.seq] = w
-	if _, err := k.c.Write(thrift.AppendCall(nil, k.seq, fields, []byte(body))); err != nil {
+	if _, err := k.c.Write(thrift.AppendCall(nil, k.seq, fields, []byte(request.Body))); err != nil {
 		delete(k.waiting, k.seq)
 		return PendingRequest{}, ErrUnheard
 	}
--- a/internal/testbed/processtest/hunt/hunt.go
+++ b/internal/testbed/processtest/clusterplay/play.go
@@ -1,5 +1,5 @@
-// Package hunt plays groups of real processes by scripts of faults, and judges what callers and worker pools saw.
-package hunt
+// Package clusterplay plays groups of real processes by scripts of faults, and judges what callers and worker pools saw.
+package clusterplay
 
 import (
 	"cmp"
@@ -84,7 +84,12 @@
 	if script.Servers >= 5 {
 		copies = 5
 	}
-	g, err := processtest.NewCluster(opts.Program, opts.Settings, script.Servers, copies)
+	g, err := processtest.NewCluster(processtest.ClusterConfig{
+		Program:  opts.Program,
+		Settings: opts.Settings,
+		Servers:  script.Servers,
+		Replicas: copies,
+	})
 	if g != nil {
 		defer func() { err = errors.Join(err, g.Close()) }()
 	}
@@ -118,7 +123,7 @@
 		p.broken("rest: %v", err)
 		for id := range p.g.Servers {
 			s, err := p.state(id + 1)
-			p.broken("rest: server %d: epoch %d, changing %v, marked %d, %+v, %v", id+1, s.Epoch, s.Changing, s.Marked, s.Counters, err)
+			p.broken("rest: server %d: epoch %d, changing %v, marked %d, %+v, %v", id+1, s.Epoch, s.Changing, s.Acknowledged, s.Counters, err)
 		}
 	} else {
 		p.ask()
@@ -176,7 +181,7 @@
 				p.broken("wipe: %v", err)
 				return
 			}
-			p.count(func(o *processtest.Outcome) { o.Wiped++ })
+			p.count(func(o *processtest.Outcome) { o.DisksLost++ })
 		}
 		time.Sleep(f.For.Duration())
 		// It does not start on a full disk.
@@ -194,9 +199,9 @@
 	case faults.StoreFail, faults.StoreSlow:
 		what := map[faults.Kind]string{faults.StoreFail: "full", faults.StoreSlow: "slow"}[f.Kind]
 		p.log("the disk of server %d is %s for %v", id, what, f.For.Duration())
-		_ = p.g.Fault(id, what)
+		_ = p.g.SetDiskFault(id, what)
 		time.Sleep(f.For.Duration())
-		_ = p.g.Fault(id, "")
+		_ = p.g.SetDiskFault(id, "")
 	default:
 		p.log("%s from %d to %d for %v, %v", f.Kind, id, peer, f.For.Duration(), f.Amount)
 		there, back := p.g.RelayBetween(id, peer), p.g.RelayBetween(peer, id)
@@ -291,7 +296,9 @@
 // try sends one try; 0: there was no answer.
 func (p *groupPlay) try(caller, id int, key string, retry bool) thrift.ReplyKind {
 	began := time.Since(p.began)
-	told, err := p.g.SendKeyed(id, key, time.Now(), retry)
+	request := processtest.NewIntake(key)
+	request.Retry = retry
+	told, err := p.g.Send(id, request)
 	ended := time.Since(p.began)
 	if err != nil { // it may run at any time, or never
 		told, ended = processtest.RequestOutcome{}, time.Hour
@@ -308,10 +315,10 @@
 			o.Served++
 		case told.Kind == thrift.ReplyThrottled:
 			o.Answered++
-			o.Refused++
+			o.Rejected++
 		default:
 			o.Answered++
-			o.Unknown++
+			o.Indeterminate++
 		}
 	})
 	return told.Kind
--- a/internal/testbed/processtest/group.go
+++ b/internal/testbed/processtest/group.go
@@ -29,26 +29,36 @@
 type Member struct {
 	*Server
 	ID      int
-	Folder  string // of what it holds
+	DataDir string // of what it holds
 	Process *Process
 	listen  string
 	ways    map[int]*Relay // to the others
 }
 
-// NewCluster prepares servers that are not started, of which the first so many are in the files of all.
-func NewCluster(program string, settings json.RawMessage, n, copies int, lines ...string) (*Cluster, error) {
+// ClusterConfig says what a cluster is made of.
+type ClusterConfig struct {
+	Program    string // the path of the program, as Build returns it
+	Settings   json.RawMessage
+	Servers    int
+	Replicas   int      // of each idempotency key
+	ExtraLines []string // of the servers' replication files
+}
+
+// NewCluster prepares the servers of a cluster; StartAll starts them. The cluster has to be closed also where there is an error, if
+// there is a cluster at all.
+func NewCluster(cfg ClusterConfig) (*Cluster, error) {
 	dir, err := os.MkdirTemp("", "pw")
 	if err != nil {
 		return nil, err
 	}
-	g := &Cluster{RunLog: NewRunLog(), dir: dir, copies: copies, lines: lines}
-	if g.Vault, err = vaultFor(settings); err != nil {
+	g := &Cluster{RunLog: NewRunLog(), dir: dir, copies: cfg.Replicas, lines: cfg.ExtraLines}
+	if g.Vault, err = vaultFor(cfg.Settings); err != nil {
 		return g, err
 	}
-	for i := range n {
+	for i := range cfg.Servers {
 		m := &Member{ID: i + 1, ways: map[int]*Relay{}}
 		home := filepath.Join(dir, fmt.Sprint("s", m.ID))
-		m.Folder = filepath.Join(home, "held")
+		m.DataDir = filepath.Join(home, "held")
 		if err := os.Mkdir(home, 0o700); err != nil {
 			return g, err
 		}
@@ -59,10 +69,10 @@
 		if err != nil {
 			return g, err
 		}
-		m.Server = &Server{Program: program, Dir: home, Name: fmt.Sprint("n", m.ID), Listen: front, Settings: settings, StopMS: 3200, MemoryMB: 96, RunLog: g.RunLog,
-			Copies: filepath.Join(home, "copies.toml")}
+		m.Server = &Server{Program: cfg.Program, Dir: home, Name: fmt.Sprint("n", m.ID), Listen: front, Settings: cfg.Settings, StopMS: 3200, MemoryMB: 96, RunLog: g.RunLog,
+			ReplicationFile: filepath.Join(home, "copies.toml")}
 		if g.Vault != nil {
-			m.Server.Vault = g.Vault.Addr()
+			m.Server.VaultAddress = g.Vault.Addr()
 		}
 		g.Servers = append(g.Servers, m)
 	}
@@ -84,7 +94,7 @@
 
 func (g *Cluster) write(m *Member) error {
 	var b strings.Builder
-	fmt.Fprintf(&b, "id = %d\nlisten = %q\nfolder = %q\ncopies = %d\n", m.ID, m.listen, m.Folder, g.copies)
+	fmt.Fprintf(&b, "id = %d\nlisten = %q\nfolder = %q\ncopies = %d\n", m.ID, m.listen, m.DataDir, g.copies)
 	for _, l := range g.lines {
 		b.WriteString(l + "\n")
 	}
@@ -95,7 +105,7 @@
 		}
 		fmt.Fprintf(&b, "[[member]]\nid = %d\naddress = %q\n", o.ID, addr)
 	}
-	return os.WriteFile(m.Copies, []byte(b.String()), 0o600)
+	return os.WriteFile(m.ReplicationFile, []byte(b.String()), 0o600)
 }
 
 // LongRetention are settings whose windows outlast any play, however slow the machine is.
@@ -185,11 +195,11 @@
 }
 
 // Wipe loses the disk of a server whose process has ended.
-func (g *Cluster) Wipe(id int) error { return os.RemoveAll(g.Servers[id-1].Folder) }
+func (g *Cluster) Wipe(id int) error { return os.RemoveAll(g.Servers[id-1].DataDir) }
 
-// Fault has the disk of a server fail, where the program is built with the tag faults; "" heals it.
-func (g *Cluster) Fault(id int, what string) error {
-	path := g.Servers[id-1].Folder + ".fault"
+// SetDiskFault has the disk of a server fail, where the program is built with the tag faults; "" heals it.
+func (g *Cluster) SetDiskFault(id int, what string) error {
+	path := g.Servers[id-1].DataDir + ".fault"
 	if what == "" {
 		err := os.Remove(path)
 		if errors.Is(err, os.ErrNotExist) {
@@ -220,7 +230,7 @@
 // Export is what a server holds.
 func (g *Cluster) Export(id int) (out []ExportedKey, err error) {
 	for after := ""; ; {
-		status, body, err := g.Servers[id-1].Process.Call(http.MethodGet, "/control/copies/export?after="+url.QueryEscape(after))
+		status, body, err := g.Servers[id-1].Process.AdminCall(http.MethodGet, "/control/copies/export?after="+url.QueryEscape(after))
 		if err == nil && status != http.StatusOK {
 			err = fmt.Errorf("procs: export: %d: %s", status, body)
 		}
@@ -237,15 +247,15 @@
 
 // State is what a server says of its group.
 type State struct {
-	ID       uint32 `json:"id"`
-	Life     string `json:"life"`
-	Epoch    uint64 `json:"epoch"`
-	Changing bool   `json:"changing"`
-	Marked   int    `json:"changing_marked"`
-	Why      string `json:"why"`
-	Lost     int64  `json:"lost_ms"`
-	Voting   bool   `json:"voting"`
-	Members  []struct {
+	ID           uint32 `json:"id"`
+	Incarnation  string `json:"life"`
+	Epoch        uint64 `json:"epoch"`
+	Changing     bool   `json:"changing"`
+	Acknowledged int    `json:"changing_marked"`
+	Reason       string `json:"why"`
+	LossMS       int64  `json:"lost_ms"`
+	Voting       bool   `json:"voting"`
+	Members      []struct {
 		ID                   uint32
 		Life, Lives, Address string
 		Up, Now              bool
@@ -267,7 +277,7 @@
 
 // State asks a server.
 func (g *Cluster) State(id int) (s State, err error) {
-	status, body, err := g.Servers[id-1].Process.Call(http.MethodGet, "/control/copies")
+	status, body, err := g.Servers[id-1].Process.AdminCall(http.MethodGet, "/control/copies")
 	if err == nil && status != http.StatusOK {
 		err = fmt.Errorf("procs: %d: %s", status, body)
 	}
@@ -279,7 +289,7 @@
 
 // AdminCall gives a server an operator's word about its group.
 func (g *Cluster) AdminCall(id int, call string) error {
-	status, body, err := g.Servers[id-1].Process.Call(http.MethodPut, "/control/copies/"+call)
+	status, body, err := g.Servers[id-1].Process.AdminCall(http.MethodPut, "/control/copies/"+call)
 	if err == nil && status != http.StatusOK {
 		err = fmt.Errorf("procs: %s: %d: %s", call, status, body)
 	}
@@ -336,19 +346,14 @@
 	Result string
 }
 
-// SendKeyed sends one try of an intake to a server, which came at a time, and waits for the answer. Its body is its key.
-func (g *Cluster) SendKeyed(id int, key string, at time.Time, retry bool) (RequestOutcome, error) {
-	return g.Send(id, "lot-intake", key, at, retry)
-}
-
-// Send does the same for a request of any class.
-func (g *Cluster) Send(id int, class, key string, at time.Time, retry bool) (RequestOutcome, error) {
+// Send sends a request to a server and waits for its reply.
+func (g *Cluster) Send(id int, request Request) (RequestOutcome, error) {
 	c, err := Dial(g.Servers[id-1].Listen)
 	if err != nil {
 		return RequestOutcome{}, err
 	}
 	defer c.Close()
-	a, err := c.ask(class, key, key, at, retry)
+	a, err := c.Send(request)
 	if err != nil {
 		return RequestOutcome{}, err
 	}
--- a/internal/testbed/processtest/group_test.go
+++ b/internal/testbed/processtest/group_test.go
@@ -45,7 +45,13 @@
 func group(t *testing.T, n, copies int, lines ...string) *Cluster {
 	program, err := faulty()
 	require.NoError(t, err)
-	g, err := NewCluster(program, settings(t), n, copies, lines...)
+	g, err := NewCluster(ClusterConfig{
+		Program:    program,
+		Settings:   settings(t),
+		Servers:    n,
+		Replicas:   copies,
+		ExtraLines: lines,
+	})
 	require.NoError(t, err)
 	t.Cleanup(func() {
 		if t.Failed() {
@@ -58,7 +64,7 @@
 }
 
 func (g *Cluster) intake(t *testing.T, id int, key string, retry bool) RequestOutcome {
-	told, err := g.SendKeyed(id, key, time.Now(), retry)
+	told, err := g.Send(id, Request{Class: intakeClass, Key: key, Body: key, ArrivedAt: time.Now(), Retry: retry})
 	require.NoError(t, err)
 	return told
 }
@@ -112,7 +118,7 @@
 	c, err := Dial(g.Servers[id-1].Listen)
 	require.NoError(t, err)
 	t.Cleanup(c.Close)
-	a, err := c.Send("lot-intake", key, key, time.Now())
+	a, err := c.Send(NewIntake(key))
 	require.NoError(t, err)
 	return c, a
 }
@@ -197,7 +203,7 @@
 	c, err := Dial(front.Addr())
 	require.NoError(t, err)
 	t.Cleanup(c.Close)
-	_, err = c.Send("lot-intake", "lot", "lot", time.Now())
+	_, err = c.Send(NewIntake("lot"))
 	require.NoError(t, err)
 	g.holds(t, 3, "lot", "passed")
 	g.lose(t, 1)
@@ -347,7 +353,7 @@
 	c, err := Dial(g.Servers[0].Listen)
 	require.NoError(t, err)
 	t.Cleanup(c.Close)
-	a, err := c.Send("block-view", "", "view", time.Now())
+	a, err := c.Send(Request{Class: "block-view", Body: "view", ArrivedAt: time.Now()})
 	require.NoError(t, err)
 	r, err := a.Await()
 	require.NoError(t, err)
@@ -358,8 +364,8 @@
 	g.unknown(t, 1, "new") // it may have run on one that is lost
 	s, err := g.State(1)
 	require.NoError(t, err)
-	require.Equal(t, "two burnt", s.Why)
-	require.Positive(t, s.Lost)
+	require.Equal(t, "two burnt", s.Reason)
+	require.Positive(t, s.LossMS)
 	require.Contains(t, g.Log(), "LOSS")
 	// Those that come back empty are taken in again, one at a time.
 	for _, id := range []int{2, 3} {
@@ -381,7 +387,7 @@
 	t.Parallel()
 	program, err := faulty()
 	require.NoError(t, err)
-	g, err := NewCluster(program, settings(t), 5, 3)
+	g, err := NewCluster(ClusterConfig{Program: program, Settings: settings(t), Servers: 5, Replicas: 3})
 	require.NoError(t, err)
 	t.Cleanup(func() {
 		if t.Failed() {
@@ -409,7 +415,7 @@
 	s, err = g.State(3)
 	require.NoError(t, err)
 	require.Len(t, s.Members, 5)
-	require.Equal(t, "back", s.Why)
+	require.Equal(t, "back", s.Reason)
 	for id := 1; id <= 5; id++ {
 		g.found(t, id, keys)
 	}
@@ -424,7 +430,7 @@
 			t.Parallel()
 			g := group(t, 3, 3)
 			keys := g.fill(t, 5, 1, 2, 3)
-			require.NoError(t, g.Fault(1, fault))
+			require.NoError(t, g.SetDiskFault(1, fault))
 			require.NoError(t, g.Eventually(func() error {
 				key := fmt.Sprint("lot ", len(keys))
 				if told := g.intake(t, 2, key, false); told != served(key) {
@@ -438,7 +444,7 @@
 				return err
 			}))
 			g.found(t, 1, keys) // by the others' copies
-			require.NoError(t, g.Fault(1, ""))
+			require.NoError(t, g.SetDiskFault(1, ""))
 			require.NoError(t, g.AwaitStable())
 			g.lose(t, 3)
 			g.found(t, 1, keys)
@@ -454,13 +460,13 @@
 	keys := g.fill(t, 60, 1, 2, 3)
 	var snaps []string
 	require.NoError(t, g.Eventually(func() (err error) {
-		if snaps, err = filepath.Glob(filepath.Join(g.Servers[0].Folder, "*.snap")); len(snaps) == 0 {
+		if snaps, err = filepath.Glob(filepath.Join(g.Servers[0].DataDir, "*.snap")); len(snaps) == 0 {
 			err = errors.New("no snapshot yet")
 		}
 		return err
 	}))
 	require.NoError(t, g.Kill(1))
-	snaps, err := filepath.Glob(filepath.Join(g.Servers[0].Folder, "*.snap"))
+	snaps, err := filepath.Glob(filepath.Join(g.Servers[0].DataDir, "*.snap"))
 	require.NoError(t, err)
 	text, err := os.ReadFile(snaps[0])
 	require.NoError(t, err)
--- a/internal/testbed/processtest/measure/measure.go
+++ b/internal/testbed/processtest/measure/measure.go
@@ -21,27 +21,32 @@
 
 // CostResult is what a number of copies costs.
 type CostResult struct {
-	Copies      int // 0: off
-	Intakes     int
-	PerSecond   float64
-	P50, P99    time.Duration
-	SyncsEach   float64 // of all servers, an intake
-	BytesEach   float64 // of records on all disks, an intake
-	Memory      int     // bytes, of the server that was asked
-	NotAnswered int
+	Replicas  int // 0: off
+	Served    int
+	PerSecond float64
+	P50, P99  time.Duration
+	SyncsEach float64 // of all servers, an intake
+	BytesEach float64 // of records on all disks, an intake
+	Memory    int     // bytes, of the server that was asked
+	NotServed int
 }
 
 // Cost has callers send intakes to one server, each after the answer to the one before.
 func Cost(program string, settings json.RawMessage, copies, callers int, length time.Duration) (r CostResult, err error) {
-	g, err := processtest.NewCluster(program, settings, max(copies, 1), max(copies, 1))
+	g, err := processtest.NewCluster(processtest.ClusterConfig{
+		Program:  program,
+		Settings: settings,
+		Servers:  max(copies, 1),
+		Replicas: max(copies, 1),
+	})
 	if g != nil {
 		defer func() { err = errors.Join(err, g.Close()) }()
 	}
 	if err != nil {
 		return r, err
 	}
-	if r.Copies = copies; copies == 0 {
-		g.Servers[0].Copies = "" // off, as it ships
+	if r.Replicas = copies; copies == 0 {
+		g.Servers[0].ReplicationFile = "" // off, as it ships
 		err = g.Start(1)
 	} else {
 		err = g.StartAll()
@@ -67,7 +72,7 @@
 			for j := 0; time.Now().Before(until); j++ {
 				key := fmt.Sprintf("lot %d/%d", i, j)
 				began := time.Now()
-				a, err := c.Send("lot-intake", key, key, began)
+				a, err := c.Send(processtest.Request{Class: "lot-intake", Key: key, Body: key, ArrivedAt: began})
 				var p thrift.Reply
 				if err == nil {
 					p, err = a.Await()
@@ -83,8 +88,8 @@
 		}()
 	}
 	wg.Wait()
-	r.Intakes, r.NotAnswered = int(hist.TotalCount()), int(missed.Load())
-	r.PerSecond = float64(r.Intakes) / length.Seconds()
+	r.Served, r.NotServed = int(hist.TotalCount()), int(missed.Load())
+	r.PerSecond = float64(r.Served) / length.Seconds()
 	r.P50, r.P99 = time.Duration(hist.ValueAtQuantile(50))*time.Microsecond, time.Duration(hist.ValueAtQuantile(99))*time.Microsecond
 	r.Memory = g.Servers[0].Process.Memory()
 	if copies == 0 {
@@ -95,22 +100,28 @@
 		if err != nil {
 			return r, err
 		}
-		r.SyncsEach += float64(s.Counters.Syncs) / float64(r.Intakes)
-		r.BytesEach += float64(s.Counters.Bytes) / float64(r.Intakes)
+		r.SyncsEach += float64(s.Counters.Syncs) / float64(r.Served)
+		r.BytesEach += float64(s.Counters.Bytes) / float64(r.Served)
 	}
 	return r, nil
 }
 
 // RepairResult is how long it took to bring a lost server's copies back.
 type RepairResult struct {
-	Holdings int
-	Took     time.Duration
-	Memory   int // bytes, of the server that was lost, once it is whole
+	Keys   int
+	Took   time.Duration
+	Memory int // bytes, of the server that was lost, once it is whole
 }
 
 // Repair fills a group of three, loses one with its disk, and waits until it holds all again. rate is the bound on keys a second.
 func Repair(program string, settings json.RawMessage, holdings, rate, atOnce int) (r RepairResult, err error) {
-	g, err := processtest.NewCluster(program, settings, 3, 3, fmt.Sprintf("repair_keys_per_s = %d", rate), fmt.Sprintf("repair_at_once = %d", atOnce))
+	g, err := processtest.NewCluster(processtest.ClusterConfig{
+		Program:    program,
+		Settings:   settings,
+		Servers:    3,
+		Replicas:   3,
+		ExtraLines: []string{fmt.Sprintf("repair_keys_per_s = %d", rate), fmt.Sprintf("repair_at_once = %d", atOnce)},
+	})
 	if g != nil {
 		defer func() { err = errors.Join(err, g.Close()) }()
 	}
@@ -136,7 +147,7 @@
 			defer c.Close()
 			for n := next.Add(1); n <= int64(holdings); n = next.Add(1) {
 				key := fmt.Sprintf("lot %d", n)
-				if a, err := c.Send("lot-intake", key, key, time.Now()); err == nil {
+				if a, err := c.Send(processtest.NewIntake(key)); err == nil {
 					_, _ = a.Await()
 				}
 			}
@@ -147,7 +158,7 @@
 	if err != nil {
 		return r, err
 	}
-	r.Holdings = s.Counters.Held
+	r.Keys = s.Counters.Held
 	if err := errors.Join(g.Kill(3), g.Wipe(3)); err != nil {
 		return r, err
 	}
@@ -157,7 +168,7 @@
 	}
 	for time.Since(began) < 10*time.Minute {
 		s, err := g.State(3)
-		if err == nil && s.Counters.Held >= r.Holdings && !s.Changing && g.AwaitStable() == nil {
+		if err == nil && s.Counters.Held >= r.Keys && !s.Changing && g.AwaitStable() == nil {
 			r.Took, r.Memory = time.Since(began), g.Servers[2].Process.Memory()
 			return r, nil
 		}
@@ -167,11 +178,16 @@
 }
 
 // SecondCounts is what callers were told within a second.
-type SecondCounts struct{ Served, Refused, Unknown, Unheard int }
+type SecondCounts struct{ Served, Rejected, Indeterminate, Unanswered int }
 
-// Kill has callers send intakes to all three servers at a steady rate, each once, while one is lost with its disk and comes back.
-func Kill(program string, settings json.RawMessage, seconds, lost, back, rate int) (out []SecondCounts, err error) {
-	g, err := processtest.NewCluster(program, settings, 3, 3)
+// Loss has callers send intakes to all three servers at a steady rate, each once, while one is lost with its disk and comes back.
+func Loss(program string, settings json.RawMessage, seconds, lost, back, rate int) (out []SecondCounts, err error) {
+	g, err := processtest.NewCluster(processtest.ClusterConfig{
+		Program:  program,
+		Settings: settings,
+		Servers:  3,
+		Replicas: 3,
+	})
 	if g != nil {
 		defer func() { err = errors.Join(err, g.Close()) }()
 	}
@@ -201,19 +217,19 @@
 		go func() {
 			defer wg.Done()
 			key := fmt.Sprint("lot ", n)
-			told, err := g.SendKeyed(1+n%3, key, time.Now(), false)
+			told, err := g.Send(1+n%3, processtest.NewIntake(key))
 			mu.Lock()
 			defer mu.Unlock()
 			s := &out[n/rate]
 			switch {
 			case err != nil:
-				s.Unheard++
+				s.Unanswered++
 			case told.Kind == thrift.ReplyAnswer:
 				s.Served++
 			case told.Kind == thrift.ReplyThrottled:
-				s.Refused++
+				s.Rejected++
 			default:
-				s.Unknown++
+				s.Indeterminate++
 			}
 		}()
 	}
@@ -233,9 +249,9 @@
 		of    func(SecondCounts) int
 	}{
 		{"served", color.RGBA{0, 110, 60, 255}, func(s SecondCounts) int { return s.Served }},
-		{"refused before they ran", color.RGBA{200, 130, 0, 255}, func(s SecondCounts) int { return s.Refused }},
-		{"not known", color.RGBA{190, 0, 0, 255}, func(s SecondCounts) int { return s.Unknown }},
-		{"connection refused or broken", color.RGBA{120, 120, 120, 255}, func(s SecondCounts) int { return s.Unheard }},
+		{"refused before they ran", color.RGBA{200, 130, 0, 255}, func(s SecondCounts) int { return s.Rejected }},
+		{"not known", color.RGBA{190, 0, 0, 255}, func(s SecondCounts) int { return s.Indeterminate }},
+		{"connection refused or broken", color.RGBA{120, 120, 120, 255}, func(s SecondCounts) int { return s.Unanswered }},
 	} {
 		xy := make(plotter.XYs, len(seconds))
 		for i, s := range seconds {
--- a/internal/testbed/processtest/play.go
+++ b/internal/testbed/processtest/play.go
@@ -38,12 +38,12 @@
 
 // Outcome is what became of a run.
 type Outcome struct {
-	Violations           []string // rules, with all that is known of the request
-	Answered, Unanswered int
-	Served, Refused      int
-	Upgrades, Starts     int
-	Calls                int // that the vault has read
-	Wiped, Unknown       int // of a group: disks lost; answers that nobody knows
+	Violations               []string // rules, with all that is known of the request
+	Answered, Unanswered     int
+	Served, Rejected         int
+	Upgrades, Starts         int
+	Calls                    int // that the vault has read
+	DisksLost, Indeterminate int // of a group: disks lost; answers that nobody knows
 }
 
 const (
@@ -98,12 +98,12 @@
 	}
 	if p.vault != nil {
 		defer p.vault.Close()
-		p.srv.Vault = p.vault.Addr()
+		p.srv.VaultAddress = p.vault.Addr()
 	}
 	if script.Store {
-		p.srv.Store = filepath.Join(dir, "store.toml")
+		p.srv.StoreFile = filepath.Join(dir, "store.toml")
 		text := fmt.Sprintf("driver = \"sqlite\"\ndsn = %q\ntimeout_ms = 30000\n", filepath.Join(dir, "intakes.db"))
-		if err := os.WriteFile(p.srv.Store, []byte(text), 0o600); err != nil {
+		if err := os.WriteFile(p.srv.StoreFile, []byte(text), 0o600); err != nil {
 			return out, err
 		}
 	}
@@ -260,7 +260,7 @@
 			p.mu.Lock()
 			cfg["settings"] = p.settings()
 			p.mu.Unlock()
-			if err := q.Rewrite(cfg); err == nil {
+			if err := q.WriteConfig(cfg); err == nil {
 				_ = q.Signal(syscall.SIGHUP)
 			}
 		}
@@ -337,7 +337,7 @@
 				}
 			}
 			sent := time.Now()
-			a, err := c.Send(calling, body, body, sent)
+			a, err := c.Send(Request{Class: calling, Key: body, Body: body, ArrivedAt: sent})
 			var r thrift.Reply
 			if err == nil {
 				r, err = a.Await()
@@ -356,7 +356,7 @@
 				break
 			}
 			if r.Kind == thrift.ReplyThrottled {
-				p.count(func(o *Outcome) { o.Refused++ })
+				p.count(func(o *Outcome) { o.Rejected++ })
 				if runs := p.srv.RunLog.before(body, sent); len(runs) > 0 && p.knows(runs) {
 					p.broken("refused: %s, though it had run by then: %v", body, runs)
 				}
--- a/internal/testbed/processtest/playcalls.go
+++ b/internal/testbed/processtest/playcalls.go
@@ -42,7 +42,7 @@
 		}
 		p.vault.Break()
 		time.Sleep(time.Duration(rng.IntN(100)) * time.Millisecond)
-		if err := p.vault.AwaitConnection(); err != nil {
+		if err := p.vault.AcceptConnections(); err != nil {
 			p.log("vault: %v", err)
 		}
 	}
--- a/internal/testbed/processtest/pool.go
+++ b/internal/testbed/processtest/pool.go
@@ -113,8 +113,8 @@
 	return p.checks
 }
 
-// Leave breaks the link, and leaves those to come unbound until Return.
-func (p *Pool) Leave() {
+// Disconnect breaks the link, and leaves those to come unbound until Return.
+func (p *Pool) Disconnect() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.away = true
@@ -124,8 +124,8 @@
 	}
 }
 
-// Return binds the link that has come meanwhile, and those to come.
-func (p *Pool) Return() {
+// Reconnect binds the link that has come meanwhile, and those to come.
+func (p *Pool) Reconnect() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.away = false
@@ -169,8 +169,8 @@
 	}
 }
 
-// AwaitBound is the notice that the next link asked to be bound with.
-func (p *Pool) AwaitBound() (uint64, error) { return await(p.binds, "a link to the worker pool") }
+// AwaitBind is the notice that the next link asked to be bound with.
+func (p *Pool) AwaitBind() (uint64, error) { return await(p.binds, "a link to the worker pool") }
 
 // UnexpectedCommands are the IDs of replies that came for runs that waited for none.
 func (p *Pool) UnexpectedCommands() []string {
--- a/internal/testbed/processtest/process.go
+++ b/internal/testbed/processtest/process.go
@@ -39,19 +39,19 @@
 
 // Server is one log server, of which several processes may live at once.
 type Server struct {
-	Program  string
-	Dir      string // $TMPDIR of its processes
-	Listen   string
-	Settings json.RawMessage
-	StopMS   int
-	MemoryMB int
-	Name     string // "": n0
-	Store    string // the file that names a store of record; "": none
-	Copies   string // the file that names a group that holds copies; "": none
-	Vault    string // its address, for settings with calls; "": none
-	RunLog   *RunLog
-	mu       sync.Mutex
-	all      []*Process
+	Program         string
+	Dir             string // $TMPDIR of its processes
+	Listen          string
+	Settings        json.RawMessage
+	StopMS          int
+	MemoryMB        int
+	Name            string // "": n0
+	StoreFile       string // the file that names a store of record; "": none
+	ReplicationFile string // the file that names a group that holds copies; "": none
+	VaultAddress    string // its address, for settings with calls; "": none
+	RunLog          *RunLog
+	mu              sync.Mutex
+	all             []*Process
 }
 
 // Process is one process of a log server, with its own address of the worker pool.
@@ -122,19 +122,19 @@
 	}
 	cfg := map[string]any{"name": name, "listen": s.Listen, "pool": pool.Addr(), "admin": admin, "stop_ms": s.StopMS, "seed": "8c1f30d27a5be964",
 		"limits": map[string]any{"cores": 1.0, "memory_mb": s.MemoryMB, "sockets": 512}, "settings": s.Settings}
-	if s.Vault != "" {
-		cfg["vault"] = s.Vault
+	if s.VaultAddress != "" {
+		cfg["vault"] = s.VaultAddress
 	}
 	if change != nil {
 		change(cfg)
 	}
 	p := &Process{Admin: admin, Pool: pool, done: make(chan struct{})}
 	p.Config = filepath.Join(s.Dir, fmt.Sprintf("config-%s.json", strings.ReplaceAll(admin, ":", "-")))
-	if err := p.Rewrite(cfg); err != nil {
+	if err := p.WriteConfig(cfg); err != nil {
 		return nil, err
 	}
 	p.cmd = exec.Command(s.Program)
-	p.cmd.Env = append(os.Environ(), "TMPDIR="+s.Dir, "RELAY_CONFIG="+p.Config, "RELAY_NAME=", "RELAY_LISTEN=", "RELAY_ADMIN=", "RELAY_AJP=", "RELAY_STORE="+s.Store, "RELAY_COPIES="+s.Copies, "RELAY_FLEET=", "WALL_FAULT="+filepath.Join(s.Dir, "wall"))
+	p.cmd.Env = append(os.Environ(), "TMPDIR="+s.Dir, "RELAY_CONFIG="+p.Config, "RELAY_NAME=", "RELAY_LISTEN=", "RELAY_ADMIN=", "RELAY_AJP=", "RELAY_STORE="+s.StoreFile, "RELAY_COPIES="+s.ReplicationFile, "RELAY_FLEET=", "WALL_FAULT="+filepath.Join(s.Dir, "wall"))
 	p.cmd.Dir = s.Dir
 	p.cmd.Stderr = &p.log
 	if err := p.cmd.Start(); err != nil {
@@ -205,8 +205,8 @@
 	return json.Marshal(set)
 }
 
-// Rewrite writes the configuration file anew.
-func (p *Process) Rewrite(cfg any) error {
+// WriteConfig writes the configuration file anew.
+func (p *Process) WriteConfig(cfg any) error {
 	text, err := json.Marshal(cfg)
 	if err != nil {
 		return err
@@ -281,8 +281,8 @@
 // Log is what the process has logged.
 func (p *Process) Log() string { return p.log.String() }
 
-// Call has an operator call; it returns the status and the body.
-func (p *Process) Call(method, path string) (int, string, error) {
+// AdminCall has an operator call; it returns the status and the body.
+func (p *Process) AdminCall(method, path string) (int, string, error) {
 	req, err := http.NewRequest(method, "http://"+p.Admin+path, nil)
 	if err != nil {
 		return 0, "", err
@@ -302,7 +302,7 @@
 		if p.Ended() {
 			return fmt.Errorf("procs: the process has ended: %w\n%s", p.err, p.Log())
 		}
-		if status, _, err := p.Call(http.MethodGet, "/control/ready"); err == nil && status == http.StatusOK {
+		if status, _, err := p.AdminCall(http.MethodGet, "/control/ready"); err == nil && status == http.StatusOK {
 			return nil
 		}
 	}
--- a/internal/testbed/processtest/vault.go
+++ b/internal/testbed/processtest/vault.go
@@ -54,7 +54,7 @@
 	}
 	v := &Vault{addr: addr, conns: map[*vaultConn]bool{}, status: func(*Call) vault.Status { return vault.Yes }, open: map[string]*Call{},
 		asked: make(chan *Call, 1<<16), given: make(chan string, 1<<16)}
-	return v, v.AwaitConnection()
+	return v, v.AcceptConnections()
 }
 
 // Addr is where it listens.
@@ -85,8 +85,8 @@
 	}
 }
 
-// AwaitConnection has connections accepted again, at the same address, where they are refused.
-func (v *Vault) AwaitConnection() error {
+// AcceptConnections has connections accepted again, at the same address, where they are refused.
+func (v *Vault) AcceptConnections() error {
 	v.mu.Lock()
 	listens := v.ln != nil
 	v.mu.Unlock()
