--- /dev/null
+++ b/internal/testbed/processtest/build.go
@@ -0,0 +1,19 @@
+package processtest
+
+import (
+	"fmt"
+	"os/exec"
+	"path/filepath"
+	"strings"
+)
+
+// Build builds the program from the module's root into dir and returns its path.
+func Build(root, dir string, tags ...string) (string, error) {
+	path := filepath.Join(dir, "pewterline")
+	command := exec.Command("go", "build", "-tags", strings.Join(tags, ","), "-o", path, "./cmd/pewterline")
+	command.Dir = root
+	if output, err := command.CombinedOutput(); err != nil {
+		return "", fmt.Errorf("processtest: build: %w: %s", err, output)
+	}
+	return path, nil
+}
--- /dev/null
+++ b/internal/testbed/processtest/cluster_fixture_test.go
@@ -0,0 +1,178 @@
+package processtest
+
+import (
+	"encoding/json"
+	"fmt"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"sync"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"pewterline/internal/protocol/thrift"
+)
+
+// fixtureSettings returns the settings of the configuration's fixture.
+func fixtureSettings(t *testing.T) json.RawMessage {
+	t.Helper()
+	text, err := os.ReadFile("../../config/testdata/config.json")
+	require.NoError(t, err)
+	var file struct{ Settings json.RawMessage }
+	require.NoError(t, json.Unmarshal(text, &file))
+	return file.Settings
+}
+
+// faultyProgram builds the program with the tag faults, once for all tests.
+var faultyProgram = sync.OnceValues(func() (string, error) {
+	dir, err := os.MkdirTemp("", "pwbin")
+	if err != nil {
+		return "", err
+	}
+	return Build("../../..", dir, "faults")
+})
+
+func TestMain(m *testing.M) {
+	code := m.Run()
+	if path, err := faultyProgram(); err == nil {
+		// A folder that stays behind below the system's temporary one harms nobody.
+		_ = os.RemoveAll(filepath.Dir(path))
+	}
+	os.Exit(code)
+}
+
+// testCluster is a cluster that ends with its test.
+type testCluster struct {
+	*Cluster
+	t *testing.T
+}
+
+// startCluster starts servers, which bootstrap a group.
+func startCluster(t *testing.T, servers, replicas int, extraLines ...string) *testCluster {
+	t.Helper()
+	program, err := faultyProgram()
+	require.NoError(t, err)
+	cluster, err := NewCluster(ClusterConfig{
+		Program:    program,
+		Settings:   LongRetention(fixtureSettings(t)),
+		Servers:    servers,
+		Replicas:   replicas,
+		ExtraLines: extraLines,
+	})
+	require.NoError(t, err)
+	t.Cleanup(func() {
+		if t.Failed() {
+			t.Log(cluster.Log())
+		}
+		require.NoError(t, cluster.Close())
+	})
+	require.NoError(t, cluster.StartAll())
+	return &testCluster{Cluster: cluster, t: t}
+}
+
+// servedResult is the outcome of a request that was served.
+func servedResult(key string) RequestOutcome {
+	return RequestOutcome{Kind: thrift.ReplyAnswer, Result: "did " + key}
+}
+
+// sendIntake sends a request with an idempotency key to a server, and waits for its reply.
+func (c *testCluster) sendIntake(id int, key string, retry bool) RequestOutcome {
+	c.t.Helper()
+	request := NewIntake(key)
+	request.Retry = retry
+	outcome, err := c.Send(id, request)
+	require.NoError(c.t, err)
+	return outcome
+}
+
+// requireIndeterminate requires what a caller hears where nobody knows whether its request ran: it failed, with no
+// promise.
+func (c *testCluster) requireIndeterminate(id int, key string) {
+	c.t.Helper()
+	outcome := c.sendIntake(id, key, true)
+	require.Equal(c.t, thrift.ReplyBroken, outcome.Kind, "%s at server %d", key, id)
+}
+
+// loseMachine has a machine lost with its disk.
+func (c *testCluster) loseMachine(id int) {
+	c.t.Helper()
+	require.NoError(c.t, c.Kill(id))
+	require.NoError(c.t, c.Wipe(id))
+}
+
+// restart has lost servers come back, and waits until the group is stable.
+func (c *testCluster) restart(ids ...int) {
+	c.t.Helper()
+	for _, id := range ids {
+		require.NoError(c.t, c.Start(id))
+	}
+	require.NoError(c.t, c.AwaitStable())
+}
+
+// sendAsync sends a request to the first server, whose reply is waited for later, or never.
+func (c *testCluster) sendAsync(key string) PendingRequest {
+	c.t.Helper()
+	conn, err := Dial(c.Servers[0].Listen)
+	require.NoError(c.t, err)
+	c.t.Cleanup(conn.Close)
+	pending, err := conn.Send(NewIntake(key))
+	require.NoError(c.t, err)
+	return pending
+}
+
+// changeMembers gives an administrative command, and waits until the group has changed by it.
+func (c *testCluster) changeMembers(id int, command string) {
+	c.t.Helper()
+	before, err := c.State(id)
+	require.NoError(c.t, err)
+	require.NoError(c.t, c.AdminCall(id, command))
+	c.awaitMembers(id, before.Epoch)
+}
+
+// awaitMembers waits until a change of members that began at an epoch has ended.
+func (c *testCluster) awaitMembers(id int, epoch uint64) {
+	c.t.Helper()
+	require.NoError(c.t, c.Eventually(func() error {
+		state, err := c.State(id)
+		if err == nil && state.Epoch < epoch+2 {
+			err = fmt.Errorf("%+v", state)
+		}
+		return err
+	}))
+	require.NoError(c.t, c.AwaitStable())
+}
+
+// awaitKey waits until a server holds a key, of a kind.
+func (c *testCluster) awaitKey(id int, key, kind string) {
+	c.t.Helper()
+	wanted := func(k ExportedKey) bool { return strings.HasSuffix(k.Key, "\x00"+key) && k.Kind == kind }
+	require.NoError(c.t, c.Eventually(func() error {
+		held, err := c.Export(id)
+		if err == nil && !slices.ContainsFunc(held, wanted) {
+			err = fmt.Errorf("%v", held)
+		}
+		return err
+	}))
+}
+
+// serveIntakes has requests served, each at one server in turn, and returns their keys.
+func (c *testCluster) serveIntakes(count int, ids ...int) (keys []string) {
+	c.t.Helper()
+	for i := range count {
+		key := fmt.Sprint("lot ", i)
+		require.Equal(c.t, servedResult(key), c.sendIntake(ids[i%len(ids)], key, false))
+		keys = append(keys, key)
+	}
+	return keys
+}
+
+// requireServed requires that a server knows the results of all keys, and that none ran twice.
+func (c *testCluster) requireServed(id int, keys []string) {
+	c.t.Helper()
+	for _, key := range keys {
+		require.Equal(c.t, servedResult(key), c.sendIntake(id, key, true), "%s at server %d", key, id)
+	}
+	require.Empty(c.t, c.RunLog.DuplicateRuns())
+}
--- /dev/null
+++ b/internal/testbed/processtest/clusterplay/history.go
@@ -0,0 +1,95 @@
+package clusterplay
+
+import (
+	"slices"
+	"sync"
+	"time"
+
+	"github.com/anishathalye/porcupine"
+
+	"pewterline/internal/protocol/thrift"
+	"pewterline/internal/testbed/processtest"
+)
+
+// history is what callers sent and were told. It may be used from any goroutine.
+type history struct {
+	mu         sync.Mutex
+	operations []porcupine.Operation // inputs are keys, outputs are processtest.RequestOutcome
+}
+
+func (h *history) record(caller int, key string, outcome processtest.RequestOutcome, began, ended time.Duration) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.operations = append(h.operations, porcupine.Operation{
+		ClientId: caller,
+		Input:    key,
+		Output:   outcome,
+		Call:     int64(began),
+		Return:   int64(ended),
+	})
+}
+
+// all returns the operations in the order of their ends.
+func (h *history) all() []porcupine.Operation {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return slices.Clone(h.operations)
+}
+
+// served returns the keys of the requests that were served, each once.
+func (h *history) served() (keys []string) {
+	seen := map[string]bool{}
+	for _, operation := range h.all() {
+		key := inputKey(operation.Input)
+		if outputOf(operation.Output).Kind == thrift.ReplyAnswer && !seen[key] {
+			seen[key] = true
+			keys = append(keys, key)
+		}
+	}
+	return keys
+}
+
+// inputKey returns the key of an operation; porcupine holds inputs as any.
+func inputKey(input any) string {
+	key, _ := input.(string)
+	return key
+}
+
+// outputOf returns what the caller of an operation was told; porcupine holds outputs as any.
+func outputOf(output any) processtest.RequestOutcome {
+	outcome, _ := output.(processtest.RequestOutcome)
+	return outcome
+}
+
+// runOnceModel is what callers may be told of a request, one after the other: once it is served, it is served with that
+// result, and it is not rejected. A request that nobody was told of may have run or not. The state of the model is the
+// result that was served; "": none.
+var runOnceModel = porcupine.Model{
+	Partition: partitionByKey,
+	Init:      func() any { return "" },
+	Step: func(state, _, output any) (possible bool, next any) {
+		result, _ := state.(string)
+		outcome := outputOf(output)
+		switch outcome.Kind {
+		case thrift.ReplyAnswer:
+			return result == "" || result == outcome.Result, outcome.Result
+		case thrift.ReplyThrottled:
+			return result == "", result
+		default:
+			return true, result
+		}
+	},
+}
+
+// partitionByKey splits a history into those of the single requests.
+func partitionByKey(operations []porcupine.Operation) (partitions [][]porcupine.Operation) {
+	byKey := map[string][]porcupine.Operation{}
+	for _, operation := range operations {
+		key := inputKey(operation.Input)
+		byKey[key] = append(byKey[key], operation)
+	}
+	for _, partition := range byKey {
+		partitions = append(partitions, partition)
+	}
+	return partitions
+}
--- a/internal/testbed/processtest/measure/measure.go
+++ b/internal/testbed/processtest/measure/measure.go
@@ -100,8 +100,8 @@
 		if err != nil {
 			return r, err
 		}
-		r.SyncsEach += float64(s.Counters.Syncs) / float64(r.Served)
-		r.BytesEach += float64(s.Counters.Bytes) / float64(r.Served)
+		r.SyncsEach += float64(s.Counters.DiskSyncs) / float64(r.Served)
+		r.BytesEach += float64(s.Counters.DiskBytes) / float64(r.Served)
 	}
 	return r, nil
 }
--- a/internal/testbed/processtest/pool.go
+++ b/internal/testbed/processtest/pool.go
@@ -10,89 +10,124 @@
 	"pewterline/internal/protocol/pool"
 )
 
-// noticesKept are the notices that a worker pool can tell again.
-const noticesKept = 4000
+const (
+	// maxKeptNotices is how many notices a worker pool can send again to a connection that has missed them.
+	maxKeptNotices = 4000
+	// startedBuffer and bindBuffer are far more than any test waits for; what comes beyond them is not told.
+	startedBuffer = 1 << 16
+	bindBuffer    = 1 << 10
+)
 
-// Pool is a worker pool at one address. A result is "did " and the body, and for each call that the run made " got " and its reply.
+// Pool is a worker pool at an address of its own. The result of a run is "did " and its body, and for each call that
+// the run made " got " and the reply.
 type Pool struct {
-	ln       net.Listener
-	ledger   *RunLog
-	mu       sync.Mutex
-	link     net.Conn // the one that is bound; nil: none
-	unbound  *bind    // waits for its answer while the pool is away
-	away     bool
-	notices  [][]byte
-	hold     bool
-	frozen   bool
-	checkEnd pool.Outcome // of deep health checks; 0: they get no answer
-	checks   int
-	calls    map[string]int      // that a run makes, by class
-	runs     map[string]*poolRun // that have not ended, by ID
-	over     map[string]bool     // requests that wait for no answer any more, by ID
-	started  chan string         // bodies, as their runs begin
-	binds    chan uint64         // the notices that links were bound with
-	strays   []string            // IDs of supplies that no run waited for
-	took     time.Duration       // of a run on one of slots; 0: none
-	slots    chan struct{}
-}
-
-// bind is a log server's wish to use a link.
-type bind struct {
-	link net.Conn
-	seen uint64
-}
-
-// NewPool opens a worker pool that ends each run at once.
-func NewPool(l *RunLog) (*Pool, error) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	listener net.Listener
+	runLog   *RunLog
+	started  chan string // bodies, as their runs begin
+	binds    chan uint64 // the last notices that connections were bound with
+
+	mu           sync.Mutex
+	bound        net.Conn     // the connection in use; nil: none
+	unbound      *bindRequest // waits for its answer while the pool is disconnected
+	disconnected bool
+	frozen       bool
+	notices      [][]byte
+	checkOutcome pool.Outcome // of deep health checks; 0: they get no answer
+	checks       int
+	runs         map[string]*poolRun // that have not ended, by ID
+	callsPerRun  map[string]int      // by class
+	finishEarly  map[string]bool     // IDs of requests that wait for no answer any more
+	unexpected   []string            // IDs of replies to calls that no run waited for
+	holdsRuns    bool
+	runDuration  time.Duration // of a run on a slot; 0: it ends at once
+	slots        chan struct{}
+}
+
+// bindRequest is a server's wish to use a connection.
+type bindRequest struct {
+	conn       net.Conn
+	lastNotice uint64 // that the server has seen
+}
+
+// NewPool opens a worker pool that ends each run at once. Its goroutines end with Close and with their connections.
+func NewPool(runLog *RunLog) (*Pool, error) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	p := &Pool{ln: ln, ledger: l, checkEnd: pool.Pass, calls: map[string]int{}, runs: map[string]*poolRun{}, over: map[string]bool{},
-		started: make(chan string, 1<<16), binds: make(chan uint64, 1<<10)}
-	go func() {
-		for {
-			c, err := ln.Accept()
-			if err != nil {
-				return
-			}
-			go p.serve(c)
+	workers := &Pool{
+		listener:     listener,
+		runLog:       runLog,
+		started:      make(chan string, startedBuffer),
+		binds:        make(chan uint64, bindBuffer),
+		checkOutcome: pool.Pass,
+		runs:         map[string]*poolRun{},
+		callsPerRun:  map[string]int{},
+		finishEarly:  map[string]bool{},
+	}
+	// The pool owns this goroutine; Close ends it.
+	go workers.accept()
+	return workers, nil
+}
+
+func (p *Pool) accept() {
+	for {
+		conn, err := p.listener.Accept()
+		if err != nil {
+			return
 		}
-	}()
-	return p, nil
+		// The connection owns this goroutine, which ends with it.
+		go p.serve(conn)
+	}
 }
 
-// Addr is where it listens.
-func (p *Pool) Addr() string { return p.ln.Addr().String() }
+// Addr returns the address that the pool listens on.
+func (p *Pool) Addr() string { return p.listener.Addr().String() }
 
-// Close ends it.
-func (p *Pool) Close() { _ = p.ln.Close() }
+// Close has the pool accept no more connections. Those that are open end with the server's process.
+func (p *Pool) Close() {
+	// Only a listener that is closed already fails to close.
+	_ = p.listener.Close()
+}
 
 // Hold has runs wait from now on as they begin, until Release.
 func (p *Pool) Hold() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.hold = true
+	p.holdsRuns = true
+}
+
+// Release has all runs that are held go on, and those to come not wait.
+func (p *Pool) Release() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.holdsRuns = false
+	for _, run := range p.runs {
+		if run.held {
+			p.advance(run)
+		}
+	}
 }
 
 // SetCallsPerRun has each run of a class from now on make so many calls, one after the other.
 func (p *Pool) SetCallsPerRun(class string, calls int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.calls[class] = calls
+	p.callsPerRun[class] = calls
 }
 
-// FinishRun says that a request waits for no answer any more: its run ends at the call that it waits for, or at its next one.
+// FinishRun says that a request waits for no answer any more: its run ends at the call that it waits for, or at its
+// next one.
 func (p *Pool) FinishRun(id string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.over[id] = true
-	if r := p.runs[id]; r != nil && r.blocked {
-		p.end(r, pool.Killed)
+	p.finishEarly[id] = true
+	if run := p.runs[id]; run != nil && run.blocked {
+		p.end(run, pool.Killed)
 	}
 }
 
-// Freeze has the worker pool read nothing more: commands stay on their way.
+// Freeze has the pool read nothing more: commands stay on their way.
 func (p *Pool) Freeze() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -100,35 +135,36 @@
 }
 
 // AnswerChecksWith sets how deep health checks end from now on; 0: they get no answer.
-func (p *Pool) AnswerChecksWith(end pool.Outcome) {
+func (p *Pool) AnswerChecksWith(outcome pool.Outcome) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.checkEnd = end
+	p.checkOutcome = outcome
 }
 
-// Checks counts the deep health checks that were asked for.
+// Checks returns the number of deep health checks that were asked for.
 func (p *Pool) Checks() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.checks
 }
 
-// Disconnect breaks the link, and leaves those to come unbound until Return.
+// Disconnect breaks the connection, and leaves those to come unbound until Reconnect.
 func (p *Pool) Disconnect() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.away = true
-	if p.link != nil {
-		_ = p.link.Close()
-		p.link = nil
+	p.disconnected = true
+	if p.bound != nil {
+		// The server sees the end of the connection however it ends.
+		_ = p.bound.Close()
+		p.bound = nil
 	}
 }
 
-// Reconnect binds the link that has come meanwhile, and those to come.
+// Reconnect binds the connection that has come meanwhile, and those to come.
 func (p *Pool) Reconnect() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.away = false
+	p.disconnected = false
 	if p.unbound != nil {
 		p.bind(*p.unbound)
 		p.unbound = nil
@@ -136,54 +172,36 @@
 }
 
 // Slow has each run from now on take a while on one of so many slots.
-func (p *Pool) Slow(slots int, took time.Duration) {
+func (p *Pool) Slow(slots int, runDuration time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.slots, p.took = make(chan struct{}, slots), took
+	p.slots = make(chan struct{}, slots)
+	p.runDuration = runDuration
 }
 
-// Release has all runs that wait go on, and those to come not wait.
-func (p *Pool) Release() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.hold = false
-	for _, r := range p.runs {
-		if r.held {
-			p.advance(r)
-		}
-	}
-}
-
-// AwaitStart returns when a run with that body has begun.
+// AwaitStart returns once a run with a body has begun.
 func (p *Pool) AwaitStart(body string) error {
-	late := time.After(Patience)
+	timeout := time.After(Patience)
 	for {
 		select {
-		case b := <-p.started:
-			if b == body {
+		case started := <-p.started:
+			if started == body {
 				return nil
 			}
-		case <-late:
-			return fmt.Errorf("procs: %s was not run", body)
+		case <-timeout:
+			return fmt.Errorf("processtest: await the run of %s: %w", body, ErrTimeout)
 		}
 	}
 }
 
-// AwaitBind is the notice that the next link asked to be bound with.
-func (p *Pool) AwaitBind() (uint64, error) { return await(p.binds, "a link to the worker pool") }
+// AwaitBind waits for the next connection to be bound, and returns the last notice that it was bound with.
+func (p *Pool) AwaitBind() (lastNotice uint64, err error) {
+	return receive(p.binds, "a connection to the worker pool")
+}
 
-// UnexpectedCommands are the IDs of replies that came for runs that waited for none.
+// UnexpectedCommands returns the IDs of replies that came for runs that waited for none.
 func (p *Pool) UnexpectedCommands() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return slices.Clone(p.strays)
-}
-
-func await[T any](from <-chan T, what string) (v T, err error) {
-	select {
-	case v = <-from:
-		return v, nil
-	case <-time.After(Patience):
-		return v, fmt.Errorf("procs: %s has not come", what)
-	}
+	return slices.Clone(p.unexpected)
 }
--- /dev/null
+++ b/internal/testbed/processtest/relay_test.go
@@ -0,0 +1,89 @@
+package processtest
+
+import (
+	"io"
+	"net"
+	"os"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"pewterline/internal/testbed/faults"
+)
+
+// relayedPair returns a connection through a relay, both of its ends.
+func relayedPair(t *testing.T) (relay *Relay, client, server net.Conn) {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	require.NoError(t, err)
+	defer func() { require.NoError(t, listener.Close()) }()
+	relay, err = NewRelay(listener.Addr().String())
+	require.NoError(t, err)
+	t.Cleanup(relay.Close)
+	client, err = net.Dial("tcp", relay.Addr())
+	require.NoError(t, err)
+	server, err = listener.Accept()
+	require.NoError(t, err)
+	t.Cleanup(func() { closeBoth(client, server) })
+	for _, conn := range []net.Conn{client, server} {
+		require.NoError(t, conn.SetReadDeadline(time.Now().Add(Patience)))
+	}
+	return relay, client, server
+}
+
+func requireWrite(t *testing.T, conn net.Conn, text string) {
+	t.Helper()
+	_, err := conn.Write([]byte(text))
+	require.NoError(t, err)
+}
+
+func requireRead(t *testing.T, conn net.Conn, want string) {
+	t.Helper()
+	got := make([]byte, len(want))
+	_, err := io.ReadFull(conn, got)
+	require.NoError(t, err)
+	require.Equal(t, want, string(got))
+}
+
+// requireNothing requires that nothing can be read for a moment.
+func requireNothing(t *testing.T, conn net.Conn, reason string) {
+	t.Helper()
+	require.NoError(t, conn.SetReadDeadline(time.Now().Add(20*time.Millisecond)))
+	_, err := conn.Read(make([]byte, 1))
+	require.ErrorIs(t, err, os.ErrDeadlineExceeded, reason)
+	require.NoError(t, conn.SetReadDeadline(time.Now().Add(Patience)))
+}
+
+// Each fault does what its name says, in its direction alone.
+func TestRelay(t *testing.T) {
+	relay, client, server := relayedPair(t)
+	requireWrite(t, client, "one")
+	requireRead(t, server, "one")
+	relay.Hold(Forward)
+	requireWrite(t, client, "two")
+	requireWrite(t, server, "back")
+	requireRead(t, client, "back")
+	requireNothing(t, server, "held")
+	relay.Heal()
+	requireRead(t, server, "two")
+	relay.Drop(Backward)
+	requireWrite(t, server, "lost")
+	requireWrite(t, client, "three")
+	requireRead(t, server, "three")
+	requireNothing(t, client, "lost")
+	relay.Heal()
+	began := time.Now()
+	relay.AddLatency(30*time.Millisecond, Forward)
+	requireWrite(t, client, "late")
+	requireRead(t, server, "late")
+	require.GreaterOrEqual(t, time.Since(began), 30*time.Millisecond)
+	relay.Heal()
+	relay.Cut(2, Forward)
+	requireWrite(t, client, "four")
+	requireRead(t, server, "fo")
+	_, err := server.Read(make([]byte, 1))
+	require.Error(t, err, "cut in the middle")
+	_, err = relay.Apply(faults.Fault{Kind: faults.TrafficSurge})
+	require.ErrorContains(t, err, "no fault of a relay")
+}
--- a/internal/testbed/processtest/runlog.go
+++ b/internal/testbed/processtest/runlog.go
@@ -8,39 +8,41 @@
 	"time"
 )
 
-// RunRecord is one run.
+// RunRecord is one run at a worker pool.
 type RunRecord struct {
-	ID string
-	By *Pool
-	At time.Time
+	ID    string
+	Pool  *Pool
+	Began time.Time
 }
 
-// RunLog is what was run, by all worker pools of a log server.
+// RunLog records what the worker pools of all processes of a server or a cluster have run.
 type RunLog struct {
-	NamedResults bool // results name the run that made them; set before any run
-	mu           sync.Mutex
-	runs         map[string][]RunRecord // by body
+	// NamedResults has the results name the run that made them. It is set before any run.
+	NamedResults bool
+
+	mu   sync.Mutex
+	runs map[string][]RunRecord // by body
 }
 
-// NewRunLog returns an empty one.
+// NewRunLog returns an empty run log.
 func NewRunLog() *RunLog { return &RunLog{runs: map[string][]RunRecord{}} }
 
-func (l *RunLog) ran(body, id string, by *Pool) {
+func (l *RunLog) record(body, id string, pool *Pool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.runs[body] = append(l.runs[body], RunRecord{id, by, time.Now()})
+	l.runs[body] = append(l.runs[body], RunRecord{ID: id, Pool: pool, Began: time.Now()})
 }
 
-// Runs are the runs with a body.
+// Runs returns the runs with a body.
 func (l *RunLog) Runs(body string) []RunRecord {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return slices.Clone(l.runs[body])
 }
 
-// before are the runs with a body that began before a time.
-func (l *RunLog) before(body string, at time.Time) []RunRecord {
-	return slices.DeleteFunc(l.Runs(body), func(r RunRecord) bool { return !r.At.Before(at) })
+// runsBefore returns the runs with a body that began before a time.
+func (l *RunLog) runsBefore(body string, at time.Time) []RunRecord {
+	return slices.DeleteFunc(l.Runs(body), func(r RunRecord) bool { return !r.Began.Before(at) })
 }
 
 func (l *RunLog) all() map[string][]RunRecord {
@@ -49,12 +51,12 @@
 	return maps.Clone(l.runs)
 }
 
-// DuplicateRuns are the bodies that ran more than once.
-func (l *RunLog) DuplicateRuns() (out []string) {
+// DuplicateRuns describes the bodies that ran more than once.
+func (l *RunLog) DuplicateRuns() (duplicates []string) {
 	for body, runs := range l.all() {
 		if len(runs) > 1 {
-			out = append(out, fmt.Sprintf("%s: %v", body, runs))
+			duplicates = append(duplicates, fmt.Sprintf("%s: %v", body, runs))
 		}
 	}
-	return out
+	return duplicates
 }
--- a/internal/testbed/processtest/vault.go
+++ b/internal/testbed/processtest/vault.go
@@ -1,66 +1,56 @@
 package processtest
 
 import (
-	"errors"
 	"fmt"
 	"net"
-	"os"
 	"sync"
 	"time"
 
 	"pewterline/internal/protocol/vault"
 )
 
-// vaultIdle is how long the vault keeps a connection on which no call is open.
-const vaultIdle = 10 * time.Second
+// callBuffer is far more than any test waits for; what comes beyond it is not told.
+const callBuffer = 1 << 16
 
-// Vault is a vault at one address. The reply to a call is "kept " and its body.
+// Vault is a vault at an address of its own. The reply to a call is "kept " and the call's body.
 type Vault struct {
-	addr   string
-	mu     sync.Mutex
-	ln     net.Listener // nil: connections are refused
-	conns  map[*vaultConn]bool
-	lastID int
-	status func(*Call) vault.Status
-	took   time.Duration
-	hold   bool
-	made   []*Call          // all of them, in their order
-	open   map[string]*Call // by ID
-	asked  chan *Call
-	given  chan string // IDs of calls that were given up by unask
-}
-
-// vaultConn is one connection to the vault.
-type vaultConn struct {
-	number int
-	link   net.Conn
-}
-
-// Call is one call that the vault was asked for.
-type Call struct {
-	ID, Body  string
-	TimeoutMS int          // how long the log server waits
-	Conn      int          // the number of its connection
-	Status    vault.Status // the reply; 0: none. Of calls that Calls has returned
-	vault     *Vault
-	on        *vaultConn
-}
-
-// NewVault opens a vault that answers each call at once.
+	address   string
+	asked     chan *Call
+	abandoned chan string // IDs of calls that the server has given up
+
+	mu         sync.Mutex
+	listener   net.Listener // nil: connections are refused
+	conns      map[*vaultConn]bool
+	lastConn   int
+	drawStatus func(*Call) vault.Status // of the replies
+	duration   time.Duration            // of a call; 0: it is answered at once
+	holdsCalls bool
+	calls      []*Call          // all of them, in their order
+	open       map[string]*Call // by ID
+}
+
+// NewVault opens a vault that answers each call at once. Its goroutines end with Close and with their connections.
 func NewVault() (*Vault, error) {
-	addr, err := FreeAddress() // a port that no connection gets while connections are refused
+	// A port that no connection gets while connections are refused.
+	address, err := FreeAddress()
 	if err != nil {
 		return nil, err
 	}
-	v := &Vault{addr: addr, conns: map[*vaultConn]bool{}, status: func(*Call) vault.Status { return vault.Yes }, open: map[string]*Call{},
-		asked: make(chan *Call, 1<<16), given: make(chan string, 1<<16)}
+	v := &Vault{
+		address:    address,
+		asked:      make(chan *Call, callBuffer),
+		abandoned:  make(chan string, callBuffer),
+		conns:      map[*vaultConn]bool{},
+		drawStatus: func(*Call) vault.Status { return vault.Yes },
+		open:       map[string]*Call{},
+	}
 	return v, v.AcceptConnections()
 }
 
-// Addr is where it listens.
-func (v *Vault) Addr() string { return v.addr }
+// Addr returns the address that the vault listens on.
+func (v *Vault) Addr() string { return v.address }
 
-// Close ends it.
+// Close refuses connections and breaks those that are open.
 func (v *Vault) Close() {
 	v.RejectConnections()
 	v.Break()
@@ -70,9 +60,10 @@
 func (v *Vault) RejectConnections() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if v.ln != nil {
-		_ = v.ln.Close()
-		v.ln = nil
+	if v.listener != nil {
+		// Only a listener that is closed already fails to close.
+		_ = v.listener.Close()
+		v.listener = nil
 	}
 }
 
@@ -80,27 +71,28 @@
 func (v *Vault) Break() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	for c := range v.conns {
-		_ = c.link.Close()
+	for conn := range v.conns {
+		conn.close()
 	}
 }
 
 // AcceptConnections has connections accepted again, at the same address, where they are refused.
 func (v *Vault) AcceptConnections() error {
 	v.mu.Lock()
-	listens := v.ln != nil
+	accepting := v.listener != nil
 	v.mu.Unlock()
-	if listens {
+	if accepting {
 		return nil
 	}
-	ln, err := net.Listen("tcp", v.addr)
+	listener, err := net.Listen("tcp", v.address)
 	if err != nil {
 		return err
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.ln = ln
-	go v.accept(ln)
+	v.listener = listener
+	// The vault owns this goroutine, which ends with the listener: RejectConnections or Close closes it.
+	go v.accept(listener)
 	return nil
 }
 
@@ -108,196 +100,62 @@
 func (v *Vault) Hold() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.hold = true
+	v.holdsCalls = true
 }
 
 // Release answers all calls that wait, and those to come at once.
 func (v *Vault) Release() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.hold = false
-	for _, c := range v.open {
-		v.answer(c)
+	v.holdsCalls = false
+	for _, call := range v.open {
+		v.answer(call)
 	}
 }
 
 // Slow has each call from now on take a while.
-func (v *Vault) Slow(took time.Duration) {
+func (v *Vault) Slow(duration time.Duration) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.took = took
+	v.duration = duration
 }
 
-// AnswerWith sets how the replies from now on are drawn.
-func (v *Vault) AnswerWith(status func(*Call) vault.Status) {
+// AnswerWith sets how the statuses of the replies are drawn from now on.
+func (v *Vault) AnswerWith(drawStatus func(*Call) vault.Status) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.status = status
+	v.drawStatus = drawStatus
 }
 
-// NextCall is the next call.
-func (v *Vault) NextCall() (*Call, error) { return await(v.asked, "a call") }
-
-// NextAbandoned is the ID of the next call that is given up.
-func (v *Vault) NextAbandoned() (string, error) { return await(v.given, "the end of a call") }
+// NextCall waits for the next call.
+func (v *Vault) NextCall() (*Call, error) { return receive(v.asked, "a call to the vault") }
 
-// Calls are all calls that have come, in their order.
-func (v *Vault) Calls() (out []Call) {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	for _, c := range v.made {
-		out = append(out, *c)
-	}
-	return out
-}
-
-// Reply answers a call on its connection, even one that was given up: such a reply has crossed the end of its call.
-func (c *Call) Reply(s vault.Status, body string) {
-	c.vault.mu.Lock()
-	defer c.vault.mu.Unlock()
-	c.vault.reply(c, s, body)
-}
-
-// BreakReply breaks the connection of a call in the middle of its reply.
-func (c *Call) BreakReply() {
-	c.vault.mu.Lock()
-	defer c.vault.mu.Unlock()
-	reply := vault.AppendReply(nil, c.ID, vault.Yes, []byte(c.Body))
-	_, _ = c.on.link.Write(reply[:len(reply)-3]) // without the end of the body and its line end
-	_ = c.on.link.Close()
+// NextAbandoned waits until the server gives up a call, and returns its ID.
+func (v *Vault) NextAbandoned() (id string, err error) {
+	return receive(v.abandoned, "the server to give up a call")
 }
 
-// CloseConn closes the connection of a call, and returns once the log server has closed it as well: all that was sent on it has
-// been read by then.
-func (c *Call) CloseConn() error {
-	tcp, ok := c.on.link.(*net.TCPConn)
-	if !ok {
-		return errors.New("procs: no TCP connection")
-	}
-	if err := tcp.CloseWrite(); err != nil {
-		return err
-	}
-	for until := time.Now().Add(Patience); time.Now().Before(until); time.Sleep(time.Millisecond) {
-		c.vault.mu.Lock()
-		over := !c.vault.conns[c.on]
-		c.vault.mu.Unlock()
-		if over {
-			return nil
-		}
-	}
-	return errors.New("procs: the log server keeps a connection that the vault has closed")
-}
-
-func (v *Vault) accept(ln net.Listener) {
-	for {
-		link, err := ln.Accept()
-		if err != nil {
-			return
-		}
-		v.mu.Lock()
-		v.lastID++
-		c := &vaultConn{v.lastID, link}
-		v.conns[c] = true
-		v.mu.Unlock()
-		go v.serve(c)
-	}
-}
-
-// serve reads a connection's commands to its end, which gives up every call on it.
-func (v *Vault) serve(c *vaultConn) {
-	defer v.ended(c)
-	var buf []byte
-	more := make([]byte, 64<<10)
-	for {
-		k, n, err := vault.ParseCommand(buf)
-		if err != nil {
-			return
-		}
-		if n > 0 {
-			v.obey(c, k)
-			buf = buf[n:]
-			continue
-		}
-		if c.link.SetReadDeadline(time.Now().Add(vaultIdle)) != nil {
-			return
-		}
-		got, err := c.link.Read(more)
-		if errors.Is(err, os.ErrDeadlineExceeded) && v.busy(c) {
-			continue
-		}
-		if err != nil {
-			return
-		}
-		buf = append(buf, more[:got]...)
-	}
-}
-
-func (v *Vault) ended(c *vaultConn) {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	delete(v.conns, c)
-	for id, k := range v.open {
-		if k.on == c {
-			delete(v.open, id)
-		}
-	}
-	_ = c.link.Close()
-}
-
-// busy says that a call is open on a connection.
-func (v *Vault) busy(c *vaultConn) bool {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	for _, k := range v.open {
-		if k.on == c {
-			return true
-		}
-	}
-	return false
-}
-
-func (v *Vault) obey(c *vaultConn, k vault.Command) {
+// Calls returns copies of all calls that have come, in their order.
+func (v *Vault) Calls() (calls []Call) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if k.Verb == vault.Unask {
-		delete(v.open, k.ID)
-		select {
-		case v.given <- k.ID:
-		default: // nobody waits for so many
-		}
-		return
-	}
-	call := &Call{ID: k.ID, Body: string(k.Body), TimeoutMS: k.WaitMS, Conn: c.number, vault: v, on: c}
-	v.made = append(v.made, call)
-	v.open[k.ID] = call // a second call of a request gives up the first
-	select {
-	case v.asked <- call:
-	default: // nobody waits for so many
-	}
-	switch {
-	case v.hold:
-	case v.took > 0:
-		time.AfterFunc(v.took, func() {
-			v.mu.Lock()
-			defer v.mu.Unlock()
-			v.answer(call)
-		})
-	default:
-		v.answer(call)
+	for _, call := range v.calls {
+		calls = append(calls, *call)
 	}
+	return calls
 }
 
 // answer ends a call that is open.
-func (v *Vault) answer(c *Call) {
-	if v.open[c.ID] == c {
-		v.reply(c, v.status(c), fmt.Sprintf("kept %s", c.Body))
+func (v *Vault) answer(call *Call) {
+	if v.open[call.ID] == call {
+		v.reply(call, v.drawStatus(call), fmt.Sprintf("kept %s", call.Body))
 	}
 }
 
-func (v *Vault) reply(c *Call, s vault.Status, body string) {
-	if v.open[c.ID] == c {
-		delete(v.open, c.ID)
+func (v *Vault) reply(call *Call, status vault.Status, body string) {
+	if v.open[call.ID] == call {
+		delete(v.open, call.ID)
 	}
-	c.Status = s
-	_, _ = c.on.link.Write(vault.AppendReply(nil, c.ID, s, []byte(body)))
+	call.Status = status
+	sendTo(call.conn.conn, vault.AppendReply(nil, call.ID, status, []byte(body)))
 }
