--- a/cmd/pewterline-sim/processes_cost.go
+++ b/cmd/pewterline-sim/processes_cost.go
@@ -58,12 +58,19 @@
 	fmt.Fprintln(table, "COPIES\tINTAKES/S\tP50\tP99\tSYNCS EACH\tBYTES EACH\tMEMORY MB\tNOT SERVED")
 	length := time.Duration(c.Seconds * float64(time.Second))
 	for _, replicas := range []int{0, 1, 3, 5} {
-		r, err := measure.Cost(options.Program, options.Settings, replicas, c.Callers, length)
+		result, err := measure.Cost(measure.CostConfig{
+			Program:  options.Program,
+			Settings: options.Settings,
+			Replicas: replicas,
+			Callers:  c.Callers,
+			Length:   length,
+		})
 		if err != nil {
 			return err
 		}
 		fmt.Fprintf(table, "%d\t%.0f\t%v\t%v\t%.2f\t%.0f\t%.1f\t%d\n",
-			r.Replicas, r.PerSecond, r.P50, r.P99, r.SyncsEach, r.BytesEach, float64(r.Memory)/1e6, r.NotServed)
+			result.Replicas, result.PerSecond, result.P50, result.P99,
+			result.SyncsEach, result.BytesEach, float64(result.Memory)/1e6, result.NotServed)
 	}
 	return table.Flush()
 }
@@ -73,18 +80,31 @@
 		return nil
 	}
 	for _, rate := range []int{2000, 20000} {
-		r, err := measure.Repair(options.Program, options.Settings, c.Keys, rate, rate/repairRequestShare)
+		result, err := measure.Repair(measure.RepairConfig{
+			Program:       options.Program,
+			Settings:      options.Settings,
+			Keys:          c.Keys,
+			KeysPerSecond: rate,
+			KeysAtOnce:    rate / repairRequestShare,
+		})
 		if err != nil {
 			return err
 		}
 		fmt.Fprintf(out, "repair of %d keys at %d keys/s at most: %v, %.1f MB in the server that was lost\n",
-			r.Keys, rate, r.Took.Round(10*time.Millisecond), float64(r.Memory)/1e6)
+			result.Keys, rate, result.Took.Round(10*time.Millisecond), float64(result.Memory)/1e6)
 	}
 	return nil
 }
 
 func (c *processesCostCommand) measureLoss(out io.Writer, options processtest.Options) error {
-	seconds, err := measure.Loss(options.Program, options.Settings, lossLength, lossAt, lossUntil, lossRequest)
+	seconds, err := measure.Loss(measure.LossConfig{
+		Program:  options.Program,
+		Settings: options.Settings,
+		Length:   lossLength,
+		LostAt:   lossAt,
+		BackAt:   lossUntil,
+		Rate:     lossRequest,
+	})
 	if err != nil {
 		return err
 	}
