--- a/cmd/pewterline/predecessor.go
+++ b/cmd/pewterline/predecessor.go
@@ -37,6 +37,8 @@
 var (
 	// errNotOurs says that a process lives which this one cannot take over from.
 	errNotOurs = errors.New("upgrade: a process of this name lives that cannot be taken over from")
+	// errRejected says that a predecessor does not hand over to this process.
+	errRejected = errors.New("refused")
 	// errNoSocket says that a path is no socket of this user's.
 	errNoSocket = errors.New("no socket of this user's")
 )
@@ -96,18 +98,29 @@
 		return nil, nil //nolint:nilnil // no predecessor is no fault
 	}
 	deadline := time.Now().Add(s.patience)
+	var reason error
 	for {
 		found, busy, err := s.tryAll(deadline)
 		if found != nil || err != nil || busy == nil {
 			return found, err
 		}
+		// An attempt that our own deadline has cut short says nothing about the process: what an earlier one has shown
+		// is what an operator needs.
+		if reason == nil || !isTimeout(busy) {
+			reason = busy
+		}
 		if time.Now().Add(predecessorRetryInterval).After(deadline) {
-			return nil, fmt.Errorf("%w: %w", errNotOurs, busy)
+			return nil, fmt.Errorf("%w: %w", errNotOurs, reason)
 		}
 		time.Sleep(predecessorRetryInterval)
 	}
 }
 
+func isTimeout(err error) bool {
+	var timeout interface{ Timeout() bool }
+	return errors.As(err, &timeout) && timeout.Timeout()
+}
+
 // tryAll tries each socket in the folder. busy is why the last one that may yet hand over has not.
 func (s predecessorSearch) tryAll(deadline time.Time) (found *predecessor, busy, err error) {
 	entries, err := os.ReadDir(s.dir)
@@ -196,7 +209,7 @@
 		}
 		switch message.Kind {
 		case upgrade.Reject:
-			return nil, fmt.Errorf("refused: %s", message.Reason)
+			return nil, fmt.Errorf("%w: %s", errRejected, message.Reason)
 		case upgrade.NextChunk:
 			if _, err := conn.Write(upgrade.Append(nil, message)); err != nil {
 				return nil, err
--- a/docs/architecture_test.go
+++ b/docs/architecture_test.go
@@ -24,12 +24,10 @@
 // A page that names what is gone sends its reader the wrong way.
 func TestPagesNameWhatExists(t *testing.T) {
 	declared := declarations(t, "..")
-	for _, page := range []string{"ARCHITECTURE.md", "../README.md"} {
+	for _, page := range pages(t) {
 		text, err := os.ReadFile(page)
 		require.NoError(t, err)
-		paths := packagePath.FindAllStringSubmatch(string(text), -1)
-		require.NotEmpty(t, paths, page)
-		for _, match := range paths {
+		for _, match := range packagePath.FindAllStringSubmatch(string(text), -1) {
 			_, err := os.Stat(filepath.Join("..", strings.TrimSuffix(match[1], "/...")))
 			require.NoError(t, err, page)
 		}
@@ -43,6 +41,53 @@
 	}
 }
 
+// pages are all pages that describe the program as it is.
+func pages(t *testing.T) []string {
+	t.Helper()
+	found := []string{"../README.md", "../example/README.md"}
+	for _, pattern := range []string{"*.md", "*/*.md"} {
+		names, err := filepath.Glob(pattern)
+		require.NoError(t, err)
+		found = append(found, names...)
+	}
+	require.Contains(t, found, "ARCHITECTURE.md")
+	return found
+}
+
+// testName matches a test, a fuzz target or a benchmark.
+var testName = regexp.MustCompile(`\b(?:Test|Fuzz|Benchmark)[A-Z]\w+`)
+
+// A design note that names a test which is gone proves nothing.
+func TestPagesNameTestsThatExist(t *testing.T) {
+	declared := map[string]bool{}
+	walk(t, "..", "_test.go", func(text string) {
+		for _, match := range regexp.MustCompile(`(?m)^func (\w+)\(`).FindAllStringSubmatch(text, -1) {
+			declared[match[1]] = true
+		}
+	})
+	named := 0
+	walk(t, ".", ".md", func(text string) {
+		for _, name := range testName.FindAllString(text, -1) {
+			named++
+			require.True(t, declared[name], "%s is named, and is no test", name)
+		}
+	})
+	require.Positive(t, named)
+}
+
+// walk reads all files below a folder whose names end in a suffix.
+func walk(t *testing.T, root, suffix string, visit func(text string)) {
+	t.Helper()
+	require.NoError(t, filepath.WalkDir(root, func(name string, entry os.DirEntry, err error) error {
+		if err != nil || entry.IsDir() || !strings.HasSuffix(name, suffix) {
+			return err
+		}
+		text, err := os.ReadFile(name)
+		visit(string(text))
+		return err
+	}))
+}
+
 // declarations are all exported identifiers of the packages below a folder, as package.Name and package.Type.Member.
 func declarations(t *testing.T, root string) map[string]bool {
 	t.Helper()
