--- a/cmd/pewterline/replication_test.go
+++ b/cmd/pewterline/replication_test.go
@@ -52,7 +52,7 @@
 		require.NoError(t, cluster.Start(id))
 	}
 	do := func(id int, args ...string) (int, string) {
-		admin := cluster.Servers[id-1].Process.Admin
+		admin := cluster.Servers[id-1].Process().Admin
 		return runWith(t, nil, append([]string{"replication", "--admin", admin}, args...)...)
 	}
 	code, out := do(1)
@@ -63,7 +63,7 @@
 	code, out = do(2, "bootstrap")
 	require.Equal(t, exitFailed, code)
 	require.Contains(t, out, "a group is known here")
-	told, err := cluster.Send(1, processtest.NewIntake("basket"))
+	told, err := cluster.Send(1, processtest.NewKeyedRequest("basket"))
 	require.NoError(t, err)
 	require.Equal(t, thrift.ReplyAnswer, told.Kind)
 	code, out = do(2, "status")
--- a/cmd/pewterline/upgrade_test.go
+++ b/cmd/pewterline/upgrade_test.go
@@ -253,7 +253,7 @@
 	next := srv.start()
 	require.NoError(t, old.Signal(syscall.SIGTERM))
 	// It crosses the farewell, if it has not read that yet.
-	first, err := silent.Send(processtest.NewIntake("first"))
+	first, err := silent.Send(processtest.NewKeyedRequest("first"))
 	if err != nil {
 		first = srv.ask(srv.dial(), "lot-intake", "first", "first")
 	}
@@ -522,7 +522,7 @@
 
 // sendIntake sends an intake and waits for its answer.
 func sendIntake(conn *processtest.Conn, body string) error {
-	pending, err := conn.Send(processtest.NewIntake(body))
+	pending, err := conn.Send(processtest.NewKeyedRequest(body))
 	if err == nil {
 		_, err = pending.Await()
 	}
--- a/internal/testbed/processtest/cluster.go
+++ b/internal/testbed/processtest/cluster.go
@@ -37,13 +37,21 @@
 type Member struct {
 	*Server
 	ID      int
-	DataDir string   // of what it holds
-	Process *Process // the newest; nil: none was started
+	DataDir string // of what it holds
 
 	replicationAddress string
 	relays             map[int]*Relay // to the others, by their IDs
 }
 
+// Process returns the newest process of the server; nil: none was started.
+func (m *Member) Process() *Process {
+	processes := m.Processes()
+	if len(processes) == 0 {
+		return nil
+	}
+	return processes[len(processes)-1]
+}
+
 // ClusterConfig says what a cluster is made of.
 type ClusterConfig struct {
 	Program    string // the path of the program, as Build returns it
@@ -153,12 +161,10 @@
 
 // Start starts the process of a server, and waits until it accepts callers.
 func (c *Cluster) Start(id int) error {
-	member := c.member(id)
-	process, err := member.Start(nil)
+	process, err := c.member(id).Start(nil)
 	if err != nil {
 		return err
 	}
-	member.Process = process
 	return process.Ready()
 }
 
@@ -224,9 +230,9 @@
 func (c *Cluster) Close() error {
 	var errs []error
 	for _, member := range c.Servers {
-		if member.Process != nil {
+		if process := member.Process(); process != nil {
 			// It goes on if it is stopped; one that has ended cannot be signalled, which is no fault.
-			_ = member.Process.Signal(syscall.SIGCONT)
+			_ = process.Signal(syscall.SIGCONT)
 		}
 		errs = append(errs, member.Close())
 		for _, relay := range member.relays {
--- a/internal/testbed/processtest/cluster_faults.go
+++ b/internal/testbed/processtest/cluster_faults.go
@@ -43,7 +43,7 @@
 
 // Kill ends a server's process, as a lost machine does.
 func (c *Cluster) Kill(id int) error {
-	process := c.member(id).Process
+	process := c.member(id).Process()
 	if process == nil || process.Ended() {
 		return nil
 	}
@@ -82,10 +82,12 @@
 }
 
 // Stall stops a server's process; Resume has it go on.
-func (c *Cluster) Stall(id int) error { return c.member(id).Process.Stall() }
+func (c *Cluster) Stall(id int) error { return c.member(id).Process().Stall() }
 
 // Resume has a stalled process go on.
-func (c *Cluster) Resume(id int) error { return c.member(id).Process.Signal(syscall.SIGCONT) }
+func (c *Cluster) Resume(id int) error { return c.member(id).Process().Signal(syscall.SIGCONT) }
 
 // Pause stops a server's process for a while. It may end meanwhile: then there is nothing to stop.
-func (c *Cluster) Pause(id int, duration time.Duration) { pauseProcess(c.member(id).Process, duration) }
+func (c *Cluster) Pause(id int, duration time.Duration) {
+	pauseProcess(c.member(id).Process(), duration)
+}
--- a/internal/testbed/processtest/cluster_fixture_test.go
+++ b/internal/testbed/processtest/cluster_fixture_test.go
@@ -77,10 +77,10 @@
 	return RequestOutcome{Kind: thrift.ReplyAnswer, Result: "did " + key}
 }
 
-// sendIntake sends a request with an idempotency key to a server, and waits for its reply.
-func (c *testCluster) sendIntake(id int, key string, retry bool) RequestOutcome {
+// sendKeyed sends a request with an idempotency key to a server, and waits for its reply.
+func (c *testCluster) sendKeyed(id int, key string, retry bool) RequestOutcome {
 	c.t.Helper()
-	request := NewIntake(key)
+	request := NewKeyedRequest(key)
 	request.Retry = retry
 	outcome, err := c.Send(id, request)
 	require.NoError(c.t, err)
@@ -91,7 +91,7 @@
 // promise.
 func (c *testCluster) requireIndeterminate(id int, key string) {
 	c.t.Helper()
-	outcome := c.sendIntake(id, key, true)
+	outcome := c.sendKeyed(id, key, true)
 	require.Equal(c.t, thrift.ReplyBroken, outcome.Kind, "%s at server %d", key, id)
 }
 
@@ -117,7 +117,7 @@
 	conn, err := Dial(c.Servers[0].Listen)
 	require.NoError(c.t, err)
 	c.t.Cleanup(conn.Close)
-	pending, err := conn.Send(NewIntake(key))
+	pending, err := conn.Send(NewKeyedRequest(key))
 	require.NoError(c.t, err)
 	return pending
 }
@@ -157,12 +157,12 @@
 	}))
 }
 
-// serveIntakes has requests served, each at one server in turn, and returns their keys.
-func (c *testCluster) serveIntakes(count int, ids ...int) (keys []string) {
+// serveKeys has requests served, each at one server in turn, and returns their keys.
+func (c *testCluster) serveKeys(count int, ids ...int) (keys []string) {
 	c.t.Helper()
 	for i := range count {
 		key := fmt.Sprint("lot ", i)
-		require.Equal(c.t, servedResult(key), c.sendIntake(ids[i%len(ids)], key, false))
+		require.Equal(c.t, servedResult(key), c.sendKeyed(ids[i%len(ids)], key, false))
 		keys = append(keys, key)
 	}
 	return keys
@@ -172,7 +172,7 @@
 func (c *testCluster) requireServed(id int, keys []string) {
 	c.t.Helper()
 	for _, key := range keys {
-		require.Equal(c.t, servedResult(key), c.sendIntake(id, key, true), "%s at server %d", key, id)
+		require.Equal(c.t, servedResult(key), c.sendKeyed(id, key, true), "%s at server %d", key, id)
 	}
 	require.Empty(c.t, c.RunLog.DuplicateRuns())
 }
--- a/internal/testbed/processtest/cluster_loss_test.go
+++ b/internal/testbed/processtest/cluster_loss_test.go
@@ -16,17 +16,17 @@
 func TestLostAfterAnswer(t *testing.T) {
 	t.Parallel()
 	cluster := startCluster(t, 3, 3)
-	require.Equal(t, servedResult("lot"), cluster.sendIntake(1, "lot", false))
+	require.Equal(t, servedResult("lot"), cluster.sendKeyed(1, "lot", false))
 	require.NoError(t, cluster.Kill(1))
 	require.NoError(t, cluster.Wipe(1))
-	require.Equal(t, servedResult("lot"), cluster.sendIntake(2, "lot", true))
-	require.Equal(t, servedResult("lot"), cluster.sendIntake(3, "lot", true))
+	require.Equal(t, servedResult("lot"), cluster.sendKeyed(2, "lot", true))
+	require.Equal(t, servedResult("lot"), cluster.sendKeyed(3, "lot", true))
 	require.NoError(t, cluster.Start(1))
 	require.NoError(t, cluster.AwaitStable())
 	state, err := cluster.State(1)
 	require.NoError(t, err)
 	require.Equal(t, 1, state.Counters.Held, "its copy is there again")
-	require.Equal(t, servedResult("lot"), cluster.sendIntake(1, "lot", true))
+	require.Equal(t, servedResult("lot"), cluster.sendKeyed(1, "lot", true))
 	require.Empty(t, cluster.RunLog.DuplicateRuns())
 }
 
@@ -35,7 +35,7 @@
 func TestLostBetweenIntentAndRun(t *testing.T) {
 	t.Parallel()
 	cluster := startCluster(t, 3, 3)
-	pool := cluster.Servers[0].Process.Pool
+	pool := cluster.Servers[0].Process().Pool
 	pool.Freeze() // it reads nothing more: the command stays on its way
 	cluster.sendAsync("lot")
 	cluster.awaitKey(2, "lot", "intent")
@@ -51,7 +51,7 @@
 func TestLostBetweenRunAndCopy(t *testing.T) {
 	t.Parallel()
 	cluster := startCluster(t, 3, 3)
-	pool := cluster.Servers[0].Process.Pool
+	pool := cluster.Servers[0].Process().Pool
 	pool.Hold()
 	cluster.sendAsync("lot")
 	require.NoError(t, pool.AwaitStart("lot"))
@@ -77,13 +77,13 @@
 	conn, err := Dial(relay.Addr())
 	require.NoError(t, err)
 	t.Cleanup(conn.Close)
-	_, err = conn.Send(NewIntake("lot"))
+	_, err = conn.Send(NewKeyedRequest("lot"))
 	require.NoError(t, err)
 	cluster.awaitKey(3, "lot", "passed")
 	cluster.loseMachine(1)
-	require.Equal(t, servedResult("lot"), cluster.sendIntake(2, "lot", true))
+	require.Equal(t, servedResult("lot"), cluster.sendKeyed(2, "lot", true))
 	cluster.restart(1)
-	require.Equal(t, servedResult("lot"), cluster.sendIntake(1, "lot", true))
+	require.Equal(t, servedResult("lot"), cluster.sendKeyed(1, "lot", true))
 	require.Len(t, cluster.RunLog.Runs("lot"), 1)
 }
 
@@ -92,7 +92,7 @@
 func TestSecondLostDuringRepair(t *testing.T) {
 	t.Parallel()
 	cluster := startCluster(t, 5, 5, "repair_keys_per_s = 20", "repair_at_once = 2")
-	keys := cluster.serveIntakes(40, 1, 2, 3, 4, 5)
+	keys := cluster.serveKeys(40, 1, 2, 3, 4, 5)
 	cluster.loseMachine(5)
 	require.NoError(t, cluster.Start(5))
 	require.NoError(t, cluster.Eventually(func() error {
@@ -115,7 +115,7 @@
 func TestOwnerStalledInItsRun(t *testing.T) {
 	t.Parallel()
 	cluster := startCluster(t, 3, 3)
-	pool := cluster.Servers[0].Process.Pool
+	pool := cluster.Servers[0].Process().Pool
 	pool.Hold()
 	pending := cluster.sendAsync("lot")
 	require.NoError(t, pool.AwaitStart("lot"))
@@ -127,12 +127,12 @@
 	_, err := pending.Await()
 	require.NoError(t, err, "the caller of the stalled one gets an answer, if a late one")
 	require.NoError(t, cluster.Eventually(func() error {
-		if outcome := cluster.sendIntake(3, "lot", true); outcome != servedResult("lot") {
+		if outcome := cluster.sendKeyed(3, "lot", true); outcome != servedResult("lot") {
 			return fmt.Errorf("%v", outcome)
 		}
 		return nil
 	}))
-	require.Equal(t, servedResult("lot"), cluster.sendIntake(2, "lot", true))
+	require.Equal(t, servedResult("lot"), cluster.sendKeyed(2, "lot", true))
 	require.Len(t, cluster.RunLog.Runs("lot"), 1)
 }
 
@@ -140,7 +140,7 @@
 func TestAllKilled(t *testing.T) {
 	t.Parallel()
 	cluster := startCluster(t, 3, 3)
-	keys := cluster.serveIntakes(20, 1, 2, 3)
+	keys := cluster.serveKeys(20, 1, 2, 3)
 	for _, wiped := range []int{0, 2} {
 		for id := 1; id <= 3; id++ {
 			require.NoError(t, cluster.Kill(id))
@@ -161,10 +161,10 @@
 func TestMajorityLost(t *testing.T) {
 	t.Parallel()
 	cluster := startCluster(t, 3, 3)
-	keys := cluster.serveIntakes(10, 1, 2, 3)
+	keys := cluster.serveKeys(10, 1, 2, 3)
 	cluster.loseMachine(2)
 	cluster.loseMachine(3)
-	outcome := cluster.sendIntake(1, "new", false)
+	outcome := cluster.sendKeyed(1, "new", false)
 	require.Equal(t, thrift.ReplyThrottled, outcome.Kind)
 	conn, err := Dial(cluster.Servers[0].Listen)
 	require.NoError(t, err)
--- a/internal/testbed/processtest/cluster_state.go
+++ b/internal/testbed/processtest/cluster_state.go
@@ -56,7 +56,7 @@
 
 // adminCall sends an administrative request to a server, and returns the body of the response.
 func (c *Cluster) adminCall(id int, method, path string) (body string, err error) {
-	status, body, err := c.member(id).Process.AdminCall(method, path)
+	status, body, err := c.member(id).Process().AdminCall(method, path)
 	if err != nil {
 		return "", err
 	}
@@ -116,7 +116,8 @@
 func (c *Cluster) checkStable() error {
 	alive := map[uint32]bool{}
 	for _, member := range c.Servers {
-		alive[uint32(member.ID)] = member.Process != nil && !member.Process.Ended()
+		process := member.Process()
+		alive[uint32(member.ID)] = process != nil && !process.Ended()
 	}
 	var epoch uint64
 	for _, member := range c.Servers {
--- a/internal/testbed/processtest/cluster_test.go
+++ b/internal/testbed/processtest/cluster_test.go
@@ -19,15 +19,15 @@
 	t.Parallel()
 	cluster := startCluster(t, 3, 3)
 	cluster.Isolate(1)
-	outcome := cluster.sendIntake(1, "lot", false)
+	outcome := cluster.sendKeyed(1, "lot", false)
 	require.Equal(t, thrift.ReplyThrottled, outcome.Kind, "before it runs")
 	require.Empty(t, cluster.RunLog.Runs("lot"))
-	keys := cluster.serveIntakes(10, 2, 3)
+	keys := cluster.serveKeys(10, 2, 3)
 	cluster.RelaysOf(1, (*Relay).Heal)
 	cluster.RelaysOf(1, (*Relay).Break)
 	require.NoError(t, cluster.AwaitStable())
 	cluster.requireServed(1, keys)
-	require.Equal(t, servedResult("lot"), cluster.sendIntake(1, "lot", false))
+	require.Equal(t, servedResult("lot"), cluster.sendKeyed(1, "lot", false))
 }
 
 // A connection hangs and then delivers all at once: what comes late changes nothing that was agreed on since.
@@ -40,7 +40,7 @@
 		pending := cluster.sendAsync(fmt.Sprint("lot ", i))
 		late = append(late, pending)
 	}
-	keys := cluster.serveIntakes(10, 2, 3) // the same keys at others, and more
+	keys := cluster.serveKeys(10, 2, 3) // the same keys at others, and more
 	time.Sleep(20 * time.Second)
 	cluster.RelaysOf(1, (*Relay).Heal)
 	for _, pending := range late {
@@ -56,7 +56,7 @@
 func TestMembersChange(t *testing.T) {
 	t.Parallel()
 	cluster := startCluster(t, 5, 3)
-	keys := cluster.serveIntakes(20, 1, 2, 3, 4, 5)
+	keys := cluster.serveKeys(20, 1, 2, 3, 4, 5)
 	require.NoError(t, cluster.Kill(5))
 	require.NoError(t, cluster.Stall(4))
 	before, err := cluster.State(1)
@@ -89,11 +89,11 @@
 		t.Run(fault, func(t *testing.T) {
 			t.Parallel()
 			cluster := startCluster(t, 3, 3)
-			keys := cluster.serveIntakes(5, 1, 2, 3)
+			keys := cluster.serveKeys(5, 1, 2, 3)
 			require.NoError(t, cluster.SetDiskFault(1, fault))
 			require.NoError(t, cluster.Eventually(func() error {
 				key := fmt.Sprint("lot ", len(keys))
-				if outcome := cluster.sendIntake(2, key, false); outcome != servedResult(key) {
+				if outcome := cluster.sendKeyed(2, key, false); outcome != servedResult(key) {
 					return fmt.Errorf("%v", outcome)
 				}
 				keys = append(keys, key)
@@ -118,7 +118,7 @@
 func TestFlippedBit(t *testing.T) {
 	t.Parallel()
 	cluster := startCluster(t, 3, 3)
-	keys := cluster.serveIntakes(60, 1, 2, 3)
+	keys := cluster.serveKeys(60, 1, 2, 3)
 	var snapshots []string
 	require.NoError(t, cluster.Eventually(func() (err error) {
 		if snapshots, err = filepath.Glob(filepath.Join(cluster.Servers[0].DataDir, "*.snap")); len(snapshots) == 0 {
@@ -134,8 +134,8 @@
 	text[len(text)/2] ^= 4
 	require.NoError(t, os.WriteFile(snapshots[0], text, 0o600))
 	require.Error(t, cluster.Start(1))
-	require.Contains(t, cluster.Servers[0].Process.Log(), filepath.Base(snapshots[0]))
-	require.Contains(t, cluster.Servers[0].Process.Log(), "offset")
+	require.Contains(t, cluster.Servers[0].Process().Log(), filepath.Base(snapshots[0]))
+	require.Contains(t, cluster.Servers[0].Process().Log(), "offset")
 	require.NoError(t, cluster.Wipe(1))
 	cluster.restart(1)
 	cluster.loseMachine(3)
@@ -149,7 +149,7 @@
 	cluster := startCluster(t, 3, 3)
 	require.NoError(t, cluster.SetClockOffset(1, 500))
 	require.NoError(t, cluster.SetClockOffset(2, -500))
-	keys := cluster.serveIntakes(12, 1, 2, 3)
+	keys := cluster.serveKeys(12, 1, 2, 3)
 	require.NoError(t, cluster.SetClockOffset(1, -500))
 	require.NoError(t, cluster.SetClockOffset(2, 500))
 	for id := 1; id <= 3; id++ {
--- a/internal/testbed/processtest/clusterplay/caller.go
+++ b/internal/testbed/processtest/clusterplay/caller.go
@@ -17,12 +17,12 @@
 func (p *play) call(caller int) {
 	rng := rand.New(rand.NewPCG(p.script.Seed, uint64(caller)))
 	for request := 0; !p.stopped.Load(); request++ {
-		p.intake(rng, caller, fmt.Sprintf("lot %d/%d", caller, request))
+		p.sendUntilServed(rng, caller, fmt.Sprintf("lot %d/%d", caller, request))
 	}
 }
 
-// intake sends a request with an idempotency key until it is served, or has been sent often enough.
-func (p *play) intake(rng *rand.Rand, caller int, key string) {
+// sendUntilServed sends a request with an idempotency key until it is served, or has been sent often enough.
+func (p *play) sendUntilServed(rng *rand.Rand, caller int, key string) {
 	for attempt := 0; attempt < maxAttempts && !p.stopped.Load(); attempt++ {
 		id := 1 + rng.IntN(len(p.cluster.Servers))
 		if p.attempt(caller, id, key, attempt > 0) == thrift.ReplyAnswer {
@@ -36,7 +36,7 @@
 // attempt sends a request once; it returns the kind of the reply, 0 where there was none.
 func (p *play) attempt(caller, id int, key string, retry bool) thrift.ReplyKind {
 	began := p.recorder.Elapsed()
-	request := processtest.NewIntake(key)
+	request := processtest.NewKeyedRequest(key)
 	request.Retry = retry
 	outcome, err := p.cluster.Send(id, request)
 	ended := p.recorder.Elapsed()
--- a/internal/testbed/processtest/clusterplay/history.go
+++ b/internal/testbed/processtest/clusterplay/history.go
@@ -11,7 +11,7 @@
 	"pewterline/internal/testbed/processtest"
 )
 
-// history is what callers sent and were told. It may be used from any goroutine.
+// history has the requests of callers with their replies. It may be used from any goroutine.
 type history struct {
 	mu         sync.Mutex
 	operations []porcupine.Operation // inputs are keys, outputs are processtest.RequestOutcome
@@ -55,15 +55,15 @@
 	return key
 }
 
-// outputOf returns what the caller of an operation was told; porcupine holds outputs as any.
+// outputOf returns the reply of an operation; porcupine holds outputs as any.
 func outputOf(output any) processtest.RequestOutcome {
 	outcome, _ := output.(processtest.RequestOutcome)
 	return outcome
 }
 
-// runOnceModel is what callers may be told of a request, one after the other: once it is served, it is served with that
-// result, and it is not rejected. A request that nobody was told of may have run or not. The state of the model is the
-// result that was served; "": none.
+// runOnceModel has the replies that a request may get, one after the other: once it is served, it is served with that
+// result, and it is not rejected. A request without a reply may have run or not. The state of the model is the result
+// that was served; "": none.
 var runOnceModel = porcupine.Model{
 	Partition: partitionByKey,
 	Init:      func() any { return "" },
--- a/internal/testbed/processtest/clusterplay/inject.go
+++ b/internal/testbed/processtest/clusterplay/inject.go
@@ -136,7 +136,7 @@
 func (p *play) bearsDiskLoss() bool {
 	var newest processtest.State
 	for _, member := range p.cluster.Servers {
-		if member.Process == nil || member.Process.Ended() {
+		if process := member.Process(); process == nil || process.Ended() {
 			continue
 		}
 		state, err := p.state(member.ID)
--- a/internal/testbed/processtest/measure/cost.go
+++ b/internal/testbed/processtest/measure/cost.go
@@ -64,7 +64,7 @@
 	load.run(cfg.Callers)
 	result = load.result(cfg.Length)
 	result.Replicas = cfg.Replicas
-	result.Memory = cluster.Servers[0].Process.Memory()
+	result.Memory = cluster.Servers[0].Process().Memory()
 	if cfg.Replicas == 0 {
 		return result, nil
 	}
@@ -141,7 +141,7 @@
 
 // serve sends a request, and reports whether it was served.
 func serve(conn *processtest.Conn, key string) bool {
-	pending, err := conn.Send(processtest.NewIntake(key))
+	pending, err := conn.Send(processtest.NewKeyedRequest(key))
 	if err != nil {
 		return false
 	}
--- a/internal/testbed/processtest/measure/loss.go
+++ b/internal/testbed/processtest/measure/loss.go
@@ -97,7 +97,7 @@
 
 // send sends a request, counted from 0, and counts the reply in the second that it belongs to.
 func (l *lossLoad) send(n int) {
-	outcome, err := l.cluster.Send(1+n%lossServers, processtest.NewIntake(fmt.Sprintf("lot %d", n)))
+	outcome, err := l.cluster.Send(1+n%lossServers, processtest.NewKeyedRequest(fmt.Sprintf("lot %d", n)))
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	counts := &l.seconds[n/l.rate]
--- a/internal/testbed/processtest/measure/plot.go
+++ b/internal/testbed/processtest/measure/plot.go
@@ -51,9 +51,9 @@
 // Plot draws the seconds of a Loss into a file, whose extension gives the format.
 func Plot(seconds []SecondCounts, path string) error {
 	drawing := plot.New()
-	drawing.Title.Text = "Intakes by second while one of three servers is lost with its disk and comes back"
+	drawing.Title.Text = "Requests by second while one of three servers is lost with its disk and comes back"
 	drawing.X.Label.Text = "second"
-	drawing.Y.Label.Text = "intakes"
+	drawing.Y.Label.Text = "requests"
 	drawing.Y.Min = 0
 	drawing.Legend.Top = true
 	for _, plotted := range plotLines() {
--- a/internal/testbed/processtest/measure/repair.go
+++ b/internal/testbed/processtest/measure/repair.go
@@ -79,7 +79,7 @@
 		return result, err
 	}
 	result.Took = time.Since(began)
-	result.Memory = cluster.Servers[lostServer-1].Process.Memory()
+	result.Memory = cluster.Servers[lostServer-1].Process().Memory()
 	return result, nil
 }
 
--- a/internal/testbed/processtest/play.go
+++ b/internal/testbed/processtest/play.go
@@ -74,7 +74,7 @@
 		return nil, err
 	}
 	if options.Calls {
-		if options.Settings, err = WithCalls(options.Settings, intakeClass); err != nil {
+		if options.Settings, err = WithCalls(options.Settings, keyedClass); err != nil {
 			return nil, err
 		}
 	}
@@ -98,7 +98,7 @@
 	}
 	if script.Store {
 		play.server.StoreFile = filepath.Join(dir, "store.toml")
-		if err := writeStoreFile(play.server.StoreFile, filepath.Join(dir, "intakes.db")); err != nil {
+		if err := writeStoreFile(play.server.StoreFile, filepath.Join(dir, "store.db")); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/testbed/processtest/play_caller.go
+++ b/internal/testbed/processtest/play_caller.go
@@ -19,7 +19,7 @@
 	redialOdds = 4
 )
 
-// playCaller is a caller of a play: it sends intakes one after the other, each again until it is served, to whatever
+// playCaller is a caller of a play: it sends requests one after the other, each again until it is served, to whatever
 // process it reaches.
 type playCaller struct {
 	play   *serverPlay
@@ -35,15 +35,15 @@
 // run sends requests until the play has stopped.
 func (c *playCaller) run() {
 	for request := 0; !c.play.stopped.Load(); request++ {
-		c.intake(fmt.Sprintf("lot %d/%d", c.number, request))
+		c.sendUntilServed(fmt.Sprintf("lot %d/%d", c.number, request))
 	}
 	if c.conn != nil {
 		c.conn.Close()
 	}
 }
 
-// intake sends a request until it is served, or has been sent often enough.
-func (c *playCaller) intake(body string) {
+// sendUntilServed sends a request until it is served, or has been sent often enough.
+func (c *playCaller) sendUntilServed(body string) {
 	for attempts := 0; attempts < maxPlayAttempts && !c.play.stopped.Load(); {
 		if !c.connect() {
 			// Nobody is there, so this is no attempt: what was open when the server died comes again once it is back.
@@ -78,7 +78,7 @@
 // attempt sends a request once, and checks the reply; after a reply that is no result it waits a while.
 func (c *playCaller) attempt(body string) (served bool) {
 	sent := time.Now()
-	pending, err := c.conn.Send(Request{Class: intakeClass, Key: body, Body: body, ArrivedAt: sent})
+	pending, err := c.conn.Send(Request{Class: keyedClass, Key: body, Body: body, ArrivedAt: sent})
 	var reply thrift.Reply
 	if err == nil {
 		reply, err = pending.Await()
--- a/internal/testbed/processtest/request.go
+++ b/internal/testbed/processtest/request.go
@@ -9,8 +9,8 @@
 	"pewterline/internal/protocol/thrift"
 )
 
-// intakeClass is the class of the settings whose requests have an idempotency key.
-const intakeClass = "lot-intake"
+// keyedClass is the class of the settings whose requests have an idempotency key.
+const keyedClass = "lot-intake"
 
 // lastRequestID numbers the requests of all connections: a server tells requests apart by their IDs, so that no two
 // connections of a test process may give out the same one.
@@ -25,9 +25,10 @@
 	Retry     bool      // it is not the first attempt
 }
 
-// NewIntake returns the first attempt of a request with an idempotency key, which is its body too. It arrives now.
-func NewIntake(key string) Request {
-	return Request{Class: intakeClass, Key: key, Body: key, ArrivedAt: time.Now()}
+// NewKeyedRequest returns the first attempt of a request with an idempotency key, which is its body too. It arrives
+// now.
+func NewKeyedRequest(key string) Request {
+	return Request{Class: keyedClass, Key: key, Body: key, ArrivedAt: time.Now()}
 }
 
 // nextRequestID returns an ID that no other request of this process has.
