--- a/internal/testbed/fakes/allowance.go
+++ b/internal/testbed/fakes/allowance.go
@@ -41,7 +41,7 @@
 	return ""
 }
 
-// allowed tells whether the caller may have one more request at a server; a fraction is allowed by chance.
+// allowed reports whether the caller may have one more request at a server; a fraction is allowed by chance.
 func (c *Caller) allowed(server string) bool {
 	granted, known := c.allowances[server]
 	if !known || c.env.World.Now() > granted.until {
--- a/internal/testbed/fakes/caller.go
+++ b/internal/testbed/fakes/caller.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	// staleAfterCrash is how long a caller that is back after a crash hears of no change of the list.
+	// staleAfterCrash is how long a caller that is back after a crash misses each change of the list.
 	staleAfterCrash = 3 * microtime.Second
 	// nobodyNode is a server on the list of such a caller that does not exist.
 	nobodyNode = "x9"
@@ -31,7 +31,7 @@
 	rate        float64        // jobs a second
 	until       microtime.Time // when it stops sending new jobs
 	endpoints   []string
-	frozenUntil microtime.Time // it hears of no change of the list before
+	frozenUntil microtime.Time // it misses each change of the list before
 	conns       []*callerConn
 	allowances  map[string]allowance // by server
 	faults      callerFaults
@@ -105,7 +105,7 @@
 	})
 }
 
-// FreezeEndpoints has it hear of no change of the list until a time.
+// FreezeEndpoints has it miss each change of the list until a time.
 func (c *Caller) FreezeEndpoints(until microtime.Time) { c.frozenUntil = max(c.frozenUntil, until) }
 
 // CancelAfter has it cancel each request after a while, until a time.
@@ -144,7 +144,7 @@
 	}
 }
 
-// alive tells whether the process of an incarnation still runs.
+// alive reports whether the process of an incarnation still runs.
 func (c *Caller) alive(incarnation int) bool { return c.node.Up() && c.node.Incarnation == incarnation }
 
 // randomEndpoint draws a server of the list, which must not be empty.
--- a/internal/testbed/fakes/caller_conn.go
+++ b/internal/testbed/fakes/caller_conn.go
@@ -208,7 +208,7 @@
 	return wait
 }
 
-// finish takes an attempt off the connection; it tells whether it was on it.
+// finish takes an attempt off the connection; it reports whether it was on it.
 func (c *callerConn) finish(finished *attempt) bool {
 	index := slices.Index(c.open, finished)
 	if index < 0 {
--- a/internal/testbed/fakes/caller_jobs.go
+++ b/internal/testbed/fakes/caller_jobs.go
@@ -130,7 +130,7 @@
 	return weight
 }
 
-// hasKey tells whether a job has an idempotency key.
+// hasKey reports whether a job has an idempotency key.
 func (c *Caller) hasKey(sent *job) bool {
 	return c.classOf(sent).Idempotency == control.IdempotentByKey
 }
--- a/internal/testbed/fakes/pool_link.go
+++ b/internal/testbed/fakes/pool_link.go
@@ -158,7 +158,7 @@
 	})
 }
 
-// matches tells whether a command is to run an attempt as it was sent.
+// matches reports whether a command is to run an attempt as it was sent.
 func (a *sentAttempt) matches(server string, command pool.Command) bool {
 	return a.server == server && a.class == command.Class && a.bodyHash == xxhash.Sum64(command.Body)
 }
--- a/internal/testbed/fakes/registry.go
+++ b/internal/testbed/fakes/registry.go
@@ -16,11 +16,11 @@
 	pushInterval = 500 * microtime.Millisecond
 	// minPushDelay is how long a push is on its way to a caller at least; it may take as long again.
 	minPushDelay = microtime.Second
-	// readyState is what a report says of a server that takes requests.
+	// readyState is the state in a report of a server that takes requests.
 	readyState = "Ready"
 )
 
-// Registry is the control plane: it lists the servers that report, and tells the callers late.
+// Registry is the control plane: it lists the servers that report, and sends the list to the callers late.
 type Registry struct {
 	env       *Environment
 	rng       *rand.Rand
@@ -71,7 +71,7 @@
 // Unlist drops a server at once, as where its machine is known to be gone.
 func (r *Registry) Unlist(server string) { r.endpoint(server).ready = false }
 
-// SetDown has the control plane be down until a time: nobody hears of changes, and no entry lapses.
+// SetDown has the control plane be down until a time: callers get no list, and no entry lapses.
 func (r *Registry) SetDown(until microtime.Time) { r.downUntil = max(r.downUntil, until) }
 
 // refresh notes that a server has reported now.
@@ -84,13 +84,13 @@
 // reportReceived takes a load report.
 func (r *Registry) reportReceived(text string) {
 	var server, state string
-	fields, _ := fmt.Sscanf(text, "lease %s %s", &server, &state) // the count tells whether it could be read
+	fields, _ := fmt.Sscanf(text, "lease %s %s", &server, &state) // the count reports whether it could be read
 	if fields == 2 && r.downUntil <= r.env.World.Now() {
 		r.refresh(server, state == readyState)
 	}
 }
 
-// push tells every caller of the list as it is now, a second or two later.
+// push sends every caller the list as it is now, which arrives a second or two later.
 func (r *Registry) push() {
 	if r.env.World.Now() >= r.downUntil {
 		list := r.listed()
--- a/internal/testbed/fakes/requests.go
+++ b/internal/testbed/fakes/requests.go
@@ -38,7 +38,7 @@
 	}
 }
 
-// awaitsCall tells whether the run of an attempt waits for a call.
+// awaitsCall reports whether the run of an attempt waits for a call.
 func (r *RequestRegistry) awaitsCall(id string) bool {
 	attempt := r.attempts[id]
 	return attempt != nil && attempt.run != nil && attempt.run.blocked && !attempt.pool.killed
--- a/internal/testbed/fakes/store.go
+++ b/internal/testbed/fakes/store.go
@@ -51,7 +51,7 @@
 	return loaded, nil
 }
 
-// settled tells whether a record is an intent whose result is on record.
+// settled reports whether a record is an intent whose result is on record.
 func (s *Store) settled(intent store.Record) bool {
 	return intent.Intent && slices.ContainsFunc(s.records, func(other store.Record) bool {
 		return !other.Intent && sameKey(intent, other) && other.ArrivedAtMilli >= intent.ArrivedAtMilli
@@ -92,7 +92,7 @@
 	s.records[index] = record
 }
 
-// sameKey tells whether two records are under the same idempotency key.
+// sameKey reports whether two records are under the same idempotency key.
 func sameKey(a, b store.Record) bool {
 	return a.Class == b.Class && a.Tenant == b.Tenant && a.IdempotencyKey == b.IdempotencyKey
 }
--- a/internal/testbed/invariant/calls.go
+++ b/internal/testbed/invariant/calls.go
@@ -43,10 +43,10 @@
 	abandoned bool // given up, or its connection has ended
 }
 
-// open tells whether the call still waits for its reply.
+// open reports whether the call still waits for its reply.
 func (c *call) open() bool { return c.status == 0 && !c.abandoned }
 
-// neverRan tells whether the call's end proves that it had no effect.
+// neverRan reports whether the call's end proves that it had no effect.
 func (c *call) neverRan() bool { return c.status == vault.NotNow || c.status == vault.Pointless }
 
 // attempts counts the calls for the same point so far.
--- a/internal/testbed/invariant/duplicate_rules.go
+++ b/internal/testbed/invariant/duplicate_rules.go
@@ -4,7 +4,7 @@
 	"pewterline/internal/microtime"
 )
 
-// inWindow tells whether a request came in the retention window of a run under its idempotency key.
+// inWindow reports whether a request came in the retention window of a run under its idempotency key.
 func (o *Observer) inWindow(request *requestState, earlier *run) bool {
 	window := microtime.FromDuration(o.classOf(request).RetentionWindow)
 	return request.requestedAt < earlier.requestedAt+window
--- a/internal/testbed/invariant/observer.go
+++ b/internal/testbed/invariant/observer.go
@@ -42,10 +42,10 @@
 type Observer struct {
 	Limits     Limits
 	Violations []Violation
-	// OnRequest, where it is set, hears of each request that an edge has got to a server: what a worker pool of the
+	// OnRequest, where it is set, is called for each request that an edge has got to a server: what a worker pool of the
 	// platform knows by itself.
 	OnRequest func(id, server, class string, body []byte)
-	// OnRequestEnded, where it is set, hears of the end of each such request.
+	// OnRequestEnded, where it is set, is called at the end of each such request.
 	OnRequestEnded func(id string)
 	// MaxViolations is how many violations are recorded; further ones are dropped.
 	MaxViolations int
--- a/internal/testbed/invariant/scene_test.go
+++ b/internal/testbed/invariant/scene_test.go
@@ -217,7 +217,7 @@
 // ends has the run of id end and be answered.
 func (s *scene) ends(seq int32, id string) { s.served(seq, s.finish(id, pool.Pass)) }
 
-// askByAJP asks for an intake by AJP and has it answered: by its run, or by a result.
+// askByAJP sends a request with an idempotency key by AJP and has it answered: by its run, or by a result.
 func (s *scene) askByAJP(id string, status int, result []byte) []byte {
 	request := ajp.Request{
 		Method:     "POST",
--- a/internal/testbed/invariant/state.go
+++ b/internal/testbed/invariant/state.go
@@ -66,10 +66,10 @@
 	lastBlockedNotice uint64
 }
 
-// isEdge tells whether the server is an edge, which has no worker pool.
+// isEdge reports whether the server is an edge, which has no worker pool.
 func (s *serverState) isEdge() bool { return s.name[0] == edgePrefix }
 
-// pausedAt tells whether the server's process stands still at a time.
+// pausedAt reports whether the server's process stands still at a time.
 func (s *serverState) pausedAt(now microtime.Time) bool {
 	for _, pause := range s.pauses {
 		if now >= pause.from && now <= pause.to {
@@ -136,7 +136,7 @@
 	endKnownAt microtime.Time
 }
 
-// isOwed tells whether the request is still to be answered.
+// isOwed reports whether the request is still to be answered.
 func (r *requestState) isOwed() bool {
 	return !r.settled && r.answers == 0 && !r.cancelled && !r.conn.callerLeft
 }
@@ -191,5 +191,5 @@
 	lastSequenceID    int32
 }
 
-// fromEdge tells whether an edge is the caller.
+// fromEdge reports whether an edge is the caller.
 func (c *connState) fromEdge() bool { return c.caller[0] == edgePrefix }
--- a/internal/testbed/invariant/thrift.go
+++ b/internal/testbed/invariant/thrift.go
@@ -48,7 +48,7 @@
 		o.cancellationRead(conn, message.CancelledID)
 	case thrift.MethodProcess:
 		o.processRead(conn, message)
-	case thrift.MethodUnknown: // it is answered with an error, which CountsOf tells
+	case thrift.MethodUnknown: // it is answered with an error, which CountsOf counts
 	}
 }
 
