--- a/internal/peers/exchange.go
+++ b/internal/peers/exchange.go
@@ -14,31 +14,31 @@
 const (
 	// exchangeTimeout is how long a peer may take to answer.
 	exchangeTimeout = 500 * microtime.Millisecond
-	// maxExchangeConns bounds the connections of peers that are open at once.
+	// maxExchangeConns is the most connections that peers may have open at once.
 	maxExchangeConns = 64
 )
 
-// ErrUnexpectedMessage ends a connection on which a peer answers without having been asked.
+// ErrUnexpectedMessage closes a connection on which a peer sends an answer without a request.
 var ErrUnexpectedMessage = errors.New("peers: an answer that nobody asked for")
 
-// ExchangeEventLoop is what an exchange needs of the event loop.
+// ExchangeEventLoop is what an exchange needs from the event loop.
 type ExchangeEventLoop interface {
 	Now() microtime.Time
 	DialOnce(addr string, open func(transport.Conn) transport.Session, failed func()) (drop func())
 }
 
-// ExchangeConfig says who an instance is to its peers, and whose gossip it exchanges.
+// ExchangeConfig configures an Exchange.
 type ExchangeConfig struct {
 	Name     string
-	Address  string   // where peers reach it
-	Peers    []string // where it reaches peers at first
+	Address  string   // where peers reach this instance
+	Peers    []string // addresses of the peers that are known at the start
 	Seed     uint64   // of the random numbers
 	Balancer *loadbalancer.Balancer
 	Logf     func(format string, args ...any)
 }
 
-// Exchange swaps gossip about upstream endpoints with other instances: an instance sends what it knows, and the peer
-// answers with what it knows.
+// Exchange exchanges gossip about upstream endpoints with other instances: an instance sends its observations, and the
+// peer answers with its own.
 type Exchange struct {
 	config    ExchangeConfig
 	loop      ExchangeEventLoop
@@ -56,16 +56,17 @@
 	return &Exchange{config: config, loop: loop, scheduler: scheduler, started: now}
 }
 
-// Ready reports whether an instance that starts has got its first gossip, or has waited long enough for it.
+// Ready reports whether an instance that starts has received its first gossip, or has waited long enough for it.
 func (x *Exchange) Ready(now microtime.Time) bool { return x.scheduler.Ready(now) }
 
-// Check does what is due by the clock. It returns when it is to be called again.
+// Check starts the exchanges that are due and ends those that have timed out. It returns when it has to be called
+// again.
 func (x *Exchange) Check(now microtime.Time) microtime.Time {
 	for _, address := range x.scheduler.NextPeers(now) {
 		x.ask(now, address)
 	}
 	next := x.scheduler.NextCheck()
-	for i := x.links.Len() - 1; i >= 0; i-- { // from the end, as the last link takes the place of one that ends
+	for i := x.links.Len() - 1; i >= 0; i-- { // from the end: Remove moves the last link to the index of the removed one
 		link := x.links.Items()[i]
 		switch {
 		case !link.asking:
@@ -109,7 +110,7 @@
 	return link
 }
 
-// message is what this instance tells its peers.
+// message composes a gossip message of this instance.
 func (x *Exchange) message(now microtime.Time, wantsReply bool) gossip.Message {
 	message := gossip.Message{
 		Name:         x.config.Name,
@@ -125,7 +126,7 @@
 	return message
 }
 
-// apply takes over what a peer told.
+// apply applies the observations and the peer list of a message.
 func (x *Exchange) apply(now microtime.Time, remote string, message *gossip.Message) {
 	sender := loadbalancer.GossipSender{Name: message.Name, Uptime: message.Uptime}
 	result := x.config.Balancer.ApplyGossip(now, x.config.Name, sender, message.Observations)
@@ -148,7 +149,7 @@
 	conn       transport.Conn // nil while it is being opened
 	cancelDial func()
 	address    string // that was dialled; "" if the peer opened it
-	asking     bool   // the peer is to answer
+	asking     bool   // the peer's answer is outstanding
 	answerDue  microtime.Time
 }
 
@@ -161,7 +162,7 @@
 	}
 }
 
-// fail ends a connection that brings no answer.
+// fail closes a connection, or cancels its dial, after the peer has not answered in time.
 func (l *exchangeLink) fail(now microtime.Time) {
 	if l.conn != nil {
 		l.conn.Close() // closed follows
--- a/internal/peers/inbound.go
+++ b/internal/peers/inbound.go
@@ -16,11 +16,11 @@
 	greeted bool // the server has said hello
 	from    replicationwire.Hello
 	replies []consensus.Reply
-	pong    bool // a sign of life is to be answered
+	pong    bool // a ping is to be answered
 	notice  membershipNotice
 }
 
-// flush sends what was to be sent.
+// flush sends the queued messages.
 func (i *inboundLink) flush(now microtime.Time) {
 	if !i.greeted {
 		return
@@ -64,7 +64,7 @@
 	i.links.writeHello(i.conn)
 }
 
-// Idle implements transport.Session. A link is never closed to make room.
+// Idle implements transport.Session. A link is never evicted.
 func (i *inboundLink) Idle() bool { return false }
 
 // Closed implements transport.Session.
--- a/internal/peers/links.go
+++ b/internal/peers/links.go
@@ -14,21 +14,21 @@
 // a former one too.
 const MaxConns = 64
 
-// EventLoop is what the links need of the event loop.
+// EventLoop is what the links need from the event loop.
 type EventLoop interface {
 	Now() microtime.Time
 	Dial(addr string, open func(transport.Conn) transport.Session) (drop func())
 }
 
-// Handler handles what comes on the links. Its methods are called on the event loop.
+// Handler handles the messages of the links. Its methods are called on the event loop.
 type Handler interface {
-	// Hello says who this server is.
+	// Hello returns the identity of this server.
 	Hello() replicationwire.Hello
 	// HandleMessage handles a message of a server that has said hello.
 	HandleMessage(from replicationwire.Hello, m replicationwire.Message)
-	// PeerStateChanged reports whether a server can be reached.
+	// PeerStateChanged is called when a server has become reachable or unreachable.
 	PeerStateChanged(id uint32, up bool)
-	// Membership is the newest that is known; its epoch is 0 if there is none.
+	// Membership returns the latest known membership. Its epoch is 0 if there is none.
 	Membership() consensus.Membership
 }
 
@@ -43,12 +43,12 @@
 	hellos   map[uint32]replicationwire.Hello // the last of each server
 }
 
-// New returns links to nobody.
+// New returns Links without any peers. SetPeers adds them.
 func New(loop EventLoop, handler Handler, logf func(string, ...any)) *Links {
 	return &Links{loop: loop, handler: handler, logf: logf, hellos: map[uint32]replicationwire.Hello{}}
 }
 
-// SetPeers has links to the servers at these addresses, by ID, and to no others.
+// SetPeers sets the servers to keep links to, as addresses by ID. Links to other servers are closed.
 func (l *Links) SetPeers(addresses map[uint32]string) {
 	for _, link := range slices.Clone(l.outbound) {
 		if address, ok := addresses[link.id]; !ok || address != link.address {
@@ -75,7 +75,7 @@
 	return nil
 }
 
-// LastHello is what a server last said of itself. It returns false if it has said nothing yet.
+// LastHello returns the last hello of a server, and false if there has been none.
 func (l *Links) LastHello(id uint32) (replicationwire.Hello, bool) {
 	hello, ok := l.hellos[id]
 	return hello, ok
@@ -87,8 +87,8 @@
 	return link != nil && link.up
 }
 
-// SendRequest sends a request at the end of the turn, if its server can be reached. There is no retry: whoever asks
-// repeats the request in time.
+// SendRequest sends a request at the end of the turn, if its server can be reached. There is no retry here: package
+// consensus repeats requests.
 func (l *Links) SendRequest(request consensus.Request) {
 	if link := l.outboundTo(request.To.ID); link != nil && link.up {
 		link.requests = append(link.requests, request)
@@ -112,7 +112,7 @@
 	}
 }
 
-// QueueMembership has a server told of the membership at the end of the turn.
+// QueueMembership sends the membership to a server at the end of the turn.
 func (l *Links) QueueMembership(id uint32) {
 	if link := l.outboundTo(id); link != nil {
 		link.notice.pending = true
@@ -124,7 +124,7 @@
 	}
 }
 
-// Check sends what was to be sent, opens links anew, and drops those that have gone silent. It returns when it is to be
+// Check sends the queued messages, reopens links, and closes those that have gone silent. It returns when it has to be
 // called again.
 func (l *Links) Check(now microtime.Time) microtime.Time {
 	next := microtime.Never
@@ -144,7 +144,7 @@
 	return link
 }
 
-// membershipEpoch is the epoch by which this server goes; 0: none.
+// membershipEpoch is the epoch of this server's membership; 0: there is none.
 func (l *Links) membershipEpoch() uint64 { return l.handler.Membership().Epoch }
 
 // write writes a message to a connection. One that cannot be encoded is logged and dropped.
@@ -157,7 +157,7 @@
 	conn.Write(encoded)
 }
 
-// writeHello tells the other end who this server is.
+// writeHello sends this server's hello.
 func (l *Links) writeHello(conn transport.Conn) {
 	hello := l.handler.Hello()
 	l.write(conn, replicationwire.Message{Hello: &hello, Epoch: l.membershipEpoch()})
--- a/internal/peers/messages.go
+++ b/internal/peers/messages.go
@@ -8,7 +8,7 @@
 	"pewterline/internal/protocol/replicationwire"
 )
 
-// The bounds of a message: far below those of the protocol, so that a vote does not wait behind a large message.
+// The limits of a batch. They are far below those of the protocol, so that a vote does not wait behind a large message.
 const (
 	maxBatchBytes = 64 << 10 // by the estimate of requestSize and replySize
 	maxBatchItems = 256
@@ -20,17 +20,17 @@
 	replyOverhead   = 120
 )
 
-// noticeInterval is how often the same membership is repeated to a server that goes by an earlier epoch.
+// noticeInterval is the time between two notices of the same membership to a server that still has an earlier epoch.
 const noticeInterval = 500 * microtime.Millisecond
 
-// membershipNotice tells the other end of a link, which goes by an earlier epoch, of the membership.
+// membershipNotice decides when to send the membership to the other end of a link, if that has an earlier epoch.
 type membershipNotice struct {
 	pending   bool
-	lastEpoch uint64 // that was told
+	lastEpoch uint64 // that was sent
 	lastAt    microtime.Time
 }
 
-// take returns the membership if it is to be told now, and nil otherwise.
+// take returns the membership if it has to be sent now, and nil otherwise.
 func (n *membershipNotice) take(now microtime.Time, membership *consensus.Membership) *consensus.Membership {
 	repeated := n.lastEpoch == membership.Epoch && now < n.lastAt+noticeInterval
 	due := n.pending && membership.Epoch != 0 && !repeated
@@ -51,7 +51,7 @@
 	return replyOverhead + len(reply.Key) + len(reply.Value.Result)
 }
 
-// batches splits items into parts that each go in one message. An item that is over the bound goes alone.
+// batches splits items into parts that each fit into one message. An item over maxBatchBytes is a part of its own.
 func batches[T any](items []T, size func(*T) int) iter.Seq[[]T] {
 	return func(yield func([]T) bool) {
 		for len(items) > 0 {
@@ -69,7 +69,7 @@
 	}
 }
 
-// receiveMessages handles the messages that have come whole. It returns how many bytes they took.
+// receiveMessages handles the complete messages at the front of in. It returns how many bytes they took.
 func receiveMessages(in []byte, handle func(replicationwire.Message) error) (int, error) {
 	consumed := 0
 	for {
--- a/internal/peers/outbound.go
+++ b/internal/peers/outbound.go
@@ -12,18 +12,18 @@
 )
 
 const (
-	// pingInterval is how often a link on which nothing is asked carries a sign of life.
+	// pingInterval is the time after the last request or ping at which a ping is sent on a link.
 	pingInterval = 300 * microtime.Millisecond
-	// silenceTimeout is how long a link may bring no answer; then it is opened anew.
+	// silenceTimeout is how long a link may be without an answer before it is reopened.
 	silenceTimeout = 2 * microtime.Second
-	// redialDelay is the wait before a link that has ended is opened anew.
+	// redialDelay is the wait before a link that has ended is reopened.
 	redialDelay = 100 * microtime.Millisecond
 )
 
-// ErrNoHello ends a connection whose other end sends a message before it says who it is.
+// ErrNoHello closes a connection whose other end sends another message before its hello.
 var ErrNoHello = errors.New("peers: a message before any hello")
 
-// WrongServerError ends a connection that reaches another server than was meant.
+// WrongServerError closes a connection that has reached another server than intended.
 type WrongServerError struct {
 	Address string
 	Want    uint32
@@ -43,7 +43,7 @@
 	conn       transport.Conn // nil while it is being opened
 	cancelDial func()         // nil while no dial is in progress and no connection is open
 	up         bool           // the server has said hello
-	removed    bool           // nobody wants the link any more
+	removed    bool           // remove was called
 	lastReadAt microtime.Time
 	lastPingAt microtime.Time
 	redialAt   microtime.Time
@@ -63,7 +63,7 @@
 	})
 }
 
-// check does what is due by the clock. It returns when it is to be called again.
+// check runs the link's timers and sends its queued messages. It returns when it has to be called again.
 func (o *outboundLink) check(now microtime.Time) microtime.Time {
 	switch {
 	case o.conn != nil && now >= o.lastReadAt+silenceTimeout:
@@ -92,7 +92,7 @@
 	o.markDown()
 }
 
-// markDown drops what was to be sent, as the server cannot be reached.
+// markDown marks the server as unreachable and drops the messages queued for it.
 func (o *outboundLink) markDown() {
 	if o.up {
 		o.up = false
@@ -103,7 +103,7 @@
 	o.notice.pending = false
 }
 
-// flush sends what was to be sent, or a sign of life.
+// flush sends the queued messages, and a ping if one is due.
 func (o *outboundLink) flush(now microtime.Time) {
 	if !o.up {
 		return
@@ -158,7 +158,7 @@
 	return nil
 }
 
-// Idle implements transport.Session. A link is never closed to make room.
+// Idle implements transport.Session. A link is never evicted.
 func (o *outboundLink) Idle() bool { return false }
 
 // Closed implements transport.Session.
--- a/internal/server/peer_session.go
+++ b/internal/server/peer_session.go
@@ -61,7 +61,7 @@
 // Idle is part of transport.Session.
 func (p *peerSession) Idle() bool { return false }
 
-// Closed is part of transport.Session. The other process has ended, or hangs.
+// Closed is part of transport.Session. The other process has ended, or the link to it is broken.
 func (p *peerSession) Closed() {
 	s := p.server
 	if s.handoff.otherProcess != p {
--- a/internal/server/reload.go
+++ b/internal/server/reload.go
@@ -40,8 +40,8 @@
 		return err
 	}
 	if s.shutdown.stage == draining {
-		// A drain keeps the grace period that it began with: the supervisor counts on it, and stopAt was computed from
-		// the settings of that moment.
+		// A drain keeps the grace period that it began with: the supervisor counts on it, and stopAt comes from the
+		// configuration of that moment, too.
 		next.Settings.DrainGrace = s.cfg.Settings.DrainGrace
 	}
 	if err := s.applyFallibleParts(next); err != nil {
--- a/internal/store/doc.go
+++ b/internal/store/doc.go
@@ -1,7 +1,7 @@
-// Package store is the store of record: it keeps the keyed requests that one server has run, with their results, and
-// those that it was about to run, in SQLite or PostgreSQL. Package server loads it at the start and writes to it
-// before and after each run.
+// Package store keeps the executions of idempotency keys in SQLite or PostgreSQL: the requests that one server has run,
+// with their results, and those that it was about to run. Package server loads it at the start and writes to it before
+// and after each run.
 //
-// It owns the connection to the database and one goroutine that writes. It never runs on the event loop, never waits
-// for the database longer than its timeout, and decides nothing: what a record means is its caller's.
+// It owns the connection to the database and one goroutine that writes. It never runs on the event loop and never waits
+// for the database longer than its timeout. The meaning of a record is decided by its caller.
 package store
--- a/internal/store/statements.go
+++ b/internal/store/statements.go
@@ -13,13 +13,13 @@
 	Postgres = "postgres"
 )
 
-// ErrUnknownDriver says that there is no such kind of database.
+// ErrUnknownDriver means that Config.Driver is neither SQLite nor Postgres.
 var ErrUnknownDriver = errors.New("store: unknown driver")
 
-// sqlitePragmas have a commit return once the disk holds it, and bound the wait for another process.
+// sqlitePragmas make a commit return only once it is durable, and limit the wait for a lock of another process to 1 s.
 const sqlitePragmas = "_pragma=journal_mode(WAL)&_pragma=synchronous(FULL)&_pragma=busy_timeout(1000)"
 
-// dialect is how a kind of database differs from the others.
+// dialect holds what differs between the kinds of database.
 type dialect struct {
 	driverName  string // as it is registered with database/sql
 	blobType    string
@@ -57,7 +57,7 @@
 	return strings.Join(list, ", ")
 }
 
-// statements are what a store has its database do. The columns named once hold idempotency keys.
+// statements are the SQL statements of a store. The columns named once hold idempotency keys.
 type statements struct {
 	createTables  []string
 	insertResult  string
@@ -66,8 +66,8 @@
 	selectIntents string
 }
 
-// newStatements returns the statements in a dialect. An intent is no younger than the result of its run; one that is
-// younger was not settled. Cancelled ones are of the time 0.
+// newStatements returns the statements in a dialect. An intent with a later at_ms than the result of the same key has
+// no result. A cancelled intent has at_ms 0.
 func newStatements(dialect dialect) statements {
 	onConflict := ` ON CONFLICT (server, class, tenant, once)`
 	since := " WHERE server = " + dialect.placeholder(1) + " AND at_ms >= " + dialect.placeholder(2) + " ORDER BY at_ms"
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	queueSize = 256 // records that may wait to be written; more are refused at once
+	queueSize = 256 // records that may wait to be written; Record rejects more with ErrQueueFull
 	maxBatch  = 64  // records that one transaction writes
 )
 
@@ -24,7 +24,7 @@
 	ErrClosed    = errors.New("store: closed")
 )
 
-// Config says which database to use, and for whom.
+// Config configures a Store.
 type Config struct {
 	Driver  string        // SQLite or Postgres
 	DSN     string        // a file for SQLite, a URL for PostgreSQL
@@ -32,7 +32,7 @@
 	Timeout time.Duration // of each operation on the database
 }
 
-// Store writes the records of one server, in the order in which they come. It is safe for concurrent use.
+// Store writes the records of one server, in the order of the calls of Record. It is safe for concurrent use.
 type Store struct {
 	db         *sql.DB
 	config     Config
@@ -48,8 +48,8 @@
 	done   func(error)
 }
 
-// Open connects to the database, creates its tables where there are none, and starts the writer, a goroutine that
-// Close ends. The database has to be there at the start: without it, what has run would not be known.
+// Open connects to the database, creates missing tables, and starts the writer, a goroutine that Close ends. It fails
+// if the database cannot be reached: without it, the server would not know which requests have run.
 func Open(config Config) (*Store, error) {
 	dialect, dsn, err := dialectOf(config.Driver, config.DSN)
 	if err != nil {
@@ -139,7 +139,7 @@
 func scanResult(rows *sql.Rows) (record Record, err error) {
 	err = rows.Scan(&record.Class, &record.Tenant, &record.IdempotencyKey, &record.ArrivedAtMilli, &record.Result)
 	if record.Result == nil {
-		record.Result = []byte{} // drivers differ over an empty one
+		record.Result = []byte{} // drivers differ in how they return an empty one
 	}
 	return record, err
 }
@@ -150,12 +150,12 @@
 	return record, err
 }
 
-// Record queues a record to be written. done is called once, on another goroutine: without an error the database
-// holds the record, with one that is not known.
+// Record queues a record to be written. done is called once, on another goroutine. Without an error the record is
+// durable; after an error it may or may not be.
 func (s *Store) Record(record Record, done func(error)) {
 	select {
 	case <-s.closing:
-		go done(ErrClosed) // on a goroutine that ends with it: the caller may hold what done needs
+		go done(ErrClosed) // not on this goroutine, because the caller may hold a lock that done needs
 		return
 	default:
 	}
@@ -199,7 +199,7 @@
 	}
 }
 
-// gather adds to a batch what else is queued: one commit serves all.
+// gather fills a batch with other queued records, which share one commit.
 func (s *Store) gather(first submission) []submission {
 	batch := []submission{first}
 	for len(batch) < maxBatch {
@@ -213,7 +213,7 @@
 	return batch
 }
 
-// write writes a batch and reports to each who waits for it.
+// write writes a batch and calls the done function of each record.
 func (s *Store) write(batch []submission) {
 	err := s.commit(batch)
 	for _, submission := range batch {
--- a/internal/transport/buffers.go
+++ b/internal/transport/buffers.go
@@ -1,7 +1,7 @@
 package transport
 
-// bufferBudget limits the bytes in the buffers of all connections together. It protects the memory of a small machine,
-// which many connections could exhaust with little each.
+// bufferBudget limits the bytes in the buffers of all connections together. Without it, many connections with few bytes
+// each could exhaust the memory of a small machine.
 type bufferBudget struct {
 	limit int // 0: none
 	used  int
@@ -23,13 +23,13 @@
 	if !loop.buffers.exceeded() || c.closed {
 		return
 	}
-	loop.lingering.closeBuffered() // what nobody may read any more goes first
+	loop.lingering.closeBuffered() // their peers may never read the rest
 	if loop.buffers.exceeded() {
 		loop.closeMostBuffered(c)
 	}
 }
 
-// closeMostBuffered closes the connection under the shared limit that has the most buffered bytes, or c where none has
+// closeMostBuffered closes the connection under the shared limit that has the most buffered bytes, or c if none has
 // more. Connections under dedicated limits are few, and their sessions buffer little.
 func (l *Loop) closeMostBuffered(c *Connection) {
 	largest := c
--- a/internal/transport/connection.go
+++ b/internal/transport/connection.go
@@ -11,16 +11,16 @@
 	received []byte
 	outgoing []byte
 
-	// The end of a connection has three steps.
-	closing bool // it is to be closed at the end of the turn, after what is unsent
+	// A connection ends in three steps.
+	closing bool // it closes at the end of the turn, after its unsent bytes are sent
 	closed  bool // the session has been notified; the connection may linger
-	ended   bool // the driver has no more of it
+	ended   bool // the driver has closed it
 
-	lingerDeadline microtime.Time // when it is closed outright
-	discarded      int            // bytes that came while it was closing or lingering
+	lingerDeadline microtime.Time // when it is closed even if the peer has not closed it
+	discarded      int            // bytes received while it was closing or lingering
 
 	group      *connGroup // nil: it was dialled
-	index      int        // in its group
+	index      int        // in group.conns
 	identified bool
 	acceptedAt microtime.Time
 	lastActive microtime.Time // when it last received something, or was written to
@@ -33,8 +33,8 @@
 // MarkIdentified is part of Conn.
 func (c *Connection) MarkIdentified() { c.identified = true }
 
-// Received hands what was read to the session; in is only lent. It returns false where the driver is to close the
-// connection. What comes once the connection is to be closed is discarded: its sender gets no answer on it.
+// Received passes the received bytes to the session. It does not retain in. It returns false if the driver has to close
+// the connection. Bytes that arrive while the connection is closing are discarded, because no answer can be sent.
 func (c *Connection) Received(in []byte) bool {
 	l := c.loop
 	l.beginTurn()
@@ -43,10 +43,10 @@
 		return c.discarded <= maxLingeringBytes
 	}
 	c.lastActive = l.now
-	// The limit protects the memory against a peer that sends faster than its session consumes.
+	// A peer may send faster than its session consumes.
 	if len(c.received)+len(in) > maxReceived {
 		l.logf("transport: %s closed: over %d bytes are unconsumed", c.Remote(), maxReceived)
-		c.Close() // what it is owed goes out first
+		c.Close() // after its unsent responses
 		return true
 	}
 	c.received = append(c.received, in...)
@@ -56,14 +56,14 @@
 	return true
 }
 
-// deliver hands the session what is received; false: the connection has ended by that.
+// deliver passes the received bytes to the session. It returns false if that has ended the connection.
 func (c *Connection) deliver() bool {
 	n, err := c.session.Receive(c.received)
 	if err != nil {
 		c.loop.logf("transport: %s closed: %v", c.Remote(), err)
 		c.Close()
-		// What is owed already, such as the protocol's own error, is sent now: the session is notified before the turn
-		// goes on.
+		// Responses that are already written, such as the protocol's own error, are sent now: the session must be
+		// notified before the turn goes on.
 		c.flush()
 		return false
 	}
@@ -71,12 +71,12 @@
 	return true
 }
 
-// Resume is part of Conn. Where nothing is left, there is nothing to do.
+// Resume is part of Conn. It does nothing if the session has consumed everything.
 func (c *Connection) Resume() {
 	if len(c.received) == 0 {
 		return
 	}
-	_ = c.loop.Execute(func() { // an error says that the loop has ended, and the connection with it
+	_ = c.loop.Execute(func() { // it fails only after the loop, and so the connection, has ended
 		if c.closed || c.closing {
 			return
 		}
@@ -101,7 +101,7 @@
 	}
 	c.lastActive = c.loop.now
 	c.scheduleFlush()
-	// The limit protects the memory within a turn, as flush does over turns: a peer may ask for a lot at once.
+	// This limits the unsent bytes of one turn, as send does over turns: one turn may bring many large responses.
 	if len(c.outgoing)+len(data) > maxOutgoing {
 		c.loop.logf("transport: %s closed: over %d bytes are unsent", c.Remote(), maxOutgoing)
 		c.outgoing, c.closing = c.outgoing[:0], true
@@ -119,7 +119,7 @@
 	c.closing = true
 }
 
-// scheduleFlush has flush called at the end of the turn.
+// scheduleFlush registers the connection to be flushed at the end of the turn.
 func (c *Connection) scheduleFlush() {
 	if len(c.outgoing) == 0 && !c.closing {
 		c.loop.toFlush = append(c.loop.toFlush, c)
@@ -127,7 +127,7 @@
 	}
 }
 
-// flush sends what was written, and then closes the connection where it is to be closed.
+// flush sends the written bytes, and then shuts the connection down if it is closing.
 func (c *Connection) flush() {
 	if c.closed {
 		return
@@ -140,7 +140,7 @@
 	}
 }
 
-// send hands the driver what was written; false: the connection has ended by that.
+// send passes the written bytes to the driver. It returns false if that has ended the connection.
 func (c *Connection) send() bool {
 	out := c.outgoing
 	c.outgoing = c.outgoing[:0]
@@ -150,7 +150,7 @@
 	if cap(c.outgoing) > retainedCapacity {
 		c.outgoing = nil
 	}
-	// The limit protects the memory against a peer that asks and does not read.
+	// A peer may send requests without reading the responses.
 	if n := c.raw.Unsent(); n > maxOutgoing {
 		c.loop.logf("transport: %s closed: %d bytes are unread", c.Remote(), n)
 		c.raw.Close()
@@ -160,8 +160,8 @@
 	return true
 }
 
-// Ended reports that the driver has no more of the connection; the session is notified, unless it was. Calls after the
-// first do nothing.
+// Ended is called by the driver when it has closed the connection. The session is notified, unless it has been before.
+// Calls after the first do nothing.
 func (c *Connection) Ended() {
 	if c.ended {
 		return
@@ -174,7 +174,7 @@
 	c.endSession()
 }
 
-// endSession releases the buffers and notifies the session, unless that was done.
+// endSession releases the buffers, and notifies the session on the first call.
 func (c *Connection) endSession() {
 	notified := c.closed
 	c.closed, c.closing = true, true
--- a/internal/transport/dial.go
+++ b/internal/transport/dial.go
@@ -3,38 +3,38 @@
 import "pewterline/internal/microtime"
 
 const (
-	// The backoff before the second attempt to dial; it doubles with each failure.
+	// initialRedialBackoff is the backoff before the second attempt to dial. It doubles with each failure.
 	initialRedialBackoff = 20 * microtime.Millisecond
-	// The longest backoff between two attempts.
+	// maxRedialBackoff is the longest backoff between two attempts.
 	maxRedialBackoff = 500 * microtime.Millisecond
 )
 
-// Dial is a connection that the program wants, until it is open.
+// Dial is the state of a connection that is being opened.
 type Dial struct {
 	addr    string
 	open    func(Conn) Session
-	failed  func() // nil: it is tried again until it opens
+	failed  func() // nil: the dial is retried until it succeeds
 	backoff microtime.Time
 	retryAt microtime.Time
-	dropped bool // nobody wants it any more
+	dropped bool // drop was called
 }
 
 // Addr returns the address to dial.
 func (d *Dial) Addr() string { return d.addr }
 
-// drop gives the dial up: neither open nor failed is called after it.
+// drop cancels the dial: neither open nor failed is called after it.
 func (d *Dial) drop() { d.dropped = true }
 
-// Dial opens a connection to addr; open gives its session. A connection that can't be opened is tried again after a
-// backoff until it opens, or until drop is called: open is not called after that.
+// Dial opens a connection to addr. open is called once it is open and returns its session. After a failure the dial is
+// retried with backoff, until it succeeds or drop is called. open is not called after drop.
 func (l *Loop) Dial(addr string, open func(Conn) Session) (drop func()) {
 	d := &Dial{addr: addr, open: open, backoff: initialRedialBackoff}
 	l.driver.Dial(d)
 	return d.drop
 }
 
-// DialOnce tries once to open a connection to addr: open gives its session, or failed reports the failure. Neither is
-// called after drop.
+// DialOnce tries once to open a connection to addr. Either open is called and returns its session, or failed is called.
+// Neither is called after drop.
 func (l *Loop) DialOnce(addr string, open func(Conn) Session, failed func()) (drop func()) {
 	d := &Dial{addr: addr, open: open, failed: failed}
 	l.driver.Dial(d)
@@ -44,7 +44,8 @@
 // Adopted returns the dial of a connection that a driver has opened by itself, for Connected.
 func (l *Loop) Adopted(open func(Conn) Session) *Dial { return &Dial{open: open} }
 
-// Connected takes a connection that has opened. It returns nil where the driver is to close it.
+// Connected is called by the driver when a dial has succeeded. It returns nil if the driver has to close the
+// connection.
 func (l *Loop) Connected(d *Dial, raw RawConn) *Connection {
 	l.beginTurn()
 	if d.dropped {
@@ -55,7 +56,7 @@
 	return c
 }
 
-// DialFailed reports that an attempt to dial has failed.
+// DialFailed is called by the driver when an attempt to dial has failed.
 func (l *Loop) DialFailed(d *Dial) {
 	l.beginTurn()
 	if d.dropped {
@@ -80,7 +81,7 @@
 	q.dials = append(q.dials, d)
 }
 
-// takeDue removes what is due or dropped, and returns what is due with the time at which the next attempt is.
+// takeDue removes the dials that are due or dropped. It returns the due ones, and when the next attempt is due.
 func (q *redialQueue) takeDue(now microtime.Time) (due []*Dial, next microtime.Time) {
 	next = microtime.Never
 	left := q.dials[:0]
@@ -99,7 +100,7 @@
 	return due, next
 }
 
-// redialDue dials again what is due; it returns when the next attempt is.
+// redialDue starts the attempts that are due. It returns when the next one is.
 func (l *Loop) redialDue() microtime.Time {
 	due, next := l.redials.takeDue(l.now)
 	for _, d := range due {
--- a/internal/transport/identification.go
+++ b/internal/transport/identification.go
@@ -2,15 +2,15 @@
 
 import "pewterline/internal/microtime"
 
-// identificationQueue is the accepted connections that were unidentified when last looked at, oldest first. It protects
-// the proxies' connections against peers that connect and send nothing, or nothing valid, or half a message.
+// identificationQueue holds the accepted connections that were unidentified when last checked, oldest first. It keeps
+// peers that connect and send nothing valid, or half a message, from using up the connection limit of the proxies.
 type identificationQueue struct {
 	conns []*Connection
 }
 
 func (q *identificationQueue) add(c *Connection) { q.conns = append(q.conns, c) }
 
-// oldest returns the first connection of a group that is still unidentified; nil: there is none.
+// oldest returns the first connection of a group that is still unidentified, or nil.
 func (q *identificationQueue) oldest(group *connGroup) *Connection {
 	for _, c := range q.conns {
 		if !c.closing && !c.identified && c.group == group {
@@ -20,8 +20,8 @@
 	return nil
 }
 
-// popOverdue takes off the queue the first connection whose IdentificationTimeout is over. Connections before it that
-// are identified or closed go as well. Where none is overdue it returns nil and the time at which the next one will be.
+// popOverdue removes the first connection whose IdentificationTimeout is over, and with it all earlier connections,
+// which are identified or closed. If none is overdue, it returns nil and the time at which the next one will be.
 func (q *identificationQueue) popOverdue(now microtime.Time) (overdue *Connection, next microtime.Time) {
 	for len(q.conns) > 0 {
 		c := q.conns[0]
--- a/internal/transport/limits.go
+++ b/internal/transport/limits.go
@@ -1,11 +1,11 @@
 package transport
 
-// connGroup is the accepted connections that share one limit. A connection knows its index in the group. A lingering
-// connection stays in the group while it can, as it holds a descriptor, but does not count against the limit.
+// connGroup holds the accepted connections that share one limit. A lingering connection stays in the group, because it
+// holds a descriptor, but does not count against the limit.
 type connGroup struct {
 	conns     []*Connection
 	limit     int
-	lingering int // of conns
+	lingering int // number of lingering connections in conns
 }
 
 // inUse counts the connections that are not lingering.
@@ -14,14 +14,14 @@
 // full reports that a further connection needs an eviction.
 func (g *connGroup) full() bool { return g.inUse() >= g.limit }
 
-// add puts a connection last.
+// add appends a connection.
 func (g *connGroup) add(c *Connection) {
 	c.group = g
 	c.index = len(g.conns)
 	g.conns = append(g.conns, c)
 }
 
-// remove takes a connection out; the last one gets its index.
+// remove removes a connection in constant time: the last one moves to its index.
 func (g *connGroup) remove(c *Connection) {
 	if c.closed {
 		g.lingering--
@@ -32,8 +32,8 @@
 	g.conns = g.conns[:len(g.conns)-1]
 }
 
-// connLimits is the connection limits of all listeners. A listener with a dedicated limit protects both sides: no
-// number of silent operators costs a proxy its connection, and no crowd of proxies shuts the operators out.
+// connLimits holds the connection limits of all listeners. A dedicated limit separates a listener from the others:
+// silent operators cannot use up the proxies' connections, and proxies cannot use up the operators'.
 type connLimits struct {
 	shared    connGroup
 	dedicated map[int]*connGroup // by the index of the listener
@@ -76,13 +76,13 @@
 	}
 }
 
-// Accept takes a connection to the listener of that index. It returns nil where the driver is to close it.
+// Accept is called by the driver for a new connection to a listener. It returns nil if the driver has to close it.
 func (l *Loop) Accept(raw RawConn, listener int) *Connection {
 	l.beginTurn()
 	if l.shuttingDown {
 		return nil
 	}
-	// The limit protects the descriptors: without any left the driver may have to give up listening altogether.
+	// Without a limit the process could run out of descriptors, and then the driver may stop to listen altogether.
 	group := l.accepted.of(listener)
 	if group.full() && !l.evict(group) {
 		l.logf("transport: %s rejected: %d connections are open, all in use", raw.Remote(), group.inUse())
@@ -109,11 +109,11 @@
 	}
 	l.logf("transport: %s evicted: %d connections are open", victim.Remote(), group.inUse())
 	victim.Close()
-	victim.flush() // now, as its place is needed
+	victim.flush() // now: the new connection needs the capacity
 	return true
 }
 
-// longestIdle returns the idle connection of a group that was active the longest ago; nil: there is none.
+// longestIdle returns the connection of a group that has been idle the longest, or nil.
 func (l *Loop) longestIdle(group *connGroup) *Connection {
 	var oldest *Connection
 	for _, c := range group.conns {
--- a/internal/transport/lingering.go
+++ b/internal/transport/lingering.go
@@ -3,17 +3,18 @@
 import "pewterline/internal/microtime"
 
 const (
-	// Bytes that may still come on a lingering connection.
+	// maxLingeringBytes is the most bytes that may still arrive on a lingering connection before it is closed.
 	maxLingeringBytes = 256 << 10
-	// Lingering connections of a group that may stand beside the connections in use.
+	// maxLingeringConns is how many connections a group may hold beyond its limit while some of them linger.
 	maxLingeringConns = 4
-	// Interval at which a connection that has bytes left to send is looked at, to half-close it behind them.
+	// lingerPollInterval is the interval at which a connection with unsent bytes is checked. It is half-closed once
+	// they are sent.
 	lingerPollInterval = 10 * microtime.Millisecond
 )
 
-// lingeringConns is the connections that this side has shut down and that their peers have not closed yet, oldest
-// first. A close with bytes unread would reset a connection and discard what the peer has not read; a request that
-// crosses the shutdown has to find an end instead.
+// lingeringConns holds the connections that this side has half-closed and that their peers have not closed yet, oldest
+// first. To close a socket with unread bytes would reset the connection, and the peer would lose responses that it has
+// not read yet. This can happen whenever a request crosses the shutdown, so the connection lingers instead.
 type lingeringConns struct {
 	conns []*Connection
 }
@@ -22,7 +23,7 @@
 
 func (s *lingeringConns) empty() bool { return len(s.conns) == 0 }
 
-// closeOldest closes outright the connection of a group that has lingered the longest.
+// closeOldest closes the connection of a group that has lingered the longest, without waiting for its peer.
 func (s *lingeringConns) closeOldest(group *connGroup) {
 	for _, c := range s.conns {
 		if c.group == group && !c.ended {
@@ -32,7 +33,7 @@
 	}
 }
 
-// closeBuffered closes outright all lingering connections that still have something buffered.
+// closeBuffered closes all lingering connections with buffered bytes, without waiting for their peers.
 func (s *lingeringConns) closeBuffered() {
 	for _, c := range s.conns {
 		if c.buffered > 0 && !c.ended {
@@ -41,8 +42,8 @@
 	}
 }
 
-// sweep closes outright what has lingered too long, drops what has ended, and half-closes what has sent all its bytes.
-// It returns when to sweep again.
+// sweep closes the connections that have lingered too long, drops those that have ended, and half-closes those that
+// have sent all their bytes. It returns when to sweep again.
 func (s *lingeringConns) sweep(now microtime.Time) microtime.Time {
 	next := microtime.Never
 	left := s.conns[:0]
@@ -76,8 +77,8 @@
 	return next
 }
 
-// linger ends the connection from this side: the session is notified, and the peer gets what was written and then the
-// half-close. The peer closes the connection, or it is closed after LingerTimeout.
+// linger shuts the connection down from this side: the session is notified, and the peer gets the written bytes and
+// then the half-close. The connection is closed when the peer closes its side, or after LingerTimeout.
 func (c *Connection) linger() {
 	c.endSession()
 	if c.ended {
--- a/internal/transport/loop.go
+++ b/internal/transport/loop.go
@@ -2,7 +2,7 @@
 
 import "pewterline/internal/microtime"
 
-// Loop is the event loop of the program: the order of a turn, and the owner of all connections.
+// Loop is the event loop of the program. It orders the steps of a turn and owns all connections.
 type Loop struct {
 	driver  Driver
 	handler Handler
@@ -12,9 +12,9 @@
 	begun bool
 
 	now         microtime.Time // of this turn
-	turnPending bool           // a turn is under way: its end is queued
+	turnPending bool           // a turn is in progress: its end is queued
 	timerAt     microtime.Time // when the driver's timer is set to fire
-	toFlush     []*Connection  // with something to send, or to close, at the end of the turn
+	toFlush     []*Connection  // to send bytes on, or to close, at the end of the turn
 
 	accepted     connLimits
 	unidentified identificationQueue
@@ -22,7 +22,7 @@
 	redials      redialQueue
 	lingering    lingeringConns
 
-	shuttingDown     bool // nothing is accepted, and the loop stops with the last lingering connection
+	shuttingDown     bool // no connection is accepted, and the loop stops with the last lingering one
 	shutdownDeadline microtime.Time
 }
 
@@ -40,7 +40,7 @@
 	}
 }
 
-// Begin has the program behind the loop begin. Calls after the first do nothing.
+// Begin starts the program behind the loop. Calls after the first do nothing.
 func (l *Loop) Begin() {
 	if l.begun {
 		return
@@ -53,10 +53,10 @@
 // Now returns the time of this turn.
 func (l *Loop) Now() microtime.Time { return l.now }
 
-// Rand returns a random number of the driver's.
+// Rand returns a random number from the driver.
 func (l *Loop) Rand() uint64 { return l.driver.Rand() }
 
-// Execute runs f on the loop, in a turn. It may be called from any goroutine; an error says that the loop has ended.
+// Execute runs f on the loop, in a turn. It may be called from any goroutine. It fails only if the loop has ended.
 func (l *Loop) Execute(f func()) error {
 	return l.driver.Queue(func() {
 		l.beginTurn()
@@ -67,7 +67,7 @@
 // TimerFired begins a turn that is due by the clock.
 func (l *Loop) TimerFired() { l.beginTurn() }
 
-// beginTurn begins a turn, if none is under way: the clock is read, and the end of the turn is queued.
+// beginTurn begins a turn, if none is in progress: it reads the clock and queues the end of the turn.
 func (l *Loop) beginTurn() {
 	if l.turnPending {
 		return
@@ -79,7 +79,7 @@
 	}
 }
 
-// endTurn lets the program decide on all that was received, sends what was written, and sets the timer.
+// endTurn calls the handler's Turn, flushes the connections, and sets the timer.
 func (l *Loop) endTurn() {
 	l.turnPending = false
 	next := min(l.handler.Turn(l.now), l.closeUnidentified(), l.redialDue())
@@ -95,8 +95,8 @@
 	}
 }
 
-// flushAll sends what connections have to send. A failed write may close a connection, and its session may write to
-// another: the list may grow meanwhile.
+// flushAll flushes the connections. The list may grow meanwhile: a failed write may close a connection, whose session
+// may then write to another.
 func (l *Loop) flushAll() {
 	for i := 0; i < len(l.toFlush); i++ {
 		l.toFlush[i].flush()
@@ -104,11 +104,10 @@
 	l.toFlush = l.toFlush[:0]
 }
 
-// Stop ends the loop, with all connections as they are. It may be called from any goroutine.
+// Stop ends the loop without flushing or closing connections. It may be called from any goroutine.
 func (l *Loop) Stop() { l.driver.Stop() }
 
-// CloseListener accepts the connections that wait at the listener of that index, then closes the listener and calls
-// done in a turn.
+// CloseListener accepts the connections in a listener's queue, closes the listener, and then calls done in a turn.
 func (l *Loop) CloseListener(listener int, done func()) {
 	l.driver.CloseListener(listener, func() {
 		l.beginTurn()
@@ -116,8 +115,9 @@
 	})
 }
 
-// Shutdown closes all accepted connections after what was written, and ends the loop once their peers have closed
-// them, or at the deadline. It protects the last answers: the end of a process with bytes unread resets a connection.
+// Shutdown flushes and closes all accepted connections. The loop ends once their peers have closed them too, or at the
+// deadline. The wait is needed because a process that ends with unread bytes resets the connection, and the peer loses
+// the last responses.
 func (l *Loop) Shutdown(deadline microtime.Time) {
 	l.beginTurn()
 	l.shuttingDown = true
@@ -125,13 +125,13 @@
 	l.accepted.each((*Connection).Close)
 }
 
-// shutdownComplete reports that the loop may end.
+// shutdownComplete reports whether a shutdown is in progress and the loop may end.
 func (l *Loop) shutdownComplete() bool {
 	return l.shuttingDown && (l.lingering.empty() || l.now >= l.shutdownDeadline)
 }
 
-// SetDatagramPeer sets the peer of SendDatagram; empty: none. On an error the one before stays.
+// SetDatagramPeer sets the peer of SendDatagram; empty: none. After an error the previous peer stays.
 func (l *Loop) SetDatagramPeer(addr string) error { return l.driver.SetDatagramPeer(addr) }
 
-// SendDatagram sends one datagram; it may be lost, as any may.
+// SendDatagram sends one datagram, which may be lost.
 func (l *Loop) SendDatagram(p []byte) { l.driver.SendDatagram(p) }
--- a/internal/transport/sockets/driver.go
+++ b/internal/transport/sockets/driver.go
@@ -1,11 +1,10 @@
 // Package sockets is the transport.Driver of the real program: gnet's event loop with listeners, connections, dialled
 // connections, a timer and datagrams. Command pewterline starts it, with internal/server as its handler. It owns the
 // sockets and the goroutine of the loop, and decides nothing about connections: that is package transport's. Nothing
-// else imports gnet.
-//
-// gnet calls back for each connection and does not say when a round of its poller is over. A turn is made from how its
-// poller works: it first calls back for every descriptor that is ready, and runs the tasks that were queued with
-// Execute after that. So what is queued in the first callback of a turn runs behind all that was ready with it.
+// else imports gnet. gnet has a callback for each ready connection, but none for the end of a round of its poller. The
+// end of a turn relies on how the poller works: it first calls back for every descriptor that is ready, and then runs
+// the tasks that were queued with Execute. So a task that is queued in the first callback of a turn runs after all
+// callbacks of that round.
 package sockets
 
 import (
@@ -27,19 +26,19 @@
 const (
 	// readBuffer is how many bytes are read at once from a connection.
 	readBuffer = 64 << 10
-	// unarmed is the interval of timers that are stopped before they fire.
+	// unarmed is the interval of a timer that should not fire.
 	unarmed = time.Hour
 )
 
-// errEndedEarly says that the event loop ended, without an error of its own, before it had begun.
+// errEndedEarly means that gnet returned without an error before its event loop ran.
 var errEndedEarly = errors.New("the event loop ended as it began")
 
-// Clock tells the time of a turn. Timers run by the system's own clock.
+// Clock is the source of the times of turns. Timers run by the system's own clock.
 type Clock interface {
 	Now() microtime.Time
 }
 
-// Options say what a Loop serves.
+// Options configure a Loop.
 type Options struct {
 	transport.Options
 	Listen       []string // addresses, in the order of Handler.Accept's index; an empty one has no listener
@@ -53,26 +52,26 @@
 	driver *driver
 }
 
-// driver implements transport.Driver and gnet's event handler. Its fields belong to the loop, but for those that say
-// otherwise.
+// driver implements transport.Driver and gnet's event handler. Its fields are used only on the loop, except those whose
+// comment says otherwise.
 type driver struct {
 	gnet.BuiltinEventEngine
 	options   Options
 	loop      *transport.Loop
-	engine    gnet.Engine    // set by OnBoot; gnet's own methods guard it
-	eventLoop gnet.EventLoop // from the first connection on
+	engine    gnet.Engine    // set by OnBoot; its methods are safe for concurrent use
+	eventLoop gnet.EventLoop // set with the first connection
 	timer     *time.Timer
 	listeners []listener
 	datagrams net.Conn // nil: no peer is set
 
 	stopping atomic.Bool
 	ready    chan struct{} // closed once the loop runs
-	done     chan error    // gets the result of the loop's goroutine
+	done     chan error    // receives the result of the loop's goroutine
 	ticked   bool          // gnet's ticker has ticked; the ticker's goroutine alone uses it
 }
 
-// Start opens the listeners and runs the loop on a goroutine of its own, which ends after Stop; Wait awaits that. begin
-// runs first on the loop, before any session.
+// Start opens the listeners and runs the loop on a goroutine of its own, which ends after Stop. Wait waits for that.
+// begin runs first on the loop, before any session.
 func Start(options Options, handler transport.Handler, begin func(*transport.Loop)) (*Loop, error) {
 	driver := &driver{options: options, ready: make(chan struct{}), done: make(chan error, 1)}
 	driver.loop = transport.New(options.Options, driver, handler, begin)
@@ -103,7 +102,7 @@
 	return timer
 }
 
-// rotate runs gnet until it is stopped.
+// rotate runs gnet until it is stopped, and returns its error.
 func (d *driver) rotate() error {
 	var addrs []string
 	for _, addr := range d.options.Listen {
@@ -123,7 +122,7 @@
 		gnet.WithLogLevel(logging.WarnLevel))
 }
 
-// awaitReady returns when the loop runs, or with the error that it ended with.
+// awaitReady returns nil once the loop runs, or the error with which it ended before.
 func (d *driver) awaitReady() error {
 	select {
 	case <-d.ready:
@@ -136,7 +135,7 @@
 	}
 }
 
-// Wait returns when the loop has ended.
+// Wait waits until the loop has ended, and returns its error.
 func (l *Loop) Wait() error {
 	err := <-l.driver.done
 	l.driver.timer.Stop()
@@ -148,11 +147,12 @@
 	if d.stopping.Swap(true) {
 		return
 	}
-	// Off the loop, which it waits for. It has no deadline, so that the loop's own error is all there is to report.
+	// On a goroutine of its own, because it waits for the loop. Its error is ignored: without a deadline it can only
+	// repeat the loop's own error, which Wait returns.
 	go func() { _ = d.engine.Stop(context.Background()) }()
 }
 
-// task is a function as gnet runs it.
+// task adapts a function to gnet.Runnable.
 type task func()
 
 // Run is part of gnet.Runnable.
--- a/internal/transport/sockets/events.go
+++ b/internal/transport/sockets/events.go
@@ -12,8 +12,8 @@
 // ownSocket is the context of the loop's own socket, which captureEventLoop registers.
 type ownSocket struct{}
 
-// captureEventLoop has the loop begin. gnet gives its event loop only to connections, so a datagram socket of our own
-// is registered for as long as that takes.
+// captureEventLoop gets gnet's event loop and begins the Loop. gnet exposes its event loop only through connections, so
+// this registers a datagram socket of our own and closes it afterwards.
 func (d *driver) captureEventLoop() error {
 	conn, err := net.Dial("udp", d.listeners[0].addr.String()) // our own address: nothing is sent
 	if err != nil {
@@ -31,7 +31,7 @@
 	return d.loop.Execute(func() { _ = d.eventLoop.Close(result.Conn) }) // it was never used
 }
 
-// OnBoot notes the engine and the listeners' addresses.
+// OnBoot stores the engine and the listeners' addresses.
 func (d *driver) OnBoot(engine gnet.Engine) gnet.Action {
 	d.engine = engine
 	for _, addr := range d.options.Listen {
@@ -58,20 +58,20 @@
 
 // OnOpen gives a new connection its session.
 func (d *driver) OnOpen(gnetConn gnet.Conn) ([]byte, gnet.Action) {
-	// A peer may connect as soon as the port listens, ahead of our own socket: the program behind the loop has to begin
-	// before.
+	// A peer may connect as soon as the port listens, before captureEventLoop has registered its socket. So the first
+	// connection of either kind begins the Loop.
 	if d.eventLoop == nil {
 		d.eventLoop = gnetConn.EventLoop()
 		d.loop.Begin()
 	}
-	// Our own socket is recognized by its context: where the system tells no address of a datagram socket that has sent
-	// nothing, gnet has none either, and asking it for its network is a crash.
+	// Our own socket is recognized by its context, not by its network: on some systems a datagram socket that has sent
+	// nothing has no address, and then gnet panics when asked for its network.
 	if _, own := gnetConn.Context().(ownSocket); own {
 		return nil, gnet.None
 	}
 	s, registered := gnetConn.Context().(*socket)
 	if registered {
-		_ = gnetConn.SetNoDelay(true) // as the listeners have it; without it the connection works as well
+		_ = gnetConn.SetNoDelay(true) // as for accepted connections; an error does no harm
 	} else {
 		s = &socket{driver: d, listener: d.listenerOf(gnetConn)}
 		gnetConn.SetContext(s)
@@ -82,11 +82,11 @@
 	return nil, gnet.Close
 }
 
-// OnTraffic hands on what was read.
+// OnTraffic passes the received bytes to the connection.
 func (d *driver) OnTraffic(gnetConn gnet.Conn) gnet.Action {
 	s, ok := gnetConn.Context().(*socket)
 	if !ok || s.conn == nil {
-		_, _ = gnetConn.Discard(-1) // all there is, so that it can't fail
+		_, _ = gnetConn.Discard(-1) // -1 discards everything, which cannot fail
 		return gnet.None
 	}
 	in, err := gnetConn.Next(-1)
@@ -96,7 +96,7 @@
 	return gnet.None
 }
 
-// OnClose ends the connection.
+// OnClose reports the end of the connection to the Loop.
 func (d *driver) OnClose(gnetConn gnet.Conn, _ error) gnet.Action {
 	if s, ok := gnetConn.Context().(*socket); ok && s.conn != nil {
 		s.conn.Ended()
--- a/internal/transport/sockets/listener.go
+++ b/internal/transport/sockets/listener.go
@@ -12,10 +12,10 @@
 )
 
 const (
-	// acceptBatch is how many waiting connections of a listener are accepted at once. Each holds three descriptors
-	// until gnet has it; the limit keeps the process from running out of them, upon which gnet would give up.
+	// acceptBatch is how many queued connections of a closing listener are accepted at once. Each uses three
+	// descriptors until gnet has taken it over; without a limit the process could run out of them, and gnet would stop.
 	acceptBatch = 4
-	// maxDescriptor is how many descriptors are searched for a listener's, which is one of the first.
+	// maxDescriptor is the number of descriptors that are searched for a listener's, which is one of the first.
 	maxDescriptor = 1024
 )
 
@@ -25,16 +25,16 @@
 	errListenerNotClosable  = errors.New("the listener can't be closed: its descriptor is not known")
 )
 
-// listener is what the system gave one of gnet's listeners.
+// listener is one of gnet's listeners as the system knows it.
 type listener struct {
-	addr *net.TCPAddr // nil: there is none
-	fd   int          // gnet's descriptor of it; 0: not found
+	addr *net.TCPAddr // nil: there is no listener
+	fd   int          // gnet's descriptor; 0: not found
 }
 
-// Addr returns the address that the listener of that index got.
+// Addr returns the address that a listener is bound to; nil: there is no listener at that index.
 func (l *Loop) Addr(index int) *net.TCPAddr { return l.driver.listeners[index].addr }
 
-// findListener asks the system where a listener is bound, as its port may have been left to it.
+// findListener asks the system for the address of a listener, because the system may have chosen the port.
 func findListener(engine gnet.Engine, addr string) (found listener, err error) {
 	fd, err := engine.DupListener("tcp", addr)
 	if err != nil {
@@ -48,8 +48,8 @@
 	return found, err
 }
 
-// closeCopy closes a copy of a descriptor. Its error is neglected: the socket stays open under the original, and
-// nothing was written to the copy.
+// closeCopy closes a copy of a descriptor. Its error is ignored: the socket stays open under the original, and nothing
+// was written to the copy.
 func closeCopy(fd int) { _ = unix.Close(fd) }
 
 // localAddr returns the address that a socket is bound to; nil: it has none.
@@ -67,8 +67,8 @@
 	return nil
 }
 
-// originalOf finds the descriptor that fd, of a listener, is a copy of. It is called before a connection is accepted,
-// which would have the same address.
+// originalOf finds the descriptor of which fd, of a listener, is a copy. It must be called before any connection is
+// accepted: an accepted connection has the same local address.
 func originalOf(fd int, addr *net.TCPAddr) (int, error) {
 	for candidate := range maxDescriptor {
 		bound := localAddr(candidate)
@@ -83,7 +83,7 @@
 	return 0, errNoListenerDescriptor
 }
 
-// listenerOf returns the index of the listener that a connection came to, by the port.
+// listenerOf returns the index of the listener that has accepted a connection, found by its local address.
 func (d *driver) listenerOf(conn gnet.Conn) int {
 	local := localAddr(conn.Fd())
 	if local == nil {
@@ -98,9 +98,9 @@
 	return 0
 }
 
-// DirectConnections has the kernel give new connections to the listener of that index to one of the processes that
-// share its address by SO_REUSEPORT: the place counts them from 0, in the order in which they came to listen. Where
-// there is no such place, the kernel picks as it always does.
+// DirectConnections makes the kernel pass new connections of a listener to one of the processes that share its address
+// by SO_REUSEPORT. place is the index of that process, in the order in which they started to listen. If there is no
+// such process, the kernel distributes connections as usual.
 func (l *Loop) DirectConnections(index, place int) error {
 	fd, err := l.driver.engine.DupListener("tcp", l.driver.options.Listen[index])
 	if err != nil {
@@ -116,13 +116,13 @@
 	return nil
 }
 
-// attachFilter attaches a classic BPF program to a socket by one of the options for that.
+// attachFilter attaches a classic BPF program to a socket. option is the socket option that does so.
 func attachFilter(fd, option int, filter []unix.SockFilter) error {
 	program := &unix.SockFprog{Len: uint16(len(filter)), Filter: &filter[0]}
 	return unix.SetsockoptSockFprog(fd, unix.SOL_SOCKET, option, program)
 }
 
-// rejectHandshakes has the kernel drop packets that begin a handshake; handshakes under way come to their end.
+// rejectHandshakes makes the kernel drop packets that begin a TCP handshake. Handshakes in progress are completed.
 func rejectHandshakes(fd int) error {
 	const (
 		flagsOffset = 13 // in a TCP header
@@ -136,9 +136,10 @@
 	})
 }
 
-// CloseListener is part of transport.Driver. New handshakes are rejected first, so that no connection can come between
-// the last look at the queue and the close: a peer that asks meanwhile gets no answer, and is refused when it asks
-// again. What waits is accepted here, as gnet accepts one connection in a round of its poller and can't be told to.
+// CloseListener is part of transport.Driver. New handshakes are dropped first, so that no connection can enter the
+// queue between the last accept and the close: a peer that connects meanwhile gets no answer, and is refused when it
+// repeats its SYN. The queue is accepted here, because gnet accepts one connection in a round of its poller and offers
+// no way to accept the rest.
 func (d *driver) CloseListener(index int, done func()) {
 	fd, err := d.engine.DupListener("tcp", d.options.Listen[index])
 	if err == nil && d.listeners[index].fd == 0 {
@@ -149,21 +150,22 @@
 		done()
 		return
 	}
-	// Not every system has it: what comes between the last look and the close is then reset.
+	// Not every system supports this. Without it, a connection that arrives between the last accept and the close is
+	// reset.
 	_ = rejectHandshakes(fd)
 	d.drainListener(&closingListener{fd: fd, index: index, done: done})
 }
 
-// closingListener is a listener whose waiting connections are being accepted.
+// closingListener is a listener whose queued connections are being accepted before it is closed.
 type closingListener struct {
 	fd     int // a copy of its descriptor
 	index  int
-	rounds int // of accepting so far
+	rounds int // of accepts so far
 	done   func()
 }
 
-// drainListener accepts what waits at a listener, a batch in a turn. The first look that finds nothing, after the
-// first round, closes it.
+// drainListener accepts the queued connections of a listener, one batch in a turn. It closes the listener in the first
+// round after the first in which the queue is empty.
 func (d *driver) drainListener(closing *closingListener) {
 	waiting, err := acceptWaiting(closing.fd)
 	if err != nil {
@@ -176,7 +178,7 @@
 		closing.done()
 		return
 	}
-	// gnet takes connections off the loop alone. The goroutine ends with the batch.
+	// register must not be called on the loop. The goroutine ends with the batch.
 	go func() {
 		for _, conn := range waiting {
 			if err := d.register(conn, &socket{driver: d, listener: closing.index}); err != nil {
@@ -193,12 +195,12 @@
 	}()
 }
 
-// logListenerError logs what went wrong as a listener was closed.
+// logListenerError logs an error in the closing of a listener.
 func (d *driver) logListenerError(err error) {
 	d.options.Logf("transport: close listener: %v", err)
 }
 
-// acceptWaiting accepts what waits at a listener, acceptBatch connections at most.
+// acceptWaiting accepts at most acceptBatch queued connections of a listener.
 func acceptWaiting(listenerFD int) (waiting []net.Conn, err error) {
 	for len(waiting) < acceptBatch {
 		fd, _, err := unix.Accept4(listenerFD, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
@@ -221,8 +223,8 @@
 	return waiting, nil
 }
 
-// endListener closes a listener. gnet can't let go of one while it serves: another file takes its descriptor, which
-// takes it out of the poller, and gnet closes that in the end.
+// endListener closes a listener. gnet cannot close one while it serves, so another file replaces it under the same
+// descriptor. This removes the listener from the poller, and gnet closes the replacement in the end.
 func (d *driver) endListener(closing *closingListener) error {
 	if err := unix.Close(closing.fd); err != nil {
 		return err
--- a/internal/transport/sockets/socket.go
+++ b/internal/transport/sockets/socket.go
@@ -12,17 +12,17 @@
 	"pewterline/internal/transport"
 )
 
-// socket is one connection of gnet's, and the context of that. It implements transport.RawConn.
+// socket is one of gnet's connections. gnet keeps it as the connection's context. It implements transport.RawConn.
 type socket struct {
 	driver     *driver
 	gnetConn   gnet.Conn
 	conn       *transport.Connection
-	dial       *transport.Dial // nil: it came to a listener
-	listener   int             // the index of that
+	dial       *transport.Dial // nil: a listener has accepted it
+	listener   int             // index of that listener
 	halfClosed bool
 }
 
-// open gives the connection its session; false: it is to be closed.
+// open registers the connection with the Loop. It returns false if the connection has to be closed.
 func (s *socket) open(gnetConn gnet.Conn) bool {
 	s.gnetConn = gnetConn
 	if s.dial != nil {
@@ -53,7 +53,7 @@
 	}
 }
 
-// Close is part of transport.RawConn. An error would say that gnet has closed it.
+// Close is part of transport.RawConn. An error would mean that gnet has closed the connection already.
 func (s *socket) Close() { _ = s.driver.eventLoop.Close(s.gnetConn) }
 
 // Remote is part of transport.RawConn.
@@ -64,8 +64,7 @@
 	return "a closed connection"
 }
 
-// Dial is part of transport.Driver. Only the wait is off the loop, on a goroutine that ends within
-// transport.DialTimeout.
+// Dial is part of transport.Driver. It waits on a goroutine of its own, which ends within transport.DialTimeout.
 func (d *driver) Dial(dial *transport.Dial) {
 	go func() {
 		if d.connect(dial) != nil {
@@ -83,7 +82,8 @@
 	return d.register(conn, &socket{driver: d, dial: dial})
 }
 
-// register gives gnet a connection that was opened off the loop. It is called off the loop, for which it waits.
+// register passes a connection that was opened off the loop to gnet. It must not be called on the loop, because it
+// waits for it.
 func (d *driver) register(conn net.Conn, s *socket) error {
 	registered, err := d.engine.Register(gnet.NewContext(gnet.NewNetConnContext(context.Background(), conn), s))
 	if err != nil {
@@ -92,14 +92,14 @@
 	return (<-registered).Err
 }
 
-// Adopt takes a connection that was opened off the loop; open gives its session.
+// Adopt adds a connection that was opened off the loop. open is called on the loop and returns its session.
 func (l *Loop) Adopt(conn net.Conn, open func(transport.Conn) transport.Session) error {
 	return l.driver.register(conn, &socket{driver: l.driver, dial: l.Adopted(open)})
 }
 
-// Serve accepts on a listener of another kind than gnet's, under the given index, until that listener is closed: gnet
-// has no Unix sockets beside listeners with SO_REUSEPORT. Only the wait is off the loop, on a goroutine that ends with
-// the listener.
+// Serve accepts connections of a listener that is not gnet's, under the given index, until that listener is closed. It
+// exists because gnet cannot serve Unix sockets beside listeners with SO_REUSEPORT. It waits on a goroutine of its own,
+// which ends when the listener is closed.
 func (l *Loop) Serve(ln net.Listener, index int) {
 	go func() {
 		for {
@@ -135,7 +135,8 @@
 	if d.datagrams == nil {
 		return
 	}
-	// A send may fail, unsent, for the refusal of the one before: the peer may be back since.
+	// A send may fail, without sending, because the peer refused the previous datagram. The peer may have returned
+	// since.
 	if _, err := d.datagrams.Write(p); err != nil {
 		_, _ = d.datagrams.Write(p) // a datagram may be lost
 	}
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -1,13 +1,12 @@
-// Package transport is the policy of the program's event loop: it guards the connections and orders a turn. It limits
-// the number of connections and the bytes buffered for them, closes connections that never identify themselves, shuts
-// connections down without losing the last answer, and dials again with backoff.
+// Package transport is the policy of the program's event loop: it manages the connections and orders the steps of a
+// turn. It limits the number of connections and the bytes buffered for them, closes connections that never identify
+// themselves, shuts connections down without losing the last response, and retries dials with backoff.
 //
 // It has no socket, goroutine, lock or clock of its own. A Driver supplies sockets and time: package sockets is the
 // driver of the real program, package simnet the one of the simulation. The program behind the loop is a Handler and
-// its Sessions. All methods run on the loop's goroutine unless their comment says otherwise.
-//
-// A turn begins with the first event that is ready, reads the clock once, and ends behind all that was ready with
-// that event, as Driver.Queue orders it. What sessions write is sent at the end of the turn.
+// its Sessions. All methods run on the loop's goroutine unless their comment says otherwise. A turn begins with the
+// first ready event, reads the clock once, and ends after all events that were ready with the first one, as
+// Driver.Queue orders it. The bytes that sessions write are sent at the end of the turn.
 //
 // The package never interprets the bytes of a protocol; a Session says when its peer is identified and when it is idle.
 package transport
@@ -20,48 +19,50 @@
 
 // Time limits of connections that other packages may need to know.
 const (
-	// IdentificationTimeout is how long an accepted connection may stay unidentified: without a valid message of its
-	// peer's.
+	// IdentificationTimeout is how long an accepted connection may stay unidentified, which means that its peer has not
+	// sent a valid message.
 	IdentificationTimeout = 1500 * microtime.Millisecond
-	// EvictionGrace is how long a connection must have been quiet before it is evicted as idle: a request may be on
-	// its way.
+	// EvictionGrace is how long a connection must have been inactive before it is evicted as idle: a request may be in
+	// flight.
 	EvictionGrace = 200 * microtime.Millisecond
-	// DialTimeout bounds one attempt to dial; a Driver keeps to it.
+	// DialTimeout is the longest time that a Driver may take for one attempt to dial.
 	DialTimeout = time.Second
 	// LingerTimeout is how long a connection that was shut down waits for its peer to close it.
 	LingerTimeout = microtime.Second
 )
 
 const (
-	// Limit of the bytes that a slow reader may leave unread: all answers that the open requests of a connection can
-	// get, twice.
+	// maxOutgoing is the most unsent bytes of a connection. It is twice the size of all responses that the open
+	// requests of a connection can get.
 	maxOutgoing = 256 << 10
-	// Limit of the bytes that a session may leave unconsumed: all open requests of a connection fit several times.
+	// maxReceived is the most bytes that a session may leave unconsumed. It is several times the size of all open
+	// requests of a connection.
 	maxReceived = 256 << 10
-	// Capacity of an empty buffer that is kept: an ordinary request and its answer fit.
+	// retainedCapacity is the largest capacity of an empty buffer that is kept for reuse. An ordinary request or
+	// response fits.
 	retainedCapacity = 4 << 10
 )
 
 // Session consumes the bytes of one connection. Its methods run on the loop.
 type Session interface {
-	// Receive consumes what it can of the bytes read so far and returns how many that was. The slice is only lent. An
-	// error is logged and closes the connection.
+	// Receive is called with all bytes received so far and not yet consumed. It consumes what it can, from the front,
+	// and returns how many bytes that was. It must not retain the slice. An error is logged and closes the connection.
 	Receive(in []byte) (int, error)
-	// Closed reports the end of the connection; nothing is read or written any more.
+	// Closed is called once, at the end of the connection. No other method is called after it.
 	Closed()
-	// Idle reports that nothing is owed to the peer, so that the connection may be evicted.
+	// Idle reports whether no request of the peer is open, so that the connection may be evicted.
 	Idle() bool
 }
 
-// Conn is what a session may do with its connection.
+// Conn is a connection as its session sees it.
 type Conn interface {
 	// Write sends p at the end of the turn.
 	Write(p []byte)
-	// Close ends the connection at the end of the turn, after what was written; the peer gets all of it.
+	// Close closes the connection at the end of the turn, after all written bytes are sent.
 	Close()
-	// Resume has Receive called again, in a later turn, with what it left.
+	// Resume schedules another call of Receive, in a later turn, with the bytes that it did not consume.
 	Resume()
-	// MarkIdentified reports that the peer has sent something valid: the connection is not unidentified any more.
+	// MarkIdentified records that the peer has sent a valid message, so that IdentificationTimeout no longer applies.
 	MarkIdentified()
 	// Remote names the peer.
 	Remote() string
@@ -71,56 +72,58 @@
 type Handler interface {
 	// Accept returns the session of a new connection to the listener of that index.
 	Accept(listener int, c Conn) Session
-	// Turn ends a turn, in which all that was ready has been received. It returns when the next one is due.
+	// Turn is called at the end of a turn, when all ready bytes have been received. It returns when the next turn is
+	// due.
 	Turn(now microtime.Time) microtime.Time
 }
 
 // Driver is the network and the clock below a Loop. All its methods are called on the loop unless they say otherwise.
-// In return it calls on the loop: Loop.Begin first, then Loop.Accept or Loop.Connected, Connection.Received and
+// It calls back on the loop: Loop.Begin first, then Loop.Accept or Loop.Connected, Connection.Received and
 // Connection.Ended for each connection, Loop.DialFailed for each failed attempt to dial, and Loop.TimerFired.
 type Driver interface {
 	// Now reads the clock. It never goes back.
 	Now() microtime.Time
-	// Queue runs f on the loop, behind all that is ready now. It may be called from any goroutine; an error says that
-	// the loop has ended and that f will never run.
+	// Queue runs f on the loop, after all events that are ready now. It may be called from any goroutine. An error
+	// means that the loop has ended and that f will never run.
 	Queue(f func()) error
-	// SetTimer has Loop.TimerFired called at a time, or soon after it; a later call replaces the one before.
+	// SetTimer schedules a call of Loop.TimerFired at a time or soon after it. It replaces the previous timer.
 	// microtime.Never stops the timer.
 	SetTimer(at microtime.Time)
 	// Dial tries once to open a connection to d's address, for DialTimeout at most. Connected or DialFailed follows.
 	Dial(d *Dial)
-	// SetDatagramPeer sets the peer of SendDatagram; empty: none. On an error the one before stays.
+	// SetDatagramPeer sets the peer of SendDatagram; empty: none. After an error the previous peer stays.
 	SetDatagramPeer(addr string) error
-	// SendDatagram sends one datagram; it may be lost, as any may.
+	// SendDatagram sends one datagram, which may be lost.
 	SendDatagram(p []byte)
 	// Rand returns a random number. It need not be secret.
 	Rand() uint64
-	// CloseListener accepts the connections that wait at the listener of that index, then closes the listener and
-	// calls done on the loop: later connections are refused.
+	// CloseListener accepts the connections in a listener's queue, closes the listener, so that later connections are
+	// refused, and then calls done on the loop.
 	CloseListener(listener int, done func())
-	// Stop ends the loop, with all connections as they are. It may be called again, and from any goroutine.
+	// Stop ends the loop without flushing or closing connections. It may be called repeatedly, and from any goroutine.
 	Stop()
 }
 
 // RawConn is one connection of a Driver.
 type RawConn interface {
-	// Write sends p, or keeps what the peer does not take yet. It may call Ended before it returns an error.
+	// Write sends p, and buffers the part that the peer does not accept yet. It may call Ended before it returns an
+	// error.
 	Write(p []byte) error
-	// Unsent counts the bytes that are kept.
+	// Unsent returns the number of buffered bytes.
 	Unsent() int
-	// CloseWrite half-closes the connection: the peer learns that nothing follows. While bytes are kept it does
-	// nothing, and is called again. What arrives still goes to Received. It may call Ended.
+	// CloseWrite half-closes the connection, so that the peer reads an end of file. While bytes are buffered it does
+	// nothing, and has to be called again. Bytes that arrive are still passed to Received. It may call Ended.
 	CloseWrite()
-	// Close ends the connection at once; Ended is called before it returns. Bytes that have arrived unread make it a
-	// reset, which discards what the peer has not read yet.
+	// Close closes the connection at once; Ended is called before it returns. If bytes have arrived that were not read,
+	// the connection is reset, and the peer loses what it has not read yet.
 	Close()
 	// Remote names the peer.
 	Remote() string
 }
 
-// Options are the limits of a Loop.
+// Options configure a Loop.
 type Options struct {
-	// MaxConns limits the accepted connections; a further one has to evict another.
+	// MaxConns is the most accepted connections. A further one is accepted only if another can be evicted.
 	MaxConns int
 	// DedicatedLimits are limits of single listeners, by their index. Connections to these count against their own
 	// limit alone, and not against MaxConns.
--- a/internal/transport/transporttest/conn.go
+++ b/internal/transport/transporttest/conn.go
@@ -1,6 +1,6 @@
-// Package transporttest has a connection for tests of sessions, as net/http/httptest has a response for tests of
-// handlers. A test gives it to what opens a session, has the session receive bytes, and looks at what became of the
-// connection. It has no goroutine and no network, and is not part of the program.
+// Package transporttest provides a connection for tests of sessions, as net/http/httptest provides a response recorder
+// for tests of handlers. A test opens a session with it, passes bytes to the session, and inspects what the session did
+// with the connection. It uses no goroutine and no network, and is not part of the program.
 package transporttest
 
 import "pewterline/internal/transport"
@@ -22,7 +22,7 @@
 	return c
 }
 
-// Receive hands the session bytes of the peer's, and returns how many it has consumed.
+// Receive passes bytes of the peer to the session, and returns how many it has consumed.
 func (c *Conn) Receive(in string) (int, error) { return c.Session.Receive([]byte(in)) }
 
 // Disconnect notifies the session that the connection has ended.
--- a/internal/wal/committer.go
+++ b/internal/wal/committer.go
@@ -11,15 +11,15 @@
 	defaultMaxBatch  = 256
 )
 
-// CommitOptions say how records are gathered into batches.
+// CommitOptions configure how records are gathered into batches.
 type CommitOptions struct {
-	QueueSize  int           // records that may wait, more are refused at once; 0: 1024
+	QueueSize  int           // records that may wait; Submit rejects more with ErrQueueFull; 0: 1024
 	MaxBatch   int           // records made durable by one sync; 0: 256
-	BatchDelay time.Duration // time to wait for more records; 0: a batch is what came during the last sync
+	BatchDelay time.Duration // time to wait for more records; 0: a batch is what was queued during the last sync
 }
 
-// Committer makes records durable for many callers, with one sync for as many as have come. It owns its log, and a
-// goroutine that Close ends. It is safe for concurrent use.
+// Committer makes records of many callers durable, with one sync for each batch (group commit). It owns its log and a
+// goroutine, which Close ends. It is safe for concurrent use.
 type Committer struct {
 	log      *Log
 	options  CommitOptions
@@ -27,7 +27,7 @@
 	mu       sync.Mutex // guards closed, and the closing of queue
 	closed   bool
 	done     chan struct{} // closed once the goroutine has ended
-	closeErr error         // of the log; read behind done
+	closeErr error         // of the log; read only after done is closed
 	syncs    atomic.Int64
 	bytes    atomic.Int64
 }
@@ -57,15 +57,15 @@
 	return committer
 }
 
-// Submit queues a record. done is called once, from another goroutine or, where the record is refused with
-// ErrQueueFull or ErrClosed, at once. Without an error the record is durable under that index; with ErrBroken it may
-// be durable or not, and nothing that follows will be. Records become durable in the order in which they were queued.
+// Submit queues a record. done is called once: from the committer's goroutine, or, if the record is rejected with
+// ErrQueueFull or ErrClosed, before Submit returns. Without an error the record is durable under that index. With
+// ErrBroken it may or may not be durable, and no later record will be. Records become durable in the order in which
+// they were queued.
 func (c *Committer) Submit(data []byte, done func(index uint64, err error)) {
 	c.enqueue(submission{data: data, done: done})
 }
 
-// Do queues an operation on the log, such as a snapshot, which runs between two batches. done is called as that of
-// Submit.
+// Do queues an operation on the log, such as a snapshot, which runs between two batches. done is called as for Submit.
 func (c *Committer) Do(operation func(*Log) error, done func(error)) {
 	c.enqueue(submission{operation: operation, done: func(_ uint64, err error) { done(err) }})
 }
@@ -76,7 +76,7 @@
 	}
 }
 
-// offer queues a submission, if there is room.
+// offer queues a submission, unless the queue is full or closed.
 func (c *Committer) offer(s submission) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -94,7 +94,7 @@
 // Written counts the syncs and the bytes of records so far.
 func (c *Committer) Written() (syncs, bytes int64) { return c.syncs.Load(), c.bytes.Load() }
 
-// Close makes durable what was queued, and closes the log. It may be called again, and returns the same error then.
+// Close writes and syncs the queued records, and closes the log. Further calls return the same error.
 func (c *Committer) Close() error {
 	c.mu.Lock()
 	if !c.closed {
@@ -106,7 +106,7 @@
 	return c.closeErr
 }
 
-// run is the committer's goroutine. It ends when Close has closed the queue, behind all that was queued.
+// run is the committer's goroutine. It ends once Close has closed the queue and everything in it is processed.
 func (c *Committer) run() {
 	defer close(c.done)
 	for first := range c.queue {
@@ -115,7 +115,8 @@
 	c.closeErr = c.log.Close()
 }
 
-// gather adds to a batch what else is queued, or comes within the delay, up to an operation.
+// gather fills a batch with the submissions that are queued, or that come within the delay. An operation ends the
+// batch.
 func (c *Committer) gather(first submission) []submission {
 	batch := []submission{first}
 	var expired <-chan time.Time
@@ -134,8 +135,8 @@
 	return batch
 }
 
-// next takes the next submission from the queue. Without a timer it does not wait. ok is false where none has come,
-// or the queue is closed.
+// next takes the next submission from the queue. Without a timer it does not wait. ok is false if there is none, or the
+// queue is closed.
 func (c *Committer) next(expired <-chan time.Time) (next submission, ok bool) {
 	if expired == nil {
 		select {
@@ -151,7 +152,7 @@
 	return next, ok
 }
 
-// commit makes the records of a batch durable, carries out its operation if it has one, and reports.
+// commit makes the records of a batch durable, runs its operation if it has one, and calls each done.
 func (c *Committer) commit(batch []submission) {
 	indexes := make([]uint64, len(batch))
 	errs := make([]error, len(batch))
--- a/internal/wal/errors.go
+++ b/internal/wal/errors.go
@@ -19,13 +19,13 @@
 	ErrClosed    = errors.New("wal: closed")
 )
 
-// ErrLocked says that another process has the log open.
+// ErrLocked means that another process has the log open.
 var ErrLocked = errors.New("wal: another process has this log open")
 
-// CorruptError says that a file is corrupt in a way that no crash can have caused.
+// CorruptError means that a file is corrupt in a way that no crash can have caused.
 type CorruptError struct {
 	File   string
-	Offset int64 // in bytes, of what is corrupt
+	Offset int64 // in bytes, of the corrupt part
 	Reason string
 }
 
--- a/internal/wal/format.go
+++ b/internal/wal/format.go
@@ -7,18 +7,18 @@
 	"strings"
 )
 
-// Version is the version of the files' format. Files of another version are refused.
+// Version is the version of the files' format. Open returns an error for files of another version.
 const Version = 1
 
-// MaxRecordBytes bounds the data of a record.
+// MaxRecordBytes is the largest size of a record's data.
 const MaxRecordBytes = 1 << 20
 
-// A file is named by an index, in hexadecimal, and by a suffix that says what it holds.
+// The name of a file is an index, in hexadecimal, and a suffix for its content.
 const (
 	lockName        = "LOCK"
 	segmentSuffix   = ".log"  // records from that index on
-	snapshotSuffix  = ".snap" // the state behind the record of that index
-	temporarySuffix = ".new"  // written, and not in use yet
+	snapshotSuffix  = ".snap" // the state after the record of that index
+	temporarySuffix = ".new"  // still being written
 )
 
 // The header of a file is its magic, its version, its index, flags that are 0, and a checksum of all these.
@@ -30,7 +30,7 @@
 	snapshotPrelude = 12 // length and checksum before the state of a snapshot
 )
 
-// A record is the length of its data, its index, the index that was durable when it was written, a checksum of all
+// A record consists of the length of its data, its index, the last durable index when it was written, a checksum of all
 // these and of the data, and the data.
 const (
 	recordHeaderBytes    = 24
@@ -52,8 +52,8 @@
 
 func fileName(index uint64, suffix string) string { return fmt.Sprintf("%016x%s", index, suffix) }
 
-// parseFileName is the inverse of fileName. A temporary file's index is of no matter; for other names the suffix is
-// "".
+// parseFileName is the inverse of fileName. The index of a temporary file is meaningless. For names that are not of a
+// log, the suffix is "".
 func parseFileName(name string) (index uint64, suffix string) {
 	for _, suffix := range []string{segmentSuffix, snapshotSuffix, temporarySuffix} {
 		stem, found := strings.CutSuffix(name, suffix)
@@ -76,7 +76,7 @@
 	return binary.BigEndian.AppendUint32(header, crc32.Checksum(header, castagnoli))
 }
 
-// checkHeader checks the header of a file. torn says that it is incomplete, or that its checksum is wrong.
+// checkHeader checks the header of a file. torn means that the header is incomplete or has a wrong checksum.
 func checkHeader(name string, index uint64, content []byte) (torn bool, err error) {
 	if len(content) < headerBytes {
 		return true, nil
@@ -97,8 +97,8 @@
 	return false, nil
 }
 
-// appendRecord encodes a record. synced is the last index that was durable when the record was written: by it a
-// reader tells a corrupt record that had been durable from one whose write was torn.
+// appendRecord encodes a record. synced is the last durable index at this moment. It lets a reader distinguish an
+// earlier record that was durable and has become corrupt from one whose write was torn.
 func appendRecord(out []byte, index, synced uint64, data []byte) []byte {
 	start := len(out)
 	out = binary.BigEndian.AppendUint32(out, uint32(len(data)))
@@ -109,7 +109,8 @@
 	return append(out, data...)
 }
 
-// decodeRecord decodes the record at the front of in. ok is false where there is no record whose checksum is right.
+// decodeRecord decodes the record at the front of in. ok is false if there is no complete record with a correct
+// checksum.
 func decodeRecord(in []byte) (record Record, size int, ok bool) {
 	if len(in) < recordHeaderBytes {
 		return Record{}, 0, false
@@ -127,8 +128,8 @@
 	return Record{Index: binary.BigEndian.Uint64(in[recordIndexOffset:]), Data: data}, size, true
 }
 
-// findLaterRecord returns the offset, from some offset on, of a sound record that was written once the record of an
-// index was durable, or -1.
+// findLaterRecord returns the offset, at from or later, of an intact record that was written when the record with the
+// given index was already durable, or -1.
 func findLaterRecord(content []byte, from int, index uint64) int {
 	for offset := from; offset+recordHeaderBytes <= len(content); offset++ {
 		found := binary.BigEndian.Uint64(content[offset+recordIndexOffset:])
--- a/internal/wal/fs.go
+++ b/internal/wal/fs.go
@@ -11,7 +11,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// FS is the folder of a log. Tests replace it by one on a disk that fails, fills up, or loses what was not synced.
+// FS is the directory of a log. Tests replace it by one on a disk that fails, fills up, or loses unsynced data.
 type FS interface {
 	// List returns the names of all regular files, sorted.
 	List() ([]string, error)
@@ -19,13 +19,14 @@
 	Create(name string) (File, error)
 	// Read returns the whole of a file.
 	Read(name string) ([]byte, error)
-	// Rename gives a file another name, in place of any file that has it.
+	// Rename renames a file and replaces any file of the new name.
 	Rename(from, to string) error
 	// Remove removes a file.
 	Remove(name string) error
-	// Sync makes the names durable: files created, renamed and removed.
+	// Sync makes the directory's entries durable: files created, renamed and removed.
 	Sync() error
-	// Lock reserves the folder for this process, until unlock or the end of the process. The error may wrap ErrLocked.
+	// Lock locks the directory for this process, until unlock is called or the process ends. The error may wrap
+	// ErrLocked.
 	Lock() (unlock func() error, err error)
 }
 
@@ -36,7 +37,7 @@
 	Close() error
 }
 
-// Dir is a folder of the operating system, by its path.
+// Dir is a directory of the operating system, given by its path.
 type Dir string
 
 // List implements FS.
--- a/internal/wal/log.go
+++ b/internal/wal/log.go
@@ -9,7 +9,7 @@
 // defaultSegmentBytes is the size after which a new segment begins.
 const defaultSegmentBytes = 4 << 20
 
-// Options say how a log is kept.
+// Options configure a Log.
 type Options struct {
 	SegmentBytes int // size after which a new segment begins; 0: 4 MiB
 }
@@ -21,12 +21,12 @@
 	unlock        func() error
 	active        File // the segment that is being written
 	activeBytes   int
-	unwritten     []byte   // records that were appended and not written yet
+	unwritten     []byte   // encoded records that are not written yet
 	nextIndex     uint64   // of the next record
 	syncedIndex   uint64   // all records up to it are durable
 	segments      []uint64 // first indexes, ascending
 	snapshotIndex uint64   // the snapshot in use holds all records up to it; 0: there is none
-	broken        error    // what has broken the log, or nil
+	broken        error    // returned by all methods once the log is broken; nil: it is not
 }
 
 // Append adds a record, which is durable after the next Sync, and returns its index. It keeps no reference to data.
@@ -44,8 +44,8 @@
 	return index, nil
 }
 
-// Sync makes all that was appended durable. An error wraps ErrBroken: what was appended since the last Sync may be
-// durable or not, and Sync is never tried again.
+// Sync makes all appended records durable. An error wraps ErrBroken: the records appended since the last Sync may or
+// may not be durable, and the log refuses all further use.
 func (l *Log) Sync() error {
 	if l.broken != nil {
 		return l.broken
@@ -79,10 +79,10 @@
 // Synced returns the index of the last record that is durable.
 func (l *Log) Synced() uint64 { return l.syncedIndex }
 
-// Close ends the log. What was not synced may be lost.
+// Close closes the files and unlocks the directory. Records that were not synced may be lost.
 func (l *Log) Close() error { return errors.Join(l.active.Close(), l.unlock()) }
 
-// createSegment writes the first bytes of a segment and brings it into use, all or nothing.
+// createSegment atomically creates a segment with its first records, and makes it the active one.
 func (l *Log) createSegment(first uint64, records []byte) error {
 	name := fileName(first, segmentSuffix)
 	content := append(encodeHeader(first), records...)
@@ -121,7 +121,7 @@
 	return file, nil
 }
 
-// publish gives a file its name for good.
+// publish renames a temporary file to its final name, durably.
 func (l *Log) publish(name string) error {
 	err := l.fs.Rename(name+temporarySuffix, name)
 	if err == nil {
--- a/internal/wal/open.go
+++ b/internal/wal/open.go
@@ -5,15 +5,15 @@
 	"fmt"
 )
 
-// Recovery is what Open has read.
+// Recovery is the content of a log, as Open has read it.
 type Recovery struct {
 	Snapshot       []byte   // nil: there is none
-	Records        []Record // behind the snapshot, in order
-	TruncatedBytes int      // of a torn tail that was left out
+	Records        []Record // after the snapshot, in order
+	TruncatedBytes int      // length of a torn tail that was dropped
 }
 
-// Open opens a log, or begins one in an empty folder, and reads all that it holds. Its error may wrap ErrLocked or be
-// a CorruptError. The caller closes the log.
+// Open opens a log, or creates one in an empty directory, and reads its whole content. Its error may wrap ErrLocked or
+// be a CorruptError. The caller must close the log.
 func Open(fs FS, options Options) (*Log, Recovery, error) {
 	if options.SegmentBytes == 0 {
 		options.SegmentBytes = defaultSegmentBytes
@@ -33,7 +33,7 @@
 	return log, recovery, nil
 }
 
-// recover reads what the folder holds, and begins the segment that is written from now on.
+// recover reads the content of the directory, and creates the segment for new records.
 func (l *Log) recover() (Recovery, error) {
 	var recovery Recovery
 	snapshots, err := l.listFiles()
@@ -41,7 +41,7 @@
 		return Recovery{}, err
 	}
 	if len(snapshots) > 0 {
-		// It has come into use by its name alone, when it was whole: a crash cannot have made it corrupt.
+		// It was renamed to this name only when it was complete and durable, so a crash cannot have made it corrupt.
 		l.snapshotIndex = snapshots[len(snapshots)-1]
 		if recovery.Snapshot, err = l.readSnapshot(); err != nil {
 			return Recovery{}, err
@@ -60,8 +60,8 @@
 	return recovery, l.removeObsolete(snapshots)
 }
 
-// listFiles notes the segments, removes what was never in use, and returns the indexes of the snapshots in ascending
-// order.
+// listFiles records the segments in l.segments, removes temporary files, and returns the indexes of the snapshots in
+// ascending order.
 func (l *Log) listFiles() (snapshots []uint64, err error) {
 	names, err := l.fs.List()
 	if err != nil {
@@ -103,7 +103,8 @@
 		return err
 	}
 	if torn {
-		// A segment is synced with its header before a record is appended to it: without one, it held none.
+		// The header is durable before a record is appended, so a segment without a valid header held no durable
+		// record.
 		if !isLast || findLaterRecord(content, 0, first) >= 0 {
 			return corrupt(name, 0, "its header is incomplete or has a wrong checksum")
 		}
@@ -124,8 +125,8 @@
 	return nil
 }
 
-// readRecords adds the sound records at the front of a segment. It returns the offset and the index of the first that
-// is not.
+// readRecords adds the intact records at the front of a segment to recovery. It returns the offset and the index of the
+// first record that is not intact.
 func (l *Log) readRecords(content []byte, first uint64, recovery *Recovery) (offset int, index uint64) {
 	offset = headerBytes
 	index = first
@@ -144,10 +145,10 @@
 	return offset, index
 }
 
-// checkTornTail tells a torn write, which is cut off, from a corrupt record, which is an error. A crash damages the
-// end of the last segment, where nothing was synced yet, and nothing else; of several records that were written at
-// once it may damage any. A sound record behind the damaged one that was written once that one was durable proves
-// that no crash has done it. Of what was synced last nobody can prove it: it is cut off.
+// checkTornTail distinguishes a torn write, which is dropped, from a corrupt record, which is an error. A crash can
+// only damage unsynced data at the end of the last segment, though any of several records that were written at once. If
+// a later, intact record was written when the damaged one was already durable, a crash cannot be the cause. For the
+// records of the last sync there is no such proof: they are dropped.
 func checkTornTail(name string, content []byte, offset int, index uint64, isLast bool) error {
 	if !isLast {
 		return corrupt(name, offset, "record %d, and more segments follow", index)
@@ -158,8 +159,8 @@
 	return nil
 }
 
-// beginSegment begins the segment that is written from now on. It copies what the last one holds: the pages of that
-// file may be of a write that was never made durable, and its end may be torn.
+// beginSegment creates the segment for new records. It copies the records of the last segment, because that file's end
+// may be torn, and its cached pages may come from a write that never became durable.
 func (l *Log) beginSegment(records []Record) error {
 	first := l.nextIndex
 	if len(l.segments) > 0 {
--- a/internal/wal/snapshot.go
+++ b/internal/wal/snapshot.go
@@ -5,8 +5,8 @@
 	"math"
 )
 
-// Snapshot replaces all records up to the last synced one by state. An error breaks the log, unless nothing has been
-// written; the records that the snapshot was to replace stay.
+// Snapshot replaces all records up to the last synced one by state. If it fails after it has started to write, the log
+// is broken; the records are then still in the log.
 func (l *Log) Snapshot(state []byte) error {
 	switch {
 	case l.broken != nil:
@@ -36,7 +36,7 @@
 	if err := l.publish(name); err != nil {
 		return err
 	}
-	if l.activeBytes > headerBytes { // a new segment, so that all before it can be removed
+	if l.activeBytes > headerBytes { // start a new segment, so that all earlier ones can be removed
 		if err := l.createSegment(l.nextIndex, nil); err != nil {
 			return err
 		}
@@ -59,7 +59,7 @@
 			return err
 		}
 	}
-	// The oldest first, so that a crash leaves no gap.
+	// Remove the oldest first, so that a crash leaves no gap.
 	for len(l.segments) > 1 && l.segments[1] <= l.snapshotIndex+1 {
 		if err := l.remove(fileName(l.segments[0], segmentSuffix)); err != nil {
 			return err
