--- a/internal/admin/group.go
+++ b/internal/admin/group.go
@@ -17,7 +17,7 @@
 // maxExportedKeys bounds the keys in one response.
 const maxExportedKeys = 100
 
-// GroupState is what a server tells of its replication group, as JSON.
+// GroupState is the state of a replication group in a response, as JSON.
 type GroupState struct {
 	ID                 uint32                     `json:"id"`
 	Incarnation        string                     `json:"life"`
@@ -33,7 +33,7 @@
 	Counters           replication.Counters       `json:"counters"`
 }
 
-// groupRoutes are the routes about the replication group, by path. They are known where there is a group.
+// groupRoutes are the routes about the replication group, by path. They exist only if there is a group.
 var groupRoutes = map[string]route{
 	"/control/copies":         {http.MethodGet, (*Handler).groupState},
 	"/control/copies/found":   {http.MethodPut, (*Handler).bootstrap},
@@ -116,7 +116,7 @@
 	return uint32(id), nil
 }
 
-// changeResult is the response to a change of the membership that has begun, or has failed with an error.
+// changeResult is the response to a membership change that was proposed, or that has failed with an error.
 func (h *Handler) changeResult(err error) (any, error) {
 	if err == nil {
 		return h.groupState(nil)
--- a/internal/admin/handler.go
+++ b/internal/admin/handler.go
@@ -1,7 +1,6 @@
-// Package admin answers the requests of operators: HTTP on a listener of its own, one request on a connection.
-//
-// Package server gives it the connections and implements its Server; the messages themselves are package adminhttp's.
-// It owns nothing but the routes, and decides nothing about requests of clients.
+// Package admin answers the requests of operators: HTTP on a listener of its own, one request on a connection. Package
+// server passes connections to it and implements its Server interface. Package adminhttp parses and encodes the
+// messages. The package owns only the routes, and decides nothing about requests of clients.
 package admin
 
 import (
@@ -15,26 +14,27 @@
 	"pewterline/internal/transport"
 )
 
-// Server is what operators may ask of the log server. All its methods are called on the loop.
+// Server is the log server as operators see it. All its methods are called on the loop.
 type Server interface {
 	State() State
-	// SetInService takes the log server out of service, or in again. That changes its health alone: requests are
-	// answered as before. The error is ErrDraining.
+	// SetInService takes the log server out of service, or into service again. This changes only its reported health:
+	// requests are answered as before. The error is ErrDraining.
 	SetInService(inService bool) error
 	Counters() Counters
 }
 
-// ErrDraining says that a server that has had the shutdown notice cannot be taken in service again.
+// ErrDraining means that a draining server cannot be taken into service again.
 var ErrDraining = errors.New("leaving: the notice to leave has come, and there is no way back from it")
 
-// State is what a server tells of itself.
+// State is the state of a server in a response.
 type State struct {
 	Ready     bool `json:"ready"`
 	InService bool `json:"in_service"`
 	Draining  bool `json:"leaving"`
 }
 
-// Counters are the figures since the start of the process. Those by class keep classes that a reload has retired.
+// Counters are the figures since the start of the process. The maps by class include the classes that a reload has
+// retired.
 type Counters struct {
 	Succeeded    map[string]int `json:"passed"`
 	Rejected     map[string]int `json:"dropped"`
@@ -45,22 +45,22 @@
 	ReloadErrors int            `json:"load_errors"`
 }
 
-// Handler carries out requests. Its methods are called on the loop.
+// Handler handles the requests of operators. Its methods are called on the loop.
 type Handler struct {
 	server  Server
 	replica *replication.Replica // nil unless the server belongs to a replication group
 	logf    func(format string, args ...any)
 }
 
-// New returns a handler that knows of no replication group.
+// New returns a handler without the routes about a replication group.
 func New(server Server, logf func(format string, args ...any)) *Handler {
 	return &Handler{server: server, logf: logf}
 }
 
-// UseReplication has the handler take requests about the replication group.
+// UseReplication enables the routes about the replication group.
 func (h *Handler) UseReplication(replica *replication.Replica) { h.replica = replica }
 
-// Accept gives an operator's connection its session.
+// Accept returns the session of an operator's connection.
 func (h *Handler) Accept(conn transport.Conn) transport.Session {
 	return &session{handler: h, conn: conn}
 }
@@ -79,7 +79,7 @@
 	"/control/in-service":     {http.MethodPut, (*Handler).takeInService},
 }
 
-// serve carries out a request; it returns the whole response. An error is of type *adminhttp.Error.
+// serve handles a request and returns the encoded response. An error is of type *adminhttp.Error.
 func (h *Handler) serve(request adminhttp.Request) ([]byte, error) {
 	if groupRoute, ok := groupRoutes[request.Path]; ok && h.replica != nil {
 		return h.respond(groupRoute, request)
@@ -100,7 +100,7 @@
 	return adminhttp.WithoutBody(response), nil
 }
 
-// respond carries out a request whose route is known.
+// respond handles a request whose route is known.
 func (h *Handler) respond(matched route, request adminhttp.Request) ([]byte, error) {
 	if request.Method != matched.method {
 		text := fmt.Sprintf("%s takes %s, not %s", request.Path, matched.method, request.Method)
@@ -113,7 +113,7 @@
 	return adminhttp.AppendResponse(nil, http.StatusOK, "", body), nil
 }
 
-// ready tells whether this process accepts clients. Out of service it still does.
+// ready reports whether this process accepts clients, which it does even when out of service.
 func (h *Handler) ready(url.Values) (any, error) {
 	state := h.server.State()
 	if state.Draining {
--- a/internal/backend/ajpbackend/backend.go
+++ b/internal/backend/ajpbackend/backend.go
@@ -1,8 +1,7 @@
-// Package ajpbackend is the backend that has runs done by one server that speaks AJP, in place of the worker pool. The
-// server package builds it and calls its timeouts; the request core starts and cancels runs.
-//
-// The package owns the connections to that server and the queue before them. It never sends a run twice: one whose
-// connection is lost after it was sent has failed. It has no gauges.
+// Package ajpbackend is the backend that forwards runs to one server that speaks AJP, in place of the worker pool.
+// Package server builds it and expires its timeouts; the request core starts and cancels runs. The package owns the
+// connections to that server and the queue of runs that wait for one. It never sends a run twice: if the connection is
+// lost after the run was sent, the run has failed. It has no gauges.
 package ajpbackend
 
 import (
@@ -25,18 +24,18 @@
 type Loop interface {
 	// Now returns the time of the loop's turn.
 	Now() microtime.Time
-	// Dial opens a connection and tries again until it succeeds; open returns its session.
+	// Dial opens a connection, and retries until it succeeds. open returns its session.
 	Dial(addr string, open func(transport.Conn) transport.Session) (drop func())
 }
 
-// Config says where the server is and how it is used.
+// Config configures a Backend.
 type Config struct {
 	config.AJP
-	// RunTimeout is how long a run may take: longer than any answer could be wanted.
+	// RunTimeout is how long a run may take. After it no request can use the result any more.
 	RunTimeout microtime.Time
 }
 
-// Backend hands runs to the server. All its methods are called on the event loop.
+// Backend forwards runs to the server. All its methods are called on the event loop.
 type Backend struct {
 	config      Config
 	core        Core
@@ -60,7 +59,7 @@
 	return &Backend{config: cfg, logf: logf, runs: map[string]*run{}}
 }
 
-// Attach ties the backend to its core and its loop.
+// Attach connects the backend to its core and its loop.
 func (b *Backend) Attach(core Core, loop Loop) {
 	b.core = core
 	b.loop = loop
@@ -74,7 +73,8 @@
 	b.dispatchQueue()
 }
 
-// Cancel is part of dispatch.Backend. AJP has no message for it: the connection is closed.
+// Cancel is part of dispatch.Backend. AJP has no message to cancel a request, so the connection of a run that was sent
+// is closed.
 func (b *Backend) Cancel(id string) {
 	r := b.runs[id]
 	switch {
@@ -93,13 +93,13 @@
 // RequestGauges is part of dispatch.Backend. AJP has no gauges.
 func (b *Backend) RequestGauges() {}
 
-// finish forgets a run and reports its end.
+// finish removes a run and reports its end.
 func (b *Backend) finish(r *run, outcome dispatch.RunOutcome, result []byte) {
 	delete(b.runs, r.ID)
 	b.core.RunFinished(r.ID, outcome, result)
 }
 
-// dispatchQueue gives queued runs to idle connections, the last used first, and opens more where those do not suffice.
+// dispatchQueue assigns queued runs to idle connections, the last used first, and opens more connections for the rest.
 func (b *Backend) dispatchQueue() {
 	for len(b.queue) > 0 && len(b.idle) > 0 {
 		last := len(b.idle) - 1
@@ -114,7 +114,7 @@
 	}
 }
 
-// opened takes up a connection that was dialled.
+// opened adds a connection that was dialled.
 func (b *Backend) opened(conn transport.Conn) *connection {
 	c := &connection{backend: b, conn: conn}
 	b.dialing--
@@ -124,7 +124,7 @@
 	return c
 }
 
-// closed forgets a connection. A run that it had not sent yet goes back to the head of the queue.
+// closed removes a connection. A run that it had not sent yet goes back to the head of the queue.
 func (b *Backend) closed(c *connection) {
 	b.connections.Remove(c)
 	if i := slices.Index(b.idle, c); i >= 0 {
@@ -141,7 +141,7 @@
 	b.dispatchQueue()
 }
 
-// ExpireTimeouts ends runs whose time is over. It returns when to look again, or microtime.Never.
+// ExpireTimeouts fails the runs that have exceeded RunTimeout. It returns when to call it again, or microtime.Never.
 func (b *Backend) ExpireTimeouts(now microtime.Time) microtime.Time {
 	next := microtime.Never
 	for _, c := range b.connections.Items() {
--- a/internal/backend/ajpbackend/connection.go
+++ b/internal/backend/ajpbackend/connection.go
@@ -13,13 +13,13 @@
 )
 
 const (
-	// maxResult bounds a run's result in bytes, as the worker pool's.
+	// maxResult is the most bytes of a run's result. The limit of the worker pool is the same.
 	maxResult = 64 << 10
-	// remoteAddr is the caller's address that the server is told: runs have none of their own.
+	// remoteAddr is sent to the server as the caller's address, because runs have none of their own.
 	remoteAddr = "127.0.0.1"
 )
 
-// The headers of a run's request beside the length of its body.
+// The headers of a run's request, besides the length of its body.
 const (
 	headerClass = frontend.HeaderPrefix + "Class"
 	headerRunID = frontend.HeaderPrefix + "Id"
@@ -32,8 +32,8 @@
 	conn     transport.Conn
 	run      *run           // nil: it is idle
 	deadline microtime.Time // of the run
-	used     bool           // it has carried a run, so it may have been closed meanwhile
-	sent     bool           // the run was sent; before that, a lost connection proves that nothing ran
+	used     bool           // it has carried a run before, so the server may have closed it since
+	sent     bool           // the run was sent; while false, a lost connection proves that it did not run
 	unsent   []byte         // the rest of the run's body
 	status   int
 	result   []byte
@@ -46,8 +46,8 @@
 	c.conn.Write(packets)
 }
 
-// start takes a run. A connection that was kept is asked for a sign of life first: a run that is sent on one which was
-// closed meanwhile could not be told from one that ran.
+// start assigns a run to the connection. A reused connection is pinged first: the server may have closed it meanwhile,
+// and then it would be unknown whether a run that was sent on it ran.
 func (c *connection) start(r *run) {
 	c.run = r
 	r.connection = c
@@ -85,7 +85,7 @@
 	c.write(out)
 }
 
-// finish takes the run off the connection and reports its end.
+// finish detaches the run from the connection and reports its end.
 func (c *connection) finish(outcome dispatch.RunOutcome, result []byte) {
 	r := c.run
 	c.run, c.unsent, c.result = nil, nil, nil
@@ -114,7 +114,7 @@
 	}
 }
 
-// handle serves one packet of the response to the run. An error closes the connection.
+// handle handles one packet of the response to the run. An error closes the connection.
 func (c *connection) handle(response ajp.Response) error {
 	switch response.Code {
 	case ajp.CodeCPong:
@@ -139,7 +139,7 @@
 	return nil
 }
 
-// responseEnded reports the run's end. The connection is kept if the server offers it again.
+// responseEnded reports the run's end. The connection is reused if the server allows it.
 func (c *connection) responseEnded(reuse bool) {
 	if c.status >= 200 && c.status < 300 {
 		c.finish(dispatch.RunSucceeded, c.result)
--- a/internal/backend/upstream/attempt.go
+++ b/internal/backend/upstream/attempt.go
@@ -10,14 +10,14 @@
 )
 
 const (
-	// sameEndpointRetryDelay is the wait before a request with a key is sent again to the endpoint that may have executed
-	// it.
+	// sameEndpointRetryDelay is the wait before a request with an idempotency key is retried at the endpoint that may
+	// have executed it.
 	sameEndpointRetryDelay = 50 * microtime.Millisecond
 	// hedgeQuantile is the quantile of the latency of a class after which a hedged request may be sent.
 	hedgeQuantile = 0.95
 )
 
-// attempt is one sending of a run to an endpoint.
+// attempt is one attempt of a run at an endpoint.
 type attempt struct {
 	run        *run
 	choice     loadbalancer.Choice
@@ -25,15 +25,15 @@
 	id         string
 	sequenceID int32
 	startedAt  microtime.Time
-	written    bool // from then on it may be executed
+	written    bool // the endpoint may have executed it
 }
 
-// route sends a run to the endpoint that may have executed it, or to the one that the balancer chooses. If no endpoint
-// takes it, that is reported by the next Check.
+// route sends a run to the endpoint that may have executed it, or else to the one that the balancer picks. If there is
+// none, the next Check reports the run as declined.
 func (b *Backend) route(routed *run) {
 	now := b.now()
 	routed.retryAt = microtime.Never
-	// An instance that starts waits for the first gossip, for a bounded time.
+	// After its start, an instance waits for the first gossip, for a limited time.
 	if b.exchange != nil && !b.exchange.Ready(now) {
 		b.awaitingGossip = append(b.awaitingGossip, routed)
 		return
@@ -57,7 +57,7 @@
 	return b.balancer.Pick(now, r.selection())
 }
 
-// send gives an attempt to a connection with capacity, or to one that is opened for it.
+// send starts an attempt on a connection with capacity, or on a new one.
 func (b *Backend) send(r *run, choice loadbalancer.Choice) {
 	now := b.now()
 	sent := &attempt{run: r, choice: choice, id: r.ID, startedAt: now}
@@ -80,7 +80,7 @@
 	b.open(e, sent)
 }
 
-// hedgeTime is when a hedged request may follow the attempt that was just started; Never: none may.
+// hedgeTime is when a hedged request may be sent after the attempt that was just started; Never: none may.
 func (b *Backend) hedgeTime(now microtime.Time, r *run) microtime.Time {
 	if !r.idempotent() || len(r.attempts) != 1 {
 		return microtime.Never
@@ -104,7 +104,7 @@
 	}
 }
 
-// abandonAttempts gives up all attempts of a run that are in flight.
+// abandonAttempts abandons all attempts of a run that are in flight, with the given outcome.
 func (b *Backend) abandonAttempts(r *run, outcome loadbalancer.Outcome) {
 	for _, a := range r.attempts {
 		a.connection.abandon(a)
@@ -117,7 +117,7 @@
 	r.attempts = nil
 }
 
-// recordOutcome tells the decisions how an attempt ended.
+// recordOutcome reports the end of an attempt to the balancer and to the retry policy.
 func (b *Backend) recordOutcome(ended *attempt, result loadbalancer.Result) {
 	owner := ended.run
 	outcome := result.Outcome
@@ -137,12 +137,12 @@
 		return
 	}
 	if outcome == loadbalancer.Cancelled {
-		outcome = loadbalancer.TimedOut // it may be executed, and nobody waits for the answer
+		outcome = loadbalancer.TimedOut // the endpoint may have executed it, and the answer will not be read
 	}
 	b.retries.RecordOutcome(owner.key, outcome)
 }
 
-// attemptEnded goes on with a run after one of its attempts has ended.
+// attemptEnded handles the end of an attempt: the run finishes, waits for its other attempt, or is retried.
 func (b *Backend) attemptEnded(ended *attempt, result loadbalancer.Result, body []byte) {
 	owner := ended.run
 	owner.attempts = slices.DeleteFunc(owner.attempts, func(a *attempt) bool { return a == ended })
@@ -164,7 +164,7 @@
 	b.retryOrReport(ended, result)
 }
 
-// retryOrReport carries out the decision on a run whose last attempt in flight did not succeed.
+// retryOrReport applies the retry policy to a run whose last attempt in flight did not succeed.
 func (b *Backend) retryOrReport(failed *attempt, result loadbalancer.Result) {
 	owner := failed.run
 	now := b.now()
--- a/internal/backend/upstream/backend.go
+++ b/internal/backend/upstream/backend.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	// sweepInterval is how often idle connections, removed endpoints and old gossip are looked for.
+	// sweepInterval is the time between two sweeps of idle connections, removed endpoints and old gossip.
 	sweepInterval = 5 * microtime.Second
-	// minRetryAfter is the least wait that is reported to the caller of a run that no endpoint takes.
+	// minRetryAfter is the least Retry-After that is reported to the caller of a declined run.
 	minRetryAfter = 100 * microtime.Millisecond
 )
 
@@ -23,18 +23,18 @@
 	RunDeclined(id string, retryAfter microtime.Time, noRetry bool)
 }
 
-// EventLoop is what the backend needs of the event loop.
+// EventLoop is what the backend needs from the event loop.
 type EventLoop interface {
 	peers.ExchangeEventLoop
 	Rand() uint64 // need not be secret
 }
 
-// WallClock converts to the wall clock, in Unix milliseconds.
+// WallClock converts the program's time to the wall clock, in Unix milliseconds.
 type WallClock interface {
 	UnixMilli(t microtime.Time) int64
 }
 
-// Config names the endpoints and the parameters of their use. All but the list of endpoints holds until a restart.
+// Config configures a Backend. Everything except the list of endpoints is fixed until a restart.
 type Config struct {
 	config.Fleet
 	Name     string // of this instance
@@ -53,10 +53,11 @@
 	exchange  *peers.Exchange // nil: this instance has no peers
 	endpoints endpointList
 	runs      map[string]*run
-	ordered   orderedset.Set[*run] // the same runs, in an order that does not depend on a map's
-	// declined are runs that no endpoint takes. They are reported by Check, never from within Start.
+	ordered   orderedset.Set[*run] // the same runs, in a deterministic order
+	// declined are the runs for which there is no endpoint. Check reports them, because Start must not call back into
+	// the core.
 	declined []*run
-	// awaitingGossip are runs that wait until the first exchange has told of the endpoints.
+	// awaitingGossip are the runs that wait for the first gossip exchange.
 	awaitingGossip []*run
 	nextSweep      microtime.Time
 	wastedAttempts int
@@ -89,7 +90,7 @@
 	return backend, nil
 }
 
-// Attach ties the backend to its core and its event loop.
+// Attach connects the backend to its core and its event loop.
 func (b *Backend) Attach(core Core, loop EventLoop) {
 	b.core = core
 	b.loop = loop
@@ -106,10 +107,11 @@
 	})
 }
 
-// Exchange is where this instance and its peers tell each other of the endpoints; nil if it has no peers.
+// Exchange returns the exchange of gossip with this instance's peers; nil if it has no peers.
 func (b *Backend) Exchange() *peers.Exchange { return b.exchange }
 
-// WastedAttempts counts the attempts that got no answer: no connection, a lost one, or no answer in time.
+// WastedAttempts returns the number of attempts without an answer: the connection failed or was lost, or the attempt
+// timed out.
 func (b *Backend) WastedAttempts() int { return b.wastedAttempts }
 
 func (b *Backend) now() microtime.Time { return b.loop.Now() }
@@ -131,7 +133,7 @@
 	}
 }
 
-// RequestGauges implements dispatch.Backend. The gauges of the endpoints are their own.
+// RequestGauges implements dispatch.Backend. It does nothing: the endpoints' gauges concern only the endpoints.
 func (b *Backend) RequestGauges() {}
 
 func (b *Backend) forget(r *run) {
@@ -145,13 +147,13 @@
 	b.core.RunFinished(r.ID, outcome, result)
 }
 
-// decline reports that a run was executed nowhere, and when it could be.
+// decline reports that no endpoint has executed a run, and after what time its caller may retry.
 func (b *Backend) decline(r *run) {
 	b.forget(r)
 	b.core.RunDeclined(r.ID, max(r.retryAfter, minRetryAfter), r.noRetry)
 }
 
-// Check does what is due by the clock. It returns when it is to be called again.
+// Check runs the timers that are due and reports declined runs. It returns when it has to be called again.
 func (b *Backend) Check(now microtime.Time) microtime.Time {
 	next := microtime.Never
 	reported := b.reportDeclined()
@@ -174,7 +176,7 @@
 	return min(next, b.nextSweep)
 }
 
-// reportDeclined reports the runs that no endpoint took. It returns false if there were none.
+// reportDeclined reports the declined runs. It returns false if there were none.
 func (b *Backend) reportDeclined() bool {
 	declined := b.declined
 	b.declined = nil
@@ -193,7 +195,7 @@
 	b.ExpireRemoved(now)
 }
 
-// routeAwaitingGossip sends the runs that waited for the first exchange.
+// routeAwaitingGossip routes the runs that waited for the first exchange.
 func (b *Backend) routeAwaitingGossip() {
 	waiting := b.awaitingGossip
 	b.awaitingGossip = nil
@@ -204,11 +206,11 @@
 	}
 }
 
-// checkRuns ends runs at their deadline, and sends the retries and hedged requests that are due. It returns when it is
+// checkRuns ends runs at their deadline, and sends the retries and hedged requests that are due. It returns when it has
 // to be called again.
 func (b *Backend) checkRuns(now microtime.Time) microtime.Time {
 	next := microtime.Never
-	for i := b.ordered.Len() - 1; i >= 0; i-- { // from the end, as the last run takes the place of one that ends
+	for i := b.ordered.Len() - 1; i >= 0; i-- { // from the end: Remove moves the last run to the index of the removed one
 		if i >= b.ordered.Len() {
 			continue
 		}
--- a/internal/backend/upstream/connection.go
+++ b/internal/backend/upstream/connection.go
@@ -12,14 +12,13 @@
 )
 
 const (
-	// maxInFlight bounds the requests in flight on a connection; the platform allows no more.
+	// maxInFlight is the most requests in flight on a connection. The platform allows no more.
 	maxInFlight = 32
-	// maxMessagesPerTurn bounds what is read of a connection in a turn: the answers to all that is in flight, and as many
-	// more.
+	// maxMessagesPerTurn is the most messages that are read from a connection in a turn: twice the requests in flight.
 	maxMessagesPerTurn = 64
-	// idleTimeout is how long a connection is kept without a request.
+	// idleTimeout is how long a connection without a request is kept open.
 	idleTimeout = 5 * microtime.Second
-	// maxRetryAfterBits bounds the retry-after that is read of a rejection, in milliseconds.
+	// maxRetryAfterBits limits the Retry-After of a rejection to 2^20-1 ms, about 17 minutes.
 	maxRetryAfterBits = 20
 )
 
@@ -28,12 +27,12 @@
 	backend      *Backend
 	endpoint     *endpoint
 	conn         transport.Conn // nil while it is being opened
-	unsent       []*attempt     // wait until it is open
+	unsent       []*attempt     // to be written once it is open
 	inFlight     map[int32]*attempt
 	lastSequence int32
-	draining     bool           // it takes no further attempts
-	lastReadAt   microtime.Time // when something last came on it
-	busySince    microtime.Time // since when something has been in flight on it
+	draining     bool           // it gets no further attempts
+	lastReadAt   microtime.Time // when bytes were last received
+	busySince    microtime.Time // since when a request has been in flight
 	idleSince    microtime.Time
 }
 
@@ -77,8 +76,8 @@
 	c.endpoint.connections = slices.DeleteFunc(c.endpoint.connections, func(other *connection) bool { return other == c })
 }
 
-// hasCapacity reports whether the connection takes a further attempt. One that has fallen silent takes none: a probe
-// must not wait behind what is stuck there.
+// hasCapacity reports whether the connection can take another attempt. A silent connection cannot: a probe must not
+// wait behind requests that are stuck there.
 func (c *connection) hasCapacity(now microtime.Time) bool {
 	count := len(c.inFlight) + len(c.unsent)
 	silent := count > 0 && now-max(c.lastReadAt, c.busySince) > c.backend.balancer.SilenceTimeout()
@@ -94,7 +93,7 @@
 	c.write(a)
 }
 
-// write sends an attempt; from then on it may be executed.
+// write sends an attempt. From then on the endpoint may execute it.
 func (c *connection) write(sent *attempt) {
 	backend := c.backend
 	if len(c.inFlight) == 0 {
@@ -111,7 +110,7 @@
 	c.conn.Write(backend.scratch)
 }
 
-// abandon tells the endpoint that nobody waits for an attempt any more.
+// abandon stops waiting for an attempt, and tells the endpoint so if it was written.
 func (c *connection) abandon(abandoned *attempt) {
 	c.unsent = slices.DeleteFunc(c.unsent, func(a *attempt) bool { return a == abandoned })
 	if !abandoned.written || c.inFlight[abandoned.sequenceID] != abandoned {
@@ -124,7 +123,7 @@
 	c.closeIfDrained()
 }
 
-// drain has the connection take no further attempts, and closes it once all in flight are answered.
+// drain excludes the connection from further attempts, and closes it once all in flight are answered.
 func (c *connection) drain() {
 	c.draining = true
 	c.closeIfDrained()
@@ -136,7 +135,7 @@
 	}
 }
 
-// closeIfIdle closes a connection that has had nothing in flight for idleTimeout.
+// closeIfIdle closes the connection if it has been idle for longer than idleTimeout.
 func (c *connection) closeIfIdle(now microtime.Time) {
 	if c.conn != nil && len(c.inFlight) == 0 && now > c.idleSince+idleTimeout {
 		c.conn.Close()
@@ -171,25 +170,26 @@
 	}
 	answered := c.inFlight[reply.SequenceID]
 	if answered == nil {
-		return // the reply crossed the message that the attempt was abandoned
+		return // the attempt was abandoned while the reply was in flight
 	}
 	delete(c.inFlight, reply.SequenceID)
 	c.idleSince = c.backend.now()
 	var body []byte
 	if reply.Kind == thrift.ReplyAnswer {
-		body = append([]byte(nil), reply.Body...) // the buffer is the connection's own
+		body = append([]byte(nil), reply.Body...) // the input buffer is reused
 	}
 	c.backend.attemptEnded(answered, resultOf(&reply), body)
 	c.closeIfDrained()
 }
 
-// resultOf is the result of an attempt that got a reply.
+// resultOf converts a reply to the result of its attempt.
 func resultOf(reply *thrift.Reply) loadbalancer.Result {
 	switch reply.Kind {
 	case thrift.ReplyAnswer:
 		return loadbalancer.Result{Outcome: loadbalancer.Succeeded}
 	case thrift.ReplyThrottled:
-		// On an error ParseUint returns 0 for what is absent or no number, and the largest value for what is over the bound.
+		// The error is ignored: ParseUint then returns 0 if the field is absent or not a number, and the largest value
+		// of maxRetryAfterBits if it is too large.
 		millis, _ := strconv.ParseUint(reply.Fields["after"], 10, maxRetryAfterBits)
 		return loadbalancer.Result{
 			Outcome:    loadbalancer.Rejected,
@@ -204,7 +204,7 @@
 // Idle implements transport.Session.
 func (c *connection) Idle() bool { return len(c.inFlight) == 0 }
 
-// Closed implements transport.Session. What was written may have been executed.
+// Closed implements transport.Session. The endpoint may have executed the attempts in flight.
 func (c *connection) Closed() {
 	c.remove()
 	lost := c.inFlight
--- a/internal/backend/upstream/endpoint.go
+++ b/internal/backend/upstream/endpoint.go
@@ -7,8 +7,9 @@
 	"pewterline/internal/microtime"
 )
 
-// RemovedEndpointRetention is how long an endpoint that was removed from the list is still known: longer than any
-// retention window, as a request with an idempotency key that it may have executed goes nowhere else.
+// RemovedEndpointRetention is how long an endpoint that was removed from the list is still known. It is longer than any
+// retention window, because a request with an idempotency key that the endpoint may have executed can be sent to no
+// other.
 const RemovedEndpointRetention = 600 * microtime.Second
 
 // endpoint is one log server.
@@ -31,7 +32,7 @@
 	l.byName[e.Name] = e
 }
 
-// closeIdle closes connections that have had nothing in flight for a while.
+// closeIdle closes the connections that have been idle for longer than idleTimeout.
 func (l *endpointList) closeIdle(now microtime.Time) {
 	for _, e := range l.ordered {
 		for _, c := range slices.Clone(e.connections) {
@@ -40,7 +41,7 @@
 	}
 }
 
-// expireRemoved forgets endpoints that were removed long ago and have no connection.
+// expireRemoved drops the endpoints that were removed more than RemovedEndpointRetention ago and have no connection.
 func (l *endpointList) expireRemoved(now microtime.Time) {
 	l.ordered = slices.DeleteFunc(l.ordered, func(e *endpoint) bool {
 		expired := e.removedAt > 0 && now > e.removedAt+RemovedEndpointRetention && len(e.connections) == 0
@@ -51,7 +52,7 @@
 	})
 }
 
-// moveTo has new connections opened to another address; those to the former one end once they are answered.
+// moveTo changes the address for new connections. Connections to the old address are drained.
 func (e *endpoint) moveTo(address string) {
 	if e.Address == address {
 		return
@@ -73,8 +74,8 @@
 	b.balancer.Add(now, listed.Name)
 }
 
-// UpdateEndpoints takes over a new endpoint list. Attempts in flight stay until they end; an endpoint that was removed
-// gets nothing new but repeats of requests with an idempotency key that it may have executed.
+// UpdateEndpoints applies a new endpoint list. Attempts in flight are not interrupted. A removed endpoint gets no new
+// requests, only retries of requests with an idempotency key that it may have executed.
 func (b *Backend) UpdateEndpoints(list []config.Member) {
 	now := b.now()
 	listedNames := map[string]bool{}
@@ -97,5 +98,5 @@
 	}
 }
 
-// ExpireRemoved forgets endpoints that were removed more than RemovedEndpointRetention ago.
+// ExpireRemoved drops endpoints that were removed more than RemovedEndpointRetention ago.
 func (b *Backend) ExpireRemoved(now microtime.Time) { b.endpoints.expireRemoved(now) }
--- a/internal/backend/upstream/run.go
+++ b/internal/backend/upstream/run.go
@@ -15,7 +15,7 @@
 	request  *dispatch.Request
 	class    control.Class
 	deadline microtime.Time
-	keyed    bool // it must not be executed twice within the retention window of its key
+	keyed    bool // its class is idempotent by key: it must run at most once in the retention window
 	key      loadbalancer.IdempotencyKey
 
 	attempts     []*attempt // in flight
@@ -24,10 +24,10 @@
 	tried        []string   // endpoints
 
 	hedgeAt    microtime.Time // when a hedged request may be sent; Never: none
-	retryAt    microtime.Time // when it is sent again; Never: an attempt is in flight
+	retryAt    microtime.Time // when the next attempt is due; Never: an attempt is in flight
 	retryAfter microtime.Time // of the last rejection
 	noRetry    bool           // of the last rejection
-	declined   bool           // no endpoint takes it
+	declined   bool           // there is no endpoint for it
 }
 
 func newRun(started dispatch.Run, class control.Class) *run {
@@ -46,7 +46,8 @@
 
 func (r *run) idempotent() bool { return r.class.Idempotency == control.Idempotent }
 
-// outcomeWithoutResult is how the run ends without a result: as given, unless it has a key and may have been executed.
+// outcomeWithoutResult is the outcome of a run that ends without a result: the given one, or RunIndeterminate if the
+// run is keyed and may have been executed.
 func (r *run) outcomeWithoutResult(outcome dispatch.RunOutcome) dispatch.RunOutcome {
 	if r.keyed && r.unproven > 0 {
 		return dispatch.RunIndeterminate
@@ -54,7 +55,7 @@
 	return outcome
 }
 
-// selection is what the choice of an endpoint depends on.
+// selection returns the properties of the run that the choice of an endpoint depends on.
 func (r *run) selection() loadbalancer.Request {
 	return loadbalancer.Request{
 		Class:      r.request.Class,
--- a/internal/backend/workerpool/acknowledgements.go
+++ b/internal/backend/workerpool/acknowledgements.go
@@ -1,6 +1,6 @@
 package workerpool
 
-// position is the place of a command among all commands that were sent.
+// position is the position of a command in the sequence of all commands that were sent.
 type position struct {
 	connection int // the number of the connection it was sent on; 0: it was not sent
 	order      int // over all connections
@@ -8,14 +8,14 @@
 
 func (p position) sent() bool { return p.connection > 0 }
 
-// acknowledgements tells which commands the pool is known to have read. The pool reads commands in the order in which
-// they were sent, so that one number a connection is enough.
+// acknowledgements records which commands the pool is known to have read. The pool reads commands in the order in which
+// they were sent, so one number per connection is enough.
 type acknowledgements struct {
 	received map[int]int // by connection: the order up to which commands were read
 	polls    []int       // for each unanswered poll on the current connection: the last order before it
 }
 
-// acknowledge notes that the command at a position was read.
+// acknowledge records that the command at a position, and all before it on its connection, were read.
 func (a *acknowledgements) acknowledge(p position) {
 	a.received[p.connection] = max(a.received[p.connection], p.order)
 }
@@ -25,10 +25,10 @@
 	return p.sent() && p.order <= a.received[p.connection]
 }
 
-// pollSent notes a poll for the gauges, behind the command of an order.
+// pollSent records a poll for the gauges that was sent after the command with the given order.
 func (a *acknowledgements) pollSent(order int) { a.polls = append(a.polls, order) }
 
-// pollAnswered notes the answer to the oldest poll: all that was sent before it was read.
+// pollAnswered records the answer to the oldest poll, which proves that all commands before the poll were read.
 func (a *acknowledgements) pollAnswered(connection int) {
 	if len(a.polls) == 0 {
 		return
@@ -37,10 +37,10 @@
 	a.polls = a.polls[1:]
 }
 
-// connectionChanged forgets the polls of the connection before: they won't be answered.
+// connectionChanged drops the polls of the previous connection, which will not be answered.
 func (a *acknowledgements) connectionChanged() { a.polls = nil }
 
-// keepOnly forgets all connections but one, which have told all they can.
+// keepOnly drops the acknowledgements of all other connections, which are no longer needed.
 func (a *acknowledgements) keepOnly(connection int) {
 	for other := range a.received {
 		if other != connection {
--- a/internal/backend/workerpool/backend.go
+++ b/internal/backend/workerpool/backend.go
@@ -1,9 +1,8 @@
-// Package workerpool is the backend that has the worker pool do the work, over one connection at a time on the event
-// loop. Package server creates it, package dispatch hands it runs by the Backend interface and is told of their ends.
-//
-// It owns the runs that have not ended and the state of the connection. Runs outlive a connection: after a new one is
-// bound, the notices that were missed come first, and only then is sent again what may have been lost. It never starts
-// a run twice that must run at most once, and never decides which run comes next.
+// Package workerpool is the backend that runs requests on the worker pool, over one connection at a time on the event
+// loop. Package server creates it. Package dispatch starts runs through its Backend interface and is notified of their
+// ends. It owns the runs in progress and the state of the connection. Runs survive a lost connection: after a new one
+// is bound, the pool first repeats the missed notices, and only then commands that may have been lost are sent again. A
+// run that must run at most once is never started twice. The order of runs is decided by the request core.
 package workerpool
 
 import (
@@ -15,10 +14,10 @@
 	"pewterline/internal/transport"
 )
 
-// gaugesTag marks the polls for the gauges.
+// gaugesTag is the tag of the polls for the gauges.
 const gaugesTag = "g"
 
-// Core is told of the worker pool and of the runs.
+// Core is notified of the state of the worker pool and of the progress of runs.
 type Core interface {
 	Start(now, age microtime.Time, cold bool)
 	RunFinished(id string, outcome dispatch.RunOutcome, result []byte)
@@ -26,19 +25,20 @@
 	SetGauges(control.Gauges)
 }
 
-// EventLoop is what the backend needs of the event loop.
+// EventLoop is what the backend needs from the event loop.
 type EventLoop interface {
 	Now() microtime.Time
 	Dial(addr string, open func(transport.Conn) transport.Session) (drop func())
 }
 
-// Config says where the worker pool is and what it reports.
+// Config configures a Backend.
 type Config struct {
 	Address string
 	Gauges  []string // names of its gauges, in their order
 }
 
-// Backend hands runs to the worker pool. It implements dispatch.CallingBackend. All its methods are called on the loop.
+// Backend starts runs on the worker pool. It implements dispatch.CallingBackend. All its methods are called on the
+// loop.
 type Backend struct {
 	config Config
 	core   Core
@@ -49,13 +49,13 @@
 	candidate   transport.Conn // replaces current once the pool has bound it; nil: none
 	cancelDial  func()         // nil while nothing is dialled
 	synced      bool           // the missed notices have been read on the current connection
-	connections int            // that were the current one so far; numbers the current one
+	connections int            // that have been current so far; also the number of the current one
 
 	acks    acknowledgements
 	notices noticeSequence
 
-	runs      map[string]*run // that have not ended, by id
-	uncertain []*run          // of which it is not known whether the pool has them
+	runs      map[string]*run // in progress, by ID
+	uncertain []*run          // runs of which it is unknown whether the pool has received them
 	lastOrder int             // of the last command that was numbered
 	checks    deepChecks
 	scratch   []byte
@@ -72,14 +72,13 @@
 	}
 }
 
-// Attach ties the backend to its core and its loop, and opens the connection.
+// Attach connects the backend to its core and its loop, and opens the connection.
 func (b *Backend) Attach(core Core, loop EventLoop) {
 	b.core, b.loop = core, loop
 	b.dial()
 }
 
-// SetAddress has the backend reach the worker pool at another address. The current connection serves until the new one
-// is bound.
+// SetAddress changes the address of the worker pool. The current connection stays in use until the new one is bound.
 func (b *Backend) SetAddress(address string) {
 	if address == b.config.Address {
 		return
@@ -91,15 +90,15 @@
 // SetGauges replaces the names of the gauges.
 func (b *Backend) SetGauges(names []string) { b.config.Gauges = names }
 
-// Status is what operators and tests may know of the backend.
+// Status is the state of the backend, for operators and tests.
 type Status struct {
-	Bound       bool // the connection serves
+	Bound       bool // the connection is in use
 	Connections int  // opened since the start
 	Dialling    bool
 	Migrating   bool   // a connection waits to be bound in place of the current one
 	Notice      uint64 // the number of the last notice that was read
-	Runs        int    // that have not ended
-	Uncertain   int    // of these, those of which it is not known whether the pool has them
+	Runs        int    // in progress
+	Uncertain   int    // of these, those of which it is unknown whether the pool has received them
 }
 
 // Status returns the state of the backend.
@@ -154,7 +153,7 @@
 // RequestGauges is part of dispatch.Backend.
 func (b *Backend) RequestGauges() { b.PollTagged(gaugesTag) }
 
-// PollTagged asks for the gauges under a tag of its own; what was sent before it has been read once that is answered.
+// PollTagged requests the gauges under the given tag. Its answer proves that all commands before it were read.
 func (b *Backend) PollTagged(tag string) {
 	if !b.synced {
 		return
--- a/internal/backend/workerpool/connection.go
+++ b/internal/backend/workerpool/connection.go
@@ -7,16 +7,16 @@
 	"pewterline/internal/transport"
 )
 
-// session is the transport.Session of one connection. Only the current connection is heard: the notices of an earlier
-// one come again on the current one, and its close must not have the address dialled twice. The candidate is heard to
-// be bound.
+// session is the transport.Session of one connection. Messages of earlier connections are ignored, because their
+// notices are repeated on the current one; their close is ignored too, so that the address is not dialled twice. Of the
+// candidate, only the bound message is handled.
 type session struct {
 	backend *Backend
 	conn    transport.Conn
 }
 
-// dial opens a new connection, in place of any that is still being dialled. The current connection serves on until the
-// new one is bound: that protects the runs against an address at which something listens and never answers.
+// dial opens a new connection, in place of any that is still being dialled. The current connection stays in use until
+// the new one is bound, in case a process at the new address accepts connections but never answers.
 func (b *Backend) dial() {
 	if b.cancelDial != nil {
 		b.cancelDial()
@@ -24,7 +24,7 @@
 	b.cancelDial = b.loop.Dial(b.config.Address, b.opened)
 }
 
-// opened takes a new connection, and asks the pool to bind it.
+// opened makes a new connection the candidate, and asks the pool to bind it.
 func (b *Backend) opened(conn transport.Conn) transport.Session {
 	b.cancelDial = nil
 	if b.candidate != nil {
@@ -39,7 +39,8 @@
 	return &session{backend: b, conn: conn}
 }
 
-// promote makes the candidate the current connection. What came on the one before since the bind comes again.
+// promote makes the candidate the current connection. Notices that have come on the previous one since the bind are
+// repeated.
 func (b *Backend) promote() {
 	previous := b.current
 	b.current, b.candidate = b.candidate, nil
@@ -53,7 +54,7 @@
 	}
 }
 
-// syncTag marks the poll whose answer follows the missed notices of the current connection.
+// syncTag is the tag of the poll that is answered after the missed notices on the current connection.
 func (b *Backend) syncTag() string { return "sync" + strconv.Itoa(b.connections) }
 
 // Receive is part of transport.Session.
--- a/internal/backend/workerpool/deepchecks.go
+++ b/internal/backend/workerpool/deepchecks.go
@@ -10,31 +10,32 @@
 const (
 	// checkTimeout is how long a deep check waits for the worker pool.
 	checkTimeout = microtime.Second
-	// checkFreshness is how long a run that passed, or the outcome of a verification, answers deep checks: a
-	// verification costs the cores as work does.
+	// checkFreshness is how long a run that passed, or the outcome of a verification, answers further deep checks: a
+	// verification uses the cores of the pool as a run does.
 	checkFreshness = microtime.Second
-	// maxCheckWaiters limits the deep checks that wait for one outcome; one more fails at once.
+	// maxCheckWaiters is the most deep checks that wait for one outcome. Further ones fail at once.
 	maxCheckWaiters = 64
 	// never is before any time of the clock.
 	never = microtime.Time(-1 << 62)
 )
 
-// deepChecks answers deep health checks: whether work gets done. A run that has passed recently proves that it does.
-// Else the worker pool is asked to verify it, once for all checks that come while that is pending or its outcome fresh.
+// deepChecks answers deep health checks, which ask whether the worker pool executes runs. A run that has passed
+// recently proves that. Otherwise the pool is asked for a verification, which serves all checks that come while it is
+// pending or its outcome is fresh.
 type deepChecks struct {
 	count     int // of verifications; names the pending one
 	waiters   []func(good bool)
 	startedAt microtime.Time // the pending verification
-	known     bool           // there has been an outcome on this connection
+	known     bool           // there is an outcome from this connection
 	good      bool           // that outcome
 	knownAt   microtime.Time // when it came
 	lastPass  microtime.Time // when a run last passed
 }
 
-// checkTag marks the verification of a number.
+// checkTag is the tag of the verification with the given number.
 func checkTag(count int) string { return "check" + strconv.Itoa(count) }
 
-// Verify reports to done whether work gets done: at once where that is known, else within checkTimeout.
+// Verify calls done with whether the worker pool executes runs: at once if that is known, or else within checkTimeout.
 func (b *Backend) Verify(done func(good bool)) {
 	checks, now := &b.checks, b.loop.Now()
 	switch {
@@ -50,35 +51,36 @@
 		checks.waiters = append(checks.waiters, done)
 		checks.count++
 		checks.startedAt = now
-		if b.synced { // else once it is
+		if b.synced { // otherwise resync sends it
 			b.sendVerify()
 		}
 	}
 }
 
-// sendVerify asks the pool for the pending verification.
+// sendVerify sends the command of the pending verification.
 func (b *Backend) sendVerify() {
 	b.write(pool.AppendVerify(b.scratch[:0], checkTag(b.checks.count)))
 }
 
-// pending reports that a verification has no outcome yet.
+// pending reports whether a verification is in progress.
 func (c *deepChecks) pending() bool { return len(c.waiters) > 0 }
 
-// answered takes the outcome of the verification of that tag; one that comes too late is dropped.
+// answered handles the outcome of the verification with the given tag. Late outcomes are ignored.
 func (c *deepChecks) answered(now microtime.Time, tag string, good bool) {
 	if c.pending() && tag == checkTag(c.count) {
 		c.end(now, good)
 	}
 }
 
-// declined says that the worker pool does not verify here: a check gets what the connection itself proves.
+// declined handles the answer of a pool that does not know the verify command. The check succeeds, because the answer
+// proves that the connection works.
 func (c *deepChecks) declined(now microtime.Time, tag string) { c.answered(now, tag, true) }
 
-// connectionChanged forgets the last outcome: it says nothing of the connection that follows.
+// connectionChanged drops the last outcome, which does not apply to the next connection.
 func (c *deepChecks) connectionChanged() { c.known = false }
 
-// expire ends the pending verification once its time is up: it was good if a run has passed meanwhile. It returns when
-// that is due.
+// expire ends the pending verification after checkTimeout. Its outcome is good if a run has passed meanwhile. It
+// returns when it has to be called again.
 func (c *deepChecks) expire(now microtime.Time) microtime.Time {
 	if !c.pending() {
 		return microtime.Never
@@ -90,7 +92,7 @@
 	return microtime.Never
 }
 
-// end notes an outcome and reports it to all that wait.
+// end records an outcome and reports it to all waiters.
 func (c *deepChecks) end(now microtime.Time, good bool) {
 	c.known, c.good, c.knownAt = true, good, now
 	waiters := c.waiters
--- a/internal/backend/workerpool/messages.go
+++ b/internal/backend/workerpool/messages.go
@@ -6,7 +6,7 @@
 	"pewterline/internal/protocol/pool"
 )
 
-// runOutcome translates a run's outcome from the protocol.
+// runOutcome converts a run's outcome from the protocol.
 func runOutcome(outcome pool.Outcome) dispatch.RunOutcome {
 	switch outcome {
 	case pool.Pass:
@@ -20,19 +20,19 @@
 	return dispatch.RunFailed
 }
 
-// handle obeys a message. An error says that the connection can no longer be trusted: the next one is bound with the
-// last notice that came in order, so that all after it come again.
+// handle handles a message. After an error the connection must be closed. The next one is bound with the number of the
+// last notice that came in order, so that all later notices are repeated.
 func (b *Backend) handle(message pool.Message) error {
 	switch message.Kind {
 	case pool.Bound:
 		b.core.Start(b.loop.Now(), microtime.Time(message.Milliseconds*1000), !message.Loaded)
-		// Only now: a pool that is not up yet does not carry out what follows bind, and this poll marks the end of the
-		// missed notices.
+		// Not earlier: a pool that is still starting ignores commands that follow bind. The answer to this poll marks
+		// the end of the missed notices.
 		b.write(pool.AppendPoll(b.scratch[:0], b.syncTag()))
 	case pool.Finished, pool.Blocked:
 		return b.takeNotice(message)
 	case pool.Chatter:
-		b.notices.chattered(message.Notice)
+		b.notices.ignored(message.Notice)
 	case pool.Polled:
 		b.takeGauges(message)
 	case pool.Verified:
@@ -43,7 +43,7 @@
 	return nil
 }
 
-// takeNotice handles what a run has come to, unless it was read before.
+// takeNotice handles a notice about a run, unless it was read before.
 func (b *Backend) takeNotice(message pool.Message) error {
 	if b.notices.wasRead(message.Notice) {
 		return nil
@@ -57,7 +57,7 @@
 	}
 	r := b.runs[message.ID]
 	if r == nil || !r.spawn.sent() {
-		return nil // the pool was never given it: no run made this result
+		return nil // the run was never sent to the pool, so the notice is not about it
 	}
 	b.acknowledge(r)
 	if message.Kind == pool.Blocked {
@@ -68,7 +68,7 @@
 	return nil
 }
 
-// acknowledge notes that the pool has read all that was sent for a run: it has told something new of it.
+// acknowledge records that the pool has read all commands of a run, which a new notice about the run proves.
 func (b *Backend) acknowledge(r *run) {
 	b.acks.acknowledge(r.spawn)
 	if r.reply != nil && r.reply.supply.sent() {
@@ -94,7 +94,7 @@
 	b.logf("pool: %s %s was not carried out", message.Command, message.ID)
 	switch message.Command {
 	case "poll":
-		// A pool that has no gauges to tell marks the end of the missed notices as well.
+		// The answer of a pool without gauges also marks the end of the missed notices.
 		if message.ID == b.syncTag() && !b.synced {
 			b.resync()
 		}
--- a/internal/backend/workerpool/notices_test.go
+++ b/internal/backend/workerpool/notices_test.go
@@ -41,7 +41,7 @@
 		t.Run(name, func(t *testing.T) {
 			sequence := tc.sequence
 			for _, number := range tc.chatter {
-				sequence.chattered(number)
+				sequence.ignored(number)
 			}
 			lost, err := sequence.advance(tc.number)
 			require.Equal(t, tc.lost, lost)
--- a/internal/backend/workerpool/resync.go
+++ b/internal/backend/workerpool/resync.go
@@ -9,9 +9,9 @@
 	"pewterline/internal/microtime"
 )
 
-// resync sends what has no notice yet, oldest first, once the missed notices are read. It avoids both faults of a
-// broken connection: a command lost with it, and one sent again for a run whose notice was on its way. What is known to
-// have been read is not sent again.
+// resync sends the commands of the runs without a notice, oldest first. It is called once the missed notices are read.
+// So no command is lost with a connection, and none is repeated for a run whose notice was in flight. Commands that are
+// known to have been read are not sent again.
 func (b *Backend) resync() {
 	b.synced = true
 	byOrder := func(x, y *run) int { return cmp.Compare(x.spawn.order, y.spawn.order) }
@@ -24,9 +24,10 @@
 	b.acks.keepOnly(b.connections)
 }
 
-// resyncRun sends what the pool may lack of a run. A run that may run at most once is not spawned again once it was
-// sent: between the end of the missed notices and our command the run may end, and the pool would run it anew. Its
-// notice comes if its spawn was read; if none comes before its deadline, the outcome is not known, and it has failed.
+// resyncRun sends the commands of a run that the pool may not have read. An at-most-once run is not spawned again once
+// it was sent: it may end between the last missed notice and the second spawn, and the pool would then run it twice. If
+// the pool has read the first spawn, a notice will follow; if none comes before the deadline, the outcome is unknown,
+// and the run is reported as failed.
 func (b *Backend) resyncRun(unfinished *run) {
 	unfinished.received = unfinished.received || b.acks.includes(unfinished.spawn)
 	if !unfinished.spawn.sent() || !unfinished.received && !unfinished.AtMostOnce {
@@ -44,7 +45,7 @@
 	}
 }
 
-// markUncertain has a run given up at its deadline.
+// markUncertain schedules a run to be failed at its deadline unless a notice comes before.
 func (b *Backend) markUncertain(r *run) {
 	if !r.uncertain {
 		r.uncertain = true
@@ -52,9 +53,9 @@
 	}
 }
 
-// resyncReply sees to a call's reply on a new connection. One that may have been lost with the connection before is not
-// sent again: the run may have gone on to its next call, which would get it. A run that may be repeated is suspended to
-// start anew; of another the outcome is not known unless a notice of it comes.
+// resyncReply handles the unacknowledged reply to a call after a new connection. If the reply may have been read, it is
+// not sent again: the run may be in its next call, which would get the wrong reply. So a run that may be repeated is
+// suspended and restarted; the outcome of an at-most-once run is unknown unless a notice comes.
 func (b *Backend) resyncReply(r *run) {
 	switch {
 	case !r.reply.supply.sent():
@@ -69,7 +70,7 @@
 	}
 }
 
-// restart starts a run anew that was suspended for it.
+// restart restarts a run that was suspended by resyncReply.
 func (b *Backend) restart(r *run) {
 	r.restarting, r.received = false, false
 	r.reply = nil
@@ -83,7 +84,7 @@
 	}
 }
 
-// Check fails the uncertain runs whose deadline is over, and ends a deep check that is not answered; it returns when to
+// Check fails the uncertain runs whose deadline is over, and ends a deep check that has timed out. It returns when to
 // check again.
 func (b *Backend) Check(now microtime.Time) microtime.Time {
 	next := b.checks.expire(now)
--- a/internal/backend/workerpool/run.go
+++ b/internal/backend/workerpool/run.go
@@ -8,12 +8,12 @@
 // run is a run that has not ended.
 type run struct {
 	dispatch.Run
-	spawn      position   // of its last spawn command; while that was not sent: of its start
+	spawn      position   // of its last spawn command; until that is sent, only the order of Start
 	received   bool       // the pool is known to have read the spawn command
-	uncertain  bool       // it is not known whether the pool has it
+	uncertain  bool       // it is unknown whether the pool has received it
 	cancelled  bool       // its result is no longer wanted
-	restarting bool       // it is being suspended to be started anew
-	reply      *callReply // nil: the pool is not known to lack any
+	restarting bool       // it is being suspended to be restarted
+	reply      *callReply // nil: there is none, or the pool has read it
 }
 
 // callReply is the reply to a run's call, until the pool is known to have read it.
--- a/internal/protocol/pool/command.go
+++ b/internal/protocol/pool/command.go
@@ -41,11 +41,11 @@
 // Command is one command of a log server, as the worker pool reads it. Body shares the input's memory.
 type Command struct {
 	Verb   Verb
-	Notice uint64 // bind: the last notice that was read
-	ID     string // spawn, Suspend, Supply
-	Class  string // spawn
-	Body   []byte // spawn; Supply: the reply to a call
-	Tag    string // poll, Verify
+	Notice uint64 // Bind: the last notice that was read
+	ID     string // Spawn, Suspend, Supply
+	Class  string // Spawn
+	Body   []byte // Spawn; Supply: the reply to a call
+	Tag    string // Poll, Verify
 }
 
 // ParseCommand takes the first command off in. n is its length; 0 while it is not complete.
--- a/internal/protocol/pool/message.go
+++ b/internal/protocol/pool/message.go
@@ -51,16 +51,16 @@
 // input's memory.
 type Message struct {
 	Kind         Kind
-	Loaded       bool      // bound: LOADED rather than EMPTY
-	Milliseconds float64   // bound: age of the pool; Finished: length of the run
-	Notice       uint64    // finished, Chatter, Blocked
-	ID           string    // finished, Blocked: the run; Unknown: what the command was about
-	Outcome      Outcome   // finished; Verified: Pass or Fail
-	Result       []byte    // finished
-	Call         []byte    // blocked: the body of the call that the run waits for
-	Tag          string    // polled, Verified
-	Gauges       []float64 // polled; -1 where the pool reported no finite number
-	Command      string    // unknown
+	Loaded       bool      // Bound: LOADED rather than EMPTY
+	Milliseconds float64   // Bound: age of the pool; Finished: length of the run
+	Notice       uint64    // Finished, Chatter, Blocked
+	ID           string    // Finished, Blocked: the run; Unknown: what the command was about
+	Outcome      Outcome   // Finished; Verified: Pass or Fail
+	Result       []byte    // Finished
+	Call         []byte    // Blocked: the body of the call that the run waits for
+	Tag          string    // Polled, Verified
+	Gauges       []float64 // Polled; -1 where the pool reported no finite number
+	Command      string    // Unknown
 }
 
 // ParseMessage takes the first message off in. n is its length; 0 while it is not complete.
--- a/internal/protocol/vault/vault.go
+++ b/internal/protocol/vault/vault.go
@@ -74,7 +74,7 @@
 type Reply struct {
 	ID     string
 	Status Status
-	Body   []byte // yes
+	Body   []byte // Yes
 }
 
 // Verb is the first word of a command.
@@ -101,8 +101,8 @@
 type Command struct {
 	Verb   Verb
 	ID     string
-	WaitMS int    // ask: how long the log server waits, in milliseconds
-	Body   []byte // ask
+	WaitMS int    // Ask: how long the log server waits, in milliseconds
+	Body   []byte // Ask
 }
 
 // AppendAsk writes a call; waitMS is how long its reply is waited for, in milliseconds.
--- a/internal/vaultclient/client.go
+++ b/internal/vaultclient/client.go
@@ -1,7 +1,7 @@
-// Package vaultclient is the client of the vault, the service that runs call. Package server creates it, and package
-// dispatch makes calls by it. It carries out on the event loop what calls.Pool decides: it opens and closes
-// connections, writes calls and reads replies. It owns the connections and the ends of calls that were not reported
-// yet; it decides nothing about calls and never repeats one.
+// Package vaultclient is the client of the vault, the service that runs make calls to. Package server creates it, and
+// package dispatch makes calls through it. It carries out the decisions of calls.Pool on the event loop: it opens and
+// closes connections, writes calls and reads replies. It owns the connections and the outcomes of calls that are not
+// reported yet. It decides nothing about calls and never repeats one.
 package vaultclient
 
 import (
@@ -12,17 +12,17 @@
 	"pewterline/internal/transport"
 )
 
-// MaxConns limits the descriptors of a client.
+// MaxConns is the most connections, and so descriptors, of a client.
 const MaxConns = calls.MaxConns
 
 // EventLoop is what the client needs of the event loop.
 type EventLoop interface {
 	Now() microtime.Time
-	// DialOnce tries once to open a connection: open gives its session, or failed reports the failure.
+	// DialOnce tries once to open a connection. Either open is called and returns its session, or failed is called.
 	DialOnce(addr string, open func(transport.Conn) transport.Session, failed func()) (drop func())
 }
 
-// CallEnded reports how a call ended. The reply is the callee's to keep; only calls.Answered has one.
+// CallEnded reports how a call ended. Only calls.Answered has a reply, which the callee may keep.
 type CallEnded func(now microtime.Time, id string, outcome calls.Outcome, reply []byte)
 
 // Client makes calls. All its methods are called on the loop. CallEnded is only called by Check.
@@ -33,8 +33,8 @@
 	logf       func(format string, args ...any)
 	pool       *calls.Pool
 	conns      map[calls.ConnID]*connection
-	cancelDial func()           // gives up the connection that was dialled last
-	ended      []calls.Complete // calls whose ends are to be reported
+	cancelDial func()           // cancels the last dial
+	ended      []calls.Complete // outcomes to be reported by Check
 	reachable  bool             // the last attempt to open a connection did not fail
 }
 
@@ -49,10 +49,10 @@
 	}
 }
 
-// Attach ties the client to its loop and to the caller.
+// Attach connects the client to its loop and to its caller.
 func (c *Client) Attach(loop EventLoop, callEnded CallEnded) { c.loop, c.callEnded = loop, callEnded }
 
-// Status is what operators may know of the client.
+// Status is the state of the client, for operators.
 type Status struct {
 	Reachable   bool // the last attempt to open a connection did not fail
 	Connections int
@@ -80,12 +80,12 @@
 	c.carryOut()
 }
 
-// forgetEnd drops the end of a call that is not waited for any more.
+// forgetEnd drops the unreported outcome of a call that was abandoned, or whose ID is used again.
 func (c *Client) forgetEnd(id string) {
 	c.ended = slices.DeleteFunc(c.ended, func(end calls.Complete) bool { return end.ID == id })
 }
 
-// SetAddress has new calls go to another address. Calls in flight end on the connections that they were made on.
+// SetAddress changes the address for new calls. Calls in flight stay on their connections.
 func (c *Client) SetAddress(address string) {
 	if address == c.address {
 		return
@@ -95,7 +95,8 @@
 	c.carryOut()
 }
 
-// Check ends the calls whose time is over, and reports how calls ended. It is called at the beginning of a turn.
+// Check ends the calls that have timed out, and reports the outcomes of all ended calls. It is called in each turn,
+// before the core's step.
 func (c *Client) Check(now microtime.Time) {
 	c.pool.Expire(now)
 	c.carryOut()
@@ -106,7 +107,7 @@
 	}
 }
 
-// NextDue returns when Check has something to do, whatever arrives before that.
+// NextDue returns when Check has to be called next.
 func (c *Client) NextDue() microtime.Time {
 	if len(c.ended) > 0 {
 		return c.loop.Now()
@@ -114,7 +115,7 @@
 	return c.pool.NextWakeup()
 }
 
-// carryOut does what the pool has decided.
+// carryOut performs the actions of the pool.
 func (c *Client) carryOut() {
 	for _, action := range c.pool.Actions() {
 		switch action := action.(type) {
@@ -139,7 +140,7 @@
 
 func (c *Client) dial() { c.cancelDial = c.loop.DialOnce(c.address, c.opened, c.dialFailed) }
 
-// opened takes a connection that was dialled.
+// opened adds a connection that was dialled.
 func (c *Client) opened(conn transport.Conn) transport.Session {
 	if !c.reachable {
 		c.logf("vault: %s is reachable again", c.address)
@@ -151,7 +152,7 @@
 	return opened
 }
 
-// dialFailed takes the failure of a dial.
+// dialFailed handles the failure of a dial.
 func (c *Client) dialFailed() {
 	if c.reachable {
 		c.logf("vault: %s is not reachable, %d calls wait", c.address, c.Status().Waiting)
--- a/internal/vaultclient/connection.go
+++ b/internal/vaultclient/connection.go
@@ -15,7 +15,7 @@
 	scratch []byte
 }
 
-// callOutcome translates the vault's answer to a call.
+// callOutcome converts the vault's answer to the outcome of a call.
 func callOutcome(status vault.Status) calls.Outcome {
 	switch status {
 	case vault.Yes:
@@ -37,14 +37,14 @@
 	c.conn.Write(command)
 }
 
-// call makes a call. The protocol has its timeout in whole milliseconds, at least one.
+// call sends a call. The protocol carries the timeout in whole milliseconds, at least 1.
 func (c *connection) call(send calls.Send) {
 	timeout := (send.Timeout + microtime.Millisecond - 1) / microtime.Millisecond
 	waitMS := min(max(timeout, 1), vault.MaxWaitMS)
 	c.write(vault.AppendAsk(c.scratch[:0], send.ID, int(waitMS), send.Body))
 }
 
-// abandon tells the vault that a call is not waited for any more.
+// abandon tells the vault that the reply to a call is no longer needed.
 func (c *connection) abandon(id string) { c.write(vault.AppendUnask(c.scratch[:0], id)) }
 
 // Receive is part of transport.Session.
