--- a/cmd/pewterline/process_host.go
+++ b/cmd/pewterline/process_host.go
@@ -51,7 +51,7 @@
 
 // SteerListeners is part of server.ProcessHost. The listeners for proxies and web servers are steered; operators call
 // each process at its own address.
-func (h *processHost) SteerListeners(place int) {
+func (h *processHost) SteerListeners(process int) {
 	loop := h.loop.Load()
 	if loop == nil {
 		return // a successor that comes before this process serves shares the port as the kernel picks
@@ -60,7 +60,7 @@
 		if addr == "" {
 			continue
 		}
-		if err := loop.DirectConnections(i, place); err != nil {
+		if err := loop.DirectConnections(i, process); err != nil {
 			h.logger.Warn("the kernel picks between both processes", zap.String("address", addr), zap.Error(err))
 		}
 	}
--- a/internal/config/ajp.go
+++ b/internal/config/ajp.go
@@ -6,21 +6,21 @@
 	"pewterline/internal/microtime"
 )
 
-// AJP is the file ajp.toml: the frontend for web servers, and the server that does the work in place of the worker
+// AJP is the file ajp.toml: the frontend for web servers, and the AJP server that runs requests in place of the worker
 // pool.
 type AJP struct {
 	Listen             string         // empty: there is no frontend
-	Secret             string         // that web servers send; empty: none is asked for
-	BodyTimeout        microtime.Time // how long a web server may take over a body
+	Secret             string         // that web servers have to send; empty: none
+	BodyTimeout        microtime.Time // how long a web server may take to send a body
 	MaxBody            int            // in bytes
-	MaxConnections     int            // of the frontend; they come out of Config.SocketLimit
-	BackendAddress     string         // empty: the worker pool does the work
+	MaxConnections     int            // of the frontend; they count against Config.SocketLimit
+	BackendAddress     string         // empty: requests do not run on an AJP server
 	BackendSecret      string
 	BackendPath        string
 	BackendConnections int
 }
 
-// The defaults and bounds of ajp.toml.
+// The defaults and limits of ajp.toml.
 const (
 	defaultBodyTimeoutMS      = 2000
 	maxBodyTimeoutMS          = 60_000
--- a/internal/config/classes.go
+++ b/internal/config/classes.go
@@ -10,7 +10,7 @@
 
 var errNoClasses = errors.New("none")
 
-// checkClasses returns the first fault of the settings' classes.
+// checkClasses returns the first error in the settings' classes.
 func checkClasses(settings control.Settings) error {
 	if len(settings.Classes) == 0 {
 		return &KeyError{Key: "settings.classes", Err: errNoClasses}
@@ -41,7 +41,7 @@
 		return fault("aim_ms", "%v is not over 0", class.LatencyObjective)
 	case class.RetentionWindow < 0 || keyed && class.RetentionWindow == 0:
 		return fault("window_ms", "%v is not over 0", class.RetentionWindow)
-	case !(class.Weight >= 0) || math.IsInf(class.Weight, 0): // not a number, too
+	case !(class.Weight >= 0) || math.IsInf(class.Weight, 0): // the negated comparison also catches NaN
 		return fault("worth", "%v is under 0", class.Weight)
 	default:
 		return nil
--- a/internal/config/files.go
+++ b/internal/config/files.go
@@ -13,7 +13,7 @@
 	"pewterline/internal/microtime"
 )
 
-// The environment's variables that name the files.
+// The environment variables that name the files.
 const (
 	envConfig      = "RELAY_CONFIG"
 	envAJP         = "RELAY_AJP"
@@ -32,7 +32,7 @@
 
 var errNotSet = errors.New("not set; it names the JSON file")
 
-// sources are the texts of all files. That of a TOML file is nil where there is none.
+// sources are the texts of all files. The text of a TOML file is nil if there is no file.
 type sources struct {
 	json        []byte
 	ajp         []byte
@@ -41,7 +41,7 @@
 	replication []byte
 }
 
-// optionalFile is a file that may be missing unless the environment names it.
+// optionalFile is a file that may be missing, unless the environment names it.
 type optionalFile struct {
 	variable    string // of the environment
 	defaultPath string
@@ -63,7 +63,7 @@
 	}
 }
 
-// path returns where the file is.
+// path returns the path of the file.
 func (f optionalFile) path(getenv func(string) string) string {
 	return orDefault(getenv(f.variable), f.defaultPath)
 }
@@ -80,7 +80,7 @@
 	return text, nil
 }
 
-// readJSON returns the text of the JSON file, which has to be there.
+// readJSON returns the text of the JSON file, which must exist.
 func readJSON(getenv func(string) string) ([]byte, error) {
 	path := getenv(envConfig)
 	if path == "" {
@@ -93,7 +93,8 @@
 	return text, nil
 }
 
-// Load reads the configuration that the environment names. Faults are KeyErrors, but for those of the settings.
+// Load reads the configuration files that the environment names. Errors are of type *KeyError; for some errors in the
+// settings its Key is empty.
 func Load(getenv func(string) string) (Config, error) {
 	var texts sources
 	var err error
@@ -108,7 +109,7 @@
 	return parse(texts, getenv)
 }
 
-// FileError is the first fault of one file.
+// FileError is the first error in one file.
 type FileError struct {
 	File string // as the environment names it, or its default path
 	Err  error
@@ -120,7 +121,8 @@
 // Unwrap is for errors.Is and errors.As.
 func (e FileError) Unwrap() error { return e.Err }
 
-// ValidateFiles checks every file by itself and returns each one's first fault, and then what does not fit together.
+// ValidateFiles checks each file by itself, and then whether the files fit together. It returns the first error of each
+// file.
 func ValidateFiles(getenv func(string) string) (faults []FileError) {
 	var texts sources
 	for _, file := range optionalFiles() {
@@ -136,7 +138,7 @@
 	}
 	var err error
 	if texts.json, err = readJSON(getenv); err == nil {
-		_, err = parse(texts, getenv) // the faulty ones of the others are left out
+		_, err = parse(texts, getenv) // without the files that have errors of their own
 	}
 	if err != nil {
 		faults = append(faults, FileError{File: orDefault(getenv(envConfig), envConfig), Err: err})
@@ -144,7 +146,7 @@
 	return faults
 }
 
-// KeyError names what is wrong with one key of one file, or with a variable of the environment.
+// KeyError is the error of one key of one file, or of an environment variable.
 type KeyError struct {
 	File string // of a TOML file; empty: the JSON file or the environment
 	Key  string // with its path; empty: the file as a whole
@@ -167,14 +169,14 @@
 // Unwrap is for errors.Is and errors.As.
 func (e *KeyError) Unwrap() error { return e.Err }
 
-// inFile is the name of the file whose keys are checked; empty: the JSON file.
+// inFile is the name of the file whose keys are checked, for the errors; empty: the JSON file.
 type inFile string
 
 func (f inFile) errorf(key, format string, args ...any) error {
 	return &KeyError{File: string(f), Key: key, Err: fmt.Errorf(format, args...)}
 }
 
-// decode reads a TOML file, which may have no keys but those of the struct.
+// decode decodes a TOML file. Keys that the struct does not have are errors.
 func (f inFile) decode(text []byte, into any) error {
 	meta, err := toml.Decode(string(text), into)
 	if err != nil {
@@ -188,7 +190,7 @@
 
 var errMissing = errors.New("missing")
 
-// checkAddress checks an address that is needed.
+// checkAddress checks an address that must not be empty.
 func (f inFile) checkAddress(key, address string) error {
 	if address == "" {
 		return &KeyError{File: string(f), Key: key, Err: errMissing}
@@ -207,7 +209,8 @@
 	return f.checkAddress(key, address)
 }
 
-// readInt sets a number where the file has it; it must be within 1 to most.
+// readInt stores a number from the file, which must be within 1 to most, in into. If the file does not have it, into is
+// unchanged.
 func (f inFile) readInt(key string, value *int, most int, into *int) error {
 	if value == nil {
 		return nil
@@ -219,7 +222,7 @@
 	return nil
 }
 
-// isWord reports whether text is one word, as names have to be.
+// isWord reports whether text is one word without white space, as names have to be.
 func isWord(text string) bool { return text != "" && !strings.ContainsAny(text, " \r\n\t") }
 
 func milliseconds(n int) microtime.Time { return microtime.Time(n) * microtime.Millisecond }
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -6,12 +6,12 @@
 	"pewterline/internal/decide/loadbalancer"
 )
 
-// Fleet is the file fleet.toml: the log servers that do the work in place of a worker pool.
+// Fleet is the file fleet.toml: the log servers to which requests are forwarded in place of a worker pool.
 type Fleet struct {
-	Members  []Member // none: the program is a log server itself
-	CallerID uint32   // the number by which it makes itself known to them
-	// GossipListen is where other instances reach this one, and GossipPeers where it reaches them. No file sets them:
-	// what instances tell each other is to go over TLS alone.
+	Members  []Member // none: requests are not forwarded
+	CallerID uint32   // how this instance identifies itself to them
+	// GossipListen is where other instances reach this one, and GossipPeers where it reaches them. No file sets them,
+	// because gossip must only be exchanged over TLS.
 	GossipListen string
 	GossipPeers  []string
 	LoadBalancer loadbalancer.Config
@@ -24,7 +24,7 @@
 	Address string `toml:"address"`
 }
 
-// The bounds of fleet.toml.
+// The limits of fleet.toml.
 const (
 	maxMembers          = 1000
 	maxMemberNameLength = 64
@@ -32,17 +32,17 @@
 
 type fleetFile struct {
 	Edge struct {
-		From        uint32  `toml:"from"`
-		ProbeFirst  int     `toml:"probe_first_ms"`
-		ProbeMost   int     `toml:"probe_most_ms"`
-		Warm        int     `toml:"warm_ms"`
-		WarmFrom    float64 `toml:"warm_from"`
-		EjectMost   float64 `toml:"eject_most"`
-		LimitFirst  float64 `toml:"limit_first"`
-		LimitMost   float64 `toml:"limit_most"`
-		Tries       int     `toml:"tries"`
-		RetryEarn   float64 `toml:"retry_earn"`
-		RetryBudget float64 `toml:"retry_budget"`
+		CallerID              uint32  `toml:"from"`
+		InitialProbeBackoffMS int     `toml:"probe_first_ms"`
+		MaxProbeBackoffMS     int     `toml:"probe_most_ms"`
+		SlowStartMS           int     `toml:"warm_ms"`
+		SlowStartShare        float64 `toml:"warm_from"`
+		MaxEjectedShare       float64 `toml:"eject_most"`
+		InitialConcurrency    float64 `toml:"limit_first"`
+		MaxConcurrency        float64 `toml:"limit_most"`
+		MaxAttempts           int     `toml:"tries"`
+		TokensPerSuccess      float64 `toml:"retry_earn"`
+		MaxTokens             float64 `toml:"retry_budget"`
 	} `toml:"edge"`
 	Servers []Member `toml:"server"`
 }
@@ -56,27 +56,27 @@
 	edge := file.Edge
 	cfg := Fleet{
 		Members:  file.Servers,
-		CallerID: edge.From,
+		CallerID: edge.CallerID,
 		LoadBalancer: loadbalancer.Config{
-			InitialProbeBackoff: milliseconds(edge.ProbeFirst),
-			MaxProbeBackoff:     milliseconds(edge.ProbeMost),
-			SlowStart:           milliseconds(edge.Warm),
-			SlowStartShare:      edge.WarmFrom,
-			MaxEjectedShare:     edge.EjectMost,
-			InitialConcurrency:  edge.LimitFirst,
-			MaxConcurrency:      edge.LimitMost,
+			InitialProbeBackoff: milliseconds(edge.InitialProbeBackoffMS),
+			MaxProbeBackoff:     milliseconds(edge.MaxProbeBackoffMS),
+			SlowStart:           milliseconds(edge.SlowStartMS),
+			SlowStartShare:      edge.SlowStartShare,
+			MaxEjectedShare:     edge.MaxEjectedShare,
+			InitialConcurrency:  edge.InitialConcurrency,
+			MaxConcurrency:      edge.MaxConcurrency,
 		},
 		Retries: loadbalancer.RetryConfig{
-			TokensPerSuccess: edge.RetryEarn,
-			MaxTokens:        edge.RetryBudget,
-			MaxAttempts:      edge.Tries,
+			TokensPerSuccess: edge.TokensPerSuccess,
+			MaxTokens:        edge.MaxTokens,
+			MaxAttempts:      edge.MaxAttempts,
 		},
 	}
 	if err := checkMembers(in, cfg.Members); err != nil {
 		return cfg, err
 	}
 	balancer := cfg.LoadBalancer
-	balancer.Classes = 1 // the settings tell how many there are
+	balancer.Classes = 1 // the real number comes from the settings
 	for _, err := range []error{balancer.Validate(), cfg.Retries.Validate()} {
 		if err != nil {
 			return cfg, &KeyError{File: string(in), Key: "edge", Err: err}
@@ -85,7 +85,7 @@
 	return cfg, nil
 }
 
-// checkMembers checks that the members' names differ and that their addresses can be dialled.
+// checkMembers checks that the members' names differ and that their addresses are well-formed.
 func checkMembers(in inFile, members []Member) error {
 	if len(members) > maxMembers {
 		return in.errorf("server", "%d are over %d", len(members), maxMembers)
--- a/internal/config/parse.go
+++ b/internal/config/parse.go
@@ -10,14 +10,14 @@
 	"pewterline/internal/settings"
 )
 
-// The environment's variables that win over the JSON file's keys.
+// The environment variables that take precedence over the JSON file's keys.
 const (
 	envName   = "RELAY_NAME"
 	envListen = "RELAY_LISTEN"
 	envAdmin  = "RELAY_ADMIN"
 )
 
-// The defaults and bounds of the JSON file.
+// The defaults and limits of the JSON file.
 const (
 	defaultShutdownTimeoutMS = 3200
 	maxShutdownTimeoutMS     = 3600e3
@@ -29,7 +29,7 @@
 	bytesPerMB               = 1 << 20
 )
 
-// inJSON reports faults of the JSON file, whose name is not in its errors.
+// inJSON reports errors of the JSON file, which do not name it.
 const inJSON inFile = ""
 
 type jsonFile struct {
@@ -50,7 +50,8 @@
 	Sockets  *int     `json:"sockets"`
 }
 
-// parse checks the files; the name and the addresses of the environment win over the JSON file's.
+// parse parses and checks the files. The name and the addresses in the environment take precedence over the JSON
+// file's.
 func parse(texts sources, getenv func(string) string) (Config, error) {
 	var file jsonFile
 	var document map[string]any
@@ -117,17 +118,18 @@
 }
 
 var (
-	errTwoRecords = errors.New("store.toml names a store of record as well; only one can hold the intakes")
-	errTwoRunners = errors.New("ajp.toml names a runner as well; only one can do the work")
+	errTwoStores   = errors.New("store.toml names a store of record as well; only one can hold the intakes")
+	errTwoBackends = errors.New("ajp.toml names a runner as well; only one can do the work")
 )
 
-// checkExclusive checks that one file alone says who records requests, and one alone who does the work.
+// checkExclusive checks that at most one file configures where executions are recorded, and at most one a backend in
+// place of the worker pool.
 func (c *Config) checkExclusive() error {
 	if c.Replication.ServerID != 0 && c.Store.Driver != "" {
-		return &KeyError{File: replicationFileName, Key: "id", Err: errTwoRecords}
+		return &KeyError{File: replicationFileName, Key: "id", Err: errTwoStores}
 	}
 	if len(c.Fleet.Members) > 0 && c.AJP.BackendAddress != "" {
-		return &KeyError{File: fleetFileName, Key: "server", Err: errTwoRunners}
+		return &KeyError{File: fleetFileName, Key: "server", Err: errTwoBackends}
 	}
 	return nil
 }
@@ -155,7 +157,7 @@
 	return inJSON.checkOptionalAddress("admin", c.AdminAddress)
 }
 
-// readLimits reads the time for a shutdown and the limits on memory and sockets.
+// readLimits reads the shutdown timeout and the limits on memory and sockets.
 func (c *Config) readLimits(file jsonFile) error {
 	if ms := file.StopMS; ms != nil {
 		if !(*ms > 0 && *ms <= maxShutdownTimeoutMS) {
@@ -207,7 +209,7 @@
 	errCallsNeedVault = errors.New("missing; settings.extra.downstream says that runs call it")
 )
 
-// checkCalls checks that runs can make the calls that the settings tell of.
+// checkCalls checks that runs can make the downstream calls that the settings declare.
 func (c *Config) checkCalls() error {
 	const key = "settings.extra.downstream"
 	switch {
--- a/internal/config/replication.go
+++ b/internal/config/replication.go
@@ -10,12 +10,12 @@
 
 // Replication is the file copies.toml: the group of servers that replicate each other's idempotency keys.
 type Replication struct {
-	ServerID          uint32 // of this server; 0: there is no replication
+	ServerID          uint32 // of this server; 0: replication is off
 	Listen            string // where the other members connect
 	Directory         string // of the log on disk
 	ReplicationFactor int    // of a group that is bootstrapped here
 	Consensus         consensus.Config
-	Peers             []consensus.Member // of the group to be, or where its members are reached from here
+	Peers             []consensus.Member // members of the group to bootstrap, or addresses of present members
 }
 
 // The defaults of copies.toml.
@@ -29,16 +29,16 @@
 )
 
 type replicationFile struct {
-	ID     uint32 `toml:"id"`
-	Listen string `toml:"listen"`
-	Folder string `toml:"folder"`
-	Copies int    `toml:"copies"`
-	Wait   int    `toml:"wait_ms"`
-	Most   int    `toml:"most_ms"`
-	Keys   int    `toml:"changes"`
-	Rate   int    `toml:"repair_keys_per_s"`
-	AtOnce int    `toml:"repair_at_once"`
-	Member []struct {
+	ID                uint32 `toml:"id"`
+	Listen            string `toml:"listen"`
+	Directory         string `toml:"folder"`
+	ReplicationFactor int    `toml:"copies"`
+	AttemptTimeoutMS  int    `toml:"wait_ms"`
+	ProposalTimeoutMS int    `toml:"most_ms"`
+	MaxInFlight       int    `toml:"changes"`
+	RepairRate        int    `toml:"repair_keys_per_s"`
+	MaxRepairs        int    `toml:"repair_at_once"`
+	Member            []struct {
 		ID      uint32 `toml:"id"`
 		Address string `toml:"address"`
 	} `toml:"member"`
@@ -47,12 +47,12 @@
 func parseReplication(text []byte) (Replication, error) {
 	const in inFile = replicationFileName
 	file := replicationFile{
-		Copies: defaultReplicationFactor,
-		Wait:   defaultAttemptTimeoutMS,
-		Most:   defaultProposalTimeoutMS,
-		Keys:   defaultMaxInFlight,
-		Rate:   defaultRepairRate,
-		AtOnce: defaultMaxRepairs,
+		ReplicationFactor: defaultReplicationFactor,
+		AttemptTimeoutMS:  defaultAttemptTimeoutMS,
+		ProposalTimeoutMS: defaultProposalTimeoutMS,
+		MaxInFlight:       defaultMaxInFlight,
+		RepairRate:        defaultRepairRate,
+		MaxRepairs:        defaultMaxRepairs,
 	}
 	if err := in.decode(text, &file); err != nil {
 		return Replication{}, err
@@ -60,14 +60,14 @@
 	cfg := Replication{
 		ServerID:          file.ID,
 		Listen:            file.Listen,
-		Directory:         file.Folder,
-		ReplicationFactor: file.Copies,
+		Directory:         file.Directory,
+		ReplicationFactor: file.ReplicationFactor,
 		Consensus: consensus.Config{
-			AttemptTimeout:  milliseconds(file.Wait),
-			ProposalTimeout: milliseconds(file.Most),
-			MaxInFlight:     file.Keys,
-			RepairRate:      file.Rate,
-			MaxRepairs:      file.AtOnce,
+			AttemptTimeout:  milliseconds(file.AttemptTimeoutMS),
+			ProposalTimeout: milliseconds(file.ProposalTimeoutMS),
+			MaxInFlight:     file.MaxInFlight,
+			RepairRate:      file.RepairRate,
+			MaxRepairs:      file.MaxRepairs,
 		},
 	}
 	for i, member := range file.Member {
@@ -91,7 +91,7 @@
 
 var errNoFolder = errors.New("folder: missing")
 
-// check checks that the members can be a group that this server is in.
+// check checks that the members form a valid group that contains this server.
 func (c Replication) check() error {
 	if c.Directory == "" {
 		return errNoFolder
--- a/internal/config/required_keys.go
+++ b/internal/config/required_keys.go
@@ -8,8 +8,8 @@
 	"strings"
 )
 
-// optionalKeys are the keys that a file may leave out though the one before had them: the platform's pages say so, or
-// the environment may give them.
+// optionalKeys are the keys that a new file may leave out although the file in force has them: the platform declares
+// them optional, or the environment may set them.
 var optionalKeys = map[string]bool{
 	"name":            true,
 	"listen":          true,
@@ -19,30 +19,30 @@
 	"fleet":           true,
 }
 
-var errKeyGone = errors.New("missing; the file in force has it")
+var errKeyMissing = errors.New("missing; the file in force has it")
 
-// RequireKeysOf returns an error that names a key which the file in force has and this one does not; nil: there is
-// none. It protects a running server from a truncated file: what is missing there is no wish for a default. Each entry
-// of a list needs the keys that all of its entries had before.
+// RequireKeysOf returns an error that names a key which the file in force has and this one does not, or nil. It keeps a
+// running server from loading a truncated file, in which a missing key does not mean that the default is wanted. Each
+// entry of a list needs the keys that all entries of the list in force have.
 func (c Config) RequireKeysOf(inForce Config) error {
 	if inForce.Document == nil {
 		return nil
 	}
 	if key := missingKey("", inForce.Document, c.Document); key != "" {
-		return &KeyError{Key: key, Err: errKeyGone}
+		return &KeyError{Key: key, Err: errKeyMissing}
 	}
 	return nil
 }
 
-// missingKey returns the path of the first key, in the order of their names, that only the value before has; "": there
-// is none.
+// missingKey returns the path of the first key, in the order of names, that before has and now does not; "": there is
+// none.
 func missingKey(path string, before, now any) string {
 	switch before := before.(type) {
 	case map[string]any:
-		now, _ := now.(map[string]any) // of another type: it has no keys
+		now, _ := now.(map[string]any) // nil if it has another type, so all keys are missing
 		return missingInObject(path, before, now)
 	case []any:
-		now, _ := now.([]any) // of another type: it has no entries
+		now, _ := now.([]any) // nil if it has another type
 		return missingInList(path, before, now)
 	default:
 		return ""
@@ -75,8 +75,8 @@
 	return ""
 }
 
-// commonKeys returns the keys that all entries of a list have, with the first one's values; nil where the entries are
-// no objects.
+// commonKeys returns the keys that all entries of a list have, with the values of the first entry; nil if an entry is
+// not an object.
 func commonKeys(list []any) any {
 	var common map[string]any
 	for _, entry := range list {
@@ -90,7 +90,7 @@
 		maps.DeleteFunc(common, func(key string, _ any) bool { return object[key] == nil })
 	}
 	if common == nil {
-		return nil // not a nil map, which would be an object
+		return nil // an untyped nil: a nil map would count as an object
 	}
 	return common
 }
--- a/internal/config/store.go
+++ b/internal/config/store.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// Store is the file store.toml: the database that holds the records of idempotent requests.
+// Store is the file store.toml: the database of executions of idempotency keys.
 type Store struct {
-	Driver  string // empty: there is no store of record
+	Driver  string // empty: there is no database
 	DSN     string
-	Timeout time.Duration // of every wait for it
+	Timeout time.Duration // of each operation on the database
 }
 
 // The drivers that a store may have.
@@ -15,7 +15,7 @@
 	driverPostgres = "postgres"
 )
 
-// The defaults and bounds of store.toml.
+// The defaults and limits of store.toml.
 const (
 	defaultStoreTimeoutMS = 1000
 	maxStoreTimeoutMS     = 60_000
--- a/internal/frontend/ajpfrontend/frontend.go
+++ b/internal/frontend/ajpfrontend/frontend.go
@@ -1,8 +1,8 @@
 // Package ajpfrontend serves web servers over AJP 1.3: each forwarded HTTP request becomes a request to the core, and
-// its answer an HTTP response. The server accepts the connections and calls the Frontend on its event loop.
-//
-// The package owns the sessions of these connections and their timeouts. It never decides about a request; it fills in
-// what a web server does not know, hands the request to the core and writes the response.
+// the core's response an HTTP response. Package server accepts the connections and calls the Frontend on its event
+// loop. The package owns the sessions of these connections and their timeouts. It never decides about a request: it
+// fills in defaults for the fields that a web server does not send, submits the request to the core and writes the
+// response.
 package ajpfrontend
 
 import (
@@ -14,8 +14,8 @@
 	"pewterline/internal/transport"
 )
 
-// Server is the log server as this frontend sees it. A request may leave out what a web server does not know, so the
-// frontend needs more of the server than others do.
+// Server is the log server as this frontend sees it. Beyond frontend.Server it has what the defaults of absent fields
+// are computed from.
 type Server interface {
 	frontend.Server
 	// Rand returns a random number, which need not be secret.
@@ -34,7 +34,7 @@
 // New returns a frontend without connections.
 func New(server Server, cfg config.AJP) *Frontend { return &Frontend{server: server, config: cfg} }
 
-// Accept gives a new connection its session. One over config.AJP.MaxConnections is closed.
+// Accept returns the session of a new connection, which is closed if config.AJP.MaxConnections are open already.
 func (f *Frontend) Accept(conn transport.Conn) transport.Session {
 	s := &session{frontend: f, conn: conn, deadline: f.server.Now() + idleTimeout}
 	if f.sessions.Len() >= f.config.MaxConnections {
@@ -49,7 +49,7 @@
 // Len returns the number of connections.
 func (f *Frontend) Len() int { return f.sessions.Len() }
 
-// ExpireTimeouts ends the waits whose deadline has come. It returns the next deadline, or microtime.Never.
+// ExpireTimeouts handles the sessions whose deadline is over. It returns the next deadline, or microtime.Never.
 func (f *Frontend) ExpireTimeouts(now microtime.Time) microtime.Time {
 	next := microtime.Never
 	for _, s := range f.sessions.Items() {
@@ -58,16 +58,16 @@
 	return next
 }
 
-// Drain closes all connections that have no request in flight. The others end with their answers, as the server is
-// draining.
+// Drain closes all connections without a request in flight. The others are closed after their response, because
+// Server.Draining is true.
 func (f *Frontend) Drain() {
 	for _, s := range f.sessions.Items() {
 		s.drain()
 	}
 }
 
-// middleRank returns the middle of a class's band of ranks. The bands are equal in width and ordered by the classes'
-// weights.
+// middleRank returns the default rank of a class's requests. The interval from 0 to 1 is divided into bands of equal
+// width, one per class, ordered by the classes' weights; the default is the middle of the class's band.
 func middleRank(classes []control.Class, class int) float64 {
 	below, own := 0, classes[class]
 	for i, other := range classes {
--- a/internal/frontend/ajpfrontend/request.go
+++ b/internal/frontend/ajpfrontend/request.go
@@ -15,19 +15,19 @@
 const (
 	// healthPath is the path of health checks.
 	healthPath = "/health"
-	// defaultQueuedKB is the memory to expect of a request that does not tell: of the 13 to 63 kB that a queued request
-	// takes on the platform.
+	// defaultQueuedKB is the expected memory of a request that does not state it. On the platform a queued request
+	// takes 13 to 63 kB.
 	defaultQueuedKB = 32
 )
 
-// receiveRequest takes the head of a request.
+// receiveRequest handles the head of a request.
 func (s *session) receiveRequest(payload []byte) {
 	s.arrivedAt = s.frontend.server.Now()
 	s.body = nil
 	var err error
 	s.request, err = ajp.ParseForwardRequest(payload)
 	if err != nil {
-		// Whether a body follows is not known, so the connection cannot be kept.
+		// It is unknown whether a body follows, so the connection has to be closed.
 		s.reject(statusBadRequest, err.Error())
 		return
 	}
@@ -43,7 +43,7 @@
 	case s.request.ContentLength > int64(maxBody):
 		s.reject(statusPayloadTooLarge, fmt.Sprintf("a body of %d bytes is over %d", s.request.ContentLength, maxBody))
 	case s.request.ContentLength > 0:
-		s.awaitBody() // its first packet comes unasked
+		s.awaitBody() // web servers send its first packet without being asked
 	case s.request.IsChunked():
 		s.awaitBody()
 		s.write(ajp.AppendGetBodyChunk(s.scratch[:0], maxBody+1))
@@ -59,14 +59,15 @@
 
 func servesMethod(method string) bool { return method == "POST" || method == "PUT" || method == "GET" }
 
-// awaitBody has the session wait for the body. From here on its deadline guards the connection.
+// awaitBody starts to wait for the body. The connection is identified, and closed if the body does not come within
+// BodyTimeout.
 func (s *session) awaitBody() {
 	s.conn.MarkIdentified()
 	s.phase = awaitBody
 	s.deadline = s.arrivedAt + s.frontend.config.BodyTimeout
 }
 
-// receiveBody takes a part of the body, and asks for the next one or submits the request. An error closes the
+// receiveBody handles a part of the body, and requests the next one or submits the request. An error closes the
 // connection.
 func (s *session) receiveBody(payload []byte) error {
 	chunk, err := ajp.ParseBodyChunk(payload)
@@ -92,7 +93,7 @@
 	return nil
 }
 
-// submit hands the request to the core.
+// submit submits the request to the core.
 func (s *session) submit() {
 	request, err := s.readRequest()
 	if err == nil {
@@ -108,7 +109,7 @@
 	s.respond(response{status: statusBadRequest, body: textBody(err.Error()), keep: true})
 }
 
-// readRequest reads the headers as the fields of a request, with values for those that a web server does not know.
+// readRequest reads the fields of a request from the headers, with defaults for absent ones.
 func (s *session) readRequest() (dispatch.Request, error) {
 	server := s.frontend.server
 	now := server.Now()
@@ -124,7 +125,8 @@
 	if s.fieldHeader(frontend.FieldSentAt) == "" {
 		request.ArrivedAt = s.arrivedAt
 	}
-	// A time before the deadline's span can only be a web server's wrong clock, and would be rejected unseen.
+	// A request that seems to be past its deadline on arrival is due to a web server's wrong clock. The core would
+	// reject it.
 	classes := server.Classes()
 	request.ArrivedAt = max(request.ArrivedAt, now-microtime.FromDuration(classes[request.Class].Deadline))
 	if s.fieldHeader(frontend.FieldRank) == "" {
@@ -140,7 +142,7 @@
 	return s.request.Header(frontend.HeaderPrefix + field)
 }
 
-// defaultField returns the value of a field that is absent. The class is the last part of the path then. The values of
+// defaultField returns the default of an absent field. That of the class is the last part of the path. Those of
 // FieldSentAt and FieldRank are placeholders, which readRequest replaces.
 func (s *session) defaultField(field string) string {
 	switch field {
--- a/internal/frontend/ajpfrontend/response.go
+++ b/internal/frontend/ajpfrontend/response.go
@@ -8,14 +8,14 @@
 	"pewterline/internal/protocol/ajp"
 )
 
-// The headers of answers that the platform's pages name.
+// The headers of responses, as the platform's protocol names them.
 const (
 	headerAdmissionLevel = frontend.HeaderPrefix + "Say"
 	headerRetryAfterMS   = frontend.HeaderPrefix + "After-Ms"
 	headerNoRetry        = frontend.HeaderPrefix + "Last"
 )
 
-// The statuses of answers. The texts of some differ from those of net/http, and stay as they are on the wire.
+// The statuses of responses. Some of their texts differ from those of net/http; they are part of the wire format.
 const (
 	statusOK                 = 200
 	statusBadRequest         = 400
@@ -71,10 +71,10 @@
 	}
 	s.phase = awaitRequest
 	s.respond(responseTo(answer))
-	s.conn.Resume() // what came behind the request
+	s.conn.Resume() // handle packets that came after the request
 }
 
-// responseTo translates the core's answer.
+// responseTo converts the core's response.
 func responseTo(answer dispatch.Response) response {
 	switch answer.Status {
 	case dispatch.StatusSucceeded:
@@ -90,8 +90,8 @@
 	}
 }
 
-// adviceHeaders tell when to come back, and whether another server should be tried. A web server that knows no more
-// than HTTP must not come back at once, so there is always a time.
+// adviceHeaders returns the headers that say when to retry, and whether another server may be tried. Retry-After is
+// always at least a second, so that a client that knows only HTTP does not retry at once.
 func adviceHeaders(answer dispatch.Response) []ajp.Header {
 	milliseconds := max(frontend.CeilMilliseconds(answer.RetryAfter), 1)
 	seconds := (milliseconds + 999) / 1000
@@ -117,7 +117,8 @@
 	}
 }
 
-// reject answers what the core never sees, and closes the connection: a body may be on its way.
+// reject responds to a request that is not submitted to the core, and closes the connection, because a body may be in
+// flight.
 func (s *session) reject(status int, reason string) {
 	s.frontend.server.Logf("ajp: request rejected, the connection closes: peer=%s status=%d reason=%s",
 		s.conn.Remote(), status, reason)
@@ -125,8 +126,8 @@
 	s.respond(response{status: status, body: textBody(reason)})
 }
 
-// respond writes a response. A connection that is not kept waits for the peer to close it: a close with input unread
-// would throw the response away.
+// respond writes a response. A connection that is not kept open waits for the peer to close it: to close a socket with
+// unread input would reset the connection and lose the response.
 func (s *session) respond(r response) {
 	server := s.frontend.server
 	headers := r.headers
--- a/internal/frontend/ajpfrontend/session.go
+++ b/internal/frontend/ajpfrontend/session.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	// idleTimeout closes a connection on which no request comes.
+	// idleTimeout is how long a connection may be without a request.
 	idleTimeout = 60 * microtime.Second
-	// maxPipelined bounds the bytes that may wait behind a request in flight.
+	// maxPipelined is the most bytes that may wait while a request is in flight.
 	maxPipelined = 64 << 10
 )
 
@@ -24,7 +24,7 @@
 	awaitRequest phase = iota
 	awaitBody
 	awaitAnswer
-	awaitClose // the last response is written; what still comes is passed over
+	awaitClose // the last response is written; further input is discarded
 )
 
 // String names the phase.
@@ -39,7 +39,7 @@
 	conn      transport.Conn
 	phase     phase
 	request   ajp.Request // the last one
-	body      []byte      // what has come of its body
+	body      []byte      // the part of its body received so far
 	arrivedAt microtime.Time
 	deadline  microtime.Time // for the body, for the peer's close, or for the next request
 	id        control.RequestID
@@ -53,8 +53,7 @@
 	s.conn.Write(packets)
 }
 
-// Closed is part of transport.Session. A body that is not complete goes with the session, and nothing runs; a request
-// in flight is cancelled.
+// Closed is part of transport.Session. A request with an incomplete body is dropped; a request in flight is cancelled.
 func (s *session) Closed() {
 	s.closed = true
 	s.frontend.sessions.Remove(s)
@@ -79,7 +78,7 @@
 				return consumed, fmt.Errorf("%w: %d bytes behind a request in hand", ajp.ErrInvalidPacket, waiting)
 			}
 			return consumed, nil
-		default: // it takes packets
+		default: // ready for packets
 		}
 		payload, size, err := ajp.SplitPacket(in[consumed:], ajp.FromServer)
 		if err != nil || payload == nil {
@@ -97,7 +96,7 @@
 	}
 }
 
-// receivePacket serves a packet that is no part of a body. An error closes the connection.
+// receivePacket handles a packet that is not part of a body. An error closes the connection.
 func (s *session) receivePacket(payload []byte) error {
 	if len(payload) == 0 {
 		return fmt.Errorf("%w: empty where a request was due", ajp.ErrInvalidPacket)
@@ -118,7 +117,7 @@
 	return nil
 }
 
-// expire ends a wait whose deadline has come. It returns the next deadline.
+// expire handles the session's deadline if it is over. It returns the next deadline.
 func (s *session) expire(now microtime.Time) microtime.Time {
 	switch {
 	case s.phase == awaitAnswer:
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -1,9 +1,7 @@
-// Package frontend holds what the protocol frontends share: the view that they have of the server behind them, and the
-// parser of the fields of a request. Each frontend is a package of its own below this one and speaks one protocol to
-// callers: thriftfrontend to the proxies of the platform, ajpfrontend to web servers.
-//
-// The frontends own the sessions of their connections. They never decide whether or when a request runs; that is the
-// request core's, which they reach through Server.
+// Package frontend holds what the protocol frontends share: the interface of the server behind them, and the parser of
+// a request's fields. Each frontend is a package below this one and speaks one protocol to callers: thriftfrontend to
+// the proxies of the platform, ajpfrontend to web servers. The frontends own the sessions of their connections. They
+// never decide whether or when a request runs: the request core does, which they reach through Server.
 package frontend
 
 import (
@@ -15,51 +13,51 @@
 	"pewterline/internal/microtime"
 )
 
-// HeaderPrefix begins the HTTP headers that carry a request's fields; the field's name follows.
+// HeaderPrefix is the prefix of the HTTP headers that carry a request's fields. The field's name follows.
 const HeaderPrefix = "X-Relay-"
 
-// LingerTimeout is how long a peer may take to close its connection after it was asked to.
+// LingerTimeout is how long a peer may take to close its connection after it was asked to do so.
 const LingerTimeout = 2 * microtime.Second
 
-// admissionLevelDecimals is the precision at which answers carry the admission level.
+// admissionLevelDecimals is the number of decimals of the admission level in responses.
 const admissionLevelDecimals = 4
 
-// ErrUnknownClass is wrapped by the FieldError for a class that the settings do not have. It is no fault of the peer's,
-// which may have read the settings before or after this server did.
+// ErrUnknownClass is wrapped by the FieldError for a class that the settings do not have. It is not the peer's fault:
+// the peer may have read the settings before or after this server.
 var ErrUnknownClass = errors.New("unknown")
 
 // Server is the log server as a frontend sees it. All its methods are called on the event loop.
 type Server interface {
 	// Now returns the time of the loop's turn.
 	Now() microtime.Time
-	// FromUnixMilli converts a wall clock time to the program's.
+	// FromUnixMilli converts a wall clock time to the program's time.
 	FromUnixMilli(milliseconds int64) microtime.Time
 	// Class returns the index of a class in the settings.
 	Class(name string) (index int, known bool)
-	// Tenant returns the index of a tenant in the settings. Where they list none, every tenant is known, at index 0.
+	// Tenant returns the index of a tenant in the settings. If they list none, every tenant is known, with index 0.
 	Tenant(name string) (index int, known bool)
 
-	// Submit hands a request to the core, which calls its Responder at most once, and never before Submit has
-	// returned. After an error the core knows nothing of the request.
+	// Submit submits a request to the core, which calls its Responder at most once, and never before Submit has
+	// returned. After an error the core has no trace of the request.
 	Submit(request dispatch.Request) (control.RequestID, error)
-	// Cancel says that nobody waits for the answer to a request any more.
+	// Cancel abandons a request: its response is no longer needed.
 	Cancel(id control.RequestID)
 
 	// Healthy returns the answer to shallow health checks.
 	Healthy() bool
-	// CheckBackend reports to done whether the backend gets work done: at once where that is known, else within a
+	// CheckBackend calls done with whether the backend executes runs: at once if that is known, or else within a
 	// second.
 	CheckBackend(done func(good bool))
 	// AdmissionLevel returns the advertised admission level; known is false while there is none.
 	AdmissionLevel() (level float64, known bool)
-	// Draining reports whether connections are to end because the process shuts down.
+	// Draining reports whether connections should be closed because the process shuts down.
 	Draining() bool
 
 	// Logf writes a line to the log.
 	Logf(format string, args ...any)
 }
 
-// AdmissionLevelText returns the admission level as answers carry it; known is false while there is none.
+// AdmissionLevelText returns the admission level as responses carry it; known is false while there is none.
 func AdmissionLevelText(server Server) (text string, known bool) {
 	level, known := server.AdmissionLevel()
 	if !known {
@@ -68,7 +66,7 @@
 	return strconv.FormatFloat(level, 'f', admissionLevelDecimals, 64), true
 }
 
-// CeilMilliseconds rounds up to whole milliseconds, so that advice to wait is never cut to none.
+// CeilMilliseconds rounds up to whole milliseconds, so that a short Retry-After never becomes 0.
 func CeilMilliseconds(t microtime.Time) int64 {
 	return int64((t + microtime.Millisecond - 1) / microtime.Millisecond)
 }
--- a/internal/frontend/frontendtest/frontendtest.go
+++ b/internal/frontend/frontendtest/frontendtest.go
@@ -1,5 +1,5 @@
-// Package frontendtest holds the fakes that the tests of the protocol frontends share: a server that records what it is
-// asked for, and a connection that records what is written. No other code uses it.
+// Package frontendtest provides the fakes that the tests of the protocol frontends share: a server that records its
+// calls, and a connection that records what is written. No other code uses it.
 package frontendtest
 
 import (
@@ -25,7 +25,7 @@
 
 	Submitted    []dispatch.Request
 	Cancelled    []control.RequestID
-	HealthChecks []func(good bool) // of the backend, that wait for their result
+	HealthChecks []func(good bool) // of the backend, waiting for their result
 	Log          []string
 }
 
--- a/internal/frontend/request.go
+++ b/internal/frontend/request.go
@@ -11,7 +11,7 @@
 	"pewterline/internal/microtime"
 )
 
-// The fields of a request, as the platform's pages name them on the wire.
+// The fields of a request, as the platform's protocol names them.
 const (
 	FieldClass          = "class"
 	FieldTenant         = "tenant"
@@ -26,31 +26,31 @@
 	FieldIdempotencyKey = "once"
 )
 
-// The bounds of a request's fields.
+// The limits of a request's fields.
 const (
-	// maxClockLead bounds how far a request's own time may be ahead of this server's clock.
+	// maxClockLead is how far a request's timestamp may be ahead of this server's clock.
 	maxClockLead = 10 * microtime.Second
-	// maxAge is beyond any deadline and retention window: what was sent earlier counts as sent then.
+	// maxAge is longer than any deadline and retention window. Older timestamps are replaced by this age.
 	maxAge = 600 * microtime.Second
 	// attemptIDDigits is the length of an attempt ID in hex digits.
 	attemptIDDigits = 16
 	// maxIdempotencyKeyLength is in bytes.
 	maxIdempotencyKeyLength = 128
-	// maxCost bounds the work that a request may announce; a larger figure counts as this one.
+	// maxCost is the largest cost that a request may announce. Larger values are replaced by it.
 	maxCost = microtime.Time(3600) * microtime.Second
 	// sentAtBits is the size of a time in milliseconds whose microseconds still fit an int64.
 	sentAtBits = 50
-	// retrySet is the value of FieldRetry that marks a retry; any other value is none.
+	// retrySet is the value of FieldRetry that marks a retry; any other value does not.
 	retrySet = "1"
 )
 
-// FieldError says what is wrong with one field of a request.
+// FieldError is the error of one field of a request.
 type FieldError struct {
 	Field string // one of the Field constants
 	Err   error
 }
 
-// Error is part of error. Callers are sent this text.
+// Error is part of error. The text is sent to callers.
 func (e *FieldError) Error() string { return e.Field + ": " + e.Err.Error() }
 
 // Unwrap is for errors.Is and errors.As.
@@ -60,7 +60,8 @@
 	return &FieldError{Field: field, Err: fmt.Errorf(format, args...)}
 }
 
-// ReadRequest reads the fields that all frontends share; get returns "" for one that is absent. Errors are FieldErrors.
+// ReadRequest reads the fields that all frontends share. get returns the value of a field, or "" if it is absent.
+// Errors are of type *FieldError.
 func ReadRequest(server Server, get func(field string) string) (dispatch.Request, error) {
 	var request dispatch.Request
 	err := readOwner(&request, server, get)
@@ -88,7 +89,7 @@
 	return nil
 }
 
-// readAttempt reads the attempt's ID, when it was sent and by whom.
+// readAttempt reads the attempt's ID, its timestamp, its caller and whether it is a retry.
 func readAttempt(request *dispatch.Request, server Server, get func(string) string) error {
 	request.RunID = get(FieldAttemptID)
 	if !isHex(request.RunID, attemptIDDigits) {
@@ -106,8 +107,8 @@
 	return nil
 }
 
-// readSentAt reads the caller's time in Unix milliseconds. Where clocks differ a little, or the request is very old,
-// it is moved into the span that the core works with.
+// readSentAt reads the caller's timestamp in Unix milliseconds. The arrival time that the core gets from it is limited
+// to the last maxAge, because clocks differ a little and requests may be very old.
 func readSentAt(request *dispatch.Request, server Server, text string) error {
 	milliseconds, err := strconv.ParseUint(text, 10, sentAtBits)
 	if err != nil {
@@ -123,7 +124,7 @@
 	return nil
 }
 
-// readSize reads the memory and the work to expect, and the rank.
+// readSize reads the expected memory and cost, and the rank.
 func readSize(request *dispatch.Request, get func(string) string) (err error) {
 	if request.QueuedKB, err = parseDecimal(get(FieldQueuedKB)); err != nil {
 		return fieldErrorf(FieldQueuedKB, "%q is not a number", get(FieldQueuedKB))
@@ -136,14 +137,14 @@
 	if request.Rank, err = parseDecimal(get(FieldRank)); err != nil {
 		return fieldErrorf(FieldRank, "%q is not a number", get(FieldRank))
 	}
-	// Written with few digits, a rank just under 1 reads as 1.
+	// Ranks are below 1, but one just below may be rounded to 1 by its sender.
 	if request.Rank == 1 {
 		request.Rank = math.Nextafter(1, 0)
 	}
 	return nil
 }
 
-// readKeys reads the key of what the request is about and its idempotency key.
+// readKeys reads the request's subject key and its idempotency key.
 func readKeys(request *dispatch.Request, get func(string) string) error {
 	if text := get(FieldSubjectKey); text != "" {
 		key, err := strconv.ParseUint(text, 16, 64)
@@ -159,7 +160,7 @@
 	return nil
 }
 
-// parseCost reads the work to expect, in milliseconds on one core.
+// parseCost reads the expected cost, in milliseconds on one core.
 func parseCost(text string) (microtime.Time, error) {
 	milliseconds, err := parseDecimal(text)
 	if err != nil {
@@ -170,7 +171,8 @@
 
 var errNotDecimal = errors.New("not a decimal number")
 
-// parseDecimal reads digits with at most one point among them: no sign, exponent or word, which ParseFloat takes too.
+// parseDecimal parses digits with at most one decimal point. Unlike ParseFloat it accepts no sign, exponent, Inf or
+// NaN.
 func parseDecimal(text string) (float64, error) {
 	if strings.Trim(text, "0123456789.") != "" {
 		return 0, errNotDecimal
@@ -178,7 +180,7 @@
 	return strconv.ParseFloat(text, 64)
 }
 
-// isHex reports whether text is that many hex digits.
+// isHex reports whether text consists of the given number of hex digits.
 func isHex(text string, digits int) bool {
 	for i := range len(text) {
 		if c := text[i] | 0x20; (c < '0' || c > '9') && (c < 'a' || c > 'f') {
--- a/internal/frontend/thriftfrontend/calls.go
+++ b/internal/frontend/thriftfrontend/calls.go
@@ -8,17 +8,17 @@
 	"pewterline/internal/protocol/thrift"
 )
 
-// maxBody is the protocol's bound on a request's body.
+// maxBody is the protocol's limit of a request's body, in bytes.
 const maxBody = 2 << 10
 
-// The errors of calls. Callers are sent their texts.
+// The errors of calls. Their texts are sent to callers.
 var (
 	errReusedSequenceID = fmt.Errorf("%w: two requests under one number", thrift.ErrInvalidFrame)
 	errUnknownMethod    = errors.New("no such method")
 	errOnewayRequest    = errors.New("a request must be a call")
 )
 
-// handle serves a call. An error closes the connection.
+// handle handles a call. An error closes the connection.
 func (s *session) handle(call thrift.Call) error {
 	s.lastActive = s.frontend.server.Now()
 	switch call.Method {
@@ -35,7 +35,7 @@
 	return nil
 }
 
-// cancel gives up a request that is in flight. One that is not may have been answered meanwhile.
+// cancel cancels a request that is in flight. A request that is not may have been answered meanwhile.
 func (s *session) cancel(sequenceID int32) {
 	if id, ok := s.inFlight[sequenceID]; ok {
 		delete(s.inFlight, sequenceID)
@@ -43,7 +43,7 @@
 	}
 }
 
-// checkHealth answers a health check. A deep one waits, within a second, for the backend.
+// checkHealth answers a health check. A deep one waits for the backend, for a second at most.
 func (s *session) checkHealth(call thrift.Call) {
 	server := s.frontend.server
 	if !call.Deep || !server.Healthy() {
@@ -70,7 +70,7 @@
 	}))
 }
 
-// process takes a request. An error closes the connection.
+// process handles a request. An error closes the connection.
 func (s *session) process(call thrift.Call) error {
 	if call.SequenceID <= s.highestSequenceID && !call.Oneway {
 		return s.rejectReused(call)
@@ -82,15 +82,16 @@
 		return nil
 	}
 	s.sendException(call, thrift.ExceptionProtocolError, err)
-	// An unknown class is not the peer's fault, and must not cost it what else is in flight on the connection.
+	// An unknown class is not the peer's fault, and must not lead to the end of a connection with other requests in
+	// flight.
 	if errors.Is(err, frontend.ErrUnknownClass) {
 		s.consecutiveErrors--
 	}
 	return nil
 }
 
-// rejectReused ends a connection on which a sequence ID comes again. Sequence IDs only grow, so whoever sends it is no
-// proxy, and an answer under that ID would be taken for either request's. Neither is served: the one in flight is
+// rejectReused closes a connection on which a sequence ID is reused. The proxies' sequence IDs only grow, so the peer
+// is not a proxy, and a response with that ID could be for either request. Neither is served: the one in flight is
 // cancelled, and the ID gets one error.
 func (s *session) rejectReused(call thrift.Call) error {
 	s.cancel(call.SequenceID)
@@ -98,7 +99,7 @@
 	return errReusedSequenceID
 }
 
-// submit hands a request to the core.
+// submit submits a request to the core.
 func (s *session) submit(call thrift.Call) error {
 	switch {
 	case call.Oneway:
@@ -112,7 +113,7 @@
 	if err != nil {
 		return err
 	}
-	request.Body = append([]byte(nil), call.Body...) // the call's shares the connection's buffer
+	request.Body = append([]byte(nil), call.Body...) // call.Body shares the connection's buffer
 	request.Responder = &responder{session: s, sequenceID: call.SequenceID}
 	id, err := s.frontend.server.Submit(request)
 	if err != nil {
--- a/internal/frontend/thriftfrontend/frontend.go
+++ b/internal/frontend/thriftfrontend/frontend.go
@@ -1,8 +1,7 @@
 // Package thriftfrontend serves the platform's proxies over Thrift: they send requests, cancel them and check the
-// server's health. The server accepts the connections and calls the Frontend on its event loop.
-//
-// The package owns the sessions of these connections: what is in flight on each, its health checks, and when it is
-// asked to end. It never decides about a request; it parses it, hands it to the core and writes the answer.
+// server's health. Package server accepts the connections and calls the Frontend on its event loop. The package owns
+// the sessions of these connections: the requests in flight on each, its health checks, and when its peer is asked to
+// close it. It never decides about a request: it parses it, submits it to the core and writes the response.
 package thriftfrontend
 
 import (
@@ -22,7 +21,7 @@
 // New returns a frontend without connections.
 func New(server frontend.Server) *Frontend { return &Frontend{server: server} }
 
-// Accept gives a new connection its session. Where the server is draining, the peer is told at once.
+// Accept returns the session of a new connection. If the server is draining, the peer is asked to close at once.
 func (f *Frontend) Accept(conn transport.Conn) transport.Session {
 	s := &session{
 		frontend:   f,
@@ -40,16 +39,16 @@
 // Len returns the number of connections.
 func (f *Frontend) Len() int { return f.sessions.Len() }
 
-// Drain tells all peers to send nothing new and to close their connections.
+// Drain asks all peers to send no new requests and to close their connections.
 func (f *Frontend) Drain(now microtime.Time) {
 	for _, s := range f.sessions.Items() {
 		s.sendFarewell(now)
 	}
 }
 
-// CloseIdle tells the peers of connections that have been idle for the time after to close them, so that no request
-// crosses the close; 0 keeps them open. A connection whose peer does not close it is closed after
-// frontend.LingerTimeout.
+// CloseIdle asks the peers of connections that have been idle for the duration after to close them; 0 keeps them open.
+// The peer closes first, so that no request can cross the close. A connection whose peer does not close it is closed
+// after frontend.LingerTimeout.
 func (f *Frontend) CloseIdle(now, after microtime.Time) {
 	for _, s := range f.sessions.Items() {
 		if !s.Idle() {
--- a/internal/frontend/thriftfrontend/responder.go
+++ b/internal/frontend/thriftfrontend/responder.go
@@ -8,14 +8,14 @@
 	"pewterline/internal/protocol/thrift"
 )
 
-// The fields of answers, as the platform's pages name them on the wire.
+// The fields of responses, as the platform's protocol names them.
 const (
 	fieldAdmissionLevel = "say"
 	fieldRetryAfter     = "after" // in milliseconds
 	fieldNoRetry        = "last"
 )
 
-// responder sends the answer to one request.
+// responder sends the response to one request.
 type responder struct {
 	session    *session
 	sequenceID int32
@@ -50,7 +50,7 @@
 	}
 }
 
-// appendAdvice adds when to come back, and whether another server should be tried.
+// appendAdvice appends the fields that say when to retry, and whether another server may be tried.
 func appendAdvice(fields []thrift.Field, response dispatch.Response) []thrift.Field {
 	if response.RetryAfter > 0 {
 		milliseconds := strconv.FormatInt(frontend.CeilMilliseconds(response.RetryAfter), 10)
--- a/internal/frontend/thriftfrontend/session.go
+++ b/internal/frontend/thriftfrontend/session.go
@@ -14,12 +14,12 @@
 )
 
 const (
-	// MaxInFlight bounds the requests in flight on a connection: what the platform allows.
+	// MaxInFlight is the most requests in flight on a connection. The platform sets it.
 	MaxInFlight = 32
-	// MaxConsecutiveErrors bounds the calls in a row that cannot be served before a connection is closed.
+	// MaxConsecutiveErrors is the most calls in a row that may fail before a connection is closed.
 	MaxConsecutiveErrors = 16
-	// MaxMessagesPerTurn bounds the calls of a connection that a turn takes: all that a proxy may have in flight, and as
-	// many cancellations.
+	// MaxMessagesPerTurn is the most calls of a connection that are handled in a turn: as many requests as a proxy may
+	// have in flight, and as many cancellations.
 	MaxMessagesPerTurn = 64
 )
 
@@ -48,7 +48,7 @@
 	s.conn.Write(message)
 }
 
-// sendFarewell tells the peer, once, to send nothing new and to close.
+// sendFarewell asks the peer, once, to send no new requests and to close the connection.
 func (s *session) sendFarewell(now microtime.Time) {
 	if s.farewellSent {
 		return
@@ -58,8 +58,8 @@
 	s.write(thrift.AppendFarewell(s.scratch[:0]))
 }
 
-// Receive is part of transport.Session. It takes a bounded number of calls, so that a peer that sends without end
-// leaves time for the others.
+// Receive is part of transport.Session. It handles at most MaxMessagesPerTurn calls, so that a peer that sends without
+// pause cannot starve the others.
 func (s *session) Receive(in []byte) (int, error) {
 	consumed := 0
 	for range MaxMessagesPerTurn {
@@ -76,7 +76,7 @@
 	return consumed, nil
 }
 
-// receiveFrame serves the call in a frame. An error closes the connection.
+// receiveFrame handles the call in a frame. An error closes the connection.
 func (s *session) receiveFrame(payload []byte) error {
 	call, answerable, err := thrift.DecodeCall(payload)
 	switch {
@@ -95,8 +95,8 @@
 // Idle is part of transport.Session.
 func (s *session) Idle() bool { return len(s.inFlight) == 0 && s.pendingHealthChecks == 0 }
 
-// Closed is part of transport.Session: whoever waited on this connection has left, so its requests are cancelled. They
-// are cancelled in the order of their sequence IDs, as a replay must see the same order.
+// Closed is part of transport.Session. It cancels the requests in flight, in the order of their sequence IDs, so that a
+// replay sees the same order.
 func (s *session) Closed() {
 	s.closed = true
 	s.frontend.sessions.Remove(s)
@@ -106,13 +106,13 @@
 	clear(s.inFlight)
 }
 
-// markIdentified notes that the peer has sent something valid.
+// markIdentified records that the peer has sent a valid call.
 func (s *session) markIdentified() {
 	s.consecutiveErrors = 0
 	s.conn.MarkIdentified()
 }
 
-// sendException answers a call that cannot be served. Oneway calls have no answer.
+// sendException answers a call that has failed. Oneway calls get no answer.
 func (s *session) sendException(call thrift.Call, code thrift.ExceptionCode, err error) {
 	s.consecutiveErrors++
 	s.frontend.server.Logf("thrift: call rejected: peer=%s method=%s sequence_id=%d error=%v",
@@ -122,7 +122,7 @@
 	}
 }
 
-// answerFields returns the fields that go with every answer.
+// answerFields returns the fields of every response.
 func (s *session) answerFields() (fields []thrift.Field) {
 	if text, known := frontend.AdmissionLevelText(s.frontend.server); known {
 		fields = append(fields, thrift.Field{Name: fieldAdmissionLevel, Value: text})
--- a/internal/server/handoff.go
+++ b/internal/server/handoff.go
@@ -24,8 +24,9 @@
 
 // ProcessHost is what a handoff needs from the program around the server. Its methods are called on the loop.
 type ProcessHost interface {
-	// SteerListeners directs new connections to one of the processes that listen: 0 is the old one, 1 its successor.
-	SteerListeners(place int)
+	// SteerListeners directs new connections to one of the two processes that listen: 0 is the old one, 1 its
+	// successor.
+	SteerListeners(process int)
 	// ShareLimits reduces this process's connection limit by others, the number of connections that the other process
 	// has open. A negative number means that there is no other process.
 	ShareLimits(others int)
--- a/internal/server/handoff_test.go
+++ b/internal/server/handoff_test.go
@@ -18,7 +18,7 @@
 	orphaned bool
 }
 
-func (h *fakeHost) SteerListeners(place int) { h.steered = append(h.steered, place) }
+func (h *fakeHost) SteerListeners(process int) { h.steered = append(h.steered, process) }
 
 func (h *fakeHost) ShareLimits(others int) { h.shared = append(h.shared, others) }
 
--- a/internal/transport/sockets/listener.go
+++ b/internal/transport/sockets/listener.go
@@ -101,14 +101,14 @@
 // DirectConnections makes the kernel pass new connections of a listener to one of the processes that share its address
 // by SO_REUSEPORT. place is the index of that process, in the order in which they started to listen. If there is no
 // such process, the kernel distributes connections as usual.
-func (l *Loop) DirectConnections(index, place int) error {
-	fd, err := l.driver.engine.DupListener("tcp", l.driver.options.Listen[index])
+func (l *Loop) DirectConnections(listener, process int) error {
+	fd, err := l.driver.engine.DupListener("tcp", l.driver.options.Listen[listener])
 	if err != nil {
 		return fmt.Errorf("transport: direct connections: %w", err)
 	}
 	defer closeCopy(fd)
 	filter := []unix.SockFilter{
-		{Code: unix.BPF_RET | unix.BPF_K, K: uint32(place)},
+		{Code: unix.BPF_RET | unix.BPF_K, K: uint32(process)},
 	}
 	if err := attachFilter(fd, unix.SO_ATTACH_REUSEPORT_CBPF, filter); err != nil {
 		return fmt.Errorf("transport: direct connections: %w", err)
