--- a/cmd/pewterline/admin_client.go
+++ b/cmd/pewterline/admin_client.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// adminTimeout bounds one call to a running server.
+// adminTimeout is the timeout of one call to a running server.
 const adminTimeout = 5 * time.Second
 
 // replicationPath is the path of the operators' calls about replication.
@@ -20,7 +20,7 @@
 	address string
 }
 
-// adminError is the answer of a server that does not obey a call.
+// adminError is the error response of a server to a call.
 type adminError struct {
 	Status int    // of HTTP
 	Reason string // the server's
@@ -35,7 +35,7 @@
 	return text
 }
 
-// do makes one call about replication and decodes its answer.
+// do makes one call about replication and decodes its response.
 func (c adminClient) do(method, call string, parameters url.Values, into any) (err error) {
 	target := url.URL{Scheme: "http", Host: c.address, Path: replicationPath, RawQuery: parameters.Encode()}
 	if call != callStatus {
@@ -50,15 +50,15 @@
 	if err != nil {
 		return fmt.Errorf("replication: no server answers at %s: %w", c.address, err)
 	}
-	defer func() { _ = response.Body.Close() }() // all that is wanted of it has been read
+	defer func() { _ = response.Body.Close() }() // the response has been read; an error adds nothing
 	if response.StatusCode != http.StatusOK {
 		return readAdminError(response)
 	}
 	return json.NewDecoder(response.Body).Decode(into)
 }
 
-// readAdminError reads why the server does not obey. The server's own errors begin with the part of it that they are
-// of.
+// readAdminError reads an error response. It removes the prefixes by which the server's errors name the package that
+// they come from.
 func readAdminError(response *http.Response) error {
 	var answer struct{ Error string }
 	if err := json.NewDecoder(response.Body).Decode(&answer); err != nil || answer.Error == "" {
--- a/cmd/pewterline/clock.go
+++ b/cmd/pewterline/clock.go
@@ -4,5 +4,5 @@
 
 import "pewterline/internal/microtime"
 
-// wallClock returns the wall clock that the program goes by.
+// wallClock returns the wall clock of the program.
 func wallClock(clock microtime.Clock) microtime.Clock { return clock }
--- a/cmd/pewterline/clock_faults.go
+++ b/cmd/pewterline/clock_faults.go
@@ -10,13 +10,13 @@
 	"pewterline/internal/microtime"
 )
 
-// wallClock returns a wall clock that is off by as many milliseconds as the file says that $WALL_FAULT names, for tests
-// with real processes.
+// wallClock returns a wall clock that is ahead by the number of milliseconds in the file named by $WALL_FAULT, for
+// tests with real processes.
 func wallClock(clock microtime.Clock) offsetClock { return offsetClock{clock} }
 
 type offsetClock struct{ microtime.Clock }
 
-// offset returns by how many milliseconds the clock is ahead; 0 where the file cannot be read.
+// offset returns by how many milliseconds the clock is ahead; 0 if the file cannot be read.
 func offset() int64 {
 	text, err := os.ReadFile(os.Getenv("WALL_FAULT"))
 	if err != nil {
--- a/cmd/pewterline/command.go
+++ b/cmd/pewterline/command.go
@@ -16,18 +16,19 @@
 // The exit codes.
 const (
 	exitOK     = 0
-	exitFailed = 1 // the server, a call of an operator's, or a file that check looked at
+	exitFailed = 1 // the server, an operator's call, or the check of a file has failed
 	exitUsage  = 2
 )
 
-// environment is what a command gets of the process.
+// environment is what a command uses of the process.
 type environment struct {
 	getenv func(string) string
 	out    io.Writer
 	errs   io.Writer
 }
 
-// commandLine is what the program can be asked to do. Without a command it serves: that is how the platform starts it.
+// commandLine declares the commands for kong. Without a command the program serves, which is how the platform starts
+// it.
 type commandLine struct {
 	Serve       serveCommand       `cmd:"" default:"1" help:"Serve until SIGTERM. The environment names the files."`
 	Demo        demoCommand        `cmd:"" help:"Run three servers in a temporary folder, one of which is lost. Takes some seconds."`
@@ -35,15 +36,15 @@
 	Check       checkCommand       `cmd:"" help:"Check all files and name what is wrong with each."`
 	Version     versionCommand     `cmd:"" help:"Tell which build this is."`
 
-	// The names that these commands had before.
+	// The former names of these commands, still accepted.
 	OldDemo        demoCommand        `cmd:"" name:"try" hidden:""`
 	OldReplication replicationCommand `cmd:"" name:"copies" hidden:""`
 }
 
-// errReported says that a command has failed and has told why.
+// errReported is the error of a command that has printed its errors itself.
 var errReported = errors.New("reported")
 
-// run does what the arguments ask for and returns the exit code.
+// run runs the command in the arguments and returns the exit code.
 func run(args []string, env environment) int {
 	var line commandLine
 	helpShown := false
@@ -69,7 +70,7 @@
 	return exitOK
 }
 
-// fail prints an error, unless that was done, and returns the exit code.
+// fail prints an error, except errReported, and returns the exit code.
 func (e *environment) fail(code int, err error) int {
 	if !errors.Is(err, errReported) {
 		fmt.Fprintf(e.errs, "%s: %v\n", programName, err)
@@ -100,7 +101,7 @@
 	return err
 }
 
-// version names the build by what the Go tool wrote into it.
+// version describes the build from the information that the Go tool has embedded.
 func version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
--- a/cmd/pewterline/demo.go
+++ b/cmd/pewterline/demo.go
@@ -14,22 +14,22 @@
 	"pewterline/internal/testbed/processtest"
 )
 
-// The demonstration's cluster, and the classes of its requests as the example's configuration has them.
+// The cluster of the demonstration, and the classes of its requests, which the example's configuration defines.
 const (
 	demoServers     = 3
 	demoReplicas    = 3
 	demoReadClass   = "block-view"
 	demoCallClass   = "lot-update" // its runs call the vault
-	demoIntakeClass = "lot-intake" // its requests run once
+	demoIntakeClass = "lot-intake" // its requests have idempotency keys
 )
 
-// demoCommand shows a newcomer what the program does: three log servers that replicate for each other, in a temporary
-// folder, one of which is lost.
+// demoCommand demonstrates what the program does: it starts three log servers that replicate for each other, in a
+// temporary directory, and loses one of them.
 type demoCommand struct {
 	Log bool `help:"Print at the end what the servers have logged."`
 }
 
-// Run plays the demonstration with this program.
+// Run runs the demonstration with this program's own executable.
 func (c *demoCommand) Run(env *environment) error {
 	program, err := os.Executable()
 	if err != nil {
@@ -38,7 +38,7 @@
 	return c.play(program, env.out)
 }
 
-// play plays the demonstration with the program at a path.
+// play runs the demonstration with the program at the given path.
 func (c *demoCommand) play(program string, out io.Writer) (err error) {
 	var file struct{ Settings json.RawMessage }
 	if err := json.Unmarshal(example.Config, &file); err != nil {
@@ -68,7 +68,7 @@
 type demo struct {
 	cluster *processtest.Cluster
 	table   *tabwriter.Writer
-	wrong   error // what went otherwise than it should
+	wrong   error // the deviations from the expected results
 }
 
 // demoRequest is one request of a demonstration.
@@ -77,10 +77,10 @@
 	class   string
 	key     string
 	retry   bool
-	runOnce bool // it must have run once by its answer, over all its attempts
+	runOnce bool // all its attempts together must have run exactly once
 }
 
-// play starts the servers, sends requests, has a server lost and shows that nothing runs twice.
+// play starts the servers, sends requests, loses a server and shows that nothing runs twice.
 func (d *demo) play() error {
 	if err := d.cluster.StartAll(); err != nil {
 		return err
@@ -111,7 +111,7 @@
 	return d.table.Flush()
 }
 
-// send sends a request, prints its answer, and keeps in wrong what it should not be.
+// send sends a request, prints the response, and records deviations in wrong.
 func (d *demo) send(request demoRequest) {
 	reply, err := d.cluster.Send(request.server, request.class, request.key, time.Now(), request.retry)
 	runs := len(d.cluster.RunLog.Runs(request.key))
@@ -128,7 +128,7 @@
 	}
 }
 
-// note prints what happens between two requests.
+// note prints an event between two requests.
 func (d *demo) note(text string) { fmt.Fprintf(d.table, "-\t\t%s\t\t\t\n", text) }
 
 func describeReply(kind thrift.ReplyKind) string {
@@ -144,7 +144,7 @@
 	}
 }
 
-// expectedResult returns the result that the toy worker pool makes for a request.
+// expectedResult returns the toy worker pool's result of a request.
 func expectedResult(class, key string) string {
 	result := "did " + key
 	if class == demoCallClass {
--- a/cmd/pewterline/logs.go
+++ b/cmd/pewterline/logs.go
@@ -14,32 +14,32 @@
 	"golang.org/x/time/rate"
 )
 
-// The forms of log lines that RELAY_LOG names.
+// The forms of log lines, as values of RELAY_LOG.
 const (
 	logFormText    = ""
 	logFormConsole = "console"
 	logFormJSON    = "json"
 )
 
-// textTimeLayout is the time of a line in the text form.
+// textTimeLayout is the format of times in the text form.
 const textTimeLayout = "15:04:05.000000"
 
 const (
-	linesPerSecond = 2  // of one kind, in the long run
-	linesAtOnce    = 20 // of one kind, before that binds
+	linesPerSecond = 2  // the long-term rate of lines of one kind
+	linesAtOnce    = 20 // the burst of lines of one kind
 )
 
 // logs write the process's log lines. They may be used from any goroutine.
 type logs struct {
-	logger  *zap.Logger // for lines that a callers' peer cannot have written
-	limited *zap.Logger // each kind of line at a bounded rate
+	logger  *zap.Logger // for lines whose number no peer can drive up
+	limited *zap.Logger // limits the rate of each kind of line
 	limiter *logLimiter
-	// named says that the lines of other packages, whose first word tells the part of the program, have it as a field.
+	// named says that the first word of other packages' lines, which names a part of the program, becomes a field.
 	named bool
 }
 
-// newLogs returns logs that write to out in a form: text has the time of day and the level, the others the time in full
-// and the process as well.
+// newLogs returns logs that write to out. Lines of the text form have the time of day and the level; those of the
+// others have the full time and the process ID as well.
 func newLogs(form string, out io.Writer) (*logs, error) {
 	var encoder zapcore.Encoder
 	cfg := zap.NewProductionEncoderConfig()
@@ -68,9 +68,9 @@
 	return &logs{logger: logger, limited: limited, limiter: limiter, named: form != logFormText}, nil
 }
 
-// Logf writes a line of another package, each kind of them at a bounded rate: callers that would have a line written
-// for each of their messages must not take the time that proxies need. What was left out is counted in the next line
-// of its kind. A format such as "part: message: key=%v other_key=%d" is a constant message with fields.
+// Logf writes a line of another package, and limits the rate of each kind of line: peers that cause a line with each
+// message must not cost the server the time that proxies need. The next line of a kind has the number of omitted ones.
+// A format such as "part: message: key=%v other_key=%d" is a constant message with fields.
 func (l *logs) Logf(format string, args ...any) {
 	omitted, allowed := l.limiter.allow(format)
 	if !allowed {
@@ -108,7 +108,7 @@
 	return match[1], fields
 }
 
-// splitPart cuts the part of the program off that a line begins with.
+// splitPart splits a line into its prefix, which names a part of the program, and the rest.
 func splitPart(message string) (part, rest string) {
 	part, rest, ok := strings.Cut(message, ": ")
 	if !ok || strings.Contains(part, " ") {
@@ -117,11 +117,11 @@
 	return part, rest
 }
 
-// logLimiter bounds the rate of log lines of each kind.
+// logLimiter limits the rate of log lines of each kind.
 type logLimiter struct {
 	now   func() time.Time
 	mu    sync.Mutex
-	kinds map[string]*lineKind // by format or message, of which the program has a fixed number
+	kinds map[string]*lineKind // by format or message; the program has a fixed number of these
 }
 
 type lineKind struct {
@@ -133,7 +133,7 @@
 	return &logLimiter{now: time.Now, kinds: map[string]*lineKind{}}
 }
 
-// allow says whether a line of that kind may be written, and how many were left out since the last one.
+// allow reports whether a line of a kind may be written, and how many were omitted since the last one.
 func (l *logLimiter) allow(kind string) (omitted int, allowed bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -150,7 +150,7 @@
 	return omitted, true
 }
 
-// limitedCore writes the lines of each message at a bounded rate.
+// limitedCore limits the rate of lines with the same message.
 type limitedCore struct {
 	zapcore.Core
 	limiter *logLimiter
--- a/cmd/pewterline/main.go
+++ b/cmd/pewterline/main.go
@@ -1,9 +1,7 @@
-// Command pewterline is one log server: it takes requests from proxies and from web servers, decides what runs when,
-// has the work done by a worker pool and answers. It can also check the configuration files, operate a running server's
-// replication, and show itself at work.
-//
-// The package owns the process: its signals, its log, its limits, and what a hot restart does to it. What a server does
-// is internal/server's.
+// Command pewterline is one log server: it accepts requests from proxies and web servers, decides when each runs, runs
+// them on a worker pool and responds. It can also check the configuration files, operate a running server's
+// replication, and run a demonstration. The package owns the process: its signals, its log, its limits, and its part in
+// a hot restart. The server itself is package internal/server.
 package main
 
 import "os"
--- a/cmd/pewterline/predecessor.go
+++ b/cmd/pewterline/predecessor.go
@@ -21,43 +21,44 @@
 )
 
 const (
-	// predecessorPatience bounds the search for a predecessor that lives and does not answer, or has to end an upgrade
-	// first.
+	// predecessorPatience is how long a start waits for a predecessor that does not answer, or that has to end another
+	// upgrade first.
 	predecessorPatience = 5 * time.Second
-	// predecessorRetryInterval is the pause before a predecessor is asked again that had no time.
+	// predecessorRetryInterval is the pause between two attempts to reach a predecessor.
 	predecessorRetryInterval = 100 * time.Millisecond
-	// maxStateBytes bounds what a predecessor may send: the idempotency keys of a retention window.
+	// maxStateBytes is the most bytes that a predecessor may send: the idempotency keys of a retention window.
 	maxStateBytes = 64 << 20
 	// messageHeaderSize is the size of a message's length on the wire, in bytes.
 	messageHeaderSize = 4
-	// socketPermissions let this user alone connect: whoever may connect may take over.
+	// socketPermissions allow only this user to connect, because any process that connects can take over.
 	socketPermissions = 0o600
 )
 
 var (
-	// errNotOurs says that a process lives which this one cannot take over from.
+	// errNotOurs means that there is a running process from which this one cannot take over.
 	errNotOurs = errors.New("upgrade: a process of this name lives that cannot be taken over from")
-	// errRejected says that a predecessor does not hand over to this process.
+	// errRejected means that a predecessor has refused to hand over to this process.
 	errRejected = errors.New("refused")
-	// errNoSocket says that a path is no socket of this user's.
+	// errNoSocket means that a path is not a socket of this user.
 	errNoSocket = errors.New("no socket of this user's")
 )
 
-// socketPrefix returns how the names of the sockets begin at which processes of one server wait for a successor: those
-// of one name and one address for proxies. Each has a name of its own behind that, as process IDs come again, and a
-// process that ends removes the path that it made.
+// socketPrefix returns the common prefix of the names of the sockets at which the processes of one server, identified
+// by its name and its listen address, wait for a successor. Each process adds a unique suffix, so that a process that
+// ends cannot remove the socket of another. Process IDs would not do, because they are reused.
 func socketPrefix(cfg config.Config) string {
 	return fmt.Sprintf("pewterline-%08x-", uint32(xxhash.Sum64String(cfg.Name+" "+cfg.Listen)))
 }
 
-// handsOver reports whether processes of the server can follow each other without a gap. Without an address for
-// operators nobody could ask a successor whether it is ready. A replica's log belongs to one process: the next one
-// starts when that has ended.
+// handsOver reports whether the server supports hot restarts. It does not without an operators' listener, which is
+// needed to ask a successor whether it is ready, and not as a replica, because only one process can open the
+// write-ahead log.
 func handsOver(cfg config.Config) bool {
 	return cfg.AdminAddress != "" && cfg.Replication.ServerID == 0
 }
 
-// listenForSuccessor listens in a folder where successors look; nil where this process cannot hand over.
+// listenForSuccessor listens on a socket in the directory that successors search. It returns nil if this process cannot
+// hand over.
 func listenForSuccessor(dir string, cfg config.Config, logger *zap.Logger) net.Listener {
 	if !handsOver(cfg) {
 		return nil
@@ -76,7 +77,7 @@
 	return listener
 }
 
-// predecessor is the process that serves now, with the state that it has sent.
+// predecessor is the link to the process that serves now, with the state that it has sent.
 type predecessor struct {
 	path     string // of its socket
 	conn     net.Conn
@@ -91,11 +92,11 @@
 	logger   *zap.Logger
 }
 
-// run returns the predecessor; nil: there is none. One that lives and does not hand over within the patience is an
-// error, as its idempotency keys are not known and it may run them.
+// run returns the predecessor, or nil if there is none. A running predecessor that does not hand over within patience
+// is an error, because its idempotency keys are unknown here and it may be running them.
 func (s predecessorSearch) run() (*predecessor, error) {
 	if !handsOver(s.cfg) {
-		return nil, nil //nolint:nilnil // no predecessor is no fault
+		return nil, nil //nolint:nilnil // no predecessor is not an error
 	}
 	deadline := time.Now().Add(s.patience)
 	var reason error
@@ -104,8 +105,8 @@
 		if found != nil || err != nil || busy == nil {
 			return found, err
 		}
-		// An attempt that our own deadline has cut short says nothing about the process: what an earlier one has shown
-		// is what an operator needs.
+		// Prefer the error of an earlier attempt over a timeout caused by our own deadline, which does not tell an
+		// operator what is wrong with the process.
 		if reason == nil || !isTimeout(busy) {
 			reason = busy
 		}
@@ -121,11 +122,11 @@
 	return errors.As(err, &timeout) && timeout.Timeout()
 }
 
-// tryAll tries each socket in the folder. busy is why the last one that may yet hand over has not.
+// tryAll tries each socket in the directory. busy is the error of the last one whose process may still hand over later.
 func (s predecessorSearch) tryAll(deadline time.Time) (found *predecessor, busy, err error) {
 	entries, err := os.ReadDir(s.dir)
 	if err != nil {
-		// No process can wait there, and a server that could serve must not fail to start for that.
+		// Without the directory there can be no predecessor, and the server can serve without one.
 		s.logger.Warn("no predecessor can be found", zap.Error(err))
 		return nil, nil, nil
 	}
@@ -140,7 +141,7 @@
 			return found, nil, nil
 		case errors.Is(err, syscall.ECONNREFUSED) || errors.Is(err, fs.ErrNotExist):
 			s.logger.Info("leftover socket of a dead process removed", zap.String("path", path))
-			_ = os.Remove(path) // another process may have done so
+			_ = os.Remove(path) // an error means that another process has removed it
 		case errors.Is(err, syscall.ENOTSOCK) || errors.Is(err, errNoSocket):
 			s.logger.Warn("no socket of this user's, passed over", zap.String("path", path))
 		case errors.Is(err, upgrade.ErrVersionMismatch):
@@ -168,8 +169,8 @@
 	return &predecessor{path: path, conn: conn, messages: messages}, nil
 }
 
-// checkSocket returns errNoSocket for what is no socket of this user's: in a folder that others can write to, anybody
-// may leave one.
+// checkSocket returns errNoSocket if a path is not a socket of this user: the directory may be writable by other users,
+// who could create sockets in it.
 func checkSocket(path string) error {
 	info, err := os.Lstat(path)
 	if err != nil {
@@ -182,7 +183,7 @@
 	return nil
 }
 
-// receiveState introduces this process and receives all that the predecessor has to tell, before the deadline.
+// receiveState identifies this process to the predecessor and receives its state, before the deadline.
 func receiveState(conn net.Conn, name string, deadline time.Time) ([]upgrade.Message, error) {
 	if err := conn.SetDeadline(deadline); err != nil {
 		return nil, err
@@ -222,7 +223,7 @@
 	}
 }
 
-// readMessage reads one message and nothing behind it. It returns the message's size on the wire as well.
+// readMessage reads exactly one message, and no bytes after it. It also returns the message's size on the wire.
 func readMessage(r io.Reader) (message upgrade.Message, size int, err error) {
 	header := make([]byte, messageHeaderSize)
 	if _, err := io.ReadFull(r, header); err != nil {
--- a/cmd/pewterline/process_host.go
+++ b/cmd/pewterline/process_host.go
@@ -15,29 +15,30 @@
 )
 
 const (
-	// minSharedConnections are the connections that a new process takes, however many the old one has.
+	// minSharedConnections is the least connection limit of a process beside another one.
 	minSharedConnections = 8
-	// orphanCheckTimeout bounds the check whether a lost predecessor still lives.
+	// orphanCheckTimeout is the timeout of the check whether a lost predecessor is still running.
 	orphanCheckTimeout = time.Second
 )
 
-// processHost is the server.ProcessHost of this process: it does what a hot restart asks of the operating system.
+// processHost is the server.ProcessHost of this process: it performs the parts of a hot restart that involve the
+// operating system.
 type processHost struct {
 	cfg             config.Config
 	logger          *zap.Logger
-	limits          loopLimits // of a process that is alone
+	limits          loopLimits // without another process
 	loop            atomic.Pointer[sockets.Loop]
-	successors      net.Listener // nil: no successor can come
+	successors      net.Listener // nil: this process cannot hand over
 	predecessorPath string       // of its socket; empty: there was none
-	others          int          // connections of the other process, as last told
-	orphaned        atomic.Bool  // the connection to a predecessor that lives is lost
+	others          int          // connections of the other process, as last reported
+	orphaned        atomic.Bool  // the link to a predecessor that still runs is lost
 }
 
 func newProcessHost(cfg config.Config, logger *zap.Logger) *processHost {
 	return &processHost{cfg: cfg, logger: logger, limits: socketLimits(cfg)}
 }
 
-// use gives the host its loop, which may run already.
+// use sets the host's loop, which may be running already.
 func (h *processHost) use(loop *sockets.Loop) error {
 	h.loop.Store(loop)
 	if h.successors != nil {
@@ -49,12 +50,12 @@
 	return loop.Execute(func() { h.ShareLimits(h.others) })
 }
 
-// SteerListeners is part of server.ProcessHost. The listeners for proxies and web servers are steered; operators call
+// SteerListeners is part of server.ProcessHost. It concerns the listeners for proxies and web servers; operators call
 // each process at its own address.
 func (h *processHost) SteerListeners(process int) {
 	loop := h.loop.Load()
 	if loop == nil {
-		return // a successor that comes before this process serves shares the port as the kernel picks
+		return // not serving yet: the kernel distributes connections between both processes
 	}
 	for i, addr := range []string{server.ThriftListener: h.cfg.Listen, server.AJPListener: h.cfg.AJP.Listen} {
 		if addr == "" {
@@ -66,8 +67,8 @@
 	}
 }
 
-// ShareLimits is part of server.ProcessHost. Two processes have the descriptors and the memory of one: each keeps to
-// half of the places, and the new one to less where the old one has more in use.
+// ShareLimits is part of server.ProcessHost. Two processes share the limits of one: each gets half of the connections,
+// and the new one less than that if the old one has more in use.
 func (h *processHost) ShareLimits(others int) {
 	h.others = others
 	alone := others < 0
@@ -87,24 +88,24 @@
 	}
 }
 
-// Orphaned is part of server.ProcessHost. The connection may have broken between two processes that both live: this one
-// must not take the other for dead then, nor serve beside it.
+// Orphaned is part of server.ProcessHost. If the predecessor has died, this process serves in its place. But the link
+// may also break while both processes run; then this one must not serve beside the other.
 func (h *processHost) Orphaned() { go h.checkPredecessor() }
 
-// checkPredecessor ends this process if the predecessor still lives. It runs once, in a goroutine of its own.
+// checkPredecessor ends this process if the predecessor is still running. It runs once, on a goroutine of its own.
 func (h *processHost) checkPredecessor() {
-	time.Sleep(predecessorRetryInterval) // a process that dies closes its sockets one after the other
+	time.Sleep(predecessorRetryInterval) // a process that exits closes its sockets one after another
 	conn, err := net.DialTimeout("unix", h.predecessorPath, orphanCheckTimeout)
 	if err != nil {
 		h.logger.Info("predecessor has died, this process owns the keys")
 		return
 	}
-	_ = conn.Close() // it only had to open
+	_ = conn.Close() // only whether it opens matters
 	h.orphaned.Store(true)
 	h.loop.Load().Stop()
 }
 
-// err returns why the loop was stopped by the host; nil: it was not.
+// err returns why the host has stopped the loop, or nil if it has not.
 func (h *processHost) err() error {
 	if h.orphaned.Load() {
 		return fmt.Errorf("%w: the link to it is lost", errNotOurs)
--- a/cmd/pewterline/replication.go
+++ b/cmd/pewterline/replication.go
@@ -27,12 +27,12 @@
 	Force       forceCommand     `cmd:"" help:"Go on after the loss of a majority."`
 	Export      exportCommand    `cmd:"" help:"Print the keys that this server holds, a line of JSON each."`
 
-	// The names that these commands had before.
+	// The former names of these commands, still accepted.
 	OldBootstrap   bootstrapCommand `cmd:"" name:"found" hidden:""`
 	OldAbortChange abortCommand     `cmd:"" name:"give-up" hidden:""`
 }
 
-// The operators' calls that a server takes, below /control/copies, and their parameters.
+// The operators' calls of a server, as paths below /control/copies, and their parameters.
 const (
 	callStatus      = ""
 	callBootstrap   = "found"
@@ -57,8 +57,8 @@
 		"if they are lost for good, say --confirm")
 )
 
-// client returns a client of the running server. Its address is that of --admin, or the one that the server itself is
-// told by its environment and its files.
+// client returns a client of the running server. Its address comes from --admin, or else from the server's own
+// environment and files.
 func (c *replicationCommand) client(env *environment) (adminClient, error) {
 	address := c.Admin
 	if address == "" {
@@ -77,7 +77,7 @@
 	return adminClient{address: address}, nil
 }
 
-// change makes a call that changes the group, and prints how the group is then.
+// change makes a call that changes the group, and prints the resulting status.
 func (c *replicationCommand) change(env *environment, call string, parameters url.Values) error {
 	client, err := c.client(env)
 	if err != nil {
@@ -90,7 +90,7 @@
 	return printStatus(env.out, status)
 }
 
-// status asks how the group is.
+// status returns the status of the group.
 func (c *replicationCommand) status(env *environment) (admin.GroupState, error) {
 	var status admin.GroupState
 	client, err := c.client(env)
@@ -103,7 +103,7 @@
 
 type statusCommand struct{}
 
-// Run prints how the group is.
+// Run prints the status of the group.
 func (statusCommand) Run(env *environment, parent *replicationCommand) error {
 	status, err := parent.status(env)
 	if err != nil {
@@ -125,7 +125,7 @@
 
 type bootstrapCommand struct{}
 
-// Run makes a group.
+// Run creates a group.
 func (bootstrapCommand) Run(env *environment, parent *replicationCommand) error {
 	return parent.change(env, callBootstrap, nil)
 }
--- a/cmd/pewterline/replication_report.go
+++ b/cmd/pewterline/replication_report.go
@@ -24,7 +24,7 @@
 	return table.Flush()
 }
 
-// membership says whether a member stays, joins or leaves.
+// membership returns whether a member stays, joins or leaves.
 func membership(member replication.MemberStatus, changing bool) string {
 	switch {
 	case !member.InCurrent:
@@ -36,7 +36,8 @@
 	}
 }
 
-// incarnation returns the incarnation by which the group knows a member, and the one that answers in its place.
+// incarnation returns a member's incarnation in the group and, if it differs, the incarnation as which the server runs
+// now.
 func incarnation(member replication.MemberStatus) string {
 	if member.CurrentIncarnation == "" || member.CurrentIncarnation == member.Incarnation {
 		return member.Incarnation
@@ -44,7 +45,7 @@
 	return member.Incarnation + ", lost; it runs as " + member.CurrentIncarnation
 }
 
-// printStatus prints how the group is, its members and the counters of the server that was asked.
+// printStatus prints the status of the group, its members and the counters of the server.
 func printStatus(out io.Writer, status admin.GroupState) error {
 	if status.Epoch == 0 {
 		fmt.Fprintf(out, "Server %d has no group yet. With all servers up: pewterline replication bootstrap\n",
--- a/cmd/pewterline/serve.go
+++ b/cmd/pewterline/serve.go
@@ -20,22 +20,22 @@
 )
 
 const (
-	// spareSockets are the descriptors left beside the accepted connections: the listeners, the poller, the worker
-	// pool's connection and the standard streams, with room.
+	// spareSockets is the number of descriptors reserved for other uses than accepted connections: the listeners, the
+	// poller, the worker pool's connection, the standard streams, and a margin.
 	spareSockets = 40
-	// threads are two, so that a timer fires while the loop waits.
+	// threads is the value of GOMAXPROCS: with two, a timer fires in time while the loop blocks in the poller.
 	threads = 2
-	// The heap's share of the limit on memory: what the limit counts, stacks, kernel pages of files and the binary
-	// included, is more than the heap.
+	// heapShare is the divisor of the memory limit that gives the heap's limit. The rest is for stacks, the binary and
+	// the kernel's pages of files, which also count against the memory limit.
 	heapShare = 2
-	// The share of the limit on memory that connections may have buffered. The kernel holds as much again of the
-	// sockets.
+	// bufferShare is the divisor of the memory limit that gives the limit of the bytes buffered for connections. The
+	// kernel's socket buffers take the same amount again.
 	bufferShare = 8
 )
 
 type serveCommand struct{}
 
-// Run serves until the process is told to end.
+// Run serves until a signal ends the process.
 func (serveCommand) Run(env *environment) error { return serve(env.getenv, env.errs) }
 
 // serve runs one server until SIGTERM, or until it fails.
@@ -45,7 +45,7 @@
 		return err
 	}
 	clock := microtime.NewClock()
-	// Before all else: a signal that comes while the program starts must wait for it, and not kill it.
+	// First of all: a signal that comes during the start must be handled after it, and not kill the process.
 	signals := watchSignals(clock, logs.logger)
 	defer signals.stop()
 	cfg, err := config.Load(getenv)
@@ -59,7 +59,7 @@
 	if err := self.prepare(); err != nil {
 		return err
 	}
-	// Whoever would connect now had better not: of the time that the sender of the signal gives, little may be left.
+	// Do not start listening if already told to stop; little of the shutdown budget may be left.
 	if signals.shutdownRequested() {
 		logs.logger.Info("told to stop before serving", zap.String("server", cfg.Name))
 		return nil
@@ -68,7 +68,7 @@
 	if err != nil {
 		return err
 	}
-	signals.obey(signalTarget{loop: loop, server: self.server, getenv: getenv})
+	signals.handle(signalTarget{loop: loop, server: self.server, getenv: getenv})
 	logs.logger.Info("serving", zap.String("server", cfg.Name), zap.Stringer("address", loop.Addr(0)))
 	if err := loop.Wait(); err != nil {
 		return err
@@ -76,7 +76,7 @@
 	return self.host.err()
 }
 
-// process is the server with what it has of the operating system.
+// process is the server with its resources of the operating system.
 type process struct {
 	cfg         config.Config
 	clock       microtime.Clock
@@ -94,7 +94,7 @@
 	}
 }
 
-// closeLater has something closed at the end; a failure is logged, as nothing else can be done about it then.
+// closeLater registers a resource to be closed when the process ends. An error of Close is logged.
 func (p *process) closeLater(name string, closer io.Closer) {
 	p.closers = append(p.closers, func() {
 		if err := closer.Close(); err != nil {
@@ -103,7 +103,7 @@
 	})
 }
 
-// prepare makes the server and takes over the state of a predecessor, all before anybody can connect.
+// prepare creates the server and receives the state of a predecessor, all before the listeners open.
 func (p *process) prepare() error {
 	wall := wallClock(p.clock)
 	var err error
@@ -128,15 +128,15 @@
 			return err
 		}
 	}
-	// Before this process listens for proxies: the next one finds it from then on.
+	// Before the listeners for proxies open, so that a successor can always find the process that serves.
 	if listener := listenForSuccessor(os.TempDir(), p.cfg, p.logs.limited); listener != nil {
-		p.closers = append(p.closers, func() { _ = listener.Close() }) // the event loop may have closed it
+		p.closers = append(p.closers, func() { _ = listener.Close() }) // the event loop may have closed it already
 		p.host.successors = listener
 	}
 	return nil
 }
 
-// openStore opens the store of record, if there is one.
+// openStore opens the database of executions, if one is configured.
 func (p *process) openStore() error {
 	cfg := p.cfg.Store
 	if cfg.Driver == "" {
@@ -155,7 +155,7 @@
 	return p.server.UseStore(records, p.clock.Now())
 }
 
-// openReplication opens this server's part of a replication group, if it has one.
+// openReplication opens this server's replica, if replication is configured.
 func (p *process) openReplication(wall server.WallClock) error {
 	cfg := p.cfg.Replication
 	if cfg.ServerID == 0 {
@@ -179,7 +179,7 @@
 	return nil
 }
 
-// start starts the event loop: from then on the server takes connections. After an error the loop may be running, and
+// start starts the event loop, which accepts connections from then on. After an error the loop may still be running; it
 // ends with the process.
 func (p *process) start() (*sockets.Loop, error) {
 	loop, err := sockets.Start(p.socketOptions(), p.server, func(loop *transport.Loop) { p.server.Attach(loop) })
@@ -220,9 +220,9 @@
 	}
 }
 
-// loopLimits are what a process that is alone has of the limits on sockets and memory.
+// loopLimits are the limits of the event loop in a process without another one beside it.
 type loopLimits struct {
-	connections int // accepted ones
+	connections int // accepted connections
 	buffered    int // in bytes, of all connections together
 }
 
@@ -237,7 +237,8 @@
 	return limits
 }
 
-// vaultConns are the descriptors for connections to the vault, also where only a later configuration has runs call it.
+// vaultConns is the number of descriptors reserved for connections to the vault. They are reserved whenever an address
+// is configured, because a reload may enable calls.
 func vaultConns(cfg config.Config) int {
 	if cfg.VaultAddress == "" {
 		return 0
--- a/cmd/pewterline/signals.go
+++ b/cmd/pewterline/signals.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	// maxPendingSignals leaves room for several, so that none is lost behind another.
+	// maxPendingSignals is the buffer size for signal.Notify, which drops signals when the buffer is full.
 	maxPendingSignals = 8
-	// maxPendingReloads are many for one that reads files.
+	// maxPendingReloads is the most reloads that may be queued while one is in progress.
 	maxPendingReloads = 8
 )
 
-// signalWatcher tells the process's signals apart as they come: the first that asks for the end is kept with its time,
-// as whoever sent it counts from then; each SIGHUP is a reload. Each kind waits by itself, so that the end does not
-// wait for the start, or for a file that is slow to read.
+// signalWatcher receives the process's signals. The time of the first SIGTERM or SIGINT is recorded, because the
+// shutdown budget counts from then; each SIGHUP requests a reload. The two kinds are queued separately, so that a
+// shutdown does not wait for a slow reload.
 type signalWatcher struct {
 	clock    microtime.Clock
 	logger   *zap.Logger
@@ -31,7 +31,7 @@
 	ended    chan struct{} // closed by stop; ends all goroutines of the watcher
 }
 
-// watchSignals takes over the process's signals until stop.
+// watchSignals starts to receive the process's signals, until stop.
 func watchSignals(clock microtime.Clock, logger *zap.Logger) *signalWatcher {
 	w := &signalWatcher{
 		clock:    clock,
@@ -42,17 +42,18 @@
 		ended:    make(chan struct{}),
 	}
 	signal.Notify(w.signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
-	go w.sort()
+	go w.dispatch()
 	return w
 }
 
-// stop gives the signals back and ends the watcher's goroutines. It is called once.
+// stop stops receiving signals and ends the watcher's goroutines. It must be called once.
 func (w *signalWatcher) stop() {
 	close(w.ended)
 	signal.Stop(w.signals)
 }
 
-// shutdownRequested reports whether a signal has asked for the end. It takes that signal, which obey does not get.
+// shutdownRequested reports whether a shutdown signal has come. It consumes the signal: the target of handle does not
+// get it.
 func (w *signalWatcher) shutdownRequested() bool {
 	select {
 	case <-w.shutdown:
@@ -62,8 +63,8 @@
 	}
 }
 
-// sort runs in a goroutine of its own until stop.
-func (w *signalWatcher) sort() {
+// dispatch queues each signal by its kind. It runs on a goroutine of its own until stop.
+func (w *signalWatcher) dispatch() {
 	for {
 		select {
 		case <-w.ended:
@@ -82,32 +83,32 @@
 	select {
 	case w.shutdown <- w.clock.Now():
 		w.logger.Info("told to stop", zap.Stringer("signal", sig))
-	default: // it has been told before
+	default: // an earlier shutdown signal is queued
 	}
 }
 
 func (w *signalWatcher) queueReload() {
 	select {
 	case w.reloads <- struct{}{}:
-	default: // one that waits reads what is there by then
+	default: // a queued reload reads the newest file
 	}
 }
 
-// executor is the event loop, as signals need it.
+// executor is the part of the event loop that signals need.
 type executor interface {
-	// Execute runs a function on the loop; an error says that the loop has ended.
+	// Execute runs a function on the loop. It fails only if the loop has ended.
 	Execute(func()) error
 }
 
-// signalTarget is the server that obeys the signals.
+// signalTarget is the server to which the signals apply.
 type signalTarget struct {
 	loop   executor
 	server *server.Server
 	getenv func(string) string
 }
 
-// obey has the server do what the signals ask for, in two goroutines that run until stop.
-func (w *signalWatcher) obey(target signalTarget) {
+// handle applies the signals to a server, on two goroutines that run until stop.
+func (w *signalWatcher) handle(target signalTarget) {
 	go func() {
 		for {
 			select {
@@ -130,7 +131,7 @@
 	}()
 }
 
-// reload reads and checks all files before anything changes: a faulty one must not harm a running server.
+// reload reads and checks all files before it changes anything, so that an invalid file cannot harm a running server.
 func (t signalTarget) reload(logger *zap.Logger) {
 	cfg, err := config.Load(t.getenv)
 	if err != nil {
@@ -149,7 +150,8 @@
 	logger.Error("reload rejected, nothing has changed", zap.Error(err))
 }
 
-// execute runs a function on the loop. Where that has ended, the process is about to end and the signal is moot.
+// execute runs a function on the loop. If the loop has ended, the process is about to end, and the signal has no
+// effect.
 func (t signalTarget) execute(logger *zap.Logger, f func()) {
 	if err := t.loop.Execute(f); err != nil {
 		logger.Warn("signal came too late", zap.Error(err))
--- a/example/toy/client.go
+++ b/example/toy/client.go
@@ -18,7 +18,7 @@
 	requestBody   = "three baskets"
 )
 
-// sendThrift sends a request as a proxy does, and prints the payload of the answer.
+// sendThrift sends a request as a proxy does, and prints the payload of the response.
 func sendThrift(addr, class, idempotencyKey string) error {
 	fields := []thrift.Field{
 		{Name: frontend.FieldClass, Value: class},
@@ -57,7 +57,7 @@
 	return exchange(addr, request, split, printResponse)
 }
 
-// printResponse prints a packet of a response; true: it was the last.
+// printResponse prints a packet of a response. It returns true after the last.
 func printResponse(payload []byte) bool {
 	response, err := ajp.ParseResponse(payload)
 	if err != nil {
@@ -74,16 +74,17 @@
 	return response.Code == ajp.CodeEndResponse
 }
 
-// errLastMessage ends the reading behind the last message.
+// errLastMessage makes readMessages return after the last message.
 var errLastMessage = errors.New("that was the last message")
 
-// exchange sends a request on a new connection and hands messages to show until that says that there are no more.
+// exchange sends a request on a new connection, and calls show for each message of the response until show returns
+// true.
 func exchange(addr string, request []byte, split func([]byte) ([]byte, int, error), show func([]byte) bool) error {
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
 		return err
 	}
-	defer func() { _ = conn.Close() }() // all that is wanted has been read
+	defer func() { _ = conn.Close() }() // the response has been read; an error adds nothing
 	if _, err := conn.Write(request); err != nil {
 		return err
 	}
--- a/example/toy/main.go
+++ b/example/toy/main.go
@@ -1,5 +1,5 @@
-// Command toy is what is needed to try the server by hand: a worker pool and a vault on one side, and a client for
-// either of the server's protocols on the other. It keeps nothing and is no part of the server.
+// Command toy provides what is needed to try the server by hand: a worker pool and a vault for it, and a client for
+// each of the server's protocols. It stores nothing and is not part of the server.
 package main
 
 import (
@@ -10,10 +10,10 @@
 	"time"
 )
 
-// readBufferSize is how much is read from a connection at once, in bytes.
+// readBufferSize is the size of a single read from a connection, in bytes.
 const readBufferSize = 4096
 
-// options are the command line's.
+// options are the options of the command line.
 type options struct {
 	poolAddr       string
 	vaultAddr      string
@@ -61,8 +61,8 @@
 	}
 }
 
-// serve is a worker pool and, where it has an address, a vault, until either fails. Their goroutines end with the
-// process.
+// serve serves as a worker pool and, if vaultAddr is not empty, as a vault, until either fails. Their goroutines end
+// with the process.
 func serve(poolAddr, vaultAddr string, pool workerPool) error {
 	failed := make(chan error, 2)
 	go func() { failed <- accept("worker pool", poolAddr, pool.serve) }()
@@ -72,7 +72,7 @@
 	return <-failed
 }
 
-// accept serves each connection to an address, in a goroutine that ends with the connection.
+// accept accepts connections at an address and serves each on a goroutine, which ends with the connection.
 func accept(name, addr string, serve func(net.Conn)) error {
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -88,8 +88,8 @@
 	}
 }
 
-// readMessages hands what comes on a connection to parse until it ends. parse takes a message off, and returns 0 while
-// there is no whole one.
+// readMessages reads from a connection until it ends or parse fails. parse handles the first message in in and returns
+// its size, or 0 while the message is incomplete.
 func readMessages(conn net.Conn, parse func(in []byte) (size int, err error)) error {
 	var in []byte
 	buffer := make([]byte, readBufferSize)
--- a/example/toy/vault.go
+++ b/example/toy/vault.go
@@ -7,7 +7,7 @@
 	"pewterline/internal/protocol/vault"
 )
 
-// serveVault answers each call on a connection at once, with what it was given.
+// serveVault answers each call on a connection at once, with the body of the call.
 func serveVault(conn net.Conn) {
 	defer func() { _ = conn.Close() }() // nothing is left to write
 	err := readMessages(conn, func(in []byte) (int, error) {
--- a/example/toy/worker_pool.go
+++ b/example/toy/worker_pool.go
@@ -12,19 +12,20 @@
 )
 
 const (
-	// cores is how many cores the toy says that it has.
+	// cores is the number of cores that the reported utilization is based on.
 	cores = 2
-	// callTimeout is how long a run waits for the reply to its call. Its request is over by then.
+	// callTimeout is how long a run waits for the reply to its call. It is longer than the request's deadline.
 	callTimeout = 5 * time.Second
 )
 
-// workerPool is a worker pool that takes as long over each run.
+// workerPool is a worker pool in which each run takes the same time.
 type workerPool struct {
 	work      time.Duration
 	callClass string // the class whose runs call the vault, halfway through
 }
 
-// serve serves one server's connection. The toy keeps no notices: a run that ends without a connection is lost.
+// serve serves one server's connection. The toy does not store notices: the result of a run that ends without a
+// connection is lost.
 func (p workerPool) serve(conn net.Conn) {
 	defer func() { _ = conn.Close() }() // nothing is left to write
 	s := &poolSession{pool: p, conn: conn, blocked: map[string]*time.Timer{}}
@@ -38,7 +39,8 @@
 	log.Printf("connection to a server ended: %v", err)
 }
 
-// poolSession is one server's connection. Its timers outlive the connection by the time of a run at most.
+// poolSession is one server's connection. Its timers may fire after the connection has ended, up to the duration of a
+// run or callTimeout later.
 type poolSession struct {
 	pool workerPool
 	conn net.Conn
@@ -46,10 +48,10 @@
 	mu         sync.Mutex // guards what follows, and what is written
 	lastNotice uint64
 	running    int
-	blocked    map[string]*time.Timer // runs that wait for the reply to their call, by ID; it ends the wait
+	blocked    map[string]*time.Timer // timeouts of the runs that wait for the reply to their call, by ID
 }
 
-// handle carries out a command.
+// handle executes a command.
 func (s *poolSession) handle(command pool.Command) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -66,7 +68,7 @@
 		s.spawn(command.ID, command.Class, string(command.Body))
 	case pool.Supply:
 		s.supply(command.ID, string(command.Body))
-	default: // the toy lets runs end that are to be suspended
+	default: // suspend is ignored: the toy lets the run end
 	}
 }
 
@@ -81,7 +83,7 @@
 	s.after(s.pool.work/2, func() { s.block(id, body) })
 }
 
-// block has a run wait for its call.
+// block makes a run wait for the reply to its call.
 func (s *poolSession) block(id, body string) {
 	log.Printf("run %s waits for the vault", id)
 	s.running--
@@ -92,7 +94,7 @@
 	s.write(pool.AppendBlocked(nil, s.nextNotice(), id, []byte(body)))
 }
 
-// supply has a run go on with the reply to its call.
+// supply resumes a run with the reply to its call.
 func (s *poolSession) supply(id, reply string) {
 	timeout := s.blocked[id]
 	if timeout == nil || !timeout.Stop() {
@@ -104,13 +106,13 @@
 	s.after(s.pool.work/2, func() { s.succeed(id, "done "+id+", the vault says: "+reply) })
 }
 
-// succeed ends a run that was at work.
+// succeed ends a running run with a result.
 func (s *poolSession) succeed(id, result string) {
 	s.running--
 	s.finish(id, pool.Pass, result)
 }
 
-// finish tells the server of a run's end.
+// finish notifies the server of a run's end.
 func (s *poolSession) finish(id string, outcome pool.Outcome, result string) {
 	milliseconds := int(s.pool.work.Milliseconds())
 	s.write(pool.AppendFinished(nil, s.nextNotice(), id, outcome, milliseconds, []byte(result)))
@@ -121,7 +123,7 @@
 	return s.lastNotice
 }
 
-// after calls a function, which may use the session, after a while.
+// after calls f after a delay, with the session's lock held.
 func (s *poolSession) after(d time.Duration, f func()) *time.Timer {
 	return time.AfterFunc(d, func() {
 		s.mu.Lock()
--- a/internal/protocol/adminhttp/adminhttp.go
+++ b/internal/protocol/adminhttp/adminhttp.go
@@ -1,7 +1,6 @@
-// Package adminhttp reads the HTTP/1.1 requests of operators, one on a connection, and writes the responses.
-//
-// Package admin calls it with the bytes that a connection has received so far. It works over byte slices, opens no
-// connections and carries out nothing.
+// Package adminhttp reads the HTTP/1.1 requests of operators, one on a connection, and writes the responses. Package
+// admin calls it with the bytes that a connection has received so far. It works on byte slices, opens no connections
+// and executes no requests.
 package adminhttp
 
 import (
@@ -15,20 +14,20 @@
 	"strings"
 )
 
-// The bounds of a request, in bytes.
+// The limits of a request, in bytes.
 const (
 	MaxHeadBytes = 4 << 10
 	MaxBodyBytes = 4 << 10
 )
 
-// Request is one whole request. Its body, which no operator's request needs, is skipped.
+// Request is one complete request. Its body is skipped, because no request of operators needs one.
 type Request struct {
 	Method string
 	Path   string
 	Query  url.Values
 }
 
-// Error is a request that cannot be carried out, with the status of its response.
+// Error is the error of a request, with the status of its response.
 type Error struct {
 	Status int
 	Text   string
@@ -38,8 +37,8 @@
 // Error returns the text that the response carries.
 func (e *Error) Error() string { return e.Text }
 
-// Parse reads a request from the front of in. The size is 0 while more bytes are needed. An error is of type *Error; it
-// comes as soon as a bound is exceeded or the head is malformed, however many bytes are missing.
+// Parse parses a request at the front of in. The size is 0 while the request is incomplete. An error is of type *Error;
+// it is returned as soon as a limit is exceeded or the head is malformed, even if the request is incomplete.
 func Parse(in []byte) (request Request, size int, err error) {
 	headLength, complete := headSize(in)
 	if !complete || headLength > MaxHeadBytes {
@@ -54,7 +53,7 @@
 		return request, 0, err
 	}
 	size = headLength + int(max(head.ContentLength, 0))
-	// A client that expects a "continue" before it sends its body gets its response at once instead.
+	// A client that waits for "100 Continue" before it sends its body gets the response at once instead.
 	if len(in) < size && head.Header.Get("Expect") == "" {
 		return request, 0, nil
 	}
@@ -78,8 +77,7 @@
 	return request, nil
 }
 
-// headSize is the length of the head with the blank line that ends it. Lines may end in LF alone, as net/http accepts
-// them too.
+// headSize is the length of the head with the blank line that ends it. Lines may end in LF alone, as in net/http.
 func headSize(in []byte) (size int, complete bool) {
 	for {
 		lineLength := bytes.IndexByte(in[size:], '\n')
@@ -94,12 +92,12 @@
 	}
 }
 
-// AppendResponse appends a response whose body is JSON; the connection ends with it. The method that is allowed is
-// empty unless the status is StatusMethodNotAllowed.
+// AppendResponse appends a response with a JSON body, after which the connection closes. allow is the allowed method if
+// the status is StatusMethodNotAllowed, and empty otherwise.
 func AppendResponse(out []byte, status int, allow string, body any) []byte {
 	text, err := json.Marshal(body)
 	if err != nil {
-		panic(fmt.Sprintf("adminhttp: %v", err)) // the types of bodies are the program's own
+		panic(fmt.Sprintf("adminhttp: %v", err)) // all types of bodies can be encoded
 	}
 	text = append(text, '\n')
 	out = append(out, "HTTP/1.1 "+strconv.Itoa(status)+" "+http.StatusText(status)+"\r\n"...)
@@ -111,14 +109,14 @@
 	return append(out, text...)
 }
 
-// AppendError appends the response to a request that cannot be carried out.
+// AppendError appends the response to a request that has failed.
 func AppendError(out []byte, e *Error) []byte {
 	return AppendResponse(out, e.Status, e.Allow, struct {
 		Error string `json:"error"`
 	}{e.Text})
 }
 
-// WithoutBody is a response without its body, as a HEAD request asks for it.
+// WithoutBody returns a response without its body, for a HEAD request.
 func WithoutBody(response []byte) []byte {
 	head, _, _ := bytes.Cut(response, []byte("\r\n\r\n"))
 	return append(head[:len(head):len(head)], "\r\n\r\n"...)
--- a/internal/protocol/ajp/ajp.go
+++ b/internal/protocol/ajp/ajp.go
@@ -1,8 +1,6 @@
 // Package ajp is the codec of AJP 1.3, both a web server's side and a container's. The AJP frontend, the AJP backend
-// and the test side's web servers use it.
-//
-// It works on byte slices and keeps nothing between calls. It knows neither sockets nor what a request means. The
-// source is the Apache Tomcat project's "AJPv13" page.
+// and the test side's web servers use it. It works on byte slices, keeps no state between calls, does no I/O and does
+// not interpret requests. Its source is the "AJPv13" page of the Apache Tomcat project.
 package ajp
 
 import (
@@ -17,23 +15,23 @@
 	MaxPacket = 8192
 	// headerSize is the size of a packet's header: the sender's magic number and the payload's length.
 	headerSize = 4
-	// MaxBodyChunk is the most body that fits one packet, in either direction.
+	// MaxBodyChunk is the most bytes of a body that fit one packet, in either direction.
 	MaxBodyChunk = MaxPacket - headerSize - 4
 )
 
-// What a peer may make this side hold.
+// The limits of what a request may make this side store.
 const (
 	maxHeaders            = 128
 	maxStoredMethodLength = 64
 )
 
-// ErrInvalidPacket is wrapped by every error after which the connection's next packet cannot be found.
+// ErrInvalidPacket is wrapped by every error after which the stream cannot be parsed any further.
 var ErrInvalidPacket = errors.New("ajp: broken packet")
 
-// ErrMalformedRequest is wrapped by errors of a request inside a valid packet: it can be answered with status 400.
+// ErrMalformedRequest is wrapped by the errors of a request in a valid packet, which can be answered with status 400.
 var ErrMalformedRequest = errors.New("ajp: malformed request")
 
-// Code is the type of a packet, the first byte of its payload. Packets with a request's body have none.
+// Code is the type of a packet: the first byte of its payload, except in packets with a request's body.
 type Code byte
 
 // The types of packet.
@@ -49,7 +47,7 @@
 	CodeCPing          Code = 10
 )
 
-// Sender is the side that sends a packet. Its value is the magic number that begins the side's packets.
+// Sender is the side that sends a packet. Its value is the magic number at the start of that side's packets.
 type Sender uint16
 
 // The two sides.
@@ -61,8 +59,8 @@
 // Header is one header field.
 type Header struct{ Name, Value string }
 
-// SplitPacket cuts the first whole packet off in and returns its payload and its size with the header. A nil payload
-// with no error means that more bytes are needed; an empty packet has an empty payload that is not nil. Errors wrap
+// SplitPacket returns the payload of the first packet in in, and its size including the header. A nil payload without
+// an error means that the packet is incomplete; the payload of an empty packet is empty but not nil. Errors wrap
 // ErrInvalidPacket.
 func SplitPacket(in []byte, from Sender) (payload []byte, size int, err error) {
 	if len(in) >= 2 && Sender(binary.BigEndian.Uint16(in)) != from {
--- a/internal/protocol/ajp/reader.go
+++ b/internal/protocol/ajp/reader.go
@@ -5,7 +5,8 @@
 	"fmt"
 )
 
-// reader takes values off a payload. The first failure stays in err; from then on it returns zero values.
+// reader decodes values from the front of a payload. The first failure stays in err; from then on it returns zero
+// values.
 type reader struct {
 	in  []byte
 	err error
@@ -47,10 +48,10 @@
 	return r.text(length)
 }
 
-// skipString passes over a string that nobody needs.
+// skipString skips a string.
 func (r *reader) skipString() { _ = r.string() }
 
-// text reads that many bytes and the zero that ends them.
+// text reads the given number of bytes and the zero byte after them.
 func (r *reader) text(length int) string {
 	if length+1 > len(r.in) || r.in[length] != 0 {
 		r.fail("string without its end")
@@ -61,7 +62,7 @@
 	return s
 }
 
-// headerName reads a header's name: a code of the table, or a string.
+// headerName reads a header's name, which is an index of the table or a string.
 func (r *reader) headerName(table []string) string {
 	code := r.u16()
 	if code&headerCodeMask != headerCodePrefix {
--- a/internal/protocol/ajp/request.go
+++ b/internal/protocol/ajp/request.go
@@ -7,13 +7,13 @@
 	"strings"
 )
 
-// unknownLength is the ContentLength of a request that does not tell it.
+// unknownLength is the ContentLength of a request that does not state it.
 const unknownLength = -1
 
-// contentLengthBits is the size of the largest content length.
+// contentLengthBits is the size of the largest accepted content length, in bits.
 const contentLengthBits = 62
 
-// defaultPort is the port that AppendForwardRequest names as the web server's.
+// defaultPort is the port of the web server in the requests of AppendForwardRequest.
 const defaultPort = 80
 
 // Request is a forwarded request without its body.
@@ -24,10 +24,10 @@
 	RemoteAddr    string
 	Headers       []Header
 	Secret        string
-	ContentLength int64 // of the body, in bytes; -1 where it is not told
+	ContentLength int64 // of the body, in bytes; -1 if it is not stated
 }
 
-// Header returns the first header of that name, in any case; "" if there is none.
+// Header returns the value of the first header of a name, which is case-insensitive, or "" if there is none.
 func (r *Request) Header(name string) string {
 	for _, header := range r.Headers {
 		if strings.EqualFold(header.Name, name) {
@@ -37,12 +37,12 @@
 	return ""
 }
 
-// IsChunked reports whether there is a body whose length is not told, so that it must be asked for until it ends.
+// IsChunked reports whether there is a body of unknown length, which must be requested until its end.
 func (r *Request) IsChunked() bool {
 	return r.ContentLength < 0 && strings.Contains(strings.ToLower(r.Header("transfer-encoding")), "chunked")
 }
 
-// ParseForwardRequest reads the payload of a forwarded request, its code included. Errors wrap ErrMalformedRequest.
+// ParseForwardRequest parses the payload of a forwarded request, including its code. Errors wrap ErrMalformedRequest.
 func ParseForwardRequest(payload []byte) (Request, error) {
 	in := &reader{in: payload}
 	request := Request{ContentLength: unknownLength}
@@ -70,7 +70,7 @@
 	return request, in.err
 }
 
-// readAttribute reads one attribute; false: that was the last.
+// readAttribute reads one attribute. It returns false after the last.
 func (r *Request) readAttribute(in *reader, method byte) bool {
 	code := in.u8()
 	if in.err != nil || code == attributesEnd {
@@ -110,7 +110,7 @@
 	r.ContentLength = int64(length)
 }
 
-// AppendForwardRequest appends a request without its body. The body's length, where there is one, is in its headers.
+// AppendForwardRequest appends a request without its body. If it has a body, the headers must state the length.
 func AppendForwardRequest(out []byte, request Request) []byte {
 	return appendPacket(out, FromServer, func(payload []byte) []byte {
 		method, known := methodCode(request.Method)
@@ -139,8 +139,8 @@
 	})
 }
 
-// ParseBodyChunk reads the payload of a packet with a part of a request's body; an empty one ends it. Errors wrap
-// ErrInvalidPacket. The chunk shares the payload's memory.
+// ParseBodyChunk parses the payload of a packet with a part of a request's body. An empty part ends the body. Errors
+// wrap ErrInvalidPacket. The chunk shares the payload's memory.
 func ParseBodyChunk(payload []byte) ([]byte, error) {
 	if len(payload) == 0 {
 		return nil, nil
@@ -155,8 +155,8 @@
 	return payload[2 : 2+length], nil
 }
 
-// AppendBodyChunk appends one packet of a request's body: what fits of it, or the end of the body if there is none. It
-// returns the rest of the body.
+// AppendBodyChunk appends one packet with as much of a request's body as fits, and returns the rest of the body. If
+// body is empty, the packet is the end of the body.
 func AppendBodyChunk(out, body []byte) (written, rest []byte) {
 	length := min(len(body), MaxBodyChunk)
 	written = appendPacket(out, FromServer, func(payload []byte) []byte {
@@ -168,7 +168,7 @@
 	return written, body[length:]
 }
 
-// AppendCPing appends the question whether the container still listens on this connection.
+// AppendCPing appends a CPING, which a container answers if it still serves this connection.
 func AppendCPing(out []byte) []byte {
 	return appendPacket(out, FromServer, func(payload []byte) []byte { return append(payload, byte(CodeCPing)) })
 }
--- a/internal/protocol/ajp/response.go
+++ b/internal/protocol/ajp/response.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// Response is one packet of a container; which fields are set depends on its code.
+// Response is one packet of a container. Which fields are set depends on its code.
 type Response struct {
 	Code            Code
 	Status          int      // of CodeSendHeaders: the HTTP status
@@ -15,14 +15,14 @@
 	RequestedLength int      // of CodeGetBodyChunk, in bytes
 }
 
-// ParseResponse reads the payload of a container's packet. Errors wrap ErrInvalidPacket.
+// ParseResponse parses the payload of a container's packet. Errors wrap ErrInvalidPacket.
 func ParseResponse(payload []byte) (Response, error) {
 	in := &reader{in: payload}
 	response := Response{Code: Code(in.u8())}
 	switch response.Code {
 	case CodeSendHeaders:
 		response.Status = int(in.u16())
-		in.skipString() // the status in words
+		in.skipString() // the reason phrase
 		response.Headers = in.headers(responseHeaders[:])
 	case CodeSendBodyChunk:
 		length := int(in.u16())
@@ -53,7 +53,7 @@
 	})
 }
 
-// AppendResponseBody appends a response's body, in as many packets as it needs.
+// AppendResponseBody appends a response's body, split into packets.
 func AppendResponseBody(out, body []byte) []byte {
 	for len(body) > 0 {
 		length := min(len(body), MaxBodyChunk)
@@ -66,14 +66,14 @@
 	return out
 }
 
-// AppendEndResponse ends a response; reuse says that the connection stays open.
+// AppendEndResponse appends the end of a response. reuse says whether the connection stays open.
 func AppendEndResponse(out []byte, reuse bool) []byte {
 	return appendPacket(out, FromContainer, func(payload []byte) []byte {
 		return appendBool(append(payload, byte(CodeEndResponse)), reuse)
 	})
 }
 
-// AppendGetBodyChunk asks for up to that many more bytes of the body.
+// AppendGetBodyChunk appends a request for the next bytes of the body, at most length of them.
 func AppendGetBodyChunk(out []byte, length int) []byte {
 	return appendPacket(out, FromContainer, func(payload []byte) []byte {
 		length := uint16(min(length, MaxBodyChunk))
--- a/internal/protocol/ajp/writer.go
+++ b/internal/protocol/ajp/writer.go
@@ -2,7 +2,7 @@
 
 import "encoding/binary"
 
-// appendPacket appends a packet whose payload the function appends.
+// appendPacket appends a packet. The function appends its payload.
 func appendPacket(out []byte, from Sender, payload func([]byte) []byte) []byte {
 	start := len(out)
 	out = binary.BigEndian.AppendUint16(out, uint16(from))
--- a/internal/protocol/gossip/gossip.go
+++ b/internal/protocol/gossip/gossip.go
@@ -1,6 +1,6 @@
-// Package gossip encodes and decodes the messages in which instances tell each other of upstream endpoints: frames of
-// a length and a CBOR map (RFC 8949). internal/peers sends and receives them. The package works on byte slices and
-// does no I/O; what the observations are worth is up to internal/decide/loadbalancer.
+// Package gossip encodes and decodes the messages in which instances exchange observations of upstream endpoints. A
+// message is a frame of a length and a CBOR map (RFC 8949). internal/peers sends and receives them. The package works
+// on byte slices and does no I/O; internal/decide/loadbalancer weighs the observations.
 //
 // Unknown fields are ignored. Another version, a frame that is too long and a list that is too long are errors.
 package gossip
@@ -17,12 +17,12 @@
 	"pewterline/internal/microtime"
 )
 
-// Version is that of the messages; others are not understood.
+// Version is the version of the messages. Parse rejects others.
 const Version = 1
 
-// The bounds of a message.
+// The limits of a message.
 const (
-	MaxFrameBytes   = 192 << 10 // below what the transport lets wait in a buffer
+	MaxFrameBytes   = 192 << 10 // less than the transport's limit of unconsumed bytes
 	MaxObservations = 2000
 	MaxPeers        = 64
 )
@@ -34,8 +34,8 @@
 	maxArrayElements = 4 * MaxObservations
 	maxMapPairs      = 64
 	maxNestedLevels  = 8
-	// maxMillis bounds spans in milliseconds; what is beyond would overflow in microseconds. It is over every bound that
-	// the load balancer checks, so that a span that was cut is still rejected.
+	// maxMillis is the longest decoded duration, in milliseconds, so that the conversion to microseconds cannot
+	// overflow. It exceeds the load balancer's limits, so a duration that is cut to it is still rejected there.
 	maxMillis = 1 << 40
 )
 
@@ -46,7 +46,7 @@
 	ErrTooLarge = errors.New("gossip: message too large")
 )
 
-// Message is all that an instance tells another: who it is, and what it knows.
+// Message is a gossip message: the sender's identity, its observations, and the peers that it knows.
 type Message struct {
 	Name         string
 	Uptime       microtime.Time // in whole milliseconds on the wire
@@ -55,7 +55,7 @@
 	Peers        []Peer
 }
 
-// Peer is another instance and where it listens.
+// Peer is another instance, with the address where it listens.
 type Peer struct {
 	Name    string `cbor:"1,keyasint"`
 	Address string `cbor:"2,keyasint"`
@@ -82,7 +82,7 @@
 	Hops      int     `cbor:"7,keyasint"`
 }
 
-// decoder returns the decoding mode with the bounds of a message.
+// decoder returns the decoding mode, which enforces the limits of a message.
 var decoder = sync.OnceValues(func() (cbor.DecMode, error) {
 	return cbor.DecOptions{
 		MaxArrayElements: maxArrayElements,
@@ -92,8 +92,8 @@
 	}.DecMode()
 })
 
-// Append appends the frame of a message to out. Observations and peers beyond the bounds are left out, the last first.
-// On an error out is returned as it was.
+// Append appends the frame of a message to out. Observations and peers beyond the limits are left out, from the end of
+// the lists. On an error out is returned unchanged.
 func Append(out []byte, message Message) ([]byte, error) {
 	encoded := wireMessage{
 		Version:      Version,
@@ -145,7 +145,7 @@
 	return message, size, nil
 }
 
-// decode decodes the body of a frame and checks its bounds.
+// decode decodes the body of a frame and checks its limits.
 func decode(body []byte) (decoded wireMessage, err error) {
 	mode, err := decoder()
 	if err != nil {
@@ -189,7 +189,7 @@
 	}
 }
 
-// fromMillis converts a span from the wire. A negative one stays negative, as the load balancer rejects it.
+// fromMillis converts a duration from the wire. A negative one stays negative, so that the load balancer rejects it.
 func fromMillis(millis int64) microtime.Time {
 	return microtime.Time(min(max(millis, -1), maxMillis)) * microtime.Millisecond
 }
--- a/internal/protocol/loadreport/loadreport.go
+++ b/internal/protocol/loadreport/loadreport.go
@@ -1,5 +1,5 @@
-// Package loadreport encodes the reports by which an instance renews its lease with the control plane and says whether
-// it is ready for traffic. Package server sends them as datagrams; the package itself does no I/O.
+// Package loadreport encodes the reports with which an instance renews its lease at the control plane and states
+// whether it is ready for traffic. Package server sends them as datagrams; the package itself does no I/O.
 package loadreport
 
 // The words of a report, fixed by the control plane.
@@ -9,8 +9,8 @@
 	notReadyState = " NotReady"
 )
 
-// Append appends a report to out: a datagram of three words, separated by spaces. The name is that of the instance, a
-// word of its own.
+// Append appends a report to out: a datagram of three words, separated by spaces. name is the instance's name, which
+// must be one word.
 func Append(out []byte, name string, ready bool) []byte {
 	out = append(out, verb...)
 	out = append(out, name...)
--- a/internal/protocol/pool/command.go
+++ b/internal/protocol/pool/command.go
@@ -48,7 +48,7 @@
 	Tag    string // Poll, Verify
 }
 
-// ParseCommand takes the first command off in. n is its length; 0 while it is not complete.
+// ParseCommand parses the first command in in. n is its length, or 0 while it is incomplete.
 func ParseCommand(in []byte) (c Command, n int, err error) {
 	line, n, err := framing().Line(in)
 	if err != nil || n == 0 {
@@ -67,7 +67,7 @@
 	return c, n, nil
 }
 
-// parseCommandLine parses the line of a command, and the size of the body that follows it.
+// parseCommandLine parses the line of a command, which includes the size of the body that follows it.
 func parseCommandLine(line *textline.Line) (c Command, bodySize int) {
 	switch line.Text(0) {
 	case "bind":
--- a/internal/protocol/pool/message.go
+++ b/internal/protocol/pool/message.go
@@ -8,8 +8,7 @@
 	"pewterline/internal/protocol/textline"
 )
 
-// unknownGauge stands for a gauge that is reported as no finite number. The decision module takes negative gauges for
-// not known.
+// unknownGauge replaces a gauge whose reported value is not finite. Package control treats negative gauges as unknown.
 const unknownGauge = -1
 
 // Kind is the first word of a message.
@@ -47,7 +46,7 @@
 	return "invalid"
 }
 
-// Message is one message of the worker pool; which fields are set depends on its kind. Result and Call share the
+// Message is one message of the worker pool. Which fields are set depends on its kind. Result and Call share the
 // input's memory.
 type Message struct {
 	Kind         Kind
@@ -63,7 +62,7 @@
 	Command      string    // Unknown
 }
 
-// ParseMessage takes the first message off in. n is its length; 0 while it is not complete.
+// ParseMessage parses the first message in in. n is its length, or 0 while it is incomplete.
 func ParseMessage(in []byte) (m Message, n int, err error) {
 	line, n, err := framing().Line(in)
 	if err != nil || n == 0 {
@@ -88,7 +87,7 @@
 	return m, n, nil
 }
 
-// parseMessageLine parses the line of a message, and the size of the body that follows it.
+// parseMessageLine parses the line of a message, which includes the size of the body that follows it.
 func parseMessageLine(line *textline.Line) (m Message, bodySize int) {
 	switch line.Text(0) {
 	case "bound":
@@ -178,16 +177,16 @@
 	return m
 }
 
-// parseChatter parses "chatter [NOTICE] ...". Any text may follow, in place of the number as well.
+// parseChatter parses "chatter [NOTICE] ...". Any text may follow, also instead of the number.
 func parseChatter(line *textline.Line) Message {
 	m := Message{Kind: Chatter}
 	if line.Count() > 1 {
-		m.Notice, _ = strconv.ParseUint(line.Text(1), 10, 63) // an error says that it has no number
+		m.Notice, _ = strconv.ParseUint(line.Text(1), 10, 63) // 0 if the word is not a number
 	}
 	return m
 }
 
-// finite returns a word that is a finite number: one that is not would stay in the means that it is counted into.
+// finite returns a word that is a finite number. Any other would corrupt the running means that it is added to.
 func finite(line *textline.Line, i int) float64 {
 	number := line.Float(i)
 	if !isFinite(number) {
--- a/internal/protocol/pool/pool.go
+++ b/internal/protocol/pool/pool.go
@@ -1,6 +1,6 @@
-// Package pool reads and writes the line protocol of the worker pool over byte slices. The backend (package
-// backend/workerpool) reads messages and writes commands; the test side's pools do the reverse. It owns no connection
-// and keeps nothing between two calls. The operators' page on the worker pool is the source of the format.
+// Package pool is the codec of the worker pool's line protocol. Package backend/workerpool parses messages and encodes
+// commands; the worker pools of the test side do the reverse. It works on byte slices, does no I/O and keeps no state
+// between calls. The operators' page on the worker pool is the source of the format.
 package pool
 
 import (
@@ -11,18 +11,18 @@
 
 const (
 	maxLine = 1 << 10
-	// maxResult is the protocol's limit of a result, in bytes. A length beyond it is malformed: all that follows would
-	// wait for the end of the body.
+	// maxResult is the protocol's limit of a result, in bytes. A larger length is malformed: a corrupt one would make
+	// the parser wait for a body that never ends.
 	maxResult = 4 << 10
-	// maxCall limits the body of a call and of the reply to it, in bytes. The protocol states no limit; the vault's
-	// parser has the same.
+	// maxCall is the limit of the body of a call and of its reply, in bytes. The protocol states none; package vault
+	// has the same limit.
 	maxCall = 64 << 10
 )
 
 // ErrMalformed is wrapped by every error of the parsers: the stream can no longer be trusted.
 var ErrMalformed = errors.New("pool: malformed line")
 
-// framing returns what the protocol sets for its lines.
+// framing returns the parameters of the protocol's lines.
 func framing() textline.Framing {
 	return textline.Framing{MaxLine: maxLine, Malformed: ErrMalformed}
 }
@@ -53,7 +53,7 @@
 	return "invalid"
 }
 
-// parseOutcome returns the outcome of a word; 0: the word is none.
+// parseOutcome returns the outcome for a word; 0: there is none.
 func parseOutcome(word string) Outcome {
 	for outcome := Pass; outcome <= Noop; outcome++ {
 		if outcome.String() == word {
--- a/internal/protocol/replicationwire/encoding.go
+++ b/internal/protocol/replicationwire/encoding.go
@@ -8,7 +8,7 @@
 	"pewterline/internal/decide/consensus"
 )
 
-// decoding bounds what a frame or a record may make the decoder allocate.
+// decoding limits what a frame or a record can make the decoder allocate.
 var decoding = func() cbor.DecMode {
 	options := cbor.DecOptions{
 		MaxArrayElements: 1 << 20,
@@ -23,8 +23,8 @@
 	return mode
 }()
 
-// The types of this package whose names end in Encoding are encoded: their numbers and the order of their fields are
-// the format. Those with "toarray" are arrays of their fields in order, the others maps by number.
+// The types of this package whose names end in Encoding define the format. Those with "toarray" are encoded as arrays
+// of their fields in order, the others as maps with the fields' numbers as keys.
 
 type identityEncoding struct {
 	_           struct{} `cbor:",toarray"`
@@ -71,7 +71,7 @@
 	}
 }
 
-// encodeOptionalBallot leaves the zero ballot out.
+// encodeOptionalBallot encodes the zero ballot as an absent field.
 func encodeOptionalBallot(ballot consensus.Ballot) *ballotEncoding {
 	if ballot == (consensus.Ballot{}) {
 		return nil
@@ -88,7 +88,7 @@
 	return e.decode()
 }
 
-// encodeValue leaves the zero value out.
+// encodeValue encodes the zero value as an absent field.
 func encodeValue(value consensus.Value) *valueEncoding {
 	if value == (consensus.Value{}) {
 		return nil
--- a/internal/protocol/replicationwire/message.go
+++ b/internal/protocol/replicationwire/message.go
@@ -11,12 +11,12 @@
 	"pewterline/internal/decide/consensus"
 )
 
-// Version is the version of messages and records. Those of another version are refused.
+// Version is the version of messages and records. Other versions are errors.
 const Version = 1
 
-// The bounds of a message, in bytes unless another unit is named.
+// The limits of a message, in bytes except MaxItems.
 const (
-	MaxFrame = 160 << 10 // of the CBOR map; below what transport lets wait in a buffer
+	MaxFrame = 160 << 10 // of the CBOR map; less than transport's limit of unconsumed bytes
 	MaxItems = 512       // requests, replies or transfer acknowledgements
 	MaxKey   = 4 << 10
 	MaxValue = 64 << 10 // a result, or a membership
@@ -28,32 +28,32 @@
 	bodyOffset     = 12
 )
 
-// The errors, one of which each error of this package wraps. After ErrMalformedFrame the connection cannot go on:
-// bytes of it were lost, or its peer speaks another protocol.
+// Every error of this package wraps one of these. After ErrMalformedFrame the connection must be closed: bytes were
+// lost, or the peer speaks another protocol.
 var (
 	ErrMalformedFrame = errors.New("replicationwire: broken frame")
 	ErrTooLarge       = errors.New("replicationwire: too large")
 )
 
-// Hello says who is at an end of a link. It is the first message in both directions.
+// Hello identifies a server to the other end of a link. It is the first message in both directions.
 type Hello struct {
 	ID                 uint32 `cbor:"1,keyasint"`
-	Incarnation        uint64 `cbor:"2,keyasint"`           // as an acceptor; it ends with the disk
-	ProcessIncarnation uint64 `cbor:"3,keyasint"`           // as a proposer; it ends with the process
+	Incarnation        uint64 `cbor:"2,keyasint"`           // as an acceptor; it changes if the disk is lost
+	ProcessIncarnation uint64 `cbor:"3,keyasint"`           // as a proposer; it changes with each process
 	ClusterID          uint64 `cbor:"4,keyasint,omitempty"` // 0: in no group
 }
 
-// Message is what one server sends to another. Fields that are zero are not sent.
+// Message is a message between two servers. Zero fields are not encoded.
 type Message struct {
 	Hello        *Hello
-	Epoch        uint64 // of the membership that the sender goes by
+	Epoch        uint64 // of the sender's membership
 	Requests     []consensus.Request
 	Replies      []consensus.Reply
 	Membership   *consensus.Membership
 	TransferAcks []consensus.TransferAck
 }
 
-// Append encodes a message behind out. The error wraps ErrTooLarge; out is returned unchanged then.
+// Append appends an encoded message to out. On an error, which wraps ErrTooLarge, out is returned unchanged.
 func Append(out []byte, message Message) ([]byte, error) {
 	encoded := encodeMessage(message)
 	if encoded.longestList() > MaxItems {
@@ -71,7 +71,7 @@
 	return append(out, body...), nil
 }
 
-// Parse decodes the first message of in. size is what it takes of in, or 0 while it is incomplete.
+// Parse decodes the first message in in. size is its length, or 0 while it is incomplete.
 func Parse(in []byte) (message Message, size int, err error) {
 	body, err := frameBody(in)
 	if err != nil || body == nil {
@@ -98,7 +98,7 @@
 		return nil, nil
 	}
 	body := in[bodyOffset:size]
-	// Guards the votes against a link that has lost bytes in the middle: what follows would be read as something else.
+	// Without the checksum, a link that has lost bytes in the middle could lead to a vote that no server has cast.
 	if xxhash.Sum64(body) != binary.BigEndian.Uint64(in[checksumOffset:]) {
 		return nil, fmt.Errorf("%w: wrong checksum", ErrMalformedFrame)
 	}
--- a/internal/protocol/replicationwire/message_encoding.go
+++ b/internal/protocol/replicationwire/message_encoding.go
@@ -46,7 +46,7 @@
 	TransferAcks []transferAckEncoding `cbor:"7,keyasint,omitempty"`
 }
 
-// checkBounds checks what a message says of a key.
+// checkBounds checks the limits of a key and its value.
 func checkBounds(key []byte, value *valueEncoding) error {
 	switch {
 	case len(key) > MaxKey:
--- a/internal/protocol/replicationwire/record.go
+++ b/internal/protocol/replicationwire/record.go
@@ -8,15 +8,16 @@
 	"pewterline/internal/decide/consensus"
 )
 
-// Record is a change of what an acceptor keeps on its disk. Fields that are zero change nothing.
+// Record is a change of an acceptor's durable state. Zero fields change nothing.
 type Record struct {
 	Incarnation  uint64
-	Membership   *consensus.Membership // in force from now on
+	Membership   *consensus.Membership // the new membership
 	Registers    []consensus.SavedRegister
 	ForgetBefore int64 // registers whose last attempt arrived before this time, in Unix milliseconds, are dropped
 }
 
-// AppendRecord encodes a record behind out. Its end is the end of the slice.
+// AppendRecord appends an encoded record to out. The encoding does not mark its end: ParseRecord expects exactly one
+// record.
 func AppendRecord(out []byte, record Record) ([]byte, error) {
 	body, err := cbor.Marshal(encodeRecord(record))
 	if err != nil {
--- a/internal/protocol/textline/textline.go
+++ b/internal/protocol/textline/textline.go
@@ -1,6 +1,6 @@
 // Package textline frames protocols of text lines whose last word may be the length of a body that follows: each line
-// and each body ends in CR LF. Packages pool and vault parse their protocols with it. It works on byte slices alone,
-// allocates nothing but the words and the errors, and knows no message of any protocol.
+// and each body ends in CR LF. Packages pool and vault build on it. It works on byte slices, allocates only the words
+// and the errors, and does not know the messages of either protocol.
 package textline
 
 import (
@@ -11,21 +11,21 @@
 
 const (
 	lineEnd = "\r\n"
-	// maxQuoted limits how much of a line an error quotes.
+	// maxQuoted is the most bytes of a line that an error quotes.
 	maxQuoted = 80
 )
 
-// Framing is what a protocol sets for its lines.
+// Framing holds the parameters of a protocol's lines.
 type Framing struct {
-	// MaxLine limits the bytes of a line with its end. It keeps a line without an end from being waited for until the
-	// memory runs out.
+	// MaxLine is the most bytes of a line, including its end. Without a limit, input without a line end would be
+	// buffered until the memory runs out.
 	MaxLine int
 	// Malformed is wrapped by every error.
 	Malformed error
 }
 
-// Line cuts the first line off in, and splits it into words at single spaces. n is its length with the line end; 0
-// while it is not complete.
+// Line returns the first line in in, split into words at single spaces. n is its length including the line end, or 0
+// while it is incomplete.
 func (f Framing) Line(in []byte) (line Line, n int, err error) {
 	end := bytes.Index(in[:min(len(in), f.MaxLine)], []byte(lineEnd))
 	if end >= 0 {
@@ -37,8 +37,8 @@
 	return Line{}, 0, nil
 }
 
-// Body cuts a body of size bytes off in, which begins behind the line, at from. n is where its line end ends; 0 while
-// it is not complete. The body shares the memory of in.
+// Body returns the body of size bytes that begins at offset from of in, after the line. n is the offset after its line
+// end, or 0 while it is incomplete. The body shares the memory of in.
 func (f Framing) Body(in []byte, from, size int) (body []byte, n int, err error) {
 	end := from + size
 	if len(in) < end+len(lineEnd) {
@@ -58,7 +58,7 @@
 // AppendBody appends a body and its line end.
 func AppendBody(out, body []byte) []byte { return append(append(out, body...), lineEnd...) }
 
-// Line is a line in words. The first error of its methods stays: after it they return zero values.
+// Line is a line, split into words. After the first error, which Err returns, its methods return zero values.
 type Line struct {
 	framing Framing
 	text    []byte
@@ -66,10 +66,10 @@
 	err     error
 }
 
-// Err returns the first error; nil: there was none.
+// Err returns the first error, or nil.
 func (l *Line) Err() error { return l.err }
 
-// Fail notes an error, unless there was one.
+// Fail records an error, unless there is one already.
 func (l *Line) Fail(reason string) {
 	if l.err == nil {
 		l.err = l.framing.Errorf(l.text, reason)
@@ -79,14 +79,14 @@
 // Count returns the number of words, at least one.
 func (l *Line) Count() int { return len(l.words) }
 
-// Require fails where the line has another number of words.
+// Require fails if the line does not have the given number of words.
 func (l *Line) Require(count int) {
 	if len(l.words) != count {
 		l.Fail("wrong number of words")
 	}
 }
 
-// Bytes returns a word; it shares the memory of the input. A word that is missing is an error.
+// Bytes returns a word, which shares the memory of the input. A missing word is an error.
 func (l *Line) Bytes(i int) []byte {
 	if l.err == nil && i >= len(l.words) {
 		l.Fail("a word is missing")
@@ -110,7 +110,7 @@
 	return number
 }
 
-// Float returns a word that is a number. It may be infinite, or no number, where the word says that.
+// Float returns a word that is a number. It may be infinite or NaN, if the word says so.
 func (l *Line) Float(i int) float64 {
 	number, err := strconv.ParseFloat(l.Text(i), 64)
 	if err != nil {
--- a/internal/protocol/thrift/call.go
+++ b/internal/protocol/thrift/call.go
@@ -2,12 +2,12 @@
 
 import "fmt"
 
-// Method is what a call asks for.
+// Method is the method of a call.
 type Method uint8
 
 // The methods of the service.
 const (
-	// MethodUnknown is any other call, which is to be answered by an exception.
+	// MethodUnknown is any other method. Its calls are answered with an exception.
 	MethodUnknown Method = iota
 	// MethodProcess carries a request.
 	MethodProcess
@@ -39,7 +39,7 @@
 	argumentDeep       = 1 // of probe
 )
 
-// Call is one decoded call. Body shares the payload's memory.
+// Call is a decoded call. Body shares the payload's memory.
 type Call struct {
 	Method      Method
 	MethodName  string // as it was sent
@@ -48,11 +48,11 @@
 	Fields      map[string]string // of process
 	Body        []byte            // of process
 	CancelledID int32             // of giveUp: the sequence ID of the request
-	Deep        bool              // of probe: the backend is to be asked as well
+	Deep        bool              // of probe: the backend is checked as well
 }
 
-// DecodeCall reads the call in a payload. On an error with a known sequence ID, answerable is true and an exception can
-// be sent; otherwise the connection must be closed.
+// DecodeCall decodes the call in a payload. On an error, answerable reports whether it can be answered with an
+// exception; otherwise the connection must be closed.
 func DecodeCall(payload []byte) (call Call, answerable bool, err error) {
 	from := &reader{in: payload}
 	kind, name, sequenceID := from.header()
@@ -68,7 +68,7 @@
 	return call, !call.Oneway, from.err
 }
 
-// readArguments reads the arguments by the method's name. Those of an unknown method stay unread.
+// readArguments reads the method and its arguments. The arguments of an unknown method are not read.
 func (c *Call) readArguments(from *reader) {
 	switch c.MethodName {
 	case ProcessName:
@@ -95,7 +95,7 @@
 	}
 }
 
-// readProcess reads one argument of process; false: it is none of them.
+// readProcess reads one argument of process. It returns false for an unknown argument.
 func (c *Call) readProcess(from *reader, kind valueType, id uint16) bool {
 	switch {
 	case id == argumentFields && kind == typeMap:
@@ -119,7 +119,7 @@
 	return w.end()
 }
 
-// AppendGiveUp appends the notice that the caller no longer waits for the answer to the request of that sequence ID.
+// AppendGiveUp appends a call that cancels the request with the given sequence ID.
 func AppendGiveUp(out []byte, sequenceID int32) []byte {
 	w := begin(out, messageOneway, giveUpName, 0)
 	w.field(typeI32, argumentSequenceID)
--- a/internal/protocol/thrift/reader.go
+++ b/internal/protocol/thrift/reader.go
@@ -6,7 +6,7 @@
 )
 
 const (
-	// maxSkipDepth bounds how deep values that are skipped may nest.
+	// maxSkipDepth is the deepest nesting of a value that is skipped.
 	maxSkipDepth = 16
 	// maxFixedSize is the size of the largest value of a fixed size, in bytes.
 	maxFixedSize = 8
@@ -14,10 +14,11 @@
 	minStringSize = 4
 )
 
-// fixedSizes are the sizes in bytes of the types that have one.
+// fixedSizes are the sizes, in bytes, of the types with a fixed size.
 var fixedSizes = [...]int{typeBool: 1, typeByte: 1, typeI16: 2, typeI32: 4, typeI64: 8, typeDouble: 8}
 
-// reader takes values off a payload. The first failure stays in err; from then on it returns zero values.
+// reader decodes values from the front of a payload. The first failure stays in err; from then on it returns zero
+// values.
 type reader struct {
 	in  []byte
 	err error
@@ -30,7 +31,7 @@
 	r.in = nil
 }
 
-// take cuts n bytes off. After a failure it returns enough zeros for any value of a fixed size.
+// take removes and returns the next n bytes. After a failure it returns enough zeros for any value of a fixed size.
 func (r *reader) take(n int) []byte {
 	if n < 0 || n > len(r.in) {
 		r.fail("value runs past the end of its message")
@@ -61,7 +62,7 @@
 	return r.take(int(length))
 }
 
-// header reads what begins each message. It fails where the version is not known.
+// header reads the header of a message. It fails if the version is unknown.
 func (r *reader) header() (kind messageType, name string, sequenceID int32) {
 	version := r.u32()
 	if r.err == nil && version&versionMask != version1 {
@@ -71,7 +72,7 @@
 	return messageType(version), string(r.bytes()), r.i32()
 }
 
-// fields walks a struct and calls read for each field; what read does not take is skipped.
+// fields calls read for each field of a struct. Fields for which read returns false are skipped.
 func (r *reader) fields(read func(kind valueType, id uint16) bool) {
 	for r.err == nil {
 		kind := r.valueType()
@@ -84,8 +85,8 @@
 	}
 }
 
-// skip passes over a value of any type. Nesting and counts may be made up to exhaust the server: depth is bounded, and
-// each element takes at least one byte of the message.
+// skip skips a value of any type. A malicious message cannot exhaust the server with deep nesting or large counts: the
+// depth is limited, and each element takes at least one byte of the message.
 func (r *reader) skip(kind valueType, depth int) {
 	if depth > maxSkipDepth {
 		r.fail("values nest too deep")
@@ -121,7 +122,7 @@
 	}
 }
 
-// skipElements passes over the count and the elements of a container, each of which is one value of each kind.
+// skipElements skips the count and the elements of a container. An element has one value of each of the kinds.
 func (r *reader) skipElements(depth int, kinds ...valueType) {
 	count := r.u32()
 	for i := uint32(0); i < count && r.err == nil; i++ {
@@ -131,7 +132,7 @@
 	}
 }
 
-// stringMap reads a map of strings. Where a key comes twice the last value counts.
+// stringMap reads a map of strings. If a key is repeated, the last value counts.
 func (r *reader) stringMap() map[string]string {
 	keyType, elementType, count := r.valueType(), r.valueType(), r.u32()
 	if r.err != nil {
--- a/internal/protocol/thrift/reply.go
+++ b/internal/protocol/thrift/reply.go
@@ -9,11 +9,11 @@
 const (
 	// ReplyAnswer is the Answer to process or probe.
 	ReplyAnswer ReplyKind = iota + 1
-	// ReplyThrottled says that the request was rejected and never ran.
+	// ReplyThrottled means that the request was rejected and never ran.
 	ReplyThrottled
-	// ReplyBroken says that the request failed.
+	// ReplyBroken means that the request failed.
 	ReplyBroken
-	// ReplyException is an application exception: the call failed, or was not understood.
+	// ReplyException is an application exception: the call failed, or was malformed or unknown.
 	ReplyException
 	// ReplyFarewell asks the peer to send no new request on this connection.
 	ReplyFarewell
@@ -58,7 +58,7 @@
 	exceptionCode   = 2
 )
 
-// Reply is one message from a server to its caller. Body shares the payload's memory.
+// Reply is a decoded message from a server to its caller. Body shares the payload's memory.
 type Reply struct {
 	Kind       ReplyKind
 	MethodName string
@@ -69,7 +69,7 @@
 	Text       string            // of an application exception
 }
 
-// DecodeReply reads the payload of a server's message. Errors wrap ErrInvalidFrame.
+// DecodeReply decodes the payload of a server's message. Errors wrap ErrInvalidFrame.
 func DecodeReply(payload []byte) (reply Reply, err error) {
 	from := &reader{in: payload}
 	kind, name, sequenceID := from.header()
@@ -101,7 +101,7 @@
 	return reply, nil
 }
 
-// readResult reads one field of a result struct; false: it is none that the service has.
+// readResult reads one field of a result struct. It returns false for an unknown field.
 func (p *Reply) readResult(from *reader, kind valueType, id uint16) bool {
 	if kind != typeStruct || int(id) >= len(resultKinds) {
 		return false
@@ -120,7 +120,7 @@
 	return true
 }
 
-// readAnswer reads one field of an Answer; false: it is none of them.
+// readAnswer reads one field of an Answer. It returns false for an unknown field.
 func (p *Reply) readAnswer(from *reader, kind valueType, id uint16) bool {
 	switch {
 	case id == answerBody && kind == typeString:
@@ -135,7 +135,7 @@
 	return true
 }
 
-// Answer is the reply to a call of process or probe that returns.
+// Answer is the result of a successful call of process or probe.
 type Answer struct {
 	MethodName string
 	SequenceID int32
--- a/internal/protocol/thrift/thrift.go
+++ b/internal/protocol/thrift/thrift.go
@@ -1,7 +1,6 @@
 // Package thrift is the codec of the platform's service: Thrift's strict binary protocol in framed transport. The
-// Thrift frontend, the upstream backend and the test side's callers use it.
-//
-// It works on byte slices and keeps nothing between calls. It knows neither sockets nor what a request means.
+// Thrift frontend, the upstream backend and the test side's callers use it. It works on byte slices, keeps no state
+// between calls, does no I/O and does not interpret requests.
 package thrift
 
 import (
@@ -10,13 +9,13 @@
 	"fmt"
 )
 
-// MaxFrame bounds the payload of one frame, in bytes: a body of 2 KiB and its fields fit several times over.
+// MaxFrame is the most bytes of a frame's payload. A request's body of 2 KiB and its fields fit several times.
 const MaxFrame = 16 << 10
 
 // frameHeaderSize is the size of the length before each payload, in bytes.
 const frameHeaderSize = 4
 
-// The version word that begins each message: the version in its upper half, the type of message in its lowest byte.
+// The first word of each message has the version in its upper half and the message type in its lowest byte.
 const (
 	version1    = 0x80010000
 	versionMask = 0xffff0000
@@ -32,10 +31,10 @@
 	messageOneway    messageType = 4
 )
 
-// valueType is the wire's code of a value's type.
+// valueType is the type of a value on the wire.
 type valueType byte
 
-// The types that this service needs, and those that it must be able to skip.
+// The types that this service uses, and those that it must be able to skip.
 const (
 	typeStop   valueType = 0
 	typeBool   valueType = 2
@@ -69,15 +68,15 @@
 	farewellName = "farewell"
 )
 
-// ErrInvalidFrame is wrapped by every error after which the connection's next message cannot be found.
+// ErrInvalidFrame is wrapped by every error after which the stream cannot be parsed any further.
 var ErrInvalidFrame = errors.New("thrift: broken frame")
 
-// Field is one entry of the map of strings that requests and answers carry. Their order is the writer's, so that equal
-// messages are equal bytes.
+// Field is an entry of the map of strings in requests and responses. A slice of Fields keeps their order, so that equal
+// messages have equal encodings.
 type Field struct{ Name, Value string }
 
-// SplitFrame cuts the first whole frame off in and returns its payload and its size with the header. A nil payload with
-// no error means that more bytes are needed. Errors wrap ErrInvalidFrame.
+// SplitFrame returns the payload of the first frame in in, and its size including the header. A nil payload without an
+// error means that the frame is incomplete. Errors wrap ErrInvalidFrame.
 func SplitFrame(in []byte) (payload []byte, size int, err error) {
 	if len(in) < frameHeaderSize {
 		return nil, 0, nil
--- a/internal/protocol/thrift/writer.go
+++ b/internal/protocol/thrift/writer.go
@@ -8,7 +8,7 @@
 	start int // of the frame
 }
 
-// begin appends the frame's header, whose length end fills in, and the message's.
+// begin appends the header of the frame, whose length is filled in by end, and the header of the message.
 func begin(out []byte, kind messageType, name string, sequenceID int32) *writer {
 	w := &writer{start: len(out), out: append(out, make([]byte, frameHeaderSize)...)}
 	w.u32(version1 | uint32(kind))
@@ -17,7 +17,7 @@
 	return w
 }
 
-// end returns the buffer with the whole frame.
+// end returns the buffer with the complete frame.
 func (w *writer) end() []byte {
 	binary.BigEndian.PutUint32(w.out[w.start:], uint32(len(w.out)-w.start-frameHeaderSize))
 	return w.out
--- a/internal/protocol/upgrade/encoding.go
+++ b/internal/protocol/upgrade/encoding.go
@@ -8,7 +8,7 @@
 	"pewterline/control"
 )
 
-// decoding bounds what a message may make the decoder allocate.
+// decoding limits what a message can make the decoder allocate.
 var decoding = func() cbor.DecMode {
 	options := cbor.DecOptions{
 		MaxArrayElements: 1 << 12,
@@ -23,7 +23,7 @@
 	return mode
 }()
 
-// messageEncoding is a message as it is encoded: its numbers are the format.
+// messageEncoding defines the format of a message: a map with the fields' numbers as keys.
 type messageEncoding struct {
 	Kind           Kind             `cbor:"1,keyasint"`
 	Name           string           `cbor:"2,keyasint,omitempty"`
@@ -38,7 +38,7 @@
 	Learned        *learnedEncoding `cbor:"11,keyasint,omitempty"`
 }
 
-// learnedEncoding is control.LearnedState as it is encoded.
+// learnedEncoding defines the format of control.LearnedState.
 type learnedEncoding struct {
 	ConcurrencyLimit float64         `cbor:"Limit"`
 	PriorityShare    float64         `cbor:"Alpha"`
@@ -49,13 +49,13 @@
 	Classes          []classEncoding `cbor:"Classes"`
 }
 
-// meanEncoding is control.MeanEstimate as it is encoded.
+// meanEncoding defines the format of control.MeanEstimate.
 type meanEncoding struct {
 	Count float64 `cbor:"N"`
 	Value float64 `cbor:"V"`
 }
 
-// classEncoding is control.LearnedClassState as it is encoded.
+// classEncoding defines the format of control.LearnedClassState.
 type classEncoding struct {
 	Name            string       `cbor:"Name"`
 	ServiceTime     meanEncoding `cbor:"Service"`
@@ -109,7 +109,7 @@
 	}, nil
 }
 
-// encodeLearned encodes what a process has learned; nil: nothing.
+// encodeLearned encodes the learned state of a process; nil: there is none.
 func encodeLearned(learned *control.LearnedState) *learnedEncoding {
 	if learned == nil {
 		return nil
--- a/internal/protocol/upgrade/frame.go
+++ b/internal/protocol/upgrade/frame.go
@@ -6,11 +6,11 @@
 	"fmt"
 )
 
-// Version is the version of the messages. It is in the preamble, so that a release that speaks another one is known
-// by its first bytes.
+// Version is the version of the messages. It is part of the preamble, so that a process with another version is
+// detected by its first bytes.
 const Version = 1
 
-// Preamble comes first in both directions.
+// Preamble is sent first in both directions.
 var Preamble = [6]byte{'p', 'w', 't', 'u', 0, Version}
 
 const (
@@ -18,23 +18,23 @@
 	lengthBytes        = 4 // before the body of a frame
 )
 
-// The bounds of a message's body and of a result in it, in bytes. The platform's results have 4 KiB at most.
+// The limits of a message's body and of a result in it, in bytes. The platform limits results to 4 KiB.
 const (
 	MaxFrame  = 64 << 10
 	MaxResult = MaxFrame - 4<<10
 )
 
-// ChunkKeys is the number of keys that are told before the successor has to ask for more. With the platform's largest
-// results they stay below what a connection may leave unread.
+// ChunkKeys is the number of keys that are sent before the successor has to ask for more. Even with the largest
+// results, a chunk is smaller than transport's limit of unsent bytes.
 const ChunkKeys = 32
 
-// The errors, one of which each error of this package wraps. After either the connection cannot go on.
+// Every error of this package wraps one of these. After either the connection must be closed.
 var (
 	ErrMalformedFrame  = errors.New("upgrade: broken frame")
 	ErrVersionMismatch = errors.New("upgrade: the other process speaks another version")
 )
 
-// CheckPreamble checks the preamble at the front of in. complete is false while more of it is to come.
+// CheckPreamble checks the preamble at the front of in. complete is false while more bytes of it are needed.
 func CheckPreamble(in []byte) (complete bool, err error) {
 	received := min(len(in), len(Preamble))
 	for i := range received {
@@ -49,7 +49,7 @@
 	return received == len(Preamble), nil
 }
 
-// Append encodes a message behind out.
+// Append appends an encoded message to out.
 func Append(out []byte, message Message) []byte {
 	body := encode(message)
 	out = binary.BigEndian.AppendUint32(out, uint32(len(body)))
@@ -65,7 +65,7 @@
 	return int(length), nil
 }
 
-// Parse decodes the first message of in. size is what it takes of in, or 0 while it is incomplete.
+// Parse decodes the first message in in. size is its length, or 0 while it is incomplete.
 func Parse(in []byte) (message Message, size int, err error) {
 	if len(in) < lengthBytes {
 		return Message{}, 0, nil
--- a/internal/protocol/upgrade/message.go
+++ b/internal/protocol/upgrade/message.go
@@ -6,21 +6,22 @@
 	"pewterline/control"
 )
 
-// Kind says what a message is.
+// Kind is the kind of a message.
 type Kind uint8
 
-// The kinds of messages. Their numbers are the format. Those about a key go both ways: all from Claim on.
+// The kinds of messages. Their numbers are part of the format. The kinds from Claim on are about a key, and are sent by
+// both processes.
 const (
-	Hello                Kind = iota + 1 // successor: its Name
-	Welcome                              // old process: what it has Learned, and whether it is OutOfService
-	Reject                               // old process: the Reason why the connection ends
-	NextChunk                            // both: the last key of a chunk was told, and the next chunk is asked for
-	Synced                               // old process: all keys were told; from now on each change is
-	OwnershipTransferred                 // old process: the successor owns the keys and gets new connections
-	ServiceChanged                       // both: an operator has taken the server OutOfService, or in again
-	ConnectionCount                      // old process: how many Connections it has open
-	Claim                                // asks the owner whether the key may run here
-	Grant                                // the owner's answer: it may
+	Hello                Kind = iota + 1 // from the successor: its Name
+	Welcome                              // from the old process: its Learned state, and whether it is OutOfService
+	Reject                               // from the old process: the Reason why it closes the connection
+	NextChunk                            // from both: the end of a chunk of keys, or a request for the next one
+	Synced                               // from the old process: all keys were sent; each later change follows
+	OwnershipTransferred                 // from the old process: the successor owns the keys and gets new connections
+	ServiceChanged                       // from both: an operator has changed OutOfService
+	ConnectionCount                      // from the old process: how many Connections it has open
+	Claim                                // asks the owner for permission to run the key here
+	Grant                                // the owner's permission
 	Started                              // a run of the key has started
 	Succeeded                            // the run has succeeded, with Result
 	Failed                               // the run has failed
@@ -55,7 +56,7 @@
 
 func (k Kind) valid() bool { return k > 0 && k < kindCount }
 
-// Message is what one process tells the other. Its kind says which fields it has; the others are zero.
+// Message is a message between the two processes. Which fields are set depends on its kind; the others are zero.
 type Message struct {
 	Kind           Kind
 	Name           string // of the server, as it is configured
--- a/internal/protocol/vault/vault.go
+++ b/internal/protocol/vault/vault.go
@@ -1,6 +1,6 @@
-// Package vault reads and writes the line protocol of the vault over byte slices. The vault's client (package
-// vaultclient) writes commands and reads replies; the test side's vaults do the reverse. It owns no connection and
-// keeps nothing between two calls. The operators' page on the vault is the source of the format.
+// Package vault is the codec of the vault's line protocol. Package vaultclient encodes commands and parses replies; the
+// vaults of the test side do the reverse. It works on byte slices, does no I/O and keeps no state between calls. The
+// operators' page on the vault is the source of the format.
 package vault
 
 import (
@@ -13,9 +13,8 @@
 
 const (
 	maxLine = 1 << 10
-	// MaxBody limits the body of a call and of a reply, in bytes. The protocol states no limit; a call's body comes from
-	// the worker pool, and both are well under this. A longer length is malformed, as everything behind it would wait
-	// for its end.
+	// MaxBody is the limit of the body of a call and of a reply, in bytes. The protocol states none; real bodies are
+	// far smaller. A larger length is malformed: a corrupt one would make the parser wait for a body that never ends.
 	MaxBody = 64 << 10
 	// MaxWaitMS is the longest wait, in milliseconds, that a call may state: an hour, beyond any deadline.
 	MaxWaitMS = 3600_000
@@ -26,7 +25,7 @@
 // ErrMalformed is wrapped by every error of the parsers: the stream can no longer be trusted.
 var ErrMalformed = errors.New("vault: malformed line")
 
-// framing returns what the protocol sets for its lines.
+// framing returns the parameters of the protocol's lines.
 func framing() textline.Framing {
 	return textline.Framing{MaxLine: maxLine, Malformed: ErrMalformed}
 }
@@ -60,7 +59,7 @@
 	return ""
 }
 
-// parseStatus returns the status of a word; 0: the word is none.
+// parseStatus returns the status for a word; 0: there is none.
 func parseStatus(word string) Status {
 	for status := Yes; status <= Pointless; status++ {
 		if status.String() == word {
@@ -83,7 +82,7 @@
 // The commands of a log server.
 const (
 	Ask   Verb = iota + 1 // makes a call
-	Unask                 // gives a call up
+	Unask                 // abandons a call
 )
 
 // String returns the verb's word in the protocol.
@@ -105,16 +104,16 @@
 	Body   []byte // Ask
 }
 
-// AppendAsk writes a call; waitMS is how long its reply is waited for, in milliseconds.
+// AppendAsk appends a call. waitMS is how long the log server waits for the reply, in milliseconds.
 func AppendAsk(out []byte, id string, waitMS int, body []byte) []byte {
 	out = fmt.Appendf(out, "ask %s %d %d\r\n", id, waitMS, len(body))
 	return textline.AppendBody(out, body)
 }
 
-// AppendUnask gives a call up.
+// AppendUnask appends a command that abandons a call.
 func AppendUnask(out []byte, id string) []byte { return fmt.Appendf(out, "unask %s\r\n", id) }
 
-// AppendReply writes a reply. Only Yes has a body.
+// AppendReply appends a reply. Only Yes has a body.
 func AppendReply(out []byte, id string, status Status, body []byte) []byte {
 	if status != Yes {
 		return fmt.Appendf(out, "%s %s\r\n", id, status)
@@ -123,7 +122,7 @@
 	return textline.AppendBody(out, body)
 }
 
-// ParseReply takes the first reply off in. n is its length; 0 while it is not complete.
+// ParseReply parses the first reply in in. n is its length, or 0 while it is incomplete.
 func ParseReply(in []byte) (r Reply, n int, err error) {
 	line, n, err := framing().Line(in)
 	if err != nil || n == 0 {
@@ -157,7 +156,7 @@
 	return r, bodySize
 }
 
-// ParseCommand takes the first command off in. n is its length; 0 while it is not complete.
+// ParseCommand parses the first command in in. n is its length, or 0 while it is incomplete.
 func ParseCommand(in []byte) (c Command, n int, err error) {
 	line, n, err := framing().Line(in)
 	if err != nil || n == 0 {
