--- a/cmd/pewterline/logs.go
+++ b/cmd/pewterline/logs.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"errors"
 	"fmt"
 	"io"
 	"os"
@@ -21,6 +22,8 @@
 	logFormJSON    = "json"
 )
 
+var errUnknownLogForm = errors.New("is neither json nor console")
+
 // textTimeLayout is the format of times in the text form.
 const textTimeLayout = "15:04:05.000000"
 
@@ -55,7 +58,7 @@
 	case logFormConsole:
 		encoder = zapcore.NewConsoleEncoder(cfg)
 	default:
-		return nil, fmt.Errorf("log: RELAY_LOG: %q is neither json nor console", form)
+		return nil, fmt.Errorf("log: RELAY_LOG: %q %w", form, errUnknownLogForm)
 	}
 	logger := zap.New(zapcore.NewCore(encoder, zapcore.Lock(zapcore.AddSync(out)), zap.InfoLevel))
 	if form != logFormText {
--- a/internal/config/replication.go
+++ b/internal/config/replication.go
@@ -91,6 +91,16 @@
 
 var errNoFolder = errors.New("folder: missing")
 
+// notMemberError is the error of a group that does not contain this server.
+type notMemberError struct {
+	serverID uint32 // of this server
+}
+
+// Error is part of error.
+func (e *notMemberError) Error() string {
+	return fmt.Sprintf("member: none has id %d, this server's own", e.serverID)
+}
+
 // check checks that the members form a valid group that contains this server.
 func (c Replication) check() error {
 	if c.Directory == "" {
@@ -101,7 +111,7 @@
 		return err
 	}
 	if !slices.ContainsFunc(c.Peers, func(peer consensus.Member) bool { return peer.ID == c.ServerID }) {
-		return fmt.Errorf("member: none has id %d, this server's own", c.ServerID)
+		return &notMemberError{serverID: c.ServerID}
 	}
 	return nil
 }
--- a/internal/frontend/thriftfrontend/calls.go
+++ b/internal/frontend/thriftfrontend/calls.go
@@ -16,8 +16,19 @@
 	errReusedSequenceID = fmt.Errorf("%w: two requests under one number", thrift.ErrInvalidFrame)
 	errUnknownMethod    = errors.New("no such method")
 	errOnewayRequest    = errors.New("a request must be a call")
+	errTooManyInFlight  = errors.New("requests are open already")
 )
 
+// bodyTooLargeError is the error of a request whose body is over maxBody.
+type bodyTooLargeError struct {
+	size int // in bytes
+}
+
+// Error is part of error.
+func (e *bodyTooLargeError) Error() string {
+	return fmt.Sprintf("body of %d bytes is over %d", e.size, maxBody)
+}
+
 // handle handles a call. An error closes the connection.
 func (s *session) handle(call thrift.Call) error {
 	s.lastActive = s.frontend.server.Now()
@@ -105,9 +116,9 @@
 	case call.Oneway:
 		return errOnewayRequest
 	case len(s.inFlight) >= MaxInFlight:
-		return fmt.Errorf("%d requests are open already", len(s.inFlight))
+		return fmt.Errorf("%d %w", len(s.inFlight), errTooManyInFlight)
 	case len(call.Body) > maxBody:
-		return fmt.Errorf("body of %d bytes is over %d", len(call.Body), maxBody)
+		return &bodyTooLargeError{size: len(call.Body)}
 	}
 	request, err := frontend.ReadRequest(s.frontend.server, func(field string) string { return call.Fields[field] })
 	if err != nil {
--- a/internal/protocol/gossip/gossip.go
+++ b/internal/protocol/gossip/gossip.go
@@ -46,6 +46,28 @@
 	ErrTooLarge = errors.New("gossip: message too large")
 )
 
+// VersionError is wrapped by the error of Parse about a message of another version.
+type VersionError struct {
+	Version int // of the message
+}
+
+// Error is part of error.
+func (e *VersionError) Error() string {
+	return fmt.Sprintf("version %d, ours is %d", e.Version, Version)
+}
+
+// countError is the error of a message with too many items of a kind.
+type countError struct {
+	count int
+	items string
+	limit int
+}
+
+// Error is part of error.
+func (e *countError) Error() string {
+	return fmt.Sprintf("%d %s are over %d", e.count, e.items, e.limit)
+}
+
 // Message is a gossip message: the sender's identity, its observations, and the peers that it knows.
 type Message struct {
 	Name         string
@@ -156,11 +178,11 @@
 	}
 	switch {
 	case decoded.Version != Version:
-		return decoded, fmt.Errorf("version %d, ours is %d", decoded.Version, Version)
+		return decoded, &VersionError{Version: decoded.Version}
 	case len(decoded.Observations) > MaxObservations:
-		return decoded, fmt.Errorf("%d observations are over %d", len(decoded.Observations), MaxObservations)
+		return decoded, &countError{count: len(decoded.Observations), items: "observations", limit: MaxObservations}
 	case len(decoded.Peers) > MaxPeers:
-		return decoded, fmt.Errorf("%d peers are over %d", len(decoded.Peers), MaxPeers)
+		return decoded, &countError{count: len(decoded.Peers), items: "peers", limit: MaxPeers}
 	}
 	return decoded, nil
 }
--- a/internal/protocol/thrift/reader.go
+++ b/internal/protocol/thrift/reader.go
@@ -17,8 +17,16 @@
 // fixedSizes are the sizes, in bytes, of the types with a fixed size.
 var fixedSizes = [...]int{typeBool: 1, typeByte: 1, typeI16: 2, typeI32: 4, typeI64: 8, typeDouble: 8}
 
-// reader decodes values from the front of a payload. The first failure stays in err; from then on it returns zero
-// values.
+// DecodeError is the error of a payload that is not a valid message.
+type DecodeError struct {
+	Reason string
+}
+
+// Error is part of error.
+func (e *DecodeError) Error() string { return "thrift: " + e.Reason }
+
+// reader decodes values from the front of a payload. The first failure stays in err, a *DecodeError; from then on it
+// returns zero values.
 type reader struct {
 	in  []byte
 	err error
@@ -26,7 +34,7 @@
 
 func (r *reader) fail(format string, args ...any) {
 	if r.err == nil {
-		r.err = fmt.Errorf("thrift: "+format, args...)
+		r.err = &DecodeError{Reason: fmt.Sprintf(format, args...)}
 	}
 	r.in = nil
 }
