--- a/internal/backend/workerpool/notices.go
+++ b/internal/backend/workerpool/notices.go
@@ -21,14 +21,14 @@
 type noticeSequence struct {
 	last            uint64 // the last notice that was read
 	begun           bool   // a new notice has been read on the current connection
-	ignoredMessages uint64 // messages to be ignored since the last notice, each of which has a number
+	ignoredMessages uint64 // messages without meaning since the last notice, each of which has a number
 	gap             uint64 // the number of the last notice that came out of order; 0: none has
 }
 
 // connectionChanged resets the state that belongs to a connection.
 func (s *noticeSequence) connectionChanged() { s.begun, s.ignoredMessages = false, 0 }
 
-// ignored records the number of a message that is to be ignored.
+// ignored records the number of a message without meaning.
 func (s *noticeSequence) ignored(number uint64) {
 	if number == s.last+s.ignoredMessages+1 {
 		s.ignoredMessages++
--- a/internal/peers/inbound.go
+++ b/internal/peers/inbound.go
@@ -16,7 +16,7 @@
 	greeted bool // the server has said hello
 	from    replicationwire.Hello
 	replies []consensus.Reply
-	pong    bool // a ping is to be answered
+	pong    bool // a ping is unanswered
 	notice  membershipNotice
 }
 
--- a/internal/server/handoff.go
+++ b/internal/server/handoff.go
@@ -37,7 +37,7 @@
 // handoffState is this process's part in a hot restart.
 type handoffState struct {
 	host         ProcessHost
-	otherProcess *peerSession // nil if there is no other process.
+	otherProcess *peerSession // nil if there is no other process
 }
 
 // UseProcessHost lets the server hand over to a successor, and take over from a predecessor.
--- a/internal/transport/limits.go
+++ b/internal/transport/limits.go
@@ -67,8 +67,8 @@
 	}
 }
 
-// SetLimits replaces the shared connection limit and the limit of the buffered bytes. Unidentified and idle
-// connections beyond the first are closed now; connections in use stay.
+// SetLimits replaces the shared connection limit and the limit of the buffered bytes. If more than maxConns are open,
+// unidentified and idle ones are closed now; connections in use stay.
 func (l *Loop) SetLimits(maxConns, maxBuffered int) {
 	shared := &l.accepted.shared
 	shared.limit, l.buffers.limit = maxConns, maxBuffered
