--- a/internal/admin/group.go
+++ b/internal/admin/group.go
@@ -14,7 +14,7 @@
 	"pewterline/internal/replication"
 )
 
-// maxExportedKeys bounds the keys in one response.
+// maxExportedKeys is the most keys in one response.
 const maxExportedKeys = 100
 
 // GroupState is the state of a replication group in a response, as JSON.
--- a/internal/replication/fs.go
+++ b/internal/replication/fs.go
@@ -4,7 +4,7 @@
 
 import "pewterline/internal/wal"
 
-// openFS returns the folder of a write-ahead log.
+// openFS returns the directory of a write-ahead log.
 func openFS(directory string) wal.FS { return wal.Dir(directory) }
 
 // minSnapshotThreshold is the least number of bytes of records that a snapshot replaces.
--- a/internal/replication/fs_faults.go
+++ b/internal/replication/fs_faults.go
@@ -12,8 +12,8 @@
 	"pewterline/internal/wal"
 )
 
-// openFS returns the folder of a write-ahead log on a disk that fails on demand, for tests with real processes. The
-// word in the file beside the folder, with the suffix ".fault", says how:
+// openFS returns the directory of a write-ahead log on a disk that fails on demand, for tests with real processes. A
+// file beside the directory, with the suffix ".fault", contains a word that selects the failure:
 //   - "sync": the next sync fails, and the file is renamed
 //   - "full": nothing more is written while the file is there
 //   - "slow": each sync takes slowSync
--- a/internal/replication/storage.go
+++ b/internal/replication/storage.go
@@ -45,8 +45,8 @@
 	return binary.BigEndian.Uint64(random[:])>>1 | 1, nil
 }
 
-// openStorage reads the log of a folder. An empty folder begins a new incarnation. snapshotThreshold is the least
-// number of bytes of records that a snapshot replaces.
+// openStorage opens the log in a directory. If the directory is empty, a new incarnation begins. snapshotThreshold is
+// the least number of bytes of records that a snapshot replaces.
 func openStorage(filesystem wal.FS, snapshotThreshold int) (*storage, error) {
 	log, recovery, err := wal.Open(filesystem, wal.Options{})
 	if err != nil {
--- a/internal/server/peer_session.go
+++ b/internal/server/peer_session.go
@@ -231,7 +231,8 @@
 	return p.connectionsAt
 }
 
-// sendConnectionCount tells the successor how many connections are open, so that both keep to one limit.
+// sendConnectionCount sends the number of open connections to the successor if it has changed, so that both processes
+// together keep to one limit.
 func (p *peerSession) sendConnectionCount() {
 	if open := p.server.clients.connections(); p.connections != open {
 		p.connections = open
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -187,8 +187,8 @@
 	return s.nextSweepAt
 }
 
-// WastedAttempts counts the attempts that failed because their log server was gone. It is 0 unless requests run on an
-// upstream.
+// WastedAttempts returns the number of attempts that got no response from their log server. It is 0 unless requests run
+// on an upstream.
 func (s *Server) WastedAttempts() int {
 	if s.backends.upstream == nil {
 		return 0
--- a/internal/wal/format.go
+++ b/internal/wal/format.go
@@ -144,7 +144,7 @@
 	return -1
 }
 
-// encodeSnapshot returns a whole snapshot file.
+// encodeSnapshot returns the content of a snapshot file.
 func encodeSnapshot(index uint64, state []byte) []byte {
 	out := binary.BigEndian.AppendUint64(encodeHeader(index), uint64(len(state)))
 	out = binary.BigEndian.AppendUint32(out, crc32.Checksum(state, castagnoli))
--- a/internal/wal/fs.go
+++ b/internal/wal/fs.go
@@ -17,7 +17,7 @@
 	List() ([]string, error)
 	// Create creates a file, or truncates the one of that name, and opens it for writing.
 	Create(name string) (File, error)
-	// Read returns the whole of a file.
+	// Read returns the content of a file.
 	Read(name string) ([]byte, error)
 	// Rename renames a file and replaces any file of the new name.
 	Rename(from, to string) error
