--- a/internal/decide/calls/silence.go
+++ b/internal/decide/calls/silence.go
@@ -77,8 +77,8 @@
 	return now + retireSilence
 }
 
-// abandonSilentCalls ends the idempotent calls on silent and retires it, if it has received nothing since before sentAt.
-// The caller has received the reply to a call that was sent at sentAt on another connection, so the service answers.
+// abandonSilentCalls ends the idempotent calls on silent and retires it, if it has received nothing since before
+// sentAt. A call that was sent at sentAt on another connection has been answered, so the service itself is alive.
 func (p *Pool) abandonSilentCalls(now microtime.Time, silent *conn, sentAt microtime.Time) {
 	since, waits := silent.silentSince()
 	if !silent.silent || !waits || sentAt < since {
