--- a/cmd/pewterline/logs.go
+++ b/cmd/pewterline/logs.go
@@ -101,13 +101,26 @@
 	if len(names) != len(args) {
 		return fmt.Sprintf(format, args...), nil
 	}
-	for i, name := range names {
-		name, _, _ = strings.Cut(name, "=")
-		fields = append(fields, zap.Any(name, args[i]))
+	for i, field := range names {
+		name, verb, _ := strings.Cut(field, "=")
+		fields = append(fields, lineField(name, verb, args[i]))
 	}
 	return match[1], fields
 }
 
+// lineField returns a field with a value of its own type if a log line has one for it, else as the verb formats it.
+func lineField(name, verb string, value any) zap.Field {
+	if verb == "%x" {
+		return zap.String(name, fmt.Sprintf(verb, value))
+	}
+	switch value := value.(type) {
+	case bool, string, int, int32, int64, uint32, uint64, float64, time.Duration, error:
+		return zap.Any(name, value)
+	default:
+		return zap.String(name, fmt.Sprint(value))
+	}
+}
+
 // splitPart cuts the part of the program off that a line begins with.
 func splitPart(message string) (part, rest string) {
 	part, rest, ok := strings.Cut(message, ": ")
--- a/internal/admin/session.go
+++ b/internal/admin/session.go
@@ -30,7 +30,8 @@
 	}
 	var failure *adminhttp.Error
 	if errors.As(err, &failure) {
-		s.handler.logf("admin: %s: %s %s: %v", s.conn.Remote(), request.Method, request.Path, failure)
+		s.handler.logf("admin: call rejected: peer=%s method=%s path=%s error=%v",
+			s.conn.Remote(), request.Method, request.Path, failure)
 		response = adminhttp.AppendError(nil, failure)
 	}
 	s.done = true
--- a/internal/backend/upstream/attempt.go
+++ b/internal/backend/upstream/attempt.go
@@ -187,7 +187,7 @@
 	case loadbalancer.ReportRejected:
 		b.decline(owner)
 	case loadbalancer.ReportIndeterminate:
-		b.logf("upstream: run %s: whether endpoint %s executed it is not known", owner.ID, failed.choice.Endpoint)
+		b.logf("upstream: not known whether an endpoint executed a run: run=%s endpoint=%s", owner.ID, failed.choice.Endpoint)
 		b.finish(owner, dispatch.RunIndeterminate, nil)
 	case loadbalancer.ReportFailed:
 		b.finish(owner, dispatch.RunFailed, nil)
--- a/internal/backend/workerpool/connection.go
+++ b/internal/backend/workerpool/connection.go
@@ -96,7 +96,7 @@
 		backend.current = nil
 		backend.synced = false
 		backend.checks.connectionChanged()
-		backend.logf("pool: connection lost, %d runs in flight", len(backend.runs))
+		backend.logf("pool: connection lost: runs_in_flight=%d", len(backend.runs))
 		if backend.candidate != nil {
 			backend.promote()
 			return
--- a/internal/backend/workerpool/messages.go
+++ b/internal/backend/workerpool/messages.go
@@ -53,7 +53,7 @@
 		return err
 	}
 	if lost > 0 {
-		b.logf("pool: notices %d to %d are lost", message.Notice-lost, message.Notice-1)
+		b.logf("pool: notices are lost: first=%d last=%d", message.Notice-lost, message.Notice-1)
 	}
 	r := b.runs[message.ID]
 	if r == nil || !r.spawn.sent() {
@@ -91,7 +91,7 @@
 
 // takeUnknown handles a command that was not carried out.
 func (b *Backend) takeUnknown(message pool.Message) {
-	b.logf("pool: %s %s was not carried out", message.Command, message.ID)
+	b.logf("pool: command was not carried out: command=%s run=%s", message.Command, message.ID)
 	switch message.Command {
 	case "poll":
 		// The answer of a pool without gauges also marks the end of the missed notices.
--- a/internal/backend/workerpool/resync.go
+++ b/internal/backend/workerpool/resync.go
@@ -93,7 +93,7 @@
 		switch {
 		case b.runs[r.ID] != r: // its notice has come
 		case r.Deadline <= now:
-			b.logf("pool: %s: whether it ran is not known", r.ID)
+			b.logf("pool: not known whether a run was executed: run=%s", r.ID)
 			b.finish(r.ID, dispatch.RunFailed, nil)
 			next = now
 		default:
--- a/internal/dispatch/apply.go
+++ b/internal/dispatch/apply.go
@@ -1,6 +1,8 @@
 package dispatch
 
 import (
+	"fmt"
+
 	"pewterline/control"
 	"pewterline/internal/microtime"
 )
@@ -9,7 +11,7 @@
 func (c *Core) apply(now microtime.Time, actions []control.Action) {
 	for _, action := range actions {
 		if !c.applyToRequest(now, action) && !c.applyToServer(now, action) {
-			c.logf("dispatch: action %T is not offered here", action)
+			c.logf("dispatch: action is not supported: action=%s", fmt.Sprintf("%T", action))
 		}
 	}
 	c.keys.endTurn()
--- a/internal/dispatch/calls.go
+++ b/internal/dispatch/calls.go
@@ -77,7 +77,7 @@
 	}
 	class := c.class(req)
 	if req.call.made && !calls.MayRepeat(class.Idempotency, req.call.lastOutcome) {
-		c.logf("dispatch: call of %s withheld: the one before may have run", req.RunID)
+		c.logf("dispatch: call withheld, the one before may have run: run=%s", req.RunID)
 		c.respond(req, failed(reasonCallUncertain))
 		// The decision module takes the call for made.
 		c.events = append(c.events, control.RequestCancelled{ID: req.id})
--- a/internal/dispatch/execution.go
+++ b/internal/dispatch/execution.go
@@ -146,7 +146,7 @@
 		c.keys.markIndeterminate(entry, req.ArrivedAt+c.retentionWindow(req.Class))
 		c.finishAll(entry, req, RunIndeterminate, nil)
 	case lease.Verdict == VerdictUnavailable:
-		c.logf("dispatch: key %q is not run, as it is not on record that it may be: %v", entry.key.text, lease.Err)
+		c.logf("dispatch: request is not run without a lease on record: key=%q error=%v", entry.key.text, lease.Err)
 		c.RunDeclined(req.RunID, storeRetryAfter, false)
 	case req.answered && len(entry.waiters) == 0: // It is too late, and nobody waits.
 		c.RunFinished(req.RunID, RunNotStarted, nil)
@@ -206,7 +206,7 @@
 	c.store.RecordResult(entry.keyedRequest(), func(err error) {
 		entry.recording = false
 		if err != nil {
-			c.logf("dispatch: result of key %q is not on record: %v", entry.key.text, err)
+			c.logf("dispatch: result is not on record: key=%q error=%v", entry.key.text, err)
 			c.finishAll(entry, req, RunFailed, nil)
 			return
 		}
--- a/internal/dispatch/run.go
+++ b/internal/dispatch/run.go
@@ -18,7 +18,7 @@
 		return
 	}
 	if req.entry != nil && !req.entry.claim(req) {
-		c.logf("dispatch: run of %s withheld: its key has run", req.RunID)
+		c.logf("dispatch: run withheld, its key has run: run=%s", req.RunID)
 		c.replay(req)
 		return
 	}
--- a/internal/peers/exchange.go
+++ b/internal/peers/exchange.go
@@ -104,7 +104,7 @@
 	x.links.Add(link)
 	x.accepted++
 	if x.accepted > maxExchangeConns {
-		x.config.Logf("exchange: %s rejected: %d connections are open", conn.Remote(), x.accepted-1)
+		x.config.Logf("exchange: connection rejected, too many are open: peer=%s open=%d", conn.Remote(), x.accepted-1)
 		conn.Close()
 	}
 	return link
@@ -131,7 +131,7 @@
 	sender := loadbalancer.GossipSender{Name: message.Name, Uptime: message.Uptime}
 	result := x.config.Balancer.ApplyGossip(now, x.config.Name, sender, message.Observations)
 	if result.Err != nil {
-		x.config.Logf("exchange: %s: %d of %d observations are invalid, the first: %v",
+		x.config.Logf("exchange: invalid observations: peer=%s invalid=%d observations=%d first_error=%v",
 			remote, result.Invalid, len(message.Observations), result.Err)
 	}
 	for _, peer := range message.Peers {
@@ -191,7 +191,7 @@
 	encoded, err := gossip.Append(x.scratch[:0], x.message(x.loop.Now(), wantsReply))
 	x.scratch = encoded
 	if err != nil {
-		x.config.Logf("exchange: a message to %s is dropped: %v", l.conn.Remote(), err)
+		x.config.Logf("exchange: message dropped: peer=%s error=%v", l.conn.Remote(), err)
 		return
 	}
 	l.conn.Write(encoded)
--- a/internal/peers/links.go
+++ b/internal/peers/links.go
@@ -151,7 +151,7 @@
 func (l *Links) write(conn transport.Conn, message replicationwire.Message) {
 	encoded, err := replicationwire.Append(nil, message)
 	if err != nil {
-		l.logf("peers: a message to %s is dropped: %v", conn.Remote(), err)
+		l.logf("peers: message dropped: peer=%s error=%v", conn.Remote(), err)
 		return
 	}
 	conn.Write(encoded)
--- a/internal/peers/outbound.go
+++ b/internal/peers/outbound.go
@@ -67,7 +67,8 @@
 func (o *outboundLink) check(now microtime.Time) microtime.Time {
 	switch {
 	case o.conn != nil && now >= o.lastReadAt+silenceTimeout:
-		o.links.logf("peers: server %d at %s has not answered for %v", o.id, o.address, silenceTimeout.Duration())
+		o.links.logf("peers: no answer from a server: server=%d address=%s silent_for=%v",
+			o.id, o.address, silenceTimeout.Duration())
 		o.conn.Close() // closed follows
 	case o.conn != nil:
 		o.flush(now)
--- a/internal/replication/lease.go
+++ b/internal/replication/lease.go
@@ -18,7 +18,8 @@
 	case execution.StateIdle, execution.StateReleasing, execution.StateRecorded:
 		r.step(request, execution.EventAttemptArrived, consensus.Value{})
 	default:
-		r.config.Logf("replication: lease of %q requested in state %v", attempt.Key, request.lifecycle.State)
+		r.config.Logf("replication: lease requested in an unexpected state: key=%q state=%v",
+			attempt.Key, request.lifecycle.State)
 		r.report(request, execution.ActionReportIndeterminate, consensus.Value{})
 	}
 }
@@ -35,7 +36,7 @@
 func (r *Replica) Complete(key string, succeeded bool, result []byte, done func(Outcome)) {
 	request := r.requests.byKey[key]
 	if request == nil || !mayComplete(request.lifecycle.State) {
-		r.config.Logf("replication: a run of %q ended without a lease", key)
+		r.config.Logf("replication: run ended without a lease: key=%q", key)
 		done(Outcome{Action: execution.ActionReportUnrecorded})
 		return
 	}
--- a/internal/replication/membership.go
+++ b/internal/replication/membership.go
@@ -126,8 +126,8 @@
 	forcedAt := r.config.UnixMilli(now) + forceSlackMilli
 	err := r.node.ForceMembership(now, keep, forcedAt, reasonOr(reason, fmt.Sprintf(reasonForced, keep)))
 	if err == nil {
-		r.config.Logf("replication: LOSS: the group goes on with servers %v alone; what only others held is lost, "+
-			"and no key without a record runs before %d", keep, forcedAt+r.retentionMilli)
+		r.config.Logf("replication: LOSS, the group goes on without lost servers and what only they "+
+			"held: servers=%v no_unknown_key_before_unix_ms=%d", keep, forcedAt+r.retentionMilli)
 	}
 	return r.flushAfter(err)
 }
--- a/internal/replication/recovery.go
+++ b/internal/replication/recovery.go
@@ -48,7 +48,8 @@
 	if failed != r.storage || r.broken {
 		return
 	}
-	r.config.Logf("replication: the disk has failed: %v; this server does not vote until its log is opened again", err)
+	r.config.Logf("replication: the disk has failed, this server does not vote until its log is "+
+		"opened again: error=%v", err)
 	r.broken = true
 	r.reopenAt = r.loop.Now() + reopenInterval
 	r.counters.DiskFailures++
@@ -60,11 +61,12 @@
 	_ = r.storage.close() // it has failed already; a second error adds nothing
 	opened, err := r.openConfiguredStorage()
 	if err != nil {
-		r.config.Logf("%v", err)
+		r.config.Logf("replication: the log cannot be opened: error=%v", err)
 		return
 	}
 	if opened.state.incarnation != r.node.AcceptorID.Incarnation {
-		r.config.Logf("replication: %s holds another incarnation; this server does not vote until it is restarted",
+		r.config.Logf("replication: the folder holds another incarnation, this server does not vote until it is "+
+			"restarted: folder=%s",
 			r.config.Directory)
 		_ = opened.close() // at most its new incarnation was written to it
 		return
@@ -73,7 +75,7 @@
 	r.broken = false
 	r.attachStorage()
 	r.node.Restore(opened.registers())
-	r.config.Logf("replication: the log is opened again, %d keys held", r.node.KeyCount())
+	r.config.Logf("replication: the log is opened again: keys=%d", r.node.KeyCount())
 }
 
 // expire forgets outcomes whose retention is over, in memory and on disk, and lets the storage compact its log.
--- a/internal/replication/replica.go
+++ b/internal/replication/replica.go
@@ -56,7 +56,7 @@
 		return nil, errors.Join(fmt.Errorf("replication: %w", err), replica.storage.close())
 	}
 	node := replica.node
-	config.Logf("replication: server %d, incarnation %x, process %x, membership %v, %d keys held",
+	config.Logf("replication: opened: server=%d incarnation=%x process=%x membership=%v keys=%d",
 		config.ID, node.AcceptorID.Incarnation, node.ProposerID.Incarnation, node.Membership(), node.KeyCount())
 	return replica, nil
 }
@@ -123,7 +123,7 @@
 
 // PeerStateChanged implements peers.Handler.
 func (r *Replica) PeerStateChanged(id uint32, up bool) {
-	r.config.Logf("replication: server %d is reachable: %v", id, up)
+	r.config.Logf("replication: reachability of a server changed: server=%d reachable=%v", id, up)
 	r.node.SetReachable(id, up)
 }
 
@@ -132,7 +132,7 @@
 	now := r.loop.Now()
 	if message.Membership != nil {
 		if err := r.node.AdoptMembership(now, *message.Membership); err != nil {
-			r.config.Logf("replication: membership from server %d: %v", from.ID, err)
+			r.config.Logf("replication: membership of another server rejected: server=%d error=%v", from.ID, err)
 		}
 	}
 	for _, ack := range message.TransferAcks {
@@ -184,7 +184,7 @@
 			return
 		}
 		if ready.Membership != nil {
-			r.config.Logf("replication: membership %v", ready.Membership)
+			r.config.Logf("replication: membership changed: membership=%v", ready.Membership)
 			r.connect()
 		}
 		r.persistAndSend(ready)
--- a/internal/server/admin.go
+++ b/internal/server/admin.go
@@ -26,7 +26,7 @@
 		return nil
 	}
 	s.outOfService = !inService
-	s.logf("admin: in service: %v, %d requests are open", inService, s.core.OpenRequests())
+	s.logf("admin: service state set: in_service=%v open=%d", inService, s.core.OpenRequests())
 	if s.handoff.otherProcess != nil { // the command concerns the log server, not just this process
 		s.handoff.otherProcess.send(upgrade.Message{Kind: upgrade.ServiceChanged, OutOfService: s.outOfService})
 	}
--- a/internal/server/database_store.go
+++ b/internal/server/database_store.go
@@ -47,7 +47,7 @@
 		}
 	}
 	s.core.UseExecutionStore(&databaseStore{server: s, records: records, open: map[recordKey]*execution.Lifecycle{}})
-	s.logf("server: %d executions restored, of %d it is not known whether they ran", len(restored), indeterminate)
+	s.logf("server: executions restored: restored=%d indeterminate=%d", len(restored), indeterminate)
 	return nil
 }
 
@@ -157,7 +157,7 @@
 	}
 	c.forgetEnded()
 	if event == execution.EventUnavailable && c.lifecycle.State == execution.StateIdle {
-		c.store.server.logf("server: the intent of %q, which did not run, stays on record: %v",
+		c.store.server.logf("server: the intent of a request that did not run stays on record: key=%q error=%v",
 			c.key.idempotencyKey, c.err)
 	}
 }
--- a/internal/server/handoff.go
+++ b/internal/server/handoff.go
@@ -52,7 +52,7 @@
 			return err
 		}
 	}
-	s.logf("server: %d messages of the predecessor taken up; it owns the keys until it hands over", len(messages))
+	s.logf("server: messages of the predecessor applied, it owns the keys until it hands over: messages=%d", len(messages))
 	return nil
 }
 
@@ -83,7 +83,7 @@
 	s.handoff.otherProcess.ownershipPassed = true
 	s.handoff.otherProcess.send(upgrade.Message{Kind: upgrade.OwnershipTransferred})
 	s.clients.drain(now)
-	s.logf("server: handed over with %d requests and %d connections open, to stop within %v",
+	s.logf("server: handed over: open_requests=%d open_connections=%d stop_within=%v",
 		s.core.OpenRequests(), s.clients.connections(), (s.shutdown.stopAt - now).Duration())
 }
 
@@ -123,7 +123,7 @@
 	}
 	lingerEnd := s.shutdown.handedOverAt + handoffLinger
 	if now >= lingerEnd && s.idle() || now >= s.shutdown.stopAt {
-		s.logf("server: stopping after the handoff and %d requests, %d are open",
+		s.logf("server: stopping after the handoff: requests=%d open=%d",
 			s.clients.submitted, s.core.OpenRequests())
 		s.stopLoop(now)
 		return microtime.Never
--- a/internal/server/peer_session.go
+++ b/internal/server/peer_session.go
@@ -68,7 +68,7 @@
 		return
 	}
 	s.handoff.otherProcess = nil
-	s.logf("server: the %s is gone, ownership passed: %v", p.role(), p.ownershipPassed)
+	s.logf("server: the other process of the restart is gone: role=%s ownership_passed=%v", p.role(), p.ownershipPassed)
 	s.core.PeerLost()
 	s.handoff.host.ShareLimits(-1)
 	if !p.successor && !p.ownershipPassed {
@@ -123,7 +123,7 @@
 		server.core.TakeOwnership()
 	case upgrade.ServiceChanged:
 		server.outOfService = message.OutOfService
-		server.logf("server: in service: %v, by a command to the %s", !message.OutOfService, p.role())
+		server.logf("server: service state set at the other process: in_service=%v role=%s", !message.OutOfService, p.role())
 	case upgrade.ConnectionCount:
 		server.handoff.host.ShareLimits(message.Connections)
 	default:
@@ -168,7 +168,7 @@
 	server := p.server
 	p.conn.MarkIdentified()
 	if reason := server.rejectSuccessor(hello.Name); reason != "" {
-		server.logf("server: a successor is rejected: %s", reason)
+		server.logf("server: a successor is rejected: reason=%s", reason)
 		p.send(upgrade.Message{Kind: upgrade.Reject, Reason: reason})
 		p.conn.Close()
 		return
@@ -220,7 +220,7 @@
 // disconnected, because it would block further upgrades.
 func (p *peerSession) check(now microtime.Time) microtime.Time {
 	if !p.keysSent && now >= p.startedAt+keySyncTimeout {
-		p.server.logf("server: the successor has not received all keys within %v", keySyncTimeout.Duration())
+		p.server.logf("server: the successor has not received all keys in time: timeout=%v", keySyncTimeout.Duration())
 		p.conn.Close()
 		return microtime.Never
 	}
--- a/internal/server/reload.go
+++ b/internal/server/reload.go
@@ -59,7 +59,7 @@
 	s.cfg.ShutdownTimeout = next.ShutdownTimeout
 	s.cfg.Document = next.Document
 	s.logUnappliedKeys(next)
-	s.logf("server: configuration reloaded: pool %s, vault %q, control %s, classes %s",
+	s.logf("server: configuration reloaded: pool=%s vault=%s control=%s classes=%s",
 		s.cfg.PoolAddress, s.cfg.VaultAddress, s.cfg.ControlAddress, strings.Join(s.classNames(), " "))
 	return nil
 }
@@ -111,7 +111,7 @@
 	}
 	s.cfg.Fleet.Members = endpoints
 	s.backends.upstream.UpdateEndpoints(endpoints)
-	s.logf("server: configuration reloaded: %d log servers", len(endpoints))
+	s.logf("server: list of log servers reloaded: endpoints=%d", len(endpoints))
 }
 
 // logUnappliedKeys logs each key of the configuration that has changed and takes effect only at the next restart.
@@ -129,7 +129,7 @@
 		{"limits.sockets", next.SocketLimit != s.cfg.SocketLimit},
 	} {
 		if setting.changed {
-			s.logf("server: configuration reloaded: %s takes effect at the next restart", setting.key)
+			s.logf("server: changed key takes effect at the next restart: key=%s", setting.key)
 		}
 	}
 }
--- a/internal/server/replicated_store.go
+++ b/internal/server/replicated_store.go
@@ -79,7 +79,7 @@
 		}
 		return dispatch.LeaseResult{Verdict: dispatch.VerdictUnavailable, Err: errLeaseNoQuorum}
 	default:
-		r.server.logf("replication: %q: not known whether it ran, until %d",
+		r.server.logf("replication: not known whether the request ran: key=%q until_unix_ms=%d",
 			request.IdempotencyKey, outcome.RetryAtMilli)
 		return dispatch.LeaseResult{Verdict: dispatch.VerdictIndeterminate}
 	}
--- a/internal/server/shutdown.go
+++ b/internal/server/shutdown.go
@@ -70,7 +70,7 @@
 	s.shutdown.stage, s.shutdown.notifiedAt = draining, notifiedAt
 	s.shutdown.stopWithin(notifiedAt, s.cfg.ShutdownTimeout)
 	s.core.Drain(now, notifiedAt, s.shutdown.stopAt)
-	s.logf("server: draining, to stop within %v", (s.shutdown.stopAt - now).Duration())
+	s.logf("server: draining: stop_within=%v", (s.shutdown.stopAt - now).Duration())
 }
 
 // continueDrain ends a draining process once every request that was read is answered. New requests are accepted until
@@ -87,7 +87,7 @@
 		s.clients.drain(now)
 	}
 	if (s.drained() || now >= s.shutdown.stopAt) && !s.shutdown.loopStopped {
-		s.logf("server: drained after %d requests, %d are open", s.clients.submitted, s.core.OpenRequests())
+		s.logf("server: drained: requests=%d open=%d", s.clients.submitted, s.core.OpenRequests())
 		s.stopLoop(now)
 	}
 	switch {
--- a/internal/transport/buffers.go
+++ b/internal/transport/buffers.go
@@ -41,7 +41,8 @@
 	if largest.group == nil || largest.closing {
 		return
 	}
-	l.logf("transport: %s closed: it has %d of %d buffered bytes", largest.Remote(), largest.buffered, l.buffers.used)
+	l.logf("transport: connection closed, it has most of the buffered bytes: peer=%s bytes=%d total_bytes=%d",
+		largest.Remote(), largest.buffered, l.buffers.used)
 	largest.outgoing = nil
 	largest.Close()
 }
--- a/internal/transport/connection.go
+++ b/internal/transport/connection.go
@@ -45,7 +45,7 @@
 	c.lastActive = l.now
 	// A peer may send faster than its session consumes.
 	if len(c.received)+len(in) > maxReceived {
-		l.logf("transport: %s closed: over %d bytes are unconsumed", c.Remote(), maxReceived)
+		l.logf("transport: connection closed, too much is unconsumed: peer=%s limit_bytes=%d", c.Remote(), maxReceived)
 		c.Close() // after its unsent responses
 		return true
 	}
@@ -60,7 +60,7 @@
 func (c *Connection) deliver() bool {
 	n, err := c.session.Receive(c.received)
 	if err != nil {
-		c.loop.logf("transport: %s closed: %v", c.Remote(), err)
+		c.loop.logf("transport: connection closed: peer=%s error=%v", c.Remote(), err)
 		c.Close()
 		// Responses that are already written, such as the protocol's own error, are sent now: the session must be
 		// notified before the turn goes on.
@@ -103,7 +103,7 @@
 	c.scheduleFlush()
 	// This limits the unsent bytes of one turn, as send does over turns: one turn may bring many large responses.
 	if len(c.outgoing)+len(data) > maxOutgoing {
-		c.loop.logf("transport: %s closed: over %d bytes are unsent", c.Remote(), maxOutgoing)
+		c.loop.logf("transport: connection closed, too much is unsent: peer=%s limit_bytes=%d", c.Remote(), maxOutgoing)
 		c.outgoing, c.closing = c.outgoing[:0], true
 		return
 	}
@@ -152,7 +152,7 @@
 	}
 	// A peer may send requests without reading the responses.
 	if n := c.raw.Unsent(); n > maxOutgoing {
-		c.loop.logf("transport: %s closed: %d bytes are unread", c.Remote(), n)
+		c.loop.logf("transport: connection closed, too much is unread: peer=%s bytes=%d", c.Remote(), n)
 		c.raw.Close()
 		return false
 	}
--- a/internal/transport/identification.go
+++ b/internal/transport/identification.go
@@ -45,7 +45,7 @@
 		if overdue == nil {
 			return next
 		}
-		l.logf("transport: %s closed: no valid message within the identification timeout", overdue.Remote())
+		l.logf("transport: connection closed, no valid message within the identification timeout: peer=%s", overdue.Remote())
 		overdue.Close()
 	}
 }
--- a/internal/transport/limits.go
+++ b/internal/transport/limits.go
@@ -85,7 +85,7 @@
 	// Without a limit the process could run out of descriptors, and then the driver may stop to listen altogether.
 	group := l.accepted.of(listener)
 	if group.full() && !l.evict(group) {
-		l.logf("transport: %s rejected: %d connections are open, all in use", raw.Remote(), group.inUse())
+		l.logf("transport: connection rejected, all are in use: peer=%s open=%d", raw.Remote(), group.inUse())
 		return nil
 	}
 	if len(group.conns) >= group.limit+maxLingeringConns {
@@ -107,7 +107,7 @@
 	if victim == nil {
 		return false
 	}
-	l.logf("transport: %s evicted: %d connections are open", victim.Remote(), group.inUse())
+	l.logf("transport: connection evicted: peer=%s open=%d", victim.Remote(), group.inUse())
 	victim.Close()
 	victim.flush() // now: the new connection needs the capacity
 	return true
--- a/internal/transport/loop.go
+++ b/internal/transport/loop.go
@@ -75,7 +75,7 @@
 	l.turnPending = true
 	l.now = l.driver.Now()
 	if err := l.driver.Queue(l.endTurn); err != nil {
-		l.logf("transport: turn not queued: %v", err)
+		l.logf("transport: turn not queued: error=%v", err)
 	}
 }
 
--- a/internal/transport/sockets/events.go
+++ b/internal/transport/sockets/events.go
@@ -39,7 +39,7 @@
 		if addr != "" {
 			var err error
 			if found, err = findListener(engine, addr); err != nil {
-				d.options.Logf("transport: %s: %v", addr, err)
+				d.options.Logf("transport: address cannot be dialled: address=%s error=%v", addr, err)
 			}
 		}
 		d.listeners = append(d.listeners, found)
--- a/internal/transport/sockets/listener.go
+++ b/internal/transport/sockets/listener.go
@@ -197,7 +197,7 @@
 
 // logListenerError logs an error in the closing of a listener.
 func (d *driver) logListenerError(err error) {
-	d.options.Logf("transport: close listener: %v", err)
+	d.options.Logf("transport: close listener: error=%v", err)
 }
 
 // acceptWaiting accepts at most acceptBatch queued connections of a listener.
--- a/internal/transport/sockets/socket.go
+++ b/internal/transport/sockets/socket.go
@@ -108,7 +108,7 @@
 				return
 			}
 			if err := l.driver.register(conn, &socket{driver: l.driver, listener: index}); err != nil {
-				l.driver.options.Logf("transport: %v", err)
+				l.driver.options.Logf("transport: error of the event loop: error=%v", err)
 			}
 		}
 	}()
--- a/internal/vaultclient/client.go
+++ b/internal/vaultclient/client.go
@@ -133,7 +133,7 @@
 		case calls.Complete:
 			c.ended = append(c.ended, action)
 		case calls.ReportSilence:
-			c.logf("vault: a connection with %d calls has been silent for %v", action.Calls, action.Duration.Duration())
+			c.logf("vault: connection is silent: calls=%d duration=%v", action.Calls, action.Duration.Duration())
 		}
 	}
 }
@@ -143,7 +143,7 @@
 // opened adds a connection that was dialled.
 func (c *Client) opened(conn transport.Conn) transport.Session {
 	if !c.reachable {
-		c.logf("vault: %s is reachable again", c.address)
+		c.logf("vault: reachable again: address=%s", c.address)
 	}
 	c.reachable = true
 	opened := &connection{client: c, conn: conn, id: c.pool.Opened(c.loop.Now())}
@@ -155,7 +155,7 @@
 // dialFailed handles the failure of a dial.
 func (c *Client) dialFailed() {
 	if c.reachable {
-		c.logf("vault: %s is not reachable, %d calls wait", c.address, c.Status().Waiting)
+		c.logf("vault: not reachable: address=%s waiting_calls=%d", c.address, c.Status().Waiting)
 	}
 	c.reachable = false
 	c.pool.DialFailed()
--- a/internal/vaultclient/connection.go
+++ b/internal/vaultclient/connection.go
@@ -76,7 +76,7 @@
 	client := c.client
 	delete(client.conns, c.id)
 	if lost := client.pool.ConnClosed(c.id); lost > 0 {
-		client.logf("vault: connection lost with %d calls in flight", lost)
+		client.logf("vault: connection lost: calls_in_flight=%d", lost)
 	}
 	client.carryOut()
 }
