--- a/internal/testbed/processtest/play_check.go
+++ b/internal/testbed/processtest/play_check.go
@@ -15,7 +15,7 @@
 // What a process logs once it serves, and once its predecessor has told it what is known.
 const (
 	servingLog   = "INFO serving"
-	inheritedLog = "messages of the predecessor taken up"
+	inheritedLog = "messages of the predecessor applied"
 )
 
 // expectedResult returns the result of a request that was served.
