--- a/cmd/pewterline/upgrade_test.go
+++ b/cmd/pewterline/upgrade_test.go
@@ -386,7 +386,7 @@
 			"settings": set,
 		}))
 		require.NoError(t, process.Signal(syscall.SIGHUP))
-		awaitLog(t, process, "classes grape-count block-view lot-intake")
+		awaitLog(t, process, `"classes": "grape-count block-view lot-intake"`)
 	}
 	reload(next, next.Pool.Addr())
 	require.NoError(t, old.Signal(syscall.SIGTERM))
--- a/internal/backend/upstream/attempt_test.go
+++ b/internal/backend/upstream/attempt_test.go
@@ -58,7 +58,8 @@
 		conn, holder := edge.accept()
 		conn.session.Closed()
 		edge.requireFinished(finishedRun{"a", dispatch.RunIndeterminate, ""})
-		require.Equal(t, []string{"upstream: not known whether an endpoint executed a run: run=a endpoint=" + holder}, edge.logged)
+		want := "upstream: not known whether an endpoint executed a run: run=a endpoint=" + holder
+		require.Equal(t, []string{want}, edge.logged)
 		edge.start("b", keyedClass, "k1")
 		_, address := edge.accept()
 		require.Equal(t, holder, address, "a repeat goes where it may have been executed")
--- a/internal/server/peer_session.go
+++ b/internal/server/peer_session.go
@@ -63,16 +63,20 @@
 
 // Closed is part of transport.Session. The other process has ended, or the link to it is broken.
 func (p *peerSession) Closed() {
-	s := p.server
-	if s.handoff.otherProcess != p {
+	server := p.server
+	if server.handoff.otherProcess != p {
 		return
 	}
-	s.handoff.otherProcess = nil
-	s.logf("server: the other process of the restart is gone: role=%s ownership_passed=%v", p.role(), p.ownershipPassed)
-	s.core.PeerLost()
-	s.handoff.host.ShareLimits(-1)
+	server.handoff.otherProcess = nil
+	if p.successor {
+		server.logf("server: the successor is gone: ownership_passed=%v", p.ownershipPassed)
+	} else {
+		server.logf("server: the predecessor is gone: ownership_passed=%v", p.ownershipPassed)
+	}
+	server.core.PeerLost()
+	server.handoff.host.ShareLimits(-1)
 	if !p.successor && !p.ownershipPassed {
-		s.handoff.host.Orphaned()
+		server.handoff.host.Orphaned()
 	}
 }
 
