--- a/cmd/pewterline/log_messages_test.go
+++ b/cmd/pewterline/log_messages_test.go
@@ -125,6 +125,9 @@
 		return // the texts of the decision module, which collectLogAction finds
 	}
 	found := logMessage{level: level, fields: logFields(message, call.Args[1:])}
+	if level == "info" && strings.HasSuffix(found.fields, "error") {
+		found.level = "warn" // as logs.Logf has it
+	}
 	if match := fieldsFormat.FindStringSubmatch(message); match != nil {
 		message = match[1]
 	}
--- a/cmd/pewterline/logs.go
+++ b/cmd/pewterline/logs.go
@@ -70,7 +70,8 @@
 
 // Logf writes a line of another package, each kind of them at a bounded rate: callers that would have a line written
 // for each of their messages must not take the time that proxies need. What was left out is counted in the next line
-// of its kind. A format such as "part: message: key=%v other_key=%d" is a constant message with fields.
+// of its kind. A format such as "part: message: key=%v other_key=%d" is a constant message with fields; a line with an
+// error among them is a warning.
 func (l *logs) Logf(format string, args ...any) {
 	omitted, allowed := l.limiter.allow(format)
 	if !allowed {
@@ -85,7 +86,17 @@
 	if omitted > 0 {
 		fields = append(fields, zap.Int("omitted", omitted))
 	}
-	l.logger.Info(message, fields...)
+	l.logger.Log(levelOf(fields), message, fields...)
+}
+
+// levelOf is warn for a line that names an error, and info for any other.
+func levelOf(fields []zap.Field) zapcore.Level {
+	for _, field := range fields {
+		if field.Type == zapcore.ErrorType {
+			return zapcore.WarnLevel
+		}
+	}
+	return zapcore.InfoLevel
 }
 
 // fieldsFormat matches a format with a constant message and fields behind it.
--- a/cmd/pewterline/logs_test.go
+++ b/cmd/pewterline/logs_test.go
@@ -101,17 +101,17 @@
 	}{
 		{"fields", "ajp: request rejected: peer=%s status=%d error=%v",
 			[]any{"127.0.0.1:1", 400, fmt.Errorf("rank: %q", "x")},
-			`ajp: request rejected {"peer": "127.0.0.1:1", "status": 400, "error": "rank: \"x\""}`},
-		{"one field", "ajp: shutdown ignored: peer=%s", []any{"p"}, `ajp: shutdown ignored {"peer": "p"}`},
-		{"text", "pool: connection lost, %d runs in flight", []any{2}, "pool: connection lost, 2 runs in flight"},
-		{"text before a field", "pool: %s: n=%d", []any{"a", 2}, "pool: a: n=2"},
+			`WARN ajp: request rejected {"peer": "127.0.0.1:1", "status": 400, "error": "rank: \"x\""}`},
+		{"one field", "ajp: shutdown ignored: peer=%s", []any{"p"}, `INFO ajp: shutdown ignored {"peer": "p"}`},
+		{"text", "pool: connection lost, %d runs in flight", []any{2}, "INFO pool: connection lost, 2 runs in flight"},
+		{"text before a field", "pool: %s: n=%d", []any{"a", 2}, "INFO pool: a: n=2"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			var out bytes.Buffer
 			logs, err := newLogs(logFormText, &out)
 			require.NoError(t, err)
 			logs.Logf(tc.format, tc.args...)
-			_, text, _ := strings.Cut(strings.TrimSuffix(out.String(), "\n"), " INFO ")
+			_, text, _ := strings.Cut(strings.TrimSuffix(out.String(), "\n"), " ")
 			require.Equal(t, tc.want, text)
 		})
 	}
