--- a/internal/server/database_store.go
+++ b/internal/server/database_store.go
@@ -80,9 +80,9 @@
 	})
 }
 
-// Release is part of dispatch.ExecutionStore. If the write is lost, the intent stays on record, and a retry after a
-// restart fails: the server can no longer know that the request never ran.
-func (d *databaseStore) Release(request dispatch.KeyedRequest) {
+// ReleaseLease is part of dispatch.ExecutionStore. If the write is lost, the intent stays on record, and a retry after
+// a restart fails: the server can no longer know that the request never ran.
+func (d *databaseStore) ReleaseLease(request dispatch.KeyedRequest) {
 	d.apply(request, execution.EventRunNotStarted, func(execution.Action, error) {})
 }
 
--- a/internal/testbed/sim/tables_test.go
+++ b/internal/testbed/sim/tables_test.go
@@ -173,7 +173,7 @@
 	})
 	flatCase{script: script, minRequests: 30_000, tables: []string{
 		"control.retainedKeys.keys", "control.requestTable.byID", "control.idleConnections.lastSeen",
-		"control.classState.latencies", "dispatch.keyTable.byKey", "dispatch.keyTable.byHolder",
+		"control.classState.latencies", "dispatch.keyTable.byKey", "dispatch.keyTable.byOriginal",
 		"dispatch.tickSchedule.ticks", "workerpool.Backend.runs", "transport.connGroup.conns",
 		"transport.Connection.received",
 	}}.requireFlat(t)
