--- a/cmd/pewterline/logs.go
+++ b/cmd/pewterline/logs.go
@@ -73,7 +73,8 @@
 
 // Logf writes a line of another package, and limits the rate of each kind of line: peers that cause a line with each
 // message must not cost the server the time that proxies need. The next line of a kind has the number of omitted ones.
-// A format such as "part: message: key=%v other_key=%d" is a constant message with fields.
+// A format such as "part: message: key=%v other_key=%d" is a constant message with fields; a line with an error among
+// them is a warning.
 func (l *logs) Logf(format string, args ...any) {
 	omitted, allowed := l.limiter.allow(format)
 	if !allowed {
@@ -88,7 +89,17 @@
 	if omitted > 0 {
 		fields = append(fields, zap.Int("omitted", omitted))
 	}
-	l.logger.Info(message, fields...)
+	l.logger.Log(levelOf(fields), message, fields...)
+}
+
+// levelOf is warn for a line that names an error, and info for any other.
+func levelOf(fields []zap.Field) zapcore.Level {
+	for _, field := range fields {
+		if field.Type == zapcore.ErrorType {
+			return zapcore.WarnLevel
+		}
+	}
+	return zapcore.InfoLevel
 }
 
 // fieldsFormat matches a format with a constant message and fields behind it.
@@ -104,13 +115,26 @@
 	if len(names) != len(args) {
 		return fmt.Sprintf(format, args...), nil
 	}
-	for i, name := range names {
-		name, _, _ = strings.Cut(name, "=")
-		fields = append(fields, zap.Any(name, args[i]))
+	for i, field := range names {
+		name, verb, _ := strings.Cut(field, "=")
+		fields = append(fields, lineField(name, verb, args[i]))
 	}
 	return match[1], fields
 }
 
+// lineField returns a field with a value of its own type if a log line has one for it, else as the verb formats it.
+func lineField(name, verb string, value any) zap.Field {
+	if verb == "%x" {
+		return zap.String(name, fmt.Sprintf(verb, value))
+	}
+	switch value := value.(type) {
+	case bool, string, int, int32, int64, uint32, uint64, float64, time.Duration, error:
+		return zap.Any(name, value)
+	default:
+		return zap.String(name, fmt.Sprint(value))
+	}
+}
+
 // splitPart splits a line into its prefix, which names a part of the program, and the rest.
 func splitPart(message string) (part, rest string) {
 	part, rest, ok := strings.Cut(message, ": ")
--- a/internal/dispatch/calls.go
+++ b/internal/dispatch/calls.go
@@ -79,7 +79,7 @@
 	}
 	class := c.class(req)
 	if req.call.made && !calls.MayRepeat(class.Idempotency, req.call.lastOutcome) {
-		c.logf("dispatch: call of %s withheld: the one before may have run", req.RunID)
+		c.logf("dispatch: call withheld, the one before may have run: run=%s", req.RunID)
 		c.respond(req, failed(reasonCallUncertain))
 		// The decision module assumes that the call is in flight.
 		c.events = append(c.events, control.RequestCancelled{ID: req.id})
--- a/internal/peers/exchange_test.go
+++ b/internal/peers/exchange_test.go
@@ -181,7 +181,7 @@
 		Peers:        []gossip.Peer{{Name: "young", Address: "young"}},
 	}))
 	require.Len(t, node.logged, 1)
-	require.Contains(t, node.logged[0], "exchange: peer: 1 of 1 observations are invalid")
+	require.Contains(t, node.logged[0], "exchange: invalid observations: peer=peer invalid=1 observations=1")
 	require.Empty(t, node.exchange.scheduler.Peers(node.now))
 	require.Empty(t, read(t, conn).Observations)
 }
@@ -197,7 +197,7 @@
 	conn := &fakeConn{}
 	session := node.exchange.Accept(conn)
 	require.True(t, conn.closed)
-	require.Equal(t, []string{"exchange: peer rejected: 64 connections are open"}, node.logged)
+	require.Equal(t, []string{"exchange: connection rejected, too many are open: peer=peer open=64"}, node.logged)
 	session.Closed()
 	require.Equal(t, maxExchangeConns, node.exchange.accepted)
 }
--- a/internal/server/peer_session.go
+++ b/internal/server/peer_session.go
@@ -63,16 +63,20 @@
 
 // Closed is part of transport.Session. The other process has ended, or the link to it is broken.
 func (p *peerSession) Closed() {
-	s := p.server
-	if s.handoff.otherProcess != p {
+	server := p.server
+	if server.handoff.otherProcess != p {
 		return
 	}
-	s.handoff.otherProcess = nil
-	s.logf("server: the %s is gone, ownership passed: %v", p.role(), p.ownershipPassed)
-	s.core.PeerLost()
-	s.handoff.host.ShareLimits(-1)
+	server.handoff.otherProcess = nil
+	if p.successor {
+		server.logf("server: the successor is gone: ownership_passed=%v", p.ownershipPassed)
+	} else {
+		server.logf("server: the predecessor is gone: ownership_passed=%v", p.ownershipPassed)
+	}
+	server.core.PeerLost()
+	server.handoff.host.ShareLimits(-1)
 	if !p.successor && !p.ownershipPassed {
-		s.handoff.host.Orphaned()
+		server.handoff.host.Orphaned()
 	}
 }
 
@@ -123,7 +127,7 @@
 		server.core.TakeOwnership()
 	case upgrade.ServiceChanged:
 		server.outOfService = message.OutOfService
-		server.logf("server: in service: %v, by a command to the %s", !message.OutOfService, p.role())
+		server.logf("server: service state set at the other process: in_service=%v role=%s", !message.OutOfService, p.role())
 	case upgrade.ConnectionCount:
 		server.handoff.host.ShareLimits(message.Connections)
 	default:
@@ -168,7 +172,7 @@
 	server := p.server
 	p.conn.MarkIdentified()
 	if reason := server.rejectSuccessor(hello.Name); reason != "" {
-		server.logf("server: a successor is rejected: %s", reason)
+		server.logf("server: a successor is rejected: reason=%s", reason)
 		p.send(upgrade.Message{Kind: upgrade.Reject, Reason: reason})
 		p.conn.Close()
 		return
@@ -220,7 +224,7 @@
 // disconnected, because it would block further upgrades.
 func (p *peerSession) check(now microtime.Time) microtime.Time {
 	if !p.keysSent && now >= p.startedAt+keySyncTimeout {
-		p.server.logf("server: the successor has not received all keys within %v", keySyncTimeout.Duration())
+		p.server.logf("server: the successor has not received all keys in time: timeout=%v", keySyncTimeout.Duration())
 		p.conn.Close()
 		return microtime.Never
 	}
--- a/internal/transport/limits_test.go
+++ b/internal/transport/limits_test.go
@@ -18,7 +18,7 @@
 	env.advance(10 * EvictionGrace)
 	_, rejected := env.connect(0)
 	require.Nil(t, rejected)
-	require.Contains(t, env.log[0], "peer 3 rejected: 2 connections are open")
+	require.Contains(t, env.log[0], "connection rejected, all are in use: peer=peer 3 open=2")
 	requireOpen(t, first, firstSession)
 	requireOpen(t, second, secondSession)
 
