--- a/internal/transport/loop.go
+++ b/internal/transport/loop.go
@@ -64,8 +64,12 @@
 	})
 }
 
-// TimerFired begins a turn that is due by the clock.
-func (l *Loop) TimerFired() { l.beginTurn() }
+// TimerFired begins a turn that is due by the clock. A turn may be in progress already whose time was read just before
+// the timer fired. The timer is no longer set then, so the end of that turn must set it again.
+func (l *Loop) TimerFired() {
+	l.timerAt = microtime.Never
+	l.beginTurn()
+}
 
 // beginTurn begins a turn, if none is in progress: it reads the clock and queues the end of the turn.
 func (l *Loop) beginTurn() {
--- a/internal/transport/loop_test.go
+++ b/internal/transport/loop_test.go
@@ -64,6 +64,27 @@
 	require.Equal(t, microtime.Never, recorder.timerAt)
 }
 
+// A timer that fires during a turn, whose time was read just before, is set again for the same time: nothing
+// else would wake an idle loop.
+func TestTimerFiresDuringTurn(t *testing.T) {
+	recorder := newTurnRecorder(t)
+	recorder.next = recorder.now + 2
+	recorder.loop.Begin()
+	recorder.run()
+	due := recorder.next
+	require.Equal(t, due, recorder.timerAt)
+	recorder.now = due - 1
+	require.NoError(t, recorder.loop.Execute(func() { // in a turn of the time before due
+		recorder.timerAt = microtime.Never // the driver's timer fires
+		recorder.loop.TimerFired()
+	}))
+	recorder.run()
+	require.Equal(t, due, recorder.timerAt)
+	recorder.next = microtime.Never
+	recorder.advance(1)
+	require.Equal(t, due, recorder.turns[len(recorder.turns)-1])
+}
+
 // The program begins once, before any session.
 func TestBegin(t *testing.T) {
 	recorder := newTurnRecorder(t)
