--- a/cmd/pewterline/upgrade_test.go
+++ b/cmd/pewterline/upgrade_test.go
@@ -505,7 +505,7 @@
 		}
 		body := fmt.Sprintf("lot %d/%d", caller, n)
 		err := sendIntake(conn, body)
-		if err != nil && !conn.Usable() && keepsConn { // it crossed the farewell: a proxy sends it once more
+		if err != nil && conn.SaidFarewell() { // it crossed the farewell: a proxy sends it once more
 			if conn, err = processtest.Dial(l.listen); err == nil {
 				err = sendIntake(conn, body)
 			}
--- a/internal/testbed/processtest/conn.go
+++ b/internal/testbed/processtest/conn.go
@@ -107,6 +107,14 @@
 	return !c.farewell && !c.ended
 }
 
+// SaidFarewell reports whether the server has announced that it answers no further request on the connection. A request
+// that crosses the farewell is to be sent once more, on a new connection.
+func (c *Conn) SaidFarewell() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.farewell
+}
+
 // PendingRequest is a request that was sent.
 type PendingRequest struct {
 	ID    string
