--- a/internal/testbed/processtest/cluster_fixture_test.go
+++ b/internal/testbed/processtest/cluster_fixture_test.go
@@ -35,6 +35,9 @@
 })
 
 func TestMain(m *testing.M) {
+	if start := os.Getenv(portHolderStart); start != "" {
+		os.Exit(runPortHolder(start))
+	}
 	code := m.Run()
 	if path, err := faultyProgram(); err == nil {
 		// A folder that stays behind below the system's temporary one harms nobody.
--- a/internal/testbed/processtest/errors.go
+++ b/internal/testbed/processtest/errors.go
@@ -16,6 +16,12 @@
 // ErrConnectionEnded says that a connection ended before a request on it had its reply.
 var ErrConnectionEnded = errors.New("processtest: the connection has ended without a reply")
 
+// ErrNoPortBlock says that other processes hold all blocks of ports of the loopback.
+var ErrNoPortBlock = errors.New("processtest: no block of ports of the loopback is free")
+
+// ErrNoFreePort says that something listens on each port of the block that this process holds.
+var ErrNoFreePort = errors.New("processtest: no port of the block is free")
+
 // StatusError is an administrative request that a process answered with another status than 200.
 type StatusError struct {
 	Operation string
