--- a/internal/decide/loadbalancer/balancer.go
+++ b/internal/decide/loadbalancer/balancer.go
@@ -36,7 +36,7 @@
 	}, nil
 }
 
-// Add adds an endpoint. An endpoint that is known already keeps its state.
+// Add adds an endpoint. It does nothing if the endpoint is known already.
 func (b *Balancer) Add(now microtime.Time, name string) {
 	if b.byName[name] != nil {
 		return
@@ -46,7 +46,7 @@
 	b.endpoints = append(b.endpoints, e)
 }
 
-// Remove removes an endpoint that is no longer in the endpoint list, with its statistics.
+// Remove removes an endpoint that is no longer in the endpoint list, and discards its statistics.
 func (b *Balancer) Remove(name string) {
 	e := b.byName[name]
 	if e == nil {
@@ -57,37 +57,37 @@
 	b.endpoints = slices.Delete(b.endpoints, i, i+1)
 }
 
-// MarkDraining records that an endpoint announced its shutdown: it gets no new attempts.
+// MarkDraining records that an endpoint has announced its shutdown. It gets no new attempts from then on.
 func (b *Balancer) MarkDraining(now microtime.Time, name string) {
 	if e := b.byName[name]; e != nil && e.state != Down {
 		e.setState(now, Draining)
 	}
 }
 
-// MarkDrained records that a draining endpoint closed its last connection: it is down until a probe succeeds.
+// MarkDrained records that a draining endpoint has closed its last connection. It is Down until a probe succeeds.
 func (b *Balancer) MarkDrained(now microtime.Time, name string) {
 	if e := b.byName[name]; e != nil && e.state == Draining {
 		e.setState(now, Down)
 		e.probe.backoff = b.config.InitialProbeBackoff
-		e.probe.at = now + e.probe.backoff
+		e.probe.dueAt = now + e.probe.backoff
 	}
 }
 
-// EndpointStatus is the status of an endpoint, for operators. Spans are in microseconds.
+// EndpointStatus is the status of an endpoint, for operators.
 type EndpointStatus struct {
 	Name    string
 	State   State
-	InState microtime.Time // since it entered the state
+	InState microtime.Time // time since the endpoint entered the state
 	// InFlight is the number of attempts that have started and not ended.
 	InFlight         int
 	ConcurrencyLimit float64
 	P50              microtime.Time // latency of successful attempts, over all classes
 	P95              microtime.Time
-	SinceAnswer      microtime.Time // since it last answered; -1 if it never has
-	SinceRecovery    microtime.Time // since it recovered from Down; -1 if this instance has not observed that
-	RetryAfter       microtime.Time // remaining time for which it requested to get no attempts
-	Observed         int            // attempts that ended there, without cancelled ones
-	GossipWeight     float64        // weight of the gossip that it is unreachable
+	SinceAnswer      microtime.Time // time since the last answer; -1 if there was none
+	SinceRecovery    microtime.Time // time since the recovery from Down; -1 if this instance has not observed one
+	RetryAfter       microtime.Time // remaining time during which the endpoint must get no attempts
+	Observed         int            // number of attempts that have ended, without cancelled ones
+	GossipWeight     float64        // weight of the gossip that the endpoint is unreachable
 }
 
 // Endpoints returns the status of all endpoints in the order in which they were added.
@@ -109,8 +109,8 @@
 		ConcurrencyLimit: target.concurrency.limit,
 		P50:              latency.quantile(0.5),
 		P95:              latency.quantile(0.95),
-		SinceAnswer:      never,
-		SinceRecovery:    never,
+		SinceAnswer:      notObserved,
+		SinceRecovery:    notObserved,
 		RetryAfter:       max(target.retryAfter-now, 0),
 		Observed:         target.observations,
 		GossipWeight:     b.gossip.FailureWeight(now, target.name),
--- a/internal/decide/loadbalancer/config.go
+++ b/internal/decide/loadbalancer/config.go
@@ -7,34 +7,36 @@
 	"pewterline/internal/microtime"
 )
 
-// maxClasses bounds the request classes, as each endpoint keeps latency statistics for every class.
+// maxClasses bounds the number of request classes, because each endpoint has latency statistics for every class.
 const maxClasses = 64
 
 // Config holds the parameters of a Balancer. Zero values take the defaults.
 type Config struct {
-	// Classes is the number of request classes; requests name them by index.
+	// Classes is the number of request classes. Request.Class is an index below it.
 	Classes int
 	// SuspectAfterFailures is the number of consecutive failures that make an endpoint Suspect.
 	SuspectAfterFailures int
 	// DownAfterFailures is the number of consecutive failures that make an endpoint Down.
 	DownAfterFailures int
-	// InitialProbeBackoff is the mean wait before the first health probe; it doubles with each failure.
+	// InitialProbeBackoff is the mean wait before the first health probe. The wait doubles with each failure.
 	InitialProbeBackoff microtime.Time
 	// MaxProbeBackoff bounds the mean wait before a health probe.
 	MaxProbeBackoff microtime.Time
-	// SlowStart is how long an endpoint that recovered gets less than its full share of the traffic.
+	// SlowStart is how long a recovered endpoint gets less than its full share of the traffic.
 	SlowStart microtime.Time
-	// SlowStartShare is the share of its normal traffic with which slow start begins, over 0 and at most 1.
+	// SlowStartShare is the fraction of its normal traffic that an endpoint gets at the beginning of slow start: over 0
+	// and at most 1.
 	SlowStartShare float64
-	// MaxEjectedShare is the share of the endpoints that may be ejected; beyond it, all endpoints are selected from.
+	// MaxEjectedShare is the fraction of the endpoints that may be ejected. While more are unhealthy, unhealthy
+	// endpoints are selected too.
 	MaxEjectedShare float64
 	// InitialConcurrency is the initial concurrency limit of an endpoint.
 	InitialConcurrency float64
 	// MaxConcurrency bounds the concurrency limit of an endpoint.
 	MaxConcurrency float64
-	// GossipThreshold is the weight of gossip that ejects an endpoint that this instance has not observed itself.
+	// GossipThreshold is the total weight of gossip that ejects an endpoint which this instance has not observed itself.
 	GossipThreshold float64
-	// GossipHopFactor is the factor of an observation's weight with each hop, between 0 and 1.
+	// GossipHopFactor multiplies the weight of an observation at each hop: over 0 and under 1.
 	GossipHopFactor float64
 }
 
@@ -42,7 +44,7 @@
 type ConfigError struct {
 	// Setting is the key of the parameter in the operators' settings.
 	Setting string
-	// Reason describes the violated bounds.
+	// Reason describes the violated bounds and the value.
 	Reason string
 }
 
@@ -74,16 +76,16 @@
 	case c.Classes < 1 || c.Classes > maxClasses:
 		return configErrorf("classes", "%d is not within 1 to %d", c.Classes, maxClasses)
 	case c.SuspectAfterFailures < 1 || c.DownAfterFailures < c.SuspectAfterFailures:
-		return configErrorf("suspect_after, down_after", "%d and %d are not in order",
+		return configErrorf("suspect_after, down_after", "%d and %d: expected 1 or more, and the second not below the first",
 			c.SuspectAfterFailures, c.DownAfterFailures)
 	case c.InitialProbeBackoff <= 0 || c.MaxProbeBackoff < c.InitialProbeBackoff:
-		return configErrorf("probe_first, probe_most", "%v and %v are not in order",
+		return configErrorf("probe_first, probe_most", "%v and %v: expected more than 0, and the second not below the first",
 			c.InitialProbeBackoff.Duration(), c.MaxProbeBackoff.Duration())
 	}
 	return c.validateRatios()
 }
 
-// validateRatios checks the floating-point parameters; it is written so that NaN fails every check.
+// validateRatios checks the floating-point parameters. Each check states the valid range, so that NaN fails it.
 func (c *Config) validateRatios() error {
 	slowStartShareOK := c.SlowStartShare > 0 && c.SlowStartShare <= 1
 	maxEjectedShareOK := c.MaxEjectedShare >= 0 && c.MaxEjectedShare < 1
@@ -91,14 +93,14 @@
 	gossipHopFactorOK := c.GossipHopFactor > 0 && c.GossipHopFactor < 1
 	switch {
 	case !slowStartShareOK:
-		return configErrorf("warm_from", "%v is not within 0 to 1", c.SlowStartShare)
+		return configErrorf("warm_from", "%v is not over 0 and at most 1", c.SlowStartShare)
 	case !maxEjectedShareOK:
-		return configErrorf("eject_most", "%v is not within 0 to under 1", c.MaxEjectedShare)
+		return configErrorf("eject_most", "%v is not at least 0 and under 1", c.MaxEjectedShare)
 	case !concurrencyOK:
-		return configErrorf("limit_first, limit_most", "%v and %v are not in order",
+		return configErrorf("limit_first, limit_most", "%v and %v: expected 1 or more, and the second not below the first",
 			c.InitialConcurrency, c.MaxConcurrency)
 	case !gossipHopFactorOK:
-		return configErrorf("hearsay_keep", "%v is not within 0 to 1", c.GossipHopFactor)
+		return configErrorf("hearsay_keep", "%v is not over 0 and under 1", c.GossipHopFactor)
 	}
 	return nil
 }
--- a/internal/decide/loadbalancer/example_test.go
+++ b/internal/decide/loadbalancer/example_test.go
@@ -7,8 +7,7 @@
 	"pewterline/internal/microtime"
 )
 
-// An attempt fails because nobody listens at its endpoint. The endpoint is ejected, and the request is retried at the
-// other one.
+// The connection for an attempt is refused. The endpoint is ejected, and the request is retried at the other endpoint.
 func Example() {
 	balancer, err := loadbalancer.New(loadbalancer.Config{Classes: 1}, 1)
 	if err != nil {
--- a/internal/decide/loadbalancer/gossip.go
+++ b/internal/decide/loadbalancer/gossip.go
@@ -10,25 +10,27 @@
 const (
 	// evidencePerSecond bounds the evidence in an observation per second of its sender's uptime.
 	evidencePerSecond = 1.0
-	// maxEvidence bounds the evidence in an observation.
+	// maxEvidence bounds the evidence in any observation.
 	maxEvidence = 20.0
-	// maxReachableEvidence and maxLatencyEvidence bound the evidence of the instance's own observations of these kinds.
+	// maxReachableEvidence and maxLatencyEvidence bound the evidence in this instance's own observations of the kinds
+	// Reachable and TypicalLatency.
 	maxReachableEvidence = 10
 	maxLatencyEvidence   = 10
-	// minDownEvidence and minSuspectEvidence are the least evidence of the instance's own states Down and Suspect.
+	// minDownEvidence and minSuspectEvidence are the least evidence in this instance's own observations of endpoints in
+	// the states Down and Suspect.
 	minDownEvidence    = 8
 	minSuspectEvidence = 4
-	// minLatencySamples is how many requests an endpoint must have served before its latency is sent to others.
+	// minLatencySamples is how many requests an endpoint must have served before its latency is sent to other instances.
 	minLatencySamples = 5
 )
 
-// GossipResult counts the observations of a message by how they were handled.
+// GossipResult counts the observations of a gossip message by how they were handled.
 type GossipResult struct {
 	Accepted int
-	Stale    int // not newer than a known one, or about an earlier incarnation of the endpoint
-	Ignored  int // about endpoints that are not in the endpoint list, or made by this instance
-	Invalid  int
-	Err      error // of the first invalid one; it wraps ErrInvalidGossip
+	Stale    int   // not newer than the known one, or about an earlier incarnation of the endpoint
+	Ignored  int   // about an endpoint that is not in the endpoint list, or made by this instance
+	Invalid  int   // out of bounds
+	Err      error // error of the first invalid observation or of the sender; it wraps ErrInvalidGossip
 }
 
 func (r *GossipResult) addInvalid(err error) {
@@ -38,9 +40,9 @@
 	}
 }
 
-// ApplyGossip adds the observations of another instance's message to the gossip table. The instance's own observations
-// take precedence: gossip ejects only endpoints at which no attempt of this instance has ended. self is the name of
-// this instance, whose own observations come back to it and are ignored.
+// ApplyGossip adds the observations in a message from another instance to the gossip table. This instance's own
+// observations take precedence: gossip ejects only endpoints at which no attempt by this instance has ended. self is
+// the name of this instance. Its own observations are ignored when other instances send them back.
 func (b *Balancer) ApplyGossip(now microtime.Time, self string, sender GossipSender,
 	observations []Observation) GossipResult {
 	var result GossipResult
@@ -48,7 +50,7 @@
 		result.addInvalid(err)
 		return result
 	}
-	// A sender that has just started cannot have much evidence, whatever it claims. What it forwards is bounded too.
+	// A sender that has just started cannot have much evidence. The bound also applies to observations that it forwards.
 	evidenceBound := min(maxEvidence, evidencePerSecond*sender.Uptime.Duration().Seconds())
 	for _, observation := range observations {
 		err := ValidateObservation(observation)
@@ -74,29 +76,30 @@
 	return result
 }
 
-// accept adds a valid observation of an endpoint to the gossip table. It returns false if the observation is stale.
+// accept adds a valid observation of an endpoint to the gossip table. It returns false if the observation is stale or
+// has no evidence left.
 func (b *Balancer) accept(now microtime.Time, target *endpoint, observation Observation) bool {
-	// The instance's own observation of a recovery overrides older gossip.
+	// A recovery that this instance has observed itself invalidates older gossip.
 	beforeRecovery := target.recoveredAt >= 0 && now-observation.Age < target.recoveredAt
 	if observation.Kind != Recovered && beforeRecovery || observation.Evidence <= 0 {
 		return false
 	}
-	next, ok := b.gossip.insert(now, observation)
+	updated, ok := b.gossip.insert(now, observation)
 	if !ok {
 		return false
 	}
-	b.gossip = next
-	// The source of the observation will find out when the endpoint recovers. This instance probes it only after a random
-	// wait, so that not all instances probe at once.
-	if observation.Kind == Unreachable && target.state == Unobserved && target.probe.at <= now {
+	b.gossip = updated
+	// The source of the observation probes the endpoint and reports its recovery. This instance probes it only after a
+	// random wait, so that not all instances probe at the same time.
+	if observation.Kind == Unreachable && target.state == Unobserved && target.probe.dueAt <= now {
 		wait := microtime.Time(b.rng.Int64N(int64(b.config.MaxProbeBackoff)))
-		target.probe.at = now + b.config.MaxProbeBackoff/2 + wait
+		target.probe.dueAt = now + b.config.MaxProbeBackoff/2 + wait
 	}
 	return true
 }
 
-// ComposeGossip returns the observations to send to another instance: the instance's own ones, then those of others by
-// falling weight, with one more hop. limit bounds their number.
+// ComposeGossip returns the observations to send to another instance: first this instance's own, then those of other
+// instances by descending weight, with the hop count increased by one. limit bounds their number.
 func (b *Balancer) ComposeGossip(now microtime.Time, self string, limit int) []Observation {
 	var observations []Observation
 	for _, e := range b.endpoints {
@@ -142,22 +145,23 @@
 	return own
 }
 
-// forwardedObservations returns the observations of other instances by falling weight, with one more hop.
+// forwardedObservations returns the observations of other instances that may still be forwarded, by descending weight
+// and with the hop count increased by one.
 func (b *Balancer) forwardedObservations(now microtime.Time) []Observation {
 	var received []receivedObservation
 	for iterator := b.gossip.observations.Iterator(); !iterator.Done(); {
-		_, h, _ := iterator.Next()
-		if h.observation.Hops < MaxHops && now-h.madeAt <= MaxAge {
-			received = append(received, h)
+		_, observed, _ := iterator.Next()
+		if observed.observation.Hops < MaxHops && now-observed.madeAt <= MaxAge {
+			received = append(received, observed)
 		}
 	}
 	slices.SortStableFunc(received, func(first, second receivedObservation) int {
 		return cmp.Compare(b.gossip.weight(now, &second), b.gossip.weight(now, &first))
 	})
 	forwarded := make([]Observation, 0, len(received))
-	for _, h := range received {
-		observation := h.observation
-		observation.Age = now - h.madeAt
+	for _, observed := range received {
+		observation := observed.observation
+		observation.Age = now - observed.madeAt
 		observation.Hops++
 		forwarded = append(forwarded, observation)
 	}
@@ -167,7 +171,8 @@
 // GossipSnapshot returns an immutable snapshot of the observations of other instances.
 func (b *Balancer) GossipSnapshot() GossipTable { return b.gossip }
 
-// ExpireGossip drops the observations that have lost their weight. It should be called periodically.
+// ExpireGossip drops the observations that have lost their weight, are older than MaxAge or are about an endpoint that
+// was removed. It should be called periodically.
 func (b *Balancer) ExpireGossip(now microtime.Time) {
 	b.gossip = b.gossip.expire(now, func(endpoint string) bool { return b.byName[endpoint] != nil })
 }
--- a/internal/decide/loadbalancer/gossip_test.go
+++ b/internal/decide/loadbalancer/gossip_test.go
@@ -11,7 +11,8 @@
 	"pewterline/internal/microtime"
 )
 
-func observe(endpoint string, kind ObservationKind, age microtime.Time, source string, hops int) Observation {
+// newObservation returns a valid observation with an evidence of 10 attempts and, for TypicalLatency, a value of 1 ms.
+func newObservation(endpoint string, kind ObservationKind, age microtime.Time, source string, hops int) Observation {
 	return Observation{
 		Endpoint: endpoint,
 		Kind:     kind,
@@ -23,137 +24,144 @@
 	}
 }
 
-// tell applies the observations of an instance that has been up for long.
-func tell(b *Balancer, now microtime.Time, sender string, observations ...Observation) GossipResult {
+// applyGossip applies observations from an instance whose uptime is long enough not to bound their evidence.
+func applyGossip(b *Balancer, now microtime.Time, sender string, observations ...Observation) GossipResult {
 	return b.ApplyGossip(now, "me", GossipSender{sender, 1000 * second}, observations)
 }
 
-// An instance that starts ejects an endpoint that a running one knows to be down, and probes it once that is stale.
+// An instance that has just started ejects an endpoint that a running instance reports as unreachable, and probes it
+// after a wait. A success at the endpoint returns it to service.
 func TestGossipOfUnreachableEndpoint(t *testing.T) {
 	balancer := newBalancer(t, 1, 4)
 	now := 100 * second
-	result := tell(balancer, now, "old", observe("s0", Unreachable, second, "old", 1))
+	result := applyGossip(balancer, now, "old", newObservation("s0", Unreachable, second, "old", 1))
 	require.Equal(t, GossipResult{Accepted: 1}, result)
-	require.Zero(t, share(balancer, now, "s0"))
-	require.Positive(t, share(balancer, now+60*second, "s0"), "the observation is stale")
+	require.Zero(t, selectionShare(balancer, now, "s0"))
+	require.Positive(t, selectionShare(balancer, now+60*second, "s0"), "the observation has lost its weight")
 	choice, ok := balancer.Pick(now, probeRequest)
 	require.True(t, ok)
-	require.False(t, choice.Probe, "the instance that told us probes")
+	require.False(t, choice.Probe, "only the source of the observation probes for now")
 	now += 12 * second
 	choice, ok = balancer.Pick(now, probeRequest)
 	require.True(t, ok)
-	require.Equal(t, Choice{"s0", true}, choice, "an idempotent, cheap request finds out")
-	end(balancer, now, choice, Result{Outcome: Succeeded, Latency: 1000})
-	require.Positive(t, share(balancer, now, "s0"), "own observations take precedence")
+	require.Equal(t, Choice{"s0", true}, choice, "an idempotent and cheap request probes the endpoint")
+	recordAttemptResult(balancer, now, choice, Result{Outcome: Succeeded, Latency: 1000})
+	require.Positive(t, selectionShare(balancer, now, "s0"), "own observations take precedence")
 }
 
-// A sender that has just restarted has seen little, whatever it says.
-func TestSenderThatJustRestarted(t *testing.T) {
+// The evidence of a sender that has just started is bounded by its uptime, also in observations that it forwards. If it
+// claims to have made an observation before its start, that observation is invalid.
+func TestRecentlyStartedSender(t *testing.T) {
 	balancer := newBalancer(t, 1, 4)
 	now := 100 * second
 	balancer.ApplyGossip(now, "me", GossipSender{"young", second / 2}, []Observation{
-		observe("s0", Unreachable, second/4, "young", 1),
-		observe("s1", Unreachable, second/4, "other", 2),
+		newObservation("s0", Unreachable, second/4, "young", 1),
+		newObservation("s1", Unreachable, second/4, "other", 2),
 	})
 	require.Less(t, balancer.gossip.FailureWeight(now, "s0"), 0.5)
-	require.Positive(t, share(balancer, now, "s0"))
-	require.Positive(t, share(balancer, now, "s1"), "nor does what it repeats weigh more")
-	early := observe("s2", Unreachable, 30*second, "young", 1)
-	result := balancer.ApplyGossip(now, "me", GossipSender{"young", second}, []Observation{early})
-	require.Equal(t, 1, result.Invalid, "it cannot have seen what was before its start")
+	require.Positive(t, selectionShare(balancer, now, "s0"))
+	require.Positive(t, selectionShare(balancer, now, "s1"), "the bound applies to forwarded observations")
+	beforeStart := newObservation("s2", Unreachable, 30*second, "young", 1)
+	result := balancer.ApplyGossip(now, "me", GossipSender{"young", second}, []Observation{beforeStart})
+	require.Equal(t, 1, result.Invalid, "a sender cannot have made an observation before its start")
 	require.ErrorContains(t, result.Err, "30s")
 }
 
-// Two instances that repeat each other's gossip do not make it stronger, nor younger.
-func TestRepeatedGossipDoesNotGrow(t *testing.T) {
-	one := newBalancer(t, 1, 2)
-	other := newBalancer(t, 2, 2)
+// Two instances that keep forwarding the same observation to each other neither increase its weight nor reset its age.
+func TestRepeatedGossipGainsNoWeight(t *testing.T) {
+	balancerA := newBalancer(t, 1, 2)
+	balancerB := newBalancer(t, 2, 2)
 	now := 100 * second
-	one.ApplyGossip(now, "a", GossipSender{"old", 1000 * second},
-		[]Observation{observe("s0", Unreachable, 0, "old", 1)})
-	first := one.gossip.FailureWeight(now, "s0")
-	last := first
+	balancerA.ApplyGossip(now, "a", GossipSender{"old", 1000 * second},
+		[]Observation{newObservation("s0", Unreachable, 0, "old", 1)})
+	initialWeight := balancerA.gossip.FailureWeight(now, "s0")
+	lastWeight := initialWeight
 	for range 30 {
 		now += second / 2
-		other.ApplyGossip(now, "b", GossipSender{"a", 500 * second}, one.ComposeGossip(now, "a", 100))
-		one.ApplyGossip(now, "a", GossipSender{"b", 500 * second}, other.ComposeGossip(now, "b", 100))
-		require.LessOrEqual(t, one.gossip.FailureWeight(now, "s0"), last)
-		require.Less(t, other.gossip.FailureWeight(now, "s0"), one.gossip.FailureWeight(now, "s0"))
-		last = one.gossip.FailureWeight(now, "s0")
+		balancerB.ApplyGossip(now, "b", GossipSender{"a", 500 * second}, balancerA.ComposeGossip(now, "a", 100))
+		balancerA.ApplyGossip(now, "a", GossipSender{"b", 500 * second}, balancerB.ComposeGossip(now, "b", 100))
+		require.LessOrEqual(t, balancerA.gossip.FailureWeight(now, "s0"), lastWeight)
+		require.Less(t, balancerB.gossip.FailureWeight(now, "s0"), balancerA.gossip.FailureWeight(now, "s0"))
+		lastWeight = balancerA.gossip.FailureWeight(now, "s0")
 	}
-	require.InEpsilon(t, first*math.Exp2(-1.5), last, 0.01, "it fades as if it had been told once")
-	require.Equal(t, 1, one.gossip.Len())
+	require.InEpsilon(t, initialWeight*math.Exp2(-1.5), lastWeight, 0.01, "the weight decays as if received only once")
+	require.Equal(t, 1, balancerA.gossip.Len())
 }
 
-// Observations older than an endpoint's recovery are dropped, whoever saw the recovery, and in whichever order they
-// come.
+// Observations older than an endpoint's recovery are dropped, in whichever order they are received, and also if this
+// instance observed the recovery itself.
 func TestGossipOlderThanRecovery(t *testing.T) {
 	for _, recoveryFirst := range []bool{true, false} {
 		t.Run(fmt.Sprintf("recovery first %t", recoveryFirst), func(t *testing.T) {
 			balancer := newBalancer(t, 1, 3)
 			now := 100 * second
-			told := []Observation{observe("s0", Recovered, 2*second, "x", 1), observe("s0", Unreachable, 5*second, "y", 1)}
+			observations := []Observation{
+				newObservation("s0", Recovered, 2*second, "x", 1),
+				newObservation("s0", Unreachable, 5*second, "y", 1),
+			}
 			if !recoveryFirst {
-				told[0], told[1] = told[1], told[0]
+				observations[0], observations[1] = observations[1], observations[0]
 			}
-			tell(balancer, now, "x", told...)
+			applyGossip(balancer, now, "x", observations...)
 			require.Zero(t, balancer.gossip.FailureWeight(now, "s0"))
-			tell(balancer, now, "x", observe("s0", Unreachable, second, "y", 1))
-			require.Positive(t, balancer.gossip.FailureWeight(now, "s0"), "it has gone down again since")
+			applyGossip(balancer, now, "x", newObservation("s0", Unreachable, second, "y", 1))
+			require.Positive(t, balancer.gossip.FailureWeight(now, "s0"), "a failure after the recovery counts")
 		})
 	}
 	t.Run("own observation of the recovery", func(t *testing.T) {
 		balancer := newBalancer(t, 1, 3)
 		now := 100 * second
-		attempt(balancer, now-10*second, "s0", ConnectFailed)
-		attempt(balancer, now-3*second, "s0", Succeeded)
-		result := tell(balancer, now, "x", observe("s0", Unreachable, 5*second, "x", 1))
+		recordAttempt(balancer, now-10*second, "s0", ConnectFailed)
+		recordAttempt(balancer, now-3*second, "s0", Succeeded)
+		result := applyGossip(balancer, now, "x", newObservation("s0", Unreachable, 5*second, "x", 1))
 		require.Equal(t, GossipResult{Stale: 1}, result)
 	})
 }
 
-// An endpoint that is unreachable for one instance only stays in use by those that reach it.
+// Gossip that an endpoint is unreachable does not eject it at an instance that reaches it. An instance that has just
+// started does not eject it either if it also receives observations that the endpoint is reachable.
 func TestOwnObservationsTakePrecedence(t *testing.T) {
 	balancer := newBalancer(t, 1, 4)
 	now := 100 * second
 	for i := range 4 {
-		attempt(balancer, now, endpointName(i), Succeeded)
+		recordAttempt(balancer, now, endpointName(i), Succeeded)
 	}
-	tell(balancer, now, "x", observe("s0", Unreachable, 0, "x", 1), observe("s0", TypicalLatency, 0, "x", 1))
-	require.InDelta(t, 0.25, share(balancer, now, "s0"), 0.05)
-	// And an instance that starts weighs it against those that reach it.
-	fresh := newBalancer(t, 2, 4)
-	tell(fresh, now, "x", observe("s0", Unreachable, 0, "x", 1))
-	tell(fresh, now, "y", balancer.ComposeGossip(now, "y", 100)...)
-	attempt(balancer, now, "s0", Succeeded)
-	tell(fresh, now, "z", observe("s0", Reachable, 0, "z", 1))
-	require.Positive(t, share(fresh, now, "s0"))
+	applyGossip(balancer, now, "x",
+		newObservation("s0", Unreachable, 0, "x", 1), newObservation("s0", TypicalLatency, 0, "x", 1))
+	require.InDelta(t, 0.25, selectionShare(balancer, now, "s0"), 0.05)
+	// newInstance has no observations of its own and weighs both kinds of gossip.
+	newInstance := newBalancer(t, 2, 4)
+	applyGossip(newInstance, now, "x", newObservation("s0", Unreachable, 0, "x", 1))
+	applyGossip(newInstance, now, "y", balancer.ComposeGossip(now, "y", 100)...)
+	recordAttempt(balancer, now, "s0", Succeeded)
+	applyGossip(newInstance, now, "z", newObservation("s0", Reachable, 0, "z", 1))
+	require.Positive(t, selectionShare(newInstance, now, "s0"))
 }
 
-// What is out of bounds is not accepted.
+// Observations and senders with a field out of bounds are rejected.
 func TestInvalidGossip(t *testing.T) {
 	balancer := newBalancer(t, 1, 4)
 	now := 100 * second
-	valid := observe("s0", Unreachable, second, "x", 1)
-	for name, spoil := range map[string]func(*Observation){
-		"negative age":          func(o *Observation) { o.Age = -1 },
-		"age over the bound":    func(o *Observation) { o.Age = MaxAge + 1 },
-		"unknown kind":          func(o *Observation) { o.Kind = 99 },
-		"no kind":               func(o *Observation) { o.Kind = 0 },
-		"too many hops":         func(o *Observation) { o.Hops = 99 },
-		"negative hops":         func(o *Observation) { o.Hops = -1 },
-		"evidence not a number": func(o *Observation) { o.Evidence = math.NaN() },
-		"infinite evidence":     func(o *Observation) { o.Evidence = math.Inf(1) },
-		"no evidence":           func(o *Observation) { o.Evidence = 0 },
-		"no endpoint":           func(o *Observation) { o.Endpoint = "" },
-		"long source":           func(o *Observation) { o.Source = string(make([]byte, 65)) },
-		"infinite latency":      func(o *Observation) { o.Kind, o.Value = TypicalLatency, math.Inf(1) },
-		"own without a hop":     func(o *Observation) { o.Hops = 0 },
+	valid := newObservation("s0", Unreachable, second, "x", 1)
+	for name, modify := range map[string]func(*Observation){
+		"negative age":                func(o *Observation) { o.Age = -1 },
+		"age over the bound":          func(o *Observation) { o.Age = MaxAge + 1 },
+		"unknown kind":                func(o *Observation) { o.Kind = 99 },
+		"no kind":                     func(o *Observation) { o.Kind = 0 },
+		"too many hops":               func(o *Observation) { o.Hops = 99 },
+		"negative hops":               func(o *Observation) { o.Hops = -1 },
+		"evidence not a number":       func(o *Observation) { o.Evidence = math.NaN() },
+		"infinite evidence":           func(o *Observation) { o.Evidence = math.Inf(1) },
+		"no evidence":                 func(o *Observation) { o.Evidence = 0 },
+		"no endpoint":                 func(o *Observation) { o.Endpoint = "" },
+		"long source":                 func(o *Observation) { o.Source = string(make([]byte, 65)) },
+		"infinite latency":            func(o *Observation) { o.Kind, o.Value = TypicalLatency, math.Inf(1) },
+		"own observation with 0 hops": func(o *Observation) { o.Hops = 0 },
 	} {
 		t.Run(name, func(t *testing.T) {
 			observation := valid
-			spoil(&observation)
-			result := tell(balancer, now, "x", observation)
+			modify(&observation)
+			result := applyGossip(balancer, now, "x", observation)
 			require.Equal(t, 1, result.Invalid)
 			require.ErrorIs(t, result.Err, ErrInvalidGossip)
 		})
@@ -162,35 +170,35 @@
 	require.Equal(t, 1, result.Invalid)
 }
 
-// A flood of observations costs no more memory than the bound, and all of it is given back in time.
+// A flood of observations is stored only up to maxSources for each endpoint, and all observations expire.
 func TestGossipIsBounded(t *testing.T) {
 	balancer := newBalancer(t, 1, 4)
 	now := 100 * second
 	var flood []Observation
 	for i := range 100_000 {
-		flood = append(flood, observe(endpointName(i%1000), Unreachable, second, fmt.Sprintf("z%d", i), 2))
+		flood = append(flood, newObservation(endpointName(i%1000), Unreachable, second, fmt.Sprintf("z%d", i), 2))
 	}
-	result := tell(balancer, now, "x", flood...)
+	result := applyGossip(balancer, now, "x", flood...)
 	require.Equal(t, 100_000-400, result.Ignored)
 	require.LessOrEqual(t, balancer.gossip.Len(), 4*maxSources)
 	balancer.Remove("s0")
 	balancer.ExpireGossip(now)
-	require.Empty(t, balancer.gossip.about("s0", Unreachable))
+	require.Empty(t, balancer.gossip.observationsAbout("s0", Unreachable))
 	balancer.ExpireGossip(now + 2*MaxAge)
 	require.Zero(t, balancer.gossip.Len())
 }
 
-// A snapshot stays as it is while the event loop goes on.
+// A snapshot does not change when the balancer accepts more gossip.
 func TestGossipSnapshotIsImmutable(t *testing.T) {
 	balancer := newBalancer(t, 1, 2)
 	now := 100 * second
-	tell(balancer, now, "x", observe("s0", Unreachable, 0, "x", 1))
+	applyGossip(balancer, now, "x", newObservation("s0", Unreachable, 0, "x", 1))
 	before := balancer.GossipSnapshot()
-	tell(balancer, now, "x", observe("s1", Unreachable, 0, "x", 1))
+	applyGossip(balancer, now, "x", newObservation("s1", Unreachable, 0, "x", 1))
 	require.Equal(t, []int{1, 2}, []int{before.Len(), balancer.GossipSnapshot().Len()})
 }
 
-// Every value of an enumeration has a name of its own, and an unknown one shows its number.
+// Every value of an enumeration has a unique name, and the name of an unknown value contains its number.
 func TestEnumerationsHaveNames(t *testing.T) {
 	names := map[string]bool{}
 	for state := Unobserved; state <= Draining; state++ {
--- a/internal/decide/loadbalancer/helpers_test.go
+++ b/internal/decide/loadbalancer/helpers_test.go
@@ -11,10 +11,10 @@
 
 const second = microtime.Second
 
-// probeRequest is one that may probe an endpoint.
+// probeRequest is a request that may be used as a health probe.
 var probeRequest = Request{Idempotent: true, Cheap: true}
 
-// newBalancer returns a balancer with the endpoints s0, s1 and so on.
+// newBalancer returns a balancer for two request classes, with the given number of endpoints: s0, s1 and so on.
 func newBalancer(t *testing.T, seed uint64, endpoints int) *Balancer {
 	t.Helper()
 	balancer, err := New(Config{Classes: 2}, seed)
@@ -27,18 +27,19 @@
 
 func endpointName(i int) string { return fmt.Sprintf("s%d", i) }
 
-// attempt sends an attempt to an endpoint and ends it at once.
-func attempt(b *Balancer, now microtime.Time, endpoint string, outcome Outcome) {
-	end(b, now, Choice{Endpoint: endpoint}, Result{Outcome: outcome, Latency: 50 * microtime.Millisecond})
+// recordAttempt records an attempt at an endpoint that ends at once with an outcome and a latency of 50 ms.
+func recordAttempt(b *Balancer, now microtime.Time, endpoint string, outcome Outcome) {
+	recordAttemptResult(b, now, Choice{Endpoint: endpoint}, Result{Outcome: outcome, Latency: 50 * microtime.Millisecond})
 }
 
-// end sends an attempt and ends it at once with a result.
-func end(b *Balancer, now microtime.Time, choice Choice, result Result) {
+// recordAttemptResult records an attempt that ends at once with a result.
+func recordAttemptResult(b *Balancer, now microtime.Time, choice Choice, result Result) {
 	b.AttemptStarted(now, choice)
 	b.AttemptEnded(now, choice, result)
 }
 
-func status(b *Balancer, now microtime.Time, endpoint string) EndpointStatus {
+// statusOf returns the status of an endpoint, or the zero value if the balancer does not know it.
+func statusOf(b *Balancer, now microtime.Time, endpoint string) EndpointStatus {
 	for _, s := range b.Endpoints(now) {
 		if s.Name == endpoint {
 			return s
@@ -47,17 +48,18 @@
 	return EndpointStatus{}
 }
 
-func requireState(t *testing.T, want State, b *Balancer, now microtime.Time, endpoint string, why ...any) {
+func requireState(t *testing.T, want State, b *Balancer, now microtime.Time, endpoint string, msgAndArgs ...any) {
 	t.Helper()
-	require.Equal(t, want, status(b, now, endpoint).State, why...)
+	require.Equal(t, want, statusOf(b, now, endpoint).State, msgAndArgs...)
 }
 
-// share is the part of many choices that falls on an endpoint; no attempt is sent.
-func share(b *Balancer, now microtime.Time, endpoint string) float64 {
+// selectionShare returns the fraction of many calls of Pick that choose an endpoint. It records no attempts.
+func selectionShare(b *Balancer, now microtime.Time, endpoint string) float64 {
 	const picks = 4000
 	return float64(countPicks(b, now, endpoint, Request{Class: 0}, picks)) / picks
 }
 
+// countPicks returns how many of a number of calls of Pick choose an endpoint. It records no attempts.
 func countPicks(b *Balancer, now microtime.Time, endpoint string, request Request, picks int) int {
 	count := 0
 	for range picks {
--- a/internal/decide/loadbalancer/latency_test.go
+++ b/internal/decide/loadbalancer/latency_test.go
@@ -13,7 +13,7 @@
 	}
 	require.InEpsilon(t, 50e3, float64(stats.quantile(0.5)), 0.35)
 	require.InEpsilon(t, 95e3, float64(stats.quantile(0.95)), 0.35)
-	for range 400 { // the old ones fade
+	for range 400 { // the earlier observations decay
 		stats.add(400e3)
 	}
 	require.InEpsilon(t, 400e3, float64(stats.quantile(0.1)), 0.2)
--- a/internal/decide/loadbalancer/observation.go
+++ b/internal/decide/loadbalancer/observation.go
@@ -13,11 +13,11 @@
 
 // The kinds of observation.
 const (
-	Unreachable    ObservationKind = iota + 1 // attempts there failed
-	Reachable                                 // it answered
-	TypicalLatency                            // Value is the latency of a request there in microseconds
-	Recovered                                 // it recovered: older observations are about an earlier incarnation
-	endOfKinds
+	Unreachable    ObservationKind = iota + 1 // attempts at the endpoint failed
+	Reachable                                 // the endpoint answered
+	TypicalLatency                            // Value is the median latency of the endpoint in microseconds
+	Recovered                                 // the endpoint recovered; older observations are of an earlier incarnation
+	endOfKinds                                // exclusive upper bound of the valid kinds
 )
 
 // String names the kind.
@@ -36,7 +36,7 @@
 	}
 }
 
-// halfLife is the time after which an observation of the kind has half of its weight.
+// halfLife returns the time in which an observation of the kind loses half of its weight.
 func (k ObservationKind) halfLife() microtime.Time {
 	switch k {
 	case Unreachable, Reachable:
@@ -48,16 +48,16 @@
 	}
 }
 
-// Observation is an observation of an endpoint by some instance. It is sent with its age instead of a time, because the
+// Observation is what an instance observed about an endpoint. It is sent with its age instead of a time, because the
 // clocks of the instances differ.
 type Observation struct {
 	Endpoint string
 	Kind     ObservationKind
-	Value    float64        // of TypicalLatency: microseconds
-	Evidence float64        // number of attempts that it rests on, over 0
-	Age      microtime.Time // since it was made
-	Source   string         // the instance that made it
-	Hops     int            // how often it was sent; 1 if its source sent it directly
+	Value    float64        // only of TypicalLatency: microseconds
+	Evidence float64        // number of attempts that support the observation; over 0
+	Age      microtime.Time // time since the observation was made
+	Source   string         // name of the instance that made the observation
+	Hops     int            // number of times the observation was sent on; 1 if received from its source
 }
 
 // GossipSender is the instance that sent a gossip message.
@@ -66,7 +66,7 @@
 	Uptime microtime.Time // bounds the evidence of its observations
 }
 
-// The bounds of observations that are accepted from other instances.
+// Bounds of the observations that are accepted from other instances.
 const (
 	MaxHops = 4
 	MaxAge  = 600 * microtime.Second
@@ -76,7 +76,7 @@
 	maxNameLength = 64
 )
 
-// ErrInvalidGossip is wrapped by the errors about gossip that is out of bounds.
+// ErrInvalidGossip is wrapped by errors about gossip with a field that is out of bounds.
 var ErrInvalidGossip = errors.New("loadbalancer: invalid gossip")
 
 func invalidGossip(field, format string, args ...any) error {
@@ -89,19 +89,19 @@
 	latencyOK := observation.Value > 0 && observation.Value <= maxObservedLatency
 	switch {
 	case !validName(observation.Endpoint):
-		return invalidGossip("endpoint", "a name of %d bytes", len(observation.Endpoint))
+		return invalidGossip("endpoint", "name has an invalid length of %d bytes", len(observation.Endpoint))
 	case !validName(observation.Source):
-		return invalidGossip("source", "a name of %d bytes", len(observation.Source))
+		return invalidGossip("source", "name has an invalid length of %d bytes", len(observation.Source))
 	case observation.Kind == 0 || observation.Kind >= endOfKinds:
-		return invalidGossip("kind", "unknown %d", observation.Kind)
+		return invalidGossip("kind", "unknown kind %d", observation.Kind)
 	case observation.Age < 0 || observation.Age > MaxAge:
 		return invalidGossip("age", "%v is not within 0 to %v", observation.Age.Duration(), MaxAge.Duration())
 	case observation.Hops < 0 || observation.Hops > MaxHops:
 		return invalidGossip("hops", "%d is not within 0 to %d", observation.Hops, MaxHops)
 	case !evidenceOK:
-		return invalidGossip("evidence", "%v is not over 0", observation.Evidence)
+		return invalidGossip("evidence", "%v is not a positive finite number", observation.Evidence)
 	case observation.Kind == TypicalLatency && !latencyOK:
-		return invalidGossip("value", "%v is not within 0 to %v", observation.Value, maxObservedLatency)
+		return invalidGossip("value", "latency %v is not over 0 and at most %v", observation.Value, maxObservedLatency)
 	}
 	return nil
 }
@@ -110,17 +110,17 @@
 
 func (s *GossipSender) validate() error {
 	if s.Uptime < 0 || !validName(s.Name) {
-		return invalidGossip("sender", "%q with an uptime of %v", s.Name, s.Uptime.Duration())
+		return invalidGossip("sender", "name %q or uptime %v is out of bounds", s.Name, s.Uptime.Duration())
 	}
 	return nil
 }
 
-// validateOwn checks an observation whose source is the sender: it has one hop and is not older than the sender's
-// uptime.
+// validateOwn returns an error if an observation that the sender made itself does not have exactly one hop or is older
+// than the sender's uptime.
 func (s *GossipSender) validateOwn(observation *Observation) error {
 	if observation.Source != s.Name || observation.Hops == 1 && observation.Age <= s.Uptime {
 		return nil
 	}
-	return invalidGossip("age", "%s tells of %v ago, over %d hops, and is up for %v",
+	return invalidGossip("age", "observation by the sender %s has age %v and %d hops; the sender's uptime is %v",
 		s.Name, observation.Age.Duration(), observation.Hops, s.Uptime.Duration())
 }
--- a/internal/decide/loadbalancer/outlier.go
+++ b/internal/decide/loadbalancer/outlier.go
@@ -2,15 +2,15 @@
 
 import "pewterline/internal/microtime"
 
-// An endpoint with attempts in flight that does not answer for silenceLatencyFactor times the usual latency, within
-// bounds, becomes Suspect.
+// An endpoint with attempts in flight becomes Suspect if it does not answer for silenceLatencyFactor times the usual
+// latency, bounded by minSilenceTimeout and maxSilenceTimeout.
 const (
 	silenceLatencyFactor = 3
 	minSilenceTimeout    = 300 * microtime.Millisecond
 	maxSilenceTimeout    = 2 * microtime.Second
 )
 
-// usualLatencyQuantile is the quantile of the latency from which the silence timeout is computed.
+// usualLatencyQuantile is the quantile of the latency that counts as usual for the silence timeout.
 const usualLatencyQuantile = 0.95
 
 // Result is how an attempt ended.
@@ -18,8 +18,8 @@
 	Class      int
 	Outcome    Outcome
 	Latency    microtime.Time
-	RetryAfter microtime.Time // of a rejection: how long the endpoint must get no attempts
-	NoRetry    bool           // of a rejection: no other endpoint should be tried
+	RetryAfter microtime.Time // only of a rejection: how long the endpoint must get no attempts
+	NoRetry    bool           // only of a rejection: no other endpoint should be tried
 }
 
 // AttemptStarted records that an attempt was sent to the endpoint that Pick chose.
@@ -60,7 +60,7 @@
 		target.retryAfter = max(target.retryAfter, now+result.RetryAfter)
 		target.concurrency.decrease()
 	case Failed:
-		target.lastAnswerAt = now // A failure is an answer, but does not bring the endpoint back into use.
+		target.lastAnswerAt = now // A failure is an answer, but does not return the endpoint to service.
 		target.concurrency.decrease()
 	default:
 		b.recordFailure(now, target, result.Outcome)
@@ -74,7 +74,7 @@
 	target.concurrency.recordSuccess(stats.mean, target.inFlight, b.config.MaxConcurrency)
 }
 
-// recordAnswer records a success or a rejection, which brings an ejected endpoint back into use.
+// recordAnswer records a success or a rejection, which returns an ejected endpoint to service.
 func (b *Balancer) recordAnswer(now microtime.Time, target *endpoint) {
 	target.lastAnswerAt = now
 	target.consecutiveFailures = 0
@@ -83,13 +83,13 @@
 	case Unobserved:
 		target.setState(now, Up)
 	case Down:
-		// It may have restarted, so that the earlier statistics do not apply.
+		// The endpoint may have restarted, so the earlier statistics no longer apply.
 		target.recoveredAt = now
 		target.resetStatistics(&b.config)
 		target.setState(now, Warming)
 	case Suspect:
 		target.setState(now, Warming)
-		target.stateSince -= b.config.SlowStart / 2 // A shorter slow start, as it may only have been slow.
+		target.stateSince -= b.config.SlowStart / 2 // Half of the slow start, as the endpoint may only have been slow.
 	case Warming:
 		if now >= target.stateSince+b.config.SlowStart {
 			target.setState(now, Up)
@@ -98,7 +98,8 @@
 	}
 }
 
-// recordFailure counts an attempt without an answer. It ejects the endpoint after too many consecutive ones.
+// recordFailure counts an attempt that got no answer. Too many consecutive ones, or one failed connect, eject the
+// endpoint.
 func (b *Balancer) recordFailure(now microtime.Time, target *endpoint, outcome Outcome) {
 	target.consecutiveFailures++
 	target.lastFailureAt = now
@@ -117,7 +118,7 @@
 	target.probe.backOff(now, &b.config, b.rng, confirmedByGossip)
 }
 
-// SilenceTimeout is how long an endpoint with attempts in flight may give no answer before it becomes Suspect.
+// SilenceTimeout returns how long an endpoint with attempts in flight may send no answer before it becomes Suspect.
 func (b *Balancer) SilenceTimeout() microtime.Time {
 	usual := microtime.Time(0)
 	for class := range b.latency {
@@ -126,9 +127,9 @@
 	return min(max(silenceLatencyFactor*usual, minSilenceTimeout), maxSilenceTimeout)
 }
 
-// detectSilence makes endpoints Suspect that have not answered for SilenceTimeout. This detects a machine that has
-// vanished without closing its connections, before the attempts there reach their deadlines. Without it, gossip would
-// report such a machine as reachable for seconds.
+// detectSilence makes endpoints Suspect that have attempts in flight and have not answered for SilenceTimeout. This
+// detects a machine that failed without closing its connections, before its attempts reach their deadlines. Otherwise
+// gossip would report such a machine as reachable for seconds.
 func (b *Balancer) detectSilence(now microtime.Time) {
 	timeout := b.SilenceTimeout()
 	for _, e := range b.endpoints {
@@ -142,7 +143,7 @@
 	}
 }
 
-// unhealthy reports whether an endpoint should be ejected. candidates ignores it if too many endpoints are unhealthy.
+// unhealthy reports whether an endpoint should be ejected. The method candidates ejects none if too many are unhealthy.
 func (b *Balancer) unhealthy(now microtime.Time, target *endpoint) bool {
 	switch target.state {
 	case Suspect, Down, Draining:
@@ -154,7 +155,7 @@
 	return false
 }
 
-// ejectedShare is the share of the endpoints that are unhealthy.
+// ejectedShare returns the fraction of the endpoints that are unhealthy.
 func (b *Balancer) ejectedShare(now microtime.Time) float64 {
 	unhealthy := 0
 	for _, e := range b.endpoints {
--- a/internal/decide/loadbalancer/peer_scheduler.go
+++ b/internal/decide/loadbalancer/peer_scheduler.go
@@ -9,10 +9,11 @@
 )
 
 const (
-	// maxBackoffIntervals bounds the mean wait after failed exchanges with a peer, in exchange intervals.
+	// maxBackoffIntervals bounds the mean wait after failed exchanges with a peer, in multiples of Interval.
 	maxBackoffIntervals = 30
-	// forgetFactor, times DeadAfterFailures, is the number of consecutive failures after which a peer is removed.
-	forgetFactor = 3
+	// removalFactor is the number of consecutive failures after which a peer is removed, in multiples of
+	// DeadAfterFailures.
+	removalFactor = 3
 	// peerSchedulerStream separates the scheduler's random numbers from those of other users of the same seed.
 	peerSchedulerStream = 0x70656572
 )
@@ -21,11 +22,11 @@
 type PeerSchedulerConfig struct {
 	// Interval is the mean time between two exchanges.
 	Interval microtime.Time
-	// InitialPeers is the number of peers that an instance exchanges with at once when it starts.
+	// InitialPeers is the number of peers with which an instance exchanges gossip concurrently when it starts.
 	InitialPeers int
-	// StartupTimeout is how long an instance that starts waits for its first exchange before it serves requests.
+	// StartupTimeout bounds how long an instance waits after its start for the first exchange before it serves requests.
 	StartupTimeout microtime.Time
-	// DeadAfterFailures is the number of consecutive failed exchanges after which a peer counts as dead.
+	// DeadAfterFailures is the number of consecutive failed exchanges after which a peer counts as not alive.
 	DeadAfterFailures int
 	// MaxPeers bounds the number of known peers.
 	MaxPeers int
@@ -39,40 +40,41 @@
 	c.MaxPeers = cmp.Or(c.MaxPeers, 64)
 }
 
-// PeerScheduler decides which other instances this one exchanges gossip with, and when. A peer whose exchanges fail is
-// retried with exponential backoff. After too many failures it is removed, unless it is a seed from the configuration.
+// PeerScheduler decides with which other instances this one exchanges gossip, and when. It retries a peer whose
+// exchanges fail with exponential backoff. After too many failures it removes the peer, unless the peer is a seed from
+// the configuration.
 type PeerScheduler struct {
-	config  PeerSchedulerConfig
-	rng     *rand.Rand
-	peers   []*peer
-	started microtime.Time
-	next    microtime.Time // when the next exchange begins
-	ready   bool           // the result of Ready
-	asked   bool           // the first exchanges have begun
+	config                  PeerSchedulerConfig
+	rng                     *rand.Rand
+	peers                   []*peer
+	startedAt               microtime.Time
+	nextExchangeAt          microtime.Time
+	ready                   bool // the result of Ready
+	initialExchangesStarted bool // the first call of NextPeers has returned the initial peers
 }
 
 // peer is another instance.
 type peer struct {
-	name                string // of a seed: empty before it answers
+	name                string // empty for a seed that has not answered
 	address             string
 	seed                bool
 	consecutiveFailures int
-	lastAnswerAt        microtime.Time // 0: never
-	backoff             microtime.Time
-	notBefore           microtime.Time // the next exchange begins no earlier
+	lastAnswerAt        microtime.Time // 0 if it has never answered
+	backoff             microtime.Time // mean wait after the last failed exchange
+	notBefore           microtime.Time // earliest time of the next exchange
 	exchanging          bool           // an exchange is in flight
 }
 
 // NewPeerScheduler returns the scheduler of an instance that starts now. seeds are the addresses of the peers in its
-// configuration, and seed initializes the random numbers.
+// configuration; seed initializes the random number generator.
 func NewPeerScheduler(now microtime.Time, config PeerSchedulerConfig, seeds []string, seed uint64) *PeerScheduler {
 	config.applyDefaults()
 	s := &PeerScheduler{
-		config:  config,
-		rng:     rand.New(rand.NewPCG(seed, peerSchedulerStream)),
-		started: now,
-		next:    now,
-		ready:   len(seeds) == 0,
+		config:         config,
+		rng:            rand.New(rand.NewPCG(seed, peerSchedulerStream)),
+		startedAt:      now,
+		nextExchangeAt: now,
+		ready:          len(seeds) == 0,
 	}
 	for _, address := range seeds {
 		s.peers = append(s.peers, &peer{address: address, seed: true})
@@ -80,41 +82,41 @@
 	return s
 }
 
-// Ready reports whether requests may be served: the first peer has answered, all first exchanges have failed, or
-// StartupTimeout has passed. Once ready, the instance stays ready.
+// Ready reports whether the instance may serve requests: there are no seeds, a peer has answered, all initial exchanges
+// have failed, or StartupTimeout has passed. Once ready, the instance stays ready.
 func (s *PeerScheduler) Ready(now microtime.Time) bool {
 	exchanging := func(p *peer) bool { return p.exchanging }
 	switch {
 	case s.ready:
-	case now >= s.started+s.config.StartupTimeout:
+	case now >= s.startedAt+s.config.StartupTimeout:
 		s.ready = true
-	case s.asked:
+	case s.initialExchangesStarted:
 		s.ready = !slices.ContainsFunc(s.peers, exchanging)
 	}
 	return s.ready
 }
 
-// NextCheck is when NextPeers has something to return, or Ready may change.
+// NextCheck returns when NextPeers may next return addresses or the result of Ready may change.
 func (s *PeerScheduler) NextCheck() microtime.Time {
 	if !s.ready {
-		return min(s.next, s.started+s.config.StartupTimeout)
+		return min(s.nextExchangeAt, s.startedAt+s.config.StartupTimeout)
 	}
-	return s.next
+	return s.nextExchangeAt
 }
 
-// NextPeers returns the addresses to exchange with now: several at first, then one per interval. ExchangeSucceeded or
-// ExchangeFailed must follow for each of them.
+// NextPeers returns the addresses of the peers to exchange gossip with now: InitialPeers in the first call, then one in
+// each interval. The caller must call ExchangeSucceeded or ExchangeFailed for each of them.
 func (s *PeerScheduler) NextPeers(now microtime.Time) []string {
-	s.Ready(now) // Update ready, which NextCheck depends on.
-	if now < s.next {
+	s.Ready(now) // Updates the field ready, on which NextCheck depends.
+	if now < s.nextExchangeAt {
 		return nil
 	}
-	// Jitter, so that instances that were started together do not stay synchronized.
+	// Jitter keeps instances that were started at the same time from exchanging in lockstep.
 	jitter := microtime.Time(s.rng.Int64N(int64(s.config.Interval) / 2))
-	s.next = now + s.config.Interval*3/4 + jitter
+	s.nextExchangeAt = now + s.config.Interval*3/4 + jitter
 	count := 1
-	if !s.asked {
-		s.asked = true
+	if !s.initialExchangesStarted {
+		s.initialExchangesStarted = true
 		count = s.config.InitialPeers
 	}
 	var eligible []*peer
@@ -142,7 +144,7 @@
 	return nil
 }
 
-// ExchangeSucceeded records that the peer at an address answered, and the name that it gave.
+// ExchangeSucceeded records that the peer at an address answered with its name.
 func (s *PeerScheduler) ExchangeSucceeded(now microtime.Time, address, name string) {
 	s.ready = true
 	p := s.lookup(address)
@@ -167,12 +169,12 @@
 	p.consecutiveFailures++
 	p.backoff = min(max(2*p.backoff, s.config.Interval), maxBackoffIntervals*s.config.Interval)
 	p.notBefore = now + p.backoff/2 + microtime.Time(s.rng.Int64N(int64(p.backoff)))
-	if p.consecutiveFailures >= forgetFactor*s.config.DeadAfterFailures && !p.seed {
+	if p.consecutiveFailures >= removalFactor*s.config.DeadAfterFailures && !p.seed {
 		s.peers = slices.DeleteFunc(s.peers, func(other *peer) bool { return other == p })
 	}
 }
 
-// AddPeer adds an instance that a peer has reported, unless its address is known or there are MaxPeers peers.
+// AddPeer adds an instance that a peer has reported, unless its address is empty or known, or there are MaxPeers peers.
 func (s *PeerScheduler) AddPeer(address, name string) {
 	if address == "" || s.lookup(address) != nil || len(s.peers) >= s.config.MaxPeers {
 		return
@@ -182,10 +184,10 @@
 
 // PeerStatus is the status of another instance, for operators.
 type PeerStatus struct {
-	Name        string // empty before a seed has answered
+	Name        string // empty for a seed that has not answered
 	Address     string
 	Alive       bool
-	SinceAnswer microtime.Time // -1 if it never answered
+	SinceAnswer microtime.Time // -1 if the peer has never answered
 }
 
 // Peers returns the status of the other instances.
@@ -196,7 +198,7 @@
 			Name:        p.name,
 			Address:     p.address,
 			Alive:       p.lastAnswerAt > 0 && p.consecutiveFailures < s.config.DeadAfterFailures,
-			SinceAnswer: never,
+			SinceAnswer: notObserved,
 		}
 		if p.lastAnswerAt > 0 {
 			status.SinceAnswer = now - p.lastAnswerAt
--- a/internal/decide/loadbalancer/peer_scheduler_test.go
+++ b/internal/decide/loadbalancer/peer_scheduler_test.go
@@ -9,26 +9,27 @@
 	"pewterline/internal/microtime"
 )
 
-// An instance that starts asks three peers at once and serves from the first answer.
-func TestStartAsksThreePeers(t *testing.T) {
-	s := NewPeerScheduler(second, PeerSchedulerConfig{}, []string{"a", "b", "c", "d", "e"}, 1)
-	require.False(t, s.Ready(second))
-	asked := s.NextPeers(second)
-	require.Len(t, asked, 3)
-	require.Empty(t, s.NextPeers(second))
-	s.ExchangeFailed(second, asked[0])
-	require.False(t, s.Ready(second))
-	s.ExchangeSucceeded(second+1000, asked[1], "e1")
-	require.True(t, s.Ready(second+1000))
+// An instance that starts exchanges with three peers at the same time and is ready at the first answer.
+func TestInitialExchanges(t *testing.T) {
+	scheduler := NewPeerScheduler(second, PeerSchedulerConfig{}, []string{"a", "b", "c", "d", "e"}, 1)
+	require.False(t, scheduler.Ready(second))
+	addresses := scheduler.NextPeers(second)
+	require.Len(t, addresses, 3)
+	require.Empty(t, scheduler.NextPeers(second))
+	scheduler.ExchangeFailed(second, addresses[0])
+	require.False(t, scheduler.Ready(second))
+	scheduler.ExchangeSucceeded(second+1000, addresses[1], "e1")
+	require.True(t, scheduler.Ready(second+1000))
 }
 
-// It never waits long: not where nobody answers, nor where all fail, nor where there is nobody to ask.
+// An instance is ready after StartupTimeout if no peer answers, as soon as all initial exchanges have failed, and
+// immediately without seeds.
 func TestStartupTimeout(t *testing.T) {
-	s := NewPeerScheduler(second, PeerSchedulerConfig{}, []string{"a", "b"}, 1)
-	s.NextPeers(second)
-	require.False(t, s.Ready(second+199*microtime.Millisecond))
-	require.LessOrEqual(t, s.NextCheck(), second+200*microtime.Millisecond)
-	require.True(t, s.Ready(second+200*microtime.Millisecond))
+	silent := NewPeerScheduler(second, PeerSchedulerConfig{}, []string{"a", "b"}, 1)
+	silent.NextPeers(second)
+	require.False(t, silent.Ready(second+199*microtime.Millisecond))
+	require.LessOrEqual(t, silent.NextCheck(), second+200*microtime.Millisecond)
+	require.True(t, silent.Ready(second+200*microtime.Millisecond))
 	failing := NewPeerScheduler(second, PeerSchedulerConfig{}, []string{"a", "b"}, 1)
 	for _, address := range failing.NextPeers(second) {
 		failing.ExchangeFailed(second+1000, address)
@@ -37,7 +38,8 @@
 	require.True(t, NewPeerScheduler(second, PeerSchedulerConfig{}, nil, 1).Ready(second))
 }
 
-// Then it exchanges with one peer about once a second, with all in the end, and less and less with one that is dead.
+// An instance exchanges with one peer about once a second and covers all peers evenly. A peer that does not answer gets
+// fewer exchanges and is not reported as alive.
 func TestExchangesCoverAllPeers(t *testing.T) {
 	scheduler := NewPeerScheduler(0, PeerSchedulerConfig{}, []string{"a", "b", "c", "d"}, 1)
 	exchanges := map[string]int{}
@@ -61,17 +63,18 @@
 	}
 }
 
-// A million instances that somebody tells of cost no more than the bound; one that never answers is forgotten.
+// The number of peers is bounded by MaxPeers, however many addresses are reported. Peers that do not answer are
+// removed, except for seeds.
 func TestPeersAreBounded(t *testing.T) {
-	s := NewPeerScheduler(0, PeerSchedulerConfig{}, []string{"a"}, 1)
+	scheduler := NewPeerScheduler(0, PeerSchedulerConfig{}, []string{"a"}, 1)
 	for i := range 1_000_000 {
-		s.AddPeer(fmt.Sprint(i), "x")
+		scheduler.AddPeer(fmt.Sprint(i), "x")
 	}
-	require.Len(t, s.peers, 64)
-	for now := microtime.Time(0); now < 20_000*second; now = max(s.NextCheck(), now+1) {
-		for _, address := range s.NextPeers(now) {
-			s.ExchangeFailed(now, address)
+	require.Len(t, scheduler.peers, 64)
+	for now := microtime.Time(0); now < 20_000*second; now = max(scheduler.NextCheck(), now+1) {
+		for _, address := range scheduler.NextPeers(now) {
+			scheduler.ExchangeFailed(now, address)
 		}
 	}
-	require.Len(t, s.Peers(0), 1, "the seed stays")
+	require.Len(t, scheduler.Peers(0), 1, "only the seed is kept")
 }
--- a/internal/decide/loadbalancer/retry.go
+++ b/internal/decide/loadbalancer/retry.go
@@ -7,22 +7,22 @@
 	"pewterline/internal/microtime"
 )
 
-// maxMaxAttempts bounds the setting for the number of attempts.
-const maxMaxAttempts = 16
+// maxAttemptsLimit is the largest valid RetryConfig.MaxAttempts.
+const maxAttemptsLimit = 16
 
 // RetryConfig holds the parameters of a RetryPolicy. Zero values take the defaults.
 type RetryConfig struct {
 	// TokensPerSuccess is the fraction of a token that a success earns; a retry or a hedged request costs one token.
 	TokensPerSuccess float64
-	// MaxTokens bounds the tokens of the instance.
+	// MaxTokens bounds the tokens in the budget of the instance.
 	MaxTokens float64
-	// MaxCallerTokens bounds the tokens of each caller.
+	// MaxCallerTokens bounds the tokens in the budget of each caller.
 	MaxCallerTokens float64
-	// MaxCallers bounds the number of callers with a budget; the least recently seen is evicted.
+	// MaxCallers bounds the number of callers with a budget. The least recently seen caller is evicted.
 	MaxCallers int
-	// MaxAttempts bounds the attempts of a request, including the first.
+	// MaxAttempts bounds the number of attempts of a request, including the first.
 	MaxAttempts int
-	// MaxKeys bounds the idempotency keys with a known endpoint; beyond it, requests with new keys are rejected.
+	// MaxKeys bounds the number of tracked idempotency keys. At the bound, requests with new keys are rejected.
 	MaxKeys int
 }
 
@@ -43,13 +43,13 @@
 	maxTokensOK := c.MaxTokens >= 1 && c.MaxCallerTokens >= 1
 	switch {
 	case !tokensPerSuccessOK:
-		return configErrorf("earn", "%v is not within 0 to 1", c.TokensPerSuccess)
+		return configErrorf("earn", "%v is not over 0 and at most 1", c.TokensPerSuccess)
 	case !maxTokensOK:
-		return configErrorf("most, caller_most", "%v and %v are under 1", c.MaxTokens, c.MaxCallerTokens)
+		return configErrorf("most, caller_most", "%v and %v: expected 1 or more", c.MaxTokens, c.MaxCallerTokens)
 	case c.MaxCallers < 1 || c.MaxKeys < 1:
-		return configErrorf("callers, keys", "%d and %d are under 1", c.MaxCallers, c.MaxKeys)
-	case c.MaxAttempts < 1 || c.MaxAttempts > maxMaxAttempts:
-		return configErrorf("tries", "%d is not within 1 to %d", c.MaxAttempts, maxMaxAttempts)
+		return configErrorf("callers, keys", "%d and %d: expected 1 or more", c.MaxCallers, c.MaxKeys)
+	case c.MaxAttempts < 1 || c.MaxAttempts > maxAttemptsLimit:
+		return configErrorf("tries", "%d is not within 1 to %d", c.MaxAttempts, maxAttemptsLimit)
 	}
 	return nil
 }
@@ -84,8 +84,8 @@
 // RecordSuccess adds TokensPerSuccess to the budgets of the instance and the caller.
 func (p *RetryPolicy) RecordSuccess(now microtime.Time, caller uint32) { p.budget.earn(now, caller) }
 
-// SpendToken spends a token of the instance and of the caller for a retry or a hedged request. It returns false, and
-// spends nothing, if either has none.
+// SpendToken takes one token from the budgets of the instance and the caller for a retry or a hedged request. If either
+// budget has less than one token, it takes none and returns false.
 func (p *RetryPolicy) SpendToken(now microtime.Time, caller uint32) bool {
 	if !p.budget.spend(now, caller) {
 		return false
@@ -94,7 +94,7 @@
 	return true
 }
 
-// Amplification is the number of attempts per first attempt so far.
+// Amplification returns the ratio of all attempts to first attempts so far; 1 if there were none.
 func (p *RetryPolicy) Amplification() float64 {
 	if p.firstAttempts == 0 {
 		return 1
@@ -108,10 +108,10 @@
 // The decisions.
 const (
 	RetryElsewhere      Decision = iota // retry at another endpoint
-	RetrySameEndpoint                   // retry at the endpoint that may have executed it, and at no other
-	ReportRejected                      // it was not executed: report the rejection
-	ReportFailed                        // it failed; the caller may repeat an idempotent request
-	ReportIndeterminate                 // whether it was executed is not known
+	RetrySameEndpoint                   // retry at the endpoint that may have executed the request, and at no other
+	ReportRejected                      // report a rejection: the request was not executed
+	ReportFailed                        // report a failure; the caller may repeat an idempotent request
+	ReportIndeterminate                 // report that it is not known whether the request was executed
 )
 
 // String names the decision.
@@ -131,16 +131,16 @@
 	return fmt.Sprintf("Decision(%d)", uint8(d))
 }
 
-// FailedAttempt describes a request whose last attempt in flight did not succeed.
+// FailedAttempt describes an attempt that did not succeed, and its request, which has no other attempt in flight.
 type FailedAttempt struct {
 	Caller         uint32
-	Keyed          bool // it has an idempotency key, and must not be executed twice
-	Idempotent     bool // it may be executed any number of times
+	Keyed          bool // the request has an idempotency key and must not be executed twice
+	Idempotent     bool // the request may be executed any number of times
 	Key            IdempotencyKey
-	Attempts       int // so far, including the first
+	Attempts       int // number of attempts so far, including the first
 	Outcome        Outcome
-	NoRetry        bool           // the endpoint requested that no other be tried
-	EarliestFinish microtime.Time // of another attempt; microtime.Never if no endpoint has capacity
+	NoRetry        bool           // the endpoint requested that no other endpoint be tried
+	EarliestFinish microtime.Time // estimate for another attempt; microtime.Never if no endpoint has capacity
 	Deadline       microtime.Time
 }
 
@@ -154,31 +154,33 @@
 	case rejected, attempt.Outcome == ConnectFailed && !mayHaveExecuted:
 		report = ReportRejected // The request was executed nowhere.
 	case mayHaveExecuted:
-		// It may be retried only at that endpoint. One that still answers knows the outcome; a lost one cannot be asked.
+		// A retry may go only to the endpoint that may have executed the request. If that endpoint still answers, it knows
+		// the outcome; if it is lost, the outcome cannot be determined.
 		if p.sticky.byKey[attempt.Key].indeterminate || attempt.Outcome.endpointLost() {
 			return ReportIndeterminate
 		}
 		retry = RetrySameEndpoint
 		report = ReportIndeterminate
 	case !attempt.Idempotent && !attempt.Outcome.ProvesNotExecuted():
-		return ReportFailed // It may have been executed, and a retry could execute it a second time.
+		return ReportFailed // The request may have been executed, and a retry could execute it again.
 	}
-	// No retry that cannot finish in time, or that the endpoint requested not to make.
-	hopeless := attempt.NoRetry || attempt.Attempts >= p.config.MaxAttempts || attempt.EarliestFinish >= attempt.Deadline
-	if hopeless || !p.SpendToken(now, attempt.Caller) {
+	// No retry is made if the endpoint requested none, no attempts are left, or the retry could not finish in time.
+	mustNotRetry := attempt.NoRetry || attempt.Attempts >= p.config.MaxAttempts ||
+		attempt.EarliestFinish >= attempt.Deadline
+	if mustNotRetry || !p.SpendToken(now, attempt.Caller) {
 		return report
 	}
 	return retry
 }
 
-// endpointLost reports whether the endpoint cannot be asked for the outcome.
+// endpointLost reports whether the endpoint did not answer, so that it cannot be asked for the result of the request.
 func (o Outcome) endpointLost() bool {
 	return o == ConnectionLost || o == TimedOut || o == ConnectFailed
 }
 
 // StickyEndpoint returns the endpoint that may have executed a request within the retention window of its key, or "".
-// ok is false if the key is new and MaxKeys keys are known: the request must be rejected, as it could be executed
-// twice.
+// ok is false if the key is new and MaxKeys keys are tracked already. The request must then be rejected: its endpoint
+// could not be recorded, so a retry could execute it twice.
 func (p *RetryPolicy) StickyEndpoint(now microtime.Time, key IdempotencyKey) (endpoint string, ok bool) {
 	if sticky := p.sticky.lookup(now, key); sticky != nil {
 		return sticky.endpoint, true
@@ -186,23 +188,24 @@
 	return "", !p.sticky.full()
 }
 
-// RecordSent records that an attempt with a key was written to an endpoint: from then on it may have been executed
-// there, until its window ends.
+// RecordSent records that an attempt of a request with an idempotency key was written to an endpoint. From then until
+// its retention window ends, the request counts as possibly executed there.
 func (p *RetryPolicy) RecordSent(now microtime.Time, key IdempotencyKey, endpoint string, window microtime.Time) {
 	p.sticky.recordSent(now, key, endpoint, window)
 }
 
-// RecordOutcome records how an attempt with a key ended that was written to an endpoint.
+// RecordOutcome records the outcome of an attempt that RecordSent has recorded.
 func (p *RetryPolicy) RecordOutcome(key IdempotencyKey, outcome Outcome) {
 	p.sticky.recordOutcome(key, outcome)
 }
 
-// MayHaveExecuted reports whether some endpoint may have executed the request within the window of its key.
+// MayHaveExecuted reports whether an endpoint may have executed the request within the retention window of its key.
 func (p *RetryPolicy) MayHaveExecuted(now microtime.Time, key IdempotencyKey) bool {
 	return p.sticky.lookup(now, key) != nil
 }
 
-// Indeterminate reports whether the outcome of a request is not known, and until when it cannot be executed elsewhere.
+// Indeterminate reports whether the outcome of a request is unknown, and when the retention window of its key ends.
+// Until then the request is sent to no other endpoint.
 func (p *RetryPolicy) Indeterminate(now microtime.Time, key IdempotencyKey) (until microtime.Time, unknown bool) {
 	if sticky := p.sticky.byKey[key]; sticky != nil && sticky.indeterminate {
 		return sticky.expiresAt, now < sticky.expiresAt
@@ -210,7 +213,7 @@
 	return 0, false
 }
 
-// Tracked returns the numbers of known idempotency keys and of callers with a budget.
+// Tracked returns the numbers of tracked idempotency keys and of callers with a budget.
 func (p *RetryPolicy) Tracked() (keys, callers int) {
 	return len(p.sticky.byKey), len(p.budget.callers)
 }
--- a/internal/decide/loadbalancer/retry_budget.go
+++ b/internal/decide/loadbalancer/retry_budget.go
@@ -2,18 +2,19 @@
 
 import "pewterline/internal/microtime"
 
-// newCallerTokens is the initial budget of a caller. With a full one, callers could evade the budget by new caller IDs.
-const newCallerTokens = 1
+// initialCallerTokens is the initial budget of a caller. It is less than MaxCallerTokens, because callers could
+// otherwise evade their budget by using new caller IDs.
+const initialCallerTokens = 1
 
-// retryBudget is a token bucket for the instance and one for each caller. A success earns a fraction of a token in
-// both, and a retry costs a whole one of both. Under full overload, when nothing succeeds, retries are bounded by the
-// tokens earned before (the retry budget of Finagle and of Google's SRE book).
+// retryBudget is a token bucket for the instance and one for each caller. A success adds a fraction of a token to both,
+// and a retry takes a whole token from both. Under full overload, when nothing succeeds, retries are bounded by the
+// tokens earned before, as with the retry budgets of Finagle and of Google's SRE book.
 type retryBudget struct {
 	config  *RetryConfig
 	tokens  float64
 	callers map[uint32]*callerBudget
-	// oldest is the eviction order: the callers by queuedAt, oldest first.
-	oldest []*callerBudget
+	// evictionQueue holds the callers by queuedAt, oldest first.
+	evictionQueue []*callerBudget
 }
 
 // callerBudget is the budget of one caller.
@@ -21,49 +22,50 @@
 	id         uint32
 	tokens     float64
 	lastSeenAt microtime.Time
-	queuedAt   microtime.Time // lastSeenAt when it was put in the eviction order
+	queuedAt   microtime.Time // lastSeenAt when the caller was last queued for eviction
 }
 
 func newRetryBudget(config *RetryConfig) retryBudget {
 	return retryBudget{config: config, tokens: config.MaxTokens, callers: map[uint32]*callerBudget{}}
 }
 
-// caller returns the budget of a caller and updates its lastSeenAt. A new caller is added.
+// caller returns the budget of a caller and updates lastSeenAt. It adds the caller if it is new.
 func (b *retryBudget) caller(now microtime.Time, id uint32) *callerBudget {
 	caller := b.callers[id]
 	if caller == nil {
 		b.evictCallers()
-		caller = &callerBudget{id: id, tokens: newCallerTokens, queuedAt: now}
+		caller = &callerBudget{id: id, tokens: initialCallerTokens, queuedAt: now}
 		b.callers[id] = caller
-		b.oldest = append(b.oldest, caller)
+		b.evictionQueue = append(b.evictionQueue, caller)
 	}
 	caller.lastSeenAt = now
 	return caller
 }
 
-// evictCallers makes room for one caller by evicting the least recently seen, so that callers with ever new IDs cannot
-// use up the memory.
+// evictCallers evicts the least recently seen callers until there is room for one more. This bounds the memory if
+// callers keep using new IDs.
 func (b *retryBudget) evictCallers() {
 	for len(b.callers) >= b.config.MaxCallers {
-		first := b.oldest[0]
-		b.oldest = b.oldest[1:]
-		if first.lastSeenAt > first.queuedAt { // It was seen since, so it moves to the end.
+		first := b.evictionQueue[0]
+		b.evictionQueue = b.evictionQueue[1:]
+		if first.lastSeenAt > first.queuedAt { // The caller was seen since, so it moves to the end.
 			first.queuedAt = first.lastSeenAt
-			b.oldest = append(b.oldest, first)
+			b.evictionQueue = append(b.evictionQueue, first)
 			continue
 		}
 		delete(b.callers, first.id)
 	}
 }
 
-// earn adds TokensPerSuccess to both budgets.
+// earn adds TokensPerSuccess to the budgets of the instance and the caller.
 func (b *retryBudget) earn(now microtime.Time, id uint32) {
 	b.tokens = min(b.tokens+b.config.TokensPerSuccess, b.config.MaxTokens)
 	caller := b.caller(now, id)
 	caller.tokens = min(caller.tokens+b.config.TokensPerSuccess, b.config.MaxCallerTokens)
 }
 
-// spend takes a token from both budgets. It returns false, and takes nothing, if either has none.
+// spend takes one token from the budgets of the instance and the caller. If either has less than one, it takes none and
+// returns false.
 func (b *retryBudget) spend(now microtime.Time, id uint32) bool {
 	caller := b.caller(now, id)
 	if b.tokens < 1 || caller.tokens < 1 {
--- a/internal/decide/loadbalancer/retry_test.go
+++ b/internal/decide/loadbalancer/retry_test.go
@@ -15,7 +15,7 @@
 	return policy
 }
 
-// failedAttempt is the first attempt of an idempotent request that could be retried in time.
+// failedAttempt returns a failed first attempt of an idempotent request. A retry could finish before the deadline.
 func failedAttempt(outcome Outcome) FailedAttempt {
 	return FailedAttempt{
 		Caller:         1,
@@ -27,8 +27,8 @@
 	}
 }
 
-// Under full overload, where nothing succeeds, attempts are at most a tenth over what came; a caller that uses up its
-// budget leaves the others theirs.
+// Under full overload, where no attempt succeeds, the attempts exceed the requests by at most a tenth. A caller that
+// uses up its budget does not use up the budgets of other callers.
 func TestAmplificationIsBounded(t *testing.T) {
 	policy := newRetryPolicy(t, RetryConfig{MaxTokens: 20})
 	for i := range 10_000 {
@@ -56,35 +56,36 @@
 	require.True(t, shared.SpendToken(0, 2))
 }
 
-// No retry that cannot finish in time, that the endpoint asked not to be made, or beyond the number allowed.
-func TestNoHopelessRetry(t *testing.T) {
+// A request is not retried if the retry cannot finish in time, if the endpoint requested none, or after MaxAttempts
+// attempts. It then spends no token.
+func TestRetryNotAllowed(t *testing.T) {
 	policy := newRetryPolicy(t, RetryConfig{})
 	require.Equal(t, RetryElsewhere, policy.Decide(second, failedAttempt(Rejected)))
-	for name, spoil := range map[string]func(*FailedAttempt){
-		"endpoint asked for none":   func(a *FailedAttempt) { a.NoRetry = true },
-		"last attempt":              func(a *FailedAttempt) { a.Attempts = 3 },
-		"too late":                  func(a *FailedAttempt) { a.EarliestFinish = a.Deadline },
-		"no endpoint would take it": func(a *FailedAttempt) { a.EarliestFinish = microtime.Never },
+	for name, modify := range map[string]func(*FailedAttempt){
+		"endpoint forbids retry":   func(a *FailedAttempt) { a.NoRetry = true },
+		"no attempts left":         func(a *FailedAttempt) { a.Attempts = 3 },
+		"deadline would be missed": func(a *FailedAttempt) { a.EarliestFinish = a.Deadline },
+		"no endpoint has capacity": func(a *FailedAttempt) { a.EarliestFinish = microtime.Never },
 	} {
 		t.Run(name, func(t *testing.T) {
 			failed := failedAttempt(Rejected)
-			spoil(&failed)
+			modify(&failed)
 			before := policy.budget.tokens
 			require.Equal(t, ReportRejected, policy.Decide(second, failed))
-			require.Equal(t, before, policy.budget.tokens, "and it costs nothing")
+			require.Equal(t, before, policy.budget.tokens, "no token is spent")
 		})
 	}
 	failed := failedAttempt(ConnectFailed)
 	failed.EarliestFinish = microtime.Never
-	require.Equal(t, ReportRejected, policy.Decide(second, failed), "no connection was opened: it was executed nowhere")
+	require.Equal(t, ReportRejected, policy.Decide(second, failed), "without a connection, the request was not executed")
 	failed = failedAttempt(ConnectionLost)
 	failed.Idempotent = false
-	require.Equal(t, ReportFailed, policy.Decide(second, failed), "it may have been executed, and is not idempotent")
+	require.Equal(t, ReportFailed, policy.Decide(second, failed), "a retry could execute the request again")
 }
 
-// A request with a key goes to the endpoint that may have executed it, or nowhere, until its window ends; where that
-// endpoint is lost, the outcome is not known, and that is what is reported.
-func TestKeyedRequestsStick(t *testing.T) {
+// Until the retention window of its key ends, a request is sent only to the endpoint that may have executed it. If that
+// endpoint is lost, the outcome is reported as indeterminate.
+func TestKeyedRequestsAreSticky(t *testing.T) {
 	policy := newRetryPolicy(t, RetryConfig{})
 	key := IdempotencyKey{1, "k"}
 	endpoint, ok := policy.StickyEndpoint(second, key)
@@ -107,13 +108,14 @@
 	require.True(t, unknown)
 	require.Equal(t, 14*second, until)
 	endpoint, _ = policy.StickyEndpoint(14*second-1, key)
-	require.Equal(t, "s3", endpoint, "not elsewhere within its window")
+	require.Equal(t, "s3", endpoint, "no other endpoint until the retention window ends")
 	endpoint, _ = policy.StickyEndpoint(14*second, key)
 	require.Empty(t, endpoint)
 }
 
-// A rejection proves that this attempt was not executed: the key is free, unless an earlier attempt may have been.
-func TestRejectionFreesKey(t *testing.T) {
+// A rejection proves that the attempt was not executed, so the key is removed unless another attempt may have been
+// executed.
+func TestRejectionRemovesKey(t *testing.T) {
 	policy := newRetryPolicy(t, RetryConfig{})
 	key := IdempotencyKey{1, "k"}
 	policy.RecordSent(second, key, "s3", 13*second)
@@ -126,13 +128,13 @@
 	policy.RecordOutcome(key, TimedOut)
 	policy.RecordSent(4*second, key, "s3", 13*second)
 	policy.RecordOutcome(key, Rejected)
-	require.True(t, policy.MayHaveExecuted(4*second, key), "and may have been executed")
+	require.True(t, policy.MayHaveExecuted(4*second, key), "the attempt that timed out may have been executed")
 	keys, _ := policy.Tracked()
 	require.Equal(t, 1, keys)
 }
 
-// Beyond the bound requests with new keys are not taken, as nobody would know where they were executed; old keys end
-// with their window, also behind one that lasts longer.
+// When MaxKeys keys are tracked, requests with new keys are rejected, as the endpoint that executes them could not be
+// recorded. A key expires at the end of its window, even behind a key with a longer window.
 func TestTrackedKeysAreBounded(t *testing.T) {
 	policy := newRetryPolicy(t, RetryConfig{MaxKeys: 3})
 	for i, value := range []string{"a", "b", "c"} {
@@ -151,11 +153,12 @@
 	require.Zero(t, keys)
 }
 
-// Callers under ever new numbers cost no memory, and a new number is no way to a full budget.
+// The number of tracked callers is bounded when callers keep using new IDs, and a new caller ID does not get a full
+// budget.
 func TestTrackedCallersAreBounded(t *testing.T) {
 	policy := newRetryPolicy(t, RetryConfig{MaxCallers: 100, MaxTokens: 1e9})
 	const steadyCaller = 7
-	spent := 0
+	secondRetries := 0
 	for i := range uint32(50_000) {
 		policy.RecordFirstAttempt(microtime.Time(i), i)
 		policy.RecordSuccess(microtime.Time(i), steadyCaller)
@@ -163,12 +166,12 @@
 			continue
 		}
 		if policy.SpendToken(microtime.Time(i), i) {
-			spent++
+			secondRetries++
 		}
 	}
 	_, callers := policy.Tracked()
 	require.Equal(t, 100, callers)
-	require.Zero(t, spent)
+	require.Zero(t, secondRetries)
 	require.NotNil(t, policy.budget.callers[steadyCaller])
-	require.LessOrEqual(t, len(policy.budget.oldest), 100)
+	require.LessOrEqual(t, len(policy.budget.evictionQueue), 100)
 }
--- a/internal/decide/loadbalancer/state.go
+++ b/internal/decide/loadbalancer/state.go
@@ -7,12 +7,12 @@
 
 // The states of an endpoint.
 const (
-	Unobserved State = iota // no attempt of this instance has ended there
-	Up                      // it answers
-	Warming                 // it has recovered, and gets a growing share of the traffic (slow start)
-	Suspect                 // it failed recently; idempotent and cheap requests probe it
-	Down                    // it accepts no connection, or several attempts in a row failed
-	Draining                // it takes no new requests
+	Unobserved State = iota // no attempt by this instance has ended at the endpoint
+	Up                      // the endpoint answers
+	Warming                 // the endpoint has recovered and gets an increasing share of the traffic (slow start)
+	Suspect                 // recent attempts failed; requests that are idempotent and cheap probe the endpoint
+	Down                    // no connection could be opened, or several consecutive attempts failed
+	Draining                // the endpoint is shutting down and gets no new requests
 )
 
 // String names the state.
@@ -40,12 +40,12 @@
 // The outcomes of an attempt.
 const (
 	Succeeded      Outcome = iota
-	Rejected               // the endpoint did not execute it; RetryAfter and NoRetry may come with it
-	Failed                 // the endpoint reported a failure; it may have executed it
-	TimedOut               // no answer was received in time; it may have been executed
-	ConnectionLost         // the connection ended after the request was written; it may have been executed
-	ConnectFailed          // no connection could be opened: nothing was written
-	Cancelled              // this instance cancelled the attempt; it says nothing about the endpoint
+	Rejected               // the endpoint did not execute the request; RetryAfter and NoRetry may be set
+	Failed                 // the endpoint reported a failure; it may have executed the request
+	TimedOut               // no answer was received in time; the request may have been executed
+	ConnectionLost         // the connection was lost after the request was written; it may have been executed
+	ConnectFailed          // no connection could be opened, so nothing was written
+	Cancelled              // this instance cancelled the attempt, which says nothing about the endpoint's health
 )
 
 // String names the outcome.
--- a/internal/decide/loadbalancer/sticky_keys.go
+++ b/internal/decide/loadbalancer/sticky_keys.go
@@ -2,19 +2,19 @@
 
 import "pewterline/internal/microtime"
 
-// IdempotencyKey identifies a request over all its attempts.
+// IdempotencyKey identifies a request across all its attempts.
 type IdempotencyKey struct {
 	Tenant int
 	Value  string
 }
 
 // stickyKeys records which endpoint may have executed a request with an idempotency key, until the retention window of
-// the key ends. Until then the request is sent to no other endpoint, as it could be executed twice.
+// the key ends. Until then the request is sent to no other endpoint, where it could be executed a second time.
 type stickyKeys struct {
 	maxKeys int
 	byKey   map[IdempotencyKey]*stickyKey
-	// byExpiry holds the keys in the order in which they were added. This is roughly their order of expiry, as the keys
-	// of one class have the same window.
+	// byExpiry holds the keys in the order in which they were added. This approximates their order of expiry, as all keys
+	// of a request class have the same retention window.
 	byExpiry []*stickyKey
 }
 
@@ -24,23 +24,23 @@
 	endpoint        string
 	expiresAt       microtime.Time
 	inFlight        int
-	mayHaveExecuted bool // an attempt ended without proof that it was not executed
-	indeterminate   bool // the outcome of an attempt is not known
-	removed         bool // it is no longer in byKey
+	mayHaveExecuted bool // an attempt has ended without proof that it was not executed
+	indeterminate   bool // the outcome of an attempt is unknown
+	removed         bool // the key is no longer in byKey
 }
 
 func newStickyKeys(maxKeys int) stickyKeys {
 	return stickyKeys{maxKeys: maxKeys, byKey: map[IdempotencyKey]*stickyKey{}}
 }
 
-// full reports whether no other key can be added.
+// full reports whether maxKeys keys are tracked.
 func (s *stickyKeys) full() bool { return len(s.byKey) >= s.maxKeys }
 
-// lookup finds a key whose window has not ended; nil if there is none.
+// lookup returns the entry of a key whose retention window has not ended, or nil.
 func (s *stickyKeys) lookup(now microtime.Time, key IdempotencyKey) *stickyKey {
 	s.expire(now)
 	sticky := s.byKey[key]
-	if sticky != nil && sticky.expiresAt <= now { // expire has not reached it, behind one that expires later.
+	if sticky != nil && sticky.expiresAt <= now { // expire stopped at an earlier entry that expires later.
 		s.remove(sticky)
 		return nil
 	}
@@ -60,9 +60,9 @@
 }
 
 // recordOutcome records how an attempt ended. An outcome that proves that the attempt was not executed removes the key,
-// unless another attempt may have been executed: one in flight, or one that ended without such a proof. Without this
-// condition, an endpoint that had executed a request and then restarted could reject a repeat, and the next repeat
-// would be executed at another endpoint.
+// unless another attempt may have been executed: one in flight, or one that ended without such a proof. Otherwise an
+// endpoint could execute a request, restart and then reject a retry, and the next retry would be executed at another
+// endpoint.
 func (s *stickyKeys) recordOutcome(key IdempotencyKey, outcome Outcome) {
 	sticky := s.byKey[key]
 	if sticky == nil {
@@ -90,7 +90,8 @@
 	delete(s.byKey, sticky.key)
 }
 
-// expire drops the keys whose window has ended, up to the first one in byExpiry whose window has not.
+// expire removes the keys whose retention window has ended, in the order of byExpiry, up to the first one whose window
+// has not ended.
 func (s *stickyKeys) expire(now microtime.Time) {
 	expired := 0
 	for expired < len(s.byExpiry) && (s.byExpiry[expired].removed || s.byExpiry[expired].expiresAt <= now) {
