--- a/control/controller.go
+++ b/control/controller.go
@@ -224,7 +224,7 @@
 func (c *Controller) rejectsAll() bool { return c.drain.requested || c.health.reason != reasonNone }
 
 // memoryUse is the share of memory that is in use.
-func (c *Controller) memoryUse() float64 { return c.memory.use(c.keys.live, 0) }
+func (c *Controller) memoryUse() float64 { return c.memory.usedShare(c.keys.liveCount, 0) }
 
 // transition moves a request to another state and updates every component that depends on the state. A run that leaves
 // the running state and a call that ends are progress of the machine.
@@ -242,7 +242,7 @@
 	if to == stateCalling {
 		c.calls.inFlight++
 	}
-	c.requests.move(req, to, c.now)
+	c.requests.setState(req, to, c.now)
 }
 
 // remove drops a request that has ended from all components.
--- a/control/helpers_test.go
+++ b/control/helpers_test.go
@@ -7,9 +7,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// newTestController returns the controller of a small server with two classes, idempotent best effort and keyed
-// priority requests, after change was made to its settings.
-func newTestController(t *testing.T, change func(*Settings)) *Controller {
+// newTestController returns a controller for a server with two cores and two classes: idempotent best-effort requests
+// (class 0) and keyed priority requests (class 1). modify, if not nil, changes the settings beforehand.
+func newTestController(t *testing.T, modify func(*Settings)) *Controller {
 	t.Helper()
 	settings := Settings{
 		Cores: 2, MemoryKB: 10_000, KeyKB: 100, RunningMemoryFactor: 4, MaxConcurrencyPerCore: 6,
@@ -20,20 +20,20 @@
 				Idempotency: IdempotentByKey, RetentionWindow: 30 * time.Second},
 		},
 	}
-	if change != nil {
-		change(&settings)
+	if modify != nil {
+		modify(&settings)
 	}
 	controller, err := New(settings)
 	require.NoError(t, err)
 	return controller
 }
 
-// stepAfter plays the events some time after the last step.
-func stepAfter(controller *Controller, after time.Duration, events ...Event) []Action {
-	return controller.Step(controller.now+after, events)
+// stepAfter passes the events to Step at the given time after the previous step.
+func stepAfter(controller *Controller, elapsed time.Duration, events ...Event) []Action {
+	return controller.Step(controller.now+elapsed, events)
 }
 
-// countActions counts the actions of one type.
+// countActions counts the actions of type A.
 func countActions[A Action](actions []Action) (count int) {
 	for _, action := range actions {
 		if _, ok := action.(A); ok {
--- a/control/idempotency.go
+++ b/control/idempotency.go
@@ -5,19 +5,21 @@
 	"time"
 )
 
-// expiredKeyRetention is how long an expired key is kept, as a repeat that is read late may still name it.
+// expiredKeyRetention is how long a key is kept after it has expired, as a repeat that is read late may still refer to
+// it.
 const expiredKeyRetention = time.Minute
 
-// retainedKey is the idempotency key of one request in the host's table.
+// retainedKey is the idempotency key of one request, which the host retains too.
 type retainedKey struct {
 	expiresAt time.Duration
 	started   bool // the request was started: it may have taken effect
 }
 
-// retainedKeys mirrors the idempotency keys that the host retains, by the request that RetainKey named.
+// retainedKeys tracks the idempotency keys that the host retains. Each key is stored under the ID of its original: the
+// request that RetainKey named. A repeat is a later attempt with the same key.
 type retainedKeys struct {
-	keys map[RequestID]*retainedKey
-	live int // keys that have not expired, as of the last expire
+	keys      map[RequestID]*retainedKey
+	liveCount int // number of keys that had not expired at the last call of expire
 }
 
 func newRetainedKeys() *retainedKeys { return &retainedKeys{keys: map[RequestID]*retainedKey{}} }
@@ -25,41 +27,43 @@
 // retain adds the key of a request.
 func (t *retainedKeys) retain(id RequestID, expiresAt time.Duration) {
 	t.keys[id] = &retainedKey{expiresAt: expiresAt}
-	t.live++
+	t.liveCount++
 }
 
-// requestStarted records that a request was started. If it has a key, the request may have taken effect from now on.
+// requestStarted marks the key of a request, if there is one, as started: the request may take effect from now on.
 func (t *retainedKeys) requestStarted(id RequestID) {
 	if key := t.keys[id]; key != nil {
 		key.started = true
 	}
 }
 
-// release removes the key of a request that never ran and reports whether there was one. Such a key must neither use
-// memory nor prevent a later attempt from running.
+// release removes the key of a request that never ran and reports whether there was one. If it were kept, it would use
+// memory and prevent a later attempt from running.
 func (t *retainedKeys) release(id RequestID) bool {
 	key := t.keys[id]
 	if key == nil || key.started {
 		return false
 	}
-	t.live--
+	t.liveCount--
 	delete(t.keys, id)
 	return true
 }
 
-// expire recounts the live keys and drops those that no repeat can name any more.
+// expire recounts the live keys and removes those that expired more than expiredKeyRetention ago.
 func (t *retainedKeys) expire(now time.Duration) {
-	t.live = 0
+	t.liveCount = 0
 	maps.DeleteFunc(t.keys, func(_ RequestID, key *retainedKey) bool {
 		if now < key.expiresAt {
-			t.live++
+			t.liveCount++
 		}
 		return now > key.expiresAt+expiredKeyRetention
 	})
 }
 
-// retainKey retains the key of a request before it can run, for the retention window from its arrival. False means
-// that there is no memory for it, so the request must not run.
+// retainKey retains the key of a request before the request can run. The key of a keyed request is retained for the
+// retention window, counted from the arrival of the request. An idempotent request has a key only if its result may
+// answer others. retainKey returns false if the request must not run, because there is no memory for the key that it
+// needs; an idempotent request can run without a key.
 func (c *Controller) retainKey(req *request) bool {
 	class := c.classes.of(req)
 	ttl := class.RetentionWindow - req.Age + tickInterval
@@ -69,7 +73,7 @@
 	case class.Idempotency != IdempotentByKey:
 		return true
 	}
-	if !c.memory.fitsKey(c.keys.live, req.QueuedKB) {
+	if !c.memory.fitsKey(c.keys.liveCount, req.QueuedKB) {
 		return class.Idempotency == Idempotent
 	}
 	c.keys.retain(req.ID, c.now+ttl)
@@ -84,12 +88,12 @@
 	}
 }
 
-// replayOriginal answers a repeat with the result of its original and returns true. It returns false if the original
-// has no retained key, and also if the original is still queued: that is rejected in favour of the repeat, whose caller
-// waits longer. The repeat is then queued like any other request.
+// replayOriginal answers a repeat with the result of its original and returns true. It returns false if the repeat must
+// be queued like any other request: the original has no retained key, or it is a keyed request that is still queued. A
+// queued original is rejected in favour of the repeat, whose caller waits longer.
 func (c *Controller) replayOriginal(req *request) bool {
 	id := req.Original
-	// The original may be a repeat itself, whose key is under its own original.
+	// The original may itself be a repeat. Its key is then stored under its own original.
 	original := c.requests.byID[id]
 	for c.keys.keys[id] == nil && original != nil && original.Original != 0 {
 		id = original.Original
@@ -104,8 +108,8 @@
 		return false
 	}
 	if c.memoryUse() > 1 {
-		// Once the original has started, a rejection would wrongly state that nothing ran. Waiting repeats must not use
-		// up the memory either.
+		// A repeat that waits for the result needs memory. It fails and is not rejected, because a rejection would
+		// wrongly state that nothing ran.
 		c.fail(req)
 		return true
 	}
--- a/control/idempotency_test.go
+++ b/control/idempotency_test.go
@@ -7,29 +7,29 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The key of a request that never ran is released, that of one that was started stays.
-func TestOnlyUnusedKeysAreReleased(t *testing.T) {
+// The key of a request that never ran is released; the key of a started request is kept.
+func TestReleaseKeepsKeysOfStartedRequests(t *testing.T) {
 	table := newRetainedKeys()
 	table.retain(1, time.Second)
 	table.retain(2, time.Second)
 	table.requestStarted(2)
-	table.requestStarted(3) // It has no key.
+	table.requestStarted(3) // Request 3 has no key.
 	require.True(t, table.release(1))
-	require.False(t, table.release(1), "released before")
+	require.False(t, table.release(1), "already released")
 	require.False(t, table.release(2), "started")
-	require.False(t, table.release(3), "without a key")
-	require.Equal(t, 1, table.live)
+	require.False(t, table.release(3), "no key")
+	require.Equal(t, 1, table.liveCount)
 }
 
-// An expired key costs no memory any more, but is remembered for repeats that are read late.
-func TestExpiredKeysAreRememberedForAWhile(t *testing.T) {
+// An expired key no longer counts as memory, but is kept for expiredKeyRetention for repeats that are read late.
+func TestExpiredKeysAreKeptForLateRepeats(t *testing.T) {
 	table := newRetainedKeys()
 	table.retain(1, time.Second)
 	table.retain(2, time.Minute)
 	table.expire(999 * time.Millisecond)
-	require.Equal(t, 2, table.live)
+	require.Equal(t, 2, table.liveCount)
 	table.expire(time.Second)
-	require.Equal(t, 1, table.live)
+	require.Equal(t, 1, table.liveCount)
 	require.Contains(t, table.keys, RequestID(1))
 	table.expire(time.Second + expiredKeyRetention)
 	require.Contains(t, table.keys, RequestID(1))
@@ -38,22 +38,23 @@
 	require.Contains(t, table.keys, RequestID(2))
 }
 
-// A key is retained from the arrival of its request for the class's window, and reads only where results stay fresh.
+// The key of a keyed request is retained for the retention window of its class, counted from its arrival. An idempotent
+// request has a key only if ResultFreshness is set and the request names its subject.
 func TestKeyRetention(t *testing.T) {
 	tests := []struct {
-		name    string
-		event   RequestArrived
-		fresh   time.Duration
-		wantTTL time.Duration // 0: no key is retained
+		name            string
+		event           RequestArrived
+		resultFreshness time.Duration
+		wantTTL         time.Duration // 0: no key is retained
 	}{
 		{"keyed", RequestArrived{Class: 1, Age: time.Second}, 0, 29*time.Second + tickInterval},
-		{"read", RequestArrived{SubjectKey: 5}, 0, 0},
-		{"read of fresh results", RequestArrived{SubjectKey: 5}, time.Second, 9 * time.Second},
-		{"read of fresh results without a subject", RequestArrived{}, time.Second, 0},
+		{"idempotent", RequestArrived{SubjectKey: 5}, 0, 0},
+		{"idempotent with result freshness", RequestArrived{SubjectKey: 5}, time.Second, 9 * time.Second},
+		{"idempotent with result freshness, without a subject", RequestArrived{}, time.Second, 0},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			c := newTestController(t, func(s *Settings) { s.ResultFreshness = tc.fresh })
+			c := newTestController(t, func(s *Settings) { s.ResultFreshness = tc.resultFreshness })
 			tc.event.ID, tc.event.QueuedKB = 1, 1
 			var ttl time.Duration
 			for _, action := range c.Step(time.Minute, []Event{tc.event}) {
@@ -66,8 +67,8 @@
 	}
 }
 
-// A repeat that names a repeat read in the same batch gets the result of the run too.
-func TestRepeatOfARepeat(t *testing.T) {
+// A repeat of a request that is itself a repeat, read in the same step, gets the result of the first request.
+func TestRepeatOfRepeatGetsOriginalResult(t *testing.T) {
 	controller := newTestController(t, nil)
 	controller.Step(0, []Event{RequestArrived{ID: 1, Class: 1, QueuedKB: 1}})
 	actions := controller.Step(tickInterval, []Event{
@@ -75,12 +76,12 @@
 		RequestArrived{ID: 3, Class: 1, QueuedKB: 1, Original: 2},
 	})
 	if replays, starts := countActions[ReplayResult](actions), countActions[Start](actions); replays != 2 || starts != 0 {
-		t.Errorf("%d replays and %d starts of two repeats", replays, starts)
+		t.Errorf("%d replays and %d starts for two repeats, want two replays", replays, starts)
 	}
 }
 
-// An original that is still queued gives way to its repeat, whose caller waits longer.
-func TestQueuedOriginalGivesWay(t *testing.T) {
+// An original that is still queued is rejected in favour of its repeat, whose caller waits longer.
+func TestQueuedOriginalIsRejectedForItsRepeat(t *testing.T) {
 	controller := newTestController(t, nil)
 	controller.limiter.limit = 1
 	controller.Step(0, []Event{RequestArrived{ID: 1, Class: 1, QueuedKB: 1}, RequestArrived{ID: 2, Class: 1, QueuedKB: 1}})
--- a/control/idle_connections.go
+++ b/control/idle_connections.go
@@ -7,32 +7,32 @@
 )
 
 const (
-	// handshakeIdleSeconds is how many seconds of one idle connection cost as much as one handshake.
+	// handshakeIdleSeconds is the cost of a handshake, in seconds of holding one idle connection.
 	handshakeIdleSeconds = 12.0
-	// gapFade is the factor of the gap counts at each refit.
+	// gapFade is the factor by which the gap counts are multiplied at each refit.
 	gapFade = 0.9
 	// minKeepAlive is the shortest idle timeout of a connection.
 	minKeepAlive = 100 * time.Millisecond
 )
 
-// idleConnections chooses the idle timeout that minimizes the cost of handshakes and idle connections. It prevents
-// callers that rarely return from filling the connection table and shutting others out. The timeout is too short if a
-// handshake costs far more than handshakeIdleSeconds.
+// idleConnections chooses the idle timeout that minimizes the cost of handshakes and idle connections. This prevents
+// callers that rarely return from filling the connection table, so that other callers cannot connect. The timeout is
+// too short if a handshake costs far more than handshakeIdleSeconds.
 type idleConnections struct {
 	maxKeepAlive time.Duration
 	lastSeen     map[uint32]time.Duration // by caller: when it last sent a request or got an answer
 	// gapCounts is a histogram of the time since the caller of an arrival was last seen. Bucket i counts gaps up to
 	// minKeepAlive << i; the last one counts longer gaps and callers that are seen for the first time.
 	gapCounts   []float64
-	idleTimeout time.Duration // the timeout in force; 0 = none was set
+	idleTimeout time.Duration // the result of the last refit; 0 = none yet
 }
 
 func newIdleConnections() *idleConnections {
 	return &idleConnections{lastSeen: map[uint32]time.Duration{}}
 }
 
-// configure applies the longest time that callers keep an idle connection. A change of the number of histogram buckets
-// resets the counts.
+// configure sets the longest time that callers keep an idle connection. The counts are reset if the number of buckets
+// changes.
 func (c *idleConnections) configure(maxKeepAlive time.Duration) {
 	c.maxKeepAlive = maxKeepAlive
 	doublings := math.Log2(math.Max(1, float64(maxKeepAlive)/float64(minKeepAlive)))
@@ -43,16 +43,16 @@
 
 // requestArrived counts the gap between the caller's last request or answer and the arrival of this request.
 func (c *idleConnections) requestArrived(caller uint32, arrivedAt, now time.Duration) {
-	gap := len(c.gapCounts) - 1
+	bucket := len(c.gapCounts) - 1
 	if last, known := c.lastSeen[caller]; known {
 		doublings := math.Ceil(math.Log2(float64(max(arrivedAt-last, 1)) / float64(minKeepAlive)))
-		gap = int(clamp(doublings, 0, float64(gap)))
+		bucket = int(clamp(doublings, 0, float64(bucket)))
 	}
-	c.gapCounts[gap]++
+	c.gapCounts[bucket]++
 	c.lastSeen[caller] = now
 }
 
-// requestEnded records that a caller got its answer.
+// requestEnded records that a request of the caller has ended.
 func (c *idleConnections) requestEnded(caller uint32, now time.Duration) { c.lastSeen[caller] = now }
 
 // refit returns the idle timeout with the least cost of handshakes and idle connections, and whether it has changed.
--- a/control/idle_connections_test.go
+++ b/control/idle_connections_test.go
@@ -7,19 +7,19 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Gaps are counted in doublings of the shortest timeout; a caller that is seen for the first time counts as one that
-// stayed away for longer than any timeout.
-func TestGapsAreCountedInDoublings(t *testing.T) {
+// The upper bounds of the gap histogram double from minKeepAlive on. The last bucket counts longer gaps and callers
+// that are seen for the first time.
+func TestGapHistogramBuckets(t *testing.T) {
 	tests := []struct {
-		name string
-		away time.Duration // before the request reached the machine; negative: never seen
-		gap  int
+		name          string
+		sinceLastSeen time.Duration // before the request reached the machine; negative: caller never seen
+		wantBucket    int
 	}{
-		{"at once", 0, 0},
-		{"shortest timeout", minKeepAlive, 0},
-		{"just over it", minKeepAlive + 1, 1},
-		{"eight times it", 8 * minKeepAlive, 3},
-		{"longer than any timeout", time.Hour, 4},
+		{"no gap", 0, 0},
+		{"shortest timeout exactly", minKeepAlive, 0},
+		{"just over the shortest timeout", minKeepAlive + 1, 1},
+		{"longest timeout exactly", 8 * minKeepAlive, 3},
+		{"over the longest timeout", time.Hour, 4},
 		{"unknown caller", -1, 4},
 	}
 	for _, tc := range tests {
@@ -28,20 +28,20 @@
 			connections.configure(8 * minKeepAlive)
 			require.Len(t, connections.gapCounts, 5)
 			now := 2 * time.Hour
-			if tc.away >= 0 {
-				connections.requestEnded(7, now-tc.away)
+			if tc.sinceLastSeen >= 0 {
+				connections.requestEnded(7, now-tc.sinceLastSeen)
 			}
 			connections.requestArrived(7, now, now)
 			want := make([]float64, 5)
-			want[tc.gap] = 1
+			want[tc.wantBucket] = 1
 			require.Equal(t, want, connections.gapCounts)
 		})
 	}
 }
 
-// The timeout covers the gaps of callers that return and is told once; callers that stayed away for longer than they
-// keep a connection are forgotten.
-func TestIdleTimeoutCoversReturns(t *testing.T) {
+// The timeout covers the usual gap of callers that return, and refit reports a new timeout only once. Callers that were
+// not seen for longer than they keep a connection are removed.
+func TestIdleTimeoutCoversCallerGaps(t *testing.T) {
 	connections := newIdleConnections()
 	connections.configure(30 * time.Second)
 	now := time.Hour
@@ -59,8 +59,8 @@
 	require.False(t, changed)
 }
 
-// Another longest time of callers starts the counts anew, the same one keeps them.
-func TestIdleConnectionsAreReconfigured(t *testing.T) {
+// A longer maxKeepAlive that adds a bucket resets the counts; an unchanged one keeps them.
+func TestConfigureResetsGapCounts(t *testing.T) {
 	connections := newIdleConnections()
 	connections.configure(30 * time.Second)
 	connections.requestArrived(1, 0, 0)
@@ -74,9 +74,9 @@
 	}
 }
 
-// Incident i68f8a4: a thousand callers that hardly return must not hold a connection each; a few that return every
-// second keep theirs.
-func TestIdleConnectionsFollowReturns(t *testing.T) {
+// Guards against incident i68f8a4: a thousand callers that hardly ever return must not hold a connection each. Callers
+// that return every second keep their connections.
+func TestIdleTimeoutFollowsReturningCallers(t *testing.T) {
 	lastTimeout := func(callers int) (timeout time.Duration) {
 		controller := newTestController(t, func(s *Settings) { s.MaxKeepAlive = 30 * time.Second })
 		for i := range 1000 {
@@ -93,9 +93,9 @@
 		return timeout
 	}
 	if timeout := lastTimeout(1000); timeout != minKeepAlive {
-		t.Errorf("kept for %v though no caller returns", timeout)
+		t.Errorf("idle timeout %v though no caller returns", timeout)
 	}
-	if timeout := lastTimeout(50); timeout < time.Second { // Each returns after a second.
-		t.Errorf("kept for %v though callers return every second", timeout)
+	if timeout := lastTimeout(50); timeout < time.Second { // Each caller returns after a second.
+		t.Errorf("idle timeout %v though callers return every second", timeout)
 	}
 }
--- a/control/invariants_test.go
+++ b/control/invariants_test.go
@@ -10,16 +10,16 @@
 	"pewterline/control"
 )
 
-// drawSettings draws settings of all kinds.
+// drawSettings draws settings with any combination of modes and classes.
 func drawSettings(t *rapid.T) control.Settings {
-	flag := func(name string) bool { return rapid.Bool().Draw(t, name) }
+	drawBool := func(name string) bool { return rapid.Bool().Draw(t, name) }
 	settings := control.Settings{
 		Seed:                  rapid.Uint64().Draw(t, "seed"),
 		Cores:                 rapid.IntRange(1, 16).Draw(t, "cores"),
 		Peers:                 rapid.IntRange(1, 500).Draw(t, "peers"),
 		Callers:               900,
 		MaxKeepAlive:          30 * time.Second,
-		ColdStart:             flag("cold start"),
+		ColdStart:             drawBool("cold start"),
 		MemoryKB:              rapid.Float64Range(500, 2e4).Draw(t, "memory"),
 		KeyKB:                 20,
 		RunningMemoryFactor:   rapid.Float64Range(2, 16).Draw(t, "running memory factor"),
@@ -33,8 +33,8 @@
 		AbandonedCallTime:     200 * time.Millisecond,
 		AnswerGrace:           80 * time.Millisecond,
 		DrainGrace:            2 * time.Second,
-		DeadlinePropagated:    flag("deadline propagated"),
-		WeightPerWork:         flag("weight per work"),
+		DeadlinePropagated:    drawBool("deadline propagated"),
+		WeightPerWork:         drawBool("weight per work"),
 		OverQuotaWeightShare:  0.1,
 		Preemption:            control.PreemptionMode(rapid.IntRange(0, 2).Draw(t, "preemption")),
 		LoadSignal:            control.LoadSignalKind(rapid.IntRange(0, 3).Draw(t, "load signal")),
@@ -47,16 +47,17 @@
 			RetentionWindow:  20 * time.Second,
 			Weight:           float64(1 + i%3),
 			Idempotency:      control.Idempotency(rapid.IntRange(0, 2).Draw(t, "idempotency")),
-			MakesCalls:       settings.Dependency != control.DependencyNone && flag("makes calls"),
+			MakesCalls:       settings.Dependency != control.DependencyNone && drawBool("makes calls"),
 		})
 	}
-	if flag("tenants") {
+	if drawBool("tenants") {
 		settings.Tenants = []control.Tenant{{Quota: 0.5}, {Quota: 50}}
 	}
 	return settings
 }
 
-// No request is lost, no effect happens twice, a drain is safe and the server does not fall over, whatever happens.
+// Checks the invariants of referenceHost with random settings, arrivals and outcomes: every request is answered, no
+// effect happens twice, nothing runs too late in a drain, and neither the server nor its dependency is overloaded.
 func TestInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		settings := drawSettings(t)
@@ -69,11 +70,11 @@
 			}
 			elapsed := stepInterval
 			if rapid.IntRange(0, 19).Draw(t, "stall") == 0 && host.stopAt == 0 {
-				elapsed = 700 * time.Millisecond // The process stood still.
+				elapsed = 700 * time.Millisecond // The process was stalled.
 			}
 			host.now += elapsed
 			gauges := control.Gauges{CPUUtilization: rapid.Float64Range(0, 1).Draw(t, "utilization"), Runnable: 1}
-			events := append([]control.Event{control.Tick{Gauges: gauges}}, host.events()...)
+			events := append([]control.Event{control.Tick{Gauges: gauges}}, host.drawEvents()...)
 			for _, action := range controller.Step(host.now, events) {
 				host.carryOut(action)
 			}
@@ -82,9 +83,9 @@
 	})
 }
 
-// The same events give the same actions.
+// The same settings and events give the same actions.
 func TestDeterminism(t *testing.T) {
-	play := func() (all []control.Action) {
+	runSteps := func() (all []control.Action) {
 		controller, err := control.New(control.Settings{Seed: 3, Cores: 2, Classes: []control.Class{
 			{LatencyObjective: time.Second, Deadline: 4 * time.Second, Weight: 1, RetentionWindow: time.Minute,
 				Idempotency: control.IdempotentByKey},
@@ -103,7 +104,7 @@
 		}
 		return all
 	}
-	first, second := play(), play()
+	first, second := runSteps(), runSteps()
 	require.GreaterOrEqual(t, len(first), 300)
 	require.Equal(t, first, second)
 }
--- a/control/latency_law_test.go
+++ b/control/latency_law_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// At CV 1 the law is the exponential: shape 1, mean equal to scale.
+// At CV 1 the law is the exponential distribution: the shape is 1 and the mean equals the scale.
 func TestShapeOfExponential(t *testing.T) {
-	if shape := lawShape(1); math.Abs(shape-1) > 1e-6 {
+	if shape := shapeForCV(1); math.Abs(shape-1) > 1e-6 {
 		t.Errorf("shape at CV 1 is %v, want 1", shape)
 	}
 	if mean, variance := unitMoments(1); math.Abs(mean-1) > 1e-9 || math.Abs(variance-1) > 1e-9 {
@@ -17,11 +17,11 @@
 	}
 }
 
-// The fitted law, sampled by inversion, has the CV it was fitted to, at the extremes too.
+// Samples of the fitted law, drawn by inversion, have the CV that the law was fitted to, also near the bounds.
 func TestShapeAgainstSamples(t *testing.T) {
 	rng := rand.New(rand.NewPCG(7, 7))
 	for _, cv := range []float64{minCV, 0.3, 0.7, 1, 1.5, 2.5} {
-		shape := lawShape(cv)
+		shape := shapeForCV(cv)
 		var sum, squares float64
 		const samples = 400_000
 		for range samples {
@@ -31,12 +31,12 @@
 		}
 		mean := sum / samples
 		if got := math.Sqrt(squares/samples-mean*mean) / mean; math.Abs(got-cv) > 0.03*cv {
-			t.Errorf("CV %v: samples of the fitted law have %v", cv, got)
+			t.Errorf("CV %v: samples of the fitted law have CV %v", cv, got)
 		}
 	}
 }
 
-// For the exponential the sum over the linear curve has a closed form:
+// For the exponential distribution, the integral over the linear curve has a closed form:
 // scale/(deadline-objective)·(e^{-objective/scale} − e^{-deadline/scale}).
 func TestDisengagementClosedForm(t *testing.T) {
 	objective, deadline := 2*time.Second, 8*time.Second
@@ -48,23 +48,23 @@
 	}
 }
 
-// The budget meets the target within the band of UTSLO, or the bracket is under its precision; more spread, less
-// latency.
+// The budget meets the target to within the accepted ratios (those of UTSLO) or the precision of the bisection, and
+// falls as the CV grows.
 func TestMeanLatencyBudget(t *testing.T) {
 	objective, deadline := 2500*time.Millisecond, 9*time.Second
 	last := time.Duration(math.MaxInt64)
 	for _, cv := range []float64{0.2, 0.5, 0.8, 1, 1.5, 2.5} {
 		budget := meanLatencyBudget(cv, objective, deadline)
-		shape := lawShape(cv)
+		shape := shapeForCV(cv)
 		unitMean, _ := unitMoments(shape)
 		margin := 2 * bisectionPrecision * deadline.Seconds()
 		over := disengagement(shape, (budget.Seconds()+margin)/unitMean, objective, deadline)
 		under := disengagement(shape, math.Max(budget.Seconds()-margin, 1e-9)/unitMean, objective, deadline)
 		if over < minTargetRatio*disengagementTarget || under > maxTargetRatio*disengagementTarget {
-			t.Errorf("CV %v: budget %v is off the target: %v to %v", cv, budget, under, over)
+			t.Errorf("CV %v: budget %v misses the target: disengagement %v to %v", cv, budget, under, over)
 		}
 		if budget >= last {
-			t.Errorf("CV %v: budget %v does not fall with the spread", cv, budget)
+			t.Errorf("CV %v: budget %v is not below that of the smaller CV", cv, budget)
 		}
 		last = budget
 	}
--- a/control/learned.go
+++ b/control/learned.go
@@ -11,7 +11,7 @@
 // again. It holds no decisions. Times are in seconds.
 type LearnedState struct {
 	ConcurrencyLimit float64 // running requests
-	PriorityShare    float64 // chance, 0 to 1, that a slot goes to the priority classes
+	PriorityShare    float64 // probability that a slot goes to the priority classes
 	LoadSignal       float64 // last value of SetLoadSignal
 	UsualSlowdown    MeanEstimate
 	SlotTime         MeanEstimate // of a request of any class
@@ -19,15 +19,15 @@
 	Classes          []LearnedClassState
 }
 
-// MeanEstimate is a mean and the number of completions that it rests on.
+// MeanEstimate is a mean and the number of samples that it is based on.
 type MeanEstimate struct{ Count, Value float64 }
 
-// LearnedClassState holds the estimates of the class of that name.
+// LearnedClassState holds the estimates of the class called Name.
 type LearnedClassState struct {
 	Name            string
 	ServiceTime     MeanEstimate // from start to end of a run
 	SlotTime        MeanEstimate // of a run on the cores or at the disk
-	RejectedShare   MeanEstimate // of the requests, under load
+	RejectedShare   MeanEstimate // share of the requests that were rejected under load
 	CallsPerRequest MeanEstimate
 }
 
@@ -53,8 +53,8 @@
 	return learned
 }
 
-// RestoreLearned replaces the estimates by those of a predecessor on the same machine. Each figure that is out of range
-// is ignored, as the state comes from another process.
+// RestoreLearned replaces the estimates by those of a predecessor on the same machine. The state comes from another
+// process, so each estimate that is out of range is ignored.
 func (c *Controller) RestoreLearned(learned LearnedState) {
 	cores := float64(c.settings.Cores)
 	limit := learned.ConcurrencyLimit
@@ -85,7 +85,7 @@
 // estimate returns the mean in the form of LearnedState.
 func (m *runningMean) estimate() MeanEstimate { return MeanEstimate{Count: m.count, Value: m.value} }
 
-// restore replaces the mean by a predecessor's, unless that is out of range or rests on more than maxCount samples.
+// restore replaces the mean by a predecessor's, unless that is out of range or based on more than maxCount samples.
 func (m *runningMean) restore(from MeanEstimate, maxCount float64) {
 	if from.Count > 0 && from.Count <= maxCount && from.Value > 0 && from.Value < maxRestoredMean {
 		m.count, m.value = from.Count, from.Value
--- a/control/learned_test.go
+++ b/control/learned_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A successor begins with what its predecessor learned. Figures that make no sense are skipped one by one, as they come
-// from another process.
+// A successor starts with the estimates of its predecessor, matched to its classes by name. Each estimate that is out
+// of range is ignored, as it comes from another process.
 func TestLearnedStateIsRestored(t *testing.T) {
 	settings := Settings{Cores: 2, Classes: []Class{
 		{Name: "a", LatencyObjective: time.Second, Deadline: 2 * time.Second, Weight: 1},
@@ -26,7 +26,7 @@
 	before.callsPerRequest = runningMean{300, 1.5}
 
 	other := Class{Name: "c", LatencyObjective: time.Second, Deadline: 2 * time.Second}
-	settings.Classes = append([]Class{other}, settings.Classes...) // The classes have other numbers.
+	settings.Classes = append([]Class{other}, settings.Classes...) // This changes the index of each class.
 	successor, err := New(settings)
 	require.NoError(t, err)
 	successor.RestoreLearned(predecessor.LearnedState())
@@ -51,15 +51,15 @@
 			{Name: "none", SlotTime: MeanEstimate{1, 1}},
 		},
 	})
-	require.Equal(t, want, successor.LearnedState(), "took up nonsense")
+	require.Equal(t, want, successor.LearnedState(), "restored estimates that are out of range")
 }
 
-// The load signal is restored within what its kind allows: an allowance may be over one, a threshold or a weight may
+// The range of a restored load signal depends on its kind: an allowance may be over one, a threshold or a weight may
 // not.
-func TestRestoredLoadSignalKeepsItsKind(t *testing.T) {
+func TestRestoredLoadSignalRange(t *testing.T) {
 	tests := []struct {
 		kind           LoadSignalKind
-		sound, unsound float64
+		valid, invalid float64
 	}{
 		{LoadSignalThreshold, 0.5, 3},
 		{LoadSignalWeight, 0.5, 3},
@@ -68,28 +68,29 @@
 	for _, tc := range tests {
 		t.Run(tc.kind.String(), func(t *testing.T) {
 			controller := newTestController(t, func(s *Settings) { s.LoadSignal = tc.kind })
-			for _, unsound := range []float64{tc.unsound, -1, math.NaN(), math.Inf(1)} {
+			for _, invalid := range []float64{tc.invalid, -1, math.NaN(), math.Inf(1)} {
 				before := controller.signal.value
-				if controller.RestoreLearned(LearnedState{LoadSignal: unsound}); controller.signal.value != before {
-					t.Errorf("took %v", unsound)
+				if controller.RestoreLearned(LearnedState{LoadSignal: invalid}); controller.signal.value != before {
+					t.Errorf("restored %v, which is out of range", invalid)
 				}
 			}
-			if controller.RestoreLearned(LearnedState{LoadSignal: tc.sound}); controller.signal.value != tc.sound {
-				t.Errorf("%v in place of %v", controller.signal.value, tc.sound)
+			if controller.RestoreLearned(LearnedState{LoadSignal: tc.valid}); controller.signal.value != tc.valid {
+				t.Errorf("load signal %v, want %v", controller.signal.value, tc.valid)
 			}
 		})
 	}
 }
 
-// An allowance is learned over seconds, so it is restored like the limit; one above what the limit bears is not.
+// An allowance takes seconds to learn, so it is restored like the concurrency limit. One that is too large for the
+// limit is ignored.
 func TestAllowanceIsRestored(t *testing.T) {
 	successor := newAllowanceController(t)
 	successor.RestoreLearned(LearnedState{ConcurrencyLimit: 6, LoadSignal: 5})
 	if successor.signal.value != 5 {
-		t.Errorf("allowance %v after a predecessor's 5", successor.signal.value)
+		t.Errorf("allowance %v, want the predecessor's 5", successor.signal.value)
 	}
 	successor.RestoreLearned(LearnedState{ConcurrencyLimit: 6, LoadSignal: 1000})
 	if successor.signal.value != 5 {
-		t.Errorf("took up an allowance of %v with a limit of %v", successor.signal.value, successor.limiter.limit)
+		t.Errorf("restored an allowance of %v with a limit of %v", successor.signal.value, successor.limiter.limit)
 	}
 }
--- a/control/load_signal.go
+++ b/control/load_signal.go
@@ -14,28 +14,29 @@
 	// quarter, and it recovers slowly enough that callers do not all return at once.
 	weightDecrease = 0.7
 	weightIncrease = 1.15
-	// minWeight is the probability that a caller still tries a server that is overloaded.
+	// minWeight is the probability with which a caller still tries a server that stays overloaded.
 	minWeight = 0.01
 	// minAllowancePerCore, times the cores and split evenly over the callers, is the smallest allowance.
 	minAllowancePerCore = 1.5
 	// maxAllowancePerSlot is the largest allowance, as a multiple of the concurrency limit.
 	maxAllowancePerSlot = 2.0
-	// queuedGoal is the queue length, as a share of the concurrency limit, that counts as full overload for an allowance.
-	queuedGoal = 0.1
-	// rejectedGoal is the share of rejections that counts as full overload for an allowance.
-	rejectedGoal = 0.1
-	// allowanceIdleGain is the relative growth of an allowance at each update while all cores idle.
+	// overloadQueueShare is the queue length, as a share of the concurrency limit, that counts as full overload for
+	// an allowance.
+	overloadQueueShare = 0.1
+	// overloadRejectedShare is the share of rejections that counts as full overload for an allowance.
+	overloadRejectedShare = 0.1
+	// allowanceIdleGain is the relative growth of an allowance at each update while all cores are idle.
 	allowanceIdleGain = 0.25
-	// allowanceOverloadGain is its relative reduction at each update at full overload.
+	// allowanceOverloadGain is the relative reduction of an allowance at each update at full overload.
 	allowanceOverloadGain = 0.05
-	// thresholdRise and thresholdFall are the steps of an admission threshold, in ranks. It falls faster than it rises,
-	// as a threshold that is kept too long leaves cores idle.
+	// thresholdRise and thresholdFall are the steps of an admission threshold, which lies on the scale of
+	// RequestArrived.Rank. It falls faster than it rises, as a threshold that stays high for too long leaves cores idle.
 	thresholdRise = 0.05
 	thresholdFall = 0.1
 )
 
-// loadSignal controls the value of SetLoadSignal, whose meaning Settings.LoadSignal defines. It moves in small steps,
-// as the value reaches callers with a delay.
+// loadSignal controls the value of SetLoadSignal, whose meaning Settings.LoadSignal defines. The value changes in small
+// steps, as it reaches callers with a delay.
 type loadSignal struct {
 	kind          LoadSignalKind
 	cores         int
@@ -44,17 +45,17 @@
 
 	value      float64
 	nextUpdate time.Duration
-	queuedMean float64 // length of the queue, smoothed
+	queuedMean float64 // number of queued requests, smoothed
 
 	// Counts since the last update.
 	arrivals         float64
 	rejections       float64 // only of requests within their tenant's quota
 	maxOpenPerCaller int     // the largest number of requests that one caller had open at once
 
-	openPerCaller map[uint32]int // requests that each caller has open here
+	openPerCaller map[uint32]int // open requests of each caller at this server
 }
 
-// loadConditions are the inputs of a load signal beside its own counts.
+// loadConditions are the inputs of a load signal in addition to its own counts.
 type loadConditions struct {
 	rejectsAll       bool // the server drains or is unhealthy
 	overwhelmed      bool // even the class of highest weight is mostly rejected
@@ -79,20 +80,20 @@
 	s.activeClasses = len(settings.activeClasses())
 }
 
-// requestArrived counts a request of a caller.
+// requestArrived counts a request of the caller.
 func (s *loadSignal) requestArrived(caller uint32) {
 	s.arrivals++
 	s.openPerCaller[caller]++
 	s.maxOpenPerCaller = max(s.maxOpenPerCaller, s.openPerCaller[caller])
 }
 
-// undoArrival removes an unsupported request from the counts.
+// undoArrival removes a request that the backend does not support from the counts.
 func (s *loadSignal) undoArrival() { s.arrivals = math.Max(s.arrivals-1, 0) }
 
 // requestRejected counts a rejection under load.
 func (s *loadSignal) requestRejected() { s.rejections++ }
 
-// requestEnded records that a caller has one open request fewer.
+// requestEnded records that a request of the caller has ended.
 func (s *loadSignal) requestEnded(caller uint32) {
 	s.openPerCaller[caller]--
 	if s.openPerCaller[caller] == 0 {
@@ -100,10 +101,10 @@
 	}
 }
 
-// observe records the queue length. It is called once per tick.
+// observe records the number of queued requests. It is called once per tick.
 func (s *loadSignal) observe(queued int) { s.queuedMean = smoothed(s.queuedMean, float64(queued)) }
 
-// update moves the value if loadSignalInterval has passed, and reports whether it has changed.
+// update recomputes the value if loadSignalInterval has passed, and reports whether the value has changed.
 func (s *loadSignal) update(now time.Duration, conditions loadConditions) (changed bool) {
 	if now < s.nextUpdate || s.kind == LoadSignalNone {
 		return false
@@ -112,11 +113,11 @@
 	before := s.value
 	switch s.kind {
 	case LoadSignalWeight:
-		s.value = s.weight(conditions)
+		s.value = s.nextWeight(conditions)
 	case LoadSignalThreshold:
-		s.value = s.threshold(conditions)
+		s.value = s.nextThreshold(conditions)
 	default:
-		s.value = s.allowance(conditions)
+		s.value = s.nextAllowance(conditions)
 	}
 	s.arrivals, s.rejections, s.maxOpenPerCaller = 0, 0, 0
 	return s.value != before
@@ -124,9 +125,9 @@
 
 func (s *loadSignal) overloaded() bool { return s.rejections > toleratedRejectionShare*s.arrivals }
 
-// weight is the probability that a caller does not skip this server. It is never zero, as a caller that sends nothing
-// would never learn that the server has recovered.
-func (s *loadSignal) weight(conditions loadConditions) float64 {
+// nextWeight returns the probability that a caller does not skip this server. It is never zero, as a caller that sends
+// nothing would never learn that the server has recovered.
+func (s *loadSignal) nextWeight(conditions loadConditions) float64 {
 	factor := weightIncrease
 	switch {
 	case conditions.rejectsAll:
@@ -137,9 +138,9 @@
 	return clamp(s.value*factor, minWeight, 1)
 }
 
-// threshold is the rank below which callers send nothing. It always admits the class of highest weight, unless the
-// server drains, is unhealthy or is overwhelmed.
-func (s *loadSignal) threshold(conditions loadConditions) float64 {
+// nextThreshold returns the rank below which callers send nothing. It always admits the class of highest weight, unless
+// the server drains, is unhealthy or is overwhelmed.
+func (s *loadSignal) nextThreshold(conditions loadConditions) float64 {
 	step, highest := -thresholdFall, 1-1/float64(s.activeClasses)
 	switch {
 	case conditions.rejectsAll:
@@ -153,24 +154,26 @@
 	return clamp(s.value+step, 0, highest)
 }
 
-// allowance is how many requests a caller may have outstanding here. It grows while cores idle and a caller uses it up,
-// and shrinks as requests are queued and rejected. An even split over the callers would starve busy callers while cores
-// idle. It is never far below an even split: a caller that gets no answer for Settings.LoadSignalTTL forgets the value,
-// and then sends without bound the requests that other servers did not admit.
-func (s *loadSignal) allowance(conditions loadConditions) float64 {
-	overload := s.queuedMean/conditions.concurrencyLimit/queuedGoal + conditions.rejectedShare/rejectedGoal
+// nextAllowance returns how many requests a caller may have outstanding at this server. The allowance grows while cores
+// are idle and a caller uses all of it, and shrinks while requests are queued or rejected. A fixed even split over the
+// callers would limit busy callers while cores are idle. The allowance never falls far below an even split: a caller
+// that gets no answer for Settings.LoadSignalTTL discards the value, and then sends this server an unlimited number of
+// requests that other servers did not admit.
+func (s *loadSignal) nextAllowance(conditions loadConditions) float64 {
+	overload := s.queuedMean/conditions.concurrencyLimit/overloadQueueShare +
+		conditions.rejectedShare/overloadRejectedShare
 	factor := 1 + allowanceIdleGain*(1-conditions.cpuUtilization) - allowanceOverloadGain*overload
 	factor = clamp(factor, weightDecrease, weightIncrease)
 	if conditions.rejectsAll {
 		factor = weightDecrease
 	} else if float64(s.maxOpenPerCaller) < math.Floor(s.value) {
-		factor = math.Min(factor, 1) // No caller needs more.
+		factor = math.Min(factor, 1) // No caller uses all of the allowance.
 	}
 	least := minAllowancePerCore * float64(s.cores) / math.Max(1, float64(s.callers))
 	return clamp(s.value*factor, least, math.Max(least, maxAllowancePerSlot*conditions.concurrencyLimit))
 }
 
-// maxValue is the highest valid value.
+// maxValue returns the highest valid value.
 func (s *loadSignal) maxValue(concurrencyLimit float64) float64 {
 	if s.kind == LoadSignalAllowance {
 		return maxAllowancePerSlot * concurrencyLimit
--- a/control/load_signal_test.go
+++ b/control/load_signal_test.go
@@ -13,25 +13,25 @@
 	return signal
 }
 
-// Each kind moves by its own steps, between its own bounds.
+// Each kind of load signal has its own steps and bounds.
 func TestLoadSignalSteps(t *testing.T) {
-	calm := loadConditions{concurrencyLimit: 10, cpuUtilization: 1}
+	steady := loadConditions{concurrencyLimit: 10, cpuUtilization: 1}
 	tests := []struct {
 		name       string
 		kind       LoadSignalKind
 		before     float64
-		rejections float64 // of a hundred arrivals
+		rejections float64 // out of 100 arrivals
 		conditions loadConditions
 		want       float64
 	}{
-		{"weight falls", LoadSignalWeight, 0.5, 3, calm, 0.35},
-		{"weight recovers", LoadSignalWeight, 0.5, 2, calm, 0.575},
-		{"weight stays below one", LoadSignalWeight, 1, 0, calm, 1},
+		{"weight falls", LoadSignalWeight, 0.5, 3, steady, 0.35},
+		{"weight recovers", LoadSignalWeight, 0.5, 2, steady, 0.575},
+		{"weight stays below one", LoadSignalWeight, 1, 0, steady, 1},
 		{"weight of an unhealthy server", LoadSignalWeight, 1, 0, loadConditions{rejectsAll: true}, 0.01},
-		{"threshold rises", LoadSignalThreshold, 0.5, 3, calm, 0.55},
-		{"threshold falls", LoadSignalThreshold, 0.5, 2, calm, 0.4},
-		{"threshold stays above zero", LoadSignalThreshold, 0.05, 0, calm, 0},
-		{"threshold asks for the class of most weight", LoadSignalThreshold, 0.74, 50, calm, 0.75},
+		{"threshold rises", LoadSignalThreshold, 0.5, 3, steady, 0.55},
+		{"threshold falls", LoadSignalThreshold, 0.5, 2, steady, 0.4},
+		{"threshold stays above zero", LoadSignalThreshold, 0.05, 0, steady, 0},
+		{"threshold admits the class of highest weight", LoadSignalThreshold, 0.74, 50, steady, 0.75},
 		{"threshold of an unhealthy server", LoadSignalThreshold, 0.2, 0, loadConditions{rejectsAll: true}, 1},
 		{"threshold of an overwhelmed server", LoadSignalThreshold, 0.2, 0, loadConditions{overwhelmed: true}, 1},
 		{"allowance grows while cores idle", LoadSignalAllowance, 4, 0,
@@ -42,7 +42,7 @@
 			loadConditions{concurrencyLimit: 10, rejectsAll: true}, 7},
 		{"allowance stays near an even split", LoadSignalAllowance, 3.1, 0,
 			loadConditions{concurrencyLimit: 10, rejectsAll: true}, 3},
-		{"allowance stays below what the limit bears", LoadSignalAllowance, 20, 0,
+		{"allowance is bounded by the concurrency limit", LoadSignalAllowance, 20, 0,
 			loadConditions{concurrencyLimit: 10}, 20},
 	}
 	for _, tc := range tests {
@@ -57,7 +57,7 @@
 	}
 }
 
-// An allowance that no caller uses up does not grow.
+// An allowance grows only if a caller uses all of it.
 func TestUnusedAllowanceDoesNotGrow(t *testing.T) {
 	signal := newTestSignal(LoadSignalAllowance)
 	signal.value = 4
@@ -66,15 +66,15 @@
 	}
 	signal.requestEnded(7)
 	idle := loadConditions{concurrencyLimit: 10}
-	require.False(t, signal.update(0, idle), "three of four")
+	require.False(t, signal.update(0, idle), "three of four outstanding")
 	for range 2 {
 		signal.requestArrived(7)
 	}
-	require.True(t, signal.update(time.Second, idle), "four of four")
+	require.True(t, signal.update(time.Second, idle), "four of four outstanding")
 	require.InDelta(t, 4*weightIncrease, signal.value, 1e-9)
 }
 
-// The value moves four times a second, and never where there is no signal.
+// The value changes at most four times a second, and never if there is no load signal.
 func TestLoadSignalInterval(t *testing.T) {
 	signal := newTestSignal(LoadSignalWeight)
 	rejecting := loadConditions{rejectsAll: true}
@@ -87,8 +87,8 @@
 	require.Zero(t, none.value)
 }
 
-// A caller that has nothing open is forgotten.
-func TestCallersWithoutRequestsAreForgotten(t *testing.T) {
+// A caller without open requests is removed.
+func TestCallersWithoutRequestsAreRemoved(t *testing.T) {
 	signal := newTestSignal(LoadSignalAllowance)
 	signal.requestArrived(7)
 	signal.requestArrived(7)
@@ -100,8 +100,8 @@
 	require.Equal(t, 1.0, signal.arrivals)
 }
 
-// Guards against a threshold that outlasts its overload: callers would still hold back what the idle cores could run.
-// What two seconds of shedding raised, one second without any takes back.
+// Guards against a threshold that stays high after an overload, so that callers hold back requests while cores are
+// idle. One second without rejections must undo the rise of two seconds of load shedding.
 func TestThresholdFallsAfterOverload(t *testing.T) {
 	controller := newTestController(t, func(s *Settings) { s.LoadSignal = LoadSignalThreshold })
 	for now := time.Duration(0); now <= 2*time.Second; now += tickInterval {
@@ -109,18 +109,18 @@
 		controller.Step(now, []Event{Tick{}})
 	}
 	if controller.signal.value < 0.3 {
-		t.Fatalf("threshold %v after two seconds of shedding", controller.signal.value)
+		t.Fatalf("threshold %v after two seconds of load shedding", controller.signal.value)
 	}
 	for end := controller.now + time.Second; controller.now < end; {
 		stepAfter(controller, tickInterval, Tick{})
 	}
 	if controller.signal.value > 0.2 {
-		t.Errorf("threshold %v a second later", controller.signal.value)
+		t.Errorf("threshold %v one second after the load shedding", controller.signal.value)
 	}
 }
 
-// Guards the cores against waves: callers keep a value for a second, and large steps have them all come and go
-// together. The threshold moves four times a second, by a tenth at most.
+// Guards against oscillating load: callers use a value for a second, so large steps make all of them start and stop
+// sending at the same time. The threshold changes four times a second, by a tenth at most.
 func TestThresholdMovesInSmallSteps(t *testing.T) {
 	controller := newTestController(t, func(s *Settings) { s.LoadSignal = LoadSignalThreshold })
 	threshold, moves := 0.0, 0
@@ -132,7 +132,7 @@
 		for _, action := range stepAfter(controller, tickInterval, Tick{}) {
 			if signal, ok := action.(SetLoadSignal); ok {
 				if step := signal.Value - threshold; step > 0.11 || step < -0.11 {
-					t.Errorf("at %v the threshold moves by %v", controller.now, step)
+					t.Errorf("at %v the threshold changes by %v", controller.now, step)
 				}
 				threshold = signal.Value
 				moves++
@@ -140,12 +140,12 @@
 		}
 	}
 	if moves < 5 {
-		t.Errorf("the threshold moved %d times in two seconds of change", moves)
+		t.Errorf("the threshold changed %d times in two seconds, want at least 5", moves)
 	}
 }
 
-// Guards the tenants within their quotas: the threshold bars all of a rank alike, so what is rejected beyond a quota is
-// no reason to raise it.
+// Guards tenants within their quotas: the threshold applies to the requests of all tenants, so rejections of requests
+// beyond a quota must not raise it.
 func TestThresholdIgnoresRejectionsOverQuota(t *testing.T) {
 	for _, overQuota := range []bool{false, true} {
 		controller := newTestController(t, func(s *Settings) { s.LoadSignal = LoadSignalThreshold })
--- a/control/main_test.go
+++ b/control/main_test.go
@@ -6,12 +6,12 @@
 	"testing"
 )
 
-// The property tests draw the same cases at each run, unless a seed is given.
+// TestMain fixes the seed of the property tests, so that each run draws the same cases, unless a seed is given.
 func TestMain(m *testing.M) {
 	flag.Parse()
-	given := false
-	flag.Visit(func(f *flag.Flag) { given = given || f.Name == "rapid.seed" })
-	if !given {
+	seedGiven := false
+	flag.Visit(func(f *flag.Flag) { seedGiven = seedGiven || f.Name == "rapid.seed" })
+	if !seedGiven {
 		if err := flag.Set("rapid.seed", "20261128"); err != nil {
 			panic(err)
 		}
--- a/control/mean.go
+++ b/control/mean.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// sampleWindow is how many completions the estimates of a class rest on, as in UTSLO.
+// sampleWindow is how many completions the estimates of a class are based on, as in UTSLO.
 const sampleWindow = 1000
 
-// runningMean is an arithmetic mean that becomes exponentially weighted once count reaches its bound. Its initial value
-// weighs as much as count samples.
+// runningMean is an arithmetic mean that becomes exponentially weighted once count reaches its bound. The initial value
+// has the weight of count samples.
 type runningMean struct{ count, value float64 }
 
 // add adds one sample to the mean over about the last sampleWindow samples.
@@ -21,7 +21,8 @@
 	m.value += (sample - m.value) / m.count
 }
 
-// smoothed returns the low-pass filtered gauge after one sample per tick. Its time constant is limitStepInterval.
+// smoothed returns the exponentially smoothed gauge after a further sample. With one sample per tick its time constant
+// is limitStepInterval.
 func smoothed(gauge, sample float64) float64 {
 	return gauge + (sample-gauge)*tickInterval.Seconds()/limitStepInterval.Seconds()
 }
--- a/control/mean_test.go
+++ b/control/mean_test.go
@@ -6,16 +6,16 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The first samples weigh as much as the count that the mean starts from says, the later ones less and less.
-func TestRunningMeanStartsFromItsGuess(t *testing.T) {
+// The initial value of the mean has the weight of its initial count of samples.
+func TestRunningMeanWeighsInitialValue(t *testing.T) {
 	mean := runningMean{count: 3, value: 1}
 	mean.add(5)
 	require.Equal(t, runningMean{count: 4, value: 2}, mean)
 }
 
-// A mean looks back on no more samples than it is told: it comes within a hundredth of what is new after five times as
-// many.
-func TestRunningMeanForgets(t *testing.T) {
+// A mean is based on about maxCount samples: after a change, five times as many samples move it to within one hundredth
+// of the change from the new value.
+func TestRunningMeanWindow(t *testing.T) {
 	mean := runningMean{count: 1000, value: 1}
 	for range 50 {
 		mean.addWithin(3, 10)
@@ -24,7 +24,7 @@
 	require.InDelta(t, 3, mean.value, 0.02)
 }
 
-// A gauge follows its samples within limitStepInterval.
+// A smoothed gauge covers 63 % of a change within limitStepInterval.
 func TestSmoothedFollowsItsSamples(t *testing.T) {
 	gauge := 0.0
 	for range int(limitStepInterval / tickInterval) {
--- a/control/memory.go
+++ b/control/memory.go
@@ -3,10 +3,10 @@
 // memoryHighWater is the share of memory in use above which no key is retained and no request is started.
 const memoryHighWater = 0.95
 
-// memoryBudget counts the memory of queued and running requests. The retained keys are counted by retainedKeys.
+// memoryBudget tracks the memory of queued and running requests. The retained keys are counted by retainedKeys.
 type memoryBudget struct {
 	totalKB       float64 // 0 = not limited
-	keyKB         float64 // of a retained key
+	keyKB         float64 // memory of a retained key
 	runningFactor float64 // memory of a running request over that of a queued one
 	cores         int
 
@@ -21,10 +21,10 @@
 	m.cores = settings.Cores
 }
 
-// requestQueued counts a request that needs queuedKB while it is queued.
+// requestQueued adds the memory of a request that needs queuedKB while it is queued.
 func (m *memoryBudget) requestQueued(queuedKB float64) { m.queuedKB += queuedKB }
 
-// requestStarted counts a queued request as running.
+// requestStarted moves a request from the queued memory to the running memory.
 func (m *memoryBudget) requestStarted(queuedKB float64) {
 	m.queuedKB -= queuedKB
 	m.runningKB += queuedKB * m.runningFactor
@@ -36,8 +36,8 @@
 // runningEnded frees the memory of a request that ran.
 func (m *memoryBudget) runningEnded(queuedKB float64) { m.runningKB -= queuedKB * m.runningFactor }
 
-// use is the share of memory in use if keys are retained and extraKB is needed on top.
-func (m *memoryBudget) use(keys int, extraKB float64) float64 {
+// usedShare returns the share of memory in use with the given number of retained keys and extraKB in addition.
+func (m *memoryBudget) usedShare(keys int, extraKB float64) float64 {
 	if m.totalKB <= 0 {
 		return 0
 	}
@@ -46,17 +46,17 @@
 
 // fitsRun reports whether there is memory to start a queued request.
 func (m *memoryBudget) fitsRun(keys int, queuedKB float64) bool {
-	return m.use(keys, queuedKB*(m.runningFactor-1)) <= memoryHighWater
+	return m.usedShare(keys, queuedKB*(m.runningFactor-1)) <= memoryHighWater
 }
 
-// fitsKey reports whether there is memory to retain the key of a request. Keys outlive their requests by far, so they
-// must leave enough memory to run one request like this one per core.
+// fitsKey reports whether there is memory to retain the key of a request. Keys are retained for far longer than their
+// requests are open, so they must leave enough memory to run one request like this one per core.
 func (m *memoryBudget) fitsKey(keys int, queuedKB float64) bool {
 	if m.totalKB <= 0 {
 		return true
 	}
-	overHighWater := m.use(keys, m.keyKB) > memoryHighWater
-	keyRoomKB := memoryHighWater*m.totalKB - float64(m.cores)*queuedKB*m.runningFactor
-	overKeyRoom := float64(keys+1)*m.keyKB > keyRoomKB
-	return !overHighWater && !overKeyRoom
+	overHighWater := m.usedShare(keys, m.keyKB) > memoryHighWater
+	keyLimitKB := memoryHighWater*m.totalKB - float64(m.cores)*queuedKB*m.runningFactor
+	overKeyLimit := float64(keys+1)*m.keyKB > keyLimitKB
+	return !overHighWater && !overKeyLimit
 }
--- a/control/names_test.go
+++ b/control/names_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Every value of an enumeration has a name of its own, and a value that there is not says so.
+// String returns a distinct name for each value of an enumeration, and "unknown" and the type for any other value.
 func TestEnumerationNames(t *testing.T) {
 	tests := []struct {
 		name  string
@@ -29,7 +29,7 @@
 			for i := range tc.count {
 				name := tc.value(i).String()
 				require.False(t, strings.HasPrefix(name, "unknown"), "value %d is %q", i, name)
-				require.False(t, names[name], "%q stands for two values", name)
+				require.False(t, names[name], "%q is the name of two values", name)
 				names[name] = true
 			}
 			require.Equal(t, "unknown "+tc.name, tc.value(tc.count).String())
--- a/control/quota.go
+++ b/control/quota.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// quotaBurst is the time over which a tenant may save up its quota for a burst.
+// quotaBurst is the time over which a tenant may accumulate unused quota for a burst.
 const quotaBurst = time.Second
 
-// tenantQuotas are token buckets, one for each tenant, that hold this server's part of the tenant's quota. Requests
-// beyond a quota weigh less when load must be shed; otherwise they are served like others.
+// tenantQuotas holds a token bucket for each tenant, which is refilled with this server's part of the tenant's quota.
+// Requests beyond a quota have less weight when load must be shed; otherwise they are served like others.
 type tenantQuotas struct {
 	tenants  []Tenant
 	peers    int       // servers that share each quota
-	enforced bool      // requests beyond a quota weigh less than others
-	tokens   []float64 // by tenant: first attempts that are still within its quota
+	enforced bool      // requests beyond a quota have less weight than others
+	tokens   []float64 // by tenant: how many more first attempts are within its quota now
 }
 
 // configure applies the settings. Tenants keep their indices and their tokens.
@@ -35,8 +35,8 @@
 	}
 }
 
-// charge takes a token for a request and reports whether the request is beyond its tenant's quota. A retry takes
-// none, as its first attempt was charged.
+// charge takes a token for a request and reports whether the request is beyond its tenant's quota. A retry takes no
+// token, as its first attempt was charged.
 func (q *tenantQuotas) charge(tenant int, retry bool) (overQuota bool) {
 	if !q.known(tenant) || !q.enforced || q.tenants[tenant].Quota <= 0 {
 		return false
@@ -50,7 +50,7 @@
 	return false
 }
 
-// refund returns the token of an unsupported request.
+// refund returns the token of a request that the backend does not support.
 func (q *tenantQuotas) refund(tenant int) {
 	if q.known(tenant) {
 		q.tokens[tenant]++
--- a/control/quota_test.go
+++ b/control/quota_test.go
@@ -17,23 +17,23 @@
 	return q
 }
 
-// A tenant has this server's part of its quota, and no more than a second of it at once.
-func TestQuotaIsSplitOverThePeers(t *testing.T) {
+// The quota of a tenant is split evenly over the servers, and a burst is limited to the quota of one second.
+func TestQuotaIsSplitAcrossServers(t *testing.T) {
 	quotas := newTestQuotas(10)
-	require.True(t, quotas.charge(0, false), "nothing has been refilled yet")
+	require.True(t, quotas.charge(0, false), "no token before the first refill")
 	quotas.refill(0.4)
 	require.False(t, quotas.charge(0, false))
 	require.False(t, quotas.charge(0, false))
-	require.True(t, quotas.charge(0, false), "0.4 s of five a second are two")
+	require.True(t, quotas.charge(0, false), "0.4 s at 5 tokens per second give two tokens")
 	quotas.refill(100)
 	admitted := 0
 	for !quotas.charge(0, false) {
 		admitted++
 	}
-	require.Equal(t, 6, admitted, "one and a second of five")
+	require.Equal(t, 6, admitted, "one token and a second at 5 tokens per second")
 }
 
-// A retry is within the quota when there is a token for it, and takes none: its first attempt was charged.
+// A retry is within the quota if there is a token, but does not take it, as its first attempt was charged.
 func TestRetriesAreNotCharged(t *testing.T) {
 	quotas := newTestQuotas(10)
 	require.True(t, quotas.charge(0, true))
@@ -42,17 +42,17 @@
 	require.Equal(t, []float64{1}, quotas.tokens)
 }
 
-// Nothing is beyond a quota that is not known, not set or not enforced.
-func TestWithoutQuotaNothingIsOver(t *testing.T) {
+// A request is never beyond its quota if the tenant is unknown, has no quota, or quotas are not enforced.
+func TestNeverOverQuotaWithoutLimit(t *testing.T) {
 	quotas := newTestQuotas(0, 10)
 	require.False(t, quotas.charge(0, false), "no quota")
 	require.False(t, quotas.charge(-1, false), "no tenant")
 	require.False(t, quotas.charge(2, false), "unknown tenant")
 	quotas.configure(&Settings{Tenants: quotas.tenants, OverQuotaWeightShare: 1})
-	require.False(t, quotas.charge(1, false), "weighs as much as others")
+	require.False(t, quotas.charge(1, false), "has as much weight as others")
 }
 
-// Tenants keep their tokens when settings change; a refund gives back one token and passes over unknown tenants.
+// Tenants keep their tokens when the settings change. A refund returns one token and ignores unknown tenants.
 func TestQuotasKeepTheirTokens(t *testing.T) {
 	quotas := newTestQuotas(10)
 	quotas.refill(0.2)
@@ -64,17 +64,18 @@
 	require.Equal(t, []float64{1, 1}, quotas.tokens)
 }
 
-// Guards tenants within their quotas against one that floods: of equal requests, some of which must be rejected, those
-// beyond a tenant's quota go first, and where there is capacity they run like any other.
+// Guards tenants within their quotas against one that floods the server: if some of otherwise equal requests must be
+// rejected, those beyond a tenant's quota are rejected first. With capacity to spare they run like others.
 func TestOverQuotaIsShedFirst(t *testing.T) {
 	controller := newTestController(t, func(s *Settings) {
-		s.Tenants, s.Peers, s.OverQuotaWeightShare = []Tenant{{"flood", 10}, {"calm", 10}}, 2, 0.05 // Five a second here.
+		// Each tenant may send this server five requests per second.
+		s.Tenants, s.Peers, s.OverQuotaWeightShare = []Tenant{{"flood", 10}, {"calm", 10}}, 2, 0.05
 	})
 	controller.Step(0, nil)
 	controller.Step(time.Second, nil)
 	var events []Event
 	for id := RequestID(1); id <= 40; id++ {
-		tenant := int(id) % 10 / 9 // One in ten is of the calm tenant.
+		tenant := int(id) % 10 / 9 // One in ten is of the tenant "calm".
 		events = append(events, RequestArrived{ID: id, Tenant: tenant, QueuedKB: 1})
 	}
 	rejected := map[RequestID]bool{}
@@ -85,10 +86,10 @@
 	}
 	withinQuota := rejected[9] || rejected[19] || rejected[29] || rejected[39]
 	if withinQuota || len(rejected) < 10 || len(rejected) > 31 {
-		t.Errorf("%d of 40 rejected, one within its quota among them: %v", len(rejected), withinQuota)
+		t.Errorf("%d of 40 rejected, any within its quota: %v", len(rejected), withinQuota)
 	}
 	unknown := newTestController(t, nil).Step(0, []Event{RequestArrived{ID: 1, Tenant: 7, QueuedKB: 1}})
 	if countActions[Start](unknown) != 1 {
-		t.Error("a request of no known tenant is not run")
+		t.Error("a request of an unknown tenant does not run")
 	}
 }
--- a/control/reference_test.go
+++ b/control/reference_test.go
@@ -9,19 +9,19 @@
 	"pewterline/control"
 )
 
-// stepInterval is the distance of the steps of a referenceHost.
+// stepInterval is the time between the steps of a referenceHost.
 const stepInterval = 20 * time.Millisecond
 
 // neverRan are the outcomes which prove that a call never ran.
 var neverRan = []control.Outcome{control.OutcomeRejected, control.OutcomeUnreachable, control.OutcomeAlreadyEnded}
 
-// callOutcomes are how a call can end.
+// callOutcomes are the possible outcomes of a call.
 var callOutcomes = []control.Outcome{
 	control.OutcomeOK, control.OutcomeError, control.OutcomeRejected, control.OutcomeTimeout,
 	control.OutcomeUnreachable, control.OutcomeReset, control.OutcomeAlreadyEnded,
 }
 
-// phase is where a request of a referenceHost is.
+// phase is the stage of a request in a referenceHost.
 type phase uint8
 
 const (
@@ -38,7 +38,7 @@
 	return [...]string{"queued", "running", "awaiting a call", "calling", "replaying", "ended"}[p]
 }
 
-// referenceRequest is what a referenceHost knows of a request.
+// referenceRequest is the record that a referenceHost keeps of a request.
 type referenceRequest struct {
 	event          control.RequestArrived
 	arrivedAt      time.Duration
@@ -47,21 +47,23 @@
 	answered       bool
 	started        bool
 	callMayHaveRun bool
-	callTimeout    time.Duration // when the host abandons the call
+	callTimeout    time.Duration // clock time at which the host abandons the call
 }
 
-// referenceKey is what a referenceHost knows of an idempotency key.
+// referenceKey is the record that a referenceHost keeps of an idempotency key.
 type referenceKey struct {
 	retainedBy control.RequestID
 	retained   bool
 	expiresAt  time.Duration
 	started    bool          // a request with this key was started
-	arrivedAt  time.Duration // and reached the machine then
+	arrivedAt  time.Duration // when that request reached the machine
 }
 
-// referenceHost keeps its own account of every request and asserts the invariants after each step. It knows nothing of
-// speeds: what ends, and how, is drawn. A change that drops a guard must fail here: the late answer, the repeat run
-// again, the run after the grace, too many running requests, one call too many, the uncertain call repeated.
+// referenceHost is a model of the host. It keeps its own record of every request and asserts the invariants on each
+// action and after each step. It has no model of the machine's speed: which runs and calls end, and with which outcome,
+// is drawn. It must fail if a change of the controller permits an answer that is too late, a second run for a repeat, a
+// start after the grace of a drain, too many running requests, too many calls, or a second call after one that may have
+// taken effect.
 type referenceHost struct {
 	t        *rapid.T
 	settings control.Settings
@@ -94,7 +96,7 @@
 	return h.settings.Classes[req.event.Class]
 }
 
-// key is what is known of a key; it is made when it is first asked for.
+// key returns the record of a key, which is created at its first use.
 func (h *referenceHost) key(key uint64) *referenceKey {
 	if h.keys[key] == nil {
 		h.keys[key] = &referenceKey{}
@@ -102,8 +104,8 @@
 	return h.keys[key]
 }
 
-// arrive draws a request.
-func (h *referenceHost) arrive() control.Event {
+// drawArrival draws an arriving request.
+func (h *referenceHost) drawArrival() control.Event {
 	t := h.t
 	h.lastID++
 	event := control.RequestArrived{
@@ -118,36 +120,36 @@
 	req := &referenceRequest{event: event, arrivedAt: h.now - event.Age}
 	req.due = req.arrivedAt + h.settings.Classes[event.Class].Deadline
 	if h.settings.DeadlinePropagated {
-		req.due = h.now + time.Duration(rapid.IntRange(1, 5000).Draw(t, "patience"))*time.Millisecond
+		req.due = h.now + time.Duration(rapid.IntRange(1, 5000).Draw(t, "time to deadline"))*time.Millisecond
 		req.event.Deadline = req.due
 	}
 	if h.class(req).Idempotency == control.IdempotentByKey {
-		h.nameOriginal(req)
+		h.assignKey(req)
 	}
 	h.requests[event.ID] = req
 	return req.event
 }
 
-// nameOriginal gives a keyed request a key of its class and the request that it repeats.
-func (h *referenceHost) nameOriginal(req *referenceRequest) {
+// assignKey gives a keyed request a key of its class and names its original if it is a repeat.
+func (h *referenceHost) assignKey(req *referenceRequest) {
 	req.event.SubjectKey += 100 * uint64(req.event.Class)
 	if key := h.key(req.event.SubjectKey); key.retained && req.arrivedAt < key.expiresAt {
 		req.event.Original = key.retainedBy
 	}
-	// Attempts that are read in one step see each other even before their key is retained.
+	// Of two attempts that are read in one step, the second is a repeat even though the key is not retained yet.
 	if id, ok := h.readThisStep[req.event.SubjectKey]; ok {
 		req.event.Original = id
 	}
 	h.readThisStep[req.event.SubjectKey] = req.event.ID
 }
 
-// progress draws one event for a request, legal in its phase; nil if nothing happens.
-func (h *referenceHost) progress(id control.RequestID, req *referenceRequest) control.Event {
+// drawEvent draws one event that is possible in the request's phase; nil if there is none.
+func (h *referenceHost) drawEvent(id control.RequestID, req *referenceRequest) control.Event {
 	switch req.phase {
 	case phaseRunning:
-		return h.progressRun(id, req)
+		return h.drawRunEvent(id, req)
 	case phaseCalling:
-		return h.progressCall(id, req)
+		return h.drawCallEvent(id, req)
 	case phaseAwaitingCall:
 		if req.answered {
 			req.phase = phaseEnded
@@ -157,7 +159,7 @@
 		req.phase, req.answered = phaseEnded, true
 		return control.RequestFinished{ID: id, Outcome: control.OutcomeOK}
 	case phaseQueued:
-		if rapid.IntRange(0, 9).Draw(h.t, "leaves") == 0 {
+		if rapid.IntRange(0, 9).Draw(h.t, "caller cancels") == 0 {
 			req.phase, req.answered = phaseEnded, true
 			return control.RequestCancelled{ID: id}
 		}
@@ -166,8 +168,8 @@
 	return nil
 }
 
-// progressRun brings a run to a call or to its end.
-func (h *referenceHost) progressRun(id control.RequestID, req *referenceRequest) control.Event {
+// drawRunEvent ends a run or makes it need a call.
+func (h *referenceHost) drawRunEvent(id control.RequestID, req *referenceRequest) control.Event {
 	if h.class(req).MakesCalls && rapid.Bool().Draw(h.t, "needs a call") {
 		req.phase = phaseAwaitingCall
 		if req.answered {
@@ -182,9 +184,9 @@
 	return control.RequestFinished{ID: id, Outcome: outcome}
 }
 
-// progressCall may end a call.
-func (h *referenceHost) progressCall(id control.RequestID, req *referenceRequest) control.Event {
-	if h.now < req.callTimeout && rapid.IntRange(0, 3).Draw(h.t, "call goes on") > 0 {
+// drawCallEvent ends a call or returns nil.
+func (h *referenceHost) drawCallEvent(id control.RequestID, req *referenceRequest) control.Event {
+	if h.now < req.callTimeout && rapid.IntRange(0, 3).Draw(h.t, "call continues") > 0 {
 		return nil
 	}
 	outcome := rapid.SampledFrom(callOutcomes).Draw(h.t, "call outcome")
@@ -196,23 +198,23 @@
 	return control.CallFinished{ID: id, Outcome: outcome, Took: 100 * time.Millisecond}
 }
 
-// events draws what happens to the requests until this step.
-func (h *referenceHost) events() (events []control.Event) {
+// drawEvents draws the events since the last step: those of open requests, arrivals and a drain.
+func (h *referenceHost) drawEvents() (events []control.Event) {
 	for id := control.RequestID(1); id <= h.lastID; id++ {
 		req := h.requests[id]
 		if req.phase == phaseCalling && h.now >= req.callTimeout {
 			req.phase, req.callMayHaveRun = phaseAwaitingCall, true
 			h.abandonedUntil = append(h.abandonedUntil, h.now+h.settings.AbandonedCallTime)
 			events = append(events, control.CallFinished{ID: id, Outcome: control.OutcomeTimeout})
-		} else if req.phase != phaseEnded && rapid.IntRange(0, 7).Draw(h.t, "happens") == 0 {
-			if event := h.progress(id, req); event != nil {
+		} else if req.phase != phaseEnded && rapid.IntRange(0, 7).Draw(h.t, "has event") == 0 {
+			if event := h.drawEvent(id, req); event != nil {
 				events = append(events, event)
 			}
 		}
 	}
 	h.readThisStep = map[uint64]control.RequestID{}
 	for range rapid.IntRange(0, 5).Draw(h.t, "arrivals") {
-		events = append(events, h.arrive())
+		events = append(events, h.drawArrival())
 	}
 	if h.drainRequestedAt == 0 && rapid.IntRange(0, 99).Draw(h.t, "drain") == 0 {
 		h.drainRequestedAt, h.stopAt = h.now, h.now+4*time.Second
@@ -221,7 +223,7 @@
 	return events
 }
 
-// request is the request that an action names.
+// request returns the request that an action names.
 func (h *referenceHost) request(id control.RequestID) *referenceRequest {
 	req := h.requests[id]
 	if req == nil {
@@ -259,15 +261,15 @@
 		h.failf("start of %d while %s, started %v", action.ID, req.phase, req.started)
 	}
 	if h.drainRequestedAt > 0 && req.arrivedAt > h.drainRequestedAt+h.settings.DrainGrace {
-		h.failf("start of %d after the grace", action.ID)
+		h.failf("start of %d after the drain grace", action.ID)
 	}
 	if class := h.class(req); class.Idempotency == control.IdempotentByKey {
 		key := h.key(req.event.SubjectKey)
 		if key.retainedBy != action.ID || !key.retained || key.expiresAt < req.arrivedAt+class.RetentionWindow {
-			h.failf("keyed %d starts without a key for its window", action.ID)
+			h.failf("start of keyed request %d without a key for its retention window", action.ID)
 		}
 		if key.started && req.arrivedAt < key.arrivedAt+class.RetentionWindow {
-			h.failf("second run of an effect by %d", action.ID)
+			h.failf("start of %d causes an effect a second time", action.ID)
 		}
 		key.started, key.arrivedAt = true, req.arrivedAt
 	}
@@ -296,7 +298,7 @@
 func (h *referenceHost) preempt(action control.Preempt) {
 	req := h.request(action.ID)
 	if h.settings.Preemption == control.PreemptNever || !req.answered {
-		h.failf("preemption of %d", action.ID)
+		h.failf("preemption of %d not allowed", action.ID)
 	}
 	if req.phase == phaseRunning {
 		req.phase = phaseEnded
@@ -314,7 +316,7 @@
 func (h *referenceHost) releaseKey(action control.ReleaseKey) {
 	req := h.request(action.ID)
 	if req.started {
-		h.failf("key of %d released though it was started", action.ID)
+		h.failf("key of %d released though the request was started", action.ID)
 	}
 	if key := h.key(req.event.SubjectKey); key.retainedBy == action.ID {
 		key.retained = false
@@ -329,31 +331,31 @@
 	req.phase = phaseReplaying
 }
 
-// check asserts the invariants on memory, running requests, calls and answers due, after the actions of a step that
-// came sinceLast after the one before.
-func (h *referenceHost) check(sinceLast time.Duration) {
-	h.checkAnswers(sinceLast)
+// check asserts the invariants on answers, memory, running requests and calls after the actions of a step. elapsed is
+// the time since the previous step.
+func (h *referenceHost) check(elapsed time.Duration) {
+	h.checkAnswers(elapsed)
 	h.checkMemory()
 	h.checkConcurrency()
 	h.checkCalls()
 }
 
-func (h *referenceHost) checkAnswers(sinceLast time.Duration) {
+func (h *referenceHost) checkAnswers(elapsed time.Duration) {
 	for id, req := range h.requests {
 		if req.answered {
 			continue
 		}
 		latest := max(req.due, req.arrivedAt) + h.settings.AnswerGrace
-		if h.now > latest && sinceLast < h.settings.AnswerGrace {
+		if h.now > latest && elapsed < h.settings.AnswerGrace {
 			h.failf("no answer to %d, due at %v", id, req.due)
 		}
 		if h.isLastStep() {
-			h.failf("no answer to %d at the stop", id)
+			h.failf("no answer to %d before the process is stopped", id)
 		}
 	}
 }
 
-// isLastStep reports whether the process is stopped before a further step is sure to come.
+// isLastStep reports whether the process may be stopped before the next step.
 func (h *referenceHost) isLastStep() bool { return h.stopAt > 0 && h.now+2*stepInterval >= h.stopAt }
 
 func (h *referenceHost) checkMemory() {
@@ -373,11 +375,11 @@
 		}
 	}
 	if usedKB > h.settings.MemoryKB {
-		h.failf("%.0f kB of %.0f", usedKB, h.settings.MemoryKB)
+		h.failf("%.0f kB of memory used, the limit is %.0f kB", usedKB, h.settings.MemoryKB)
 	}
 }
 
-// count is how many requests are in a phase.
+// count returns how many requests are in a phase.
 func (h *referenceHost) count(phase phase) (count int) {
 	for _, req := range h.requests {
 		if req.phase == phase {
@@ -395,7 +397,7 @@
 	running := h.count(phaseRunning)
 	ceiling := float64(h.settings.Cores) * (1 + (h.settings.MaxConcurrencyPerCore-1)*speed)
 	if float64(running) > ceiling {
-		h.failf("%d running requests, %.1f survive", running, ceiling)
+		h.failf("%d running requests, the server survives %.1f", running, ceiling)
 	}
 }
 
@@ -412,9 +414,9 @@
 		inWindow += callSeconds
 	}
 	if inWindow > share*h.settings.CallConcurrencyWindow.Seconds() {
-		h.failf("%.2f call seconds in a window, the share is %.2f calls", inWindow, share)
+		h.failf("%.2f call seconds in a window, the share is %.2f calls in flight", inWindow, share)
 	}
 	if float64(calls) > max(1, share) {
-		h.failf("%d calls in flight of %.1f", calls, share)
+		h.failf("%d calls in flight, the share is %.1f", calls, share)
 	}
 }
--- a/control/request.go
+++ b/control/request.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// requestState is the stage of an open request.
+// requestState is the state of a request.
 type requestState uint8
 
 const (
 	stateQueued       requestState = iota
-	stateRunning                   // on the cores or at the disk
+	stateRunning                   // uses the cores or the disk
 	stateAwaitingCall              // waits for permission to call
 	stateCalling                   // its call is in flight
 	stateReplaying                 // waits for the result of its original
@@ -41,13 +41,13 @@
 // request is an open request: one attempt of its caller.
 type request struct {
 	RequestArrived
-	arrivedAt      time.Duration // when it reached the machine
-	dueAt          time.Duration // when its caller gives up
+	arrivedAt      time.Duration // when the request reached the machine
+	dueAt          time.Duration // when the caller gives up
 	state          requestState
-	stateSince     time.Duration // start of the state; of stateAwaitingCall: when the next attempt may be made
+	stateSince     time.Duration // start of the state; in stateAwaitingCall, earliest time of the next call attempt
 	startedAt      time.Duration
 	slotTime       time.Duration // time on the cores or at the disk before stateSince
-	answered       bool          // an answer was sent, or its caller has left
+	answered       bool          // an answer was sent, or the caller has left
 	overQuota      bool          // beyond its tenant's quota
 	callsSucceeded float64
 	callsFailed    int
@@ -59,7 +59,7 @@
 // requestTable holds the open requests and counts them by state.
 type requestTable struct {
 	byID    map[RequestID]*request
-	ordered []*request // in the order of their events; may hold ended requests until open is called
+	ordered []*request // by order of arrival events; may hold ended requests until open is called
 	counts  [requestStates]int
 }
 
@@ -72,8 +72,8 @@
 	t.counts[req.state]++
 }
 
-// move sets the state of a request and counts the slot time of a run that it leaves.
-func (t *requestTable) move(req *request, to requestState, now time.Duration) {
+// setState sets the state of a request. If the request was running, the time in that state is added to its slot time.
+func (t *requestTable) setState(req *request, to requestState, now time.Duration) {
 	if req.state == stateRunning {
 		req.slotTime += now - req.stateSince
 	}
@@ -86,8 +86,8 @@
 // remove drops a request that has ended.
 func (t *requestTable) remove(req *request) { delete(t.byID, req.ID) }
 
-// open returns the open requests in the order of their events. It also drops the ended ones from ordered, and is
-// called at each step for that reason.
+// open returns the open requests in the order of their arrival events. It also removes ended requests from ordered, so
+// it must be called in each step.
 func (t *requestTable) open() []*request {
 	t.ordered = slices.DeleteFunc(t.ordered, func(req *request) bool { return t.byID[req.ID] != req })
 	return t.ordered
--- a/control/request_test.go
+++ b/control/request_test.go
@@ -7,26 +7,26 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The table counts requests by state and sums the time that they spend in slots.
+// The table counts requests by state and sums up the slot time of each.
 func TestRequestTableCountsStates(t *testing.T) {
 	table := newRequestTable()
 	req := &request{RequestArrived: RequestArrived{ID: 1}}
 	table.add(req)
 	require.Equal(t, 1, table.counts[stateQueued])
 	require.True(t, req.neverRan())
-	table.move(req, stateRunning, 2*time.Second)
-	table.move(req, stateAwaitingCall, 3*time.Second)
-	table.move(req, stateCalling, 5*time.Second)
-	table.move(req, stateRunning, 6*time.Second)
+	table.setState(req, stateRunning, 2*time.Second)
+	table.setState(req, stateAwaitingCall, 3*time.Second)
+	table.setState(req, stateCalling, 5*time.Second)
+	table.setState(req, stateRunning, 6*time.Second)
 	require.Equal(t, time.Second, req.slotTime)
 	require.Equal(t, [requestStates]int{stateRunning: 1}, table.counts)
-	table.move(req, stateEnded, 10*time.Second)
+	table.setState(req, stateEnded, 10*time.Second)
 	require.Equal(t, 5*time.Second, req.slotTime)
 	require.Equal(t, 10*time.Second, req.stateSince)
 	require.False(t, req.neverRan())
 }
 
-// Open requests are listed in the order in which they were read.
+// Open requests are returned in the order in which they were added.
 func TestRequestTableListsOpenRequests(t *testing.T) {
 	table := newRequestTable()
 	for id := RequestID(3); id > 0; id-- {
--- a/control/scheduler.go
+++ b/control/scheduler.go
@@ -9,18 +9,19 @@
 	// priorityShareStep (gamma of UTSLO), divided by the mean CV, is the decrease of the priority share while the
 	// priority classes meet their targets.
 	priorityShareStep = 0.05
-	// priorityShareGrowth (beta of UTSLO) is its relative increase when the worst class misses its target.
+	// priorityShareGrowth (beta of UTSLO) is the relative increase of the priority share when the worst class misses its
+	// target.
 	priorityShareGrowth = 0.25
 	// minPriorityShare and maxPriorityShare bound the share, so that neither lane is ever starved.
 	minPriorityShare = 0.5
 	maxPriorityShare = 0.95
 )
 
-// laneScheduler splits the slots between two lanes: the priority classes, by earliest due start, and the best-effort
-// classes, round-robin.
+// laneScheduler splits the slots between two lanes: the priority classes, whose requests start by earliest due start,
+// and the best-effort classes, which are served round-robin.
 type laneScheduler struct {
 	rng            *rand.Rand
-	priorityShare  float64 // alpha of UTSLO: the chance that a slot goes to the priority classes
+	priorityShare  float64 // alpha of UTSLO: the probability that a slot goes to the priority classes
 	nextBestEffort int     // class index where the next best-effort scan starts
 }
 
@@ -28,7 +29,7 @@
 	return &laneScheduler{rng: rand.New(rand.NewPCG(seed, 0)), priorityShare: maxPriorityShare}
 }
 
-// next returns the queued request to start next, nil if there is none. If one lane is empty the other one is served.
+// next returns the queued request to start next, nil if there is none. If one lane is empty, the other one is served.
 // While calls are backlogged, classes that make calls are skipped, as their requests would only wait for permission to
 // call.
 func (s *laneScheduler) next(classes *classTable, callsBacklogged bool) *request {
@@ -52,8 +53,8 @@
 	return bestEffort
 }
 
-// adjustPriorityShare moves the share according to how well the priority classes meet their targets. Classes with few
-// samples reduce the step.
+// adjustPriorityShare adjusts the share to how well the priority classes meet their targets. If a class has few
+// samples, the step is reduced.
 func (s *laneScheduler) adjustPriorityShare(classes *classTable) {
 	worst, best, confidence := 0.0, math.Inf(1), 1.0
 	cvSum, count := 0.0, 0.0
@@ -94,24 +95,24 @@
 	}
 }
 
-// callsBacklogged reports whether the requests that wait for permission to call would fill all calls in flight.
+// callsBacklogged reports whether at least as many requests wait for permission to call as calls may be in flight.
 func (c *Controller) callsBacklogged() bool {
 	waiting := c.requests.counts[stateAwaitingCall]
 	return waiting > 0 && float64(waiting) >= c.calls.maxInFlight()
 }
 
-// canStart reports whether the concurrency limit, the health, the concurrency ceiling and the memory permit to start a
-// request. It records whether the limit was reached.
+// canStart reports whether the concurrency limit, the health of the machine, the concurrency ceiling and the memory
+// permit a request to start. It also records whether the limit was reached.
 func (c *Controller) canStart(req *request) bool {
 	running := c.requests.counts[stateRunning]
 	if c.limiter.checkReached(running) {
 		return false
 	}
 	if c.health.reason != reasonNone && running > 0 {
-		return false // An unhealthy machine is tried with one run at a time.
+		return false // An unhealthy machine is probed with one run at a time.
 	}
 	concurrency := running + c.requests.counts[stateAwaitingCall] + c.calls.occupied()
-	return c.ceiling.allows(c.now, concurrency+1) && c.memory.fitsRun(c.keys.live, req.QueuedKB)
+	return c.ceiling.allows(c.now, concurrency+1) && c.memory.fitsRun(c.keys.liveCount, req.QueuedKB)
 }
 
 // start starts a queued request.
--- a/control/scheduler_test.go
+++ b/control/scheduler_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// simulatedServer has four cores that all runs share.
+// simulatedServer simulates a server with simulatedCores cores, which all runs share equally.
 type simulatedServer struct {
 	controller *Controller
 	rng        *rand.Rand
@@ -26,14 +26,14 @@
 }
 
 const (
-	simulatedCores       = 4
-	simulatedMeanWork    = 0.05 // seconds on a core
-	simulatedOverload    = 1.4  // times what the server can do
-	simulatedStep        = 5 * time.Millisecond
-	arrivalsToDrawAtStep = 8
+	simulatedCores      = 4
+	simulatedMeanWork   = 0.05 // seconds on a core
+	simulatedOverload   = 1.4  // load, as a multiple of the server's capacity
+	simulatedStep       = 5 * time.Millisecond
+	arrivalDrawsPerStep = 8
 )
 
-// tick returns the tick event, if it is time for one.
+// tick returns a tick event if one is due.
 func (s *simulatedServer) tick(now time.Duration) []Event {
 	if now < s.nextTick {
 		return nil
@@ -43,8 +43,8 @@
 	return []Event{Tick{Gauges: Gauges{CPUUtilization: math.Min(1, runnable/simulatedCores), Runnable: runnable}}}
 }
 
-// work shares the cores among the runs and returns the ends of those that are done.
-func (s *simulatedServer) work() (events []Event) {
+// advanceRuns shares the cores among the runs for one step and returns the events of those that have ended.
+func (s *simulatedServer) advanceRuns() (events []Event) {
 	rate := simulatedStep.Seconds() * math.Min(1, simulatedCores/math.Max(1, float64(len(s.runs))))
 	s.runs = slices.DeleteFunc(s.runs, func(run simulatedRun) bool { return run.workLeft <= 0 })
 	for i := range s.runs {
@@ -58,8 +58,8 @@
 
 // arrivals draws the requests of one step, a fifth of them of the second class.
 func (s *simulatedServer) arrivals() (events []Event) {
-	const perDraw = simulatedOverload * simulatedCores / simulatedMeanWork / arrivalsToDrawAtStep
-	for range arrivalsToDrawAtStep {
+	const perDraw = simulatedOverload * simulatedCores / simulatedMeanWork / arrivalDrawsPerStep
+	for range arrivalDrawsPerStep {
 		if s.rng.Float64() >= perDraw*simulatedStep.Seconds() {
 			continue
 		}
@@ -74,9 +74,9 @@
 	return events
 }
 
-// step plays one step and returns arrivals and rejections by class.
+// step simulates one step and returns the arrivals and rejections by class.
 func (s *simulatedServer) step(now time.Duration) (arrived, rejected [2]float64) {
-	events := append(s.tick(now), s.work()...)
+	events := append(s.tick(now), s.advanceRuns()...)
 	for _, event := range s.arrivals() {
 		arrived[event.(RequestArrived).Class]++
 		events = append(events, event)
@@ -92,9 +92,9 @@
 	return arrived, rejected
 }
 
-// Guards the class of most weight through minutes of overload. Its latencies look good, as what would come late is
-// rejected before it runs; the priority share fell on them until best effort had nearly all slots, and half of the
-// class was given up.
+// Guards the class of highest weight during minutes of overload. Its latencies look good, because requests that would
+// be late are rejected before they run. A priority share that was adjusted to the latencies alone fell until best
+// effort had nearly all slots and half of the requests of the class were rejected.
 func TestPriorityClassKeepsItsSlots(t *testing.T) {
 	controller, err := New(Settings{
 		Seed: 3, Cores: simulatedCores, MaxConcurrencyPerCore: 8, MaxConcurrencyWindow: 3 * time.Second,
@@ -108,7 +108,7 @@
 		controller: controller, rng: rand.New(rand.NewPCG(5, 5)), classes: map[RequestID]int{},
 	}
 	const span = 2 * time.Minute
-	var arrived, rejected [2]float64 // In the last quarter.
+	var arrived, rejected [2]float64 // Counted in the last quarter of span.
 	for now := time.Duration(0); now < span; now += simulatedStep {
 		stepArrived, stepRejected := server.step(now)
 		if now <= 3*span/4 {
@@ -126,8 +126,8 @@
 	}
 }
 
-// The priority share grows by a quarter while the worst class misses its target and falls by a step over the mean CV
-// else.
+// The priority share grows by a quarter while the worst class misses its target. Otherwise it falls by
+// priorityShareStep divided by the mean CV.
 func TestPriorityShare(t *testing.T) {
 	controller, err := New(Settings{Cores: 2, Classes: []Class{
 		{LatencyObjective: time.Second, Deadline: 4 * time.Second, Weight: 1},
@@ -146,8 +146,8 @@
 	meetTarget()
 	before := controller.lanes.priorityShare
 	controller.fitBudgets()
-	// A tenth of the window is filled: a tenth of a step.
-	require.InDelta(t, before-priorityShareStep/class.cv/10, controller.lanes.priorityShare, 1e-9, "after spare time")
+	// A tenth of sampleWindow is filled, so the share changes by a tenth of a step.
+	require.InDelta(t, before-priorityShareStep/class.cv/10, controller.lanes.priorityShare, 1e-9, "after a met target")
 
 	for i := range class.latencies {
 		class.latencies[i] = 3
@@ -156,7 +156,7 @@
 	controller.fitBudgets()
 	require.InDelta(t, 0.5*(1+priorityShareGrowth/10), controller.lanes.priorityShare, 1e-9, "after a missed target")
 
-	// Who is rejected has missed the target, however good the latencies of the others are.
+	// Rejected requests count as missed targets, even if the latencies of the others are good.
 	meetTarget()
 	controller.lanes.priorityShare = 0.6
 	for id := RequestID(1); id <= 4; id++ {
@@ -167,7 +167,7 @@
 	require.InDelta(t, 0.6*(1+priorityShareGrowth/10), controller.lanes.priorityShare, 1e-9, "after four rejections")
 }
 
-// newTestLanes returns a scheduler and classes of which the first two are best effort.
+// newTestLanes returns a scheduler and four classes, of which the first two are best effort.
 func newTestLanes() (*laneScheduler, *classTable) {
 	classes := &classTable{}
 	classes.configure(&Settings{Classes: []Class{
@@ -186,8 +186,8 @@
 	return req
 }
 
-// The priority lane is in the order of due starts, best effort takes turns over its classes, and a lane that is empty
-// yields.
+// The priority lane starts requests by earliest due start, the best-effort lane serves its classes round-robin, and one
+// lane is served if the other one is empty.
 func TestLaneOrder(t *testing.T) {
 	lanes, classes := newTestLanes()
 	require.Nil(t, lanes.next(classes, false))
@@ -209,7 +209,7 @@
 	start(secondOfA)
 }
 
-// The priority lane gets its share of the slots while both lanes have work.
+// The priority lane gets its share of the slots while both lanes have queued requests.
 func TestLaneShares(t *testing.T) {
 	lanes, classes := newTestLanes()
 	queueRequest(classes, 0, 0)
@@ -224,12 +224,12 @@
 	require.InDelta(t, 7000, starts, 200)
 }
 
-// While calls are backlogged, classes that make calls are passed over.
-func TestBackloggedCallsArePassedOver(t *testing.T) {
+// While calls are backlogged, classes that make calls are skipped.
+func TestClassesWithCallsAreSkippedInBacklog(t *testing.T) {
 	lanes, classes := newTestLanes()
-	calls := queueRequest(classes, 1, 0)
+	withCalls := queueRequest(classes, 1, 0)
 	require.Nil(t, lanes.next(classes, true))
-	require.Same(t, calls, lanes.next(classes, false))
-	noCalls := queueRequest(classes, 0, 1)
-	require.Same(t, noCalls, lanes.next(classes, true))
+	require.Same(t, withCalls, lanes.next(classes, false))
+	withoutCalls := queueRequest(classes, 0, 1)
+	require.Same(t, withoutCalls, lanes.next(classes, true))
 }
--- a/control/settings.go
+++ b/control/settings.go
@@ -10,14 +10,14 @@
 // ErrInvalidSettings is wrapped by every error about settings that a Controller cannot work with.
 var ErrInvalidSettings = errors.New("control: invalid settings")
 
-// Idempotency is how often a request of a class may run.
+// Idempotency tells how often a request of a class may run.
 type Idempotency uint8
 
 // The kinds of idempotency.
 const (
 	Idempotent      Idempotency = iota // may run any number of times
-	IdempotentByKey                    // may be repeated within its retention window and runs once on a server
-	NonIdempotent                      // runs once; is repeated only after a rejection
+	IdempotentByKey                    // may be repeated within its retention window, but runs only once on a server
+	NonIdempotent                      // runs only once, and may be repeated only after a rejection
 )
 
 // String returns the idempotency in words.
@@ -33,7 +33,7 @@
 	return "unknown idempotency"
 }
 
-// PreemptionMode is what Preempt does to a run.
+// PreemptionMode tells what Preempt does to a run.
 type PreemptionMode uint8
 
 // The preemption modes.
@@ -56,7 +56,7 @@
 	return "unknown preemption mode"
 }
 
-// LoadSignalKind is how callers interpret the value of SetLoadSignal.
+// LoadSignalKind tells how callers interpret the value of SetLoadSignal.
 type LoadSignalKind uint8
 
 // The meanings of the load signal.
@@ -82,14 +82,14 @@
 	return "unknown load signal"
 }
 
-// Dependency is what running requests call.
+// Dependency tells which service running requests call.
 type Dependency uint8
 
 // The kinds of dependency.
 const (
-	DependencyNone   Dependency = iota // requests call nothing
+	DependencyNone   Dependency = iota // requests make no calls
 	DependencyShared                   // one service that all servers share
-	DependencyTier                     // another tier of servers that run this code
+	DependencyTier                     // another tier of servers that run this package
 )
 
 // String returns the dependency in words.
@@ -111,13 +111,13 @@
 	LatencyObjective       time.Duration // an answer within this time of the first attempt earns the full weight
 	ObjectiveStretch       float64       // the objective grows by this multiple of RequestArrived.CostHint
 	Deadline               time.Duration // the caller waits no longer than this
-	RetentionWindow        time.Duration // IdempotentByKey: how long after its arrival a request may be repeated
+	RetentionWindow        time.Duration // for IdempotentByKey: how long after its arrival a request may be repeated
 	Weight                 float64       // priority weight of a request
 	LateWeightShare        float64       // share of the weight earned between latency objective and deadline
 	Idempotency            Idempotency
 	MakesCalls             bool    // requests may call the dependency
 	SkippedCallWeightShare float64 // share of the weight earned when a call was skipped; 0 forbids SkipCall
-	Retired                bool    // removed from the settings: only requests that arrived before are of this class
+	Retired                bool    // removed from the settings; only requests that arrived before the removal are left
 }
 
 // Tenant is one customer of the fleet.
@@ -128,13 +128,13 @@
 
 // Settings configure a Controller. Zero values mean "not limited" or "not offered".
 type Settings struct {
-	Seed      uint64 // of all random draws
+	Seed      uint64 // of all random numbers
 	Classes   []Class
 	Tenants   []Tenant
 	Cores     int
-	Tier      int  // 0 for the tier that clients reach, 1 for the one that it calls, ...
+	Tier      int  // 0 for the tier that clients reach, 1 for the tier that tier 0 calls, and so on
 	Peers     int  // servers of this tier, this one included
-	Callers   int  // callers of this tier; a load signal is split over them
+	Callers   int  // callers of this tier; an allowance is split over them
 	ColdStart bool // the server has just started and is warming up
 
 	MemoryKB            float64 // for queued, running and suspended requests and retained keys together
@@ -152,23 +152,23 @@
 	AbandonedCallTime     time.Duration // how long an abandoned call still occupies the dependency
 
 	AnswerGrace time.Duration // how long after its deadline an answer still counts
-	DrainGrace  time.Duration // requests read later than this after a DrainRequested are not run
+	DrainGrace  time.Duration // requests read later than this after DrainRequested was sent are not run
 
 	EndpointListIgnoresHealth bool // callers' endpoint lists reflect starts and drains, but not SetHealth
 
 	DeadlinePropagated   bool    // RequestArrived.Deadline is set by callers
 	RetriesMarked        bool    // RequestArrived.Retry is set by callers
-	WeightPerWork        bool    // a class's weight is earned per unit of work rather than per request
+	WeightPerWork        bool    // the weight of a class is earned per unit of work, not per request
 	OverQuotaWeightShare float64 // share of the weight that a request beyond its tenant's quota earns
 	Preemption           PreemptionMode
 	LoadSignal           LoadSignalKind
 	LoadSignalTTL        time.Duration // how long a caller uses a received load signal
-	MaxRetryAfter        time.Duration // longest Reject.RetryAfter that callers honour
-	MaxKeepAlive         time.Duration // callers close idle connections after this
-	ResultFreshness      time.Duration // how long an idempotent request's result may answer others; 0 = never
+	MaxRetryAfter        time.Duration // longest Reject.RetryAfter that callers respect
+	MaxKeepAlive         time.Duration // callers close connections that have been idle for this time
+	ResultFreshness      time.Duration // how long the result of an idempotent request may answer others; 0 = never
 }
 
-// validate returns an error that wraps ErrInvalidSettings if a figure is out of range.
+// validate returns an error that wraps ErrInvalidSettings if a value is out of range.
 func (s *Settings) validate() error {
 	shortest := min(s.AnswerGrace, s.DrainGrace, s.WarmUpTime, s.MaxConcurrencyWindow, s.CallConcurrencyWindow,
 		s.AbandonedCallTime, s.MaxRetryAfter)
--- a/control/shedding.go
+++ b/control/shedding.go
@@ -12,14 +12,14 @@
 	minCallsPerRequest = 0.1
 )
 
-// loadPlan adds the queued requests in the order of their starts and sums the work before each of them. If a request
-// would start too late, the least valuable one planned so far is shed.
+// loadPlan adds the queued requests in the order of their starts and sums up the work before each of them. If a request
+// would start too late, the least valuable request planned so far is shed.
 type loadPlan struct {
 	controller *Controller
 	planned    []*request
 	slots      float64 // requests that run at once
 	work       float64 // slot seconds of the planned requests
-	calls      float64 // calls of the planned requests
+	calls      float64 // calls of the planned requests and of those that wait for permission to call
 }
 
 // shedLoad rejects queued requests if not all of them can be answered in time or held in memory.
@@ -34,14 +34,14 @@
 	}
 	rate := plan.slots / c.slowdown.factor
 	plan.addLane(false, rate)
-	// Priority requests that have yet to arrive will be started before best effort.
+	// Priority requests that are yet to arrive will be started before the queued best-effort requests.
 	plan.addLane(true, math.Max(rate-c.demand.priorityLoad, rate/bestEffortRateDivisor))
 	for c.memoryUse() > memoryHighWater && len(plan.planned) > 0 {
 		plan.shedLeastValuable(false)
 	}
 }
 
-// addLane plans the queued requests of a lane that is served at rate, in slot seconds per second.
+// addLane plans the queued requests of one lane, which is served at rate slot seconds per second.
 func (p *loadPlan) addLane(bestEffort bool, rate float64) {
 	var lane []*request
 	for _, class := range p.controller.classes.all {
@@ -56,7 +56,7 @@
 		p.planned = append(p.planned, req)
 		startsLate := p.controller.now+seconds(p.work/rate) > latestStart
 		p.work += class.slotSeconds(req.CostHint)
-		// Unlike UTSLO: calls are a second queue behind the first, with a capacity of their own.
+		// Unlike in UTSLO, requests that make calls wait in a second queue, which is limited by the calls in flight.
 		callsLate := class.MakesCalls && p.controller.now+p.controller.calls.wait(p.calls) > latestStart
 		p.calls += class.callsPerRequest.value
 		if startsLate || callsLate {
@@ -65,9 +65,9 @@
 	}
 }
 
-// shedLeastValuable rejects the least valuable planned request; with forCalls, of the requests that make calls.
-func (p *loadPlan) shedLeastValuable(forCalls bool) {
-	victim := p.leastValuable(forCalls)
+// shedLeastValuable rejects the planned request that leastValuable selects.
+func (p *loadPlan) shedLeastValuable(perCall bool) {
+	victim := p.leastValuable(perCall)
 	req := p.planned[victim]
 	class := p.controller.classes.of(req)
 	p.work -= class.slotSeconds(req.CostHint)
@@ -76,17 +76,17 @@
 	p.planned = slices.Delete(p.planned, victim, victim+1)
 }
 
-// leastValuable returns the index of the planned request with the lowest weight per work, the last one of equals. With
-// forCalls it is the one with the lowest weight per call, of the requests that make calls.
-func (p *loadPlan) leastValuable(forCalls bool) int {
+// leastValuable returns the index of the planned request with the lowest weight for its work, the last one of equals.
+// If perCall is set, it is the request with the lowest weight per call among those that make calls.
+func (p *loadPlan) leastValuable(perCall bool) int {
 	victim, lowest := len(p.planned)-1, math.Inf(1)
 	for i, req := range p.planned {
 		class := p.controller.classes.of(req)
-		if forCalls && !class.MakesCalls {
+		if perCall && !class.MakesCalls {
 			continue
 		}
-		value := p.controller.weightForWork(req)
-		if forCalls {
+		value := p.controller.weightPerSlotSecond(req)
+		if perCall {
 			value *= class.slotSeconds(req.CostHint) / math.Max(class.callsPerRequest.value, minCallsPerRequest)
 		}
 		if value <= lowest {
@@ -96,8 +96,8 @@
 	return victim
 }
 
-// weightForWork is the weight that a request earns per slot second.
-func (c *Controller) weightForWork(req *request) float64 {
+// weightPerSlotSecond returns the weight that a request earns per second of its slot time.
+func (c *Controller) weightPerSlotSecond(req *request) float64 {
 	class := c.classes.of(req)
 	weight := class.Weight
 	if req.overQuota {
--- a/control/shedding_test.go
+++ b/control/shedding_test.go
@@ -7,20 +7,20 @@
 	"github.com/stretchr/testify/require"
 )
 
-// planRequests puts requests into a plan, which they do not have to wait for.
+// planRequests returns a plan of the given requests, without checking whether they can start in time.
 func planRequests(controller *Controller, requests ...*request) *loadPlan {
 	return &loadPlan{controller: controller, planned: requests, slots: 1}
 }
 
-// The least valuable request is the one of the least weight for its work, or for its calls where these are short, and
-// the last one of equals.
+// The least valuable request is the one with the lowest weight for its work, or per call if calls are scarce. Of equal
+// requests it is the last one.
 func TestLeastValuable(t *testing.T) {
 	controller := newTestController(t, func(s *Settings) {
 		s.OverQuotaWeightShare = 0.05
 		s.Classes = append(s.Classes, Class{LatencyObjective: time.Second, Deadline: time.Second, Weight: 1})
 	})
-	calls, valuable, noCalls := &request{}, &request{}, &request{}
-	valuable.Class, noCalls.Class = 1, 2
+	withCalls, valuable, withoutCalls := &request{}, &request{}, &request{}
+	valuable.Class, withoutCalls.Class = 1, 2
 	overQuota := &request{overQuota: true}
 	overQuota.Class = 1
 	tests := []struct {
@@ -29,11 +29,11 @@
 		forCalls bool
 		want     int
 	}{
-		{"least weight", []*request{valuable, calls, valuable}, false, 1},
-		{"last of equals", []*request{calls, calls, valuable}, false, 1},
-		{"beyond its quota", []*request{calls, overQuota, valuable}, false, 1},
-		{"shorter work is worth more for it", []*request{calls, noCalls}, false, 0},
-		{"calls are short", []*request{noCalls, calls, valuable}, true, 1},
+		{"lowest weight", []*request{valuable, withCalls, valuable}, false, 1},
+		{"last of equals", []*request{withCalls, withCalls, valuable}, false, 1},
+		{"beyond its quota", []*request{withCalls, overQuota, valuable}, false, 1},
+		{"shorter work of equal weight is more valuable", []*request{withCalls, withoutCalls}, false, 0},
+		{"calls are scarce", []*request{withoutCalls, withCalls, valuable}, true, 1},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
@@ -42,20 +42,20 @@
 	}
 }
 
-// Weight counts for each request or, if the settings say so, for each unit of its work.
-func TestWeightForWork(t *testing.T) {
+// Weight is earned per request or, with the setting WeightPerWork, per unit of work.
+func TestWeightPerSlotSecond(t *testing.T) {
 	controller := newTestController(t, func(s *Settings) { s.OverQuotaWeightShare = 0.5 })
 	req := &request{}
 	req.Class = 1
-	require.InDelta(t, 4/0.25, controller.weightForWork(req), 1e-9, "a quarter of a second is assumed")
+	require.InDelta(t, 4/0.25, controller.weightPerSlotSecond(req), 1e-9, "assumed slot time of 0.25 s")
 	req.overQuota = true
-	require.InDelta(t, 2/0.25, controller.weightForWork(req), 1e-9)
+	require.InDelta(t, 2/0.25, controller.weightPerSlotSecond(req), 1e-9)
 	controller.settings.WeightPerWork = true
-	require.InDelta(t, 2, controller.weightForWork(req), 1e-9)
+	require.InDelta(t, 2, controller.weightPerSlotSecond(req), 1e-9)
 }
 
-// Requests beyond what can start in time are shed, the rest stays.
-func TestShedLoadKeepsWhatCanStartInTime(t *testing.T) {
+// Requests that cannot start in time are shed; the others stay queued.
+func TestShedLoadKeepsRequestsThatStartInTime(t *testing.T) {
 	controller := newTestController(t, nil)
 	var events []Event
 	for id := RequestID(1); id <= 40; id++ {
@@ -64,7 +64,8 @@
 	actions := controller.Step(0, events)
 	started, rejected := countActions[Start](actions), countActions[Reject](actions)
 	require.Equal(t, 2, started)
-	// Two slots of a quarter of a second each start some 13 in the 1.6 s that the margin of best effort leaves.
+	// With an assumed slot time of 0.25 s, two slots can start about 13 requests within the 1.6 s that the service margin
+	// of best effort leaves.
 	require.InDelta(t, 27, rejected, 2)
 	require.Equal(t, 40-started-rejected, controller.requests.counts[stateQueued])
 }
--- a/control/size_test.go
+++ b/control/size_test.go
@@ -14,7 +14,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// sourceFiles are the package's files outside tests.
+// sourceFiles returns the names of the package's Go files, without tests.
 func sourceFiles(t *testing.T) []string {
 	t.Helper()
 	files, err := filepath.Glob("*.go")
@@ -24,7 +24,7 @@
 	return files
 }
 
-// The package is read file by file after outages: each has one job and is short, and so are its lines.
+// Files and lines must be short, as operators read the package file by file after outages.
 func TestModuleSize(t *testing.T) {
 	const maxLines, maxWidth = 400, 120
 	for _, name := range sourceFiles(t) {
@@ -46,12 +46,12 @@
 	}
 }
 
-// The deploy file names the files that hold the decisions: all of this package, so that none is overlooked.
+// The deploy file lists all files of this package as the decision logic, so that none is overlooked.
 func TestDeployFileListsThePackage(t *testing.T) {
 	text, err := os.ReadFile("../deploy/balancer.toml")
 	require.NoError(t, err)
 	policy := regexp.MustCompile(`(?m)^policy = \[(.*)\]`).FindSubmatch(text)
-	require.NotNil(t, policy, "no policy in the deploy file")
+	require.NotNil(t, policy, "the deploy file has no policy line")
 	var listed []string
 	for _, quoted := range regexp.MustCompile(`"([^"]*)"`).FindAllSubmatch(policy[1], -1) {
 		listed = append(listed, string(quoted[1]))
--- a/control/slowdown.go
+++ b/control/slowdown.go
@@ -6,25 +6,25 @@
 )
 
 const (
-	// fadeTime is the time constant with which recent counts and sums decay.
+	// fadeTime is the time constant of the exponential decay of recent counts and sums.
 	fadeTime = 2 * time.Second
-	// slowdownPriorSeconds is the weight, in slot seconds per core, of the prior slowdown factor of 1.
+	// slowdownPriorSeconds is the weight of the prior slowdown factor of 1, in slot seconds per core.
 	slowdownPriorSeconds = 0.25
 	// maxSlowdown bounds the slowdown factor of a machine that hangs.
 	maxSlowdown = 50.0
-	// usualSlowdownSamples is how many completions the usual slowdown rests on.
+	// usualSlowdownSamples is how many completions the usual slowdown is based on.
 	usualSlowdownSamples = 4000.0
 )
 
-// slowdownEstimate is the factor by which requests currently take longer than the means of their classes. It compares
-// slot times: the time that requests spend on the cores or at the disk.
+// slowdownEstimate estimates the factor by which requests currently take longer than the means of their classes. It
+// compares slot times: the time that requests use the cores or the disk.
 type slowdownEstimate struct {
-	priorSeconds    float64     // slowdownPriorSeconds of all cores
+	priorSeconds    float64     // slowdownPriorSeconds times the number of cores
 	factor          float64     // recent slot time spent divided by the slot time expected
 	spentSeconds    float64     // slot time spent, fading with fadeTime
 	expectedSeconds float64     // expected slot time of the completed runs, fading with fadeTime
 	usual           runningMean // mean of factor over many completions
-	slotSeconds     runningMean // of a request of any class
+	slotSeconds     runningMean // mean slot time of the requests of all classes
 }
 
 func newSlowdownEstimate() *slowdownEstimate { return &slowdownEstimate{factor: 1} }
@@ -33,7 +33,7 @@
 	s.priorSeconds = slowdownPriorSeconds * float64(cores)
 }
 
-// advance adds elapsed seconds × running to the slot time spent and multiplies the recent sums by fade.
+// advance multiplies the recent sums by fade and adds the slot time that the running requests spent in elapsed seconds.
 func (s *slowdownEstimate) advance(elapsed, fade float64, running int) {
 	s.spentSeconds *= fade
 	s.expectedSeconds *= fade
@@ -41,13 +41,13 @@
 	s.factor = math.Min((s.spentSeconds+s.priorSeconds)/(s.expectedSeconds+s.priorSeconds), maxSlowdown)
 }
 
-// completed updates the estimate with a run that was expected to take expectedSeconds of slot time and took took. It
-// returns the slot time in seconds that the run would have taken at the usual speed. Otherwise a slow period would
-// count twice, in the slot times of the class and in the factor.
-func (s *slowdownEstimate) completed(expectedSeconds float64, took time.Duration) float64 {
+// completed updates the estimate with a run whose slot time was expected to be expectedSeconds and was slotTime. It
+// returns the slot time in seconds that the run would have needed at the usual speed. The slot times of the classes are
+// learned at that speed, as a slow period would otherwise count twice: in the slot times and in the factor.
+func (s *slowdownEstimate) completed(expectedSeconds float64, slotTime time.Duration) float64 {
 	s.expectedSeconds += expectedSeconds
 	s.usual.addWithin(s.factor, usualSlowdownSamples)
-	usualSeconds := took.Seconds() * s.usual.value / s.factor
+	usualSeconds := slotTime.Seconds() * s.usual.value / s.factor
 	s.slotSeconds.add(usualSeconds)
 	return usualSeconds
 }
--- a/control/slowdown_test.go
+++ b/control/slowdown_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The factor is the slot time spent over the slot time expected; without either, all is as usual.
+// The factor is the slot time spent divided by the slot time expected, and 1 before the first sample.
 func TestSlowdownFactor(t *testing.T) {
 	slowdown := newSlowdownEstimate()
 	slowdown.configure(4)
@@ -15,15 +15,15 @@
 	slowdown.advance(1, 1, 7)
 	slowdown.completed(3, time.Second)
 	slowdown.advance(0, 1, 0)
-	require.InDelta(t, 2, slowdown.factor, 1e-9, "7 and 3 slot seconds beside a prior of 1")
+	require.InDelta(t, 2, slowdown.factor, 1e-9, "7 and 3 slot seconds, and a prior of 1")
 	slowdown.advance(0, 0.5, 0)
-	require.InDelta(t, 1.8, slowdown.factor, 1e-9, "3.5 and 1.5 slot seconds beside a prior of 1")
+	require.InDelta(t, 1.8, slowdown.factor, 1e-9, "3.5 and 1.5 slot seconds, and a prior of 1")
 	slowdown.advance(1e6, 1, 7)
 	require.Equal(t, maxSlowdown, slowdown.factor)
 }
 
-// A slot time that a slow spell made longer is learned as it would be at the usual pace.
-func TestSlotTimeAtTheUsualPace(t *testing.T) {
+// Slot times in a slow period are converted to the usual speed before they are learned.
+func TestSlotTimeAtUsualSpeed(t *testing.T) {
 	slowdown := newSlowdownEstimate()
 	slowdown.configure(1)
 	for range int(usualSlowdownSamples) {
@@ -34,9 +34,9 @@
 	require.InDelta(t, 0.1, slowdown.slotSeconds.value, 1e-3)
 }
 
-// Guards the class of most weight against being given up: slots that a slow spell makes longer are learned at the usual
-// pace, or the spell would count twice, in them and in the slowdown, and for long after it.
-func TestSlowSpellIsNotLearned(t *testing.T) {
+// Guards against rejections of the class of highest weight after a slow period. Slot times must be learned at the usual
+// speed, or the period would count twice, in the slot times and in the slowdown factor, and for long after its end.
+func TestSlowPeriodIsNotLearned(t *testing.T) {
 	controller := newTestController(t, nil)
 	id := RequestID(0)
 	run := func(ticks int) {
@@ -58,7 +58,7 @@
 	}
 	slot := controller.classes.all[0].slot.value
 	if controller.slowdown.factor < 3 || slot > 1.3*usual {
-		t.Errorf("slowdown %v, slot time %v after a spell ten times as slow, %v before it",
+		t.Errorf("slowdown %v, slot time %v after a period at a tenth of the speed, %v before it",
 			controller.slowdown.factor, slot, usual)
 	}
 }
