--- a/control/size_test.go
+++ b/control/size_test.go
@@ -25,7 +25,7 @@
 }
 
 // Files and lines must be short, as operators read the package file by file after outages.
-func TestModuleSize(t *testing.T) {
+func TestFileSize(t *testing.T) {
 	const maxLines, maxWidth = 400, 120
 	for _, name := range sourceFiles(t) {
 		file, err := os.Open(name)
