--- a/internal/decide/calls/calls.go
+++ b/internal/decide/calls/calls.go
@@ -1,5 +1,5 @@
-// Package calls decides about the calls that runs make to the service downstream: what the end of a call proves about
-// its effect, whether it may be made again, and over which connection each call goes.
+// Package calls decides about the calls that runs make to the downstream service: what the outcome of a call proves
+// about its effect, whether it may be repeated, and over which connection each call goes.
 //
 // The request core (package dispatch) uses Outcome.Effect and MayRepeat. The client of the service (package
 // vaultclient) is the host of a Pool: it reports events to the pool and carries out its Actions.
@@ -16,7 +16,7 @@
 // Outcome is how a call ended, as this server saw it.
 type Outcome uint8
 
-// The outcomes. Each but Answered leaves the run waiting for its call.
+// The outcomes. After each of them but Answered, the run still waits for its call.
 const (
 	// Answered means that the service replied.
 	Answered Outcome = iota
@@ -26,15 +26,15 @@
 	Failed
 	// DeadlineExceeded means that the service did not finish the call in time.
 	DeadlineExceeded
-	// Unwanted means that the service refused the call, as no run waits for it.
+	// Unwanted means that the service refused the call because no run waits for it.
 	Unwanted
-	// ConnectFailed means that the call was never sent, as no connection could be opened.
+	// ConnectFailed means that the call was never sent because no connection could be opened.
 	ConnectFailed
 	// ConnectionLost means that the call was sent on a connection that broke.
 	ConnectionLost
-	// Abandoned means that the call was sent, and that its timeout has passed or its request has ended.
+	// Abandoned means that the call was sent, but its timeout expired or its request ended before the reply.
 	Abandoned
-	// NotSent means that the call was never sent, as there was no capacity for it.
+	// NotSent means that the call was never sent because there was no capacity for it.
 	NotSent
 	outcomeCount
 )
@@ -89,7 +89,7 @@
 	}
 }
 
-// MayRepeat reports whether a call may be made again after an outcome, given the idempotency of its request. If the
+// MayRepeat reports whether a call may be repeated after an outcome, given the idempotency of its request. If the
 // request is not idempotent, a call is repeated only if it is proven not to have run, so that no effect happens twice.
 func MayRepeat(idempotency control.Idempotency, outcome Outcome) bool {
 	switch outcome.Effect() {
--- a/internal/decide/calls/calls_test.go
+++ b/internal/decide/calls/calls_test.go
@@ -8,30 +8,31 @@
 	"pewterline/control"
 )
 
-// Every outcome against what it proves, what each idempotency allows after it, and what the decision module is told.
-// The rows are written out here rather than computed, so that a change of the rules has to be made twice.
+// Checks the effect of every outcome, whether each idempotency allows a repetition after it, and the outcome that is
+// reported to the decision module. The expected values are written out rather than computed, so that a change of the
+// rules must be made twice.
 func TestEveryOutcome(t *testing.T) {
-	const again, never = true, false
+	const allowed, forbidden = true, false
 	rows := []struct {
 		outcome                          Outcome
 		effect                           Effect
 		idempotent, byKey, nonIdempotent bool
 		control                          control.Outcome
 	}{
-		{Answered, Executed, never, never, never, control.OutcomeOK},
-		{Rejected, NotExecuted, again, again, again, control.OutcomeRejected},
-		{Failed, MaybeExecuted, again, never, never, control.OutcomeError},
-		{DeadlineExceeded, MaybeExecuted, again, never, never, control.OutcomeTimeout},
-		{Unwanted, NotExecuted, again, again, again, control.OutcomeAlreadyEnded},
-		{ConnectFailed, NotExecuted, again, again, again, control.OutcomeUnreachable},
-		{ConnectionLost, MaybeExecuted, again, never, never, control.OutcomeReset},
-		{Abandoned, MaybeExecuted, again, never, never, control.OutcomeTimeout},
-		{NotSent, NotExecuted, again, again, again, control.OutcomeRejected},
+		{Answered, Executed, forbidden, forbidden, forbidden, control.OutcomeOK},
+		{Rejected, NotExecuted, allowed, allowed, allowed, control.OutcomeRejected},
+		{Failed, MaybeExecuted, allowed, forbidden, forbidden, control.OutcomeError},
+		{DeadlineExceeded, MaybeExecuted, allowed, forbidden, forbidden, control.OutcomeTimeout},
+		{Unwanted, NotExecuted, allowed, allowed, allowed, control.OutcomeAlreadyEnded},
+		{ConnectFailed, NotExecuted, allowed, allowed, allowed, control.OutcomeUnreachable},
+		{ConnectionLost, MaybeExecuted, allowed, forbidden, forbidden, control.OutcomeReset},
+		{Abandoned, MaybeExecuted, allowed, forbidden, forbidden, control.OutcomeTimeout},
+		{NotSent, NotExecuted, allowed, allowed, allowed, control.OutcomeRejected},
 	}
-	require.Len(t, rows, int(outcomeCount), "a row for each outcome")
+	require.Len(t, rows, int(outcomeCount), "there must be a row for each outcome")
 	for at, row := range rows {
 		t.Run(row.outcome.String(), func(t *testing.T) {
-			require.Equal(t, Outcome(at), row.outcome, "the rows' order")
+			require.Equal(t, Outcome(at), row.outcome, "the rows must be in the order of the outcomes")
 			require.Equal(t, row.effect, row.outcome.Effect())
 			require.Equal(t, row.idempotent, MayRepeat(control.Idempotent, row.outcome), "idempotent")
 			require.Equal(t, row.byKey, MayRepeat(control.IdempotentByKey, row.outcome), "idempotent by key")
@@ -41,9 +42,9 @@
 	}
 }
 
-// The decision module repeats a call on the strength of control.Outcome alone: what that says must be what the outcome
-// proves.
-func TestControlOutcomeTellsTheEffect(t *testing.T) {
+// The decision module decides from control.Outcome alone whether to repeat a call, so the control outcome must imply
+// the same effect as the outcome that it was converted from.
+func TestControlOutcomeImpliesTheEffect(t *testing.T) {
 	effects := map[control.Outcome]Effect{
 		control.OutcomeOK:           Executed,
 		control.OutcomeError:        MaybeExecuted,
@@ -59,8 +60,9 @@
 	}
 }
 
-// An outcome or idempotency that is not known, as after a change elsewhere, proves nothing and allows nothing.
-func TestUnknownProvesNothing(t *testing.T) {
+// An unknown outcome proves nothing about the effect, and an unknown idempotency allows no repetition. Both can occur
+// when a value is added in another package only.
+func TestUnknownValues(t *testing.T) {
 	require.Equal(t, MaybeExecuted, outcomeCount.Effect())
 	require.Equal(t, control.OutcomeError, outcomeCount.ControlOutcome())
 	require.False(t, MayRepeat(control.NonIdempotent+1, Failed))
--- a/internal/decide/calls/conn.go
+++ b/internal/decide/calls/conn.go
@@ -8,15 +8,15 @@
 
 // conn is one connection to the service. Replies come in any order and identify their call only by the request's ID. An
 // ID that was abandoned on a connection is therefore not used on it again: otherwise a late reply to the abandoned call
-// could be taken for the reply to the later one.
+// could be mistaken for the reply to the later one.
 type conn struct {
 	id           ConnID
-	calls        map[string]*call // in flight on it, by ID
-	abandoned    map[string]bool
-	idleSince    microtime.Time // when a call on it was last sent or ended
-	lastReceived microtime.Time // when data was last received, or when it was opened
-	silent       bool           // nothing was received for longer than usual
-	retired      bool           // it takes no new calls and is closed after the last call in flight
+	calls        map[string]*call // in flight on the connection, by request ID
+	abandoned    map[string]bool  // request IDs of abandoned calls
+	idleSince    microtime.Time   // when a call was last sent on the connection or last ended
+	lastReceived microtime.Time   // when data was last received, or when it was opened
+	silent       bool             // nothing was received for longer than the silence limit
+	retired      bool             // takes no new calls, and is closed after the last call in flight
 }
 
 func newConn(id ConnID, now microtime.Time) *conn {
@@ -28,7 +28,7 @@
 // load counts the calls in flight.
 func (c *conn) load() int { return len(c.calls) }
 
-// betterThan prefers a connection that is not silent, then the one with fewer calls.
+// betterThan reports whether c is preferred for new calls: a connection that is not silent, then one with fewer calls.
 func (c *conn) betterThan(other *conn) bool {
 	if c.silent != other.silent {
 		return other.silent
@@ -36,12 +36,12 @@
 	return c.load() < other.load()
 }
 
-// silentSince returns the time since which a connection with calls in flight has received nothing. silent is false if
+// silentSince returns the time since which a connection with calls in flight has received nothing. waiting is false if
 // no call is in flight.
-func (c *conn) silentSince() (since microtime.Time, silent bool) {
+func (c *conn) silentSince() (since microtime.Time, waiting bool) {
 	oldest := microtime.Never
-	for _, made := range c.calls { // The order does not matter for the minimum.
-		oldest = min(oldest, made.sentAt)
+	for _, pending := range c.calls { // The order does not matter for the minimum.
+		oldest = min(oldest, pending.sentAt)
 	}
 	return max(oldest, c.lastReceived), oldest != microtime.Never
 }
--- a/internal/decide/calls/example_test.go
+++ b/internal/decide/calls/example_test.go
@@ -8,8 +8,8 @@
 	"pewterline/internal/microtime"
 )
 
-// A host makes a call, opens the connection that the pool asks for, loses it, and learns whether the call may be made
-// again.
+// A host makes a call and opens a connection for the pool. The connection breaks before the reply, and the host checks
+// whether the call may be repeated.
 func ExamplePool() {
 	pool := calls.NewPool()
 	now := 100 * microtime.Second
--- a/internal/decide/calls/pool.go
+++ b/internal/decide/calls/pool.go
@@ -12,16 +12,16 @@
 	MaxServingConns = 4
 	// maxRetiredConns bounds the retired connections, which only finish their calls in flight.
 	maxRetiredConns = 4
-	// MaxConns bounds all connections, the one that is being dialled included.
+	// MaxConns bounds all connections, including the one that is being dialled.
 	MaxConns = MaxServingConns + maxRetiredConns + 1
 	// callsPerConn is how many calls are in flight on a connection before another one is opened.
 	callsPerConn = 32
 	// MaxCalls bounds the calls in flight over all connections. A further call ends at once with NotSent.
 	MaxCalls = 1024
-	// abandonedPerConn bounds the abandoned IDs that a connection keeps; a connection that reaches it is retired.
-	abandonedPerConn = 256
-	// IdleTimeout is how long a connection is kept without a call. The service closes idle connections after 10 s, and a
-	// call that is sent at that moment would be lost.
+	// maxAbandonedPerConn bounds the abandoned IDs that a connection keeps. A connection that reaches it is retired.
+	maxAbandonedPerConn = 256
+	// IdleTimeout is how long a connection without calls is kept open. It is shorter than the service's own idle timeout
+	// of 10 s, because a call that is sent while the service closes the connection would be lost.
 	IdleTimeout = 5 * microtime.Second
 )
 
@@ -38,7 +38,7 @@
 type Pool struct {
 	actions    []Action
 	inFlight   map[string]*call // by the request's ID
-	byAge      []*call          // the same, oldest first; Expire removes those that have ended
+	byAge      []*call          // calls in flight, oldest first, and ended ones until the next Expire
 	waiting    []*call          // calls for the connection that is being dialled, oldest first
 	conns      []*conn          // oldest first
 	lastConn   ConnID
@@ -52,8 +52,8 @@
 	Request
 	deadline microtime.Time
 	sentAt   microtime.Time
-	conn     *conn // nil: it has not been sent
-	over     bool
+	conn     *conn // nil: not sent yet
+	ended    bool
 }
 
 // NewPool returns a pool without connections or calls.
@@ -61,7 +61,7 @@
 	return &Pool{inFlight: map[string]*call{}, nextWakeup: microtime.Never}
 }
 
-// Actions returns the actions since the last call and forgets them.
+// Actions returns and removes the actions that the host has not taken yet.
 func (p *Pool) Actions() []Action {
 	actions := p.actions
 	p.actions = nil
@@ -70,50 +70,51 @@
 
 func (p *Pool) emit(action Action) { p.actions = append(p.actions, action) }
 
-// Counts returns the numbers of open connections, of calls in flight, and of those that wait for a connection.
+// Counts returns the numbers of open connections, of calls in flight, and of the calls among them that wait for a
+// connection.
 func (p *Pool) Counts() (conns, inFlight, waiting int) {
 	return len(p.conns), len(p.inFlight), len(p.waiting)
 }
 
-// NextWakeup is when Expire must be called at the latest.
+// NextWakeup returns the time at which Expire must be called at the latest.
 func (p *Pool) NextWakeup() microtime.Time { return p.nextWakeup }
 
 func (p *Pool) wakeBy(due microtime.Time) { p.nextWakeup = min(p.nextWakeup, due) }
 
-// Call makes a call. A call in flight for the same request is abandoned first.
+// Call starts a call. A call in flight for the same request is abandoned first.
 func (p *Pool) Call(now microtime.Time, request Request) {
 	p.Abandon(now, request.ID)
 	if len(p.inFlight) >= MaxCalls {
 		p.emit(Complete{ID: request.ID, Outcome: NotSent})
 		return
 	}
-	made := &call{Request: request, deadline: now + request.Timeout}
-	p.inFlight[made.ID] = made
-	p.byAge = append(p.byAge, made)
-	p.wakeBy(made.deadline)
-	p.place(now, made)
+	pending := &call{Request: request, deadline: now + request.Timeout}
+	p.inFlight[pending.ID] = pending
+	p.byAge = append(p.byAge, pending)
+	p.wakeBy(pending.deadline)
+	p.place(now, pending)
 }
 
 // place sends a call on a connection, or queues it for the one that is being dialled.
-func (p *Pool) place(now microtime.Time, made *call) {
-	best, serving := p.bestConn(made.ID)
+func (p *Pool) place(now microtime.Time, pending *call) {
+	best, serving := p.bestConn(pending.ID)
 	full := serving >= MaxServingConns
 	switch {
 	case best != nil && (!best.silent || full):
-		p.send(now, best, made)
+		p.send(now, best, pending)
 		if best.load() >= callsPerConn && !full {
-			p.dial() // For the next calls.
+			p.dial() // For later calls.
 		}
-	case !full, p.retireOldest(): // If all are full of abandoned IDs, one is replaced.
-		p.waiting = append(p.waiting, made)
+	case !full, p.retireOldest(): // The ID was abandoned on all of them: replace the oldest.
+		p.waiting = append(p.waiting, pending)
 		p.dial()
 	default:
-		p.finish(made, NotSent, nil)
+		p.finish(pending, NotSent, nil)
 	}
 }
 
-// bestConn returns the connection with the fewest calls of those that may carry the ID, a silent one only if there is
-// no other; nil if there is none. serving counts the connections that take calls.
+// bestConn returns the least loaded connection on which the ID was not abandoned, or nil if there is none. It returns a
+// silent connection only if there is no other. serving is the number of connections that take new calls.
 func (p *Pool) bestConn(id string) (best *conn, serving int) {
 	for _, candidate := range p.conns {
 		if candidate.retired {
@@ -127,7 +128,7 @@
 	return best, serving
 }
 
-// dial opens a connection, unless one is being opened: a dial that hangs must not use more than one descriptor.
+// dial opens a connection, unless one is being dialled: dials that hang must not use more than one file descriptor.
 func (p *Pool) dial() {
 	if !p.dialling {
 		p.dialling = true
@@ -135,13 +136,13 @@
 	}
 }
 
-// send makes a call on a connection.
-func (p *Pool) send(now microtime.Time, on *conn, made *call) {
-	made.conn, made.sentAt = on, now
-	on.calls[made.ID] = made
-	on.idleSince = now
-	p.wakeBy(now + p.replyTime.silenceLimit(on.load()))
-	p.emit(Send{Conn: on.id, ID: made.ID, Timeout: made.deadline - now, Body: made.Body})
+// send sends a call on a connection.
+func (p *Pool) send(now microtime.Time, connection *conn, pending *call) {
+	pending.conn, pending.sentAt = connection, now
+	connection.calls[pending.ID] = pending
+	connection.idleSince = now
+	p.wakeBy(now + p.replyTime.silenceLimit(connection.load()))
+	p.emit(Send{Conn: connection.id, ID: pending.ID, Timeout: pending.deadline - now, Body: pending.Body})
 }
 
 // Opened adds the connection that was dialled and sends the waiting calls on it. It returns the connection's ID.
@@ -182,15 +183,15 @@
 	}
 }
 
-// Abandon stops waiting for the call of a request, if one is in flight. Whether it had an effect is not known.
+// Abandon stops waiting for the call of a request, if one is in flight. The call may have had an effect.
 func (p *Pool) Abandon(now microtime.Time, id string) {
-	p.actions = slices.DeleteFunc(p.actions, func(action Action) bool { // An end that was not returned yet.
+	p.actions = slices.DeleteFunc(p.actions, func(action Action) bool { // Drop a completion the host has not taken.
 		complete, ok := action.(Complete)
 		return ok && complete.ID == id
 	})
-	if made := p.inFlight[id]; made != nil {
-		p.remove(made)
-		p.abandonSent(now, made)
+	if pending := p.inFlight[id]; pending != nil {
+		p.remove(pending)
+		p.abandonSent(now, pending)
 	}
 }
 
@@ -201,29 +202,29 @@
 	if from == nil || from.calls[request] == nil {
 		return
 	}
-	made := from.calls[request]
-	p.release(now, made)
-	p.replyTime.add(now - made.sentAt)
-	p.finish(made, outcome, reply)
+	pending := from.calls[request]
+	p.release(now, pending)
+	p.replyTime.add(now - pending.sentAt)
+	p.finish(pending, outcome, reply)
 	for _, other := range slices.Clone(p.conns) {
 		if other != from {
-			p.abandonSilentCalls(now, other, made.sentAt)
+			p.abandonSilentCalls(now, other, pending.sentAt)
 		}
 	}
 }
 
-// ConnClosed reports that a connection was closed or broke. The calls in flight on it end with ConnectionLost. It
-// returns their number.
+// ConnClosed reports that a connection was closed or broke. The calls in flight on it end with ConnectionLost, and
+// their number is returned.
 func (p *Pool) ConnClosed(id ConnID) (lost int) {
 	closed := p.conn(id)
 	if closed == nil {
 		return 0
 	}
 	p.conns = slices.DeleteFunc(p.conns, func(open *conn) bool { return open == closed })
-	for _, made := range slices.Clone(p.byAge) {
-		if !made.over && made.conn == closed {
+	for _, pending := range slices.Clone(p.byAge) {
+		if !pending.ended && pending.conn == closed {
 			lost++
-			p.finish(made, ConnectionLost, nil)
+			p.finish(pending, ConnectionLost, nil)
 		}
 	}
 	return lost
@@ -234,17 +235,17 @@
 	if now < p.nextWakeup {
 		return
 	}
-	p.byAge = slices.DeleteFunc(p.byAge, func(made *call) bool { return made.over })
+	p.byAge = slices.DeleteFunc(p.byAge, func(pending *call) bool { return pending.ended })
 	p.nextWakeup = microtime.Never
-	for _, made := range slices.Clone(p.byAge) {
+	for _, pending := range slices.Clone(p.byAge) {
 		switch {
-		case made.deadline > now:
-			p.wakeBy(made.deadline)
-		case made.conn == nil:
-			p.finish(made, ConnectFailed, nil)
+		case pending.deadline > now:
+			p.wakeBy(pending.deadline)
+		case pending.conn == nil:
+			p.finish(pending, ConnectFailed, nil)
 		default:
-			p.finish(made, Abandoned, nil)
-			p.abandonSent(now, made)
+			p.finish(pending, Abandoned, nil)
+			p.abandonSent(now, pending)
 		}
 	}
 	for _, open := range slices.Clone(p.conns) {
@@ -253,43 +254,43 @@
 }
 
 // finish ends a call in flight and reports its outcome.
-func (p *Pool) finish(made *call, outcome Outcome, reply []byte) {
-	if !made.over {
-		p.remove(made)
-		p.emit(Complete{made.ID, outcome, reply})
+func (p *Pool) finish(pending *call, outcome Outcome, reply []byte) {
+	if !pending.ended {
+		p.remove(pending)
+		p.emit(Complete{pending.ID, outcome, reply})
 	}
 }
 
 // remove drops a call that has ended.
-func (p *Pool) remove(made *call) {
-	made.over = true
-	delete(p.inFlight, made.ID)
-	if made.conn == nil {
-		p.waiting = slices.DeleteFunc(p.waiting, func(waiting *call) bool { return waiting == made })
+func (p *Pool) remove(pending *call) {
+	pending.ended = true
+	delete(p.inFlight, pending.ID)
+	if pending.conn == nil {
+		p.waiting = slices.DeleteFunc(p.waiting, func(waiting *call) bool { return waiting == pending })
 	}
 }
 
 // abandonSent notifies the service that the reply to a call that was sent is no longer needed.
-func (p *Pool) abandonSent(now microtime.Time, made *call) {
-	on := made.conn
-	if on == nil || on.calls[made.ID] != made {
+func (p *Pool) abandonSent(now microtime.Time, pending *call) {
+	connection := pending.conn
+	if connection == nil || connection.calls[pending.ID] != pending {
 		return
 	}
-	p.emit(Abandon{on.id, made.ID})
-	on.abandoned[made.ID] = true
-	p.release(now, made)
-	if len(on.abandoned) >= abandonedPerConn {
-		p.retire(on)
+	p.emit(Abandon{connection.id, pending.ID})
+	connection.abandoned[pending.ID] = true
+	p.release(now, pending)
+	if len(connection.abandoned) >= maxAbandonedPerConn {
+		p.retire(connection)
 	}
 }
 
 // release removes a call from its connection.
-func (p *Pool) release(now microtime.Time, made *call) {
-	on := made.conn
-	delete(on.calls, made.ID)
-	on.idleSince = now
+func (p *Pool) release(now microtime.Time, pending *call) {
+	connection := pending.conn
+	delete(connection.calls, pending.ID)
+	connection.idleSince = now
 	p.wakeBy(now + IdleTimeout)
-	if on.retired && on.load() == 0 {
-		p.emit(Close{on.id})
+	if connection.retired && connection.load() == 0 {
+		p.emit(Close{connection.id})
 	}
 }
--- a/internal/decide/calls/silence.go
+++ b/internal/decide/calls/silence.go
@@ -6,19 +6,19 @@
 	"pewterline/internal/microtime"
 )
 
-// A connection whose other end has vanished without closing it looks like one on which every call is slow, so a silent
-// connection only stops getting new calls. Once the service has answered a later call on another connection, the silent
-// connection must be broken: its idempotent calls end, so that they can be made again, and the others wait for their
-// deadline.
+// A half-open connection, whose peer has vanished without closing it, cannot be distinguished from one on which every
+// call is slow. A silent connection therefore only stops getting new calls. Once the service has answered a later call
+// on another connection, the silent connection must be broken: its idempotent calls end, so that they can be repeated,
+// and the others wait for their deadline.
 const (
-	// silenceParts sets when a connection with n calls in flight counts as silent: after mean + silenceParts*mean/n,
+	// silenceFactor sets when a connection with n calls in flight counts as silent: after mean + silenceFactor*mean/n,
 	// where mean is the mean reply time. The more calls, the sooner one of them should have been answered.
-	silenceParts = 4
+	silenceFactor = 4
 	// minSilence and maxSilence bound that time.
 	minSilence = 50 * microtime.Millisecond
 	maxSilence = microtime.Second
-	// firstSilence is used before any reply was received.
-	firstSilence = 500 * microtime.Millisecond
+	// initialSilence is the limit before the first reply.
+	initialSilence = 500 * microtime.Millisecond
 	// retireSilence is the silence after which a connection is retired, even if all connections are silent.
 	retireSilence = microtime.Second
 	// replyWeight is the inverse weight of the latest reply in the mean reply time.
@@ -36,16 +36,16 @@
 	r.mean += (took - r.mean) / replyWeight
 }
 
-// silenceLimit is how long a connection with inFlight calls may be silent.
+// silenceLimit returns how long a connection with inFlight calls may be silent.
 func (r *replyTime) silenceLimit(inFlight int) microtime.Time {
 	if r.mean == 0 {
-		return firstSilence
+		return initialSilence
 	}
-	usual := r.mean + silenceParts*r.mean/microtime.Time(max(inFlight, 1))
-	return min(max(usual, minSilence), maxSilence)
+	limit := r.mean + silenceFactor*r.mean/microtime.Time(max(inFlight, 1))
+	return min(max(limit, minSilence), maxSilence)
 }
 
-// Received reports that data was received on a connection, which is therefore not silent.
+// Received reports that data was received on a connection, which ends its silence.
 func (p *Pool) Received(now microtime.Time, id ConnID) {
 	if open := p.conn(id); open != nil {
 		open.lastReceived, open.silent = now, false
@@ -54,8 +54,8 @@
 
 // checkSilence marks or retires a connection that has been silent for too long. It returns when to check again.
 func (p *Pool) checkSilence(now microtime.Time, open *conn) microtime.Time {
-	since, waits := open.silentSince()
-	if !waits {
+	since, waiting := open.silentSince()
+	if !waiting {
 		return microtime.Never
 	}
 	if due := since + p.replyTime.silenceLimit(open.load()); now < due {
@@ -77,18 +77,18 @@
 	return now + retireSilence
 }
 
-// abandonSilentCalls ends the idempotent calls on silent and retires it, if it has received nothing since before
-// sentAt. A call that was sent at sentAt on another connection has been answered, so the service itself is alive.
-func (p *Pool) abandonSilentCalls(now microtime.Time, silent *conn, sentAt microtime.Time) {
-	since, waits := silent.silentSince()
-	if !silent.silent || !waits || sentAt < since {
+// abandonSilentCalls ends the idempotent calls on a silent connection and retires it, if it has received nothing since
+// before sentAt. A call that was sent at sentAt on another connection has been answered, so the service is alive.
+func (p *Pool) abandonSilentCalls(now microtime.Time, open *conn, sentAt microtime.Time) {
+	since, waiting := open.silentSince()
+	if !open.silent || !waiting || sentAt < since {
 		return
 	}
-	for _, made := range slices.Clone(p.byAge) {
-		if !made.over && made.conn == silent && made.Idempotent {
-			p.finish(made, Abandoned, nil)
-			p.abandonSent(now, made)
+	for _, pending := range slices.Clone(p.byAge) {
+		if !pending.ended && pending.conn == open && pending.Idempotent {
+			p.finish(pending, Abandoned, nil)
+			p.abandonSent(now, pending)
 		}
 	}
-	p.retire(silent)
+	p.retire(open)
 }
--- a/internal/decide/calls/silence_test.go
+++ b/internal/decide/calls/silence_test.go
@@ -16,7 +16,7 @@
 		inFlight int
 		want     microtime.Time
 	}{
-		{"no reply yet", 0, 1, firstSilence},
+		{"no reply yet", 0, 1, initialSilence},
 		{"one call", 100 * microtime.Millisecond, 1, 500 * microtime.Millisecond},
 		{"four calls", 100 * microtime.Millisecond, 4, 200 * microtime.Millisecond},
 		{"none in flight counts as one", 100 * microtime.Millisecond, 0, 500 * microtime.Millisecond},
@@ -31,14 +31,14 @@
 	}
 }
 
-// A reply on another connection proves a silent one at fault: its idempotent calls end at once, the others wait for
-// their deadline, and it takes no new ones.
-func TestOutlivedConn(t *testing.T) {
+// A reply to a later call on another connection shows that a silent connection is broken: its idempotent calls end at
+// once, its other calls wait for their deadline, and it takes no new calls.
+func TestReplyOnAnotherConnEndsSilentCalls(t *testing.T) {
 	pool, now := NewPool(), 100*microtime.Second
 	pool.Call(now, Request{ID: "idempotent", Timeout: 10 * microtime.Second, Idempotent: true})
 	pool.Call(now, Request{ID: "once", Timeout: 10 * microtime.Second})
 	first := pool.Opened(now)
-	now += firstSilence
+	now += initialSilence
 	pool.Expire(now)
 	require.True(t, pool.conn(first).silent)
 	pool.Call(now, Request{ID: "later", Timeout: microtime.Second})
--- a/internal/decide/decide_test.go
+++ b/internal/decide/decide_test.go
@@ -13,8 +13,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// pureImports are what a decision may import beside the packages of this folder: nothing that does I/O, starts
-// goroutines or reads a clock.
+// pureImports lists the packages that decision packages may import besides each other. None of them does I/O, starts
+// goroutines or reads a clock, except in the functions that impureCalls lists.
 var pureImports = []string{
 	"cmp",
 	"container/heap",
@@ -41,7 +41,7 @@
 	"pewterline/internal/testbed/faults",
 }
 
-// impureCalls are what a decision may not call, though it may use the types of these packages.
+// impureCalls lists calls that are forbidden in decision packages, which may use the types of the same packages.
 var impureCalls = []string{
 	"time.Now",
 	"time.Since",
@@ -54,11 +54,12 @@
 	"rand.Float64()",
 }
 
-// microtimeFolder is looked at for its imports alone: it reads the clock for the program, and decisions are handed the
-// time.
+// microtimeFolder is checked only for its imports: its Clock reads the system's clocks, and decision packages get the
+// time as an argument.
 const microtimeFolder = "../microtime"
 
-// Guards the decisions against I/O, goroutines and clocks of their own, also by way of the records they work on.
+// Guards the determinism of the decision packages and of the testbed packages that drive or describe them: none does
+// I/O, starts a goroutine or reads a clock.
 func TestDecisionsArePure(t *testing.T) {
 	checked := 0
 	for _, folder := range []string{
@@ -79,7 +80,7 @@
 	require.GreaterOrEqual(t, checked, 4)
 }
 
-// sourceFiles returns the files of a folder and those below it, without tests.
+// sourceFiles returns the paths of all Go files in a folder and below it, except tests.
 func sourceFiles(t *testing.T, folder string) (paths []string) {
 	t.Helper()
 	err := filepath.WalkDir(folder, func(path string, _ fs.DirEntry, err error) error {
@@ -109,7 +110,7 @@
 	}
 }
 
-// requirePureCode looks for calls in the text, comments included, and for goroutines in the syntax.
+// requirePureCode searches the source text, comments included, for impure calls, and the syntax tree for go statements.
 func requirePureCode(t *testing.T, path string) {
 	t.Helper()
 	text, err := os.ReadFile(path)
@@ -118,8 +119,8 @@
 		require.NotContains(t, string(text), call, path)
 	}
 	ast.Inspect(parseFile(t, path), func(node ast.Node) bool {
-		_, starts := node.(*ast.GoStmt)
-		require.False(t, starts, "%s starts a goroutine", path)
+		_, startsGoroutine := node.(*ast.GoStmt)
+		require.False(t, startsGoroutine, "%s starts a goroutine", path)
 		return true
 	})
 }
