--- a/internal/wal/committer.go
+++ b/internal/wal/committer.go
@@ -13,9 +13,9 @@
 
 // CommitOptions configure how records are gathered into batches.
 type CommitOptions struct {
-	QueueSize  int           // records that may wait; Submit rejects more with ErrQueueFull; 0: 1024
-	MaxBatch   int           // records made durable by one sync; 0: 256
-	BatchDelay time.Duration // time to wait for more records; 0: a batch is what was queued during the last sync
+	QueueSize  int           // records that may be queued; Submit rejects further ones with ErrQueueFull; 0: 1024
+	MaxBatch   int           // maximum number of records for one sync; 0: 256
+	BatchDelay time.Duration // how long to wait for further records; 0: a batch is what was queued during the last sync
 }
 
 // Committer makes records of many callers durable, with one sync for each batch (group commit). It owns its log and a
@@ -91,7 +91,7 @@
 	}
 }
 
-// Written counts the syncs and the bytes of records so far.
+// Written returns the numbers of syncs and of bytes of records since the start.
 func (c *Committer) Written() (syncs, bytes int64) { return c.syncs.Load(), c.bytes.Load() }
 
 // Close writes and syncs the queued records, and closes the log. Further calls return the same error.
@@ -115,8 +115,8 @@
 	c.closeErr = c.log.Close()
 }
 
-// gather fills a batch with the submissions that are queued, or that come within the delay. An operation ends the
-// batch.
+// gather fills a batch with the submissions that are queued, or that arrive within the batch delay. An operation ends
+// the batch.
 func (c *Committer) gather(first submission) []submission {
 	batch := []submission{first}
 	var expired <-chan time.Time
--- a/internal/wal/committer_test.go
+++ b/internal/wal/committer_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Many callers share syncs; each record is durable, in one order, when its caller is told.
+// The records of concurrent callers share syncs. Each is durable under the index that its caller is told.
 func TestCommitter(t *testing.T) {
 	dir := t.TempDir()
 	l, _, err := Open(Dir(dir), Options{})
@@ -17,7 +17,7 @@
 	committer := NewCommitter(l, CommitOptions{})
 	var wg sync.WaitGroup
 	var mu sync.Mutex
-	told := map[uint64]string{}
+	acknowledged := map[uint64]string{}
 	for i := range 8 {
 		wg.Add(1)
 		go func() {
@@ -26,7 +26,7 @@
 				data, done := fmt.Sprintf("%d/%d", i, j), make(chan error)
 				committer.Submit([]byte(data), func(index uint64, err error) {
 					mu.Lock()
-					told[index] = data
+					acknowledged[index] = data
 					mu.Unlock()
 					done <- err
 				})
@@ -37,27 +37,27 @@
 		}()
 	}
 	wg.Wait()
-	snap := make(chan error)
+	checked := make(chan error)
 	committer.Do(func(l *Log) error {
 		if l.Synced() != 400 {
-			return fmt.Errorf("%d are durable", l.Synced())
+			return fmt.Errorf("%d records are durable, expected 400", l.Synced())
 		}
 		return nil
-	}, func(err error) { snap <- err })
-	require.NoError(t, <-snap)
+	}, func(err error) { checked <- err })
+	require.NoError(t, <-checked)
 	require.NoError(t, committer.Close())
 	committer.Submit(nil, func(_ uint64, err error) { require.ErrorIs(t, err, ErrClosed) })
 	_, rec, err := Open(Dir(dir), Options{})
 	require.NoError(t, err)
 	require.Len(t, rec.Records, 400)
 	for _, r := range rec.Records {
-		require.Equal(t, told[r.Index], string(r.Data))
+		require.Equal(t, acknowledged[r.Index], string(r.Data))
 	}
 }
 
-// Guards against a caller told that its record is durable after a sync has failed, that one's or an earlier one's;
-// and against a queue without a bound.
-func TestCommitterOnABadDisk(t *testing.T) {
+// Guards against the acknowledgement of a record after its own sync or an earlier one has failed, and against an
+// unbounded queue.
+func TestCommitterAfterAFailedSync(t *testing.T) {
 	disk := newFaultyDisk(3)
 	l, _, err := Open(disk, Options{})
 	require.NoError(t, err)
@@ -68,12 +68,12 @@
 		return <-done
 	}
 	require.NoError(t, submit("one"))
-	disk.failingSync = 1
+	disk.syncsUntilFailure = 1
 	require.ErrorIs(t, submit("two"), ErrBroken)
 	require.ErrorIs(t, submit("three"), ErrBroken)
-	hold, held := make(chan struct{}), make(chan struct{})
-	committer.Do(func(*Log) error { return nil }, func(error) { close(held); <-hold })
-	<-held
+	release, blocked := make(chan struct{}), make(chan struct{})
+	committer.Do(func(*Log) error { return nil }, func(error) { close(blocked); <-release })
+	<-blocked
 	full := 0
 	for range 5 {
 		committer.Submit([]byte("x"), func(_ uint64, err error) {
@@ -83,17 +83,18 @@
 		})
 	}
 	require.Equal(t, 3, full)
-	close(hold)
+	close(release)
 	require.NoError(t, committer.Close())
 	disk.crash()
 	_, rec, err := Open(disk, Options{})
 	require.NoError(t, err)
 	require.Equal(t, "one", string(rec.Records[0].Data))
-	require.LessOrEqual(t, len(rec.Records), 2, "what came after the failure was never written")
+	require.LessOrEqual(t, len(rec.Records), 2, "records after the failed sync must not be written")
 }
 
-// BenchmarkIntake is an intake's record of 600 bytes made durable, by 64 callers at once.
-func BenchmarkIntake(b *testing.B) {
+// BenchmarkCommitter makes records of 600 bytes durable, the size of an intake's, with 64 concurrent callers for each
+// processor.
+func BenchmarkCommitter(b *testing.B) {
 	l, _, err := Open(Dir(b.TempDir()), Options{})
 	require.NoError(b, err)
 	committer := NewCommitter(l, CommitOptions{})
--- a/internal/wal/disk_test.go
+++ b/internal/wal/disk_test.go
@@ -11,28 +11,29 @@
 
 const sectorBytes = 512
 
-// faultyDisk is a folder on a disk that forgets what was not synced when it crashes, tears writes at sectors, fills
-// up and fails to sync. After a sync that failed, the pages count as clean: they can be read, and no later sync
-// writes them.
+// faultyDisk is a directory on a simulated disk that loses unsynced data in a crash, tears writes at sector boundaries,
+// fills up and fails to sync. After a failed sync, the pages count as clean: they can be read, but no later sync writes
+// them.
 type faultyDisk struct {
-	rng             *rand.Rand
-	files           map[string]*inode
-	durableFiles    map[string]*inode
-	unsyncedChanges []func(map[string]*inode) // of names, since the last Sync
-	locked          bool
-	generation      int
-	bytesLeft       int // bytes that can still be written; negative: no bound
-	failingSync     int // the sync that fails: counted down; 0: none
-	syncs           int
+	rng               *rand.Rand
+	files             map[string]*inode
+	durableFiles      map[string]*inode
+	unsyncedChanges   []func(map[string]*inode) // of the directory, since its last Sync
+	locked            bool
+	generation        int // number of crashes; files opened before the last one cannot be used
+	bytesLeft         int // bytes that can still be written; negative: no bound
+	syncsUntilFailure int // 1: the next sync fails, 2: the one after it, and so on; 0: none fails
+	syncs             int
 }
 
 type inode struct {
-	data     []byte // as it is read
-	durable  []byte // as it is on the disk
-	unsynced []span // written and not synced
-	lost     []span // of a sync that failed: read, and never written
+	data     []byte // as read
+	durable  []byte // as stored on the disk
+	unsynced []span // written but not synced
+	lost     []span // parts of a failed sync: readable, but never written to the disk
 }
 
+// span is a range of bytes of a file.
 type span struct{ from, to int }
 
 func newFaultyDisk(seed uint64) *faultyDisk {
@@ -86,17 +87,18 @@
 }
 
 func (d *faultyDisk) Sync() error {
-	if err := d.mayFail(); err != nil {
+	if err := d.countSync(); err != nil {
 		return err
 	}
 	d.durableFiles, d.unsyncedChanges = maps.Clone(d.files), nil
 	return nil
 }
 
-func (d *faultyDisk) mayFail() error {
+// countSync counts a sync and returns an error if it is the one that fails.
+func (d *faultyDisk) countSync() error {
 	d.syncs++
-	if d.failingSync > 0 {
-		if d.failingSync--; d.failingSync == 0 {
+	if d.syncsUntilFailure > 0 {
+		if d.syncsUntilFailure--; d.syncsUntilFailure == 0 {
 			return syscall.EIO
 		}
 	}
@@ -108,19 +110,19 @@
 		return nil, ErrLocked
 	}
 	d.locked = true
-	life := d.generation
+	generation := d.generation
 	return func() error {
-		if d.generation == life {
+		if d.generation == generation {
 			d.locked = false
 		}
 		return nil
 	}, nil
 }
 
-// crash loses what was not synced: of each file any sectors of it, and of the names all behind some change.
+// crash loses unsynced data: any unsynced sectors of each file, and all directory changes after a random one.
 func (d *faultyDisk) crash() {
 	d.generation++
-	d.locked, d.bytesLeft, d.failingSync = false, -1, 0
+	d.locked, d.bytesLeft, d.syncsUntilFailure = false, -1, 0
 	names := d.durableFiles
 	for _, f := range d.unsyncedChanges[:d.rng.IntN(len(d.unsyncedChanges)+1)] {
 		f(names)
@@ -134,7 +136,7 @@
 		}
 		seen[file] = true
 		kept := file.durable
-		// A file may have its full length, with nothing written yet, or end anywhere.
+		// A file may end anywhere, or have its full length with zeros in place of sectors that were not written.
 		for _, s := range file.unsynced {
 			to := s.from + d.rng.IntN(s.to-s.from+1)
 			for at := s.from; at < to; {
@@ -166,7 +168,7 @@
 	generation int
 }
 
-var errCrashed = errors.New("the process that held this file is gone")
+var errCrashed = errors.New("the process that opened this file has crashed")
 
 func (h *handle) Write(data []byte) (int, error) {
 	if h.generation != h.disk.generation {
@@ -190,7 +192,7 @@
 	if h.generation != h.disk.generation {
 		return errCrashed
 	}
-	if err := h.disk.mayFail(); err != nil {
+	if err := h.disk.countSync(); err != nil {
 		h.inode.lost = append(h.inode.lost, h.inode.unsynced...)
 		h.inode.unsynced = nil
 		return err
--- a/internal/wal/doc.go
+++ b/internal/wal/doc.go
@@ -3,7 +3,7 @@
 // most one snapshot in use. Records are numbered from 1. A record is durable once Sync has returned without an error:
 // it then survives any crash. A record that was appended but not synced may or may not survive. Open always reads a
 // prefix of the appended records. The log never interprets what its records hold. After a failed write or sync, the
-// state of the file's pages in the system's cache is unknown: they may be marked clean although they were never written
+// state of the file's pages in the page cache is unknown: they may be marked clean although they were never written
 // (A. Rebello et al., "Can Applications Recover from fsync Failures?", 2020). So the log is broken from then on, and
 // the next Open copies the last segment into a new file.
 //
--- a/internal/wal/format.go
+++ b/internal/wal/format.go
@@ -21,13 +21,14 @@
 	temporarySuffix = ".new"  // still being written
 )
 
-// The header of a file is its magic, its version, its index, flags that are 0, and a checksum of all these.
+// A file header consists of the magic number, the format version, the file's index, flags that are 0, and a checksum of
+// all these.
 const (
-	headerBytes     = 24
-	versionOffset   = 6
-	indexOffset     = 8
-	checksumOffset  = 20
-	snapshotPrelude = 12 // length and checksum before the state of a snapshot
+	headerBytes          = 24
+	versionOffset        = 6
+	indexOffset          = 8
+	checksumOffset       = 20
+	snapshotPreludeBytes = 12 // length and checksum before the state of a snapshot
 )
 
 // A record consists of the length of its data, its index, the last durable index when it was written, a checksum of all
@@ -52,8 +53,8 @@
 
 func fileName(index uint64, suffix string) string { return fmt.Sprintf("%016x%s", index, suffix) }
 
-// parseFileName is the inverse of fileName. The index of a temporary file is meaningless. For names that are not of a
-// log, the suffix is "".
+// parseFileName is the inverse of fileName. The index of a temporary file is meaningless. The suffix is "" if the name
+// is not that of a log's file.
 func parseFileName(name string) (index uint64, suffix string) {
 	for _, suffix := range []string{segmentSuffix, snapshotSuffix, temporarySuffix} {
 		stem, found := strings.CutSuffix(name, suffix)
@@ -86,19 +87,19 @@
 		return true, nil
 	}
 	if [6]byte(content) != magic {
-		return false, corrupt(name, 0, "it is no file of a write-ahead log")
+		return false, corruptErrorf(name, 0, "not a file of a write-ahead log")
 	}
 	if version := binary.BigEndian.Uint16(content[versionOffset:]); version != Version {
-		return false, corrupt(name, versionOffset, "its version is %d, and this program reads %d", version, Version)
+		return false, corruptErrorf(name, versionOffset, "format version is %d, expected %d", version, Version)
 	}
 	if binary.BigEndian.Uint64(content[indexOffset:]) != index {
-		return false, corrupt(name, indexOffset, "its index is not that of its name")
+		return false, corruptErrorf(name, indexOffset, "index in the header differs from that in the file name")
 	}
 	return false, nil
 }
 
-// appendRecord encodes a record. synced is the last durable index at this moment. It lets a reader distinguish an
-// earlier record that was durable and has become corrupt from one whose write was torn.
+// appendRecord encodes a record. synced is the last durable index at this time. It lets a reader distinguish an earlier
+// record that was durable and has become corrupt from one whose write was torn.
 func appendRecord(out []byte, index, synced uint64, data []byte) []byte {
 	start := len(out)
 	out = binary.BigEndian.AppendUint32(out, uint32(len(data)))
@@ -158,18 +159,18 @@
 		return nil, err
 	}
 	if torn {
-		return nil, corrupt(name, 0, "its header is incomplete or has a wrong checksum")
+		return nil, corruptErrorf(name, 0, "header is incomplete or has a wrong checksum")
 	}
 	body := content[headerBytes:]
-	if len(body) < snapshotPrelude {
-		return nil, corrupt(name, headerBytes, "its length is wrong")
+	if len(body) < snapshotPreludeBytes {
+		return nil, corruptErrorf(name, headerBytes, "length of the state is wrong")
 	}
-	state := body[snapshotPrelude:]
+	state := body[snapshotPreludeBytes:]
 	if uint64(len(state)) != binary.BigEndian.Uint64(body) {
-		return nil, corrupt(name, headerBytes, "its length is wrong")
+		return nil, corruptErrorf(name, headerBytes, "length of the state is wrong")
 	}
 	if crc32.Checksum(state, castagnoli) != binary.BigEndian.Uint32(body[8:]) {
-		return nil, corrupt(name, headerBytes, "its checksum is wrong")
+		return nil, corruptErrorf(name, headerBytes, "checksum of the state is wrong")
 	}
 	return state, nil
 }
--- a/internal/wal/format_test.go
+++ b/internal/wal/format_test.go
@@ -18,7 +18,7 @@
 	require.NoError(t, l.Sync())
 }
 
-// The recorded log: a snapshot of three records, a full segment and one that is being written.
+// The content of the log in testdata/v1: a snapshot of three records, a full segment and the active segment.
 var (
 	recordedOptions  = Options{SegmentBytes: 160}
 	recordedSnapshot = "state of 3 records"
@@ -32,10 +32,10 @@
 	}
 )
 
-// Guards the format on disk: the same calls leave the same files as the release whose files were recorded.
+// Guards the on-disk format: the same calls write the same files as the release that wrote testdata/v1.
 func TestFilesAreWrittenAsRecorded(t *testing.T) {
-	folder := t.TempDir()
-	l, _, err := Open(Dir(folder), recordedOptions)
+	dir := t.TempDir()
+	l, _, err := Open(Dir(dir), recordedOptions)
 	require.NoError(t, err)
 	appendSynced(t, l, "first")
 	appendSynced(t, l, "second", "")
@@ -45,17 +45,17 @@
 	appendSynced(t, l, string(recordedRecords[3].Data))
 	appendSynced(t, l, string(recordedRecords[4].Data), string(recordedRecords[5].Data))
 	require.NoError(t, l.Close())
-	require.Equal(t, golden.Files(t, "testdata/v1"), golden.Files(t, folder))
+	require.Equal(t, golden.Files(t, "testdata/v1"), golden.Files(t, dir))
 }
 
-// Guards servers that come back with this release on a disk that an earlier one has written: all is read, and the log
-// goes on as that release would have gone on.
+// Guards upgrades of the program: a log that an earlier release wrote is read completely, and appending to it writes
+// the same files as that release would.
 func TestRecordedFilesAreRead(t *testing.T) {
-	folder := golden.Folder(t, "testdata/v1")
-	l, recovery, err := Open(Dir(folder), recordedOptions)
+	dir := golden.Folder(t, "testdata/v1")
+	l, recovery, err := Open(Dir(dir), recordedOptions)
 	require.NoError(t, err)
 	require.Equal(t, Recovery{Snapshot: []byte(recordedSnapshot), Records: recordedRecords}, recovery)
 	appendSynced(t, l, "tenth")
 	require.NoError(t, l.Close())
-	require.Equal(t, golden.Files(t, "testdata/v1-reopened"), golden.Files(t, folder))
+	require.Equal(t, golden.Files(t, "testdata/v1-reopened"), golden.Files(t, dir))
 }
--- a/internal/wal/log.go
+++ b/internal/wal/log.go
@@ -45,7 +45,7 @@
 }
 
 // Sync makes all appended records durable. An error wraps ErrBroken: the records appended since the last Sync may or
-// may not be durable, and the log refuses all further use.
+// may not be durable, and the log rejects all further calls.
 func (l *Log) Sync() error {
 	if l.broken != nil {
 		return l.broken
@@ -54,24 +54,24 @@
 		return nil
 	}
 	if _, err := l.active.Write(l.unwritten); err != nil {
-		return l.breakOff(fmt.Errorf("write %d bytes: %w", len(l.unwritten), err))
+		return l.markBroken(fmt.Errorf("write %d bytes: %w", len(l.unwritten), err))
 	}
 	if err := l.active.Sync(); err != nil {
-		return l.breakOff(fmt.Errorf("sync: %w", err))
+		return l.markBroken(fmt.Errorf("sync: %w", err))
 	}
 	l.activeBytes += len(l.unwritten)
 	l.unwritten = l.unwritten[:0]
 	l.syncedIndex = l.nextIndex - 1
 	if l.activeBytes >= l.options.SegmentBytes {
 		if err := l.createSegment(l.nextIndex, nil); err != nil {
-			return l.breakOff(err)
+			return l.markBroken(err)
 		}
 	}
 	return nil
 }
 
-// breakOff breaks the log, and returns the error that its methods return from now on.
-func (l *Log) breakOff(err error) error {
+// markBroken marks the log as broken, and returns the error that its methods return from now on.
+func (l *Log) markBroken(err error) error {
 	l.broken = fmt.Errorf("%w: %w", ErrBroken, err)
 	return l.broken
 }
--- a/internal/wal/log_test.go
+++ b/internal/wal/log_test.go
@@ -11,46 +11,48 @@
 	"github.com/stretchr/testify/require"
 )
 
-// harness drives a log on a disk that fails, beside what it should hold.
+// harness drives a log on a faulty disk, and tracks the content that the log must have.
 type harness struct {
 	t            *testing.T
 	rng          *rand.Rand
 	disk         *faultyDisk
 	log          *Log
 	appended     []string // appended, in order
-	acknowledged int      // of them, durable
-	journal      []string
+	acknowledged int      // number of appended records that are durable
+	trace        []string // steps taken, for messages of failed assertions
 }
 
-func (b *harness) open() {
-	b.t.Helper()
+// open opens the log and checks that it contains a prefix of the appended records with all acknowledged ones.
+func (h *harness) open() {
+	h.t.Helper()
 	var rec Recovery
 	var err error
-	b.log, rec, err = Open(b.disk, Options{SegmentBytes: 2000})
+	h.log, rec, err = Open(h.disk, Options{SegmentBytes: 2000})
 	if err != nil {
-		for _, s := range b.journal {
-			b.t.Log(s)
+		for _, s := range h.trace {
+			h.t.Log(s)
 		}
-		require.NoError(b.t, err)
+		require.NoError(h.t, err)
 	}
 	n := 0
 	if rec.Snapshot != nil {
 		_, err := fmt.Sscanf(string(rec.Snapshot), "%d", &n)
-		require.NoError(b.t, err)
-		require.Equal(b.t, state(b.appended[:n]), string(rec.Snapshot))
+		require.NoError(h.t, err)
+		require.Equal(h.t, snapshotState(h.appended[:n]), string(rec.Snapshot))
 	}
 	for _, r := range rec.Records {
-		require.Equal(b.t, uint64(n+1), r.Index, "%v", b.journal)
-		require.Less(b.t, n, len(b.appended))
-		require.Equal(b.t, b.appended[n], string(r.Data))
+		require.Equal(h.t, uint64(n+1), r.Index, "%v", h.trace)
+		require.Less(h.t, n, len(h.appended))
+		require.Equal(h.t, h.appended[n], string(r.Data))
 		n++
 	}
-	require.GreaterOrEqual(b.t, n, b.acknowledged, "what was acknowledged is lost: %v", b.journal)
-	b.appended, b.acknowledged = b.appended[:n], n
-	require.Equal(b.t, uint64(n), b.log.Synced())
+	require.GreaterOrEqual(h.t, n, h.acknowledged, "acknowledged records are lost: %v", h.trace)
+	h.appended, h.acknowledged = h.appended[:n], n
+	require.Equal(h.t, uint64(n), h.log.Synced())
 }
 
-func state(all []string) string {
+// snapshotState is the content of a snapshot of the given records.
+func snapshotState(all []string) string {
 	s := fmt.Sprintf("%d", len(all))
 	for _, a := range all {
 		s += "\n" + a
@@ -58,30 +60,30 @@
 	return s
 }
 
-func (b *harness) record(format string, args ...any) {
-	b.journal = append(b.journal, fmt.Sprintf(format, args...))
+func (h *harness) recordStep(format string, args ...any) {
+	h.trace = append(h.trace, fmt.Sprintf(format, args...))
 }
 
-// failed opens the log anew after a failure, in the same process or after a crash.
-func (b *harness) failed(err error) {
-	require.ErrorIs(b.t, err, ErrBroken)
-	_, err = b.log.Append([]byte("more"))
-	require.ErrorIs(b.t, err, ErrBroken, "it goes on as if nothing had happened")
-	require.ErrorIs(b.t, b.log.Sync(), ErrBroken)
-	if b.disk.bytesLeft, b.disk.failingSync = -1, 0; b.rng.IntN(2) == 0 {
-		b.record("crash after the failure")
-		b.disk.crash()
+// reopenAfterFailure checks that the log is broken, and reopens it in the same process or after a crash.
+func (h *harness) reopenAfterFailure(err error) {
+	require.ErrorIs(h.t, err, ErrBroken)
+	_, err = h.log.Append([]byte("more"))
+	require.ErrorIs(h.t, err, ErrBroken, "a broken log must reject further records")
+	require.ErrorIs(h.t, h.log.Sync(), ErrBroken)
+	if h.disk.bytesLeft, h.disk.syncsUntilFailure = -1, 0; h.rng.IntN(2) == 0 {
+		h.recordStep("crash after a failed sync or snapshot")
+		h.disk.crash()
 	} else {
-		b.record("reopened after the failure")
-		require.NoError(b.t, b.log.Close())
+		h.recordStep("reopen after a failed sync or snapshot")
+		require.NoError(h.t, h.log.Close())
 	}
-	b.open()
+	h.open()
 }
 
-// Guards what was acknowledged: through crashes at any moment, torn writes, failed syncs, reopened or not, a full
-// disk and snapshots, a log holds a prefix of what was appended, and all of it that was synced.
-func TestWhateverTheDiskDoes(t *testing.T) {
-	crashes, failures, cut := 0, 0, 0
+// Guards against the loss of synced records: after any sequence of crashes, torn writes, failed syncs, reopenings, full
+// disks and snapshots, a log contains a prefix of the appended records that includes all synced ones.
+func TestSyncedRecordsSurviveDiskFaults(t *testing.T) {
+	crashes, failures, syncs := 0, 0, 0
 	for seed := range uint64(600) {
 		run := &harness{t: t, rng: rand.New(rand.NewPCG(seed, 1)), disk: newFaultyDisk(seed)}
 		run.open()
@@ -93,52 +95,52 @@
 				require.NoError(t, err)
 				run.appended = append(run.appended, data)
 				require.Equal(t, uint64(len(run.appended)), i)
-				run.record("append %d", i)
+				run.recordStep("append %d", i)
 			case 5, 6, 7:
-				run.record("sync")
+				run.recordStep("sync")
 				if err := run.log.Sync(); err != nil {
 					failures++
-					run.failed(err)
+					run.reopenAfterFailure(err)
 				} else {
 					run.acknowledged = len(run.appended)
 				}
 			case 8:
 				if err := run.log.Sync(); err != nil {
 					failures++
-					run.failed(err)
+					run.reopenAfterFailure(err)
 					continue
 				}
 				run.acknowledged = len(run.appended)
-				run.record("snapshot at %d", run.acknowledged)
-				if err := run.log.Snapshot([]byte(state(run.appended))); err != nil {
+				run.recordStep("snapshot at %d", run.acknowledged)
+				if err := run.log.Snapshot([]byte(snapshotState(run.appended))); err != nil {
 					failures++
-					run.failed(err)
+					run.reopenAfterFailure(err)
 				}
 			case 9:
-				run.record("crash")
+				run.recordStep("crash")
 				crashes++
 				run.disk.crash()
 				run.open()
 			case 10:
-				run.disk.failingSync = 1 + run.rng.IntN(4)
-				run.record("sync %d from now fails", run.disk.failingSync)
+				run.disk.syncsUntilFailure = 1 + run.rng.IntN(4)
+				run.recordStep("sync %d from now will fail", run.disk.syncsUntilFailure)
 			case 11:
 				if run.rng.IntN(3) == 0 {
 					run.disk.bytesLeft = run.rng.IntN(1500)
-					run.record("room for %d", run.disk.bytesLeft)
+					run.recordStep("disk is full after %d bytes", run.disk.bytesLeft)
 				}
 			}
 		}
-		cut += run.disk.syncs
+		syncs += run.disk.syncs
 	}
-	t.Logf("%d crashes, %d failures, %d syncs", crashes, failures, cut)
+	t.Logf("%d crashes, %d failures, %d syncs", crashes, failures, syncs)
 	require.Greater(t, crashes, 1000)
 	require.Greater(t, failures, 1000)
 }
 
-// Guards against a spoilt byte where no crash can have spoilt it: it is refused with the file and the offset, and
-// nothing is left out in silence.
-func TestSpoiltMiddleIsRefused(t *testing.T) {
+// Guards against a log that silently drops records: a byte that was damaged where no crash can be the cause makes Open
+// fail with a CorruptError that names the file and the offset of the damaged part.
+func TestCorruptRecordIsReported(t *testing.T) {
 	dir := t.TempDir()
 	l, _, err := Open(Dir(dir), Options{SegmentBytes: 1000})
 	require.NoError(t, err)
@@ -161,25 +163,25 @@
 		{names[len(names)-1], headerBytes + 2},
 		{names[len(names)-1], 30},
 	} {
-		sound, err := os.ReadFile(tc.file)
+		intact, err := os.ReadFile(tc.file)
 		require.NoError(t, err)
-		spoilt := append([]byte(nil), sound...)
-		spoilt[tc.offset] ^= 4
-		require.NoError(t, os.WriteFile(tc.file, spoilt, 0o600))
+		damaged := append([]byte(nil), intact...)
+		damaged[tc.offset] ^= 4
+		require.NoError(t, os.WriteFile(tc.file, damaged, 0o600))
 		_, _, err = Open(Dir(dir), Options{})
 		var corrupt *CorruptError
 		require.True(t, errors.As(err, &corrupt), "%s at %d: %v", tc.file, tc.offset, err)
 		require.Equal(t, filepath.Base(tc.file), corrupt.File)
 		require.LessOrEqual(t, corrupt.Offset, int64(tc.offset))
-		require.NoError(t, os.WriteFile(tc.file, sound, 0o600))
+		require.NoError(t, os.WriteFile(tc.file, intact, 0o600))
 	}
 	_, rec, err := Open(Dir(dir), Options{})
 	require.NoError(t, err)
 	require.Len(t, rec.Records, 44)
 }
 
-// One writer alone; a missing segment, another version and a record too large are errors that say so.
-func TestRefused(t *testing.T) {
+// A second writer, a record that is too large and a missing segment give errors. A snapshot replaces the segments.
+func TestErrorsAndSnapshot(t *testing.T) {
 	dir := t.TempDir()
 	log, _, err := Open(Dir(dir), Options{SegmentBytes: 100})
 	require.NoError(t, err)
@@ -209,7 +211,7 @@
 	names, err := Dir(dir).List()
 	require.NoError(t, err)
 	want := []string{fileName(3, snapshotSuffix), fileName(4, segmentSuffix), lockName}
-	require.Equal(t, want, names, "what the snapshot holds is gone")
+	require.Equal(t, want, names, "segments that the snapshot replaces must be removed")
 	require.NoError(t, log.Close())
 }
 
--- a/internal/wal/open.go
+++ b/internal/wal/open.go
@@ -5,11 +5,11 @@
 	"fmt"
 )
 
-// Recovery is the content of a log, as Open has read it.
+// Recovery is the content of a log as read by Open.
 type Recovery struct {
 	Snapshot       []byte   // nil: there is none
 	Records        []Record // after the snapshot, in order
-	TruncatedBytes int      // length of a torn tail that was dropped
+	TruncatedBytes int      // length of the torn tail that was dropped
 }
 
 // Open opens a log, or creates one in an empty directory, and reads its whole content. Its error may wrap ErrLocked or
@@ -41,7 +41,7 @@
 		return Recovery{}, err
 	}
 	if len(snapshots) > 0 {
-		// It was renamed to this name only when it was complete and durable, so a crash cannot have made it corrupt.
+		// A snapshot gets its final name only when it is complete and durable, so a crash cannot have made it corrupt.
 		l.snapshotIndex = snapshots[len(snapshots)-1]
 		if recovery.Snapshot, err = l.readSnapshot(); err != nil {
 			return Recovery{}, err
@@ -106,13 +106,13 @@
 		// The header is durable before a record is appended, so a segment without a valid header held no durable
 		// record.
 		if !isLast || findLaterRecord(content, 0, first) >= 0 {
-			return corrupt(name, 0, "its header is incomplete or has a wrong checksum")
+			return corruptErrorf(name, 0, "header is incomplete or has a wrong checksum")
 		}
 		recovery.TruncatedBytes += len(content)
 		return nil
 	}
 	if first > l.nextIndex { // a segment begins once all records before it are durable
-		return corrupt(name, indexOffset, "it begins with record %d, and %d is missing", first, l.nextIndex)
+		return corruptErrorf(name, indexOffset, "segment begins with record %d, but %d is missing", first, l.nextIndex)
 	}
 	offset, index := l.readRecords(content, first, recovery)
 	if offset == len(content) {
@@ -135,7 +135,7 @@
 		if !ok || record.Index != index {
 			break
 		}
-		if index == l.nextIndex { // those before are in the snapshot
+		if index == l.nextIndex { // earlier records are in the snapshot
 			recovery.Records = append(recovery.Records, record)
 			l.nextIndex++
 		}
@@ -146,15 +146,15 @@
 }
 
 // checkTornTail distinguishes a torn write, which is dropped, from a corrupt record, which is an error. A crash can
-// only damage unsynced data at the end of the last segment, though any of several records that were written at once. If
+// only damage unsynced data at the end of the last segment, but there any of the records that were written together. If
 // a later, intact record was written when the damaged one was already durable, a crash cannot be the cause. For the
 // records of the last sync there is no such proof: they are dropped.
 func checkTornTail(name string, content []byte, offset int, index uint64, isLast bool) error {
 	if !isLast {
-		return corrupt(name, offset, "record %d, and more segments follow", index)
+		return corruptErrorf(name, offset, "corrupt record %d is not in the last segment", index)
 	}
 	if later := findLaterRecord(content, offset+1, index); later >= 0 {
-		return corrupt(name, offset, "record %d, which was durable when the one at offset %d was written", index, later)
+		return corruptErrorf(name, offset, "corrupt record %d was durable before the record at offset %d", index, later)
 	}
 	return nil
 }
--- a/internal/wal/snapshot.go
+++ b/internal/wal/snapshot.go
@@ -5,8 +5,8 @@
 	"math"
 )
 
-// Snapshot replaces all records up to the last synced one by state. If it fails after it has started to write, the log
-// is broken; the records are then still in the log.
+// Snapshot replaces all records up to the last synced one with state. If it fails after it has started to write, the
+// log is broken, but still contains the records.
 func (l *Log) Snapshot(state []byte) error {
 	switch {
 	case l.broken != nil:
@@ -19,7 +19,7 @@
 		return nil
 	}
 	if err := l.replaceSnapshot(state); err != nil {
-		return l.breakOff(err)
+		return l.markBroken(err)
 	}
 	return nil
 }
