--- a/internal/decide/execution/example_test.go
+++ b/internal/decide/execution/example_test.go
@@ -6,7 +6,7 @@
 	"pewterline/internal/decide/execution"
 )
 
-// A request is run under the lease of its key. The result is not recorded at first, and is once a retry is due.
+// A request runs under the execution lease of its key. Recording its result fails at first, and succeeds on the retry.
 func ExampleLifecycle() {
 	var lifecycle execution.Lifecycle
 	for _, event := range []execution.Event{
--- a/internal/decide/execution/lifecycle.go
+++ b/internal/decide/execution/lifecycle.go
@@ -1,6 +1,6 @@
-// Package execution decides, on one server of a cluster, about the request of an idempotency key: whether an attempt
-// runs, waits for the run of another server, is answered with the result of a run, or fails because it is not known
-// whether the request ran. It is a state machine for each key in each process.
+// Package execution decides, on one server of a replication group, about the request of an idempotency key: whether an
+// attempt runs, waits for the run of another server, is answered with the result of a run, or fails because it is not
+// known whether the request ran. It is a state machine for each key in each process.
 //
 // The servers agree on the value of the key's register (package consensus), which holds the execution lease or the
 // result; the state machine decides how this process reacts to that value. Package replication drives it with a
@@ -57,8 +57,8 @@
 		EventResultFound:  to(StateIdle, ActionServe),
 		EventFailureFound: to(StateIdle, ActionReportFailed),
 		EventHeldByOther:  to(StateHeldByOther, ActionRetryLater),
-		// The lease may have been granted nevertheless, or may still be. It is released, so that other servers do not wait
-		// for a run that never starts. If the release fails too, the next lease of this process replaces it.
+		// The lease may have been granted nevertheless, or may still be granted. It is released, so that other servers do
+		// not wait for a run that never starts. If the release fails too, the next lease of this process replaces it.
 		EventUnavailable:     to(StateReleasing, ActionReject, ActionReleaseLease),
 		EventDeadlineReached: to(StateReleasing, ActionReject, ActionReleaseLease),
 	},
@@ -91,14 +91,14 @@
 		EventRunSucceeded: to(StateRecording, ActionRecord),
 	},
 	StateRecorded: {
-		EventRunSucceeded:   to(StateRecorded, ActionServe), // a repeated report, as the host did not get the answer
+		EventRunSucceeded:   to(StateRecorded, ActionServe), // a repeated report: the host did not get the answer
 		EventAttemptArrived: to(StateAcquiring, ActionAcquireLease),
 	},
 	StateReleasing: {
 		EventVacant:         to(StateIdle),
 		EventUnavailable:    to(StateIdle),
 		EventLeaseLost:      to(StateIdle),
-		EventAttemptArrived: to(StateAcquiring, ActionAcquireLease), // behind the lease that is being released
+		EventAttemptArrived: to(StateAcquiring, ActionAcquireLease), // a new lease, after the one that is being released
 	},
 }
 
--- a/internal/decide/execution/lifecycle_test.go
+++ b/internal/decide/execution/lifecycle_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// answers are the actions that end a caller's wait.
+// answers contains the actions that answer the waiting attempt.
 var answers = map[Action]bool{
 	ActionServe:               true,
 	ActionReportFailed:        true,
@@ -15,7 +15,8 @@
 	ActionReject:              true,
 }
 
-// Every event in every state: what a state does not expect changes nothing, and whoever waits is answered once at most.
+// Every event in every state: a transition answers the waiting attempt at most once, leads only to the idle state if it
+// has no actions, and leaves no attempt waiting after an answer.
 func TestEveryEventInEveryState(t *testing.T) {
 	for state := range State(stateCount) {
 		for event := range Event(eventCount) {
@@ -29,9 +30,9 @@
 			}
 			require.LessOrEqual(t, answered, 1, "%v, %v", state, event)
 			if len(actions) == 0 && lifecycle.State != state {
-				require.Equal(t, StateIdle, lifecycle.State, "%v, %v: a silent move", state, event)
+				require.Equal(t, StateIdle, lifecycle.State, "%v, %v: a transition without actions", state, event)
 			}
-			// Who is answered is not answered again by what may still come, but for a result that is recorded late.
+			// After its answer, the attempt is not answered again, except with a result that is recorded late.
 			if answered == 1 && lifecycle.State != StateUnrecorded && lifecycle.State != StateRecorded {
 				require.Contains(t, []State{StateIdle, StateReleasing}, lifecycle.State, "%v, %v", state, event)
 			}
@@ -39,7 +40,7 @@
 	}
 }
 
-// Whoever has asked for the lease, and waits, is answered once the deadline is reached.
+// An attempt that waits for the lease or for a result is answered at its deadline.
 func TestDeadlineEndsEachWait(t *testing.T) {
 	for _, state := range []State{StateAcquiring, StateHeldByOther, StatePolling} {
 		t.Run(state.String(), func(t *testing.T) {
@@ -50,7 +51,7 @@
 	}
 }
 
-// All values of the enums have names, and no two the same.
+// All values of each enum have distinct names.
 func TestNames(t *testing.T) {
 	seen := map[string]bool{}
 	for state := range State(stateCount) {
--- a/internal/decide/execution/model_test.go
+++ b/internal/decide/execution/model_test.go
@@ -13,17 +13,18 @@
 	"pewterline/internal/testbed/modelcheck"
 )
 
-const retention = 1000 // milliseconds
+const retentionMillis = 1000
 
-// model is two servers that share a register for each key, as a majority of replicas makes one. A change takes
-// effect at once, at some time or never, also after whoever wanted it has given it up; its outcome may be lost.
-// Processes crash and come back knowing nothing. All attempts are within one retention.
+// model is the state of two servers that share one register for each key, which stands for a majority of replicas. A
+// change of a register takes effect at any time or never, even after its proposer has abandoned it, and its outcome may
+// be lost. Processes crash and restart without their state. All attempts are made within one retention window.
 type model struct {
 	values  []consensus.Value // by key
 	servers [2]process
-	// abandoned are the changes that were given up, or whose processes crashed: they may take effect yet.
+	// abandoned are the changes that their processes have abandoned, or whose processes crashed. They may still take
+	// effect.
 	abandoned []change
-	runs      []int // by key: runs that were begun
+	runs      []int // started runs, by key
 	crashes   int
 	violation string
 	bounds    *bounds
@@ -31,8 +32,8 @@
 
 type bounds struct {
 	keys, attempts, crashes, lostOutcomes int
-	// sameIncarnation has a process that comes back take itself for the one before.
-	sameIncarnation bool
+	// reusedIncarnation makes a restarted process reuse the incarnation of the crashed one.
+	reusedIncarnation bool
 }
 
 // process is one server's process.
@@ -42,17 +43,17 @@
 	lostOutcomes int
 }
 
-// execution is that of a key's request in one process.
+// execution is the execution of the request of one key in one process.
 type execution struct {
 	Lifecycle
 	attempts  int
-	lease     uint64 // number of the last one that was asked for
+	lease     uint64 // number of the latest proposed lease
 	change    *change
 	running   bool
 	succeeded bool
 }
 
-// change is one of a register. It has taken effect where it has an outcome.
+// change is a change of a register. It has taken effect if its outcome is not 0.
 type change struct {
 	key int
 	consensus.Change
@@ -76,7 +77,7 @@
 	return &out
 }
 
-// Fingerprint is part of modelcheck.State.
+// Fingerprint implements modelcheck.State.
 func (m *model) Fingerprint() string {
 	var text strings.Builder
 	fmt.Fprint(&text, m.values, m.runs, m.crashes)
@@ -98,7 +99,7 @@
 	return text.String()
 }
 
-// Violation is part of modelcheck.State.
+// Violation implements modelcheck.State.
 func (m *model) Violation() string {
 	for key, runs := range m.runs {
 		if runs > 1 {
@@ -108,25 +109,25 @@
 	return m.violation
 }
 
-// Successors is part of modelcheck.State.
+// Successors implements modelcheck.State.
 func (m *model) Successors() []modelcheck.Step {
 	var steps modelSteps
 	for i, server := range m.servers {
 		for key, e := range server.executions {
-			at := place{server: i, key: key}
+			at := location{server: i, key: key}
 			m.addAttempts(&steps, at, e)
 			m.addOutcomes(&steps, at, e)
 			m.addTimers(&steps, at, e)
 			m.addRunEnds(&steps, at, e)
 		}
 		if m.crashes < m.bounds.crashes {
-			steps.add(m, fmt.Sprintf("server %d crashes and comes back", i+1), func(next *model) { next.crash(i) })
+			steps.add(m, fmt.Sprintf("server %d crashes and restarts", i+1), func(next *model) { next.crash(i) })
 		}
 	}
 	for i, c := range m.abandoned {
-		steps.add(m, fmt.Sprintf("a change that was given up takes effect: %v", c), func(next *model) {
+		steps.add(m, fmt.Sprintf("an abandoned change takes effect: %v", c), func(next *model) {
 			next.abandoned = slices.Delete(next.abandoned, i, i+1)
-			// A lease that comes when nobody wants it any more is released, if its process still lives.
+			// A lease that is granted after its proposer has abandoned it is released, if that process is still alive.
 			alive := next.servers[c.Proposer.ID-1].incarnation == c.Proposer.Incarnation
 			if next.apply(&c) == consensus.OutcomeLeaseGranted && alive {
 				released := c
@@ -140,83 +141,83 @@
 
 type modelSteps []modelcheck.Step
 
-// add adds the state that a change makes of a copy of another one.
-func (s *modelSteps) add(from *model, description string, change func(*model)) {
+// add adds a step from a state to a copy of it to which mutate was applied.
+func (s *modelSteps) add(from *model, description string, mutate func(*model)) {
 	next := from.clone()
-	change(next)
+	mutate(next)
 	*s = append(*s, modelcheck.Step{Description: description, State: next})
 }
 
-// place is a key in a server's process.
-type place struct{ server, key int }
+// location identifies an execution by its server and key.
+type location struct{ server, key int }
 
-func (p place) String() string { return fmt.Sprintf("server %d, key %d", p.server+1, p.key) }
+func (l location) String() string { return fmt.Sprintf("server %d, key %d", l.server+1, l.key) }
 
-func (m *model) at(p place) *execution { return &m.servers[p.server].executions[p.key] }
+func (m *model) execution(at location) *execution { return &m.servers[at.server].executions[at.key] }
 
-func (m *model) addAttempts(steps *modelSteps, at place, e execution) {
+func (m *model) addAttempts(steps *modelSteps, at location, e execution) {
 	if e.attempts < m.bounds.attempts && (e.State == StateIdle || e.State == StateReleasing || e.State == StateRecorded) {
 		steps.add(m, fmt.Sprintf("%v: an attempt", at), func(next *model) {
-			next.at(at).attempts++
+			next.execution(at).attempts++
 			next.step(at, EventAttemptArrived)
 		})
 	}
 }
 
-// addOutcomes has the change of a key take effect, and its process hear of it or not.
-func (m *model) addOutcomes(steps *modelSteps, at place, e execution) {
+// addOutcomes adds the steps in which the pending change takes effect, and its process receives or loses the outcome.
+func (m *model) addOutcomes(steps *modelSteps, at location, e execution) {
 	if e.change == nil {
 		return
 	}
 	if e.change.outcome == 0 {
 		steps.add(m, fmt.Sprintf("%v: its change takes effect", at), func(next *model) {
-			pending := next.at(at).change
+			pending := next.execution(at).change
 			pending.outcome = next.apply(pending)
 		})
 	} else {
-		steps.add(m, fmt.Sprintf("%v: it hears so", at), func(next *model) {
-			outcome := next.at(at).change.outcome
-			next.at(at).change = nil
+		steps.add(m, fmt.Sprintf("%v: it receives the outcome", at), func(next *model) {
+			outcome := next.execution(at).change.outcome
+			next.execution(at).change = nil
 			next.step(at, EventOf(outcome, true))
 		})
 	}
 	if m.servers[at.server].lostOutcomes < m.bounds.lostOutcomes {
-		steps.add(m, fmt.Sprintf("%v: it hears nothing", at), func(next *model) {
+		steps.add(m, fmt.Sprintf("%v: the outcome is lost", at), func(next *model) {
 			next.abandon(at)
-			next.at(at).change = nil
+			next.execution(at).change = nil
 			next.servers[at.server].lostOutcomes++
 			next.step(at, EventUnavailable)
 		})
 	}
 }
 
-func (m *model) addTimers(steps *modelSteps, at place, e execution) {
+func (m *model) addTimers(steps *modelSteps, at location, e execution) {
 	if e.State == StateHeldByOther || e.State == StateUnrecorded && e.change == nil {
 		steps.add(m, fmt.Sprintf("%v: a retry is due", at), func(next *model) { next.step(at, EventRetryDue) })
 	}
 	if e.State == StateHeldByOther || e.State == StatePolling || e.State == StateAcquiring {
-		steps.add(m, fmt.Sprintf("%v: the deadline", at), func(next *model) { next.step(at, EventDeadlineReached) })
+		steps.add(m, fmt.Sprintf("%v: deadline reached", at), func(next *model) { next.step(at, EventDeadlineReached) })
 	}
 }
 
-func (m *model) addRunEnds(steps *modelSteps, at place, e execution) {
+func (m *model) addRunEnds(steps *modelSteps, at location, e execution) {
 	if !e.running {
 		return
 	}
 	steps.add(m, fmt.Sprintf("%v: its run succeeds", at), func(next *model) {
-		next.at(at).running = false
-		next.at(at).succeeded = true
+		next.execution(at).running = false
+		next.execution(at).succeeded = true
 		next.step(at, EventRunSucceeded)
 	})
 	steps.add(m, fmt.Sprintf("%v: its run fails", at), func(next *model) {
-		next.at(at).running = false
+		next.execution(at).running = false
 		next.step(at, EventRunFailed)
 	})
 }
 
-// step feeds an event to an execution, and carries out its actions.
-func (m *model) step(at place, event Event) {
-	current := m.at(at)
+// step passes an event to an execution and carries out the actions.
+func (m *model) step(at location, event Event) {
+	current := m.execution(at)
 	for _, action := range current.Step(event) {
 		switch action {
 		case ActionAcquireLease:
@@ -235,25 +236,25 @@
 			m.runs[at.key]++
 		case ActionServe:
 			if m.runs[at.key] == 0 {
-				m.violation = "served what never ran"
+				m.violation = "the result of a request that never ran is served"
 			}
 		case ActionRetryLater, ActionReject, ActionReportFailed, ActionReportIndeterminate, ActionReportUnrecorded:
 		}
 	}
 }
 
-// begin puts a change in flight in place of the one before.
-func (m *model) begin(at place, wanted consensus.Change) {
+// begin makes a change the pending one, and abandons the previous one.
+func (m *model) begin(at location, proposed consensus.Change) {
 	m.abandon(at)
-	wanted.Proposer = consensus.Identity{ID: uint32(at.server + 1), Incarnation: m.servers[at.server].incarnation}
-	wanted.AttemptedAt = 1
-	wanted.Retention = retention
-	m.at(at).change = &change{key: at.key, Change: wanted}
+	proposed.Proposer = consensus.Identity{ID: uint32(at.server + 1), Incarnation: m.servers[at.server].incarnation}
+	proposed.AttemptedAt = 1
+	proposed.Retention = retentionMillis
+	m.execution(at).change = &change{key: at.key, Change: proposed}
 }
 
-// abandon keeps the change in flight, if there is one, as one that may take effect yet.
-func (m *model) abandon(at place) {
-	if pending := m.at(at).change; pending != nil && pending.outcome == 0 {
+// abandon adds the pending change to the abandoned ones, unless it has taken effect.
+func (m *model) abandon(at location) {
+	if pending := m.execution(at).change; pending != nil && pending.outcome == 0 {
 		m.abandoned = append(m.abandoned, *pending)
 	}
 }
@@ -261,23 +262,23 @@
 func (m *model) crash(server int) {
 	m.crashes++
 	for key := range m.servers[server].executions {
-		at := place{server, key}
+		at := location{server, key}
 		m.abandon(at)
-		*m.at(at) = execution{attempts: m.at(at).attempts}
+		*m.execution(at) = execution{attempts: m.execution(at).attempts}
 	}
-	if !m.bounds.sameIncarnation {
+	if !m.bounds.reusedIncarnation {
 		m.servers[server].incarnation++
 	}
 }
 
-// apply has a change take effect.
+// apply applies a change to its register.
 func (m *model) apply(c *change) consensus.Outcome {
 	value, outcome := c.Apply(m.values[c.key])
 	m.values[c.key] = value
 	return outcome
 }
 
-var maxStates = flag.Int("states", 160_000, "how many states TestAllOrders visits at most, of each model")
+var maxStates = flag.Int("states", 160_000, "maximum number of states that TestAllOrders visits in each model")
 
 func explore(b bounds, maxStates int) modelcheck.Report {
 	start := &model{bounds: &b, values: make([]consensus.Value, b.keys), runs: make([]int, b.keys)}
@@ -287,7 +288,8 @@
 	return modelcheck.Explore(start, maxStates)
 }
 
-// Guards the execution of a request: whatever crosses whatever, it is run once by one server, and served with what ran.
+// Guards against a request that runs twice, and against a result that is served although the request never ran, in all
+// orders of events with crashes and lost outcomes.
 func TestAllOrders(t *testing.T) {
 	for name, limits := range map[string]bounds{
 		"an attempt, a lost outcome":               {keys: 1, attempts: 1, lostOutcomes: 1},
@@ -307,10 +309,10 @@
 	}
 }
 
-// A process that comes back and takes itself for the one before runs again what that one ran: the model finds it, so
-// that it can find what it looks for.
-func TestSameIncarnationIsFound(t *testing.T) {
-	report := explore(bounds{keys: 1, attempts: 2, crashes: 1, sameIncarnation: true}, 300_000)
+// A restarted process that reuses the incarnation of the crashed one runs its request again. The model must find this,
+// which shows that it can find a request that runs twice.
+func TestReusedIncarnationIsFound(t *testing.T) {
+	report := explore(bounds{keys: 1, attempts: 2, crashes: 1, reusedIncarnation: true}, 300_000)
 	t.Log(report)
 	require.Equal(t, "key 0 is run twice", report.Violation)
 }
--- a/internal/decide/execution/state.go
+++ b/internal/decide/execution/state.go
@@ -44,7 +44,7 @@
 	EventResultFound                  // the register holds the result of a run
 	EventFailureFound                 // the register says that a run has failed
 	EventHeldByOther                  // another process has the lease, or had it when it crashed
-	EventUnavailable                  // no majority replied in time, or too much is in flight here
+	EventUnavailable                  // no majority replied in time, or the change could not be proposed
 	EventVacant                       // the register is empty or expired
 	EventLeaseLost                    // the register holds a later lease: the retention of this process' run is over
 	EventAttemptArrived               // an attempt arrived that should run
@@ -90,8 +90,8 @@
 	ActionServe                                 // answer with the result in the register
 	ActionReportFailed                          // answer that the run has failed
 	ActionReportIndeterminate                   // answer that the request may have run, until the retention is over
-	ActionReportUnrecorded                      // answer that it ran, but that its outcome is not recorded yet
-	ActionReject                                // answer that it has not run and will not, as no lease could be acquired
+	ActionReportUnrecorded                      // answer that the request ran, but that its outcome is not recorded yet
+	ActionReject                                // answer that the request has not run and will not: no lease was acquired
 )
 
 const actionCount = int(ActionReject) + 1 // including 0, which is no action
--- a/internal/decide/handoff/example_test.go
+++ b/internal/decide/handoff/example_test.go
@@ -6,8 +6,8 @@
 	"pewterline/internal/decide/handoff"
 )
 
-// A successor reads an attempt of a key that the old process holds: the attempt waits, and is answered with the end
-// of the run there.
+// The successor reads an attempt of a key that the old process holds. The attempt waits, and is answered with the
+// result of the run in the old process.
 func ExampleKey() {
 	var old, successor handoff.Key
 	show := func(process string, actions []handoff.Action) { fmt.Printf("%s %v\n", process, actions) }
--- a/internal/decide/handoff/handoff.go
+++ b/internal/decide/handoff/handoff.go
@@ -29,12 +29,12 @@
 // String names the role for logs and tests.
 func (r Role) String() string { return name("Role", int(r), "alone", "owner", "requester") }
 
-// State is what a process knows of a key.
+// State is the state of a key as known to one process.
 type State uint8
 
 // The states of a key.
 const (
-	// Free means that nothing is known of the key.
+	// Free means that this process has no record of the key.
 	Free State = iota
 	// Requested means that this process has claimed the key; attempts wait until the owner answers.
 	Requested
@@ -61,7 +61,7 @@
 const (
 	// Attempt means that an attempt of the key was read here.
 	Attempt Event = iota
-	// PeerGranted means that the owner permits to run the key here.
+	// PeerGranted means that the owner permits this process to run the key.
 	PeerGranted
 	// PeerStarted means that the peer runs the key or may run it.
 	PeerStarted
@@ -90,13 +90,13 @@
 		"peer claimed", "local finished", "local released", "ownership taken", "ownership passed", "peer lost")
 }
 
-// Action is something that the host must do. Queue and Admit are about the attempt of the event, AdmitWaiting, Serve
-// and Fail about the attempts that wait, and the others are messages to the peer.
+// Action is something that the host must do. Queue and Admit concern the attempt of the event, AdmitWaiting, Serve and
+// Fail the waiting attempts, and the others are messages to the peer.
 type Action uint8
 
 // The actions.
 const (
-	// Queue makes the attempt wait.
+	// Queue adds the attempt to the waiting ones.
 	Queue Action = iota
 	// Admit passes the attempt to the decision module.
 	Admit
@@ -135,7 +135,7 @@
 // Key is the state of one key in one process.
 type Key struct {
 	State State
-	// PeerWaiting means that the peer has claimed a Local key and waits for its end.
+	// PeerWaiting means that the peer has claimed a Local key and waits until its run ends or it is released.
 	PeerWaiting bool
 }
 
@@ -187,8 +187,8 @@
 	return []Action{Admit}
 }
 
-// peerGranted is also expected in state Remote: the peer had the key when it was claimed, and has given it up since. If
-// no attempt waits any more the key is given up again.
+// peerGranted is also expected in state Remote: the peer held the key when this process claimed it, and has released it
+// since. If no attempt waits any more, the key is released again.
 func (k *Key) peerGranted(waiting bool) []Action {
 	if k.State != Requested && k.State != Remote {
 		return nil
@@ -197,7 +197,7 @@
 		k.State = Free
 		return []Action{NotifyReleased}
 	}
-	return k.claimForWaiters(waiting)
+	return k.admitWaiting(waiting)
 }
 
 func (k *Key) peerStarted() []Action {
@@ -223,12 +223,12 @@
 		k.State = Requested
 		return []Action{Claim}
 	}
-	return k.claimForWaiters(waiting)
+	return k.admitWaiting(waiting)
 }
 
 func (k *Key) peerClaimed(role Role) []Action {
 	if role != Owner {
-		return nil // The peer sent the claim before it learned that it is the owner itself.
+		return nil // The peer sent the claim before it learned that it had become the owner.
 	}
 	switch k.State {
 	case Local:
@@ -260,7 +260,7 @@
 	if k.State != Requested {
 		return nil
 	}
-	return k.claimForWaiters(waiting)
+	return k.admitWaiting(waiting)
 }
 
 func (k *Key) ownershipPassed() []Action {
@@ -276,15 +276,15 @@
 	case Remote:
 		k.State = Indeterminate
 		return []Action{Fail}
-	case Requested: // The owner would have notified us of a run before its begin, so there was none.
-		return k.claimForWaiters(waiting)
+	case Requested: // The owner notifies this process before it starts a run, so there was none.
+		return k.admitWaiting(waiting)
 	default:
 		return nil
 	}
 }
 
-// claimForWaiters makes the key Local and releases the waiting attempts. If none waits the key becomes Free.
-func (k *Key) claimForWaiters(waiting bool) []Action {
+// admitWaiting makes the key Local and admits the waiting attempts. If none waits, the key becomes Free.
+func (k *Key) admitWaiting(waiting bool) []Action {
 	if !waiting {
 		k.State = Free
 		return nil
--- a/internal/decide/handoff/handoff_test.go
+++ b/internal/decide/handoff/handoff_test.go
@@ -7,17 +7,17 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The model: one key in two processes, the old one and its successor, whose messages come in order. An attempt may be
-// read by either at any time; a held key may be run or released, a run ends; the old one hands over once, and either
-// may die once, in the middle of anything. What a dead process had sent still comes, and the news of its death after
-// that.
+// The model consists of one key in two processes, the old one and its successor, which exchange messages in order. At
+// any time, a process may read an attempt, run or release a key that it holds, or finish its run, and the old process
+// may pass the ownership once. At most one process crashes, at any time. Its peer still receives the messages that it
+// has sent, and then the loss of the connection.
 
 const (
 	oldProcess  = 0
 	newProcess  = 1
 	maxAttempts = 4 // read by each process
 	maxQueued   = 10
-	maxRuns     = 2 // a count from which on it does not matter how many
+	maxRuns     = 2 // higher counts are equivalent
 )
 
 type message uint8
@@ -30,13 +30,13 @@
 	finishedMessage
 	releasedMessage
 	ownershipMessage
-	deathMessage
+	peerLostMessage
 )
 
 type process struct {
 	key      Key
 	role     Role
-	dead     bool
+	crashed  bool
 	waiting  bool
 	running  bool
 	attempts uint8
@@ -44,37 +44,37 @@
 	queued   uint8
 }
 
-// holds says that the process holds or runs the key.
+// holds reports whether the process may run the key or runs it.
 func (p *process) holds() bool { return p.key.State == Local }
 
-// ignorant says that the process lives and knows nothing of the key.
-func (p *process) ignorant() bool { return !p.dead && p.key.State == Free }
+// unaware reports whether the process is alive and has no record of the key.
+func (p *process) unaware() bool { return !p.crashed && p.key.State == Free }
 
 type model struct {
-	processes [2]process
-	passed    bool  // the handoff has begun
-	runs      uint8 // begun, anywhere
+	processes       [2]process
+	ownershipPassed bool  // the old process has passed the ownership
+	runs            uint8 // started in either process, at most maxRuns
 }
 
 func (m *model) send(to int, sent message) {
 	receiver := &m.processes[to]
-	if receiver.dead {
+	if receiver.crashed {
 		return
 	}
 	if receiver.queued == maxQueued {
-		panic("the model's queue is too short")
+		panic("the queue of the model is too short")
 	}
 	receiver.inbox[receiver.queued] = sent
 	receiver.queued++
 }
 
-// messages are what the actions send to the peer.
+// messages maps actions to the messages that they send to the peer.
 var messages = map[Action]message{
 	Claim: claimMessage, Grant: grantMessage, NotifyStarted: startedMessage, NotifyFinished: finishedMessage,
 	NotifyReleased: releasedMessage,
 }
 
-// step has something happen to a key and carries out what is to be done.
+// step passes an event to the key of a process and carries out the actions.
 func (m *model) step(at int, event Event) {
 	stepped := &m.processes[at]
 	before := stepped.key.State
@@ -92,30 +92,30 @@
 		}
 	}
 	if stepped.key.State == Done && before == Free && event == Attempt {
-		panic("an attempt made up an end")
+		panic("an attempt moved a free key to state done")
 	}
 }
 
-// next are the models that follow, by what happened.
+// next returns the states that can follow, by the description of the step to them.
 func (m model) next() map[string]model {
-	following := map[string]model{}
+	successors := map[string]model{}
 	for at := range m.processes {
-		m.addSteps(at, following)
+		m.addSteps(at, successors)
 	}
-	return following
+	return successors
 }
 
-// addSteps adds all that may happen at one process.
-func (m model) addSteps(at int, following map[string]model) {
+// addSteps adds all steps that one process can take.
+func (m model) addSteps(at int, successors map[string]model) {
 	here := m.processes[at]
-	who := []string{"old", "new"}[at]
-	if here.dead {
+	processName := []string{"old", "new"}[at]
+	if here.crashed {
 		return
 	}
-	add := func(what string, happen func(*model)) {
+	add := func(description string, apply func(*model)) {
 		next := m
-		happen(&next)
-		following[who+" "+what] = next
+		apply(&next)
+		successors[processName+" "+description] = next
 	}
 	if here.attempts < maxAttempts {
 		add("reads an attempt", func(next *model) {
@@ -133,9 +133,9 @@
 			next.step(at, LocalFinished)
 		})
 	}
-	if at == oldProcess && !m.passed && here.role == Owner {
-		add("hands over", func(next *model) {
-			next.passed = true
+	if at == oldProcess && !m.ownershipPassed && here.role == Owner {
+		add("passes the ownership", func(next *model) {
+			next.ownershipPassed = true
 			next.step(at, OwnershipPassed)
 			next.processes[at].role = Requester
 			next.send(newProcess, ownershipMessage)
@@ -144,15 +144,15 @@
 	if here.queued > 0 {
 		add(fmt.Sprintf("receives %d", here.inbox[0]), func(next *model) { next.receive(at) })
 	}
-	if !m.processes[1-at].dead { // One death is enough: two leave nobody to do harm.
-		add("dies", func(next *model) {
-			next.processes[at] = process{dead: true}
-			next.send(1-at, deathMessage)
+	if !m.processes[1-at].crashed { // One crash is enough: after two, no process is left that could violate a rule.
+		add("crashes", func(next *model) {
+			next.processes[at] = process{crashed: true}
+			next.send(1-at, peerLostMessage)
 		})
 	}
 }
 
-// run begins a run, of which an owner tells first.
+// run starts a run. An owner notifies its peer first.
 func (m *model) run(at int) {
 	if m.processes[at].role == Owner {
 		m.send(1-at, startedMessage)
@@ -181,7 +181,7 @@
 	case ownershipMessage:
 		receiver.role = Owner
 		m.step(at, OwnershipTaken)
-	case deathMessage:
+	case peerLostMessage:
 		m.step(at, PeerLost)
 		receiver.role = Alone
 	case noMessage:
@@ -189,43 +189,43 @@
 	}
 }
 
-// violation names the forbidden state that a model is in.
+// violation describes the forbidden state that the model is in, and is empty if it is in none.
 func (m model) violation() string {
 	old, successor := m.processes[oldProcess], m.processes[newProcess]
 	switch {
 	case m.runs > 1:
 		return "run twice"
-	case !old.dead && !successor.dead && old.holds() && successor.holds():
+	case !old.crashed && !successor.crashed && old.holds() && successor.holds():
 		return "held or run by both"
 	case old.running && !old.holds() || successor.running && !successor.holds():
 		return "run without being held"
 	case old.queued+successor.queued > 0:
 		return ""
 	}
-	return m.violationAtRest()
+	return m.violationWhenIdle()
 }
 
-// violationAtRest names the forbidden state that a model is in which has no message under way.
-func (m model) violationAtRest() string {
+// violationWhenIdle is violation for the states that are forbidden only while no message is in flight.
+func (m model) violationWhenIdle() string {
 	old, successor := m.processes[oldProcess], m.processes[newProcess]
-	ignorant := old.ignorant() && !successor.running || successor.ignorant() && !old.running
-	if m.runs > 0 && ignorant {
-		return "an owner that knows nothing of a run"
+	unaware := old.unaware() && !successor.running || successor.unaware() && !old.running
+	if m.runs > 0 && unaware {
+		return "a process without a record of a run"
 	}
 	busy := old.running || successor.running || old.holds() || successor.holds()
 	if !busy && (old.waiting || successor.waiting) {
-		return "an attempt that waits for nothing"
+		return "an attempt that waits without a holder"
 	}
 	return ""
 }
 
-// Guards the rule that a key runs once, and the responses, across an upgrade: no order of events in two processes,
-// with the death of either at any moment, leads to a forbidden state.
+// Guards against a key that runs twice, and against an attempt that is never answered, during a hot restart: no order
+// of events in the two processes, with a crash of either at any time, leads to a forbidden state.
 func TestAllOrders(t *testing.T) {
 	start := model{processes: [2]process{{role: Owner}, {role: Requester}}}
 	type step struct {
-		from model
-		what string
+		from        model
+		description string
 	}
 	seen, queue := map[model]step{start: {}}, []model{start}
 	steps, pairs := 0, map[[2]State]bool{}
@@ -236,25 +236,25 @@
 		if violation := reached.violation(); violation != "" {
 			var trace string
 			for at := reached; at != start; at = seen[at].from {
-				trace = seen[at].what + "\n" + trace
+				trace = seen[at].description + "\n" + trace
 			}
 			t.Fatalf("%s after\n%s%+v", violation, trace, reached)
 		}
-		for what, next := range reached.next() {
+		for description, next := range reached.next() {
 			steps++
 			if _, ok := seen[next]; !ok {
-				seen[next] = step{reached, what}
+				seen[next] = step{reached, description}
 				queue = append(queue, next)
 			}
 		}
 	}
 	t.Logf("%d models by %d steps, %d pairs of states; forbidden and never reached: run twice, held or run by both, "+
-		"run without being held, an owner that knows nothing of a run, an attempt that waits for nothing",
+		"run without being held, a process without a record of a run, an attempt that waits without a holder",
 		len(seen), steps, len(pairs))
-	require.Greater(t, len(seen), 5_000, "the model does little")
+	require.Greater(t, len(seen), 5_000, "the model reaches too few states")
 }
 
-// Every state takes every event in every role, and ends in a state.
+// Every event, in every state and role, results in a valid state and valid actions.
 func TestEveryEventInEveryState(t *testing.T) {
 	cases := 0
 	for state := range stateCount {
--- a/internal/decide/reload/example_test.go
+++ b/internal/decide/reload/example_test.go
@@ -8,7 +8,7 @@
 	"pewterline/internal/decide/reload"
 )
 
-// A class whose deadline changes gets a new slot while open requests hold on to the old one.
+// A class whose deadline changes gets a new slot while open requests still use the old one.
 func ExamplePlaceClasses() {
 	table := []control.Class{
 		{Name: "view", Deadline: time.Second},
--- a/internal/decide/reload/reload.go
+++ b/internal/decide/reload/reload.go
@@ -16,23 +16,23 @@
 // MaxSlots bounds the slots of a table, which would otherwise grow with each reload that changes all classes.
 const MaxSlots = 256
 
-// TooManyError means that a table would need more than MaxSlots slots.
-type TooManyError struct {
-	// Setting is the list that is too long, "classes" or "tenants".
+// TooManySlotsError means that a table would need more than MaxSlots slots.
+type TooManySlotsError struct {
+	// Setting names the list that is too long, "classes" or "tenants".
 	Setting string
-	// Count is how many slots would be needed.
+	// Count is the number of slots that would be needed.
 	Count int
-	// Including describes the slots of earlier settings that are included in Count.
+	// Including describes the slots of earlier settings that Count includes.
 	Including string
 }
 
-func (e *TooManyError) Error() string {
-	return fmt.Sprintf("settings.%s: %d %s, those %s included, are too many", e.Setting, e.Count, e.Setting, e.Including)
+func (e *TooManySlotsError) Error() string {
+	return fmt.Sprintf("settings.%s: too many: %d %s, including those %s", e.Setting, e.Count, e.Setting, e.Including)
 }
 
 // PlaceClasses returns a copy of table with the classes of new settings. An unchanged class keeps its slot, even if it
 // was retired before; a new or changed one gets the first retired slot that is free, or a new one at the end. All other
-// slots are retired. free reports whether a slot is not in use. The error is a *TooManyError.
+// slots are retired. free reports whether a slot is not in use. The error is a *TooManySlotsError.
 func PlaceClasses(table, next []control.Class, free func(slot int) bool) ([]control.Class, error) {
 	placed := slices.Clone(table)
 	for i := range placed {
@@ -52,7 +52,7 @@
 		case slot >= 0:
 			placed[slot] = class
 		case len(placed) == MaxSlots:
-			return nil, &TooManyError{"classes", MaxSlots + 1, "of open requests and kept keys"}
+			return nil, &TooManySlotsError{"classes", MaxSlots + 1, "of open requests and retained keys"}
 		default:
 			placed = append(placed, class)
 		}
@@ -80,7 +80,7 @@
 }
 
 // PlaceTenants returns a copy of table with the tenants of new settings, which keep their slot by name. Removed tenants
-// keep their slot and quota. The error is a *TooManyError.
+// keep their slot and quota. The error is a *TooManySlotsError.
 func PlaceTenants(table, next []control.Tenant) ([]control.Tenant, error) {
 	placed := slices.Clone(table)
 	for _, tenant := range next {
@@ -89,7 +89,7 @@
 			continue
 		}
 		if placed = append(placed, tenant); len(placed) > MaxSlots {
-			return nil, &TooManyError{"tenants", len(placed), "that are gone"}
+			return nil, &TooManySlotsError{"tenants", len(placed), "that were removed"}
 		}
 	}
 	return placed, nil
--- a/internal/microtime/microtime.go
+++ b/internal/microtime/microtime.go
@@ -2,7 +2,7 @@
 // except for the decision module (package control), which uses time.Duration.
 //
 // Time and its arithmetic are pure. Only Clock reads the system's clocks, and only the program's main and the transport
-// use it: all packages that decide get the time as an argument.
+// use it: packages that make decisions get the time as an argument.
 package microtime
 
 import "time"
--- a/internal/microtime/microtime_test.go
+++ b/internal/microtime/microtime_test.go
@@ -12,7 +12,8 @@
 	require.Equal(t, Time(1), FromDuration(1999*time.Nanosecond))
 }
 
-// Guards the one conversion between the two clocks: there and back again, also for what lies before the process.
+// Guards the conversion between the wall clock and the monotonic clock: a round trip gives the same time, even for
+// times before the start of the process.
 func TestWallClock(t *testing.T) {
 	c := NewClock()
 	for _, ms := range []int64{1_000_000, time.Now().UnixMilli(), time.Now().UnixMilli() - 3_600_000} {
--- a/internal/orderedset/set.go
+++ b/internal/orderedset/set.go
@@ -28,8 +28,8 @@
 	last := len(s.items) - 1
 	s.items[index] = s.items[last]
 	s.items[index].position().index = index
-	var none E
-	s.items[last] = none // Drop the reference for the garbage collector.
+	var zero E
+	s.items[last] = zero // Drop the reference for the garbage collector.
 	s.items = s.items[:last]
 }
 
--- a/internal/orderedset/set_test.go
+++ b/internal/orderedset/set_test.go
@@ -22,7 +22,7 @@
 	return listed
 }
 
-// Elements stay in the order in which they came; the last one takes the place of one that goes.
+// Elements keep the order in which they were added. The last element takes the place of a removed one.
 func TestOrder(t *testing.T) {
 	var set Set[*element]
 	require.Zero(t, set.Len())
@@ -50,32 +50,33 @@
 		require.Equal(t, len(tc.want), set.Len(), tc.name)
 	}
 	set.Add(elements[4])
-	require.Equal(t, []int{4}, ids(set.Items()), "an element that went may come again")
+	require.Equal(t, []int{4}, ids(set.Items()), "a removed element can be added again")
 }
 
-// Whatever is added and removed, the set holds just that, and the same calls give the same order.
+// After any sequence of calls, the set contains exactly the elements that were added and not removed, and the same
+// calls give the same order.
 func TestSameCallsGiveTheSameOrder(t *testing.T) {
-	require.NoError(t, flag.Set("rapid.seed", "7")) // the same verdict every time
+	require.NoError(t, flag.Set("rapid.seed", "7")) // fixed, so that every run checks the same cases
 	rapid.Check(t, func(t *rapid.T) {
-		var one, other Set[*element]
-		var inOne, inOther []*element
+		var first, second Set[*element]
+		var inFirst, inSecond []*element
 		added := 0
 		for range rapid.IntRange(1, 40).Draw(t, "calls") {
-			if len(inOne) == 0 || rapid.Bool().Draw(t, "add") {
-				inOne = append(inOne, &element{id: added})
-				inOther = append(inOther, &element{id: added})
-				one.Add(inOne[len(inOne)-1])
-				other.Add(inOther[len(inOther)-1])
+			if len(inFirst) == 0 || rapid.Bool().Draw(t, "add") {
+				inFirst = append(inFirst, &element{id: added})
+				inSecond = append(inSecond, &element{id: added})
+				first.Add(inFirst[len(inFirst)-1])
+				second.Add(inSecond[len(inSecond)-1])
 				added++
 			} else {
-				at := rapid.IntRange(0, len(inOne)-1).Draw(t, "remove")
-				one.Remove(inOne[at])
-				other.Remove(inOther[at])
-				inOne = slices.Delete(inOne, at, at+1)
-				inOther = slices.Delete(inOther, at, at+1)
+				at := rapid.IntRange(0, len(inFirst)-1).Draw(t, "remove")
+				first.Remove(inFirst[at])
+				second.Remove(inSecond[at])
+				inFirst = slices.Delete(inFirst, at, at+1)
+				inSecond = slices.Delete(inSecond, at, at+1)
 			}
-			require.ElementsMatch(t, ids(inOne), ids(one.Items()))
-			require.Equal(t, ids(one.Items()), ids(other.Items()))
+			require.ElementsMatch(t, ids(inFirst), ids(first.Items()))
+			require.Equal(t, ids(first.Items()), ids(second.Items()))
 		}
 	})
 }
