--- a/internal/decide/calls/calls_test.go
+++ b/internal/decide/calls/calls_test.go
@@ -61,7 +61,7 @@
 }
 
 // An unknown outcome proves nothing about the effect, and an unknown idempotency allows no repetition. Both can occur
-// when a value is added in another package only.
+// when a value is added but the rules of this package are not updated.
 func TestUnknownValues(t *testing.T) {
 	require.Equal(t, MaybeExecuted, outcomeCount.Effect())
 	require.Equal(t, control.OutcomeError, outcomeCount.ControlOutcome())
--- a/internal/decide/decide_test.go
+++ b/internal/decide/decide_test.go
@@ -13,8 +13,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// pureImports lists the packages that decision packages may import besides each other. None of them does I/O, starts
-// goroutines or reads a clock, except in the functions that impureCalls lists.
+// pureImports lists the packages that decision packages may import besides each other. It leaves out packages whose
+// purpose is I/O, goroutines or synchronization.
 var pureImports = []string{
 	"cmp",
 	"container/heap",
--- a/internal/wal/committer_test.go
+++ b/internal/wal/committer_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The records of concurrent callers share syncs. Each is durable under the index that its caller is told.
+// The records of concurrent callers share syncs. Each is durable under the index that its caller gets.
 func TestCommitter(t *testing.T) {
 	dir := t.TempDir()
 	l, _, err := Open(Dir(dir), Options{})
@@ -92,8 +92,8 @@
 	require.LessOrEqual(t, len(rec.Records), 2, "records after the failed sync must not be written")
 }
 
-// BenchmarkCommitter makes records of 600 bytes durable, the size of an intake's, with 64 concurrent callers for each
-// processor.
+// BenchmarkCommitter makes records of 600 bytes, the size of the record of an intake, durable for 64 concurrent callers
+// per processor.
 func BenchmarkCommitter(b *testing.B) {
 	l, _, err := Open(Dir(b.TempDir()), Options{})
 	require.NoError(b, err)
--- a/internal/wal/fs.go
+++ b/internal/wal/fs.go
@@ -11,7 +11,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// FS is the directory of a log. Tests replace it by one on a disk that fails, fills up, or loses unsynced data.
+// FS is the directory of a log. Tests replace it with one on a disk that fails, fills up, or loses unsynced data.
 type FS interface {
 	// List returns the names of all regular files, sorted.
 	List() ([]string, error)
