--- a/internal/decide/consensus/acceptor.go
+++ b/internal/decide/consensus/acceptor.go
@@ -5,15 +5,16 @@
 	"slices"
 )
 
-// compactKeyOrderFrom is how many stale entries keyOrder may always have before it is compacted.
-const compactKeyOrderFrom = 1000
+// staleKeyAllowance is how many stale entries keyOrder may hold in addition to one for each register before it is
+// compacted, so that a short keyOrder is not compacted again and again.
+const staleKeyAllowance = 1000
 
 // Register is the state of a key at an acceptor. A change must be durable before the reply that depends on it is sent.
 type Register struct {
-	Promised         Ballot // the highest ballot that was promised
+	Promised         Ballot // the highest ballot that the acceptor has promised
 	Accepted         Ballot // the ballot of Value
 	Value            Value
-	LastAttemptAt    int64  // time of the last attempt of the key, Unix milliseconds
+	LastAttemptAt    int64  // time of the last attempt for the key, Unix milliseconds
 	TransferredEpoch uint64 // the last epoch in which the key was transferred to the replicas of the next configuration
 }
 
@@ -23,11 +24,11 @@
 	Epoch     uint64 // of the membership in force
 	registers map[string]Register
 	// keyOrder holds the keys in the order in which they were added, so that a scan can process them in batches. It may
-	// hold expired keys, and keys twice.
+	// also hold expired keys and duplicates.
 	keyOrder []string
 }
 
-// NewAcceptor returns an acceptor with its durable registers; nil for a new incarnation, which has none.
+// NewAcceptor returns an acceptor with its durable registers, which are nil for a new incarnation.
 func NewAcceptor(self Identity, registers map[string]Register) *Acceptor {
 	if registers == nil {
 		registers = map[string]Register{}
@@ -36,7 +37,7 @@
 }
 
 // Handle answers a request. changed means that the key's register must be made durable before the reply is sent. ok is
-// false, and there is no reply, if the request is for another incarnation.
+// false if the request is for another incarnation; then there is no reply.
 func (a *Acceptor) Handle(request Request) (_ Reply, changed, ok bool) {
 	if request.To != a.Self {
 		return Reply{}, false, false
@@ -81,7 +82,7 @@
 
 // Expire drops the keys whose last attempt was before a time (Unix milliseconds), and returns their number. The time
 // must be earlier than now by more than the retention plus the longest delay of a message: a replica that drops a key
-// while an attempt of it is still in flight could grant the lease again.
+// while an attempt for it is still in flight could grant the lease again.
 func (a *Acceptor) Expire(before int64) (dropped int) {
 	for key, register := range a.registers {
 		if register.LastAttemptAt < before {
@@ -117,9 +118,10 @@
 	return register, true
 }
 
-// compactKeyOrder drops the stale entries of keyOrder if they are the majority.
+// compactKeyOrder drops the expired keys and the duplicates from keyOrder once they exceed the number of registers by
+// staleKeyAllowance.
 func (a *Acceptor) compactKeyOrder() {
-	if len(a.keyOrder) <= 2*len(a.registers)+compactKeyOrderFrom {
+	if len(a.keyOrder) <= 2*len(a.registers)+staleKeyAllowance {
 		return
 	}
 	seen := make(map[string]bool, len(a.registers))
--- a/internal/decide/consensus/change.go
+++ b/internal/decide/consensus/change.go
@@ -8,10 +8,10 @@
 // The kinds of values. The numbers are part of the wire and disk formats.
 const (
 	KindNone       ValueKind = iota // no value
-	KindLeased                      // the owner may run the request, and may have run it
+	KindLeased                      // the owner may run the request, or may already have run it
 	KindSucceeded                   // the request ran, with Result
-	KindFailed                      // the request ran and failed, or the outcome of its run is lost
-	KindMembership                  // Result is the text of the membership that follows another one
+	KindFailed                      // the request ran and failed, or the outcome of its run was lost
+	KindMembership                  // Result is the text of the next membership
 )
 
 // String returns the name of the kind.
@@ -31,12 +31,12 @@
 	return "ValueKind(" + strconv.Itoa(int(k)) + ")"
 }
 
-// Value is the value of a key on which its replicas agree. Times are those that the callers' attempts carry, in Unix
+// Value is the value of a key on which its replicas agree. Times are taken from the callers' attempts, in Unix
 // milliseconds, so that no server's clock matters.
 type Value struct {
 	Kind        ValueKind
 	Owner       uint32 // the server that holds or held the lease
-	Incarnation uint64 // of the owner's process, as the next process does not know what this one ran
+	Incarnation uint64 // of the owner's process: the next process does not know what this one has run
 	Attempt     uint64 // number of the lease, unique within that process
 	AttemptedAt int64  // time of the attempt that runs
 	Result      string
@@ -51,7 +51,7 @@
 	RecordResult                       // records the outcome of a run
 	ReadValue                          // changes nothing, but makes a majority accept the value
 	ReleaseLease                       // releases the lease: the run was not started
-	DecideMembership                   // decides which membership follows another one
+	DecideMembership                   // decides the next membership
 )
 
 // String returns the name of the kind.
@@ -80,9 +80,9 @@
 	OutcomeSucceeded                            // the request ran, with the result of the value
 	OutcomeFailed                               // the request ran and failed
 	OutcomeIndeterminate                        // another process may have run it: unknown until the retention is over
-	OutcomeLeaseLost                            // the proposer does not hold the lease any more
+	OutcomeLeaseLost                            // the proposer no longer holds the lease
 	OutcomeVacant                               // the key has no value in force, so that the request may run
-	OutcomeMembershipDecided                    // Value.Result is the membership that follows
+	OutcomeMembershipDecided                    // Value.Result is the text of the next membership
 )
 
 // String returns the name of the outcome.
@@ -119,7 +119,7 @@
 	// may replace such a lease.
 	NeverStarted bool
 	// ForcedAt is when an operator last forced a membership without a majority, Unix milliseconds; 0: never. Until the
-	// retention after that time is over, an empty register does not prove that nothing ran.
+	// retention after that time is over, an empty register does not prove that the request has not run.
 	ForcedAt int64
 }
 
@@ -147,7 +147,7 @@
 func (c Change) recordResult(value Value) (Value, Outcome) {
 	holds := c.holdsLease(value)
 	switch {
-	// The register of a request that ran may be empty: its lease was lost together with the replicas.
+	// The register may be empty although the request ran, as the replicas that held the lease may be lost.
 	case (holds || value.Kind == KindNone) && c.Succeeded:
 		succeeded := c.ownValue(KindSucceeded)
 		succeeded.Result = c.Result
@@ -163,8 +163,8 @@
 	return value, OutcomeLeaseLost
 }
 
-// acquireOrRead applies AcquireLease and ReadValue. Expiry is decided by the times that the attempts carry, not by a
-// clock.
+// acquireOrRead applies AcquireLease and ReadValue. Whether the value has expired depends on the times of the attempts,
+// not on a clock.
 func (c Change) acquireOrRead(value Value) (Value, Outcome) {
 	expired := value.Kind == KindNone || c.AttemptedAt >= value.AttemptedAt+c.Retention
 	switch {
@@ -191,8 +191,8 @@
 }
 
 // supersedes reports whether v is an earlier lease of the same process that led to no run. A later lease is never
-// superseded: a proposal that was abandoned may still take effect, and must not replace the lease of a run that was
-// started since.
+// superseded: an abandoned proposal may still take effect, and must not replace the lease of a run that was started in
+// the meantime.
 func (c Change) supersedes(v Value) bool {
 	return v.Kind == KindLeased && c.sameProcess(v) && c.NeverStarted && v.Attempt < c.Attempt
 }
--- a/internal/decide/consensus/cluster_test.go
+++ b/internal/decide/consensus/cluster_test.go
@@ -15,57 +15,57 @@
 	"pewterline/internal/microtime"
 )
 
-// cluster is a number of nodes on a simulated network and simulated disks. Messages are late, lost or doubled, parts
-// are cut off from each other, servers crash and come back with what they had made durable, or without it and as
-// another incarnation, which takes its old self's place. Members come and go.
+// cluster simulates nodes, their network and their disks. Messages are delayed, lost or duplicated, and partitions
+// separate servers. A server that crashes restarts either with its disk or, as a new incarnation that replaces the
+// former one, without it. Members are added and removed.
 type cluster struct {
 	t             *testing.T
 	rng           *rand.Rand
 	now           microtime.Time
 	servers       []*server
 	network       []message
-	partitioned   map[int]bool // the servers on the one side of a partition
+	partitioned   map[int]bool // the servers on one side of a partition, by index
 	lossy         bool
 	history       []porcupine.Operation
-	runs          map[string]int // by key
-	known         int            // results that were known
+	runs          map[string]int // number of runs, by key
+	knownResults  int            // number of results with Known set
 	diskLosses    int
 	memberChanges int
-	// deliver hands a message to a server: handle, or a planted bug around it.
-	deliver delivery
+	// deliver delivers a message to a server. It is handleMessage, or a planted bug that wraps it.
+	deliver deliverFunc
 }
 
-type delivery func(*cluster, *server, message)
+type deliverFunc func(*cluster, *server, message)
 
-// server is a node, its disk and its callers.
+// server is a node with its disk and the calls of its callers.
 type server struct {
 	*Node
-	registers    map[string]Register // on the disk
-	durable      Membership          // on the disk
-	nextTick     microtime.Time
-	nextHello    microtime.Time
-	calls        map[uint64]call // in flight, by the ID of the proposal
-	crashed      bool
-	process      uint64 // incarnation of the process
-	incarnations uint64 // of the disk
+	diskRegisters      map[string]Register // on the disk
+	diskMembership     Membership          // on the disk; the zero value if there is none
+	nextTick           microtime.Time
+	nextNotice         microtime.Time
+	calls              map[uint64]call // in flight, by the ID of the proposal
+	crashed            bool
+	processIncarnation uint64 // of the proposer: incremented with each start
+	diskIncarnation    uint64 // of the acceptor: incremented when the disk is lost
 }
 
-// call is a change that a caller waits for.
+// call is a change whose caller waits for the result.
 type call struct {
-	key    string
-	change Change
-	began  microtime.Time
+	key       string
+	change    Change
+	startedAt microtime.Time
 }
 
-// message is one on its way. from and to are indexes of servers.
+// message is a message in flight. from and to are indexes of servers.
 type message struct {
-	at       microtime.Time
-	from, to int
-	content  any
-	sender   Identity
+	deliverAt microtime.Time
+	from, to  int
+	content   any
+	sender    Identity
 }
 
-// input and output are those of the operations of a history.
+// input and output are the input and the output of an operation in a history.
 type input struct {
 	key    string
 	change Change
@@ -77,14 +77,14 @@
 	result  string
 }
 
-// hello says which epoch a server goes by, as every frame of a link does.
-type hello uint64
+// epochNotice notifies a server of the sender's epoch, as every frame between real servers does.
+type epochNotice uint64
 
 func member(id int, incarnation uint64) Member {
 	return Member{Identity{uint32(id), incarnation}, fmt.Sprint("n", id)}
 }
 
-// newCluster returns a cluster of members and of some servers that are not members.
+// newCluster returns a cluster with as many servers as members and spares. The spares are not members yet.
 func newCluster(t *testing.T, seed uint64, replicas, members, spares int) *cluster {
 	t.Helper()
 	sim := &cluster{
@@ -93,31 +93,31 @@
 		partitioned: map[int]bool{},
 		runs:        map[string]int{},
 		lossy:       true,
-		deliver:     (*cluster).handle,
+		deliver:     (*cluster).handleMessage,
 	}
-	first := Membership{ClusterID: 7, Epoch: 1, ReplicationFactor: replicas}
+	initial := Membership{ClusterID: 7, Epoch: 1, ReplicationFactor: replicas}
 	for i := range members {
-		first.Current = append(first.Current, member(i+1, 1))
+		initial.Current = append(initial.Current, member(i+1, 1))
 	}
 	for i := range members + spares {
-		s := &server{registers: map[string]Register{}, incarnations: 1}
+		s := &server{diskRegisters: map[string]Register{}, diskIncarnation: 1}
 		if i < members {
-			s.durable = first
+			s.diskMembership = initial
 		}
 		sim.servers = append(sim.servers, s)
-		sim.boot(i)
+		sim.startServer(i)
 	}
 	return sim
 }
 
-// boot starts a process with what its disk holds.
-func (c *cluster) boot(i int) {
-	booted := c.servers[i]
-	booted.process++
+// startServer starts the process of a server with the contents of its disk.
+func (c *cluster) startServer(i int) {
+	started := c.servers[i]
+	started.processIncarnation++
 	var err error
-	booted.Node, err = NewNode(NodeOptions{
-		Acceptor:           Identity{uint32(i + 1), booted.incarnations},
-		ProcessIncarnation: booted.process,
+	started.Node, err = NewNode(NodeOptions{
+		Acceptor:           Identity{uint32(i + 1), started.diskIncarnation},
+		ProcessIncarnation: started.processIncarnation,
 		Config: Config{
 			AttemptTimeout:  20_000,
 			ProposalTimeout: 300_000,
@@ -125,83 +125,84 @@
 			RepairRate:      300,
 			MaxRepairs:      4,
 		},
-		Membership: booted.durable,
-		Registers:  maps.Clone(booted.registers),
+		Membership: started.diskMembership,
+		Registers:  maps.Clone(started.diskRegisters),
 		Seed:       c.rng.Uint64(),
 		Hash:       xxhash.Sum64String,
 	})
 	require.NoError(c.t, err)
-	booted.calls = map[uint64]call{}
-	booted.crashed = false
-	booted.nextTick = 0
+	started.calls = map[uint64]call{}
+	started.crashed = false
+	started.nextTick = 0
 }
 
-// flush does what a node is ready for.
-func (c *cluster) flush(i int) {
-	from := c.servers[i]
-	ready := from.Ready()
+// handleReady carries out what a node's Ready returns.
+func (c *cluster) handleReady(i int) {
+	source := c.servers[i]
+	ready := source.Ready()
 	if ready.Membership != nil {
-		from.durable = *ready.Membership
+		source.diskMembership = *ready.Membership
 	}
 	for _, saved := range ready.Registers {
-		from.registers[saved.Key] = saved.Register
+		source.diskRegisters[saved.Key] = saved.Register
 	}
 	for _, request := range ready.Requests {
-		c.post(i, int(request.To.ID)-1, request, from.ProposerID)
+		c.send(i, int(request.To.ID)-1, request, source.ProposerID)
 	}
 	for _, reply := range ready.Replies {
-		c.post(i, int(reply.To.ID)-1, reply.Reply, from.AcceptorID)
+		c.send(i, int(reply.To.ID)-1, reply.Reply, source.AcceptorID)
 	}
 	for _, id := range ready.Notify {
-		c.post(i, int(id)-1, from.Membership(), from.AcceptorID)
+		c.send(i, int(id)-1, source.Membership(), source.AcceptorID)
 	}
 	for _, ack := range ready.TransferAcks {
 		for to := range c.servers {
-			c.post(i, to, ack, from.AcceptorID)
+			c.send(i, to, ack, source.AcceptorID)
 		}
 	}
 	for _, result := range ready.Results {
-		c.take(i, result)
+		c.handleResult(i, result)
 	}
 }
 
-// take notes a result in the history. A lease leads to a run at once, and that to its end.
-func (c *cluster) take(i int, result Result) {
-	at := c.servers[i]
-	ended := at.calls[result.ID]
-	delete(at.calls, result.ID)
+// handleResult records a result in the history. If it grants a lease, the request runs at once and succeeds, and the
+// server proposes to record the result of that run.
+func (c *cluster) handleResult(i int, result Result) {
+	source := c.servers[i]
+	completed := source.calls[result.ID]
+	delete(source.calls, result.ID)
 	end := c.now
 	if result.Known {
-		c.known++
-	} else { // it may take effect at any time from now on
+		c.knownResults++
+	} else { // the change may take effect at any later time
 		end = math.MaxInt64
 	}
-	c.note(ended, output{known: result.Known, outcome: result.Outcome, result: result.Value.Result}, end)
-	if result.Known && result.Outcome == OutcomeLeaseGranted && ended.change.Kind == AcquireLease {
-		c.runs[ended.key]++
-		c.propose(i, ended.key, Change{
+	c.recordOperation(completed, output{known: result.Known, outcome: result.Outcome, result: result.Value.Result}, end)
+	if result.Known && result.Outcome == OutcomeLeaseGranted && completed.change.Kind == AcquireLease {
+		c.runs[completed.key]++
+		c.propose(i, completed.key, Change{
 			Kind:        RecordResult,
 			Attempt:     result.Value.Attempt,
-			AttemptedAt: ended.change.AttemptedAt,
+			AttemptedAt: completed.change.AttemptedAt,
 			Retention:   retention,
 			Succeeded:   true,
-			Result:      fmt.Sprintf("%s by %v", ended.key, at.ProposerID),
+			Result:      fmt.Sprintf("%s by %v", completed.key, source.ProposerID),
 		})
 	}
 }
 
-func (c *cluster) note(ended call, out output, end microtime.Time) {
+func (c *cluster) recordOperation(ended call, out output, end microtime.Time) {
 	c.history = append(c.history, porcupine.Operation{
 		ClientId: len(c.history),
 		Input:    input{ended.key, ended.change},
 		Output:   out,
-		Call:     int64(ended.began),
+		Call:     int64(ended.startedAt),
 		Return:   int64(end),
 	})
 }
 
-// post puts a message on the network, which may lose, delay or double it.
-func (c *cluster) post(from, to int, content any, sender Identity) {
+// send puts a message on the network, which may lose, delay or duplicate it.
+func (c *cluster) send(from, to int, content any, sender Identity) {
 	if c.partitioned[from] != c.partitioned[to] || from != to && c.lossy && c.rng.IntN(12) == 0 {
 		return
 	}
@@ -210,7 +211,7 @@
 		if from != to {
 			delay = 200 + microtime.Time(c.rng.Int64N(8000))
 			if c.lossy && c.rng.IntN(40) == 0 {
-				delay += microtime.Time(c.rng.Int64N(200_000)) // hangs, and comes all at once with others
+				delay += microtime.Time(c.rng.Int64N(200_000)) // a stall, after which messages arrive in a burst
 			}
 		}
 		c.network = append(c.network, message{c.now + delay, from, to, content, sender})
@@ -218,58 +219,58 @@
 }
 
 func (c *cluster) propose(i int, key string, change Change) {
-	at := c.servers[i]
-	id, err := at.Propose(c.now, key, change)
+	target := c.servers[i]
+	id, err := target.Propose(c.now, key, change)
 	if err != nil {
 		return
 	}
-	change.Proposer = at.ProposerID
+	change.Proposer = target.ProposerID
 	if change.Kind == AcquireLease {
 		change.Attempt = id
 	}
-	at.calls[id] = call{key, change, c.now}
-	at.nextTick = 0
+	target.calls[id] = call{key, change, c.now}
+	target.nextTick = 0
 }
 
-// crash ends what a server had in flight: it may have taken effect, or may yet.
+// crash stops a server. Its calls in flight end with an unknown result, as their changes may take effect at any time.
 func (c *cluster) crash(i int) {
-	for _, lost := range c.servers[i].calls {
-		c.note(lost, output{}, math.MaxInt64)
+	for _, interrupted := range c.servers[i].calls {
+		c.recordOperation(interrupted, output{}, math.MaxInt64)
 	}
 	c.servers[i].crashed = true
 }
 
-// loseDisk has a machine that crashed come back without its disk.
+// loseDisk deletes the disk of a server that has crashed. Its next start is as another incarnation of the acceptor.
 func (c *cluster) loseDisk(i int) {
 	c.diskLosses++
-	c.servers[i].registers = map[string]Register{}
-	c.servers[i].durable = Membership{}
-	c.servers[i].incarnations++
+	c.servers[i].diskRegisters = map[string]Register{}
+	c.servers[i].diskMembership = Membership{}
+	c.servers[i].diskIncarnation++
 }
 
-// newest returns the newest membership that any server has on its disk.
-func (c *cluster) newest() (newest Membership) {
+// newestMembership returns the newest membership that any server has on its disk.
+func (c *cluster) newestMembership() (newest Membership) {
 	for _, s := range c.servers {
-		if s.durable.Epoch > newest.Epoch {
-			newest = s.durable
+		if s.diskMembership.Epoch > newest.Epoch {
+			newest = s.diskMembership
 		}
 	}
 	return newest
 }
 
-// missing counts the members whose disk was lost and whose place is not taken yet.
-func (c *cluster) missing() int {
+// unreplacedMembers counts the members that have lost their disk and are not replaced by their new incarnation yet.
+func (c *cluster) unreplacedMembers() int {
 	lost := map[uint32]bool{}
-	for _, m := range c.newest().Members() {
-		if c.servers[m.ID-1].incarnations != m.Incarnation {
+	for _, m := range c.newestMembership().Members() {
+		if c.servers[m.ID-1].diskIncarnation != m.Incarnation {
 			lost[m.ID] = true
 		}
 	}
 	return len(lost)
 }
 
-// handle is how a server takes a message.
-func (c *cluster) handle(receiver *server, arrived message) {
+// handleMessage passes a message to the node of a server.
+func (c *cluster) handleMessage(receiver *server, arrived message) {
 	switch content := arrived.content.(type) {
 	case Request:
 		receiver.HandleRequest(arrived.sender, content)
@@ -281,19 +282,19 @@
 		require.NoError(c.t, receiver.AdoptMembership(c.now, content))
 	case TransferAck:
 		receiver.HandleTransferAck(content)
-	case hello:
+	case epochNotice:
 		if uint64(content) < receiver.Membership().Epoch {
-			c.post(arrived.to, arrived.from, receiver.Membership(), receiver.AcceptorID)
+			c.send(arrived.to, arrived.from, receiver.Membership(), receiver.AcceptorID)
 		}
 	}
 }
 
-// step has half a millisecond pass.
+// step advances the time by half a millisecond, delivers the messages that are due and calls the nodes that are due.
 func (c *cluster) step() {
 	c.now += 500
 	for i := 0; i < len(c.network); i++ {
 		arrived := c.network[i]
-		if arrived.at > c.now {
+		if arrived.deliverAt > c.now {
 			continue
 		}
 		c.network = slices.Delete(c.network, i, i+1)
@@ -305,26 +306,27 @@
 		}
 	}
 	for i, s := range c.servers {
-		if !s.crashed && c.now >= s.nextHello {
-			s.nextHello = c.now + 50_000
+		if !s.crashed && c.now >= s.nextNotice {
+			s.nextNotice = c.now + 50_000
 			to := c.rng.IntN(len(c.servers))
-			c.post(i, to, hello(s.Membership().Epoch), s.AcceptorID)
+			c.send(i, to, epochNotice(s.Membership().Epoch), s.AcceptorID)
 			s.SetReachable(uint32(to+1), c.rng.IntN(3) > 0)
 		}
 		if !s.crashed && c.now >= s.nextTick {
 			s.nextTick = s.Tick(c.now)
-			c.flush(i)
+			c.handleReady(i)
 		}
 	}
 }
 
-// injectFault has something go wrong now and then: no more than the replicas can take.
-func (c *cluster) injectFault() {
-	newest := c.newest()
+// maybeInjectFault may start or end a random fault or change the members. It never loses more disks than the replicas
+// tolerate.
+func (c *cluster) maybeInjectFault() {
+	newest := c.newestMembership()
 	i := c.rng.IntN(len(c.servers))
 	victim := c.servers[i]
 	switch c.rng.IntN(400) {
-	case 0: // a partition, or its end
+	case 0: // a partition starts or ends
 		if len(c.partitioned) > 0 {
 			clear(c.partitioned)
 		} else {
@@ -334,13 +336,13 @@
 	case 1, 2:
 		if !victim.crashed {
 			c.crash(i)
-			if c.missing() < newest.ToleratedFailures() && len(newest.Next) == 0 {
+			if c.unreplacedMembers() < newest.ToleratedFailures() && len(newest.Next) == 0 {
 				c.loseDisk(i)
 			}
 		}
 	case 3, 4, 5, 6:
 		if victim.crashed {
-			c.boot(i)
+			c.startServer(i)
 		}
 	case 7:
 		if !victim.crashed {
@@ -349,33 +351,33 @@
 	}
 }
 
-// changeMembers has an operator add or remove a member.
-func (c *cluster) changeMembers(at *server, newest Membership) {
-	next := slices.Clone(at.Membership().Current)
+// changeMembers proposes to add or remove a member, as an operator would.
+func (c *cluster) changeMembers(target *server, newest Membership) {
+	next := slices.Clone(target.Membership().Current)
 	i := c.rng.IntN(len(c.servers))
-	place := slices.IndexFunc(next, func(m Member) bool { return int(m.ID) == i+1 })
+	index := slices.IndexFunc(next, func(m Member) bool { return int(m.ID) == i+1 })
 	switch {
-	case place < 0:
-		next = append(next, member(i+1, c.servers[i].incarnations))
-	case len(next) > newest.ReplicationFactor && c.missing() == 0:
-		next = slices.Delete(next, place, place+1)
+	case index < 0:
+		next = append(next, member(i+1, c.servers[i].diskIncarnation))
+	case len(next) > newest.ReplicationFactor && c.unreplacedMembers() == 0:
+		next = slices.Delete(next, index, index+1)
 	}
-	if at.ProposeMembership(c.now, next, "an operator") == nil {
+	if target.ProposeMembership(c.now, next, "an operator") == nil {
 		c.memberChanges++
 	}
 }
 
-// settle ends all faults, and has the cluster come to rest: no change in progress, and all keys at all their replicas.
-func (c *cluster) settle() (problem string) {
+// recoverFromFaults ends all faults and waits until no change is in progress and all keys are at all their replicas.
+func (c *cluster) recoverFromFaults() (problem string) {
 	clear(c.partitioned)
 	c.lossy = false
 	for i, s := range c.servers {
 		if s.crashed {
-			c.boot(i)
+			c.startServer(i)
 		}
 	}
 	return c.waitFor(func() bool {
-		newest := c.newest()
+		newest := c.newestMembership()
 		for _, m := range newest.Current {
 			s := c.servers[m.ID-1]
 			left, _ := s.RepairProgress()
@@ -383,16 +385,16 @@
 				return false
 			}
 		}
-		return len(newest.Next) == 0 && c.missing() == 0
+		return len(newest.Next) == 0 && c.unreplacedMembers() == 0
 	})
 }
 
-// waitFor has time pass until the cluster is at rest.
-func (c *cluster) waitFor(atRest func() bool) (problem string) {
-	const steps = 60_000 // half a minute of the cluster's time
-	for n := 0; !atRest(); n++ {
-		if n > steps {
-			return fmt.Sprintf("the cluster does not come to rest: %v", c.newest())
+// waitFor advances the time until a condition is met. It returns a problem if that takes too long.
+func (c *cluster) waitFor(condition func() bool) (problem string) {
+	const maxSteps = 60_000 // 30 s of simulated time
+	for steps := 0; !condition(); steps++ {
+		if steps > maxSteps {
+			return fmt.Sprintf("condition not met within the time limit: newest membership %v", c.newestMembership())
 		}
 		c.step()
 	}
--- a/internal/decide/consensus/example_test.go
+++ b/internal/decide/consensus/example_test.go
@@ -8,8 +8,8 @@
 	"pewterline/internal/decide/consensus"
 )
 
-// Two servers want to run the request of one key. The first gets the lease, and records the result of its run at two of
-// the three acceptors; the other is served that result.
+// Two servers try to run the request of one key. The first acquires the lease and records the result of its run at two
+// of the three acceptors. The other server gets that result.
 func Example() {
 	var acceptors []*consensus.Acceptor
 	var replicas []consensus.Identity
@@ -18,7 +18,7 @@
 		replicas = append(replicas, replica)
 		acceptors = append(acceptors, consensus.NewAcceptor(replica, nil))
 	}
-	// propose plays a proposal. The third acceptor can't be reached.
+	// propose runs a proposal to its end. The third acceptor is unreachable.
 	propose := func(change consensus.Change, number uint64) (consensus.Outcome, consensus.Value) {
 		proposal, requests := consensus.NewProposal(consensus.ProposalConfig{
 			Key:            "order 17",
@@ -50,19 +50,19 @@
 	outcome, _ := propose(lease, 1)
 	fmt.Println("server 1:", outcome)
 
-	other := lease
-	other.Proposer = consensus.Identity{ID: 2, Incarnation: 9}
-	outcome, _ = propose(other, 2)
+	otherLease := lease
+	otherLease.Proposer = consensus.Identity{ID: 2, Incarnation: 9}
+	outcome, _ = propose(otherLease, 2)
 	fmt.Println("server 2:", outcome)
 
-	end := lease
-	end.Kind = consensus.RecordResult
-	end.Succeeded = true
-	end.Result = "shipped"
-	outcome, _ = propose(end, 3)
+	record := lease
+	record.Kind = consensus.RecordResult
+	record.Succeeded = true
+	record.Result = "shipped"
+	outcome, _ = propose(record, 3)
 	fmt.Println("server 1:", outcome)
 
-	outcome, value := propose(other, 4)
+	outcome, value := propose(otherLease, 4)
 	fmt.Println("server 2:", outcome, value.Result)
 	// Output:
 	// server 1: lease granted
@@ -71,7 +71,7 @@
 	// server 2: succeeded shipped
 }
 
-// A node is driven by its host: here by one that is a cluster of its own, and has no disk.
+// A host drives its node. This one is the only member of its cluster and has no disk.
 func ExampleNode() {
 	self := consensus.Identity{ID: 1, Incarnation: 1}
 	node, err := consensus.NewNode(consensus.NodeOptions{
--- a/internal/decide/consensus/inflight.go
+++ b/internal/decide/consensus/inflight.go
@@ -7,10 +7,10 @@
 )
 
 const (
-	// firstPreemptionShift makes the longest backoff after the first preemption a 16th of the attempt timeout. It is
-	// short, as the ballot number in the reply is soon outdated.
+	// firstPreemptionShift limits the backoff after the first preemption to a 16th of the attempt timeout. The limit is
+	// low because the ballot number in the reply is soon outdated.
 	firstPreemptionShift = 5
-	// maxPreemptionShift bounds the doublings of that backoff.
+	// maxPreemptionShift bounds how often that limit is doubled.
 	maxPreemptionShift = 10
 )
 
@@ -21,13 +21,13 @@
 	repair      bool
 	retryAt     microtime.Time
 	deadline    microtime.Time
-	backoff     microtime.Time // mean interval after the next retry
-	preemptions int            // how often a higher ballot preempted it
+	backoff     microtime.Time // mean time from the latest attempt to the next retry
+	preemptions int            // how often a higher ballot has preempted the proposal
 }
 
 // Propose starts a change of a key and returns the ID of its Result. The errors are ErrNoMembership and
-// ErrTooManyInFlight. For AcquireLease the ID is also the number of the lease, which the changes that record or release
-// it must have as their Attempt.
+// ErrTooManyInFlight. For AcquireLease the ID is also the number of the lease. Changes that record or release the lease
+// must have this number as their Attempt.
 func (n *Node) Propose(now microtime.Time, key string, change Change) (uint64, error) {
 	switch {
 	case n.membership.Epoch == 0:
@@ -84,13 +84,13 @@
 	}
 }
 
-// backOffAfterPreemption draws when a preempted proposal is retried. The backoff is random and grows, so that two
-// proposers of a key do not preempt each other for ever.
+// backOffAfterPreemption schedules the retry of a preempted proposal. The backoff is random and grows, so that two
+// proposers of a key do not preempt each other forever.
 func (n *Node) backOffAfterPreemption(now microtime.Time, p *inFlightProposal) {
 	p.preemptions++
-	longest := n.config.AttemptTimeout >> firstPreemptionShift << min(p.preemptions, maxPreemptionShift)
-	longest = min(longest, n.config.ProposalTimeout)
-	p.retryAt = min(p.retryAt, now+1+microtime.Time(n.rng.Int64N(int64(longest+1))))
+	maxBackoff := n.config.AttemptTimeout >> firstPreemptionShift << min(p.preemptions, maxPreemptionShift)
+	maxBackoff = min(maxBackoff, n.config.ProposalTimeout)
+	p.retryAt = min(p.retryAt, now+1+microtime.Time(n.rng.Int64N(int64(maxBackoff+1))))
 }
 
 // tickProposals retries the proposals whose retry is due and ends those whose deadline has passed.
@@ -98,8 +98,8 @@
 	for i := 0; i < len(n.inFlight); i++ {
 		entry := n.inFlight[i]
 		switch {
-		case now >= entry.deadline || entry.repair && now >= entry.retryAt && entry.proposal.SettleForMajority():
-			entry.proposal.SettleForMajority()
+		case now >= entry.deadline || entry.repair && now >= entry.retryAt && entry.proposal.FinishWithMajority():
+			entry.proposal.FinishWithMajority()
 			n.end(now, i)
 			i--
 		case now >= entry.retryAt:
@@ -112,7 +112,7 @@
 	}
 }
 
-// end removes a proposal that is done, or whose deadline has passed, and reports its result.
+// end removes a proposal that is done or whose deadline has passed, and handles its result.
 func (n *Node) end(now microtime.Time, index int) {
 	ended := n.inFlight[index]
 	n.inFlight = slices.Delete(n.inFlight, index, index+1)
@@ -130,11 +130,11 @@
 	}
 }
 
-// reconfigure restarts the proposals in flight at the replicas of the membership that was just adopted.
+// reconfigure restarts the proposals in flight at the replicas of the newly adopted membership.
 func (n *Node) reconfigure(now microtime.Time) {
 	for i := 0; i < len(n.inFlight); i++ {
 		entry := n.inFlight[i]
-		if isMembershipKey(entry.proposal.Key) { // its decision is superseded by the adopted membership
+		if isMembershipKey(entry.proposal.Key) { // the adopted membership supersedes the proposed one
 			n.change.proposalID = 0
 			n.inFlight = slices.Delete(n.inFlight, i, i+1)
 			i--
@@ -153,8 +153,8 @@
 	}
 }
 
-// unreachable returns the replicas from which no reply can be expected. Without it, each repair would wait in vain for
-// a lost member.
+// unreachable returns the replicas from which no reply can be expected. Without this list, each repair would wait in
+// vain for a member that is lost.
 func (n *Node) unreachable(configurations [][]Identity) (out []Identity) {
 	for _, configuration := range configurations {
 		for _, replica := range configuration {
--- a/internal/decide/consensus/linearizability_test.go
+++ b/internal/decide/consensus/linearizability_test.go
@@ -11,10 +11,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-var maxSeeds = flag.Int("seeds", 300, "how many seeds TestClusterIsLinearizable plays")
+var maxSeeds = flag.Int("seeds", 300, "number of seeds that TestClusterIsLinearizable simulates")
 
-// register is what a key may look like to callers, one after the other.
-var register = porcupine.Model{
+// registerModel is the sequential specification of a key: each operation applies its change to the key's value.
+var registerModel = porcupine.Model{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		byKey := map[string][]porcupine.Operation{}
 		for _, operation := range history {
@@ -31,35 +31,35 @@
 	Step: func(state, in, out any) (bool, any) {
 		value, outcome := in.(input).change.Apply(state.(Value))
 		got := out.(output)
-		fits := got.outcome == outcome && (outcome != OutcomeSucceeded || got.result == value.Result)
-		return !got.known || fits, value
+		matches := got.outcome == outcome && (outcome != OutcomeSucceeded || got.result == value.Result)
+		return !got.known || matches, value
 	},
 }
 
-// clusterTotals is what the clusters of all seeds have done.
+// clusterTotals sums up the simulations of all seeds.
 type clusterTotals struct {
 	sync.Mutex
 	runs, known, served, diskLosses, memberChanges, epochs int
 }
 
-func (c *clusterTotals) add(played *cluster) {
+func (c *clusterTotals) add(simulated *cluster) {
 	c.Lock()
 	defer c.Unlock()
-	c.runs += len(played.runs)
-	for _, operation := range played.history {
+	c.runs += len(simulated.runs)
+	for _, operation := range simulated.history {
 		if out := operation.Output.(output); out.known && out.outcome == OutcomeSucceeded {
 			c.served++
 		}
 	}
-	c.known += played.known
-	c.diskLosses += played.diskLosses
-	c.memberChanges += played.memberChanges
-	c.epochs += int(played.newest().Epoch)
+	c.known += simulated.knownResults
+	c.diskLosses += simulated.diskLosses
+	c.memberChanges += simulated.memberChanges
+	c.epochs += int(simulated.newestMembership().Epoch)
 }
 
-// Guards the promise of a cluster: through messages lost, doubled and late, partitions, crashes, two disks lost or more
-// and changes of members, no request runs twice within its retention, and all that callers were told of a key fits one
-// order of what happened. Once faults end, each change of members does too.
+// Guards against a request that runs twice within its retention, and against results of a key that no sequential order
+// of the operations explains. The faults are lost, duplicated and delayed messages, partitions, crashes, at least two
+// lost disks, and changes of members. Once the faults end, each change of members must be completed or abandoned.
 func TestClusterIsLinearizable(t *testing.T) {
 	const workers = 6
 	var totals clusterTotals
@@ -68,9 +68,9 @@
 			t.Run(fmt.Sprint(worker), func(t *testing.T) {
 				t.Parallel()
 				for seed := worker; seed < *maxSeeds; seed += workers {
-					played, problem := playCluster(t, uint64(seed), (*cluster).handle)
+					simulated, problem := simulateCluster(t, uint64(seed), (*cluster).handleMessage)
 					require.Empty(t, problem, "seed %d", seed)
-					totals.add(played)
+					totals.add(simulated)
 				}
 			})
 		}
@@ -82,46 +82,46 @@
 	require.Greater(t, totals.memberChanges, *maxSeeds/2)
 }
 
-// playCluster plays a cluster from a seed; it returns what is wrong, if anything is.
-func playCluster(t *testing.T, seed uint64, deliver delivery) (_ *cluster, problem string) {
+// simulateCluster simulates a cluster from a seed. It returns the first problem, or "".
+func simulateCluster(t *testing.T, seed uint64, deliver deliverFunc) (_ *cluster, problem string) {
 	t.Helper()
 	replicas := 3 + 2*int(seed%2)
-	played := newCluster(t, seed, replicas, replicas+int(seed/2%3), 2)
-	played.deliver = deliver
+	simulated := newCluster(t, seed, replicas, replicas+int(seed/2%3), 2)
+	simulated.deliver = deliver
 	for n := range 2500 {
-		played.load(n)
-		played.injectFault()
+		simulated.stepWithLoad(n)
+		simulated.maybeInjectFault()
 	}
-	if problem := played.settle(); problem != "" {
-		return played, problem
+	if problem := simulated.recoverFromFaults(); problem != "" {
+		return simulated, problem
 	}
-	if problem := played.loseTwoDisks(); problem != "" {
-		return played, problem
+	if problem := simulated.loseTwoDisks(); problem != "" {
+		return simulated, problem
 	}
-	for n := range 300 { // all that was there before is asked for again
-		played.load(n / 3 * 25)
+	for n := range 300 { // requests the keys of all earlier steps again
+		simulated.stepWithLoad(n / 3 * 25)
 	}
-	if problem := played.settle(); problem != "" {
-		return played, problem
+	if problem := simulated.recoverFromFaults(); problem != "" {
+		return simulated, problem
 	}
-	for key, runs := range played.runs {
+	for key, runs := range simulated.runs {
 		if runs != 1 {
-			return played, fmt.Sprintf("%s was run %d times", key, runs)
+			return simulated, fmt.Sprintf("the request of key %s ran %d times", key, runs)
 		}
 	}
-	for i, s := range played.servers {
+	for i, s := range simulated.servers {
 		if !s.crashed {
-			played.crash(i)
+			simulated.crash(i)
 		}
 	}
-	if got := porcupine.CheckOperationsTimeout(register, played.history, time.Minute); got != porcupine.Ok {
-		return played, fmt.Sprintf("the history fits no order: %v", got)
+	if got := porcupine.CheckOperationsTimeout(registerModel, simulated.history, time.Minute); got != porcupine.Ok {
+		return simulated, fmt.Sprintf("the history is not linearizable: %v", got)
 	}
-	return played, ""
+	return simulated, ""
 }
 
-// load has a caller ask for a key now and then, and time pass.
-func (c *cluster) load(n int) {
+// stepWithLoad may propose a change of a random key, and advances the time by a step.
+func (c *cluster) stepWithLoad(n int) {
 	if c.rng.IntN(25) == 0 {
 		if i := c.rng.IntN(len(c.servers)); !c.servers[i].crashed {
 			kind := []ChangeKind{AcquireLease, AcquireLease, ReadValue}[c.rng.IntN(3)]
@@ -132,16 +132,16 @@
 	c.step()
 }
 
-// loseTwoDisks loses one disk after the other, each as soon as the place of the one before is taken: what was not
-// transferred by then is lost with it.
+// loseTwoDisks deletes the disks of two members, one after the other, each as soon as the member before is replaced by
+// its new incarnation. Values that this incarnation still lacks then are lost, which the test would find.
 func (c *cluster) loseTwoDisks() (problem string) {
 	for range 2 {
-		newest := c.newest()
+		newest := c.newestMembership()
 		i := int(newest.Current[c.rng.IntN(len(newest.Current))].ID) - 1
 		c.crash(i)
 		c.loseDisk(i)
-		c.boot(i)
-		replaced := func() bool { return len(c.newest().Next) == 0 && c.missing() == 0 }
+		c.startServer(i)
+		replaced := func() bool { return len(c.newestMembership().Next) == 0 && c.unreplacedMembers() == 0 }
 		if problem := c.waitFor(replaced); problem != "" {
 			return problem
 		}
--- a/internal/decide/consensus/member_change.go
+++ b/internal/decide/consensus/member_change.go
@@ -11,8 +11,8 @@
 const (
 	// transferAckInterval is how often acknowledgements are repeated during a change of members, as they may be lost.
 	transferAckInterval = 500 * microtime.Millisecond
-	// rejoinInterval is the shortest interval at which a server that lost its disk proposes to replace its former
-	// incarnation. The intervals are drawn up to twice as long.
+	// rejoinInterval is the shortest interval at which a server that lost its disk makes proposals about its former
+	// incarnation. The actual intervals are random, up to twice as long.
 	rejoinInterval = 2 * microtime.Second
 	// forcedEpochSkip is added to the epoch of a forced membership. It exceeds the number of memberships that the removed
 	// members may have decided on their own.
@@ -23,21 +23,21 @@
 type memberChange struct {
 	acks       map[Identity]bool // current members that have transferred all their keys
 	nextAck    microtime.Time    // when acknowledgeTransfers is due
-	nextRejoin microtime.Time    // no earlier proposal of a server that lost its disk
-	proposalID uint64            // of the proposal in flight that decides the next membership; 0: there is none
+	nextRejoin microtime.Time    // when rejoinDue next permits a proposal
+	proposalID uint64            // of the proposal in flight that decides the next membership; 0: none
 }
 
 // TransferAcks returns how many members have acknowledged the transfer of all their keys.
 func (n *Node) TransferAcks() int { return len(n.change.acks) }
 
-// AdoptMembership puts a membership that was decided into force. A membership that is not newer is ignored. The error,
-// which wraps ErrInvalidMembership, means that the membership is invalid or of another cluster.
+// AdoptMembership puts a membership that was decided into force. A membership that is not newer than the present one is
+// ignored. The error, which wraps ErrInvalidMembership, means that the membership is invalid or of another cluster.
 func (n *Node) AdoptMembership(now microtime.Time, membership Membership) error {
 	if err := membership.Validate(); err != nil {
 		return err
 	}
 	if n.membership.Epoch > 0 && membership.ClusterID != n.membership.ClusterID {
-		return fmt.Errorf("%w: %x is another than this server's, %x",
+		return fmt.Errorf("%w: its cluster ID %x is not this server's, %x",
 			ErrInvalidMembership, membership.ClusterID, n.membership.ClusterID)
 	}
 	if membership.Epoch <= n.membership.Epoch {
@@ -56,17 +56,17 @@
 func (n *Node) setMembership(m Membership) {
 	n.membership = m
 	n.acceptor.setEpoch(m.Epoch)
-	n.repairs.forgetTransfers()
+	n.repairs.dropPendingTransfers()
 	clear(n.change.acks)
 	n.change.nextAck = 0
 	n.change.nextRejoin = 0
 	if len(m.Next) > 0 {
-		// Each value must also be accepted by a majority of its replicas in the next configuration.
+		// A majority of the replicas in the next configuration must accept each value, too.
 		n.repairs.startScan(scanTransfers, 0, len(n.acceptor.keyOrder))
 	}
 }
 
-// HandleTransferAck handles the acknowledgement of a member that it has transferred all its keys.
+// HandleTransferAck handles a member's acknowledgement that it has transferred all its keys.
 func (n *Node) HandleTransferAck(ack TransferAck) {
 	if ack.Epoch == n.membership.Epoch && containsIdentity(n.membership.Current, ack.From) {
 		n.change.acks[ack.From] = true
@@ -79,45 +79,45 @@
 	case n.membership.Epoch == 0:
 		return microtime.Never
 	case len(n.membership.Next) == 0:
-		return n.replaceLostSelf(now)
-	case n.abandonLostSelf(now):
+		return n.replaceFormerIncarnation(now)
+	case n.abandonOwnAddition(now):
 		return n.change.nextRejoin
-	case len(n.repairs.pendingTransfers) > 0 || n.repairs.scansTransfers():
-		return microtime.Never // tickRepairs has a due time of its own
+	case len(n.repairs.pendingTransfers) > 0 || n.repairs.isScanningTransfers():
+		return microtime.Never // tickRepairs returns when the transfers are due
 	}
 	n.acknowledgeTransfers(now)
 	return n.change.nextAck
 }
 
-// replaceLostSelf proposes, after this server has lost its disk, to replace its former incarnation as an acceptor by
-// the present one. It is a change of members like any other. It returns when the proposal is due next.
-func (n *Node) replaceLostSelf(now microtime.Time) microtime.Time {
-	old, ok := n.membership.Find(n.AcceptorID.ID)
-	if !ok || old.Identity == n.AcceptorID {
+// replaceFormerIncarnation proposes, after this server has lost its disk, to replace its former incarnation as an
+// acceptor by the present one. This is an ordinary change of members. It returns when the proposal is due next.
+func (n *Node) replaceFormerIncarnation(now microtime.Time) microtime.Time {
+	former, ok := n.membership.Find(n.AcceptorID.ID)
+	if !ok || former.Identity == n.AcceptorID {
 		return microtime.Never
 	}
 	if n.rejoinDue(now) {
 		next := slices.Clone(n.membership.Current)
-		next[slices.Index(next, old)].Incarnation = n.AcceptorID.Incarnation
+		next[slices.Index(next, former)].Incarnation = n.AcceptorID.Incarnation
 		reason := fmt.Sprintf("server %d has lost its disk", n.AcceptorID.ID)
 		n.decideMembership(now, n.membership.successor(next, reason))
 	}
 	return n.change.nextRejoin
 }
 
-// abandonLostSelf proposes to abandon the change that adds this server, if the server lost its disk meanwhile: the
-// incarnation that is being added can no longer accept any key. It reports whether it has made the proposal.
-func (n *Node) abandonLostSelf(now microtime.Time) bool {
-	old, ok := n.membership.Find(n.AcceptorID.ID)
-	if !ok || n.membership.Contains(n.AcceptorID) || slices.Contains(n.membership.Current, old) || !n.rejoinDue(now) {
+// abandonOwnAddition proposes to abandon the change that adds this server, if the server has lost its disk during the
+// change: the incarnation that is being added can no longer accept any key. It reports whether it made the proposal.
+func (n *Node) abandonOwnAddition(now microtime.Time) bool {
+	former, ok := n.membership.Find(n.AcceptorID.ID)
+	if !ok || n.membership.Contains(n.AcceptorID) || slices.Contains(n.membership.Current, former) || !n.rejoinDue(now) {
 		return false
 	}
 	n.decideMembership(now, n.membership.abandoned())
 	return true
 }
 
-// rejoinDue reports whether a server that lost its disk may make a proposal about its former incarnation now. If so it
-// draws the time of the next one.
+// rejoinDue reports whether a server that lost its disk may make a proposal about its former incarnation now. If so, it
+// schedules the next one.
 func (n *Node) rejoinDue(now microtime.Time) bool {
 	if now < n.change.nextRejoin || n.change.proposalID != 0 {
 		return false
@@ -126,8 +126,8 @@
 	return true
 }
 
-// acknowledgeTransfers notifies all members that this one has transferred all its keys, and completes the change once
-// enough members have acknowledged.
+// acknowledgeTransfers notifies all members that this one has transferred all its keys, and proposes to complete the
+// change once enough members have acknowledged.
 func (n *Node) acknowledgeTransfers(now microtime.Time) {
 	if now < n.change.nextAck {
 		return
@@ -137,19 +137,19 @@
 		n.change.acks[n.AcceptorID] = true
 		n.ready.TransferAcks = append(n.ready.TransferAcks, TransferAck{n.membership.Epoch, n.AcceptorID})
 	}
-	// With this many members, every majority of the replicas of any key contains at least one of them. As they refuse
-	// requests of earlier epochs, no proposal of an earlier epoch can get a majority any more.
+	// Every majority of the replicas of any key contains at least one of this many members. As they refuse requests of
+	// earlier epochs, no proposal of an earlier epoch can get a majority any more.
 	needed := len(n.membership.Current) - n.membership.ToleratedFailures()
 	if len(n.change.acks) >= needed && n.change.proposalID == 0 {
 		n.decideMembership(now, n.membership.completed())
 	}
 }
 
-// decideMembership proposes the membership that follows to the current members.
+// decideMembership proposes m to the current members as the membership that follows the one in force.
 func (n *Node) decideMembership(now microtime.Time, m Membership) {
 	n.change.proposalID = n.start(now, ProposalConfig{
 		Key: membershipKey(n.membership.Epoch),
-		// The register never expires by time, but is dropped with its epoch.
+		// With this time the register never expires. It is dropped at the end of its epoch instead.
 		Change:         Change{Kind: DecideMembership, AttemptedAt: math.MaxInt64, Result: m.String()},
 		Configurations: n.membership.configurations()[:1],
 	})
@@ -159,9 +159,9 @@
 func (n *Node) membershipDecided(now microtime.Time, v Value) {
 	m, err := ParseMembership(v.Result)
 	if v.Kind != KindMembership || err != nil {
-		return // cannot happen, as its proposer has validated it
+		return // cannot happen, as the proposer has validated the membership
 	}
-	// The error is not possible: the membership is valid and was decided by members of this cluster.
+	// This cannot fail: the membership is valid and was decided by members of this cluster.
 	_ = n.AdoptMembership(now, m)
 }
 
@@ -213,10 +213,10 @@
 	return n.AdoptMembership(now, m)
 }
 
-// ForceMembership removes all members but those to keep without the agreement of a majority. It is for operators who
-// know that the other members are lost for good. Values that only those had accepted are lost too. Therefore no lease
-// is granted for a key without a value until the retention after forcedAt is over. forcedAt is in Unix milliseconds,
-// with a margin for callers' clocks that are ahead.
+// ForceMembership removes all members except those to keep, without the agreement of a majority. It is for operators
+// who know that the removed members are permanently lost. Values that only those had accepted are lost with them.
+// Therefore no lease is granted for a key without a value until the retention after forcedAt is over. forcedAt is in
+// Unix milliseconds and includes a margin for callers' clocks that are ahead.
 func (n *Node) ForceMembership(now microtime.Time, keep []uint32, forcedAt int64, reason string) error {
 	if n.membership.Epoch == 0 {
 		return ErrNoMembership
--- a/internal/decide/consensus/membership.go
+++ b/internal/decide/consensus/membership.go
@@ -14,8 +14,8 @@
 	maxReplicationFactor = 9
 )
 
-// ErrInvalidMembership is wrapped by the errors about an invalid membership, or one of another cluster. Its text is
-// part of the responses of the operators' API, as are those of the errors that wrap it.
+// ErrInvalidMembership is wrapped by the errors about a membership that is invalid or of another cluster. Its text and
+// those of the errors that wrap it are part of the responses of the operators' API.
 var ErrInvalidMembership = errors.New("copies: group")
 
 // Member is an acceptor of a cluster, with the address at which the other servers reach it.
@@ -25,15 +25,14 @@
 }
 
 // Membership is the set of servers that replicate the keys of a cluster. The current members of each membership decide
-// the one that follows it, in a register of its own. The memberships therefore form a single sequence, ordered by
-// epoch.
+// the next one in a register for that purpose. The memberships therefore form a single sequence, ordered by epoch.
 //
 // A change of members takes two steps, as in joint consensus. First a membership with a Next configuration is decided,
 // and from then on each key needs a majority of its replicas in both. Once all keys have been transferred to the
 // replicas of Next, a membership whose Current configuration is that Next one is decided. Only the members of Current
 // decide, so that a change can be abandoned if the new member is lost.
 type Membership struct {
-	ClusterID         uint64 // drawn at random when the cluster was created
+	ClusterID         uint64 // chosen at random when the cluster was created
 	Epoch             uint64 // incremented with each membership; 0: no membership is known
 	ReplicationFactor int    // replicas of each key
 	Current           []Member
@@ -94,7 +93,7 @@
 	return containsIdentity(m.Current, acceptor) || containsIdentity(m.Next, acceptor)
 }
 
-// Members returns the members of the current and the next configuration, each once.
+// Members returns the members of the current and the next configuration, without duplicates.
 func (m Membership) Members() []Member {
 	members := slices.Clone(m.Current)
 	for _, member := range m.Next {
@@ -105,7 +104,7 @@
 	return members
 }
 
-// Replicas returns the replicas of a key in the current configuration and, while members change, in the next one.
+// Replicas returns the replicas of a key in the current configuration and, during a change of members, in the next one.
 func (m Membership) Replicas(key string, hash func(string) uint64) [][]Identity {
 	configurations := m.configurations()
 	for i, configuration := range configurations {
@@ -119,7 +118,7 @@
 	return (min(m.ReplicationFactor, len(m.Current)) - 1) / 2
 }
 
-// configurations returns the identities of the current members, and of the next ones during a change.
+// configurations returns the identities of the current members and, during a change of members, of the next ones.
 func (m Membership) configurations() [][]Identity {
 	if len(m.Next) == 0 {
 		return [][]Identity{identities(m.Current)}
@@ -127,7 +126,7 @@
 	return [][]Identity{identities(m.Current), identities(m.Next)}
 }
 
-// successor returns the membership after m with another next configuration.
+// successor returns the membership that follows m, with the given next configuration.
 func (m Membership) successor(next []Member, reason string) Membership {
 	m.Epoch++
 	m.Next = next
@@ -135,12 +134,12 @@
 	return m
 }
 
-// abandoned returns the membership after m without the change in progress.
+// abandoned returns the membership that follows m if the change in progress is abandoned.
 func (m Membership) abandoned() Membership {
 	return m.successor(nil, "the change is given up: "+m.Reason)
 }
 
-// completed returns the membership after m in which the next configuration is the current one.
+// completed returns the membership that follows m if the change in progress is completed.
 func (m Membership) completed() Membership {
 	completed := m.successor(nil, m.Reason)
 	completed.Current = m.Next
--- a/internal/decide/consensus/membership_test.go
+++ b/internal/decide/consensus/membership_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A membership is its text.
+// ParseMembership is the inverse of Membership.String.
 func TestMembershipText(t *testing.T) {
 	for name, membership := range map[string]Membership{
 		"stable": {
@@ -35,12 +35,12 @@
 
 func TestParseMembershipRejects(t *testing.T) {
 	for name, text := range map[string]string{
-		"empty":                     "",
-		"half a member":             `1 2 3 0 | 1 | | ""`,
-		"an even number of copies":  `1 2 4 0 | 1 1 a | | ""`,
-		"one server twice":          `1 2 3 0 | 1 1 a 1 2 b | | ""`,
-		"a server without a number": `1 2 3 0 | x 1 a | | ""`,
-		"a reason without quotes":   `1 2 3 0 | 1 1 a | | no`,
+		"empty":                    "",
+		"an incomplete member":     `1 2 3 0 | 1 | | ""`,
+		"an even number of copies": `1 2 4 0 | 1 1 a | | ""`,
+		"a duplicate server ID":    `1 2 3 0 | 1 1 a 1 2 b | | ""`,
+		"a non-numeric server ID":  `1 2 3 0 | x 1 a | | ""`,
+		"a reason without quotes":  `1 2 3 0 | 1 1 a | | no`,
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, err := ParseMembership(text)
--- a/internal/decide/consensus/membership_text.go
+++ b/internal/decide/consensus/membership_text.go
@@ -7,10 +7,10 @@
 	"strings"
 )
 
-// membershipKeyPrefix is the prefix of the registers of memberships. No idempotency key starts with a zero byte.
+// membershipKeyPrefix is the prefix of the keys of membership registers. No idempotency key starts with a zero byte.
 const membershipKeyPrefix = "\x00group/"
 
-// membershipKey is the register in which the membership that follows an epoch is decided.
+// membershipKey returns the key of the register in which the membership that follows an epoch is decided.
 func membershipKey(epoch uint64) string { return membershipKeyPrefix + strconv.FormatUint(epoch, 10) }
 
 func isMembershipKey(key string) bool { return strings.HasPrefix(key, membershipKeyPrefix) }
@@ -18,7 +18,7 @@
 const (
 	// memberFields is the number of fields of a member: ID, incarnation and address.
 	memberFields = 3
-	// membershipParts is the number of parts of a membership: numbers, both configurations, and the quoted reason.
+	// membershipParts is the number of parts of a membership: the numbers, both configurations and the quoted reason.
 	membershipParts = 4
 )
 
@@ -39,7 +39,7 @@
 func ParseMembership(text string) (m Membership, err error) {
 	parts := strings.SplitN(text, " |", membershipParts)
 	if len(parts) != membershipParts {
-		return m, fmt.Errorf("%w: %q is no group's text", ErrInvalidMembership, text)
+		return m, fmt.Errorf("%w: %q is not the text of a membership", ErrInvalidMembership, text)
 	}
 	if _, err := fmt.Sscan(parts[0], &m.ClusterID, &m.Epoch, &m.ReplicationFactor, &m.ForcedAt); err != nil {
 		return m, fmt.Errorf("%w: %w", ErrInvalidMembership, err)
@@ -59,7 +59,7 @@
 func parseMembers(text string) (members []Member, err error) {
 	fields := strings.Fields(text)
 	if len(fields)%memberFields != 0 {
-		return nil, fmt.Errorf("%w: half a member", ErrInvalidMembership)
+		return nil, fmt.Errorf("%w: the last member is incomplete", ErrInvalidMembership)
 	}
 	for ; len(fields) > 0; fields = fields[memberFields:] {
 		id, idErr := strconv.ParseUint(fields[0], 10, 32)
--- a/internal/decide/consensus/node.go
+++ b/internal/decide/consensus/node.go
@@ -16,8 +16,8 @@
 	Acceptor           Identity // this server as an acceptor
 	ProcessIncarnation uint64   // different from that of every earlier process of this server
 	Config             Config
-	Membership         Membership              // the durable one; the zero value if none is known
-	Registers          map[string]Register     // the durable ones; nil for a new incarnation
+	Membership         Membership              // the durable membership; the zero value if none is known
+	Registers          map[string]Register     // the durable registers; nil for a new incarnation
 	Seed               uint64                  // of the random backoffs
 	Hash               func(key string) uint64 // the same on all servers
 }
@@ -35,7 +35,7 @@
 	acceptor     *Acceptor
 	inFlight     []*inFlightProposal // oldest first
 	lastID       uint64
-	ballotNumber uint64          // the highest that was used or seen
+	ballotNumber uint64          // the highest number that was used or seen
 	reachable    map[uint32]bool // by server ID
 	repairs      repairQueue
 	change       memberChange
@@ -76,7 +76,7 @@
 // KeyCount returns how many keys have a register at this server.
 func (n *Node) KeyCount() int { return n.acceptor.Len() }
 
-// Keys returns the sorted keys that have a value here and are greater than after, at most limit of them.
+// Keys returns the sorted keys that have a value at this server and are greater than after, at most limit of them.
 func (n *Node) Keys(after string, limit int) []string {
 	keys := slices.DeleteFunc(n.acceptor.valueKeys(), func(key string) bool { return key <= after })
 	return keys[:min(limit, len(keys))]
@@ -85,7 +85,7 @@
 // InFlight returns how many proposals are in flight, repairs included.
 func (n *Node) InFlight() int { return len(n.inFlight) }
 
-// Ready returns what the host must do since the last call, and forgets it.
+// Ready returns what the host must do as a result of the calls since the last Ready, and clears it.
 func (n *Node) Ready() Ready {
 	ready := n.ready
 	n.ready = Ready{}
@@ -95,8 +95,8 @@
 // Expire drops the keys whose last attempt was before a time; see Acceptor.Expire.
 func (n *Node) Expire(before int64) int { return n.acceptor.Expire(before) }
 
-// SetReachable reports whether a server can be reached. When it becomes reachable again its keys are repaired, as it
-// may have missed values.
+// SetReachable records whether a server is reachable. When a server becomes reachable again, its keys are repaired, as
+// it may have missed values.
 func (n *Node) SetReachable(id uint32, reachable bool) {
 	before := n.reachable[id]
 	n.reachable[id] = reachable
@@ -105,13 +105,13 @@
 	}
 }
 
-// Restore replaces the registers by those that are on the disk, after writes to it have failed. The membership is
-// written again.
+// Restore replaces the registers by those that are on the disk, after writes to the disk have failed. The next Ready
+// contains the membership, so that the host writes it again.
 func (n *Node) Restore(registers map[string]Register) {
 	n.acceptor = NewAcceptor(n.AcceptorID, registers)
 	n.repairs.scans = nil
 	if membership := n.membership; membership.Epoch > 0 {
-		n.setMembership(membership) // scans for the pending transfers again
+		n.setMembership(membership) // restarts the scan for pending transfers
 		n.ready.Membership = &membership
 	}
 }
@@ -131,8 +131,8 @@
 	n.ready.Replies = append(n.ready.Replies, AddressedReply{from, reply})
 }
 
-// Tick retries and ends proposals, and continues repairs and a change of members. It returns when it must be called
-// again at the latest.
+// Tick retries and ends proposals, and continues repairs and a change of members. It returns the latest time at which
+// it must be called again.
 func (n *Node) Tick(now microtime.Time) microtime.Time {
 	n.tickProposals(now)
 	next := n.tickRepairs(now)
--- a/internal/decide/consensus/node_test.go
+++ b/internal/decide/consensus/node_test.go
@@ -14,22 +14,22 @@
 
 func TestConfigValidate(t *testing.T) {
 	require.NoError(t, validConfig.Validate())
-	for name, spoil := range map[string]func(*Config){
-		"no repair rate":                       func(c *Config) { c.RepairRate = 0 },
-		"no attempt timeout":                   func(c *Config) { c.AttemptTimeout = 0 },
-		"proposal timeout under two attempts'": func(c *Config) { c.ProposalTimeout = 15 },
-		"no proposals":                         func(c *Config) { c.MaxInFlight = 0 },
+	for name, invalidate := range map[string]func(*Config){
+		"no repair rate":                      func(c *Config) { c.RepairRate = 0 },
+		"no attempt timeout":                  func(c *Config) { c.AttemptTimeout = 0 },
+		"proposal timeout under two attempts": func(c *Config) { c.ProposalTimeout = 15 },
+		"no proposals":                        func(c *Config) { c.MaxInFlight = 0 },
 	} {
 		t.Run(name, func(t *testing.T) {
 			config := validConfig
-			spoil(&config)
+			invalidate(&config)
 			require.Error(t, config.Validate())
 		})
 	}
 }
 
-// A node refuses what it can't do, and says so of what nobody has replied to.
-func TestNodeRefusals(t *testing.T) {
+// A node returns an error for calls that are not possible, and an unknown result for a proposal without replies.
+func TestNodeErrors(t *testing.T) {
 	node, err := NewNode(NodeOptions{
 		Acceptor:           Identity{1, 1},
 		ProcessIncarnation: 1,
@@ -45,9 +45,9 @@
 	first := Membership{ClusterID: 7, ReplicationFactor: 3, Current: members}
 	require.NoError(t, node.Bootstrap(0, first))
 	other := Membership{ClusterID: 8, ReplicationFactor: 3, Current: members}
-	require.ErrorIs(t, node.Bootstrap(0, other), ErrInvalidChange, "there is one")
+	require.ErrorIs(t, node.Bootstrap(0, other), ErrInvalidChange, "the node has a membership")
 	other.Epoch = 9
-	require.ErrorIs(t, node.AdoptMembership(0, other), ErrInvalidMembership, "another cluster's")
+	require.ErrorIs(t, node.AdoptMembership(0, other), ErrInvalidMembership, "a membership of another cluster")
 	require.Equal(t, []uint32{2, 3}, node.Ready().Notify)
 
 	_, err = node.Propose(0, "k", Change{Retention: 1})
@@ -56,16 +56,16 @@
 	require.ErrorIs(t, err, ErrTooManyInFlight)
 	require.Equal(t, microtime.Time(10), node.Tick(0))
 	node.Tick(100)
-	require.Equal(t, []Result{{ID: 1, Key: "k"}}, node.Ready().Results, "nobody answered: it is not known")
+	require.Equal(t, []Result{{ID: 1, Key: "k"}}, node.Ready().Results, "no replica replied: the result is unknown")
 
-	require.ErrorIs(t, node.ProposeMembership(100, members[:1], ""), ErrInvalidChange, "two at once")
-	require.ErrorIs(t, node.ProposeMembership(100, members, ""), ErrInvalidChange, "none at all")
+	require.ErrorIs(t, node.ProposeMembership(100, members[:1], ""), ErrInvalidChange, "two members removed at once")
+	require.ErrorIs(t, node.ProposeMembership(100, members, ""), ErrInvalidChange, "no member added or removed")
 	require.NoError(t, node.ProposeMembership(100, members[:2], ""))
 	require.ErrorIs(t, node.ProposeMembership(100, members[1:], ""), ErrChangeInProgress)
 }
 
-// Guards what runs after an operator went on without a majority: nothing of which nothing is known, until a retention
-// has passed.
+// Guards against requests that run twice after an operator has forced a membership without a majority: until the
+// retention is over, no lease is granted for a key without a value in force, as a newer value may be lost.
 func TestForcedMembership(t *testing.T) {
 	sim := newCluster(t, 1, 3, 3, 0)
 	sim.lossy = false
@@ -81,20 +81,20 @@
 
 	survivor := sim.servers[0].Node
 	err := survivor.ForceMembership(sim.now, []uint32{2, 3}, 5000, "two lost")
-	require.ErrorIs(t, err, ErrInvalidChange, "not without itself")
+	require.ErrorIs(t, err, ErrInvalidChange, "the server itself must be kept")
 	require.NoError(t, survivor.ForceMembership(sim.now, []uint32{1}, 5000, "two lost"))
 
 	outcome := func(key string, attemptedAt int64) Outcome {
-		return sim.acquireAlone(survivor, key, attemptedAt).Outcome
+		return sim.acquireLeaseAtSoleMember(survivor, key, attemptedAt).Outcome
 	}
-	require.Equal(t, OutcomeSucceeded, outcome("lot 3", 200), "its replica is there")
+	require.Equal(t, OutcomeSucceeded, outcome("lot 3", 200), "the survivor has the value")
 	require.Equal(t, OutcomeIndeterminate, outcome("new", 5999))
 	require.Equal(t, OutcomeIndeterminate, outcome("lot 3", 4000), "a later run of it may be lost")
 	require.Equal(t, OutcomeLeaseGranted, outcome("new", 6000))
 }
 
-// acquireAlone proposes a lease at the one member of a cluster.
-func (c *cluster) acquireAlone(node *Node, key string, attemptedAt int64) Result {
+// acquireLeaseAtSoleMember proposes a lease at the only member of a cluster, and returns the result.
+func (c *cluster) acquireLeaseAtSoleMember(node *Node, key string, attemptedAt int64) Result {
 	id, err := node.Propose(c.now, key, Change{AttemptedAt: attemptedAt, Retention: retention})
 	require.NoError(c.t, err)
 	for {
--- a/internal/decide/consensus/planted_test.go
+++ b/internal/decide/consensus/planted_test.go
@@ -9,14 +9,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-var hunt = flag.Bool("hunt", false, "hunt each planted bug from seed 0, not from a seed that is known to find it")
+var searchFromSeedZero = flag.Bool("hunt", false, "search for each planted bug from seed 0, not from a known seed")
 
-// plantedBugs make the servers of a simulated cluster behave as if the protocol had a bug. They change messages, and
-// the state of the server that receives them, so that the product's code knows nothing of them.
+// plantedBugs make the servers of a simulated cluster behave as if the protocol had a bug. They change messages and the
+// state of the receiving server, so that the product's code need not contain the bugs.
 var plantedBugs = []struct {
 	name      string
-	firstSeed uint64 // near which it was found
-	deliver   delivery
+	firstSeed uint64 // at or shortly before the seed that finds the bug
+	deliver   deliverFunc
 }{
 	{name: "the value of the first reply is taken, not the newest", firstSeed: 8, deliver: hideNewerValues},
 	{name: "half of a configuration is a majority", deliver: forgeVotesAfter(halfOfEach)},
@@ -25,7 +25,7 @@
 	{name: "an acceptor breaks its promise", deliver: forgetPromise},
 }
 
-// hideNewerValues strips a promise of its value where its proposal has one already.
+// hideNewerValues removes the value from a promise if the proposal already has a value.
 func hideNewerValues(c *cluster, receiver *server, m message) {
 	if reply, ok := m.content.(Reply); ok && !reply.Accept && !reply.Read {
 		if proposal := receiver.proposalOf(reply); proposal != nil && proposal.value.Kind != KindNone {
@@ -34,13 +34,14 @@
 			m.content = reply
 		}
 	}
-	c.handle(receiver, m)
+	c.handleMessage(receiver, m)
 }
 
-// forgeVotesAfter has all replicas vote as soon as those that did are enough for a broken rule.
-func forgeVotesAfter(enough func(*Proposal) bool) delivery {
+// forgeVotesAfter makes a proposal pass with too few votes: as soon as they are enough for a broken rule, it forges the
+// votes of the other replicas.
+func forgeVotesAfter(enough func(*Proposal) bool) deliverFunc {
 	return func(sim *cluster, receiver *server, m message) {
-		sim.handle(receiver, m)
+		sim.handleMessage(receiver, m)
 		reply, ok := m.content.(Reply)
 		if !ok {
 			return
@@ -68,28 +69,28 @@
 	}
 }
 
-// halfOfEach is a rule that takes half of each configuration, rounded down, for a majority.
+// halfOfEach is a broken rule: half of each configuration, rounded down, is a majority.
 func halfOfEach(p *Proposal) bool {
-	return p.votesReach(func(configuration []Identity) int { return len(configuration) / 2 })
+	return p.hasNeededVotes(func(configuration []Identity) int { return len(configuration) / 2 })
 }
 
-// majorityOfLast is a rule that leaves out all configurations but the last.
+// majorityOfLast is a broken rule: a majority of the last configuration is enough.
 func majorityOfLast(p *Proposal) bool {
 	last := *p
 	last.configurations = p.configurations[len(p.configurations)-1:]
 	return last.hasMajority()
 }
 
-// forgeTransferAcks has each message bring the word of all members that their transfers are made.
+// forgeTransferAcks forges, with each message, the acknowledgements that all members have made their transfers.
 func forgeTransferAcks(c *cluster, receiver *server, m message) {
-	c.handle(receiver, m)
+	c.handleMessage(receiver, m)
 	membership := receiver.Membership()
 	for _, current := range membership.Current {
 		receiver.HandleTransferAck(TransferAck{membership.Epoch, current.Identity})
 	}
 }
 
-// forgetPromise has an acceptor forget a promise that stands in the way of a value.
+// forgetPromise deletes a promise that would make the acceptor refuse a request to accept a value.
 func forgetPromise(c *cluster, receiver *server, m message) {
 	if request, ok := m.content.(Request); ok && request.Accept && request.Epoch == receiver.acceptor.Epoch {
 		register, known := receiver.acceptor.registers[request.Key]
@@ -98,10 +99,10 @@
 			receiver.acceptor.registers[request.Key] = register
 		}
 	}
-	c.handle(receiver, m)
+	c.handleMessage(receiver, m)
 }
 
-// proposalOf returns the proposal in flight that a reply is for; nil: there is none.
+// proposalOf returns the proposal in flight to which a reply belongs; nil if there is none.
 func (s *server) proposalOf(reply Reply) *Proposal {
 	for _, p := range s.inFlight {
 		if p.proposal.Ballot == reply.Ballot && p.proposal.Key == reply.Key {
@@ -111,20 +112,20 @@
 	return nil
 }
 
-// Each planted bug of the protocol is found by the simulated cluster. One that finds nothing would pass all else.
+// Guards against a simulation that cannot detect faults: it must find each planted bug of the protocol.
 func TestPlantedBugsAreFound(t *testing.T) {
 	const maxSeeds = 3000
 	for _, bug := range plantedBugs {
 		t.Run(bug.name, func(t *testing.T) {
-			first := bug.firstSeed
-			if *hunt {
-				first = 0
+			firstSeed := bug.firstSeed
+			if *searchFromSeedZero {
+				firstSeed = 0
 			}
-			began := time.Now()
+			startedAt := time.Now()
 			problem := ""
-			for seed := first; seed < first+maxSeeds && problem == ""; seed++ {
-				if _, problem = playCluster(t, seed, bug.deliver); problem != "" {
-					t.Logf("seed %d, after %v: %s", seed, time.Since(began).Round(time.Millisecond), problem)
+			for seed := firstSeed; seed < firstSeed+maxSeeds && problem == ""; seed++ {
+				if _, problem = simulateCluster(t, seed, bug.deliver); problem != "" {
+					t.Logf("seed %d, after %v: %s", seed, time.Since(startedAt).Round(time.Millisecond), problem)
 				}
 			}
 			require.NotEmpty(t, problem)
--- a/internal/decide/consensus/proposal.go
+++ b/internal/decide/consensus/proposal.go
@@ -14,14 +14,14 @@
 // ProposalConfig holds the arguments of NewProposal.
 type ProposalConfig struct {
 	Key    string
-	Epoch  uint64 // of the membership that the configurations are of
+	Epoch  uint64 // of the membership to which the configurations belong
 	Change Change
-	Number uint64 // of the ballot: above any that this process has used for the key
-	// Configurations are the key's replicas: of the current configuration and, while members change, of the next one. A
-	// majority of each is needed.
+	Number uint64 // of the ballot: higher than any that this process has used for the key
+	// Configurations are the key's replicas in the current configuration and, during a change of members, in the next
+	// one. A majority of each is needed.
 	Configurations [][]Identity
-	// WaitForAll makes the proposal wait for all reachable replicas instead of majorities, until SettleForMajority is
-	// called. Repairs use it.
+	// WaitForAll makes the proposal wait for all reachable replicas instead of majorities, until FinishWithMajority is
+	// called. Repairs set it.
 	WaitForAll bool
 	// Unreachable are the replicas that WaitForAll does not wait for.
 	Unreachable []Identity
@@ -43,7 +43,7 @@
 	newest      Ballot     // of value
 	value       Value
 	outcome     Outcome
-	preemptedBy uint64 // the highest ballot number that a refusal contained
+	preemptedBy uint64 // the highest ballot number in any refusal
 	done        bool
 }
 
@@ -110,7 +110,7 @@
 	return requests
 }
 
-// HandleReply handles a reply and returns the requests of the next phase, if that starts. Duplicate replies and replies
+// HandleReply handles a reply and returns the requests of the next phase if one starts. Duplicate replies and replies
 // to earlier attempts are ignored.
 func (p *Proposal) HandleReply(reply Reply) []Request {
 	if p.done || !p.expects(reply) {
@@ -155,7 +155,7 @@
 	}
 	empty := p.value.Kind == KindNone
 	p.value, p.outcome = p.Change.Apply(p.value)
-	if p.Change.Kind == ReadValue && empty { // no value, so there is nothing to accept
+	if p.Change.Kind == ReadValue && empty { // there is no value that the replicas could accept
 		p.done = true
 		return nil
 	}
@@ -183,12 +183,12 @@
 
 // hasMajority reports whether a majority of each configuration has voted in this phase.
 func (p *Proposal) hasMajority() bool {
-	return p.votesReach(func(configuration []Identity) int { return len(configuration)/2 + 1 })
+	return p.hasNeededVotes(func(configuration []Identity) int { return len(configuration)/2 + 1 })
 }
 
 // hasAllReachable reports whether all reachable replicas of each configuration have voted in this phase.
 func (p *Proposal) hasAllReachable() bool {
-	return p.votesReach(func(configuration []Identity) (reachable int) {
+	return p.hasNeededVotes(func(configuration []Identity) (reachable int) {
 		for _, replica := range configuration {
 			if !slices.Contains(p.unreachable, replica) {
 				reachable++
@@ -198,8 +198,8 @@
 	})
 }
 
-// votesReach reports whether each configuration has as many votes as it needs.
-func (p *Proposal) votesReach(needed func(configuration []Identity) int) bool {
+// hasNeededVotes reports whether each configuration has as many votes as it needs.
+func (p *Proposal) hasNeededVotes(needed func(configuration []Identity) int) bool {
 	for _, configuration := range p.configurations {
 		votes := 0
 		for _, replica := range configuration {
@@ -214,9 +214,9 @@
 	return true
 }
 
-// SettleForMajority ends the wait of WaitForAll: the proposal is done if majorities have accepted its value. It reports
-// whether the proposal is done.
-func (p *Proposal) SettleForMajority() bool {
+// FinishWithMajority stops waiting for all reachable replicas: the proposal is done if majorities have accepted its
+// value. It reports whether the proposal is done.
+func (p *Proposal) FinishWithMajority() bool {
 	p.done = p.done || p.phase == phaseAccept && p.hasMajority()
 	return p.done
 }
@@ -225,5 +225,5 @@
 // caller should call Retry after a random backoff.
 func (p *Proposal) Preempted() bool { return !p.done && p.preemptedBy >= p.Ballot.Number }
 
-// Done returns the outcome and the chosen value, and whether the proposal is done. Otherwise both are meaningless.
+// Done returns the outcome and the chosen value, and whether the proposal is done. Both are meaningless until it is.
 func (p *Proposal) Done() (Outcome, Value, bool) { return p.outcome, p.value, p.done }
--- a/internal/decide/consensus/proposal_test.go
+++ b/internal/decide/consensus/proposal_test.go
@@ -9,26 +9,27 @@
 	"github.com/stretchr/testify/require"
 )
 
-// lossyAcceptors are five acceptors on a network that loses, doubles and delays. Two of them may lose their disks.
+// lossyAcceptors are five acceptors on a network that loses, duplicates and delays messages. Two of them may lose their
+// disks.
 type lossyAcceptors struct {
 	rng        *rand.Rand
 	members    []Identity
 	acceptors  map[uint32]*Acceptor
 	diskLosses int
-	preempted  int // attempts
+	preempted  int // number of preempted attempts
 }
 
 func newLossyAcceptors(seed uint64) *lossyAcceptors {
-	out := &lossyAcceptors{rng: rand.New(rand.NewPCG(seed, 3)), acceptors: map[uint32]*Acceptor{}}
+	created := &lossyAcceptors{rng: rand.New(rand.NewPCG(seed, 3)), acceptors: map[uint32]*Acceptor{}}
 	for id := range uint32(5) {
 		acceptor := Identity{id, 1}
-		out.members = append(out.members, acceptor)
-		out.acceptors[id] = NewAcceptor(acceptor, nil)
+		created.members = append(created.members, acceptor)
+		created.acceptors[id] = NewAcceptor(acceptor, nil)
 	}
-	return out
+	return created
 }
 
-// propose makes a proposal, and retries it until it is done or was retried too often.
+// propose makes a proposal and retries it until it is done or the maximum number of attempts is reached.
 func (l *lossyAcceptors) propose(change Change) *Proposal {
 	const maxAttempts = 8
 	proposal, requests := newProposal("k", l.members, change, 1)
@@ -46,7 +47,7 @@
 		}
 		i := l.rng.IntN(len(network))
 		arrived := network[i]
-		if l.rng.IntN(8) > 0 { // else it comes once more
+		if l.rng.IntN(8) > 0 { // otherwise it will be delivered again
 			network = slices.Delete(network, i, i+1)
 		}
 		if l.rng.IntN(6) == 0 {
@@ -69,7 +70,7 @@
 		return
 	}
 	id := uint32(l.rng.IntN(5))
-	if l.acceptors[id].Self.Incarnation == 1 { // its place stays empty: nobody asks the new incarnation yet
+	if l.acceptors[id].Self.Incarnation == 1 { // the new one is no member; the former one no longer replies
 		l.diskLosses++
 		l.acceptors[id] = NewAcceptor(Identity{id, 2}, nil)
 	}
@@ -91,13 +92,13 @@
 	})
 }
 
-// Guards a key at acceptors that lose messages and disks, with proposers that crash: it is run once, and all are served
-// the same result.
+// Guards against a request that runs twice or is answered with different results, when messages and disks are lost and
+// proposers crash.
 func TestProposalsUnderLoss(t *testing.T) {
 	outcomes := map[Outcome]int{}
 	preempted := 0
 	for seed := range uint64(3000) {
-		preempted += playProposals(t, seed, outcomes)
+		preempted += simulateProposals(t, seed, outcomes)
 	}
 	t.Logf("outcomes %v, %d attempts preempted", outcomes, preempted)
 	for outcome := OutcomeLeaseGranted; outcome < OutcomeLeaseLost; outcome++ {
@@ -107,15 +108,15 @@
 	}
 }
 
-// playProposals has six proposers ask for a key, one after the other, and counts the outcomes. It returns how many
-// attempts were preempted.
-func playProposals(t *testing.T, seed uint64, outcomes map[Outcome]int) (preempted int) {
+// simulateProposals makes six attempts to acquire the lease of a key, one after the other, and counts the outcomes. It
+// returns how many attempts were preempted.
+func simulateProposals(t *testing.T, seed uint64, outcomes map[Outcome]int) (preempted int) {
 	t.Helper()
-	network := newLossyAcceptors(seed)
+	acceptors := newLossyAcceptors(seed)
 	runs := 0
 	var served *Value
 	for attempt := range 6 {
-		proposer := Identity{uint32(10 + network.rng.IntN(3)), uint64(1 + attempt)}
+		proposer := Identity{uint32(10 + acceptors.rng.IntN(3)), uint64(1 + attempt)}
 		change := Change{
 			Proposer:    proposer,
 			Attempt:     uint64(attempt),
@@ -123,7 +124,7 @@
 			Retention:   retention,
 		}
 		for step := range 2 {
-			outcome, value, done := network.propose(change).Done()
+			outcome, value, done := acceptors.propose(change).Done()
 			if !done {
 				break
 			}
@@ -138,14 +139,14 @@
 				break
 			}
 			runs++
-			require.LessOrEqual(t, runs, 1, "seed %d: run twice", seed)
-			if network.rng.IntN(3) == 0 {
-				break // it crashes before the end of its run is agreed on
+			require.LessOrEqual(t, runs, 1, "seed %d: the request ran twice", seed)
+			if acceptors.rng.IntN(3) == 0 {
+				break // the proposer crashes before the result is recorded
 			}
 			change.Kind = RecordResult
 			change.Succeeded = true
 			change.Result = fmt.Sprint(attempt)
 		}
 	}
-	return network.preempted
+	return acceptors.preempted
 }
--- a/internal/decide/consensus/protocol_model_test.go
+++ b/internal/decide/consensus/protocol_model_test.go
@@ -13,21 +13,22 @@
 	"pewterline/internal/testbed/modelcheck"
 )
 
-// retention of all keys in the tests of this package, milliseconds.
+// retention is the retention of all keys in the tests of this package, in milliseconds.
 const retention = 1000
 
-var maxStates = flag.Int("states", 150_000, "how many states TestAllOrders visits at most, of each model")
+var maxStates = flag.Int("states", 150_000, "maximum number of states of each model that TestAllOrders visits")
 
-// protocolModel is a model: three acceptors of one key, or of two, and two servers that want to run each request.
-// An acceptor's reply comes at once or never. What a server has asked acceptors to accept may reach them at any time,
-// again and again, or never, whatever became of the attempt. (A late request for a promise would only preempt, and is
-// left out.) Servers crash and come back knowing nothing; an acceptor's disk may be lost, and it comes back as another
-// incarnation, or, where amnesia is on, as its old self.
+// protocolModel models three acceptors of one or two keys, and two servers that try to run the request of each key.
+//
+// An acceptor replies at once or never. An accept request may reach an acceptor at any time and any number of times,
+// whatever the outcome of its attempt. Late prepare requests are not modelled, as they could only preempt a proposal. A
+// server that crashes restarts without any state. An acceptor that loses its disk restarts as another incarnation, or
+// as the same one if amnesia is set.
 type protocolModel struct {
 	registers    [3][2]Register // by acceptor and key
-	incarnations [3]uint64      // how many disks each acceptor has lost
+	incarnations [3]uint64      // number of disks that each acceptor has lost
 	proposers    []proposer     // two for each key
-	lateAccepts  []Request      // sorted by text; To is whoever it reaches
+	lateAccepts  []Request      // sorted by their text, with To unset: they may reach any acceptor
 	diskLosses   int
 	crashes      int
 	runs         [2]int // by key
@@ -40,20 +41,20 @@
 	keys                          int
 }
 
-// proposer is a server's part in one key.
+// proposer is the state of a server as the proposer of one key.
 type proposer struct {
 	server      int
 	key         int
 	incarnation uint64
 	attempts    int
 	proposal    *Proposal
-	started     bool
-	ended       bool
+	runStarted  bool
+	runEnded    bool
 }
 
 var threeAcceptors = []Identity{{0, 1}, {1, 1}, {2, 1}}
 
-// fingerprint is text that is the same for the same states.
+// fingerprint is a text that equal states have in common.
 type fingerprint []byte
 
 func (f *fingerprint) add(numbers ...uint64) {
@@ -105,7 +106,7 @@
 	}
 	for _, p := range m.proposers {
 		text.add(p.incarnation, uint64(p.attempts))
-		text.addBools(p.started, p.ended)
+		text.addBools(p.runStarted, p.runEnded)
 		if p.proposal != nil {
 			text.addProposal(p.proposal)
 		}
@@ -128,7 +129,7 @@
 	for _, p := range m.proposers {
 		served := p.proposal != nil && p.proposal.done && p.proposal.outcome == OutcomeSucceeded
 		if served && m.runs[p.key] == 0 {
-			return "served what never ran"
+			return "result served for a request that never ran"
 		}
 	}
 	return ""
@@ -143,9 +144,9 @@
 	}
 	for _, request := range m.lateAccepts {
 		for acceptor := range m.registers {
-			description := fmt.Sprintf("acceptor %d is asked late to accept %v of key %s: %v",
+			description := fmt.Sprintf("acceptor %d receives a late accept request: ballot %v, key %s, value %v",
 				acceptor, request.Ballot, request.Key, request.Value)
-			steps.add(m, description, func(next *protocolModel) { next.reach(acceptor, request) })
+			steps.add(m, description, func(next *protocolModel) { next.deliver(acceptor, request) })
 		}
 	}
 	if m.diskLosses < m.bounds.diskLosses {
@@ -162,14 +163,14 @@
 
 type protocolSteps []modelcheck.Step
 
-// add adds the state that a change makes of a copy of another one.
+// add adds a step to the state that results from applying change to a copy of from.
 func (s *protocolSteps) add(from *protocolModel, description string, change func(*protocolModel)) {
 	next := from.clone()
 	change(next)
 	*s = append(*s, modelcheck.Step{Description: description, State: next})
 }
 
-// addProposerSteps adds what a server may do about a key by itself.
+// addProposerSteps adds the steps of a proposer that do not depend on a reply.
 func (m *protocolModel) addProposerSteps(steps *protocolSteps, i int, current proposer) {
 	change := Change{
 		Proposer:    Identity{uint32(10 + current.server), current.incarnation},
@@ -188,14 +189,14 @@
 			next.proposers[i].attempts++
 			next.proposers[i].proposal.Retry(uint64(next.proposers[i].attempts))
 		})
-	case current.granted() && !current.started:
+	case current.leaseGranted() && !current.runStarted:
 		steps.add(m, current.name()+" runs", func(next *protocolModel) {
-			next.proposers[i].started = true
+			next.proposers[i].runStarted = true
 			next.runs[current.key]++
 		})
-	case current.started && !current.ended && current.proposal.done:
+	case current.runStarted && !current.runEnded && current.proposal.done:
 		steps.add(m, current.name()+" run ends", func(next *protocolModel) {
-			next.proposers[i].ended = true
+			next.proposers[i].runEnded = true
 			ended := change
 			ended.Kind = RecordResult
 			ended.Succeeded = true
@@ -204,14 +205,14 @@
 		})
 	}
 	if current.proposal != nil && m.crashes < m.bounds.crashes {
-		steps.add(m, current.name()+" crashes and comes back", func(next *protocolModel) {
+		steps.add(m, current.name()+" crashes and restarts", func(next *protocolModel) {
 			next.crashes++
 			next.proposers[i] = proposer{server: current.server, key: current.key, incarnation: current.incarnation + 1}
 		})
 	}
 }
 
-// addReplySteps adds the replies to what a server has asked.
+// addReplySteps adds the steps in which an acceptor replies to the proposer's current request.
 func (m *protocolModel) addReplySteps(steps *protocolSteps, i int, p proposer) {
 	if p.proposal == nil || p.proposal.done {
 		return
@@ -226,22 +227,22 @@
 				Read:   proposal.phase == phaseRead,
 				Value:  proposal.value,
 			}
-			if reply, ok := next.reach(acceptor, request); ok {
-				next.keepAccepts(proposal.HandleReply(reply))
+			if reply, ok := next.deliver(acceptor, request); ok {
+				next.addLateAccepts(proposal.HandleReply(reply))
 			}
 		})
 	}
 }
 
-// granted reports whether the server's last proposal has got it the lease.
-func (p proposer) granted() bool {
+// leaseGranted reports whether the proposer's last proposal has acquired the lease.
+func (p proposer) leaseGranted() bool {
 	return p.proposal != nil && p.proposal.done && p.proposal.outcome == OutcomeLeaseGranted
 }
 
 func (p proposer) name() string { return fmt.Sprintf("server %d, key %d,", p.server, p.key) }
 
-// reach has a request come to an acceptor.
-func (m *protocolModel) reach(i int, request Request) (Reply, bool) {
+// deliver delivers a request to an acceptor.
+func (m *protocolModel) deliver(i int, request Request) (Reply, bool) {
 	self := Identity{uint32(i), 1 + m.incarnations[i]}
 	if m.bounds.amnesia {
 		self.Incarnation = 1
@@ -254,54 +255,54 @@
 	return reply, ok
 }
 
-// keepAccepts keeps what acceptors were asked to accept.
-func (m *protocolModel) keepAccepts(requests []Request) {
+// addLateAccepts adds accept requests to those that may be delivered late.
+func (m *protocolModel) addLateAccepts(requests []Request) {
 	if len(requests) == 0 || !requests[0].Accept {
 		return
 	}
-	kept := requests[0]
-	kept.To = Identity{}
-	m.lateAccepts = append(m.lateAccepts, kept)
+	late := requests[0]
+	late.To = Identity{}
+	m.lateAccepts = append(m.lateAccepts, late)
 	slices.SortFunc(m.lateAccepts, func(a, b Request) int { return strings.Compare(fmt.Sprint(a), fmt.Sprint(b)) })
 }
 
 func (m *protocolModel) clone() *protocolModel {
-	out := *m
-	out.lateAccepts = slices.Clone(m.lateAccepts)
-	out.proposers = slices.Clone(m.proposers)
-	for i := range out.proposers {
-		if proposal := out.proposers[i].proposal; proposal != nil {
+	cloned := *m
+	cloned.lateAccepts = slices.Clone(m.lateAccepts)
+	cloned.proposers = slices.Clone(m.proposers)
+	for i := range cloned.proposers {
+		if proposal := cloned.proposers[i].proposal; proposal != nil {
 			copied := *proposal
 			copied.voters = slices.Clone(proposal.voters)
-			out.proposers[i].proposal = &copied
+			cloned.proposers[i].proposal = &copied
 		}
 	}
-	return &out
+	return &cloned
 }
 
 func exploreProtocol(t *testing.T, bounds protocolBounds, maxStates int) modelcheck.Report {
 	t.Helper()
-	start := &protocolModel{bounds: &bounds}
+	initial := &protocolModel{bounds: &bounds}
 	for key := range bounds.keys {
 		for server := range 2 {
-			start.proposers = append(start.proposers, proposer{server: server, key: key, incarnation: 1})
+			initial.proposers = append(initial.proposers, proposer{server: server, key: key, incarnation: 1})
 		}
 	}
-	report := modelcheck.Explore(start, maxStates)
+	report := modelcheck.Explore(initial, maxStates)
 	t.Logf("%+v: %v", bounds, report)
 	return report
 }
 
-// Guards the once-only rule among several servers: whatever messages are lost, doubled or overtaken, whoever crashes,
-// and with a disk lost, no request is run twice, and none is served that did not run.
+// Guards against a request that runs twice, and against a result served for a request that did not run, for any order
+// of messages, with messages lost, duplicated and delayed, crashes of servers, and a lost disk.
 func TestAllOrders(t *testing.T) {
 	for name, bounds := range map[string]protocolBounds{
-		"an attempt each":                        {attempts: 1, keys: 1},
-		"two attempts each":                      {attempts: 2, keys: 1},
-		"an attempt each, a crash":               {attempts: 1, crashes: 1, keys: 1},
-		"an attempt each, a lost disk":           {attempts: 1, diskLosses: 1, keys: 1},
-		"two keys, an attempt each":              {attempts: 1, keys: 2},
-		"two keys, an attempt each, a lost disk": {attempts: 1, keys: 2, diskLosses: 1},
+		"one attempt each":                          {attempts: 1, keys: 1},
+		"two attempts each":                         {attempts: 2, keys: 1},
+		"one attempt each, one crash":               {attempts: 1, crashes: 1, keys: 1},
+		"one attempt each, one lost disk":           {attempts: 1, diskLosses: 1, keys: 1},
+		"two keys, one attempt each":                {attempts: 1, keys: 2},
+		"two keys, one attempt each, one lost disk": {attempts: 1, keys: 2, diskLosses: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -312,8 +313,8 @@
 	}
 }
 
-// An acceptor whose disk was lost must not vote as its old self: with that, the model finds a request that is run
-// twice. So the model can find what it looks for.
+// Guards against a model that cannot find violations. If an acceptor votes as its former incarnation after the loss of
+// its disk, a request can run twice, and the model must find this.
 func TestAmnesiaIsFound(t *testing.T) {
 	report := exploreProtocol(t, protocolBounds{attempts: 1, diskLosses: 1, amnesia: true, keys: 1}, 1_000_000)
 	require.Equal(t, "run twice", report.Violation)
--- a/internal/decide/consensus/ready.go
+++ b/internal/decide/consensus/ready.go
@@ -1,10 +1,10 @@
 package consensus
 
 // Ready is what the host of a Node must do, in this order: make Membership and Registers durable, then send Requests,
-// Replies, Notify and TransferAcks, and handle the Results. If Membership is nil, Requests may be sent before Registers
-// are durable, as the votes of this server are Replies.
+// Replies, the membership to the servers in Notify, and TransferAcks, and handle the Results. If Membership is nil,
+// Requests may be sent before Registers are durable, as only Replies contain votes of this server.
 type Ready struct {
-	Membership   *Membership // nil: not changed
+	Membership   *Membership // nil: unchanged
 	Registers    []SavedRegister
 	Requests     []Request
 	Replies      []AddressedReply
@@ -19,14 +19,14 @@
 	Register Register
 }
 
-// AddressedReply is a reply with the proposer that it must be sent to.
+// AddressedReply is a reply with the proposer to which it must be sent.
 type AddressedReply struct {
 	To Identity
 	Reply
 }
 
-// Result is the end of a proposal. If it is not Known, no majority replied in time, and the change may or may not have
-// been made.
+// Result is the result of a proposal. If Known is false, no majority replied before the deadline, and the change may or
+// may not have been made.
 type Result struct {
 	ID      uint64
 	Key     string
--- a/internal/decide/consensus/repair.go
+++ b/internal/decide/consensus/repair.go
@@ -9,7 +9,7 @@
 const (
 	// scanBatch is how many keys a Tick scans, so that a scan of many keys does not block the event loop.
 	scanBatch = 1000
-	// repairBurstDivisor bounds the repairs that start at once to RepairRate divided by it.
+	// repairBurstDivisor limits the repairs that start at once: to RepairRate divided by this number.
 	repairBurstDivisor = 20
 )
 
@@ -27,7 +27,7 @@
 	reason scanReason
 	server uint32 // the ID of the server of scanReconnected
 	next   int    // index into Acceptor.keyOrder
-	end    int    // length of keyOrder when the scan was started: keys that were added since need no repair
+	end    int    // length of keyOrder when the scan started: keys that were added later need no repair
 }
 
 // repairState is the state of the repair of a key. Its zero value means that no repair is needed.
@@ -35,24 +35,25 @@
 
 const (
 	repairQueued   repairState = iota + 1
-	repairInFlight             // its proposal is in flight
-	repairRequeued             // its proposal is in flight, and must be repeated: a replica became reachable meanwhile
+	repairInFlight             // the proposal is in flight
+	repairRequeued             // the proposal is in flight and must be repeated, as another replica may be reachable
 )
 
 // repairQueue holds the keys whose values must be copied to replicas that may lack them. A token bucket limits the
 // rate.
 type repairQueue struct {
 	scans    []scan
-	priority []string // pending transfers, for which a change of members waits
+	priority []string // pending transfers; a change of members waits for them
 	queue    []string // other repairs
-	// states holds the queued and in-flight repairs by key: two proposals for a key would only preempt each other.
+	// states holds the states of the queued and in-flight repairs by key. There is at most one proposal for a key, as
+	// two would only preempt each other.
 	states map[string]repairState
 	// pendingTransfers holds the keys that must be accepted in the next configuration before the change of members can
 	// be completed.
 	pendingTransfers map[string]bool
 	active           int     // repairs in flight
-	completed        uint64  // repairs since the node was created
-	tokens           float64 // repairs that may be started now
+	completed        uint64  // repairs completed since the node was created
+	tokens           float64 // of the token bucket: each permits the start of a repair
 	refilledAt       microtime.Time
 }
 
@@ -60,19 +61,20 @@
 	return repairQueue{states: map[string]repairState{}, pendingTransfers: map[string]bool{}}
 }
 
-// startScan starts a scan of the keys in keyOrder, whose length is keys. It replaces an equal scan.
+// startScan starts a scan of the keys in keyOrder, whose length is keys. It replaces a scan for the same reason and
+// server.
 func (q *repairQueue) startScan(reason scanReason, server uint32, keys int) {
 	q.scans = slices.DeleteFunc(q.scans, func(s scan) bool { return s.reason == reason && s.server == server })
 	q.scans = append(q.scans, scan{reason: reason, server: server, end: keys})
 }
 
-// scansTransfers reports whether a scan for pending transfers is still in progress.
-func (q *repairQueue) scansTransfers() bool {
+// isScanningTransfers reports whether a scan for pending transfers is still in progress.
+func (q *repairQueue) isScanningTransfers() bool {
 	return slices.ContainsFunc(q.scans, func(s scan) bool { return s.reason == scanTransfers })
 }
 
-// forgetTransfers drops the pending transfers of an earlier membership. Their keys are still repaired.
-func (q *repairQueue) forgetTransfers() {
+// dropPendingTransfers drops the pending transfers of an earlier membership. Their keys are still repaired.
+func (q *repairQueue) dropPendingTransfers() {
 	clear(q.pendingTransfers)
 	q.queue = append(q.priority, q.queue...)
 	q.priority = nil
@@ -99,13 +101,13 @@
 		return
 	}
 	q.pendingTransfers[key] = true
-	if q.states[key] <= repairQueued { // otherwise its proposal in flight is already of this membership
+	if q.states[key] <= repairQueued { // otherwise the proposal in flight already uses this membership
 		q.states[key] = repairQueued
 		q.priority = append(q.priority, key)
 	}
 }
 
-// pop removes and returns the next key. Transfers go first, so that repairs after each reconnection cannot delay a
+// pop removes and returns the next key. Transfers come first, so that the repairs after reconnections cannot delay a
 // change of members.
 func (q *repairQueue) pop() (key string) {
 	if len(q.priority) > 0 {
@@ -118,15 +120,15 @@
 
 // refill adds the tokens for the time since the last call. rate is in tokens per second.
 func (q *repairQueue) refill(now microtime.Time, rate float64) {
-	passed := float64(now-q.refilledAt) / float64(microtime.Second)
-	q.tokens = min(q.tokens+passed*rate, max(rate/repairBurstDivisor, 1))
+	elapsed := float64(now-q.refilledAt) / float64(microtime.Second)
+	q.tokens = min(q.tokens+elapsed*rate, max(rate/repairBurstDivisor, 1))
 	q.refilledAt = now
 }
 
 // RepairAll starts the repair of all keys of this server.
 func (n *Node) RepairAll() { n.repairs.startScan(scanAll, 0, len(n.acceptor.keyOrder)) }
 
-// RepairProgress returns how many keys have yet to be scanned or repaired, and how many were repaired.
+// RepairProgress returns how many keys remain to be scanned or repaired, and how many have been repaired.
 func (n *Node) RepairProgress() (left int, done uint64) {
 	left = len(n.repairs.priority) + len(n.repairs.queue) + n.repairs.active
 	for _, s := range n.repairs.scans {
@@ -138,7 +140,7 @@
 // PendingTransfers returns how many keys of this server must be transferred before a change of members can complete.
 func (n *Node) PendingTransfers() int { return len(n.repairs.pendingTransfers) }
 
-// tickRepairs continues the scans and starts repairs. It returns when it is due next.
+// tickRepairs continues the scans and starts repairs. It returns when it must be called next.
 func (n *Node) tickRepairs(now microtime.Time) microtime.Time {
 	scanning := n.scanKeys()
 	next := n.startRepairs(now)
@@ -148,7 +150,7 @@
 	return next
 }
 
-// scanKeys scans a batch of keys. It reports whether there are more.
+// scanKeys scans a batch of keys. It reports whether more keys remain.
 func (n *Node) scanKeys() bool {
 	queue := &n.repairs
 	for left := scanBatch; len(queue.scans) > 0 && left > 0; {
@@ -190,8 +192,8 @@
 	}
 }
 
-// repairsFor reports whether this server must repair a key for a server that has become reachable again. Among the
-// other replicas of the key, the first reachable one does it.
+// repairsFor reports whether this server must repair a key for a server that has become reachable again. The first
+// reachable one of the key's other replicas does so.
 func (n *Node) repairsFor(server uint32, replicas []Identity) bool {
 	isReplica := slices.ContainsFunc(replicas, func(replica Identity) bool { return replica.ID == server })
 	first := slices.IndexFunc(replicas, func(replica Identity) bool {
@@ -200,7 +202,7 @@
 	return isReplica && first >= 0 && replicas[first] == n.AcceptorID
 }
 
-// startRepairs starts as many repairs as the rate and MaxRepairs permit. It returns when it is due next.
+// startRepairs starts as many repairs as RepairRate and MaxRepairs permit. It returns when it must be called next.
 func (n *Node) startRepairs(now microtime.Time) microtime.Time {
 	queue := &n.repairs
 	if queue.empty() {
@@ -243,7 +245,7 @@
 	})
 }
 
-// endRepair handles the end of a repair. It is queued again if no majority has replied.
+// endRepair handles the end of a repair. If no majority has replied, it queues the repair again.
 func (n *Node) endRepair(proposal *Proposal, known bool) {
 	queue := &n.repairs
 	queue.active--
@@ -260,8 +262,8 @@
 		return
 	}
 	delete(queue.pendingTransfers, proposal.Key)
-	// Persist progress, so a restart during a membership change resumes instead of restarting. Otherwise servers that
-	// crash more often than they can transfer all their keys would never complete the change.
+	// Progress is durable, so that a server that restarts during a change of members need not transfer all its keys
+	// again. Otherwise servers that crash more often than they can transfer all keys would never complete the change.
 	if register, changed := n.acceptor.markTransferred(proposal.Key); changed {
 		n.save(proposal.Key, register)
 	}
--- a/internal/decide/consensus/replicas.go
+++ b/internal/decide/consensus/replicas.go
@@ -21,16 +21,16 @@
 	keyHash := hash(key)
 	for _, member := range members {
 		added := candidate{member, mix(keyHash + uint64(member.ID)*splitMixGamma)}
-		place := len(best)
-		for place > 0 {
-			before := best[place-1]
-			if before.weight > added.weight || before.weight == added.weight && before.member.ID <= member.ID {
+		index := len(best)
+		for index > 0 {
+			previous := best[index-1]
+			if previous.weight > added.weight || previous.weight == added.weight && previous.member.ID <= member.ID {
 				break
 			}
-			place--
+			index--
 		}
-		if place < count {
-			best = slices.Insert(best, place, added)
+		if index < count {
+			best = slices.Insert(best, index, added)
 			best = best[:min(len(best), count)]
 		}
 	}
--- a/internal/decide/consensus/replicas_test.go
+++ b/internal/decide/consensus/replicas_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// One server more or less moves only the keys that it replicates, and all servers replicate about as many.
+// The removal of a server moves only the keys that it replicates, and all servers replicate about the same number.
 func TestReplicas(t *testing.T) {
 	const keys, servers, replicationFactor = 5000, 16, 3
 	var members []Identity
@@ -26,7 +26,7 @@
 			load[replica.ID]++
 			if !slices.Contains(after, replica) {
 				moved++
-				require.Equal(t, uint32(servers-1), replica.ID, "only what it replicated")
+				require.Equal(t, uint32(servers-1), replica.ID, "only keys of the removed server may move")
 			}
 		}
 	}
