--- a/internal/dispatch/apply.go
+++ b/internal/dispatch/apply.go
@@ -11,7 +11,7 @@
 func (c *Core) apply(now microtime.Time, actions []control.Action) {
 	for _, action := range actions {
 		if !c.applyToRequest(now, action) && !c.applyToServer(now, action) {
-			c.logf("dispatch: action is not supported: action=%s", fmt.Sprintf("%T", action))
+			c.logf("dispatch: unsupported action: action=%s", fmt.Sprintf("%T", action))
 		}
 	}
 	c.keys.endTurn()
@@ -37,7 +37,7 @@
 			c.keys.retain(req, now+microtime.FromDuration(act.TTL))
 		}
 	case control.ReleaseKey:
-		c.keys.release(act.ID)
+		c.keys.endRetention(act.ID)
 	case control.ReplayResult:
 		c.replay(c.requests.byID[act.ID])
 	default:
--- a/internal/dispatch/backend.go
+++ b/internal/dispatch/backend.go
@@ -14,7 +14,7 @@
 	Body  []byte
 	// AtMostOnce means that the run must not be started twice: its class is idempotent by key, or not idempotent.
 	AtMostOnce bool
-	// Deadline is when the end of the run is no longer of use to any caller.
+	// Deadline is when the result of the run is of no more use to any caller.
 	Deadline microtime.Time
 	// Request is the request of the run, for backends that forward it. It must not be modified.
 	Request *Request
@@ -24,7 +24,7 @@
 // fails.
 type Backend interface {
 	Start(Run)
-	// Cancel stops a run whose response is no longer needed. Its end is still reported.
+	// Cancel stops a run whose response is no longer needed. The backend still reports the end of the run.
 	Cancel(id string)
 	// RequestGauges requests the gauges of the backend's machine, which are passed to Core.SetGauges.
 	RequestGauges()
@@ -33,7 +33,7 @@
 // CallingBackend is a Backend whose runs may wait for calls, which it reports by Core.RunBlocked.
 type CallingBackend interface {
 	Backend
-	// DeliverReply passes a run the reply that it waits for. The backend must not modify the reply.
+	// DeliverReply passes to a run the reply to its call. The backend must not modify the reply.
 	DeliverReply(id string, reply []byte)
 }
 
@@ -43,17 +43,17 @@
 // The outcomes of a run.
 const (
 	RunSucceeded RunOutcome = iota
-	// RunFailed ended with an error, possibly after taking effect.
+	// RunFailed means that the run ended with an error, possibly after taking effect.
 	RunFailed
-	// RunCancelled was stopped, and its work is lost.
+	// RunCancelled means that the run was stopped and its work is lost.
 	RunCancelled
-	// RunNotStarted never ran, as its caller had left.
+	// RunNotStarted means that nothing ran, as the caller had abandoned the request.
 	RunNotStarted
-	// RunUnsupported never ran, as the backend does not support such a request.
+	// RunUnsupported means that nothing ran, as the backend does not support such a request.
 	RunUnsupported
-	// RunRejected never ran, as the backend or the store rejected it; see Core.RunDeclined.
+	// RunRejected means that nothing ran, as the backend or the store rejected the request; see Core.RunDeclined.
 	RunRejected
-	// RunIndeterminate may have run. The backend ensures that it does not run twice.
+	// RunIndeterminate means that the request may have run. The backend ensures that it does not run twice.
 	RunIndeterminate
 )
 
@@ -79,13 +79,13 @@
 	case RunSucceeded:
 		return control.OutcomeOK
 	case RunUnsupported, RunRejected:
-		// An unsupported request says nothing about the health or the load of the machine. As a rejection it is removed
-		// from the counts, so that a caller's made-up requests cannot influence them.
+		// An unsupported request is no evidence of the health or the load of the machine. As a rejection it is removed
+		// from the counts, so that a caller cannot distort them with invalid requests.
 		return control.OutcomeRejected
 	case RunIndeterminate:
 		return control.OutcomeTimeout
 	case RunCancelled, RunNotStarted:
-		// Not OutcomeAlreadyEnded, which the module ignores: it would count the run as running for ever.
+		// Not OutcomeAlreadyEnded: the module ignores that outcome and would count the run as running for ever.
 		return control.OutcomeCancelled
 	case RunFailed:
 	}
--- a/internal/dispatch/calls.go
+++ b/internal/dispatch/calls.go
@@ -19,19 +19,19 @@
 type call struct {
 	body   []byte
 	sentAt microtime.Time // while it is in flight
-	// lastOutcome decides whether the call may be repeated. It is that of the last attempt, or of the first attempt that
-	// left the effect of the call open.
-	lastOutcome calls.Outcome
-	made        bool // an attempt of the call has ended
+	// outcome decides whether the call may be repeated. It is that of the first attempt that may have had an effect; if
+	// there is none, that of the latest attempt.
+	outcome   calls.Outcome
+	attempted bool // an attempt of the call has ended
 }
 
-// ended records the end of an attempt of the call. If an attempt may have had an effect, no later attempt proves
-// otherwise.
-func (k *call) ended(outcome calls.Outcome) {
-	if !k.made || k.lastOutcome.Effect() == calls.NotExecuted {
-		k.lastOutcome = outcome
+// recordOutcome records the end of an attempt of the call. It keeps the outcome of an earlier attempt that may have had
+// an effect, as no later attempt can disprove that effect.
+func (k *call) recordOutcome(outcome calls.Outcome) {
+	if !k.attempted || k.outcome.Effect() == calls.NotExecuted {
+		k.outcome = outcome
 	}
-	k.made = true
+	k.attempted = true
 }
 
 // checkCalls returns ErrCallsUnsupported if the settings have calls and the backend does not support them.
@@ -45,7 +45,7 @@
 	return nil
 }
 
-// UseDownstream sets the client by which calls are made. Until then runs cannot make calls.
+// UseDownstream sets the client that makes the calls of runs. Until then runs cannot make calls.
 func (c *Core) UseDownstream(downstream Downstream) { c.downstream = downstream }
 
 // RunBlocked reports that the run of an attempt waits for a call with the given body, which the core keeps.
@@ -54,34 +54,34 @@
 	if req == nil || !req.state.started() {
 		return
 	}
-	before := req.state
+	previousState := req.state
 	c.abandonCall(req)
 	req.state = stateBlocked
 	if req.call == nil {
 		req.call = &call{}
-	} // Otherwise it waits for the same call as before, whose last outcome still counts.
+	} // Otherwise the run waits for the same call as before, and the recorded outcome still applies.
 	req.call.body = body
-	switch before {
+	switch previousState {
 	case stateRunning:
 		c.events = append(c.events, control.CallNeeded{ID: req.id})
 	case stateCalling:
 		outcome := calls.ConnectionLost.ControlOutcome()
 		c.events = append(c.events, control.CallFinished{ID: req.id, Outcome: outcome})
-	default: // stateBlocked: the decision module knows already.
+	default: // stateBlocked: the decision module was notified before.
 	}
 }
 
-// makeCall makes the call that a run waits for. Whatever the decision module decided, a call that may have had an
-// effect is not repeated for a request that is not idempotent.
+// makeCall makes the call that a run waits for. A call that may have had an effect is not repeated for a request that
+// is not idempotent, even if the decision module asks for it.
 func (c *Core) makeCall(req *request, timeout microtime.Time) {
 	if req == nil || req.state != stateBlocked || req.answered || c.downstream == nil {
 		return
 	}
 	class := c.class(req)
-	if req.call.made && !calls.MayRepeat(class.Idempotency, req.call.lastOutcome) {
-		c.logf("dispatch: call withheld, the one before may have run: run=%s", req.RunID)
+	if req.call.attempted && !calls.MayRepeat(class.Idempotency, req.call.outcome) {
+		c.logf("dispatch: call withheld, an earlier attempt may have run: run=%s", req.RunID)
 		c.respond(req, failed(reasonCallUncertain))
-		// The decision module assumes that the call is in flight.
+		// The decision module assumes that the call is in flight, and must be notified that it is not.
 		c.events = append(c.events, control.RequestCancelled{ID: req.id})
 		return
 	}
@@ -106,7 +106,8 @@
 	c.resume(req, nil)
 }
 
-// CallEnded reports how a call ended that Downstream.Call made. The core keeps reply, which only calls.Answered has.
+// CallEnded reports the outcome of a call that Downstream.Call made. reply is set only with calls.Answered; the core
+// keeps it.
 func (c *Core) CallEnded(now microtime.Time, id string, outcome calls.Outcome, reply []byte) {
 	req := c.requests.byRunID[id]
 	if req == nil || req.state != stateCalling {
@@ -119,10 +120,10 @@
 		return
 	}
 	req.state = stateBlocked
-	req.call.ended(outcome)
+	req.call.recordOutcome(outcome)
 }
 
-// resume passes a run the reply to its call.
+// resume passes to a run the reply to its call.
 func (c *Core) resume(req *request, reply []byte) {
 	req.state, req.call = stateRunning, nil
 	if backend, ok := c.backend.(CallingBackend); ok {
@@ -136,6 +137,6 @@
 		return
 	}
 	req.state = stateBlocked
-	req.call.ended(calls.Abandoned)
+	req.call.recordOutcome(calls.Abandoned)
 	c.downstream.Abandon(req.RunID)
 }
--- a/internal/dispatch/core.go
+++ b/internal/dispatch/core.go
@@ -31,7 +31,7 @@
 	settings      control.Settings
 	newController func(control.Settings) (Controller, error)
 	controller    Controller            // nil until Start
-	learned       *control.LearnedState // of a predecessor; nil if there was none
+	learned       *control.LearnedState // from a predecessor; nil if there was none
 	backend       Backend
 	downstream    Downstream     // nil: runs make no calls
 	store         ExecutionStore // nil: results are kept in memory only
@@ -55,7 +55,7 @@
 	idleTimeout microtime.Time
 }
 
-// deferredResponse is a response that the next step sends without asking the decision module.
+// deferredResponse is a response that the next Step sends, independent of the decision module.
 type deferredResponse struct {
 	request  *request
 	response Response
@@ -63,11 +63,11 @@
 
 // drainNotice is the request for a graceful shutdown.
 type drainNotice struct {
-	received bool
-	at       microtime.Time
+	received    bool
+	requestedAt microtime.Time
 }
 
-// New returns a core whose decision module starts with Start. The error is ErrCallsUnsupported, or wraps
+// New returns a core whose decision module is started by Start. The error is ErrCallsUnsupported, or wraps
 // control.ErrInvalidSettings.
 func New(config Config) (*Core, error) {
 	if err := checkCalls(config.Settings, config.Backend); err != nil {
@@ -84,7 +84,7 @@
 		gauges:        control.Gauges{CPUUtilization: -1, Runnable: -1, Memory: -1, Connections: -1},
 		health:        healthStatus{healthy: true},
 	}
-	// Only a check, so that invalid settings fail early. The controller is made by Start, which knows if it starts cold.
+	// Invalid settings fail early. This controller is dropped: only Start knows whether the machine is warming up.
 	if _, err := control.New(config.Settings); err != nil {
 		return nil, fmt.Errorf("dispatch: settings: %w", err)
 	}
@@ -99,9 +99,9 @@
 
 func newControlModule(settings control.Settings) (Controller, error) { return control.New(settings) }
 
-// Start starts the decision module for a machine that has been up for age; cold means that the machine started cold.
-// Later calls have no effect. The module takes the time of its first step for the start of the machine, so the first
-// step has a time in the past.
+// Start starts the decision module for a machine that has been up for age; cold means that the machine had a cold start
+// and warms up. Later calls have no effect. The module takes the time of its first step as the start of the machine, so
+// Start gives the first step a time in the past.
 func (c *Core) Start(now, age microtime.Time, cold bool) {
 	if c.controller != nil {
 		return
@@ -115,19 +115,19 @@
 	c.controller = controller
 	if c.learned != nil {
 		controller.RestoreLearned(*c.learned)
-		// A predecessor that has advertised no value yet has learned 0, which as an allowance means "send nothing".
+		// The learned value is 0 if the predecessor never advertised one. As an allowance, 0 would mean "send nothing".
 		c.signal.value = c.learned.LoadSignal
 		c.signal.known = settings.LoadSignal != control.LoadSignalNone && c.learned.LoadSignal > 0
 	}
-	bornAt := max(now-age, 0)
-	c.apply(now, controller.Step(bornAt.Duration(), nil))
+	machineStart := max(now-age, 0)
+	c.apply(now, controller.Step(machineStart.Duration(), nil))
 	c.ticks.postponeTo(now) // The tick that the first step scheduled may be due in the past.
 }
 
 // SetGauges records the latest gauges of the backend's machine.
 func (c *Core) SetGauges(gauges control.Gauges) { c.gauges = gauges }
 
-// OpenRequests counts the requests without a response whose caller has not left.
+// OpenRequests counts the requests that have no response yet and that their callers have not abandoned.
 func (c *Core) OpenRequests() int { return c.requests.unanswered }
 
 // LearnedState returns the estimates of the decision module; the zero value before Start.
@@ -138,23 +138,24 @@
 	return c.controller.LearnedState()
 }
 
-// RestoreLearned sets the estimates of a predecessor with which Start starts the decision module.
+// RestoreLearned sets the estimates of a predecessor, which Start passes to the decision module.
 func (c *Core) RestoreLearned(learned control.LearnedState) { c.learned = &learned }
 
-// Drain starts the graceful shutdown, which was requested at a time up to now; the process is stopped at stopAt.
-func (c *Core) Drain(now, at, stopAt microtime.Time) {
+// Drain starts the graceful shutdown. It was requested at requestedAt, which is not after now; the process is stopped
+// at stopAt.
+func (c *Core) Drain(now, requestedAt, stopAt microtime.Time) {
 	if c.drain.received {
 		return
 	}
 	c.Start(now, 0, false)
-	c.drain = drainNotice{received: true, at: at}
-	c.events = append(c.events, control.DrainRequested{StopAt: stopAt.Duration(), Age: (now - at).Duration()})
+	c.drain = drainNotice{received: true, requestedAt: requestedAt}
+	c.events = append(c.events, control.DrainRequested{StopAt: stopAt.Duration(), Age: (now - requestedAt).Duration()})
 }
 
-// Drained reports whether a graceful shutdown was requested and no request needs a response any more.
+// Drained reports whether a graceful shutdown was requested and every request was answered or abandoned by its caller.
 func (c *Core) Drained() bool { return c.drain.received && c.requests.unanswered == 0 }
 
-// NextWakeup is when Step must be called at the latest.
+// NextWakeup returns the latest time at which Step must be called again.
 func (c *Core) NextWakeup() microtime.Time {
 	if len(c.events)+len(c.deferred) > 0 {
 		return c.now
@@ -174,11 +175,11 @@
 	}
 	for _, d := range c.deferred {
 		c.respond(d.request, d.response)
-		c.forget(d.request)
+		c.removeRequest(d.request)
 	}
 	c.deferred = nil
 	c.expireParked(now)
-	c.notifyReleasedKeys()
+	c.notifyDroppedKeys()
 	due := c.ticks.takeDue(now)
 	for _, token := range due {
 		c.events = append(c.events, control.Tick{Token: token, Gauges: c.gauges})
@@ -189,19 +190,19 @@
 	events := c.events
 	c.events = nil
 	c.apply(now, c.controller.Step(now.Duration(), events))
-	c.notifyReleasedKeys()
+	c.notifyDroppedKeys()
 	if len(due) > 0 {
 		c.backend.RequestGauges()
 		c.keys.sweep(now)
 	}
 }
 
-// respondLater sends a response with the next step, as a Responder must not be called within Submit.
+// respondLater makes the next Step send a response, as a Responder must not be called within Submit.
 func (c *Core) respondLater(req *request, response Response) {
 	c.deferred = append(c.deferred, deferredResponse{req, response})
 }
 
-// respond sends the response to a request, unless it was answered before or its caller has left.
+// respond sends the response to a request, unless it was answered before or its caller has abandoned it.
 func (c *Core) respond(req *request, response Response) {
 	if req.answered {
 		return
@@ -211,7 +212,7 @@
 	req.Responder.Respond(response)
 }
 
-// markAnswered records that a request is answered or that its caller has left.
+// markAnswered records that a request needs no response any more: it was answered, or its caller has abandoned it.
 func (c *Core) markAnswered(req *request) {
 	if req.answered {
 		return
@@ -221,8 +222,8 @@
 	c.abandonCall(req)
 }
 
-// forget removes a request that has ended.
-func (c *Core) forget(req *request) {
+// removeRequest removes a request that has ended from all tables.
+func (c *Core) removeRequest(req *request) {
 	c.requests.remove(req)
 	c.parked.remove(req)
 	if req.entry != nil {
@@ -230,7 +231,7 @@
 	}
 }
 
-// FailAll fails all open requests, as the process ends now.
+// FailAll fails all open requests, for a process that is about to exit.
 func (c *Core) FailAll() {
 	ids := make([]control.RequestID, 0, len(c.requests.byID))
 	for id := range c.requests.byID {
@@ -242,7 +243,7 @@
 		c.respond(req, failed(reasonProcessShutdown))
 		c.events = append(c.events, control.RequestCancelled{ID: id})
 		if !req.state.started() {
-			c.forget(req)
+			c.removeRequest(req)
 		}
 	}
 }
@@ -250,12 +251,12 @@
 // class returns the settings of a request's class.
 func (c *Core) class(req *request) control.Class { return c.settings.Classes[req.Class] }
 
-// deadline is when the caller of a request gives up.
+// deadline returns when the caller of a request stops waiting for the response.
 func (c *Core) deadline(req *request) microtime.Time {
 	return req.ArrivedAt + microtime.FromDuration(c.class(req).Deadline)
 }
 
-// retentionWindow is how long after its arrival a request of a class may be repeated.
+// retentionWindow returns how long after its arrival a request of a class may be repeated.
 func (c *Core) retentionWindow(class int) microtime.Time {
 	return microtime.FromDuration(c.settings.Classes[class].RetentionWindow)
 }
--- a/internal/dispatch/counters.go
+++ b/internal/dispatch/counters.go
@@ -8,7 +8,7 @@
 )
 
 // Counters count the responses and runs of a class since the process started. A request is counted once, when it is
-// answered; a request whose caller leaves before is not counted.
+// answered; a request that its caller abandons before that is not counted.
 type Counters struct {
 	Succeeded int
 	Rejected  int // never ran
@@ -53,5 +53,5 @@
 // CountedClasses returns the sorted names of all current and former classes.
 func (c *Core) CountedClasses() []string { return slices.Sorted(maps.Keys(c.counters.byName)) }
 
-// CountMalformed counts a request of a known class that its frontend answered with an error.
+// CountMalformed counts a request of a known class that the frontend answered with an error instead of submitting it.
 func (c *Core) CountMalformed(class int) { c.counters.byClass[class].Failed++ }
--- a/internal/dispatch/errors.go
+++ b/internal/dispatch/errors.go
@@ -2,11 +2,11 @@
 
 import "errors"
 
-// ErrCallsUnsupported means that the settings have calls, which the backend does not support.
+// ErrCallsUnsupported means that the settings enable calls and the backend does not support them.
 var ErrCallsUnsupported = errors.New(
 	"dispatch: settings.extra.downstream: calls need a worker pool to do the work")
 
-// RequestError is why Submit refuses a request. Frontends send its text to the caller.
+// RequestError is the error of Submit for an invalid request. Frontends send its text to the caller.
 type RequestError struct {
 	// Field is the invalid field, by its name in the callers' protocol.
 	Field string
--- a/internal/dispatch/execution.go
+++ b/internal/dispatch/execution.go
@@ -16,7 +16,7 @@
 	IdempotencyKey string
 	// ArrivedAt is when the attempt that ran arrived; negative if before the process started.
 	ArrivedAt microtime.Time
-	// ArrivedAtUnixMilli is the same as the caller stated it, in Unix milliseconds; 0 if it stated none.
+	// ArrivedAtUnixMilli is the arrival time as the caller stated it, in Unix milliseconds; 0 if it stated none.
 	ArrivedAtUnixMilli int64
 	// Retry means that the caller has made an earlier attempt, here or at another server.
 	Retry bool
@@ -29,9 +29,9 @@
 
 // The verdicts. All but VerdictGranted and VerdictUnavailable come only from stores that other servers write to.
 const (
-	// VerdictGranted is the lease to run the request. Only Acquire gives it.
+	// VerdictGranted grants the lease to run the request. Only Acquire returns it.
 	VerdictGranted Verdict = iota
-	// VerdictSucceeded means that the request has run, with LeaseResult.Result.
+	// VerdictSucceeded means that the request has run and succeeded; its result is LeaseResult.Result.
 	VerdictSucceeded
 	// VerdictFailed means that the request has run and failed.
 	VerdictFailed
@@ -39,7 +39,8 @@
 	VerdictIndeterminate
 	// VerdictUnavailable means that no lease could be recorded, so that the request must not run.
 	VerdictUnavailable
-	// VerdictUnknown means that the store has no record of the request. Only Lookup gives it; it is no lease.
+	// VerdictUnknown means that the store has no record of the request. Only Lookup returns it; it is not a
+	// lease.
 	VerdictUnknown
 )
 
@@ -55,9 +56,9 @@
 // LeaseResult is the answer of an execution store to Lookup or Acquire.
 type LeaseResult struct {
 	Verdict Verdict
-	// ArrivedAt is when the attempt that ran arrived, with VerdictSucceeded.
+	// ArrivedAt is when the attempt that ran arrived; set with VerdictSucceeded.
 	ArrivedAt microtime.Time
-	// Result is the result of the run, with VerdictSucceeded.
+	// Result is the result of the run; set with VerdictSucceeded.
 	Result []byte
 	// Err is the cause of VerdictUnavailable.
 	Err error
@@ -71,7 +72,7 @@
 	Lookup(request KeyedRequest, done func(LeaseResult)) bool
 	// Acquire records that a request is about to run: from then on it may have run.
 	Acquire(request KeyedRequest, done func(LeaseResult))
-	// ReleaseLease asynchronously reverts Acquire: the request did not run.
+	// ReleaseLease asynchronously returns the lease of Acquire: the request did not run.
 	ReleaseLease(request KeyedRequest)
 	// RecordFailure asynchronously records that the request ran and failed.
 	RecordFailure(request KeyedRequest)
@@ -79,16 +80,17 @@
 	RecordResult(request KeyedRequest, done func(error))
 }
 
-// UseExecutionStore sets the store in which every request with an idempotency key is recorded before it runs, and its
-// result before its response is sent.
+// UseExecutionStore sets the execution store. With it, every request with an idempotency key is recorded before it
+// runs, and its result before the response is sent.
 func (c *Core) UseExecutionStore(store ExecutionStore) { c.store = store }
 
-// Restore adds a request that an earlier process of this server ran: repeats within its window get its result.
+// Restore adds a request that an earlier process of this server ran: repeats within the retention window get its
+// result.
 func (c *Core) Restore(request KeyedRequest) {
 	if !c.knownClass(request.Class) {
 		return
 	}
-	entry := c.addRestored(request, handoff.Free)
+	entry := c.addExternal(request, handoff.Free)
 	entry.finish(RunSucceeded, request.Result)
 }
 
@@ -96,27 +98,27 @@
 // result. As that process may have been killed at any time, repeats fail as indeterminate until the window is over.
 func (c *Core) RestoreLease(request KeyedRequest) {
 	if c.knownClass(request.Class) {
-		c.addRestored(request, handoff.Indeterminate)
+		c.addExternal(request, handoff.Indeterminate)
 	}
 }
 
-// addRestored adds the entry of a key whose run the decision module has not seen.
-func (c *Core) addRestored(request KeyedRequest, peerState handoff.State) *keyEntry {
+// addExternal adds the entry of a key that another process runs, ran or may run.
+func (c *Core) addExternal(request KeyedRequest, peerState handoff.State) *keyEntry {
 	entry := &keyEntry{
 		key:       IdempotencyKey{request.Tenant, request.IdempotencyKey},
 		class:     request.Class,
 		arrivedAt: request.ArrivedAt,
 		expires:   request.ArrivedAt + c.retentionWindow(request.Class),
 		retained:  true,
-		restored:  true,
+		external:  true,
 		peerState: peerState,
 	}
 	c.keys.byKey[entry.key] = entry
 	return entry
 }
 
-// launch starts the run of an attempt once the store, if there is one, has granted the lease. Without a lease the
-// attempt never ran and is rejected.
+// launch starts the run of an attempt. With an execution store it first acquires the lease; if the store grants none,
+// the attempt does not run and is rejected.
 func (c *Core) launch(req *request) {
 	if req.entry == nil || c.store == nil {
 		c.startBackend(req)
@@ -132,14 +134,14 @@
 	})
 }
 
-// launchWithLease handles the store's answer to Acquire for an attempt that is about to run.
+// launchWithLease handles the store's answer to Acquire: it starts the run if the lease was granted.
 func (c *Core) launchWithLease(req *request, lease LeaseResult) {
 	entry := req.entry
 	switch {
 	case lease.Verdict == VerdictSucceeded:
 		entry.arrivedAt = lease.ArrivedAt
 		entry.expires = lease.ArrivedAt + c.retentionWindow(entry.class)
-		entry.restored = true
+		entry.external = true
 		entry.finish(RunSucceeded, lease.Result)
 		c.finishAll(entry, req, RunSucceeded, lease.Result)
 	case lease.Verdict == VerdictFailed:
@@ -149,7 +151,7 @@
 		c.keys.markIndeterminate(entry, req.ArrivedAt+c.retentionWindow(req.Class))
 		c.finishAll(entry, req, RunIndeterminate, nil)
 	case lease.Verdict == VerdictUnavailable:
-		c.logf("dispatch: request is not run without a lease on record: key=%q error=%v", entry.key.text, lease.Err)
+		c.logf("dispatch: lease not recorded, request not run: key=%q error=%v", entry.key.text, lease.Err)
 		c.RunDeclined(req.RunID, storeRetryAfter, false)
 	case req.answered && len(entry.waiters) == 0: // No caller waits for the result any more.
 		c.RunFinished(req.RunID, RunNotStarted, nil)
@@ -158,38 +160,39 @@
 	}
 }
 
-// deferToStore looks up an attempt whose key is not known here, so that a repeat of a run at another server is answered
-// even if this server is overloaded. It returns false if the attempt has to be admitted at once.
+// deferToStore parks an attempt whose key is not known here and looks it up in the store, so that a repeat of a run at
+// another server is answered even if this server is overloaded. It returns false if the attempt has to be admitted at
+// once.
 func (c *Core) deferToStore(req *request) bool {
 	if c.store == nil || c.keys.current(req.scopedKey(), req.ArrivedAt) != nil {
 		return false
 	}
-	// Parked first, as a cluster of one server answers before Lookup returns.
+	// The attempt is parked before Lookup, as a replication group of one server answers before Lookup returns.
 	req.state = stateWaiting
 	c.parked.add(req)
-	asked := c.store.Lookup(req.keyedRequest(), func(lease LeaseResult) {
-		waits := c.requests.byID[req.id] == req && req.state == stateWaiting && req.entry == nil
-		if waits { // Otherwise it was answered meanwhile, or its caller has left.
+	lookupStarted := c.store.Lookup(req.keyedRequest(), func(lease LeaseResult) {
+		stillParked := c.requests.byID[req.id] == req && req.state == stateWaiting && req.entry == nil
+		if stillParked { // Otherwise the attempt was answered meanwhile, or its caller has abandoned it.
 			c.resumeAfterLookup(req, lease)
 		}
 	})
-	if !asked {
+	if !lookupStarted {
 		req.state = stateQueued
 		c.parked.remove(req)
 	}
-	return asked
+	return lookupStarted
 }
 
-// resumeAfterLookup admits or answers an attempt that has waited for the store's answer to Lookup.
+// resumeAfterLookup admits or answers an attempt that was parked until the store's answer to Lookup.
 func (c *Core) resumeAfterLookup(req *request, lease LeaseResult) {
 	c.parked.remove(req)
 	known := c.keys.current(req.scopedKey(), req.ArrivedAt)
 	switch {
-	case lease.Verdict == VerdictUnknown || known != nil: // Another attempt may have arrived here meanwhile.
+	case lease.Verdict == VerdictUnknown || known != nil: // known: another attempt has arrived here meanwhile.
 		req.state = stateQueued
 		c.admit(req)
 	case lease.Verdict == VerdictSucceeded:
-		entry := c.addRestored(req.keyedRequest(), handoff.Free)
+		entry := c.addExternal(req.keyedRequest(), handoff.Free)
 		entry.finish(RunSucceeded, lease.Result)
 		entry.arrivedAt = lease.ArrivedAt
 		entry.expires = lease.ArrivedAt + c.retentionWindow(req.Class)
@@ -201,15 +204,15 @@
 	}
 }
 
-// recordResult writes the result of a key's run to the store. req is the request of the run, nil if a repeat makes the
-// core try again. If the result cannot be recorded the request fails and is not run again; a repeat makes the core try
-// again.
+// recordResult writes the result of a key's run to the store. If that fails, the request fails and is not run again,
+// and a repeat makes the core write the result again. req is the request of the run; it is nil for the write that a
+// repeat causes.
 func (c *Core) recordResult(entry *keyEntry, req *request) {
 	entry.run = runRecording
 	c.store.RecordResult(entry.keyedRequest(), func(err error) {
 		if err != nil {
 			entry.run = runUnrecorded
-			c.logf("dispatch: result is not on record: key=%q error=%v", entry.key.text, err)
+			c.logf("dispatch: result not recorded: key=%q error=%v", entry.key.text, err)
 			c.finishAll(entry, req, RunFailed, nil)
 			return
 		}
--- a/internal/dispatch/execution_test.go
+++ b/internal/dispatch/execution_test.go
@@ -91,7 +91,7 @@
 	env.endTurn()
 	require.Equal(t, StatusRejected, second.got[0].Status)
 	require.Positive(t, second.got[0].RetryAfter, "with when to come back")
-	require.Equal(t, []string{"k2"}, env.releasedKeys)
+	require.Equal(t, []string{"k2"}, env.releasedLeases)
 	require.Len(t, env.started, 1)
 	again, _ := env.try("k2")
 	env.acquireDone[2](LeaseResult{})
@@ -107,7 +107,7 @@
 	env.acquireDone[3](LeaseResult{})
 	env.endTurn()
 	require.Len(t, env.started, 2)
-	require.Equal(t, []string{"k2", "k3"}, env.releasedKeys)
+	require.Equal(t, []string{"k2", "k3"}, env.releasedLeases)
 	require.NotEmpty(t, first.got)
 }
 
@@ -228,7 +228,7 @@
 	second, id := env.try("k")
 	require.Len(t, env.acquired, 1)
 	env.core.RunFinished(first, RunNotStarted, nil)
-	require.Equal(t, []string{"k"}, env.releasedKeys)
+	require.Equal(t, []string{"k"}, env.releasedLeases)
 	require.Len(t, env.acquired, 2)
 	require.Equal(t, env.now, env.acquired[1].ArrivedAt, "the window counts from the attempt that runs")
 	env.endTurn()
--- a/internal/dispatch/harness_test.go
+++ b/internal/dispatch/harness_test.go
@@ -19,16 +19,16 @@
 
 	started []string
 
-	lookups       bool // the store asks others
-	lookupDone    []func(LeaseResult)
-	lookupAtOnce  *LeaseResult // what the store answers before Lookup returns
-	acquired      []KeyedRequest
-	acquireDone   []func(LeaseResult)
-	holdAcquires  bool // leases are not durable before the test says so
-	recorded      []KeyedRequest
-	recordDone    []func(error)
-	releasedKeys  []string
-	failureOfKeys []string
+	lookups        bool // the store asks others
+	lookupDone     []func(LeaseResult)
+	lookupAtOnce   *LeaseResult // what the store answers before Lookup returns
+	acquired       []KeyedRequest
+	acquireDone    []func(LeaseResult)
+	holdAcquires   bool // leases are not durable before the test says so
+	recorded       []KeyedRequest
+	recordDone     []func(error)
+	releasedLeases []string
+	failureOfKeys  []string
 }
 
 func (h *harness) Start(run Run)  { h.started = append(h.started, run.ID) }
@@ -55,7 +55,7 @@
 }
 
 func (h *harness) ReleaseLease(request KeyedRequest) {
-	h.releasedKeys = append(h.releasedKeys, request.IdempotencyKey)
+	h.releasedLeases = append(h.releasedLeases, request.IdempotencyKey)
 }
 
 func (h *harness) RecordFailure(request KeyedRequest) {
--- a/internal/dispatch/keys.go
+++ b/internal/dispatch/keys.go
@@ -12,14 +12,15 @@
 )
 
 const (
-	// expiredEntryGrace is how long an entry is kept after its window, as a repeat that arrived within the window may be
-	// read later.
+	// expiredEntryGrace is how long an entry is kept after its retention window, as a repeat that arrived within the
+	// window may be read later.
 	expiredEntryGrace = 10 * microtime.Second
 	// sweepInterval is how often expired entries are dropped.
 	sweepInterval = microtime.Second
 )
 
-// IdempotencyKey names a request over all its attempts. The same text from another tenant is another request.
+// IdempotencyKey identifies a request across all its attempts. The same text from another tenant identifies another
+// request.
 type IdempotencyKey struct {
 	tenant int
 	text   string
@@ -30,23 +31,24 @@
 	return cmp.Or(cmp.Compare(a.tenant, b.tenant), cmp.Compare(a.text, b.text))
 }
 
-// runState is how far the run of a key has come. A key runs once within its retention window.
+// runState is the progress of the run of a key. A key runs once within its retention window.
 type runState uint8
 
 const (
-	// runNone has not been started, or is proven not to have run.
+	// runNone means that no run was started, or that the run is proven not to have taken place.
 	runNone runState = iota
-	// runActive was started and has not ended.
+	// runActive means that the run was started and has not ended.
 	runActive
-	// runRecording has succeeded, and its result is being written to the execution store.
+	// runRecording means that the run succeeded and its result is being written to the execution store.
 	runRecording
-	// runUnrecorded has succeeded, but its result could not be written. A repeat makes the core try again.
+	// runUnrecorded means that the run succeeded and its result could not be written. A repeat makes the core write it
+	// again.
 	runUnrecorded
-	// runFinished has ended, with the outcome and the result of the entry.
+	// runFinished means that the run ended with the outcome and the result of the entry.
 	runFinished
 )
 
-// keyEntry is what is known of one request with an idempotency key.
+// keyEntry is the state of one request with an idempotency key.
 type keyEntry struct {
 	key      IdempotencyKey
 	class    int
@@ -54,12 +56,14 @@
 	original control.RequestID // the attempt that the decision module knows as the original
 	expires  microtime.Time    // the end of the retention that the decision module has requested
 	retained bool              // the decision module has retained the key; false: the entry lasts for this turn only
-	restored bool              // known from the store or the peer process: the decision module has not seen the run
+	// external means that the run is known only from the execution store or the peer process: an earlier process of this
+	// server, its peer or another server runs the key, ran it or may run it. The decision module has not seen the run.
+	external bool
 
 	run                runState
 	ranBy              control.RequestID // the attempt that ran
 	arrivedAt          microtime.Time    // when that attempt arrived
-	arrivedAtUnixMilli int64             // the same as its caller stated it, in Unix milliseconds
+	arrivedAtUnixMilli int64             // arrivedAt as the caller stated it, in Unix milliseconds
 	outcome            RunOutcome        // of runFinished
 	result             []byte            // from runRecording on
 	waiters            []*request        // attempts that are answered when the run ends
@@ -68,7 +72,7 @@
 	peerWaiting bool          // the peer process waits for the end of the run
 }
 
-// claim marks the key as run by req. It returns false if another attempt has run.
+// claim marks the key as run by req. It returns false if another attempt runs or has run.
 func (e *keyEntry) claim(req *request) bool {
 	if e.run == runNone {
 		e.run = runActive
@@ -81,7 +85,7 @@
 	return true
 }
 
-// unfinished reports whether the key has a run whose end is not known or not recorded yet.
+// unfinished reports whether the key has a run that has not ended, or whose result is not recorded yet.
 func (e *keyEntry) unfinished() bool { return e.run != runNone && e.run != runFinished }
 
 // finish records how the run of the key ended.
@@ -91,9 +95,9 @@
 	e.result = result
 }
 
-// moveWindow makes the retention window count from attempt, which runs in the place of before.
-func (e *keyEntry) moveWindow(before, attempt *request) {
-	e.expires += max(attempt.ArrivedAt-before.ArrivedAt, 0)
+// moveWindow makes the retention window count from the arrival of attempt, which runs in place of replaced.
+func (e *keyEntry) moveWindow(replaced, attempt *request) {
+	e.expires += max(attempt.ArrivedAt-replaced.ArrivedAt, 0)
 	if attempt.ArrivedAt > e.arrivedAt {
 		e.arrivedAt = attempt.ArrivedAt
 		e.arrivedAtUnixMilli = attempt.ArrivedAtUnixMilli
@@ -125,10 +129,10 @@
 	byKey      map[IdempotencyKey]*keyEntry
 	byOriginal map[control.RequestID]*keyEntry
 	unretained []*keyEntry // added in this turn
-	// released are the entries that were dropped without a run since the last step.
-	released []*keyEntry
-	// indeterminate holds, until the time given, the keys of runs whose outcome the backend does not know. Their repeats
-	// are passed to the backend again, but are never answered as rejected, as the key may have run.
+	// dropped holds the entries that were dropped without a run since the last call of takeDropped.
+	dropped []*keyEntry
+	// indeterminate maps each key of a run whose outcome the backend does not know to the end of its retention window.
+	// Until then, repeats are passed to the backend again, but are never answered as rejected, as the key may have run.
 	indeterminate map[IdempotencyKey]microtime.Time
 	hashSeed      maphash.Seed
 	sweptAt       microtime.Time
@@ -144,23 +148,23 @@
 }
 
 // checkSameRequest returns a *RequestError if the key of an attempt belongs to a request of another class or body, so
-// that no caller gets the result of another request. The body of a restored entry is not known and not checked.
+// that no caller gets the result of another request. The body of an external entry is not known and not checked.
 func (t *keyTable) checkSameRequest(attempt *Request, classes []control.Class) error {
 	entry := t.byKey[attempt.scopedKey()]
 	switch {
 	case entry == nil || attempt.IdempotencyKey == "":
 		return nil
-	case classes[entry.class].Name != classes[attempt.Class].Name: // By name, as a reload may change the index.
+	case classes[entry.class].Name != classes[attempt.Class].Name: // Compared by name, as a reload may change the index.
 		return &RequestError{"once", "the key is of a request of another class"}
-	case !entry.restored && entry.bodyHash != maphash.Bytes(t.hashSeed, attempt.Body):
+	case !entry.external && entry.bodyHash != maphash.Bytes(t.hashSeed, attempt.Body):
 		return &RequestError{"once", "the key is of a request with another body"}
 	}
 	return nil
 }
 
-// attach returns the entry of a request's key and the ID of the attempt that the request repeats. If there is no entry
-// it adds one, which lasts for this turn unless the decision module retains it, and the ID is 0. The window is compared
-// with the time at which the request arrived, not with that at which it was read.
+// attach returns the entry of a request's key and the ID of the attempt that the request repeats. If there is no entry,
+// it adds one and returns 0 as the ID; the new entry lasts for this turn unless the decision module retains it. The
+// retention window is compared with the time at which the request arrived, not with the time at which it was read.
 func (t *keyTable) attach(req *request) (*keyEntry, control.RequestID) {
 	key := req.scopedKey()
 	if entry := t.current(key, req.ArrivedAt); entry != nil {
@@ -176,8 +180,9 @@
 	return entry, 0
 }
 
-// current returns the entry of a key for an attempt that arrived at arrivedAt; nil if there is none. An entry whose
-// window has ended by then is removed, unless its run is unfinished or the peer process may run it.
+// current returns the entry of a key for an attempt that arrived at arrivedAt; nil if there is none. It removes an
+// entry whose retention window ended before arrivedAt, unless the run is unfinished or the peer process may run the
+// key.
 func (t *keyTable) current(key IdempotencyKey, arrivedAt microtime.Time) *keyEntry {
 	entry := t.byKey[key]
 	switch {
@@ -208,8 +213,9 @@
 	t.byOriginal[req.id] = entry
 }
 
-// release drops the entry of an original, unless an attempt of it has run.
-func (t *keyTable) release(original control.RequestID) {
+// endRetention drops the entry of an original, as the decision module no longer retains its key. An entry with a run is
+// kept.
+func (t *keyTable) endRetention(original control.RequestID) {
 	if entry := t.byOriginal[original]; entry != nil && entry.run == runNone {
 		t.drop(entry)
 	}
@@ -222,7 +228,7 @@
 	t.markNotRun(entry)
 }
 
-// mayHaveRun reports whether the key of a request had a run whose outcome is not known.
+// mayHaveRun reports whether the key of a request had, within its retention window, a run whose outcome is not known.
 func (t *keyTable) mayHaveRun(req *request, now microtime.Time) bool {
 	return now < t.indeterminate[req.scopedKey()]
 }
@@ -233,10 +239,10 @@
 	t.drop(entry)
 }
 
-// drop removes an entry without a run and queues it for notifyReleasedKeys.
+// drop removes an entry without a run and queues it for notifyDroppedKeys.
 func (t *keyTable) drop(entry *keyEntry) {
 	t.remove(entry)
-	t.released = append(t.released, entry)
+	t.dropped = append(t.dropped, entry)
 }
 
 func (t *keyTable) remove(entry *keyEntry) {
@@ -248,14 +254,14 @@
 	}
 }
 
-// takeReleased returns the entries that were dropped without a run since the last call.
-func (t *keyTable) takeReleased() []*keyEntry {
-	released := t.released
-	t.released = nil
-	return released
+// takeDropped returns the entries that were dropped without a run since the last call.
+func (t *keyTable) takeDropped() []*keyEntry {
+	dropped := t.dropped
+	t.dropped = nil
+	return dropped
 }
 
-// endTurn drops the entries that the decision module did not retain in the turn that brought them.
+// endTurn drops the entries that were added in this turn and that the decision module did not retain.
 func (t *keyTable) endTurn() {
 	for _, entry := range t.unretained {
 		if !entry.retained && entry.run == runNone {
--- a/internal/dispatch/parked.go
+++ b/internal/dispatch/parked.go
@@ -32,7 +32,7 @@
 	return waiting
 }
 
-// parkedDeadline is when a parked request is answered as expired.
+// parkedDeadline returns when a parked request is answered as expired.
 func (c *Core) parkedDeadline(req *request) microtime.Time {
 	return c.deadline(req) - parkedResponseLead
 }
@@ -42,7 +42,7 @@
 	for _, req := range slices.Clone(c.parked.requests) {
 		if now >= c.parkedDeadline(req) {
 			c.respond(req, expired())
-			c.forget(req)
+			c.removeRequest(req)
 		}
 	}
 }
--- a/internal/dispatch/peer.go
+++ b/internal/dispatch/peer.go
@@ -15,7 +15,7 @@
 	NotifyStarted(KeyedRequest)
 	// NotifyFinished reports that the run of a key has ended here.
 	NotifyFinished(KeyedRequest, RunOutcome)
-	// NotifyReleased reports that this process has given up a key without running it.
+	// NotifyReleased reports that this process gives up a key that it has not run.
 	NotifyReleased(KeyedRequest)
 }
 
@@ -38,8 +38,8 @@
 	return handoff.Key{State: handoff.Local, PeerWaiting: e.peerWaiting}
 }
 
-// deferToPeer parks or fails an attempt whose key the peer process may run or have run. It returns false if the attempt
-// has to be admitted at once.
+// deferToPeer parks or fails an attempt whose key the peer process may run or may have run. It returns false if the
+// attempt has to be admitted at once.
 func (c *Core) deferToPeer(req *request) bool {
 	entry := c.keys.current(req.scopedKey(), req.ArrivedAt)
 	if c.peer == nil && (entry == nil || entry.peerState == handoff.Free) {
@@ -52,7 +52,7 @@
 	}
 	req.state = stateWaiting
 	if entry == nil {
-		entry = c.addRestored(req.keyedRequest(), key.State)
+		entry = c.addExternal(req.keyedRequest(), key.State)
 	}
 	req.entry = entry
 	for _, action := range actions {
@@ -69,15 +69,15 @@
 	return true
 }
 
-// keyEvent is an event of the handoff with the request that it is about.
+// keyEvent is an event of the handoff and the request that it concerns.
 type keyEvent struct {
 	kind    handoff.Event
 	request KeyedRequest
 	outcome RunOutcome // of PeerFinished
 }
 
-// receive handles a message of the peer process about a key. A class that is not known here is ignored.
-func (c *Core) receive(event keyEvent) {
+// handlePeerMessage handles a message of the peer process about a key. It ignores a request of an unknown class.
+func (c *Core) handlePeerMessage(event keyEvent) {
 	if !c.knownClass(event.request.Class) {
 		return
 	}
@@ -85,10 +85,10 @@
 	c.stepKey(c.keys.current(key, event.request.ArrivedAt), event)
 }
 
-// stepAll applies an event of the handoff to all keys, in the order of compareKeys.
-func (c *Core) stepAll(kind handoff.Event) {
-	for _, name := range c.keys.sorted() {
-		entry := c.keys.byKey[name]
+// stepAllKeys applies an event of the handoff to all keys, in the order of compareKeys.
+func (c *Core) stepAllKeys(kind handoff.Event) {
+	for _, key := range c.keys.sorted() {
+		entry := c.keys.byKey[key]
 		c.stepKey(entry, keyEvent{kind: kind, request: entry.keyedRequest()})
 	}
 }
@@ -97,9 +97,9 @@
 func (c *Core) stepKey(entry *keyEntry, event keyEvent) {
 	waiting := c.parked.waitingFor(entry)
 	key := entry.handoffKey()
-	before := key.State
+	previousState := key.State
 	actions := key.Step(c.role, event.kind, len(waiting) > 0)
-	if key.State != before {
+	if key.State != previousState {
 		entry = c.enterState(entry, key.State, event)
 	}
 	if entry != nil {
@@ -116,14 +116,14 @@
 	switch state {
 	case handoff.Requested, handoff.Remote, handoff.Indeterminate:
 		if entry == nil || entry.peerState == handoff.Free {
-			entry = c.addRestored(event.request, state)
+			entry = c.addExternal(event.request, state)
 		}
 		entry.peerState = state
 	case handoff.Done:
 		if event.kind == handoff.PeerFinished {
 			entry = c.finishRemote(entry, event)
 		}
-	default: // Free, or Local, for which the attempts that waited are admitted again.
+	default: // Free or Local. For Local, the handoff also admits the attempts that waited.
 		if entry != nil && entry.peerState != handoff.Free {
 			c.keys.remove(entry)
 		}
@@ -134,7 +134,7 @@
 // finishRemote records the end of a run in the peer process.
 func (c *Core) finishRemote(entry *keyEntry, event keyEvent) *keyEntry {
 	if entry == nil {
-		entry = c.addRestored(event.request, handoff.Free)
+		entry = c.addExternal(event.request, handoff.Free)
 	}
 	entry.peerState = handoff.Free
 	entry.finish(event.outcome, event.request.Result)
@@ -143,7 +143,7 @@
 	return entry
 }
 
-// resumeParked carries out the actions of the handoff that are about the requests that wait for a key.
+// resumeParked carries out the actions of the handoff on the requests that wait for a key.
 func (c *Core) resumeParked(action handoff.Action, entry *keyEntry, waiting []*request) {
 	switch action {
 	case handoff.AdmitWaiting:
@@ -162,7 +162,7 @@
 			c.parked.remove(req)
 			c.respondLater(req, failed(reasonIndeterminate))
 		}
-	default: // The other actions are for the peer process.
+	default: // The other actions are messages to the peer process.
 	}
 }
 
@@ -186,7 +186,7 @@
 		}
 	case handoff.NotifyReleased:
 		c.peer.NotifyReleased(request)
-	default: // The other actions are for the requests that wait here.
+	default: // The other actions concern the requests that wait here.
 	}
 }
 
@@ -203,10 +203,11 @@
 	}
 }
 
-// notifyReleasedKeys notifies the peer process of the keys that were given up here without a run. It is called after
-// all actions of a step, as the module may release a key and retain it again for a newer attempt in the same step.
-func (c *Core) notifyReleasedKeys() {
-	for _, entry := range c.keys.takeReleased() {
+// notifyDroppedKeys notifies the peer process of the keys whose entries were dropped without a run. It is called after
+// all actions of a step, as the decision module may stop retaining a key and, in the same step, retain it again for a
+// newer attempt.
+func (c *Core) notifyDroppedKeys() {
+	for _, entry := range c.keys.takeDropped() {
 		if c.peer == nil || c.keys.byKey[entry.key] != nil {
 			continue
 		}
@@ -214,7 +215,7 @@
 		key := handoff.Key{State: handoff.Local, PeerWaiting: entry.peerWaiting}
 		for _, action := range key.Step(c.role, handoff.LocalReleased, false) {
 			if action == handoff.Grant {
-				c.addRestored(request, handoff.Remote)
+				c.addExternal(request, handoff.Remote)
 			}
 			c.applyToPeer(action, nil, request)
 		}
@@ -224,7 +225,7 @@
 // Keys returns all keys that have an entry, for AnnounceKey.
 func (c *Core) Keys() []IdempotencyKey { return c.keys.sorted() }
 
-// AnnounceKey notifies the peer process of the run of a key, if the key has run here or may have.
+// AnnounceKey notifies the peer process of the run of a key, if the key has run or may have run here.
 func (c *Core) AnnounceKey(key IdempotencyKey) {
 	entry := c.keys.byKey[key]
 	if entry == nil || c.peer == nil || c.now >= entry.expires && !entry.unfinished() {
@@ -242,45 +243,45 @@
 
 // PeerClaimed handles the peer's request for permission to run a key.
 func (c *Core) PeerClaimed(request KeyedRequest) {
-	c.receive(keyEvent{kind: handoff.PeerClaimed, request: request})
+	c.handlePeerMessage(keyEvent{kind: handoff.PeerClaimed, request: request})
 }
 
 // PeerGranted handles the peer's permission to run a key here.
 func (c *Core) PeerGranted(request KeyedRequest) {
-	c.receive(keyEvent{kind: handoff.PeerGranted, request: request})
+	c.handlePeerMessage(keyEvent{kind: handoff.PeerGranted, request: request})
 }
 
 // PeerStarted handles the peer's message that it runs a key or may run it.
 func (c *Core) PeerStarted(request KeyedRequest) {
-	c.receive(keyEvent{kind: handoff.PeerStarted, request: request})
+	c.handlePeerMessage(keyEvent{kind: handoff.PeerStarted, request: request})
 }
 
 // PeerFinished handles the peer's message about the end of a run. The core keeps request.Result.
 func (c *Core) PeerFinished(request KeyedRequest, outcome RunOutcome) {
-	c.receive(keyEvent{kind: handoff.PeerFinished, request: request, outcome: outcome})
+	c.handlePeerMessage(keyEvent{kind: handoff.PeerFinished, request: request, outcome: outcome})
 }
 
-// PeerReleased handles the peer's message that it has given up a key without running it.
+// PeerReleased handles the peer's message that it gives up a key that it has not run.
 func (c *Core) PeerReleased(request KeyedRequest) {
-	c.receive(keyEvent{kind: handoff.PeerReleased, request: request})
+	c.handlePeerMessage(keyEvent{kind: handoff.PeerReleased, request: request})
 }
 
 // PassOwnership makes the peer the owner of all keys and notifies it of those that this process runs or may run.
 func (c *Core) PassOwnership() {
-	c.stepAll(handoff.OwnershipPassed)
+	c.stepAllKeys(handoff.OwnershipPassed)
 	c.role = handoff.Requester
 }
 
 // TakeOwnership makes this process the owner of all keys.
 func (c *Core) TakeOwnership() {
 	c.role = handoff.Owner
-	c.stepAll(handoff.OwnershipTaken)
+	c.stepAllKeys(handoff.OwnershipTaken)
 }
 
-// PeerLost handles the loss of the peer process. The keys that it ran or could have run become indeterminate.
+// PeerLost handles the loss of the peer process. The keys that the peer ran or may have run become indeterminate.
 func (c *Core) PeerLost() {
 	c.peer = nil
-	c.stepAll(handoff.PeerLost)
+	c.stepAllKeys(handoff.PeerLost)
 	c.role = handoff.Alone
 }
 
--- a/internal/dispatch/reload.go
+++ b/internal/dispatch/reload.go
@@ -7,11 +7,12 @@
 	"pewterline/internal/decide/reload"
 )
 
-// maxClassNames bounds the class names with counters. Those of removed classes are kept, so that no count is lost.
+// maxClassNames limits the number of class names with counters. The counters of removed classes are kept, so that no
+// count is lost.
 const maxClassNames = 1000
 
 // Reload replaces the settings while serving. Open requests and retained results stay in their class, and the
-// statistics of classes that stay are kept. inUse reports whether the index of a class is in use outside of the core.
+// statistics of classes that stay are kept. inUse reports whether the index of a class is in use outside the core.
 // Reload returns the settings in force, in which classes and tenants have kept their indices. On an error nothing has
 // changed.
 func (c *Core) Reload(next control.Settings, inUse func(class int) bool) (control.Settings, error) {
@@ -29,7 +30,7 @@
 	if err := c.reconfigure(placed); err != nil {
 		return current, fmt.Errorf("dispatch: settings: %w", err)
 	}
-	if placed.LoadSignal != current.LoadSignal { // The value in force had another meaning.
+	if placed.LoadSignal != current.LoadSignal { // The previous value has another meaning.
 		c.signal = loadSignal{}
 	}
 	placed.Seed, placed.ColdStart = current.Seed, current.ColdStart
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -42,7 +42,7 @@
 	Status Status
 	// Result is the result of the run, with StatusSucceeded.
 	Result []byte
-	// RetryAfter is how long the caller should not use this server, with StatusRejected; 0 gives no advice.
+	// RetryAfter is how long the caller should not use this server, with StatusRejected; 0 means no advice.
 	RetryAfter microtime.Time
 	// NoRetry asks the caller not to retry at another server, with StatusRejected.
 	NoRetry bool
@@ -82,7 +82,7 @@
 	Class, Tenant int
 	// IdempotencyKey is the same for all attempts of one request of a class that is idempotent by key; else empty.
 	IdempotencyKey string
-	// SubjectKey identifies what the request is about; 0 if it is not known.
+	// SubjectKey identifies the subject of the request; 0 if it is not known.
 	SubjectKey uint64
 	// ArrivedAt is when the attempt reached the machine, as its caller stated it.
 	ArrivedAt microtime.Time
@@ -118,16 +118,16 @@
 type requestState uint8
 
 const (
-	// stateQueued waits for the decision module to start it.
+	// stateQueued means that the attempt waits for the decision module to start it.
 	stateQueued requestState = iota
-	// stateRunning was passed to the backend, and its run has not ended.
+	// stateRunning means that the attempt was passed to the backend and its run has not ended.
 	stateRunning
-	// stateBlocked has a run that waits for permission to make a call.
+	// stateBlocked means that the run waits until the decision module permits its call.
 	stateBlocked
-	// stateCalling has a run that waits for the reply to a call in flight.
+	// stateCalling means that the run waits for the reply to a call in flight.
 	stateCalling
-	// stateWaiting waits for something else than the decision module: for the run of another attempt, for the peer
-	// process or the execution store (parked), or, already answered, for the next step to send its response.
+	// stateWaiting means that the attempt waits for the run of another attempt, for the peer process or the execution
+	// store (parked), or for the next Step to send the response that is already decided.
 	stateWaiting
 )
 
@@ -142,25 +142,25 @@
 	id     control.RequestID
 	readAt microtime.Time
 	state  requestState
-	// answered means that the response was sent, or that the caller has left.
+	// answered means that the response was sent, or that the caller has abandoned the request.
 	answered bool
 	// recording means that the run has ended and its result is being written to the execution store.
 	recording bool
-	// noRetry and retryAfter are the advice of a backend that declined the run. Field order keeps the struct in the
-	// smaller size class of the allocator.
+	// noRetry and retryAfter are the advice of a backend that declined the run. The order of the fields keeps the struct
+	// in the smaller size class of the allocator.
 	noRetry    bool
 	retryAfter microtime.Time
 	entry      *keyEntry // nil unless the class is idempotent by key
 	call       *call     // while blocked or calling
 }
 
-// registry finds the open requests.
+// registry indexes the open requests.
 type registry struct {
 	lastID control.RequestID
 	byID   map[control.RequestID]*request
 	// byRunID maps the ID of a run to its request, until the attempt has ended.
 	byRunID map[string]*request
-	// unanswered counts the requests without a response whose caller has not left.
+	// unanswered counts the requests that have no response yet and that their callers have not abandoned.
 	unanswered int
 }
 
--- a/internal/dispatch/run.go
+++ b/internal/dispatch/run.go
@@ -8,29 +8,31 @@
 	"pewterline/internal/microtime"
 )
 
-// expiryLead is how long before its deadline a failed request counts as expired, as the decision module fails requests
-// shortly before their deadlines.
+// expiryLead is how long before its deadline a failed request already counts as expired: the decision module fails
+// requests shortly before their deadlines.
 const expiryLead = 100 * microtime.Millisecond
 
-// start starts the run of a queued request. Whatever the decision module decided, a key that has run is not run again.
+// start starts the run of a queued request. A key that runs or has run is not run again, even if the decision module
+// asks for it.
 func (c *Core) start(req *request) {
 	if req == nil || req.state != stateQueued {
 		return
 	}
 	if req.entry != nil && !req.entry.claim(req) {
-		c.logf("dispatch: run withheld, its key has run: run=%s", req.RunID)
+		c.logf("dispatch: run withheld, another attempt has run the key: run=%s", req.RunID)
 		c.replay(req)
 		return
 	}
 	req.state = stateRunning
 	if req.entry != nil && c.peer != nil && c.role == handoff.Owner {
-		// Before the run begins, so that the peer knows of it even if this process dies.
+		// Sent before the run begins, so that the peer knows of the run even if this process crashes.
 		c.peer.NotifyStarted(req.entry.keyedRequest())
 	}
 	c.launch(req)
 }
 
-// startBackend passes an attempt to the backend. Its result is of use as long as a repeat may arrive.
+// startBackend passes an attempt to the backend. The run's deadline covers the retention window, as a repeat within the
+// window still needs the result.
 func (c *Core) startBackend(req *request) {
 	class := c.class(req)
 	c.counters.byClass[req.Class].Attempts++
@@ -51,7 +53,7 @@
 	}
 	retryAfter := microtime.FromDuration(action.RetryAfter)
 	c.respond(req, c.rejection(req, retryAfter, action.NoRetry))
-	c.forget(req)
+	c.removeRequest(req)
 }
 
 // rejection returns the response to a rejected request. If its key may have run, the response is a failure instead.
@@ -73,7 +75,7 @@
 	}
 	c.respond(req, response)
 	if !req.state.started() {
-		c.forget(req)
+		c.removeRequest(req)
 	}
 }
 
@@ -86,7 +88,7 @@
 	c.backend.Cancel(req.RunID)
 }
 
-// replay answers a request with the result of its key, or makes it wait for the run.
+// replay answers a request with the result of its key, or makes the request wait for the run.
 func (c *Core) replay(req *request) {
 	if req == nil || req.state != stateQueued {
 		return
@@ -151,7 +153,7 @@
 	}
 }
 
-// RunDeclined reports that a run was refused and never started anywhere, so that the request is rejected. retryAfter
+// RunDeclined reports that a run was declined and never started anywhere. The core rejects the request. retryAfter
 // and noRetry are passed on to the caller; retryAfter is bounded by Settings.MaxRetryAfter.
 func (c *Core) RunDeclined(id string, retryAfter microtime.Time, noRetry bool) {
 	req := c.requests.byRunID[id]
@@ -163,8 +165,8 @@
 	c.RunFinished(id, RunRejected, nil)
 }
 
-// finishAll finishes the request that ran a key and those that wait for the run. req is nil if the former has ended
-// before.
+// finishAll finishes the request that ran a key and the requests that wait for the run. req is the former; it is nil if
+// that request has ended before.
 func (c *Core) finishAll(entry *keyEntry, req *request, outcome RunOutcome, result []byte) {
 	waiters := entry.waiters
 	entry.waiters = nil
@@ -176,12 +178,12 @@
 	}
 }
 
-// startWaiterInstead starts a waiting attempt in the place of req, whose run was not started. It returns false if no
-// waiter may be started.
+// startWaiterInstead starts a waiting attempt in place of req, whose run was not started. It returns false if no waiter
+// may be started.
 func (c *Core) startWaiterInstead(req *request, outcome RunOutcome) bool {
 	entry := req.entry
 	if len(entry.waiters) > 0 && entry.waiters[0].RunID == req.RunID {
-		// req already ran in the place of this waiter, whose run was not started either.
+		// req already ran as this waiter (see promoteWaiter), and that run was not started either.
 		c.finish(entry.waiters[0], outcome, nil)
 	}
 	index := slices.IndexFunc(entry.waiters, c.mayStart)
@@ -192,11 +194,11 @@
 	return true
 }
 
-// promoteWaiter answers req, whose run was not started, and runs the waiter at index in its place. For the decision
-// module req is still running: it counts one run for both. The waiter goes to the front of the waiters and is answered
-// with the run, which has its RunID from now on.
+// promoteWaiter answers req, whose run was not started, and runs the waiter at index in place of req. For the decision
+// module req is still running: it counts one run for both. The run has the RunID of the waiter from now on. The waiter
+// moves to the front of the waiters and is answered when the run ends.
 func (c *Core) promoteWaiter(entry *keyEntry, req *request, index int) {
-	if c.store != nil { // The lease was for the attempt that was not started; the waiter acquires its own.
+	if c.store != nil { // This lease was for the attempt that was not started; the waiter acquires its own.
 		c.store.ReleaseLease(entry.keyedRequest())
 	}
 	waiter := entry.waiters[index]
@@ -210,15 +212,16 @@
 // mayStart reports whether the drain permits to start a request: requests that were read later than DrainGrace after
 // the start of the drain must not be started.
 func (c *Core) mayStart(req *request) bool {
-	limit := c.drain.at + microtime.FromDuration(c.settings.DrainGrace)
+	limit := c.drain.requestedAt + microtime.FromDuration(c.settings.DrainGrace)
 	return !c.drain.received || req.readAt <= limit
 }
 
-// finish answers a request whose run, or whose wait for a run, has ended, and reports the end to the decision module.
+// finish answers a request whose own run, or the run that it waited for, has ended. It reports the end to the decision
+// module.
 func (c *Core) finish(req *request, outcome RunOutcome, result []byte) {
 	c.respond(req, c.responseTo(req, outcome, result))
 	c.events = append(c.events, control.RequestFinished{ID: req.id, Outcome: outcome.controlOutcome()})
-	c.forget(req)
+	c.removeRequest(req)
 }
 
 // responseTo returns the response to a request whose run has ended with the outcome.
--- a/internal/dispatch/submit.go
+++ b/internal/dispatch/submit.go
@@ -10,8 +10,8 @@
 // maxQueuedKB bounds Request.QueuedKB, in kilobytes; a larger value is an error of the caller.
 const maxQueuedKB = 2000
 
-// Submit accepts a request that a frontend has read. The returned ID is for Abandon. The response is sent by the
-// request's Responder, never before Submit has returned. If Submit returns an error, which is a *RequestError, the
+// Submit accepts a request that a frontend has read. The returned ID is for Abandon. The core passes the response to
+// the request's Responder, never before Submit has returned. If Submit returns an error, which is a *RequestError, the
 // request is not accepted and its Responder is never called.
 func (c *Core) Submit(now microtime.Time, attempt Request) (control.RequestID, error) {
 	if err := c.validate(&attempt); err != nil {
@@ -25,7 +25,7 @@
 	return req.id, nil
 }
 
-// validate checks what the decision module and the key table rely on.
+// validate checks the preconditions of the decision module and the key table.
 func (c *Core) validate(attempt *Request) error {
 	switch {
 	case !c.knownClass(attempt.Class):
@@ -51,7 +51,8 @@
 	return c.idempotency(&req.Request) == control.IdempotentByKey
 }
 
-// admit passes a request to the decision module, unless its key has run and the module has not seen the run.
+// admit passes a request to the decision module. A request whose key has an external run is answered without the
+// module.
 func (c *Core) admit(req *request) {
 	event := control.RequestArrived{
 		ID:         req.id,
@@ -68,8 +69,8 @@
 	if c.keyed(req) {
 		req.entry, event.Original = c.keys.attach(req)
 		event.SubjectKey = 0
-		if req.entry.restored { // The decision module has not seen the run, and cannot replay it.
-			req.state = stateWaiting // for the next step, which sends the response
+		if req.entry.external { // The decision module has not seen the run, and cannot replay it.
+			req.state = stateWaiting // for the next Step, which sends the response
 			c.respondLater(req, req.entry.response())
 			return
 		}
@@ -77,7 +78,7 @@
 	c.events = append(c.events, event)
 }
 
-// Abandon reports that the caller of a request has left, so that no response is sent.
+// Abandon reports that the caller of a request has disconnected or cancelled it. The core sends no response.
 func (c *Core) Abandon(id control.RequestID) {
 	req := c.requests.byID[id]
 	if req == nil || req.answered {
@@ -86,6 +87,6 @@
 	c.markAnswered(req)
 	c.events = append(c.events, control.RequestCancelled{ID: id})
 	if !req.state.started() {
-		c.forget(req)
+		c.removeRequest(req)
 	}
 }
--- a/internal/dispatch/ticks.go
+++ b/internal/dispatch/ticks.go
@@ -15,7 +15,7 @@
 	s.ticks = append(s.ticks, scheduledTick{at, token})
 }
 
-// next is when the first tick is due; microtime.Never if there is none.
+// next returns when the first tick is due; microtime.Never if there is none.
 func (s *tickSchedule) next() microtime.Time {
 	next := microtime.Never
 	for _, tick := range s.ticks {
