--- a/internal/dispatch/calls_test.go
+++ b/internal/dispatch/calls_test.go
@@ -12,11 +12,11 @@
 	"pewterline/internal/microtime"
 )
 
-// callHarness is a core whose runs make calls; the test plays the backend and the service downstream. The classes are
-// numbered by their idempotency.
+// callHarness is a core whose runs make calls, with a fake backend and a fake downstream service. The index of a class
+// is its value of control.Idempotency.
 type callHarness struct {
 	*harness
-	calls []string // what the core had the service downstream and the backend do
+	calls []string // requests of the core to the downstream service and the backend, in order
 }
 
 func (h *callHarness) Call(request calls.Request) {
@@ -53,11 +53,11 @@
 	return h
 }
 
-// blockedRun has a request of a class run and come to its call.
+// blockedRun starts the run of a request and lets the run make its call.
 func (h *callHarness) blockedRun(class int) (response *recordingResponder, runID string, id control.RequestID) {
 	h.t.Helper()
-	h.tried++
-	response, runID = &recordingResponder{}, string(rune('a'+h.tried))
+	h.attempts++
+	response, runID = &recordingResponder{}, string(rune('a'+h.attempts))
 	id, err := h.core.Submit(h.now, Request{
 		RunID: runID, Class: class, IdempotencyKey: runID, ArrivedAt: h.now, QueuedKB: 1, Responder: response,
 	})
@@ -73,33 +73,33 @@
 	h.core.Step(h.now)
 }
 
-// takeCalls is what the core did since the last time.
+// takeCalls returns and clears the recorded requests of the core.
 func (h *callHarness) takeCalls() []string {
 	taken := h.calls
 	h.calls = nil
 	return taken
 }
 
-// A reply goes to the run that waits for it, once; whatever else comes for a call that is over goes nowhere.
-func TestReplyGoesToItsRun(t *testing.T) {
+// A reply is delivered once, to the run that waits for it. A second reply and a reply to an unknown call are dropped.
+func TestReplyIsDeliveredOnce(t *testing.T) {
 	env := newCallHarness(t, callSettings())
 	response, runID, _ := env.blockedRun(0)
 	require.Equal(t, []string{"call " + runID + " body true"}, env.takeCalls())
 	env.core.CallEnded(env.now, runID, calls.Answered, []byte("reply"))
 	env.core.CallEnded(env.now, runID, calls.Answered, []byte("twice"))
-	env.core.CallEnded(env.now, "zz", calls.Answered, []byte("nobody's"))
+	env.core.CallEnded(env.now, "zz", calls.Answered, []byte("unknown"))
 	require.Equal(t, []string{"deliver " + runID + " reply"}, env.takeCalls())
 	env.core.RunFinished(runID, RunSucceeded, []byte("done"))
-	require.Equal(t, []Response{{Status: StatusSucceeded, Result: []byte("done")}}, response.got)
+	require.Equal(t, []Response{{Status: StatusSucceeded, Result: []byte("done")}}, response.responses)
 }
 
-// A call in flight is abandoned as soon as its request is over, however it ends; a late reply is dropped, and the run's
-// own end is the end.
-func TestCallOfRequestThatIsOver(t *testing.T) {
+// A call in flight is abandoned as soon as its request ends, for whatever reason. A late reply is dropped, and the
+// request is removed when its run ends.
+func TestCallIsAbandonedWhenRequestEnds(t *testing.T) {
 	tests := map[string]func(env *callHarness, id control.RequestID){
-		"caller left":  func(env *callHarness, id control.RequestID) { env.core.Abandon(id) },
-		"due":          func(env *callHarness, _ control.RequestID) { env.now += 4 * microtime.Second },
-		"process ends": func(env *callHarness, _ control.RequestID) { env.core.FailAll() },
+		"caller cancels":  func(env *callHarness, id control.RequestID) { env.core.Abandon(id) },
+		"deadline passes": func(env *callHarness, _ control.RequestID) { env.now += 4 * microtime.Second },
+		"process exits":   func(env *callHarness, _ control.RequestID) { env.core.FailAll() },
 		"drain": func(env *callHarness, _ control.RequestID) {
 			env.core.Drain(env.now, env.now, env.now+microtime.Second)
 			env.now += microtime.Second
@@ -123,8 +123,8 @@
 	}
 }
 
-// Guards effects against decisions that are wrong and pools that tell twice: a call that may have run is not made
-// again for a request that may run once, though the decision module asks for it.
+// Guards against repeating the effect of a call when the decision module errs or a worker pool reports a call twice: a
+// call that may have run is not repeated for a request that is not idempotent, even if the decision module asks for it.
 func TestCoreWithholdsCallThatMayHaveRun(t *testing.T) {
 	for class, idempotent := range []bool{true, false, false} {
 		for outcome := calls.Rejected; outcome <= calls.NotSent; outcome++ {
@@ -132,7 +132,7 @@
 				env := newCallHarness(t, callSettings())
 				response, runID, id := env.blockedRun(class)
 				env.core.CallEnded(env.now, runID, outcome, nil)
-				env.core.RunBlocked(runID, []byte("body")) // told again, with no reply between
+				env.core.RunBlocked(runID, []byte("body")) // reported again, without a reply in between
 				env.takeCalls()
 				env.core.makeCall(env.core.requests.byID[id], microtime.Second)
 				if idempotent || outcome.Effect() == calls.NotExecuted {
@@ -140,24 +140,26 @@
 					return
 				}
 				require.Empty(t, env.takeCalls())
-				require.Equal(t, StatusFailed, response.got[0].Status)
+				require.Equal(t, StatusFailed, response.responses[0].Status)
 			})
 		}
 	}
 }
 
-// A run that tells of a call while another is in flight cannot wait for both: the first is abandoned, and may have run.
+// A run waits for one call at a time. If it reports a second call while the first is in flight, the first call is
+// abandoned and may have run.
 func TestBlockedWhileCalling(t *testing.T) {
 	env := newCallHarness(t, callSettings())
 	response, runID, _ := env.blockedRun(2)
 	env.core.RunBlocked(runID, []byte("other"))
 	env.step()
 	require.Equal(t, []string{"call " + runID + " body false", "abandon " + runID}, env.takeCalls())
-	require.Equal(t, StatusFailed, response.got[0].Status)
+	require.Equal(t, StatusFailed, response.responses[0].Status)
 }
 
-// A load signal is not told under another meaning than it was set for, nor one that was never set.
-func TestLoadSignalKeepsItsMeaning(t *testing.T) {
+// The core does not advertise a load signal after a reload has changed the meaning of the value, nor one that was never
+// set.
+func TestLoadSignalIsDroppedWhenItsMeaningChanges(t *testing.T) {
 	env := newCallHarness(t, callSettings())
 	allowance := callSettings()
 	allowance.LoadSignal = control.LoadSignalAllowance
@@ -174,11 +176,11 @@
 	next.RestoreLearned(control.LearnedState{})
 	next.Start(env.now, 0, false)
 	_, known = next.AdvertisedValue()
-	require.False(t, known, "0 would have callers send nothing")
+	require.False(t, known, "0 would make callers send nothing")
 }
 
-// Memory that runs short turns newcomers away and leaves a run at its call alone: its reply still goes to it.
-func TestMemoryShortWhileCalling(t *testing.T) {
+// When memory runs short, new requests are rejected, and a run that waits for a call still gets its reply.
+func TestMemoryShortageWhileCalling(t *testing.T) {
 	const heldKB, memoryKB = 100, 1000
 	settings := callSettings()
 	settings.MemoryKB, settings.RunningMemoryFactor = memoryKB, 8
@@ -199,8 +201,8 @@
 	for n := range 5 {
 		response := submit(fmt.Sprint(n))
 		env.step()
-		if len(response.got) > 0 {
-			require.Equal(t, StatusRejected, response.got[0].Status)
+		if len(response.responses) > 0 {
+			require.Equal(t, StatusRejected, response.responses[0].Status)
 			rejected++
 		}
 	}
@@ -209,10 +211,10 @@
 	env.core.CallEnded(env.now, "first", calls.Answered, []byte("reply"))
 	env.core.RunFinished("first", RunSucceeded, nil)
 	require.Equal(t, []string{"call first body false", "deliver first reply"}, env.takeCalls())
-	require.Equal(t, StatusSucceeded, first.got[0].Status)
+	require.Equal(t, StatusSucceeded, first.responses[0].Status)
 }
 
-// Settings that drop the class, and all calls, while a call is in flight change nothing for its request.
+// A reload that removes the class and disables calls does not affect a request whose call is in flight.
 func TestReloadWhileCalling(t *testing.T) {
 	env := newCallHarness(t, callSettings())
 	response, runID, _ := env.blockedRun(2)
@@ -224,11 +226,11 @@
 	env.core.CallEnded(env.now, runID, calls.Answered, []byte("reply"))
 	env.core.RunFinished(runID, RunSucceeded, []byte("done"))
 	require.Equal(t, []string{"call " + runID + " body false", "deliver " + runID + " reply"}, env.takeCalls())
-	require.Equal(t, []Response{{Status: StatusSucceeded, Result: []byte("done")}}, response.got)
+	require.Equal(t, []Response{{Status: StatusSucceeded, Result: []byte("done")}}, response.responses)
 }
 
-// Settings whose calls the backend cannot carry out are turned down at the start and by a reload.
-func TestCallsNeedBackendThatCalls(t *testing.T) {
+// New and Reload reject settings that enable calls if the backend does not support calls.
+func TestCallsRequireCallingBackend(t *testing.T) {
 	env := newHarness(t)
 	_, err := New(Config{Settings: callSettings(), Backend: env, Logf: t.Logf})
 	require.ErrorIs(t, err, ErrCallsUnsupported)
--- a/internal/dispatch/execution_test.go
+++ b/internal/dispatch/execution_test.go
@@ -9,36 +9,36 @@
 	"pewterline/internal/microtime"
 )
 
-// Guards the promise of the execution store: no response before the result is durable; and when it cannot be
-// recorded, no response as if it were, and no second run.
+// Guards against a response that is sent before the result is durable. If the result cannot be recorded, the request
+// fails and is not run again.
 func TestRecordBeforeResponse(t *testing.T) {
 	env := newHarness(t)
 	env.core.UseExecutionStore(env)
-	first, id := env.try("k1")
+	first, id := env.submitKeyed("k1")
 	env.core.RunFinished(id, RunSucceeded, []byte("lot"))
 	env.endTurn()
-	require.Empty(t, first.got, "answered before it is on record")
+	require.Empty(t, first.responses, "answered before the result is recorded")
 	want := []KeyedRequest{{Class: 1, IdempotencyKey: "k1", ArrivedAt: env.now, Result: []byte("lot")}}
 	require.Equal(t, want, env.recorded)
-	waiting, _ := env.try("k1")
+	waiting, _ := env.submitKeyed("k1")
 	env.recordDone[0](errors.New("disk full"))
 	env.endTurn()
-	require.Equal(t, StatusFailed, first.got[0].Status)
-	require.Equal(t, StatusFailed, waiting.got[0].Status)
+	require.Equal(t, StatusFailed, first.responses[0].Status)
+	require.Equal(t, StatusFailed, waiting.responses[0].Status)
 
-	again, _ := env.try("k1")
-	require.Len(t, env.recorded, 2, "a repeat tries again to record")
+	again, _ := env.submitKeyed("k1")
+	require.Len(t, env.recorded, 2, "a repeat causes another write")
 	env.recordDone[1](nil)
 	env.endTurn()
-	require.Equal(t, []Response{{Status: StatusSucceeded, Result: []byte("lot")}}, again.got)
-	later, _ := env.try("k1")
-	require.Equal(t, StatusSucceeded, later.got[0].Status)
+	require.Equal(t, []Response{{Status: StatusSucceeded, Result: []byte("lot")}}, again.responses)
+	later, _ := env.submitKeyed("k1")
+	require.Equal(t, StatusSucceeded, later.responses[0].Status)
 	require.Len(t, env.recorded, 2)
-	require.Len(t, env.started, 1, "it ran once")
+	require.Len(t, env.started, 1, "the key runs once")
 	require.Zero(t, env.core.OpenRequests())
 }
 
-// After a restart a repeat gets the recorded result, without a run; past its window the key is new.
+// After a restart a repeat gets the recorded result without a run. After the retention window the key runs again.
 func TestRestore(t *testing.T) {
 	env := newHarness(t)
 	env.core.Restore(KeyedRequest{
@@ -47,91 +47,91 @@
 	env.core.Restore(KeyedRequest{
 		Class: 1, IdempotencyKey: "k2", ArrivedAt: env.now - 14*microtime.Second, Result: []byte("old"),
 	})
-	repeat, _ := env.try("k1")
-	require.Equal(t, []Response{{Status: StatusSucceeded, Result: []byte("lot")}}, repeat.got)
+	repeat, _ := env.submitKeyed("k1")
+	require.Equal(t, []Response{{Status: StatusSucceeded, Result: []byte("lot")}}, repeat.responses)
 	require.Empty(t, env.started)
-	fresh, id := env.try("k2")
+	fresh, id := env.submitKeyed("k2")
 	env.core.RunFinished(id, RunSucceeded, []byte("new"))
-	require.Equal(t, []byte("new"), fresh.got[0].Result)
+	require.Equal(t, []byte("new"), fresh.responses[0].Result)
 	require.Zero(t, env.core.OpenRequests())
 }
 
-// Guards the rule that a key runs once where the pool says that an attempt never started and its repeat runs in its
-// place: the window then counts from the repeat.
+// Guards against a second run of a key whose first attempt was reported as not started, so that its repeat ran in place
+// of it: the retention window then counts from the repeat.
 func TestWindowCountsFromTheAttemptThatRan(t *testing.T) {
 	env := newHarness(t)
-	_, one := env.try("k1")
+	_, one := env.submitKeyed("k1")
 	env.now += 3 * microtime.Second
-	second, two := env.try("k1")
+	second, two := env.submitKeyed("k1")
 	env.core.RunFinished(one, RunNotStarted, nil)
 	require.Equal(t, []string{one, two}, env.started)
 	env.core.RunFinished(two, RunSucceeded, []byte("lot"))
 	env.endTurn()
-	require.Equal(t, StatusSucceeded, second.got[0].Status)
+	require.Equal(t, StatusSucceeded, second.responses[0].Status)
 	env.now += 12 * microtime.Second // 15 s after the first attempt, 12 s after the one that ran
-	late, _ := env.try("k1")
-	require.Equal(t, StatusSucceeded, late.got[0].Status)
+	late, _ := env.submitKeyed("k1")
+	require.Equal(t, StatusSucceeded, late.responses[0].Status)
 	require.Len(t, env.started, 2)
 }
 
-// Guards a keyed request against a second run by a later incarnation: none starts before it is on record that it may
-// run, what cannot be put on record is rejected and has not run, and one that nobody waits for any more does not
-// start late.
+// Guards against a second run of a keyed request by a later incarnation of the server. No run starts before its lease
+// is recorded. If the lease cannot be recorded, the request is rejected without a run. If the lease is recorded after
+// the request has expired, the run does not start.
 func TestLeaseBeforeRun(t *testing.T) {
 	env := newHarness(t)
 	env.core.UseExecutionStore(env)
-	env.holdAcquires = true
-	first, _ := env.try("k1")
+	env.delayAcquire = true
+	first, _ := env.submitKeyed("k1")
 	require.Len(t, env.acquired, 1)
-	require.Empty(t, env.started, "started before it is on record")
+	require.Empty(t, env.started, "started before the lease is recorded")
 	env.acquireDone[0](LeaseResult{})
 	require.Len(t, env.started, 1)
-	second, _ := env.try("k2")
+	second, _ := env.submitKeyed("k2")
 	env.acquireDone[1](LeaseResult{Verdict: VerdictUnavailable, Err: errors.New("disk full")})
 	env.endTurn()
-	require.Equal(t, StatusRejected, second.got[0].Status)
-	require.Positive(t, second.got[0].RetryAfter, "with when to come back")
+	require.Equal(t, StatusRejected, second.responses[0].Status)
+	require.Positive(t, second.responses[0].RetryAfter, "Retry-After is missing")
 	require.Equal(t, []string{"k2"}, env.releasedLeases)
 	require.Len(t, env.started, 1)
-	again, _ := env.try("k2")
+	again, _ := env.submitKeyed("k2")
 	env.acquireDone[2](LeaseResult{})
-	require.Len(t, env.started, 2, "it had not run: a repeat may")
+	require.Len(t, env.started, 2, "a repeat may run, as the request has not run")
 	env.core.RunFinished(env.started[1], RunSucceeded, []byte("two"))
 	env.recordDone[0](nil)
 	env.endTurn()
-	require.Equal(t, StatusSucceeded, again.got[0].Status)
-	late, _ := env.try("k3")
+	require.Equal(t, StatusSucceeded, again.responses[0].Status)
+	late, _ := env.submitKeyed("k3")
 	env.now += 5 * microtime.Second
 	env.endTurn()
-	require.NotEmpty(t, late.got, "past its deadline")
+	require.NotEmpty(t, late.responses, "not answered at its deadline")
 	env.acquireDone[3](LeaseResult{})
 	env.endTurn()
 	require.Len(t, env.started, 2)
 	require.Equal(t, []string{"k2", "k3"}, env.releasedLeases)
-	require.NotEmpty(t, first.got)
+	require.NotEmpty(t, first.responses)
 }
 
-// A later incarnation fails what the one before was about to run, until its window is over: it is neither run nor
-// rejected.
+// A later incarnation fails repeats of a request that the earlier incarnation was about to run, until the retention
+// window is over: they are neither run nor rejected.
 func TestLeaseOfAnEarlierIncarnation(t *testing.T) {
 	env := newHarness(t)
 	env.core.UseExecutionStore(env)
 	env.core.RestoreLease(KeyedRequest{Class: 1, IdempotencyKey: "k1", ArrivedAt: env.now - 5*microtime.Second})
-	repeat, _ := env.try("k1")
-	require.Equal(t, []Response{failed(reasonIndeterminate)}, repeat.got)
+	repeat, _ := env.submitKeyed("k1")
+	require.Equal(t, []Response{failed(reasonIndeterminate)}, repeat.responses)
 	require.Empty(t, env.started)
 	env.now += 9 * microtime.Second
-	_, _ = env.try("k1")
-	require.Len(t, env.started, 1, "its window is over")
+	_, _ = env.submitKeyed("k1")
+	require.Len(t, env.started, 1, "not run after the retention window")
 }
 
-// Guards a run of another server's: a repeat of it here gets its result, or hears that nobody knows, and is not run;
-// what is rejected elsewhere may run here. A request that this core knows is not asked about.
+// Guards against a second run of a request that ran at another server: a repeat here gets the result or fails as
+// indeterminate, and is not run. The core looks up only keys that it does not know.
 func TestRunsOfOtherServers(t *testing.T) {
 	env := newHarness(t)
 	env.core.UseExecutionStore(env)
-	env.lookups = true
-	result := []byte("theirs")
+	env.lookupEnabled = true
+	result := []byte("remote")
 	served := Response{Status: StatusSucceeded, Result: result}
 	tests := []struct {
 		key   string
@@ -144,24 +144,25 @@
 		{"unavailable", LeaseResult{Verdict: VerdictUnavailable}, failed(reasonIndeterminate)},
 	}
 	for i, tc := range tests {
-		response, _ := env.try(tc.key)
-		require.Empty(t, response.got, "it waits for the others' word")
+		response, _ := env.submitKeyed(tc.key)
+		require.Empty(t, response.responses, "answered before the lookup has ended")
 		env.lookupDone[i](tc.lease)
 		env.endTurn()
-		require.Equal(t, []Response{tc.want}, response.got, tc.key)
+		require.Equal(t, []Response{tc.want}, response.responses, tc.key)
 	}
-	again, _ := env.try("succeeded")
-	require.Equal(t, []Response{served}, again.got, "it is known here now")
+	again, _ := env.submitKeyed("succeeded")
+	require.Equal(t, []Response{served}, again.responses, "the core keeps the result of the lookup")
 	require.Len(t, env.lookupDone, 4)
 	require.Empty(t, env.started)
 }
 
-// Where nothing is known of a request it goes on as any other, and the others may still have been quicker.
-func TestOtherServersAreQuicker(t *testing.T) {
+// A request that the lookup does not find is admitted. If another server acquires the lease first, the verdict of
+// Acquire decides the response and the request is not run here.
+func TestOtherServerAcquiresAfterLookup(t *testing.T) {
 	env := newHarness(t)
 	env.core.UseExecutionStore(env)
-	env.lookups, env.holdAcquires = true, true
-	result := []byte("theirs")
+	env.lookupEnabled, env.delayAcquire = true, true
+	result := []byte("remote")
 	tests := []struct {
 		key   string
 		lease LeaseResult
@@ -175,57 +176,57 @@
 			Response{Status: StatusRejected, RetryAfter: storeRetryAfter}},
 	}
 	for i, tc := range tests {
-		response, _ := env.try(tc.key)
+		response, _ := env.submitKeyed(tc.key)
 		env.lookupDone[i](LeaseResult{Verdict: VerdictUnknown})
 		env.endTurn()
-		require.Empty(t, response.got, tc.key)
+		require.Empty(t, response.responses, tc.key)
 		env.acquireDone[i](tc.lease)
 		env.endTurn()
-		require.Equal(t, []Response{tc.want}, response.got, tc.key)
+		require.Equal(t, []Response{tc.want}, response.responses, tc.key)
 	}
 	require.Empty(t, env.started)
 
-	response, id := env.try("mine")
+	response, id := env.submitKeyed("local")
 	env.lookupDone[len(tests)](LeaseResult{Verdict: VerdictUnknown})
 	env.endTurn()
 	env.acquireDone[len(tests)](LeaseResult{})
 	require.Equal(t, []string{id}, env.started)
 	env.core.RunFinished(id, RunFailed, nil)
 	env.endTurn()
-	require.Equal(t, []string{"mine"}, env.failureOfKeys, "others hear that it failed")
-	require.Equal(t, StatusFailed, response.got[0].Status)
+	require.Equal(t, []string{"local"}, env.failedKeys, "the failure is not recorded for other servers")
+	require.Equal(t, StatusFailed, response.responses[0].Status)
 }
 
-// The store's word may come before the question has returned; whoever waits for a word that never comes is answered
-// when due, once.
+// The store may answer before Lookup returns. A request whose lookup is not answered expires at its deadline and gets
+// one response, even if the answer arrives later.
 func TestLookupAnsweredAtOnceOrLate(t *testing.T) {
 	env := newHarness(t)
 	env.core.UseExecutionStore(env)
-	env.lookups = true
-	result := []byte("theirs")
-	env.lookupAtOnce = &LeaseResult{Verdict: VerdictSucceeded, ArrivedAt: env.now, Result: result}
-	now, _ := env.try("at once")
-	require.Equal(t, []Response{{Status: StatusSucceeded, Result: result}}, now.got)
-	env.lookupAtOnce = nil
+	env.lookupEnabled = true
+	result := []byte("remote")
+	env.immediateLookup = &LeaseResult{Verdict: VerdictSucceeded, ArrivedAt: env.now, Result: result}
+	now, _ := env.submitKeyed("at once")
+	require.Equal(t, []Response{{Status: StatusSucceeded, Result: result}}, now.responses)
+	env.immediateLookup = nil
 
-	late, _ := env.try("late")
+	late, _ := env.submitKeyed("late")
 	env.now += 5 * microtime.Second
 	env.endTurn()
-	require.Equal(t, StatusExpired, late.got[0].Status)
+	require.Equal(t, StatusExpired, late.responses[0].Status)
 	env.lookupDone[0](LeaseResult{Verdict: VerdictSucceeded, ArrivedAt: env.now, Result: result})
 	env.endTurn()
-	require.Len(t, late.got, 1)
+	require.Len(t, late.responses, 1)
 }
 
-// A run that was not started is passed on to an attempt that waits: the lease of the first one is released before the
-// other acquires its own. Guards a group of servers against a lease that nobody uses, behind which all others would
-// wait for a run that there is none of.
+// When a run was not started, a waiting attempt runs in its place: the lease of the first attempt is released before
+// the second acquires its own. Guards against an unused lease in a replication group, where other servers would wait
+// for a run that does not exist.
 func TestLeaseOfAttemptThatWasNotStarted(t *testing.T) {
 	env := newHarness(t)
 	env.core.UseExecutionStore(env)
-	_, first := env.try("k")
+	_, first := env.submitKeyed("k")
 	env.now += 100 * microtime.Millisecond
-	second, id := env.try("k")
+	second, id := env.submitKeyed("k")
 	require.Len(t, env.acquired, 1)
 	env.core.RunFinished(first, RunNotStarted, nil)
 	require.Equal(t, []string{"k"}, env.releasedLeases)
@@ -236,5 +237,5 @@
 	require.Len(t, env.recorded, 1)
 	env.recordDone[0](nil)
 	env.endTurn()
-	require.Equal(t, []Response{{Status: StatusSucceeded, Result: []byte("r")}}, second.got)
+	require.Equal(t, []Response{{Status: StatusSucceeded, Result: []byte("r")}}, second.responses)
 }
--- a/internal/dispatch/guards_test.go
+++ b/internal/dispatch/guards_test.go
@@ -9,7 +9,7 @@
 	"pewterline/control"
 )
 
-// scriptedController takes the actions of the next step from the test.
+// scriptedController returns in its next step the actions that the test has set.
 type scriptedController struct{ next []control.Action }
 
 func (s *scriptedController) Step(time.Duration, []control.Event) []control.Action {
@@ -22,7 +22,7 @@
 func (s *scriptedController) LearnedState() (none control.LearnedState) { return none }
 func (s *scriptedController) RestoreLearned(control.LearnedState)       {}
 
-// scriptedHarness is a harness whose test decides as well.
+// scriptedHarness is a harness whose test also sets the actions of the decision module.
 type scriptedHarness struct {
 	*harness
 	controller *scriptedController
@@ -34,7 +34,7 @@
 	return h
 }
 
-// submit submits an attempt of a keyed request, on which the actions follow.
+// submit submits an attempt of a keyed request and makes the decision module return the actions for it.
 func (h *scriptedHarness) submit(
 	runID, key string, actions func(id control.RequestID) []control.Action,
 ) *recordingResponder {
@@ -48,7 +48,8 @@
 	return response
 }
 
-// decide carries out decisions, with an event that gives rise to them.
+// decide makes the decision module return the actions. The tick is there because Step calls the module only with
+// events.
 func (h *scriptedHarness) decide(actions ...control.Action) {
 	h.controller.next = actions
 	h.core.events = append(h.core.events, control.Tick{})
@@ -59,9 +60,9 @@
 	return []control.Action{control.RetainKey{ID: id, TTL: time.Minute}, control.Start{ID: id}}
 }
 
-// A key that runs, or has run, is not run again though the decision module starts a repeat: the repeat gets the end
-// of the run.
-func TestKeyRunsOnceWhateverIsDecided(t *testing.T) {
+// A key that runs or has run is not run again, even if the decision module starts a repeat: the repeat gets the result
+// of the first run.
+func TestKeyRunsOnceWhateverModuleDecides(t *testing.T) {
 	env := newScriptedHarness(t)
 	start := func(id control.RequestID) []control.Action { return []control.Action{control.Start{ID: id}} }
 	first := env.submit("a", "k", startAndRetain)
@@ -71,13 +72,13 @@
 	after := env.submit("c", "k", start)
 	require.Equal(t, []string{"a"}, env.started)
 	served := []Response{{Status: StatusSucceeded, Result: []byte("lot")}}
-	require.Equal(t, served, first.got)
-	require.Equal(t, served, during.got)
-	require.Equal(t, served, after.got)
+	require.Equal(t, served, first.responses)
+	require.Equal(t, served, during.responses)
+	require.Equal(t, served, after.responses)
 }
 
-// A request has one response, though the decision module fails it twice and its run ends after that.
-func TestOneResponseWhateverIsDecided(t *testing.T) {
+// A request gets one response, even if the decision module fails it twice and its run ends after that.
+func TestOneResponseWhateverModuleDecides(t *testing.T) {
 	env := newScriptedHarness(t)
 	var running control.RequestID
 	response := env.submit("a", "k", func(id control.RequestID) []control.Action {
@@ -88,13 +89,14 @@
 	env.core.RunFinished("a", RunSucceeded, []byte("lot"))
 	env.core.RunFinished("a", RunFailed, nil)
 	env.decide()
-	require.Equal(t, []Response{failed(reasonGivenUp)}, response.got)
+	require.Equal(t, []Response{failed(reasonGivenUp)}, response.responses)
 	require.Equal(t, Counters{Failed: 1, Attempts: 1}, env.core.Counters("intake"))
 	require.Zero(t, env.core.OpenRequests())
 }
 
-// A request that runs is not rejected, whatever is decided: it would be tried elsewhere.
-func TestRunningIsNotRejected(t *testing.T) {
+// A request that runs is not rejected, even if the decision module rejects it: its caller would retry it at another
+// server.
+func TestRunningRequestIsNotRejected(t *testing.T) {
 	env := newScriptedHarness(t)
 	var running control.RequestID
 	response := env.submit("a", "k", func(id control.RequestID) []control.Action {
@@ -102,27 +104,28 @@
 		return startAndRetain(id)
 	})
 	env.decide(control.Reject{ID: running}, control.Start{ID: running})
-	require.Empty(t, response.got)
+	require.Empty(t, response.responses)
 	require.Equal(t, []string{"a"}, env.started)
 	env.core.RunFinished("a", RunSucceeded, nil)
-	require.Equal(t, StatusSucceeded, response.got[0].Status)
+	require.Equal(t, StatusSucceeded, response.responses[0].Status)
 }
 
-// A key that may have run is failed and not rejected until its window is over: its caller would try elsewhere.
-func TestIndeterminateIsNotRejected(t *testing.T) {
+// An attempt whose key may have run fails and is not rejected until the retention window is over: its caller would
+// retry a rejected attempt at another server.
+func TestIndeterminateKeyIsNotRejected(t *testing.T) {
 	env := newScriptedHarness(t)
 	reject := func(id control.RequestID) []control.Action { return []control.Action{control.Reject{ID: id}} }
 	lost := env.submit("a", "k", startAndRetain)
 	env.core.RunFinished("a", RunIndeterminate, nil)
-	require.Equal(t, []Response{failed(reasonIndeterminate)}, lost.got)
+	require.Equal(t, []Response{failed(reasonIndeterminate)}, lost.responses)
 	repeat := env.submit("b", "k", reject)
-	require.Equal(t, []Response{failed(reasonIndeterminate)}, repeat.got)
+	require.Equal(t, []Response{failed(reasonIndeterminate)}, repeat.responses)
 	another := env.submit("c", "other", reject)
-	require.Equal(t, []Response{{Status: StatusRejected}}, another.got)
+	require.Equal(t, []Response{{Status: StatusRejected}}, another.responses)
 }
 
-// Once a drain is past its grace, an attempt that came later does not run in the place of one that was not started.
-func TestLateWaiterDoesNotRunInADrain(t *testing.T) {
+// An attempt that was read after the grace of a drain does not run in place of an attempt that was not started.
+func TestLateWaiterIsNotStartedDuringDrain(t *testing.T) {
 	tests := []struct {
 		name    string
 		drained bool
@@ -145,13 +148,13 @@
 			env.core.RunFinished("a", RunNotStarted, nil)
 			require.Equal(t, tc.want, env.started)
 			if tc.drained {
-				require.Equal(t, []Response{failed(reasonRunNotStarted)}, waiter.got)
+				require.Equal(t, []Response{failed(reasonRunNotStarted)}, waiter.responses)
 			}
 		})
 	}
 }
 
-// An action of another kind than the core knows is logged, and the others are carried out.
+// The core logs an action of an unknown kind and carries out the others.
 func TestUnknownActionIsLogged(t *testing.T) {
 	env := newScriptedHarness(t)
 	var logged int
@@ -160,5 +163,5 @@
 		return []control.Action{nil, control.Reject{ID: id, NoRetry: true}}
 	})
 	require.Equal(t, 1, logged)
-	require.Equal(t, []Response{{Status: StatusRejected, NoRetry: true}}, response.got)
+	require.Equal(t, []Response{{Status: StatusRejected, NoRetry: true}}, response.responses)
 }
--- a/internal/dispatch/harness_test.go
+++ b/internal/dispatch/harness_test.go
@@ -10,25 +10,25 @@
 	"pewterline/internal/microtime"
 )
 
-// harness is a core whose backend and execution store the test plays.
+// harness is a core with a fake backend and a fake execution store.
 type harness struct {
-	t     *testing.T
-	core  *Core
-	now   microtime.Time
-	tried int
+	t        *testing.T
+	core     *Core
+	now      microtime.Time
+	attempts int
 
 	started []string
 
-	lookups        bool // the store asks others
-	lookupDone     []func(LeaseResult)
-	lookupAtOnce   *LeaseResult // what the store answers before Lookup returns
-	acquired       []KeyedRequest
-	acquireDone    []func(LeaseResult)
-	holdAcquires   bool // leases are not durable before the test says so
-	recorded       []KeyedRequest
-	recordDone     []func(error)
-	releasedLeases []string
-	failureOfKeys  []string
+	lookupEnabled   bool // Lookup returns true, as if it asked other servers
+	lookupDone      []func(LeaseResult)
+	immediateLookup *LeaseResult // the answer that the store gives before Lookup returns
+	acquired        []KeyedRequest
+	acquireDone     []func(LeaseResult)
+	delayAcquire    bool // the store answers Acquire only when the test calls acquireDone
+	recorded        []KeyedRequest
+	recordDone      []func(error)
+	releasedLeases  []string
+	failedKeys      []string
 }
 
 func (h *harness) Start(run Run)  { h.started = append(h.started, run.ID) }
@@ -37,17 +37,17 @@
 
 func (h *harness) Lookup(_ KeyedRequest, done func(LeaseResult)) bool {
 	switch {
-	case h.lookupAtOnce != nil:
-		done(*h.lookupAtOnce)
-	case h.lookups:
+	case h.immediateLookup != nil:
+		done(*h.immediateLookup)
+	case h.lookupEnabled:
 		h.lookupDone = append(h.lookupDone, done)
 	}
-	return h.lookups
+	return h.lookupEnabled
 }
 
 func (h *harness) Acquire(request KeyedRequest, done func(LeaseResult)) {
 	h.acquired = append(h.acquired, request)
-	if h.holdAcquires {
+	if h.delayAcquire {
 		h.acquireDone = append(h.acquireDone, done)
 		return
 	}
@@ -59,7 +59,7 @@
 }
 
 func (h *harness) RecordFailure(request KeyedRequest) {
-	h.failureOfKeys = append(h.failureOfKeys, request.IdempotencyKey)
+	h.failedKeys = append(h.failedKeys, request.IdempotencyKey)
 }
 
 func (h *harness) RecordResult(request KeyedRequest, done func(error)) {
@@ -80,16 +80,16 @@
 	return h
 }
 
-// recordingResponder keeps the responses to a request.
-type recordingResponder struct{ got []Response }
+// recordingResponder records the responses to a request.
+type recordingResponder struct{ responses []Response }
 
-func (r *recordingResponder) Respond(response Response) { r.got = append(r.got, response) }
+func (r *recordingResponder) Respond(response Response) { r.responses = append(r.responses, response) }
 
-// try submits one attempt of a keyed request and ends the turn.
-func (h *harness) try(key string) (response *recordingResponder, runID string) {
+// submitKeyed submits one attempt of a keyed request and ends the turn.
+func (h *harness) submitKeyed(key string) (response *recordingResponder, runID string) {
 	h.t.Helper()
-	h.tried++
-	response, runID = &recordingResponder{}, string(rune('a'+h.tried))
+	h.attempts++
+	response, runID = &recordingResponder{}, string(rune('a'+h.attempts))
 	_, err := h.core.Submit(h.now, Request{
 		RunID: runID, Class: 1, IdempotencyKey: key, ArrivedAt: h.now, QueuedKB: 1, Responder: response,
 	})
--- a/internal/dispatch/peer_test.go
+++ b/internal/dispatch/peer_test.go
@@ -9,19 +9,19 @@
 	"pewterline/internal/microtime"
 )
 
-// handoffHarness is an old process and its successor, with the messages between them in order.
+// handoffHarness is an old process and its successor, with a queue of the messages between them.
 type handoffHarness struct {
 	old, successor *harness
-	messages       []func() // not yet delivered
+	messages       []func() // deliver the messages in transit, in order
 }
 
-// peerMessages are the messages to one process.
+// peerMessages queues the messages to one process.
 type peerMessages struct {
-	link *handoffHarness
-	to   *harness
+	queue *handoffHarness
+	to    *harness
 }
 
-func (p peerMessages) send(deliver func()) { p.link.messages = append(p.link.messages, deliver) }
+func (p peerMessages) send(deliver func()) { p.queue.messages = append(p.queue.messages, deliver) }
 
 func (p peerMessages) Claim(request KeyedRequest) {
 	p.send(func() { p.to.core.PeerClaimed(request) })
@@ -52,7 +52,7 @@
 	return h
 }
 
-// settle delivers all messages, and ends turns of both processes until nothing is left to deliver.
+// settle ends turns of both processes and delivers their messages until there are no more messages.
 func (h *handoffHarness) settle() {
 	for {
 		h.old.endTurn()
@@ -68,7 +68,7 @@
 	}
 }
 
-// A repeat that the successor reads waits for the run of the old process, and gets its end.
+// A repeat that the successor reads waits for the run in the old process and gets its result.
 func TestRepeatAtTheSuccessorWaitsForTheRun(t *testing.T) {
 	tests := []struct {
 		name    string
@@ -81,75 +81,76 @@
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			env := newHandoffHarness(t)
-			_, id := env.old.try("k")
+			_, id := env.old.submitKeyed("k")
 			env.settle()
-			repeat, _ := env.successor.try("k")
+			repeat, _ := env.successor.submitKeyed("k")
 			env.settle()
-			require.Empty(t, repeat.got)
+			require.Empty(t, repeat.responses)
 			env.old.core.RunFinished(id, tc.outcome, tc.want.Result)
 			env.settle()
-			require.Equal(t, []Response{tc.want}, repeat.got)
-			later, _ := env.successor.try("k")
+			require.Equal(t, []Response{tc.want}, repeat.responses)
+			later, _ := env.successor.submitKeyed("k")
 			env.settle()
-			require.Equal(t, []Response{tc.want}, later.got, "the successor keeps the end")
+			require.Equal(t, []Response{tc.want}, later.responses, "the successor keeps the result")
 			require.Empty(t, env.successor.started)
 		})
 	}
 }
 
-// The successor claims a key that nobody knows of before it runs it.
+// Before the successor runs a key that neither process knows, it claims the key from the owner.
 func TestSuccessorClaimsFreeKey(t *testing.T) {
 	env := newHandoffHarness(t)
-	response, id := env.successor.try("k")
+	response, id := env.successor.submitKeyed("k")
 	require.Empty(t, env.successor.started, "started before the owner has granted it")
 	env.settle()
 	require.Equal(t, []string{id}, env.successor.started)
 	env.successor.core.RunFinished(id, RunSucceeded, []byte("lot"))
 	env.settle()
-	require.Equal(t, []Response{{Status: StatusSucceeded, Result: []byte("lot")}}, response.got)
-	repeat, _ := env.old.try("k")
+	require.Equal(t, []Response{{Status: StatusSucceeded, Result: []byte("lot")}}, response.responses)
+	repeat, _ := env.old.submitKeyed("k")
 	env.settle()
-	require.Equal(t, []Response{{Status: StatusSucceeded, Result: []byte("lot")}}, repeat.got)
+	require.Equal(t, []Response{{Status: StatusSucceeded, Result: []byte("lot")}}, repeat.responses)
 	require.Empty(t, env.old.started)
 }
 
-// A key that was held at the owner, claimed by the successor and not run after all is granted to the successor.
-func TestReleasedKeyIsGranted(t *testing.T) {
+// A key that the owner was about to run and that the successor has claimed is granted to the successor if the owner's
+// run was not started.
+func TestKeyNotRunByOwnerIsGranted(t *testing.T) {
 	env := newHandoffHarness(t)
-	_, id := env.old.try("k")
+	_, id := env.old.submitKeyed("k")
 	env.settle()
-	_, repeat := env.successor.try("k")
+	_, repeat := env.successor.submitKeyed("k")
 	env.settle()
 	env.old.core.RunFinished(id, RunNotStarted, nil)
 	env.settle()
 	require.Equal(t, []string{repeat}, env.successor.started)
 }
 
-// Where the peer is lost, a run that it held may have run: repeats fail, and none is rejected or run until the window
-// is over.
+// If the peer is lost while it runs a key, the run may have taken effect: repeats fail until the retention window is
+// over, and none is rejected or run.
 func TestPeerLostDuringItsRun(t *testing.T) {
 	env := newHandoffHarness(t)
-	env.old.try("k")
+	env.old.submitKeyed("k")
 	env.settle()
-	waiting, _ := env.successor.try("k")
+	waiting, _ := env.successor.submitKeyed("k")
 	env.settle()
 	env.successor.core.PeerLost()
 	env.successor.endTurn()
-	require.Equal(t, []Response{failed(reasonIndeterminate)}, waiting.got)
-	later, _ := env.successor.try("k")
-	require.Equal(t, []Response{failed(reasonIndeterminate)}, later.got)
+	require.Equal(t, []Response{failed(reasonIndeterminate)}, waiting.responses)
+	later, _ := env.successor.submitKeyed("k")
+	require.Equal(t, []Response{failed(reasonIndeterminate)}, later.responses)
 	require.Empty(t, env.successor.started)
 	require.Equal(t, handoff.Alone, env.successor.core.Role())
 
 	env.successor.now += 14 * microtime.Second
-	_, fresh := env.successor.try("k")
-	require.Equal(t, []string{fresh}, env.successor.started, "its window is over")
+	_, fresh := env.successor.submitKeyed("k")
+	require.Equal(t, []string{fresh}, env.successor.started, "not run after the retention window")
 }
 
-// Once ownership has passed, the old process claims keys and the successor runs them at once.
+// After ownership has passed, the old process claims keys before it runs them, and the successor runs keys at once.
 func TestOwnershipPasses(t *testing.T) {
 	env := newHandoffHarness(t)
-	env.old.try("held")
+	env.old.submitKeyed("held")
 	env.settle()
 	env.old.core.PassOwnership()
 	env.successor.core.TakeOwnership()
@@ -158,46 +159,46 @@
 	require.Equal(t, handoff.Owner, env.successor.core.Role())
 	require.Equal(t, 1, env.old.core.KeyedRuns())
 
-	_, mine := env.successor.try("new")
-	require.Equal(t, []string{mine}, env.successor.started)
-	claimed, theirs := env.old.try("other")
-	require.Len(t, env.old.started, 1, "the old process asks first")
+	_, successorRun := env.successor.submitKeyed("new")
+	require.Equal(t, []string{successorRun}, env.successor.started)
+	claimed, oldRun := env.old.submitKeyed("other")
+	require.Len(t, env.old.started, 1, "the old process runs a key without a claim")
 	env.settle()
-	require.Equal(t, theirs, env.old.started[1])
-	require.Empty(t, claimed.got)
+	require.Equal(t, oldRun, env.old.started[1])
+	require.Empty(t, claimed.responses)
 }
 
-// A successor hears of what has run before it joined.
+// The old process announces the keys that ran before the successor joined.
 func TestAnnouncedKeys(t *testing.T) {
 	env := newHandoffHarness(t)
 	env.old.core.JoinPeer(nil, handoff.Alone)
-	_, id := env.old.try("finished")
+	_, id := env.old.submitKeyed("finished")
 	env.old.core.RunFinished(id, RunSucceeded, []byte("lot"))
-	env.old.try("running")
+	env.old.submitKeyed("running")
 	env.old.core.JoinPeer(peerMessages{env, env.successor}, handoff.Owner)
 	require.Len(t, env.old.core.Keys(), 2)
 	for _, key := range env.old.core.Keys() {
 		env.old.core.AnnounceKey(key)
 	}
 	env.settle()
-	finished, _ := env.successor.try("finished")
-	running, _ := env.successor.try("running")
+	finished, _ := env.successor.submitKeyed("finished")
+	running, _ := env.successor.submitKeyed("running")
 	env.successor.endTurn()
-	require.Equal(t, []Response{{Status: StatusSucceeded, Result: []byte("lot")}}, finished.got)
-	require.Empty(t, running.got)
+	require.Equal(t, []Response{{Status: StatusSucceeded, Result: []byte("lot")}}, finished.responses)
+	require.Empty(t, running.responses)
 	require.Empty(t, env.successor.started)
 }
 
-// Whoever waits for a peer that says nothing is answered just before the deadline, once.
-func TestParkedUntilTheDeadline(t *testing.T) {
+// A request that is parked for a peer that does not answer gets one response, just before its deadline.
+func TestParkedRequestExpires(t *testing.T) {
 	env := newHandoffHarness(t)
-	parked, _ := env.successor.try("k")
+	parked, _ := env.successor.submitKeyed("k")
 	due := env.successor.core.NextWakeup()
 	env.successor.now = env.successor.now + 4*microtime.Second - parkedResponseLead
 	require.LessOrEqual(t, due, env.successor.now)
 	env.successor.endTurn()
-	require.Equal(t, []Response{expired()}, parked.got)
+	require.Equal(t, []Response{expired()}, parked.responses)
 	env.settle()
-	require.Len(t, parked.got, 1)
+	require.Len(t, parked.responses, 1)
 	require.Zero(t, env.successor.core.OpenRequests())
 }
--- a/internal/dispatch/small_test.go
+++ b/internal/dispatch/small_test.go
@@ -31,7 +31,7 @@
 	}
 }
 
-// Every way in which a run ends, against what the decision module hears of it.
+// Each outcome of a run is reported to the decision module as the outcome given here.
 func TestControlOutcomeOfEveryRunOutcome(t *testing.T) {
 	tests := map[RunOutcome]control.Outcome{
 		RunSucceeded:     control.OutcomeOK,
@@ -54,15 +54,15 @@
 	schedule.add(10, 1)
 	schedule.add(20, 2)
 	require.Equal(t, microtime.Time(10), schedule.next())
-	require.Equal(t, []uint64{1, 2}, schedule.takeDue(20), "in the order in which they were asked for")
+	require.Equal(t, []uint64{1, 2}, schedule.takeDue(20), "not in the order in which the ticks were scheduled")
 	require.Empty(t, schedule.takeDue(29))
 	schedule.postponeTo(40)
 	require.Equal(t, microtime.Time(40), schedule.next())
 	require.Equal(t, []uint64{3}, schedule.takeDue(40))
 }
 
-// A doubt of a moment is kept from health checks, and a notice to leave is told at once.
-func TestHealthInGraceAndDrain(t *testing.T) {
+// Health checks do not report a short fault, and report a drain at once.
+func TestHealthDuringGraceAndDrain(t *testing.T) {
 	env := newHarness(t)
 	env.core.Start(env.now, 0, false)
 	env.core.Step(env.now)
@@ -78,7 +78,7 @@
 	require.False(t, env.core.Healthy())
 }
 
-// What makes no sense is turned down with the field at fault, and nothing is known of it afterwards.
+// Submit returns an error that names the invalid field, and the core keeps nothing of the request.
 func TestRequestErrors(t *testing.T) {
 	valid := Request{RunID: "a", Class: 1, IdempotencyKey: "k", QueuedKB: 1, Body: []byte("body")}
 	tests := []struct {
@@ -87,13 +87,13 @@
 		want   string
 	}{
 		{"unknown class", func(r *Request) { r.Class = 2 }, "class: none of that number"},
-		{"run that is open", func(r *Request) { r.RunID = "open" }, `id: "open" is open already`},
-		{"no memory", func(r *Request) { r.QueuedKB = 0 }, "kb: 0 is not within 0 to 2000"},
+		{"run ID in use", func(r *Request) { r.RunID = "open" }, `id: "open" is open already`},
+		{"zero memory", func(r *Request) { r.QueuedKB = 0 }, "kb: 0 is not within 0 to 2000"},
 		{"rank of 1", func(r *Request) { r.Rank = 1 }, "rank: 1 is not within 0 to 1"},
-		{"no key", func(r *Request) { r.IdempotencyKey = "" }, "once: missing in a keyed class"},
-		{"another class's key", func(r *Request) { r.Class, r.IdempotencyKey = 0, "known" },
+		{"missing key", func(r *Request) { r.IdempotencyKey = "" }, "once: missing in a keyed class"},
+		{"key of another class", func(r *Request) { r.Class, r.IdempotencyKey = 0, "known" },
 			"once: the key is of a request of another class"},
-		{"another body's key", func(r *Request) { r.IdempotencyKey, r.Body = "known", []byte("other") },
+		{"key of another body", func(r *Request) { r.IdempotencyKey, r.Body = "known", []byte("other") },
 			"once: the key is of a request with another body"},
 	}
 	for _, tc := range tests {
