--- a/internal/admin/group.go
+++ b/internal/admin/group.go
@@ -14,7 +14,7 @@
 	"pewterline/internal/replication"
 )
 
-// maxExportedKeys is the most keys in one response.
+// maxExportedKeys limits the number of keys in one response.
 const maxExportedKeys = 100
 
 // GroupState is the state of a replication group in a response, as JSON.
@@ -25,15 +25,15 @@
 	Epoch              uint64                     `json:"epoch"`
 	ReplicationFactor  int                        `json:"copies"`
 	ChangeInProgress   bool                       `json:"changing"`
-	MembersTransferred int                        `json:"changing_marked"` // members that have passed on their keys
-	Reason             string                     `json:"why"`             // of the last change
-	ForcedAt           int64                      `json:"lost_ms"`         // Unix time in ms; 0: no majority was lost.
+	MembersTransferred int                        `json:"changing_marked"` // members that have transferred their keys
+	Reason             string                     `json:"why"`             // reason of the last change
+	ForcedAt           int64                      `json:"lost_ms"`         // Unix ms of a forced membership; 0: none
 	Voting             bool                       `json:"voting"`
 	Members            []replication.MemberStatus `json:"members"`
 	Counters           replication.Counters       `json:"counters"`
 }
 
-// groupRoutes are the routes about the replication group, by path. They exist only if there is a group.
+// groupRoutes maps paths to the routes about the replication group. They are known only if the server belongs to one.
 var groupRoutes = map[string]route{
 	"/control/copies":         {http.MethodGet, (*Handler).groupState},
 	"/control/copies/found":   {http.MethodPut, (*Handler).bootstrap},
@@ -106,7 +106,7 @@
 	return h.replica.Export(query.Get("after"), maxExportedKeys), nil
 }
 
-// parseMemberID parses the ID of a member. The error, of type *adminhttp.Error, names the query's key.
+// parseMemberID parses the ID of a member. The error is of type *adminhttp.Error and names queryKey.
 func parseMemberID(text, queryKey string) (uint32, error) {
 	id, err := strconv.ParseUint(text, 10, 32)
 	if err != nil || id == 0 {
@@ -116,7 +116,7 @@
 	return uint32(id), nil
 }
 
-// changeResult is the response to a membership change that was proposed, or that has failed with an error.
+// changeResult returns the response to a membership change that was proposed, or that failed with err.
 func (h *Handler) changeResult(err error) (any, error) {
 	if err == nil {
 		return h.groupState(nil)
--- a/internal/admin/handler.go
+++ b/internal/admin/handler.go
@@ -1,6 +1,6 @@
 // Package admin answers the requests of operators: HTTP on a listener of its own, one request on a connection. Package
 // server passes connections to it and implements its Server interface. Package adminhttp parses and encodes the
-// messages. The package owns only the routes, and decides nothing about requests of clients.
+// messages. The package owns only the routes; it takes no part in requests of clients.
 package admin
 
 import (
@@ -14,7 +14,7 @@
 	"pewterline/internal/transport"
 )
 
-// Server is the log server as operators see it. All its methods are called on the loop.
+// Server is the part of the log server that operators see and control. All its methods are called on the event loop.
 type Server interface {
 	State() State
 	// SetInService takes the log server out of service, or into service again. This changes only its reported health:
@@ -33,8 +33,8 @@
 	Draining  bool `json:"leaving"`
 }
 
-// Counters are the figures since the start of the process. The maps by class include the classes that a reload has
-// retired.
+// Counters are the counts since the start of the process. The maps are by class and include the classes that a reload
+// has removed.
 type Counters struct {
 	Succeeded    map[string]int `json:"passed"`
 	Rejected     map[string]int `json:"dropped"`
@@ -45,7 +45,7 @@
 	ReloadErrors int            `json:"load_errors"`
 }
 
-// Handler handles the requests of operators. Its methods are called on the loop.
+// Handler handles the requests of operators. Its methods are called on the event loop.
 type Handler struct {
 	server  Server
 	replica *replication.Replica // nil unless the server belongs to a replication group
@@ -65,13 +65,13 @@
 	return &session{handler: h, conn: conn}
 }
 
-// route is a request that operators may make. Its error is of type *adminhttp.Error.
+// route is the method and the handler of a path. An error of the handler is of type *adminhttp.Error.
 type route struct {
 	method string
 	handle func(h *Handler, query url.Values) (body any, err error)
 }
 
-// serverRoutes are the routes about the server, by path.
+// serverRoutes maps paths to the routes about the server.
 var serverRoutes = map[string]route{
 	"/control/ready":          {http.MethodGet, (*Handler).ready},
 	"/control/counters":       {http.MethodGet, (*Handler).counters},
@@ -113,7 +113,7 @@
 	return adminhttp.AppendResponse(nil, http.StatusOK, "", body), nil
 }
 
-// ready reports whether this process accepts clients, which it does even when out of service.
+// ready reports whether this process accepts clients. It does so even when out of service, but not while draining.
 func (h *Handler) ready(url.Values) (any, error) {
 	state := h.server.State()
 	if state.Draining {
--- a/internal/admin/handler_test.go
+++ b/internal/admin/handler_test.go
@@ -10,8 +10,8 @@
 	"pewterline/internal/replication"
 )
 
-// Requests about the replication group are known where there is one and have their one method. What is no member's ID
-// is rejected before the group sees it.
+// The routes about the replication group exist only with a group, and each accepts one method. An invalid member ID is
+// rejected before the request reaches the group.
 func TestInvalidGroupRequests(t *testing.T) {
 	handler := New(nil, t.Logf)
 	requireStatus := func(want int, method, path, query string) {
--- a/internal/admin/session.go
+++ b/internal/admin/session.go
@@ -7,7 +7,7 @@
 	"pewterline/internal/transport"
 )
 
-// session is an operator's connection, with one request on it.
+// session is an operator's connection, which carries one request.
 type session struct {
 	handler *Handler
 	conn    transport.Conn
--- a/internal/store/doc.go
+++ b/internal/store/doc.go
@@ -3,5 +3,5 @@
 // and after each run.
 //
 // It owns the connection to the database and one goroutine that writes. It never runs on the event loop and never waits
-// for the database longer than its timeout. The meaning of a record is decided by its caller.
+// for the database longer than its timeout. It does not interpret the records; that is up to the caller.
 package store
--- a/internal/store/fakepostgres_test.go
+++ b/internal/store/fakepostgres_test.go
@@ -15,16 +15,16 @@
 	"github.com/stretchr/testify/require"
 )
 
-// fakePostgres speaks PostgreSQL's protocol: it has the two tables, and knows just the statements that the store
-// sends.
+// fakePostgres is a server with PostgreSQL's protocol and the two tables of the store. It supports only the statements
+// that the store sends.
 type fakePostgres struct {
 	t        *testing.T
 	listener net.Listener
 
 	mu      sync.Mutex
-	rows    map[string][]string // by number of columns, server, class, tenant and key
+	rows    map[string][]string // by number of columns (which tells the table), server, class, tenant and key
 	commits int
-	faults  map[string]string // "fail" or "hang" by a statement's first word
+	faults  map[string]string // "fail" or "hang", by the first word of a statement
 }
 
 func newFakePostgres(t *testing.T) *fakePostgres {
@@ -49,8 +49,8 @@
 	return fmt.Sprintf("postgres://relay@%s/harvest?sslmode=disable", f.listener.Addr())
 }
 
-// set has statements of a first word fail or hang; "": neither.
-func (f *fakePostgres) set(word, fault string) {
+// setFault makes the statements with a first word fail or hang; "" removes the fault.
+func (f *fakePostgres) setFault(word, fault string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.faults[word] = fault
@@ -62,14 +62,15 @@
 	return f.faults[word]
 }
 
-// The type numbers of PostgreSQL.
+// Type OIDs of PostgreSQL.
 const (
 	oidBytea = 17
 	oidInt8  = 20
 	oidText  = 25
 )
 
-// describe returns the types of a statement's parameters, and the columns of its rows; nil: it returns none.
+// describe returns the types of a statement's parameters and the columns of its rows; columns is nil for a statement
+// without rows.
 func describe(statement string) (parameters []uint32, columns *pgproto3.RowDescription) {
 	field := func(name string, oid uint32) pgproto3.FieldDescription {
 		return pgproto3.FieldDescription{Name: []byte(name), DataTypeOID: oid, DataTypeSize: -1, TypeModifier: -1}
@@ -94,18 +95,18 @@
 	return parameters, columns
 }
 
-// portal is a statement with its parameters.
+// portal is a statement with its bound parameters.
 type portal struct {
 	statement string
 	bind      pgproto3.Bind
 }
 
-// fakeSession is one connection.
+// fakeSession handles one connection.
 type fakeSession struct {
 	fake       *fakePostgres
 	backend    *pgproto3.Backend
-	status     byte // of the transaction
-	failed     bool // what comes before the next Sync is passed over
+	status     byte // transaction status of ReadyForQuery: idle 'I' or in a transaction 'T'
+	failed     bool // a statement has failed; messages are ignored until the next Sync
 	statements map[string]string
 	portals    map[string]portal
 }
@@ -121,7 +122,7 @@
 		statements: map[string]string{},
 		portals:    map[string]portal{},
 	}
-	err := session.greet()
+	err := session.startUp()
 	for err == nil {
 		var message pgproto3.FrontendMessage
 		if message, err = session.backend.Receive(); err == nil {
@@ -130,7 +131,7 @@
 	}
 }
 
-func (s *fakeSession) greet() error {
+func (s *fakeSession) startUp() error {
 	if _, err := s.backend.ReceiveStartupMessage(); err != nil {
 		return err
 	}
@@ -164,9 +165,9 @@
 		s.portals[message.DestinationPortal] = portal{s.statements[message.PreparedStatement], bind}
 		s.backend.Send(&pgproto3.BindComplete{})
 	case *pgproto3.Execute:
-		s.failed = !s.run(s.portals[message.Portal])
+		s.failed = !s.execute(s.portals[message.Portal])
 	case *pgproto3.Query:
-		s.run(portal{statement: message.String})
+		s.execute(portal{statement: message.String})
 		return s.ready()
 	case *pgproto3.Close:
 		s.backend.Send(&pgproto3.CloseComplete{})
@@ -195,8 +196,8 @@
 	}
 }
 
-// run executes a statement; it returns whether it has succeeded.
-func (s *fakeSession) run(prepared portal) bool {
+// execute executes a statement and reports whether it has succeeded.
+func (s *fakeSession) execute(prepared portal) bool {
 	word := strings.ToUpper(strings.Trim(strings.Fields(prepared.statement + " -")[0], ";"))
 	switch s.fake.fault(word) {
 	case "fail":
@@ -204,7 +205,7 @@
 		s.backend.Send(&pgproto3.ErrorResponse{Severity: "ERROR", Code: "53100", Message: "disk full"})
 		return false
 	case "hang":
-		for { // until the client goes
+		for { // until the client disconnects
 			if _, err := s.backend.Receive(); err != nil {
 				return false
 			}
@@ -215,7 +216,7 @@
 		s.status = 'T'
 	case "COMMIT", "ROLLBACK":
 		s.status = 'I'
-		s.fake.end(word)
+		s.fake.endTransaction(word)
 	case "INSERT":
 		s.fake.insert(prepared)
 	case "SELECT":
@@ -227,8 +228,8 @@
 	return true
 }
 
-// end ends a transaction.
-func (f *fakePostgres) end(word string) {
+// endTransaction ends a transaction.
+func (f *fakePostgres) endTransaction(word string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if word == "COMMIT" {
@@ -244,10 +245,10 @@
 	for i := range parameters {
 		row = append(row, f.argument(p, i))
 	}
-	f.rows[fmt.Sprint(len(row))+strings.Join(row[:4], "/")] = row // intents have one column less
+	f.rows[fmt.Sprint(len(row))+strings.Join(row[:4], "/")] = row // intents have one column fewer
 }
 
-// find returns the rows of a SELECT, the oldest first.
+// find returns the rows of a SELECT in the order of arrival.
 func (f *fakePostgres) find(query portal) []*pgproto3.DataRow {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -259,8 +260,8 @@
 	_, columns := describe(query.statement)
 	var found [][]string
 	for _, row := range f.rows {
-		isOfTable := len(row) == len(columns.Fields)+1
-		if isOfTable && row[0] == server && arrival(f.t, row) >= since {
+		inTable := len(row) == len(columns.Fields)+1
+		if inTable && row[0] == server && arrival(f.t, row) >= since {
 			found = append(found, row)
 		}
 	}
@@ -296,7 +297,7 @@
 	return 0
 }
 
-// argument returns a parameter as text, or as it is for bytes.
+// argument returns a parameter as text; the text of bytea is its bytes.
 func (f *fakePostgres) argument(p portal, i int) string {
 	value := p.bind.Parameters[i]
 	binaryFormat := format(p.bind.ParameterFormatCodes, i) == 1
@@ -315,7 +316,7 @@
 	return string(value)
 }
 
-// encode returns a column's value in a format.
+// encode encodes the value of a column in a format.
 func encode(column int, value string, format int16) []byte {
 	switch {
 	case column == 3 && format == 1:
--- a/internal/store/format_test.go
+++ b/internal/store/format_test.go
@@ -11,12 +11,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-// recordedRows are what the database of testdata/intakes.sql was made of, in the order in which it was written.
+// recordedRows returns the records from which testdata/intakes.sql was made, in the order in which they were written.
 func recordedRows() []Record {
 	withoutResult := result("k0", 6000, "")
 	withoutResult.Result = nil
-	unneeded := intent("k3", 5600)
-	unneeded.Tenant = ""
+	notRun := intent("k3", 5600)
+	notRun.Tenant = ""
 	return []Record{
 		result("k0", 1000, "old"),
 		intent("k1", 5000),
@@ -24,12 +24,12 @@
 		intent("k0", 6000),
 		withoutResult,
 		intent("k2", 5500),
-		unneeded.Cancelled(),
+		notRun.Cancelled(),
 		{Class: "press-run", IdempotencyKey: "k4", ArrivedAtMilli: 1764547200000, Result: []byte("wide")},
 	}
 }
 
-// dump returns the statements that make a database: its schema, and its rows in the order of their keys.
+// dump returns the statements that create a database: its schema, and its rows in the order of their keys.
 func dump(t *testing.T, file string) string {
 	t.Helper()
 	db, err := sql.Open("sqlite", file)
@@ -61,8 +61,8 @@
 	return out.String()
 }
 
-// Guards a database that an earlier release has written: this one reads its rows, changes nothing of its schema, and
-// writes on in it.
+// Guards against incompatibility with a database that an earlier version has written: the store reads its rows, leaves
+// its schema unchanged, and can write to it.
 func TestRecordedDatabaseIsRead(t *testing.T) {
 	recorded, err := os.ReadFile("testdata/intakes.sql")
 	require.NoError(t, err)
@@ -79,7 +79,7 @@
 	rows := recordedRows()
 	latest := rows[4]
 	latest.Result = []byte{}
-	require.Equal(t, []Record{rows[2], rows[5], latest, rows[7]}, got, "results, and the one intent that is not settled")
+	require.Equal(t, []Record{rows[2], rows[5], latest, rows[7]}, got, "the results and the one intent without a result")
 	require.NoError(t, store.Close())
 	require.Equal(t, string(recorded), dump(t, file), "reading changes nothing")
 
@@ -91,8 +91,8 @@
 	require.Equal(t, string(recorded), dump(t, file), "the same rows, written again")
 }
 
-// Guards an earlier release that comes back on a database of this one: the same records make the same schema and
-// rows.
+// Guards against a database that an earlier version cannot read after a downgrade: the same records make the same
+// schema and rows.
 func TestDatabaseIsWrittenAsRecorded(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "intakes.db")
 	store := open(t, SQLite, file, "n0")
--- a/internal/store/record.go
+++ b/internal/store/record.go
@@ -7,11 +7,11 @@
 	IdempotencyKey string
 	ArrivedAtMilli int64 // when the attempt that ran arrived, in Unix milliseconds
 	Result         []byte
-	Intent         bool // the request may run from now on; there is no result yet
+	Intent         bool // the request may have run; there is no result yet
 }
 
 // Cancelled returns the record that replaces an intent whose request never ran. Its arrival time is 0, which is before
-// any time that Load is called with.
+// any time that callers pass to Load.
 func (r Record) Cancelled() Record {
 	r.Intent = true
 	r.ArrivedAtMilli = 0
--- a/internal/store/statements.go
+++ b/internal/store/statements.go
@@ -16,17 +16,17 @@
 // ErrUnknownDriver means that Config.Driver is neither SQLite nor Postgres.
 var ErrUnknownDriver = errors.New("store: unknown driver")
 
-// sqlitePragmas make a commit return only once it is durable, and limit the wait for a lock of another process to 1 s.
+// sqlitePragmas make a commit durable before it returns, and limit the wait for a lock of another process to 1 s.
 const sqlitePragmas = "_pragma=journal_mode(WAL)&_pragma=synchronous(FULL)&_pragma=busy_timeout(1000)"
 
-// dialect holds what differs between the kinds of database.
+// dialect holds the differences between the kinds of database.
 type dialect struct {
-	driverName  string // as it is registered with database/sql
+	driverName  string // as registered with database/sql
 	blobType    string
 	placeholder func(number int) string // of a parameter, from 1 on
 }
 
-// dialectOf returns the dialect of a kind of database, and the DSN to open it with.
+// dialectOf returns the dialect of a kind of database, and the DSN with which database/sql opens the database.
 func dialectOf(driver, dsn string) (dialect, string, error) {
 	switch driver {
 	case Postgres:
@@ -66,8 +66,8 @@
 	selectIntents string
 }
 
-// newStatements returns the statements in a dialect. An intent with a later at_ms than the result of the same key has
-// no result. A cancelled intent has at_ms 0.
+// newStatements returns the statements in a dialect. In the tables, an intent with a later at_ms than the result of the
+// same key has no result yet, and a cancelled intent has at_ms 0.
 func newStatements(dialect dialect) statements {
 	onConflict := ` ON CONFLICT (server, class, tenant, once)`
 	since := " WHERE server = " + dialect.placeholder(1) + " AND at_ms >= " + dialect.placeholder(2) + " ORDER BY at_ms"
--- a/internal/store/statements_test.go
+++ b/internal/store/statements_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The statements as the release that recorded testdata sent them, each with a placeholder for each of its parameters.
+// The statements are those of the version that recorded testdata, with a placeholder for each parameter.
 func TestStatements(t *testing.T) {
 	cases := []struct {
 		driver     string
@@ -45,7 +45,7 @@
 	}
 }
 
-// A file's name becomes a DSN whose pragmas make a commit durable, whatever form it has.
+// The name of a database file, in each of its forms, becomes a DSN with the pragmas that make a commit durable.
 func TestSQLiteDSN(t *testing.T) {
 	const pragmas = "_pragma=journal_mode(WAL)&_pragma=synchronous(FULL)&_pragma=busy_timeout(1000)"
 	cases := []struct{ dsn, want string }{
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	queueSize = 256 // records that may wait to be written; Record rejects more with ErrQueueFull
-	maxBatch  = 64  // records that one transaction writes
+	queueSize = 256 // limit of the records that wait to be written; Record rejects more with ErrQueueFull
+	maxBatch  = 64  // limit of the records in one transaction
 )
 
 // The errors of Store.Record, besides those of the database.
@@ -28,8 +28,8 @@
 type Config struct {
 	Driver  string        // SQLite or Postgres
 	DSN     string        // a file for SQLite, a URL for PostgreSQL
-	Server  string        // whose records are read and written; servers may share a database
-	Timeout time.Duration // of each operation on the database
+	Server  string        // the server whose records are read and written; servers may share a database
+	Timeout time.Duration // limit of each operation on the database
 }
 
 // Store writes the records of one server, in the order of the calls of Record. It is safe for concurrent use.
@@ -39,7 +39,7 @@
 	statements statements
 	queue      chan submission
 	closing    chan struct{} // closed by Close
-	done       chan struct{} // closed once the writer has ended
+	writerDone chan struct{} // closed once the writer has ended
 }
 
 // submission is a record that waits to be written.
@@ -60,7 +60,7 @@
 		statements: newStatements(dialect),
 		queue:      make(chan submission, queueSize),
 		closing:    make(chan struct{}),
-		done:       make(chan struct{}),
+		writerDone: make(chan struct{}),
 	}
 	if store.db, err = sql.Open(dialect.driverName, dsn); err != nil {
 		return nil, fmt.Errorf("store: open: %w", err)
@@ -69,17 +69,17 @@
 	if err := store.createTables(); err != nil {
 		return nil, errors.Join(err, store.db.Close())
 	}
-	go store.run()
+	go store.runWriter()
 	return store, nil
 }
 
-// timeout returns a context for one operation on the database.
-func (s *Store) timeout() (context.Context, context.CancelFunc) {
+// operationContext returns a context for one operation on the database, which expires after Config.Timeout.
+func (s *Store) operationContext() (context.Context, context.CancelFunc) {
 	return context.WithTimeout(context.Background(), s.config.Timeout)
 }
 
 func (s *Store) createTables() error {
-	ctx, cancel := s.timeout()
+	ctx, cancel := s.operationContext()
 	defer cancel()
 	for _, statement := range s.statements.createTables {
 		if _, err := s.db.ExecContext(ctx, statement); err != nil {
@@ -89,25 +89,25 @@
 	return nil
 }
 
-// Load returns the results since a time in Unix milliseconds, and the intents since then that have no result: those
-// requests may have run. The oldest come first.
+// Load returns the results since a time in Unix milliseconds, and the intents since then that have no result: their
+// requests may have run. The records are in the order of arrival.
 func (s *Store) Load(sinceMilli int64) ([]Record, error) {
-	ctx, cancel := s.timeout()
+	ctx, cancel := s.operationContext()
 	defer cancel()
 	records, err := s.query(ctx, s.statements.selectResults, sinceMilli, scanResult)
 	if err != nil {
 		return nil, fmt.Errorf("store: load results: %w", err)
 	}
-	settledAt := map[identity]int64{}
+	resultAt := map[identity]int64{}
 	for _, record := range records {
-		settledAt[record.identity()] = record.ArrivedAtMilli
+		resultAt[record.identity()] = record.ArrivedAtMilli
 	}
 	intents, err := s.query(ctx, s.statements.selectIntents, sinceMilli, scanIntent)
 	if err != nil {
 		return nil, fmt.Errorf("store: load intents: %w", err)
 	}
 	for _, intent := range intents {
-		if at, settled := settledAt[intent.identity()]; !settled || at < intent.ArrivedAtMilli {
+		if at, hasResult := resultAt[intent.identity()]; !hasResult || at < intent.ArrivedAtMilli {
 			records = append(records, intent)
 		}
 	}
@@ -116,7 +116,7 @@
 	return records, nil
 }
 
-// query reads this server's rows since a time, each by scan.
+// query returns the records of this server since a time. scan reads one row.
 func (s *Store) query(
 	ctx context.Context, statement string, sinceMilli int64, scan func(*sql.Rows) (Record, error),
 ) ([]Record, error) {
@@ -124,7 +124,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = rows.Close() }() // rows.Err reports what there is to report
+	defer func() { _ = rows.Close() }() // rows.Err reports the errors of the query
 	var records []Record
 	for rows.Next() {
 		record, err := scan(rows)
@@ -139,7 +139,7 @@
 func scanResult(rows *sql.Rows) (record Record, err error) {
 	err = rows.Scan(&record.Class, &record.Tenant, &record.IdempotencyKey, &record.ArrivedAtMilli, &record.Result)
 	if record.Result == nil {
-		record.Result = []byte{} // drivers differ in how they return an empty one
+		record.Result = []byte{} // some drivers return an empty result as nil
 	}
 	return record, err
 }
@@ -151,35 +151,35 @@
 }
 
 // Record queues a record to be written. done is called once, on another goroutine. Without an error the record is
-// durable; after an error it may or may not be.
+// durable; after an error it may be durable or not.
 func (s *Store) Record(record Record, done func(error)) {
 	select {
 	case <-s.closing:
-		go done(ErrClosed) // not on this goroutine, because the caller may hold a lock that done needs
+		go done(ErrClosed) // on a new goroutine, because the caller may hold a lock that done needs
 		return
 	default:
 	}
 	select {
 	case s.queue <- submission{record, done}:
 	default:
-		go done(ErrQueueFull) // as above
+		go done(ErrQueueFull) // on a new goroutine for the same reason
 	}
 }
 
-// Close writes what is queued and closes the database. It is called once.
+// Close writes the queued records and closes the database. It must be called only once.
 func (s *Store) Close() error {
 	close(s.closing)
-	<-s.done
+	<-s.writerDone
 	return s.db.Close()
 }
 
-// run is the writer's goroutine. It ends once Close has been called and the queue is empty.
-func (s *Store) run() {
-	defer close(s.done)
+// runWriter is the body of the writer's goroutine. It returns once Close has been called and the queue is empty.
+func (s *Store) runWriter() {
+	defer close(s.writerDone)
 	for {
 		select {
 		case first := <-s.queue:
-			s.write(s.gather(first))
+			s.write(s.fillBatch(first))
 		case <-s.closing:
 			s.writeQueued()
 			return
@@ -187,20 +187,20 @@
 	}
 }
 
-// writeQueued writes until the queue is empty.
+// writeQueued writes batches until the queue is empty.
 func (s *Store) writeQueued() {
 	for {
 		select {
 		case first := <-s.queue:
-			s.write(s.gather(first))
+			s.write(s.fillBatch(first))
 		default:
 			return
 		}
 	}
 }
 
-// gather fills a batch with other queued records, which share one commit.
-func (s *Store) gather(first submission) []submission {
+// fillBatch returns a batch of first and further queued records, which are written in one transaction.
+func (s *Store) fillBatch(first submission) []submission {
 	batch := []submission{first}
 	for len(batch) < maxBatch {
 		select {
@@ -223,7 +223,7 @@
 
 // commit writes a batch in one transaction.
 func (s *Store) commit(batch []submission) error {
-	ctx, cancel := s.timeout()
+	ctx, cancel := s.operationContext()
 	defer cancel()
 	tx, err := s.db.BeginTx(ctx, nil)
 	if err != nil {
