--- a/internal/dispatch/calls.go
+++ b/internal/dispatch/calls.go
@@ -97,8 +97,8 @@
 	})
 }
 
-// skipCall resumes a run without its call. The protocol of the worker pool has no message for it, so the run gets an
-// empty reply.
+// skipCall resumes a run without its call. The protocol of the worker pool has no message for a skipped call, so
+// the run gets an empty reply.
 func (c *Core) skipCall(req *request) {
 	if req == nil || req.state != stateBlocked || req.answered {
 		return
--- a/internal/dispatch/core.go
+++ b/internal/dispatch/core.go
@@ -55,7 +55,7 @@
 	idleTimeout microtime.Time
 }
 
-// deferredResponse is a response that the next Step sends, independent of the decision module.
+// deferredResponse is a response that the next Step sends without consulting the decision module.
 type deferredResponse struct {
 	request  *request
 	response Response
--- a/internal/dispatch/execution.go
+++ b/internal/dispatch/execution.go
@@ -72,7 +72,7 @@
 	Lookup(request KeyedRequest, done func(LeaseResult)) bool
 	// Acquire records that a request is about to run: from then on it may have run.
 	Acquire(request KeyedRequest, done func(LeaseResult))
-	// ReleaseLease asynchronously returns the lease of Acquire: the request did not run.
+	// ReleaseLease asynchronously releases the lease that Acquire recorded: the request did not run.
 	ReleaseLease(request KeyedRequest)
 	// RecordFailure asynchronously records that the request ran and failed.
 	RecordFailure(request KeyedRequest)
@@ -117,8 +117,8 @@
 	return entry
 }
 
-// launch starts the run of an attempt. With an execution store it first acquires the lease; if the store grants none,
-// the attempt does not run and is rejected.
+// launch starts the run of an attempt. With an execution store it first acquires the lease; without the lease the
+// attempt does not run.
 func (c *Core) launch(req *request) {
 	if req.entry == nil || c.store == nil {
 		c.startBackend(req)
--- a/internal/dispatch/keys.go
+++ b/internal/dispatch/keys.go
@@ -181,7 +181,7 @@
 }
 
 // current returns the entry of a key for an attempt that arrived at arrivedAt; nil if there is none. It removes an
-// entry whose retention window ended before arrivedAt, unless the run is unfinished or the peer process may run the
+// entry whose retention window has ended by arrivedAt, unless the run is unfinished or the peer process may run the
 // key.
 func (t *keyTable) current(key IdempotencyKey, arrivedAt microtime.Time) *keyEntry {
 	entry := t.byKey[key]
@@ -221,8 +221,8 @@
 	}
 }
 
-// markIndeterminate drops the entry of a run whose outcome the backend does not know, and records until when the key
-// may have run.
+// markIndeterminate drops the entry of a run whose outcome is not known, and marks the key as possibly run until the
+// given time.
 func (t *keyTable) markIndeterminate(entry *keyEntry, until microtime.Time) {
 	t.indeterminate[entry.key] = max(t.indeterminate[entry.key], until)
 	t.markNotRun(entry)
--- a/internal/dispatch/run.go
+++ b/internal/dispatch/run.go
@@ -209,7 +209,7 @@
 	c.launch(req)
 }
 
-// mayStart reports whether the drain permits to start a request: requests that were read later than DrainGrace after
+// mayStart reports whether the drain permits starting a request: requests that were read later than DrainGrace after
 // the start of the drain must not be started.
 func (c *Core) mayStart(req *request) bool {
 	limit := c.drain.requestedAt + microtime.FromDuration(c.settings.DrainGrace)
