--- a/control/admission.go
+++ b/control/admission.go
@@ -6,17 +6,18 @@
 )
 
 const (
-	// overloadedShare is the share of rejections or of retries above which the whole fleet is assumed to be overloaded.
+	// overloadedShare is the share of rejections, or the ratio of retries to first attempts, above which the whole fleet
+	// is assumed to be overloaded.
 	overloadedShare = 0.5
-	// lateReadShare is a share of the latency objective. A request that was read later than this after its arrival
-	// shows that the server cannot even read its connections fast enough.
+	// lateReadShare is a share of the latency objective. If a request was read later than this after its arrival, the
+	// server cannot even read its connections fast enough.
 	lateReadShare = 1.0 / 8
 )
 
 // requestArrived counts, queues or rejects a request that was just read.
 func (c *Controller) requestArrived(event RequestArrived) {
 	if event.Class < 0 || event.Class >= len(c.classes.all) {
-		c.emit(Fail{ID: event.ID}) // Settings that do not fit the host; the request must still be answered.
+		c.emit(Fail{ID: event.ID}) // The settings do not match the host's; the request must still be answered.
 		return
 	}
 	req := &request{RequestArrived: event, arrivedAt: c.now - event.Age, dueAt: event.Deadline}
@@ -40,12 +41,12 @@
 		c.demand.priorityRequestArrived(class.slotSeconds(req.CostHint))
 	}
 	class.enqueue(req)
-	if !c.retainKey(req) || !c.mayRunHere(req) {
+	if !c.retainKey(req) || !c.mayRun(req) {
 		c.reject(req, false)
 	}
 }
 
-// serviceTime is the expected time from the start to the end of a request at the current speed of the machine,
+// serviceTime returns the expected time from the start to the end of a request at the current speed of the machine,
 // multiplied by the safety margin of its class.
 func (c *Controller) serviceTime(req *request) time.Duration {
 	class := c.classes.of(req)
@@ -54,9 +55,9 @@
 	return seconds(class.serviceMargin * (slotSeconds + callSeconds))
 }
 
-// mayRunHere reports whether drain and health permit to run a request here, regardless of the load. An unhealthy
-// machine accepts one idempotent request of each class at a time, to find out whether it has recovered.
-func (c *Controller) mayRunHere(req *request) bool {
+// mayRun reports whether a drain and the health of the machine permit running a request, regardless of the load. An
+// unhealthy machine accepts one idempotent request of each class at a time, to find out whether it has recovered.
+func (c *Controller) mayRun(req *request) bool {
 	if c.drain.forbids(req.arrivedAt+req.Age, c.now+c.serviceTime(req)) {
 		return false
 	}
@@ -67,8 +68,9 @@
 	return class.Idempotency == Idempotent && len(class.queue) <= 1
 }
 
-// isTooLate reports whether the answer to a request would come too late to be worth its work. Answers between the
-// latency objective and the deadline count only while the queue is short, in classes that earn weight for them.
+// isTooLate reports whether the answer to a request would come too late to be worth the work. An answer between the
+// latency objective and the deadline is worth it only while the queue is short, and only in a class that earns weight
+// for late answers.
 func (c *Controller) isTooLate(req *request) bool {
 	class := c.classes.of(req)
 	latest := class.usefulUntil(req)
@@ -80,7 +82,7 @@
 
 // reject rejects a request that never ran. The Retry-After advice grows with the share of rejections. The caller is
 // asked not to retry at another server if a retry would come too late, if the whole fleet seems overloaded, or if
-// this server is overloaded and already reads its connections late.
+// this server is overloaded and reads its connections late.
 func (c *Controller) reject(req *request, noRetry bool) {
 	class := c.classes.of(req)
 	c.demand.rejections++
@@ -89,25 +91,25 @@
 		c.signal.requestRejected()
 	}
 	rejectedShare := math.Min(c.demand.rejectedShare(), 1)
-	fleetLoad := rejectedShare // How overloaded the other servers are.
+	fleetLoad := rejectedShare // Estimates how overloaded the other servers are.
 	if c.settings.RetriesMarked {
 		fleetLoad = c.demand.retryRatio()
 	}
 	readLate := req.Age > seconds(lateReadShare*class.LatencyObjective.Seconds())
 	noRetry = noRetry || c.now > class.usefulUntil(req) || fleetLoad > overloadedShare ||
 		rejectedShare > overloadedShare && readLate
-	pause := rejectedShare
+	retryAfterShare := rejectedShare
 	if c.rejectsAll() {
-		pause = 1
+		retryAfterShare = 1
 	}
-	retryAfter := time.Duration(pause * float64(c.settings.MaxRetryAfter))
+	retryAfter := time.Duration(retryAfterShare * float64(c.settings.MaxRetryAfter))
 	c.emit(Reject{ID: req.ID, NoRetry: noRetry, RetryAfter: retryAfter})
 	c.releaseKey(req)
 	c.remove(req)
 }
 
-// undoArrival removes an unsupported request from the counts, so that made-up requests cannot lower the rejection
-// share.
+// undoArrival removes a request from the counts after the host rejected its run, so that fabricated requests cannot
+// lower the share of rejections.
 func (c *Controller) undoArrival(req *request) {
 	c.demand.undoArrival(req.Retry)
 	c.signal.undoArrival()
--- a/control/allowance_test.go
+++ b/control/allowance_test.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// serveRounds plays rounds of one tick each: what runs in one ends in the next, and caller i sends senders[i] requests.
-func serveRounds(controller *Controller, rounds int, utilization float64, age time.Duration, senders ...int) {
+// serveRounds plays rounds of one tick each. The requests that start in a round end in the next one, and in each round
+// caller i sends requestsPerCaller[i] requests.
+func serveRounds(controller *Controller, rounds int, utilization float64, age time.Duration, requestsPerCaller ...int) {
 	var running []RequestID
 	for range rounds {
 		events := []Event{Tick{Gauges: Gauges{CPUUtilization: utilization}}}
@@ -14,7 +15,7 @@
 			events = append(events, RequestFinished{ID: id, Outcome: OutcomeOK})
 		}
 		running = nil
-		for caller, count := range senders {
+		for caller, count := range requestsPerCaller {
 			for i := range count {
 				id := RequestID(controller.now/tickInterval)*1000 + RequestID(caller)*100 + RequestID(i) + 1
 				events = append(events, RequestArrived{ID: id, Caller: uint32(caller), QueuedKB: 1, Age: age})
@@ -35,8 +36,9 @@
 	})
 }
 
-// One caller of eight sends nearly all: with an even split the cores idled while it rejected its own requests.
-func TestAllowanceGrowsForTheCallerThatUsesIt(t *testing.T) {
+// One of eight callers sends nearly all requests. With an even split of the allowance, that caller rejected its own
+// requests while the cores idled.
+func TestAllowanceGrowsForBusyCaller(t *testing.T) {
 	controller := newAllowanceController(t)
 	serveRounds(controller, 500, 0.3, 0, 7, 1)
 	if allowance := controller.signal.value; allowance < 6 {
@@ -44,8 +46,8 @@
 	}
 }
 
-// An allowance that nobody uses up says nothing of what the server could do with more.
-func TestAllowanceRestsWhileUnused(t *testing.T) {
+// An allowance that no caller uses up does not grow, as it does not show whether the server could serve more.
+func TestAllowanceDoesNotGrowWhileUnused(t *testing.T) {
 	controller := newAllowanceController(t)
 	serveRounds(controller, 500, 0.3, 0, 1, 1)
 	if allowance := controller.signal.value; allowance > 3 {
@@ -53,19 +55,21 @@
 	}
 }
 
-// Full cores that reject work take the allowance back, but callers must go on hearing from the server.
-func TestAllowanceShrinksToItsFloor(t *testing.T) {
+// The allowance shrinks while the cores are saturated and requests are rejected, but not below its minimum, as callers
+// must keep getting answers that carry the load signal.
+func TestAllowanceShrinksToMinimum(t *testing.T) {
 	controller := newAllowanceController(t)
 	serveRounds(controller, 500, 0.3, 0, 7)
 	before := controller.signal.value
-	floor := minAllowancePerCore * float64(controller.settings.Cores) / float64(controller.settings.Callers)
-	serveRounds(controller, 250, 1, 3*time.Second, 7) // Too late for their objective as they are read.
-	if allowance := controller.signal.value; allowance >= before || allowance != floor {
-		t.Errorf("allowance %v after %v, want its floor %v", allowance, before, floor)
+	minimum := minAllowancePerCore * float64(controller.settings.Cores) / float64(controller.settings.Callers)
+	serveRounds(controller, 250, 1, 3*time.Second, 7) // Past their latency objective when they are read.
+	if allowance := controller.signal.value; allowance >= before || allowance != minimum {
+		t.Errorf("allowance %v after %v, want its minimum %v", allowance, before, minimum)
 	}
 	stepAfter(controller, tickInterval, DrainRequested{StopAt: controller.now + time.Minute})
 	serveRounds(controller, 250, 1, 0, 7)
-	if allowance := controller.signal.value; allowance != floor {
-		t.Errorf("allowance %v while draining, want %v: who hears nothing sends without bound", allowance, floor)
+	if allowance := controller.signal.value; allowance != minimum {
+		t.Errorf("allowance %v while draining, want %v: a caller without a load signal sends without bound",
+			allowance, minimum)
 	}
 }
--- a/control/call_budget_test.go
+++ b/control/call_budget_test.go
@@ -18,7 +18,7 @@
 	return budget
 }
 
-// Without a share there is no limit, and nothing to wait for.
+// If the settings state no share, calls are not limited and do not wait.
 func TestCallBudgetWithoutShare(t *testing.T) {
 	for _, dependency := range []Dependency{DependencyNone, DependencyTier, DependencyShared} {
 		t.Run(dependency.String(), func(t *testing.T) {
@@ -27,50 +27,50 @@
 			budget.advance(0, 1, 1)
 			budget.inFlight = 1000
 			require.False(t, budget.limited())
-			require.True(t, budget.allows(budget.requiredStock()))
+			require.True(t, budget.allows(budget.requiredTokens()))
 			require.Zero(t, budget.wait(1e6))
 			require.Equal(t, time.Hour, budget.timeout(time.Hour))
 		})
 	}
 }
 
-// The stock fills to the part of the share that is not used in the mean, and calls in flight spend it.
-func TestCallStockFillsAndIsSpent(t *testing.T) {
+// The bucket is refilled up to the part of the share that is left for bursts, and calls in flight use up its tokens.
+func TestCallTokensAreRefilledAndUsed(t *testing.T) {
 	budget := newTestCallBudget()
 	budget.advance(0, 1, 1)
-	require.InDelta(t, 6, budget.stockSeconds, 1e-9)
+	require.InDelta(t, 6, budget.tokens, 1e-9)
 	budget.advance(0, 100, 1)
-	require.InDelta(t, 20, budget.stockSeconds, 1e-9, "four calls over five seconds")
+	require.InDelta(t, 20, budget.tokens, 1e-9, "four calls for five seconds")
 	budget.inFlight = 8
 	budget.advance(0, 1, 1)
-	require.InDelta(t, 18, budget.stockSeconds, 1e-9)
+	require.InDelta(t, 18, budget.tokens, 1e-9)
 	require.InDelta(t, 3.5, budget.maxInFlight(), 1e-9)
-	require.False(t, budget.allows(0), "over what may be in flight")
+	require.False(t, budget.allows(0), "more calls than may be in flight")
 	budget.inFlight = 2
 	require.True(t, budget.allows(18))
 	require.False(t, budget.allows(18.1))
 }
 
-// Reconfiguring keeps the stock of the same share and empties that of another one.
-func TestCallBudgetKeepsItsStock(t *testing.T) {
+// Reconfiguring keeps the tokens if the share stays the same, and empties the bucket if it changes.
+func TestReconfiguredCallBudgetKeepsTokens(t *testing.T) {
 	budget := newTestCallBudget()
 	budget.advance(0, 1, 1)
 	settings := Settings{Dependency: DependencyShared, CallConcurrencyShare: 10}
 	budget.configure(&settings)
-	require.InDelta(t, 6, budget.stockSeconds, 1e-9)
+	require.InDelta(t, 6, budget.tokens, 1e-9)
 	require.Equal(t, minCallWindow, budget.window)
 	settings.CallConcurrencyShare = 9
 	budget.configure(&settings)
-	require.Zero(t, budget.stockSeconds)
+	require.Zero(t, budget.tokens)
 	settings.Dependency = DependencyNone
 	budget.configure(&settings)
-	require.True(t, math.IsInf(budget.stockSeconds, 1))
+	require.True(t, math.IsInf(budget.tokens, 1))
 }
 
-// An abandoned call occupies the dependency until its time is over.
+// An abandoned call occupies the dependency until AbandonedCallTime has passed.
 func TestAbandonedCallsOccupyTheDependency(t *testing.T) {
 	budget := newTestCallBudget()
-	budget.abandoned(time.Second)
+	budget.callAbandoned(time.Second)
 	require.Equal(t, 1, budget.occupied())
 	budget.advance(1199*time.Millisecond, 0, 1)
 	require.Equal(t, 1, budget.occupied())
@@ -78,28 +78,28 @@
 	require.Zero(t, budget.occupied())
 }
 
-// A timeout is no longer than the stock lasts, if it is split among all calls that may be in flight.
+// A timeout is no longer than the tokens last when they are split evenly over the calls that may be in flight.
 func TestCallTimeout(t *testing.T) {
 	budget := newTestCallBudget()
-	budget.stockSeconds = 7
+	budget.tokens = 7
 	require.Equal(t, 1800*time.Millisecond, budget.timeout(time.Hour))
 	require.Equal(t, time.Second, budget.timeout(time.Second))
 	require.Equal(t, tickInterval, budget.timeout(0))
 }
 
-// Recent calls outweigh the long mean, and calls in flight without an end count as well.
-func TestCallSecondsFollowTheDependency(t *testing.T) {
+// The estimate follows recent calls rather than the long-term mean, and includes calls that are still in flight.
+func TestCallSecondsFollowRecentCalls(t *testing.T) {
 	budget := newTestCallBudget()
-	budget.succeeded(100 * time.Millisecond)
+	budget.callSucceeded(100 * time.Millisecond)
 	before := budget.callSeconds()
-	require.InDelta(t, 0.075, before, 1e-9, "three of the mean and one that took no time in flight")
+	require.InDelta(t, 0.075, before, 1e-9, "three calls of the long-term mean and one that took no time in flight")
 	budget.inFlight = 3
 	budget.advance(0, 1, 1)
 	require.InDelta(t, 3.3/4, budget.callSeconds(), 1e-9)
 	require.Positive(t, budget.wait(100))
 }
 
-// dependencyHost makes every started request call a dependency that never answers: each call ends by its timeout.
+// dependencyHost makes every started request call a dependency that never answers, so that each call times out.
 type dependencyHost struct {
 	controller *Controller
 	callEnds   map[RequestID]time.Duration
@@ -122,7 +122,7 @@
 		switch action := action.(type) {
 		case Start:
 			reactions = append(reactions, CallNeeded(action))
-		case Fail: // It waits for a call: the host ends it.
+		case Fail: // The request waits for a call, so the host ends it.
 			reactions = append(reactions, RequestFinished{ID: action.ID, Outcome: OutcomeCancelled})
 		}
 	}
@@ -134,8 +134,9 @@
 	}
 }
 
-// Invariant broken on agadir-souss-later: hundreds of servers with a call each, for as long as it took, pass what the
-// dependency survives. However long calls take, no window holds more than this server's share, below one too.
+// Guards against the invariant violation on agadir-souss-later: hundreds of servers, each with one call in flight for
+// as long as it took, together exceeded what the dependency survives. However long calls take, the mean number of calls
+// over any window must not exceed this server's share, even if the share is below 1.
 func TestCallsStayBelowTheShare(t *testing.T) {
 	for _, share := range []float64{0.3, 0.47, 0.9, 2.5} {
 		controller := newTestController(t, func(s *Settings) {
@@ -152,11 +153,11 @@
 				sum += calls
 			}
 			if mean := sum * tickInterval.Seconds() / controller.calls.window.Seconds(); mean > share {
-				t.Fatalf("share %v: %.2f calls in the mean of a window at %v", share, mean, controller.now)
+				t.Fatalf("share %v: a mean of %.2f calls over the window that ends at %v", share, mean, controller.now)
 			}
 		}
 		if host.calls < 5 {
-			t.Errorf("share %v: %d calls in a minute, starved", share, host.calls)
+			t.Errorf("share %v: only %d calls in a minute", share, host.calls)
 		}
 	}
 }
--- a/control/calls.go
+++ b/control/calls.go
@@ -21,21 +21,22 @@
 	}
 }
 
-// grantCalls makes the calls that requests wait for, in the order of their due starts. It fails idempotent requests
-// whose call would come too late, and skips the call where the class permits it.
+// grantCalls makes the calls that requests wait for, in the order in which the requests were due to start, while the
+// call budget permits. It fails idempotent requests that can no longer be answered in time. It skips a call if the
+// request would be late and its class permits that.
 func (c *Controller) grantCalls() {
 	waiting := slices.DeleteFunc(slices.Clone(c.requests.ordered), func(req *request) bool {
 		return req.state != stateAwaitingCall || req.answered
 	})
 	slices.SortStableFunc(waiting, c.classes.byDueStart)
-	requiredStock := c.calls.requiredStock()
+	requiredTokens := c.calls.requiredTokens()
 	for _, req := range waiting {
 		class := c.classes.of(req)
 		switch {
 		case c.now > class.usefulUntil(req) && class.LateWeightShare == 0 && class.Idempotency == Idempotent:
 			c.fail(req)
 		case req.stateSince > c.now: // The backoff after a failed attempt is not over.
-		case c.calls.allows(requiredStock):
+		case c.calls.allows(requiredTokens):
 			timeout := c.calls.timeout(req.dueAt - c.now)
 			c.transition(req, stateCalling)
 			c.emit(Call{ID: req.ID, Timeout: timeout})
@@ -47,18 +48,18 @@
 }
 
 // callFinished resumes a request whose call has succeeded. After any other outcome the request waits for the next
-// attempt, or fails if none is left. A call that may have taken effect is never repeated for a request that is not
-// idempotent.
+// attempt of the call, or fails if there is none. If the request is not idempotent, a call that may have taken effect
+// is never repeated.
 func (c *Controller) callFinished(event CallFinished) {
 	req := c.requests.byID[event.ID]
 	if req == nil || req.state != stateCalling {
 		return
 	}
 	if event.Outcome == OutcomeTimeout {
-		c.calls.abandoned(c.now)
+		c.calls.callAbandoned(c.now)
 	}
 	if event.Outcome == OutcomeOK {
-		c.calls.succeeded(event.Took)
+		c.calls.callSucceeded(event.Took)
 		req.callsSucceeded++
 		c.transition(req, stateRunning)
 		return
--- a/control/calls_test.go
+++ b/control/calls_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A call that may have run is never repeated for a request that is not idempotent; one that is proved not to have run
-// is. Every outcome is asked, so that one added later must be placed here.
+// If a request is not idempotent, a call that may have run is never repeated, and a call that is proved not to have run
+// is repeated. The test covers every outcome, so that a new outcome must be added to the table.
 func TestOnlyCallsThatNeverRanAreRepeated(t *testing.T) {
 	repeated := map[Outcome]bool{
 		OutcomeError:        false,
@@ -27,7 +27,7 @@
 			})
 			controller.Step(0, []Event{RequestArrived{ID: 1, Class: 1, QueuedKB: 1}})
 			first := controller.Step(tickInterval, []Event{CallNeeded{ID: 1}})
-			require.Equal(t, 1, countActions[Call](first), "first calls")
+			require.Equal(t, 1, countActions[Call](first), "calls before the outcome")
 			calls, failures := 0, 0
 			event := Event(CallFinished{ID: 1, Outcome: outcome})
 			for now := 2 * tickInterval; now < 500*time.Millisecond; now += tickInterval {
@@ -36,13 +36,13 @@
 				failures += countActions[Fail](actions)
 				event = Tick{}
 			}
-			require.Equal(t, repeated[outcome], calls == 1, "%d calls more", calls)
+			require.Equal(t, repeated[outcome], calls == 1, "%d calls after the outcome", calls)
 			require.Equal(t, repeated[outcome], failures == 0, "%d failures", failures)
 		})
 	}
 }
 
-// Incident i3d13bd: a dependency that rejects calls must not be met by a call every tick.
+// Incident i3d13bd: a call that the dependency rejects must not be repeated at every tick.
 func TestRejectedCallsBackOff(t *testing.T) {
 	controller := newTestController(t, func(s *Settings) { s.Dependency = DependencyTier })
 	controller.Step(0, []Event{RequestArrived{ID: 1, QueuedKB: 1}})
@@ -56,13 +56,13 @@
 		}
 		actions = stepAfter(controller, tickInterval, events...)
 	}
-	if calls < 3 || calls > 6 { // Pauses of 50, 100, 200, 400 and 800 ms.
-		t.Errorf("%d calls in 1.5 s to a dependency that is overloaded", calls)
+	if calls < 3 || calls > 6 { // The backoff is 50, 100, 200, 400 and 800 ms.
+		t.Errorf("%d calls in 1.5 s to an overloaded dependency", calls)
 	}
 }
 
-// With a slow dependency the calls go to the most valuable requests.
-func TestScarceCallsGoToTheMostValuable(t *testing.T) {
+// If the dependency is slow, the most valuable requests get the calls.
+func TestCallsGoToMostValuableRequests(t *testing.T) {
 	controller := newTestController(t, func(s *Settings) {
 		s.Dependency, s.CallConcurrencyShare, s.CallConcurrencyWindow = DependencyShared, 2, 5*time.Second
 	})
--- a/control/class.go
+++ b/control/class.go
@@ -14,14 +14,14 @@
 	assumedServiceShare = 1.0 / 8
 	// assumedSamples is the weight, in completions, of the assumptions about a new class.
 	assumedSamples = 4.0
-	// bestEffortServiceMargin is how many mean service times a best-effort request must have left to be started: with
-	// less, too many would be late.
+	// bestEffortServiceMargin is how many mean service times a best-effort request must have left to be started. With
+	// less, too many answers would be late.
 	bestEffortServiceMargin = 1.5
-	// priorityServiceMargin is the same for the priority classes, whose requests are started with less time to spare:
-	// even a moderate chance to be in time is worth more than the best-effort request that would run instead.
+	// priorityServiceMargin is the same for the priority classes. It is smaller, as even a moderate chance to answer such
+	// a request in time is worth more than the best-effort request that would run instead.
 	priorityServiceMargin = 0.5
-	// retryObjectiveShare is the assumed part of the latency objective that a retry has left. The objective counts from
-	// the first attempt, whose time is not known here.
+	// retryObjectiveShare is the assumed part of the latency objective that a retry has left. The objective is measured
+	// from the first attempt, whose time is not known here.
 	retryObjectiveShare = 0.7
 	// maxHintRatio bounds the ratio of a cost hint to the mean hint of its class, as hints are rough.
 	maxHintRatio = 4
@@ -37,9 +37,9 @@
 	serviceMargin float64 // mean service times that a request must have left to be started
 
 	queue       []*request    // oldest first
-	queueBudget time.Duration // a request should start within this time after its arrival
+	queueBudget time.Duration // time after its arrival within which a request should start
 
-	latencies       []float64   // seconds, of the last sampleWindow completions
+	latencies       []float64   // in seconds, of the last sampleWindow completions
 	service         runningMean // seconds from start to end of a run
 	slot            runningMean // seconds of a run on the cores or at the disk
 	costHint        runningMean // seconds
@@ -66,7 +66,7 @@
 	}
 }
 
-// inherit copies the statistics of the class of the same name that had another index.
+// inherit copies the statistics of from, the state of the class of this name under its former index.
 func (k *classState) inherit(from *classState) {
 	k.latencies = slices.Clone(from.latencies)
 	k.service = from.service
@@ -78,7 +78,7 @@
 	k.disengagement = from.disengagement
 }
 
-// enqueue adds a request to the queue, which is ordered by the time at which requests reached the machine.
+// enqueue adds a request to the queue, which is ordered by the time at which the requests reached the machine.
 func (k *classState) enqueue(req *request) {
 	k.queue = append(k.queue, req)
 	slices.SortStableFunc(k.queue, func(a, b *request) int { return cmp.Compare(a.arrivedAt, b.arrivedAt) })
@@ -89,8 +89,8 @@
 	k.queue = slices.DeleteFunc(k.queue, func(queued *request) bool { return queued == req })
 }
 
-// advance multiplies the recent counts by fade twice, so that they fade twice as fast as other figures: the health that
-// is derived from them reaches callers with a delay already.
+// advance multiplies the recent counts by fade twice, so that they fade twice as fast as other figures. The health that
+// is derived from them reaches callers with a delay, so slower fading would make it outdated.
 func (k *classState) advance(fade float64) {
 	k.recentOutcomes = k.recentOutcomes * fade * fade
 	k.recentRejections = k.recentRejections * fade * fade
@@ -119,13 +119,13 @@
 func (k *classState) fit() {
 	k.measure()
 	meanBudget := meanLatencyBudget(k.cv, k.LatencyObjective, k.Deadline)
-	// Unlike UTSLO: the service time may exceed the mean latency budget, and negative budgets would order requests by
-	// their service time alone.
+	// Unlike UTSLO, this bounds the queue budget from below: the service time may exceed the mean latency budget, and
+	// negative queue budgets would order requests by their service time alone.
 	k.queueBudget = max(meanBudget-seconds(k.service.value), seconds(minBudgetShare*k.LatencyObjective.Seconds()))
 }
 
-// measure computes the coefficient of variation and the disengagement of the latencies. The disengagement curve is zero
-// up to the objective, one from the deadline on and linear between them.
+// measure computes the coefficient of variation and the disengagement of the latencies. The disengagement curve is 0 up
+// to the objective, 1 from the deadline on and linear between them.
 func (k *classState) measure() {
 	var sum, squares, disengaged float64
 	for _, latency := range k.latencies {
@@ -137,17 +137,19 @@
 	count := float64(len(k.latencies))
 	mean := math.Max(sum/math.Max(count, 1), time.Microsecond.Seconds())
 	cv := math.Sqrt(math.Max(squares/math.Max(count, 1)-mean*mean, 0)) / mean
-	// Unlike UTSLO: a class with few samples is drawn towards the exponential law (CV 1) that just meets its target.
+	// Unlike UTSLO, the estimates of a class with few samples are drawn towards a prior: the exponential law (CV 1) that
+	// just meets the target.
 	const priorDisengagement = priorSamples * disengagementTarget * (minTargetRatio + maxTargetRatio) / 2
 	k.cv = (count*cv + priorSamples) / (count + priorSamples)
 	k.disengagement = (disengaged + priorDisengagement) / (count + priorSamples)
 }
 
-// missedShare is the share of users that the class fails. Unlike UTSLO it includes rejections, which the latencies do
-// not show. Without them, a heavily rejected class would look satisfied and lose slots to best effort.
+// missedShare returns the share of users who gave up or were rejected. Unlike UTSLO it includes rejections, which the
+// latencies do not show. Without them, a class with many rejections would seem to meet its target and lose slots to
+// best effort.
 func (k *classState) missedShare() float64 { return k.disengagement + k.rejectedShare.value }
 
-// slotSeconds is the expected slot time of a request, in seconds. A cost hint scales only half of the estimate, as
+// slotSeconds returns the expected slot time of a request, in seconds. A cost hint scales only half of the estimate, as
 // hints are rough.
 func (k *classState) slotSeconds(costHint time.Duration) float64 {
 	if costHint > 0 && k.costHint.value > 0 {
@@ -156,7 +158,7 @@
 	return k.slot.value
 }
 
-// usefulUntil is the clock time after which an answer to a request no longer earns its full weight.
+// usefulUntil returns the clock time after which an answer to a request no longer earns its full weight.
 func (k *classState) usefulUntil(req *request) time.Duration {
 	objective := k.LatencyObjective
 	if req.Retry {
--- a/control/class_table.go
+++ b/control/class_table.go
@@ -6,23 +6,23 @@
 	"time"
 )
 
-// classTable holds the state of each class, by its index in Settings.Classes.
+// classTable holds the state of each class.
 type classTable struct {
-	all    []*classState
+	all    []*classState // by index in Settings.Classes
 	active []*classState // those that are not retired
 }
 
-// configure applies the settings. A class that keeps index and name keeps its state; under another index it inherits
-// the statistics of the class of its name.
+// configure applies the settings. A class that keeps its index and its name keeps its state. A class that has changed
+// its index inherits the statistics under its name.
 func (t *classTable) configure(settings *Settings) {
 	byWeight := func(a, b Class) int { return cmp.Compare(a.Weight, b.Weight) }
 	activeClasses := settings.activeClasses()
 	lowest := slices.MinFunc(activeClasses, byWeight).Weight
 	highest := slices.MaxFunc(activeClasses, byWeight).Weight
-	before := t.all
+	previous := t.all
 	t.all, t.active = nil, nil
 	for i, class := range settings.Classes {
-		state := keptClassState(before, i, class)
+		state := classStateAt(previous, i, class)
 		state.Class = class
 		state.serviceMargin = bestEffortServiceMargin
 		if class.Weight > lowest {
@@ -37,20 +37,20 @@
 	}
 }
 
-// keptClassState returns the state of a class at an index, reusing that of before as configure describes.
-func keptClassState(before []*classState, number int, class Class) *classState {
-	if number < len(before) && before[number].Name == class.Name {
-		return before[number]
+// classStateAt returns the state of a class at an index, and reuses the previous states as configure describes.
+func classStateAt(previous []*classState, index int, class Class) *classState {
+	if index < len(previous) && previous[index].Name == class.Name {
+		return previous[index]
 	}
 	state := newClassState(class)
-	sameName := func(former *classState) bool { return former.Name == class.Name }
-	if former := slices.IndexFunc(before, sameName); former >= 0 {
-		state.inherit(before[former])
+	sameName := func(candidate *classState) bool { return candidate.Name == class.Name }
+	if formerIndex := slices.IndexFunc(previous, sameName); formerIndex >= 0 {
+		state.inherit(previous[formerIndex])
 	}
 	return state
 }
 
-// of returns the class of a request.
+// of returns the state of the class of a request.
 func (t *classTable) of(req *request) *classState { return t.all[req.Class] }
 
 // mostValuable returns the first active class of the highest weight.
@@ -58,10 +58,10 @@
 	return slices.MaxFunc(t.active, func(a, b *classState) int { return cmp.Compare(a.Weight, b.Weight) })
 }
 
-// dueToStart is the clock time by which a request should start.
-func (t *classTable) dueToStart(req *request) time.Duration {
+// dueStart returns the clock time by which a request should start.
+func (t *classTable) dueStart(req *request) time.Duration {
 	return req.arrivedAt + t.of(req).queueBudget
 }
 
-// byDueStart compares requests by dueToStart.
-func (t *classTable) byDueStart(a, b *request) int { return int(t.dueToStart(a) - t.dueToStart(b)) }
+// byDueStart compares requests by dueStart.
+func (t *classTable) byDueStart(a, b *request) int { return int(t.dueStart(a) - t.dueStart(b)) }
--- a/control/class_table_test.go
+++ b/control/class_table_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Where all classes tie none is best effort: a single lane by due start.
-func TestNoBestEffortAmongEquals(t *testing.T) {
+// If all classes have the same weight, none is best effort: all requests are in one lane, ordered by due start.
+func TestNoBestEffortAmongEqualWeights(t *testing.T) {
 	controller, err := New(Settings{Cores: 1, Classes: []Class{
 		{LatencyObjective: time.Second, Deadline: 4 * time.Second, Weight: 1},
 		{LatencyObjective: time.Second, Deadline: 4 * time.Second, Weight: 1},
@@ -16,13 +16,13 @@
 	require.NoError(t, err)
 	for i, class := range controller.classes.all {
 		if class.bestEffort {
-			t.Errorf("class %d is best effort among equals", i)
+			t.Errorf("class %d is best effort though all weights are equal", i)
 		}
 	}
 }
 
-// A class that keeps number and name keeps its state, one that has another number inherits what was learned under its
-// name, and a new one starts from its objective.
+// A class that keeps its index and its name keeps its state. A class that has changed its index inherits the statistics
+// under its name. The estimates of a new class are derived from its latency objective.
 func TestClassesAreReconfigured(t *testing.T) {
 	var table classTable
 	settings := Settings{Classes: []Class{
@@ -48,5 +48,5 @@
 	require.Equal(t, runningMean{500, 0.3}, table.all[2].slot)
 	require.Zero(t, table.all[2].recentOutcomes)
 	require.Len(t, table.active, 2)
-	require.Same(t, classA, table.mostValuable(), "the other one is retired")
+	require.Same(t, classA, table.mostValuable(), "the class of the highest weight is retired")
 }
--- a/control/class_test.go
+++ b/control/class_test.go
@@ -7,8 +7,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The service time may outgrow the mean latency: the budget keeps a share of the objective, and objectives their order.
-func TestBudgetStaysPositive(t *testing.T) {
+// The service time may exceed the mean latency budget. The queue budget is then a share of the latency objective, so
+// that the classes stay ordered by their objectives.
+func TestQueueBudgetStaysPositive(t *testing.T) {
 	controller, err := New(Settings{Cores: 2, Classes: []Class{
 		{LatencyObjective: 2 * time.Second, Deadline: 8 * time.Second, Weight: 1},
 		{LatencyObjective: 3 * time.Second, Deadline: 8 * time.Second, Weight: 1},
@@ -27,9 +28,9 @@
 	}
 }
 
-// The fitted law decides from the first completion: a thin class rests on the prior, near-exponential latency, and
-// moves to its own CV as completions come.
-func TestThinClassIsFitted(t *testing.T) {
+// The latency law is fitted from the first completion on. A class with few completions is close to the prior, which is
+// an exponential law (CV 1), and moves to its own CV with further completions.
+func TestClassWithFewSamplesIsFitted(t *testing.T) {
 	controller, err := New(Settings{Cores: 2, Classes: []Class{
 		{LatencyObjective: 2 * time.Second, Deadline: 8 * time.Second, Weight: 1},
 	}})
@@ -38,24 +39,24 @@
 	controller.fitBudgets()
 	want := meanLatencyBudget(1, class.LatencyObjective, class.Deadline) - seconds(class.service.value)
 	if class.queueBudget != want || want >= class.LatencyObjective {
-		t.Fatalf("budget %v without completions, want %v, under the objective", class.queueBudget, want)
+		t.Fatalf("budget %v without completions, want %v, below the objective", class.queueBudget, want)
 	}
-	last := class.queueBudget
+	previous := class.queueBudget
 	for completions := 1; completions <= sampleWindow; completions *= 10 {
 		for len(class.latencies) < completions {
 			class.latencies = append(class.latencies, 0.9+0.2*float64(len(class.latencies)%2)) // A CV of about 0.1.
 		}
 		controller.fitBudgets()
-		if class.queueBudget <= last {
-			t.Errorf("%d completions of little spread leave the budget at %v, was %v",
-				completions, class.queueBudget, last)
+		if class.queueBudget <= previous {
+			t.Errorf("%d completions of little spread: budget %v, want more than %v",
+				completions, class.queueBudget, previous)
 		}
-		last = class.queueBudget
+		previous = class.queueBudget
 	}
 }
 
-// The disengagement curve is zero up to the objective, one from the deadline on and linear between them; few samples
-// are drawn towards the prior.
+// The disengagement curve is 0 up to the objective, 1 from the deadline on and linear between them. With few samples,
+// the statistics are drawn towards the prior.
 func TestDisengagementOfLatencies(t *testing.T) {
 	class := newClassState(Class{LatencyObjective: time.Second, Deadline: 3 * time.Second})
 	for range 25 {
@@ -66,13 +67,13 @@
 	}
 	class.measure()
 	prior := disengagementTarget * (minTargetRatio + maxTargetRatio) / 2
-	require.InDelta(t, (0.625+prior)/2, class.disengagement, 1e-9, "as many samples as the prior weighs")
+	require.InDelta(t, (0.625+prior)/2, class.disengagement, 1e-9, "as many samples as the prior counts for")
 	require.InDelta(t, (0.4472+1)/2, class.cv, 1e-4)
 	class.rejectedShare.value = 0.25
 	require.InDelta(t, class.disengagement+0.25, class.missedShare(), 1e-9)
 }
 
-// No more than the last completions are kept.
+// Only the latencies of the last sampleWindow completions are kept.
 func TestLatenciesAreKeptForTheWindow(t *testing.T) {
 	class := newClassState(Class{LatencyObjective: time.Second, Deadline: 3 * time.Second})
 	for i := range sampleWindow + 10 {
@@ -82,11 +83,11 @@
 	require.Equal(t, 10.0, class.latencies[0])
 }
 
-// A hint scales one half of the expected slot time, by no more than four times the mean hint.
+// A cost hint scales one half of the expected slot time. A hint above four times the mean hint counts as four times.
 func TestSlotTimeFollowsTheHint(t *testing.T) {
 	class := newClassState(Class{LatencyObjective: time.Second, Deadline: 3 * time.Second})
 	class.slot.value = 0.2
-	require.Equal(t, 0.2, class.slotSeconds(time.Second), "no mean hint")
+	require.Equal(t, 0.2, class.slotSeconds(time.Second), "no mean hint yet")
 	class.costHint.add(0.1)
 	require.Equal(t, 0.2, class.slotSeconds(0), "no hint")
 	require.InDelta(t, 0.2, class.slotSeconds(100*time.Millisecond), 1e-9)
@@ -94,7 +95,8 @@
 	require.InDelta(t, 0.5, class.slotSeconds(time.Minute), 1e-9)
 }
 
-// An answer is of use within the objective, which the request's own work may stretch, and never after it is due.
+// An answer earns its full weight within the latency objective, which a cost hint may stretch, and never after the
+// deadline.
 func TestUsefulUntil(t *testing.T) {
 	class := newClassState(Class{LatencyObjective: time.Second, ObjectiveStretch: 2, Deadline: 3 * time.Second})
 	tests := []struct {
@@ -104,8 +106,8 @@
 	}{
 		{"first attempt", request{}, 11 * time.Second},
 		{"retry", request{RequestArrived: RequestArrived{Retry: true}}, 10700 * time.Millisecond},
-		{"long work", request{RequestArrived: RequestArrived{CostHint: 500 * time.Millisecond}}, 12 * time.Second},
-		{"longest work", request{RequestArrived: RequestArrived{CostHint: time.Minute}}, 13 * time.Second},
+		{"stretched objective", request{RequestArrived: RequestArrived{CostHint: 500 * time.Millisecond}}, 12 * time.Second},
+		{"stretched past deadline", request{RequestArrived: RequestArrived{CostHint: time.Minute}}, 13 * time.Second},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
@@ -115,7 +117,7 @@
 	}
 }
 
-// The queue is in the order in which requests reached the machine, whenever they were read.
+// The queue is ordered by the time at which requests reached the machine, not by the time at which they were read.
 func TestQueueOrder(t *testing.T) {
 	class := newClassState(Class{})
 	first, second, third := &request{arrivedAt: 1}, &request{arrivedAt: 2}, &request{arrivedAt: 2}
--- a/control/completion.go
+++ b/control/completion.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// answerLeadTime is how long before they are due answers are sent.
+// answerLeadTime is how long before its deadline an open request is failed.
 const answerLeadTime = 10 * time.Millisecond
 
 // requestFinished removes a request that has ended and updates the estimates with it.
@@ -23,7 +23,7 @@
 	case OutcomeOK:
 		c.learnFrom(req)
 	case OutcomeError:
-		if !req.answered { // Otherwise the controller itself has failed it.
+		if !req.answered { // Otherwise the controller has failed the request itself.
 			c.health.runFailed()
 		}
 	default: // The host stopped the run, which says nothing about the machine.
@@ -44,25 +44,25 @@
 	}
 }
 
-// learnSlotTime updates the slot time estimates with a run that has ended, or with a stopped run, for which the time
-// spent is a lower bound.
+// learnSlotTime updates the slot time estimates with a run that has ended or was stopped. For a stopped run, took is a
+// lower bound of its slot time.
 func (c *Controller) learnSlotTime(req *request, took time.Duration) {
 	class := c.classes.of(req)
 	usualSeconds := c.slowdown.completed(class.slotSeconds(req.CostHint), took)
 	class.slot.add(usualSeconds)
 }
 
-// requestCancelled ends or stops a request whose caller has left.
+// requestCancelled ends or stops a request that needs no answer any more.
 func (c *Controller) requestCancelled(event RequestCancelled) {
 	if req := c.requests.byID[event.ID]; req != nil {
-		c.releaseCaller(req)
+		c.endOrPreempt(req)
 	}
 }
 
-// releaseCaller ends or stops a request that is answered or whose caller has left. A request that never ran ends, and
-// an idempotent run is preempted if the settings permit. A run with an idempotency key continues, as a repeat may want
-// its result.
-func (c *Controller) releaseCaller(req *request) {
+// endOrPreempt ends or stops a request that needs no answer any more. A request that never ran ends, and an idempotent
+// run is preempted if the settings permit that. A run with an idempotency key continues, as a repeat of the request may
+// need its result.
+func (c *Controller) endOrPreempt(req *request) {
 	req.answered = true
 	if req.neverRan() {
 		c.releaseKey(req)
@@ -75,22 +75,22 @@
 	}
 }
 
-// answerOverdue fails requests whose deadline is near, every open request just before the process is stopped, and runs
-// that runsInVain reports.
+// answerOverdue fails the requests whose deadline is near and those that shouldPreempt reports. Just before the process
+// is stopped it fails every open request.
 func (c *Controller) answerOverdue() {
 	for _, req := range c.requests.open() {
-		if !req.answered && (c.now >= req.dueAt-answerLeadTime || c.drain.answersAreDue(c.now)) {
+		if !req.answered && (c.now >= req.dueAt-answerLeadTime || c.drain.mustAnswerAll(c.now)) {
 			c.fail(req)
-		} else if c.runsInVain(req) {
+		} else if c.shouldPreempt(req) {
 			c.learnSlotTime(req, req.slotTime+c.now-req.stateSince)
 			c.fail(req)
 		}
 	}
 }
 
-// runsInVain reports whether the answer to a running request is already worthless while its slot is needed for others.
-// This prevents the few requests that take far longer than others from holding slots.
-func (c *Controller) runsInVain(req *request) bool {
+// shouldPreempt reports whether the answer to a running request is already too late to earn any weight while its slot
+// is needed for others. This prevents the few requests that take far longer than others from occupying the slots.
+func (c *Controller) shouldPreempt(req *request) bool {
 	class := c.classes.of(req)
 	return req.state == stateRunning && !req.answered && class.Idempotency == Idempotent && class.LateWeightShare == 0 &&
 		c.settings.Preemption == PreemptDiscard && c.limiter.reached && c.now > class.usefulUntil(req)
@@ -99,5 +99,5 @@
 // fail answers a request with an error.
 func (c *Controller) fail(req *request) {
 	c.emit(Fail{ID: req.ID})
-	c.releaseCaller(req)
+	c.endOrPreempt(req)
 }
--- a/control/completion_test.go
+++ b/control/completion_test.go
@@ -5,16 +5,17 @@
 	"time"
 )
 
-// Guards the slots against runs that have come past their use: one whose slot work waits for is preempted, and its
-// caller answered at once; without work that waits it goes on, and keyed work always does. Their time is learned from.
-func TestRunsInVainArePreempted(t *testing.T) {
+// Guards against runs that hold their slots although their answers are already too late. Such a run is preempted and
+// its caller answered at once if a queued request needs the slot; otherwise it continues. A keyed request always
+// continues. The slot time of a preempted run updates the estimate of its class.
+func TestLateRunsArePreempted(t *testing.T) {
 	tests := []struct {
-		name                 string
-		class, waiting, want int
+		name                string
+		class, queued, want int
 	}{
-		{"work waits", 0, 1, 1},
-		{"nothing waits", 0, 0, 0},
-		{"keyed work", 1, 1, 0},
+		{"request queued", 0, 1, 1},
+		{"queue empty", 0, 0, 0},
+		{"keyed request", 1, 1, 0},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
@@ -24,7 +25,7 @@
 			controller.Step(0, []Event{late})
 			controller.Step(450*time.Millisecond, nil)
 			before := controller.classes.all[tc.class].slot.value
-			for i := range tc.waiting {
+			for i := range tc.queued {
 				stepAfter(controller, 0, RequestArrived{ID: RequestID(2 + i), QueuedKB: 1})
 			}
 			actions := controller.Step(501*time.Millisecond, nil) // The objective is two seconds.
@@ -37,7 +38,7 @@
 			}
 			slot := controller.classes.all[tc.class].slot.value
 			if learned := slot > before; learned != (tc.want == 1) {
-				t.Errorf("slot time %v, before %v", slot, before)
+				t.Errorf("slot time %v, was %v", slot, before)
 			}
 		})
 	}
--- a/control/concurrency_ceiling.go
+++ b/control/concurrency_ceiling.go
@@ -5,11 +5,12 @@
 	"time"
 )
 
-// concurrencySafetyShare is the part of the survivable concurrency that may be used. Requests in calls count too.
+// concurrencySafetyShare is the part of the survivable concurrency that may be used. Requests that wait for calls count
+// too.
 const concurrencySafetyShare = 0.8
 
-// concurrencyCeiling is how many running requests the server survives. A cold server is assumed to warm up no faster
-// than the settings promise. The ceiling bounds the concurrency limit; it is not a target.
+// concurrencyCeiling computes how many running requests the server survives. A cold server is assumed to warm up no
+// faster than the settings state. The ceiling bounds the concurrency limit; it is not a target.
 type concurrencyCeiling struct {
 	cores      float64
 	perCore    float64 // running requests per core that a warm server survives; 0 = not stated
@@ -28,8 +29,8 @@
 	c.warmUpTime = settings.WarmUpTime
 }
 
-// usable is how many running requests are safe now.
-func (c *concurrencyCeiling) usable(now time.Duration) float64 {
+// safeConcurrency returns how many running requests are safe now.
+func (c *concurrencyCeiling) safeConcurrency(now time.Duration) float64 {
 	speed := 1.0
 	if c.coldStart && c.warmUpTime > 0 {
 		speed = math.Min(1, c.minSpeed+(1-c.minSpeed)*float64(now-c.startedAt)/float64(c.warmUpTime))
@@ -37,15 +38,15 @@
 	return concurrencySafetyShare * (c.cores * (1 + (c.perCore-1)*speed))
 }
 
-// limit is the upper bound of the concurrency limit now.
+// limit returns the current upper bound of the concurrency limit.
 func (c *concurrencyCeiling) limit(now time.Duration) float64 {
 	if c.perCore > 0 {
-		return c.usable(now)
+		return c.safeConcurrency(now)
 	}
 	return maxLimitPerCore * c.cores
 }
 
-// allows reports whether the given number of requests may be running now.
+// allows reports whether the given number of requests may run now.
 func (c *concurrencyCeiling) allows(now time.Duration, running int) bool {
-	return c.perCore <= 0 || float64(running) <= c.usable(now)
+	return c.perCore <= 0 || float64(running) <= c.safeConcurrency(now)
 }
--- a/control/controller.go
+++ b/control/controller.go
@@ -7,20 +7,20 @@
 )
 
 const (
-	// tickInterval is the interval of Tick events. It is small against Settings.AnswerGrace, by which an answer may be
-	// late (usually 80 to 100 ms), as overdue requests are answered at the next event or tick.
+	// tickInterval is the interval of Tick events. Overdue requests are answered at the next event or tick, so it is
+	// small against Settings.AnswerGrace (usually 80 to 100 ms), the time by which an answer may be late.
 	tickInterval = 20 * time.Millisecond
 	// refitInterval is how often the latency law is refitted, so that budgets follow a change of load within seconds.
 	refitInterval = time.Second
 )
 
-// Controller decides for one server. Its methods must not be called concurrently.
+// Controller makes the decisions for one server. Its methods must not be called concurrently.
 type Controller struct {
-	settings Settings
-	started  bool
-	now      time.Duration
-	nextFit  time.Duration
-	actions  []Action // of this step
+	settings  Settings
+	started   bool
+	now       time.Duration
+	nextRefit time.Duration
+	actions   []Action // actions of this step so far
 
 	requests    *requestTable
 	classes     classTable
@@ -61,16 +61,16 @@
 	return controller, nil
 }
 
-// Reconfigure replaces the settings while serving. On an error, which wraps ErrInvalidSettings, nothing has changed.
+// Reconfigure replaces the settings while serving. Its errors wrap ErrInvalidSettings and leave everything unchanged.
 // Classes and tenants keep their indices: a class that was removed stays in Settings.Classes as Retired, and its index
 // may get another name only after its last request has ended. The statistics of a class are kept under its name, and
-// open requests keep their deadlines. Seed and ColdStart are ignored; those of New stay in force.
+// open requests keep their deadlines. Seed and ColdStart are ignored: the values passed to New stay in force.
 func (c *Controller) Reconfigure(settings Settings) error {
 	if err := settings.validate(); err != nil {
 		return err
 	}
 	if len(settings.Classes) < len(c.classes.all) || len(settings.Tenants) < len(c.quotas.tokens) {
-		return fmt.Errorf("%w: %d classes or %d tenants are fewer than before",
+		return fmt.Errorf("%w: %d classes and %d tenants: neither number may decrease",
 			ErrInvalidSettings, len(settings.Classes), len(settings.Tenants))
 	}
 	settings.Seed = c.settings.Seed
@@ -79,7 +79,7 @@
 	return nil
 }
 
-// configure applies the settings to every component and keeps the state.
+// configure applies the settings to every component. The components keep their state.
 func (c *Controller) configure(settings Settings) {
 	c.settings = settings
 	c.classes.configure(&settings)
@@ -135,7 +135,7 @@
 func (c *Controller) begin(now time.Duration) {
 	c.started = true
 	c.now = now
-	c.nextFit = now + refitInterval
+	c.nextRefit = now + refitInterval
 	c.limiter.start(now)
 	c.ceiling.startedAt = now
 	c.emit(SetHealth{Healthy: true, Cached: true}, ScheduleTick{After: tickInterval})
@@ -163,8 +163,8 @@
 
 // drainRequested starts the graceful shutdown and reports unhealthy, so that callers use other servers.
 func (c *Controller) drainRequested(event DrainRequested) {
-	c.drain.request(c.now-event.Age, event.StopAt)
-	c.emit(SetHealth{Healthy: false, Cached: true}, Log{Text: "draining: notice to leave"})
+	c.drain.start(c.now-event.Age, event.StopAt)
+	c.emit(SetHealth{Healthy: false, Cached: true}, Log{Text: "draining: shutdown requested"})
 }
 
 // tick does the periodic work.
@@ -174,8 +174,8 @@
 	c.emit(ScheduleTick{After: tickInterval})
 	c.keys.expire(c.now)
 	c.limiter.adjust(c.now, c.ceiling.limit(c.now))
-	if c.now >= c.nextFit {
-		c.nextFit = c.now + refitInterval
+	if c.now >= c.nextRefit {
+		c.nextRefit = c.now + refitInterval
 		c.refit()
 	}
 	c.checkHealth()
@@ -198,7 +198,8 @@
 	c.lanes.adjustPriorityShare(&c.classes)
 }
 
-// checkHealth reports a change of the machine's health to callers and operators. A draining server stays unhealthy.
+// checkHealth reports a change of the machine's health to callers and operators. A draining server keeps reporting
+// unhealthy.
 func (c *Controller) checkHealth() {
 	changed, line := c.health.check(c.requests.counts[stateRunning], c.slowdown, c.classes.mostValuable())
 	if changed && !c.drain.requested {
@@ -223,11 +224,11 @@
 // rejectsAll reports whether rejections are caused by a drain or by the machine's health rather than by load.
 func (c *Controller) rejectsAll() bool { return c.drain.requested || c.health.reason != reasonNone }
 
-// memoryUse is the share of memory that is in use.
+// memoryUse returns the share of memory that is in use.
 func (c *Controller) memoryUse() float64 { return c.memory.use(c.keys.live, 0) }
 
-// transition moves a request to another state and updates every component that depends on the state. A run that leaves
-// the running state and a call that ends are progress of the machine.
+// transition moves a request to another state and updates every component that depends on the state. A request that
+// leaves the running state and a call that ends count as progress of the machine.
 func (c *Controller) transition(req *request, to requestState) {
 	switch req.state {
 	case stateQueued:
--- a/control/controller_test.go
+++ b/control/controller_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Extreme settings neither panic nor starve a class for good.
+// Extreme settings cause no panic and starve no class.
 func TestExtremeSettings(t *testing.T) {
 	extremes := map[string]func(*Settings){
 		"one core":   func(s *Settings) { s.Cores = 1 },
@@ -15,11 +15,11 @@
 		"no quota": func(s *Settings) {
 			s.Peers, s.Tenants = 5000, []Tenant{{Quota: 0}, {Quota: 0.001}}
 		},
-		"hardly any share": func(s *Settings) { s.Dependency, s.CallConcurrencyShare = DependencyShared, 1e-6 },
+		"tiny share": func(s *Settings) { s.Dependency, s.CallConcurrencyShare = DependencyShared, 1e-6 },
 		"no window": func(s *Settings) {
 			s.Dependency, s.CallConcurrencyShare, s.CallConcurrencyWindow = DependencyShared, 0.5, 0
 		},
-		"no memory stated":             func(s *Settings) { s.MemoryKB = 0 },
+		"no memory limit":              func(s *Settings) { s.MemoryKB = 0 },
 		"allowance without callers":    func(s *Settings) { s.LoadSignal, s.Callers = LoadSignalAllowance, 0 },
 		"keep-alive below the minimum": func(s *Settings) { s.MaxKeepAlive = time.Millisecond },
 	}
@@ -27,10 +27,10 @@
 		t.Run(name, func(t *testing.T) {
 			controller := newTestController(t, change)
 			starts := map[int]int{}
-			unknown := Tick{Gauges: Gauges{CPUUtilization: -1, Runnable: -1}}
+			unknownGauges := Tick{Gauges: Gauges{CPUUtilization: -1, Runnable: -1}}
 			for i := range 2000 {
 				arrived := RequestArrived{ID: RequestID(i + 1), Class: i % 2, QueuedKB: 1, Tenant: i % 3}
-				for _, action := range stepAfter(controller, tickInterval, unknown, arrived) {
+				for _, action := range stepAfter(controller, tickInterval, unknownGauges, arrived) {
 					if start, ok := action.(Start); ok {
 						starts[controller.requests.byID[start.ID].Class]++
 						stepAfter(controller, 0, RequestFinished{ID: start.ID, Outcome: OutcomeOK})
@@ -38,13 +38,13 @@
 				}
 			}
 			if starts[0] < 100 || starts[1] < 20 {
-				t.Errorf("%v starts by class of a thousand each", starts)
+				t.Errorf("%v starts by class, of 1000 requests each", starts)
 			}
 		})
 	}
 }
 
-// Settings that a Controller cannot work with are refused, at the start and while serving, and nothing changes.
+// New and Reconfigure reject invalid settings, and a rejected Reconfigure changes nothing.
 func TestInvalidSettings(t *testing.T) {
 	valid := func() Settings {
 		return Settings{Cores: 2, Tenants: []Tenant{{Name: "hill"}}, Classes: []Class{
@@ -87,8 +87,8 @@
 	require.Equal(t, valid(), controller.settings)
 }
 
-// Reconfiguring keeps open requests as they were read: one of a class that is retired still ends well, and new ones are
-// judged by the new settings.
+// Reconfiguring keeps the deadlines of open requests: a request of a class that is now retired still runs, and new
+// requests follow the new settings.
 func TestReconfigureKeepsOpenRequests(t *testing.T) {
 	controller := newTestController(t, nil)
 	controller.limiter.limit = 1
@@ -101,8 +101,8 @@
 		Name: "new", LatencyObjective: time.Second, Deadline: 3 * time.Second, Weight: 1,
 	})
 	require.NoError(t, controller.Reconfigure(settings))
-	require.Zero(t, controller.settings.Seed, "the seed is that of the start")
-	require.False(t, controller.settings.ColdStart, "so is the cold start")
+	require.Zero(t, controller.settings.Seed, "the seed of New stays in force")
+	require.False(t, controller.settings.ColdStart, "ColdStart of New stays in force")
 	require.Equal(t, 8*time.Second, controller.requests.byID[2].dueAt)
 	actions := stepAfter(controller, tickInterval, RequestFinished{ID: 1, Outcome: OutcomeOK})
 	require.Contains(t, actions, Action(Start{ID: 2}))
@@ -110,7 +110,7 @@
 	require.Equal(t, controller.now+3*time.Second, controller.requests.byID[3].dueAt)
 }
 
-// A request of a class that is not known is owed an answer all the same.
+// A request of an unknown class is still answered.
 func TestUnknownClassFails(t *testing.T) {
 	controller := newTestController(t, nil)
 	for _, class := range []int{-1, 2} {
--- a/control/demand.go
+++ b/control/demand.go
@@ -44,8 +44,9 @@
 	d.priorityLoad = math.Max(d.priorityLoad-slotSeconds/fadeTime.Seconds(), 0)
 }
 
-// rejectedShare is the share of arrivals that were rejected. It may exceed 1, as an arrival fades before its rejection.
+// rejectedShare returns the share of arrivals that were rejected. It may exceed 1, as an arrival is counted before its
+// rejection and has faded more.
 func (d *demand) rejectedShare() float64 { return d.rejections / math.Max(d.arrivals, 1) }
 
-// retryRatio is the number of retries per first attempt.
+// retryRatio returns the number of retries per first attempt.
 func (d *demand) retryRatio() float64 { return d.retries / math.Max(d.arrivals-d.retries, 1) }
--- a/control/demand_test.go
+++ b/control/demand_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Shares are of what is recent; without arrivals they are none.
+// The shares are those of the recent arrivals. Without arrivals they are 0.
 func TestDemandShares(t *testing.T) {
 	demand := demand{}
 	require.Zero(t, demand.rejectedShare())
@@ -16,19 +16,19 @@
 	}
 	demand.rejections = 3
 	require.InDelta(t, 0.25, demand.rejectedShare(), 1e-9)
-	require.InDelta(t, 0.5, demand.retryRatio(), 1e-9, "four retries of eight first attempts")
+	require.InDelta(t, 0.5, demand.retryRatio(), 1e-9, "four retries for eight first attempts")
 	demand.advance(0.5)
 	require.InDelta(t, 0.25, demand.rejectedShare(), 1e-9)
 	demand.requestArrived(false)
 	require.InDelta(t, 1.5/7, demand.rejectedShare(), 1e-9)
 }
 
-// An arrival that nobody had asked for leaves no trace, and none below zero once the counts have faded.
-func TestDemandForgetsAnArrival(t *testing.T) {
+// Undoing an arrival reverts all counts, and makes none negative if the arrival has already faded.
+func TestUndoArrivalRevertsCounts(t *testing.T) {
 	demand := demand{}
 	demand.requestArrived(true)
 	demand.priorityRequestArrived(0.5)
-	require.InDelta(t, 0.25, demand.priorityLoad, 1e-9, "over two seconds")
+	require.InDelta(t, 0.25, demand.priorityLoad, 1e-9, "0.5 slot seconds over fadeTime")
 	demand.undoArrival(true)
 	demand.undoPriorityArrival(0.5)
 	require.Zero(t, demand)
--- a/control/doc.go
+++ b/control/doc.go
@@ -1,11 +1,11 @@
 // Package control decides, inside one server of a fleet, which requests start, wait, are rejected or fail when the
 // server, its callers or its dependency are overloaded or faulty.
 //
-// A host owns one Controller for each server: the request core of the server (internal/dispatch) and the adapter for
-// the operators' simulator (internal/simadapter). The host passes everything that has happened at one moment to
-// Controller.Step as Events and carries out the returned Actions in their order. The Controller owns the state of the
-// requests that the host has reported and its estimates of the machine, the classes of requests, the tenants, the
-// callers and the dependency.
+// A host owns one Controller for each server. There are two hosts: the request core of the server (internal/dispatch)
+// and the adapter for the operators' simulator (internal/simadapter). The host passes everything that has happened at
+// one moment to Controller.Step as Events and carries out the returned Actions in their order. The Controller owns the
+// state of the requests that the host has reported and its estimates of the machine, the classes of requests, the
+// tenants, the callers and the dependency.
 //
 // The package never does I/O, never reads a clock and never starts a goroutine. The only time is the one passed to
 // Step, and all randomness comes from Settings.Seed, so that the same events always give the same actions.
--- a/control/drain_test.go
+++ b/control/drain_test.go
@@ -7,33 +7,34 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards the drain against a link that stalled: what is read past the limit does not run, however long before it was
-// sent. Found by the search over fault scripts, seed 2172 of worst.
-func TestReadPastTheDrainLimitNeverRuns(t *testing.T) {
+// Guards the drain against a stalled connection: a request that is read after the grace does not run, however early it
+// was sent. Found by the search over fault scripts, seed 2172 of the profile worst.
+func TestRequestsReadAfterDrainGraceAreNotRun(t *testing.T) {
 	controller := newTestController(t, func(s *Settings) { s.DrainGrace = 2500 * time.Millisecond })
 	controller.Step(0, []Event{DrainRequested{StopAt: 10 * time.Second}})
 	actions := controller.Step(2400*time.Millisecond, []Event{RequestArrived{ID: 1, QueuedKB: 1}})
 	if starts := countActions[Start](actions); starts != 1 {
-		t.Errorf("read within the limit: %d starts", starts)
+		t.Errorf("read within the grace: %d starts", starts)
 	}
 	actions = controller.Step(2600*time.Millisecond, []Event{
 		RequestArrived{ID: 2, QueuedKB: 1, Age: time.Second},
 		RequestArrived{ID: 3, QueuedKB: 1},
 	})
 	if starts, rejections := countActions[Start](actions), countActions[Reject](actions); starts != 0 || rejections != 2 {
-		t.Errorf("read past the limit: %d starts, %d rejections", starts, rejections)
+		t.Errorf("read after the grace: %d starts, %d rejections", starts, rejections)
 	}
 }
 
-// A drain forbids what is read after its grace or would end after the stop, and wants all answers just before it.
+// A drain forbids starting a request that is read after the grace or would end after the stop. Just before the stop,
+// every open request must be answered.
 func TestDrainLimits(t *testing.T) {
 	drain := drainState{grace: time.Second}
 	require.False(t, drain.forbids(time.Hour, time.Hour), "no drain")
-	require.False(t, drain.answersAreDue(time.Hour), "no drain")
-	drain.request(10*time.Second, 20*time.Second)
+	require.False(t, drain.mustAnswerAll(time.Hour), "no drain")
+	drain.start(10*time.Second, 20*time.Second)
 	require.False(t, drain.forbids(11*time.Second, 20*time.Second))
 	require.True(t, drain.forbids(11*time.Second+1, 12*time.Second))
 	require.True(t, drain.forbids(11*time.Second, 20*time.Second+1))
-	require.False(t, drain.answersAreDue(20*time.Second-2*tickInterval-1))
-	require.True(t, drain.answersAreDue(20*time.Second-2*tickInterval))
+	require.False(t, drain.mustAnswerAll(20*time.Second-2*tickInterval-1))
+	require.True(t, drain.mustAnswerAll(20*time.Second-2*tickInterval))
 }
--- a/control/events.go
+++ b/control/events.go
@@ -2,22 +2,22 @@
 
 import "time"
 
-// RequestID names one attempt of a request. The host never gives the same ID twice to a Controller.
+// RequestID identifies one attempt of a request. The host never passes the same ID to a Controller twice.
 type RequestID uint32
 
 // Outcome is how a run or a call ended.
 type Outcome uint8
 
-// The outcomes. OutcomeRejected, OutcomeUnreachable and OutcomeAlreadyEnded prove that nothing was run.
+// The outcomes. OutcomeRejected, OutcomeUnreachable and OutcomeAlreadyEnded prove that nothing ran.
 const (
 	OutcomeOK           Outcome = iota
 	OutcomeError                // failed, possibly after taking effect
 	OutcomeRejected             // rejected before anything ran
 	OutcomeTimeout              // abandoned; may have taken effect
-	OutcomeUnreachable          // could not be reached
+	OutcomeUnreachable          // the other side could not be reached
 	OutcomeReset                // the connection broke; may have taken effect
-	OutcomeCancelled            // stopped, or ended at a call after its answer was sent or its caller had left
-	OutcomeAlreadyEnded         // nothing started, as the request had already ended
+	OutcomeCancelled            // stopped, or ended at a call when no answer was needed any more
+	OutcomeAlreadyEnded         // nothing was started, as the request had already ended
 )
 
 // String returns the outcome in words.
@@ -60,19 +60,19 @@
 // Event is something that has happened at the time that is given to Controller.Step.
 type Event interface{ event() }
 
-// RequestArrived is a request just read; it is queued until an action ends or starts it.
+// RequestArrived reports a request that was just read. It is queued until an action starts or ends it.
 type RequestArrived struct {
 	ID         RequestID
 	Class      int           // index into Settings.Classes
 	Tenant     int           // index into Settings.Tenants
-	SubjectKey uint64        // names what the request is about, for ResultFreshness; 0 = none
+	SubjectKey uint64        // identifies the subject of the request, for Settings.ResultFreshness; 0 = none
 	Deadline   time.Duration // clock time at which its caller gives up; 0 = not known
-	Age        time.Duration // time since it reached the machine
+	Age        time.Duration // time since the request reached the machine
 	CostHint   time.Duration // expected work; 0 = no hint
-	QueuedKB   float64       // memory while it is queued
-	Rank       float64       // 0 to 1, as compared with LoadSignalThreshold by callers; not used here
+	QueuedKB   float64       // memory of the request while it is queued
+	Rank       float64       // 0 to 1; callers compare it with the threshold of LoadSignalThreshold; not used here
 	Retry      bool          // a retry or a hedged request
-	Caller     uint32        // names the caller that sent it
+	Caller     uint32        // identifies the caller that sent the request
 	Original   RequestID     // the request with a retained key that this one repeats; 0 = none
 }
 
@@ -84,7 +84,7 @@
 	Took    time.Duration // since the action that started it
 }
 
-// CallNeeded reports that a running request waits for Call, SkipCall or Fail. It does not use the cores meanwhile.
+// CallNeeded reports that a running request waits for Call, SkipCall or Fail. Meanwhile it does not use the cores.
 type CallNeeded struct{ ID RequestID }
 
 // CallFinished reports the end of a Call. After OutcomeOK the request runs again; after any other outcome it waits as
@@ -95,15 +95,15 @@
 	Took    time.Duration
 }
 
-// RequestCancelled reports that the caller of a request has left, so that no answer is needed.
+// RequestCancelled reports that a request needs no answer any more: its caller has gone away, or the host has answered.
 type RequestCancelled struct{ ID RequestID }
 
-// DrainRequested asks for a graceful shutdown. It was sent Age before this step; the process is stopped at StopAt.
+// DrainRequested asks for a graceful shutdown. It was requested Age before this step; the process is stopped at StopAt.
 type DrainRequested struct{ StopAt, Age time.Duration }
 
 // Tick reports that a timer set by ScheduleTick is due, with the host's gauges.
 type Tick struct {
-	Token  uint64 // of the ScheduleTick that asked for it
+	Token  uint64 // of the ScheduleTick that requested this tick
 	Gauges Gauges
 }
 
--- a/control/example_test.go
+++ b/control/example_test.go
@@ -7,7 +7,8 @@
 	"pewterline/control"
 )
 
-// A server with one core takes two requests: it runs one, queues the other, and runs it when the first is done.
+// A server with one core receives two requests. It starts the first, queues the second and starts it when the first has
+// finished.
 func Example() {
 	controller, err := control.New(control.Settings{
 		Seed:                  1,
--- a/control/health.go
+++ b/control/health.go
@@ -10,13 +10,13 @@
 	maxErrorShare = 0.3
 	// minErrors is how many recent errors are needed to distinguish a failing machine from chance.
 	minErrors = 3.0
-	// stallServices is how many mean service times of slot time without progress mean a hang. If service times are
-	// exponential, P(no completion) = e^-24.
-	stallServices = 24.0
+	// stallServiceTimes is how much slot time without progress counts as a hang, in mean service times. If service times
+	// are exponentially distributed, the probability of no completion in this time is e^-24.
+	stallServiceTimes = 24.0
 	// minRecentRejections is how many recent rejections of the class of highest weight are needed to judge their share.
 	minRecentRejections = 4.0
-	// slowMachineFactor is the slowdown above which the machine itself is slow: overload and causes that all servers
-	// share slow it down less.
+	// slowMachineFactor is the slowdown above which the machine itself is considered slow. Overload and causes that all
+	// servers share slow a machine down less.
 	slowMachineFactor = 2.5
 	// overwhelmedShare is the share of rejections in the class of highest weight above which callers should avoid the
 	// server.
@@ -32,7 +32,7 @@
 	reasonHung                    // no run and no call makes progress
 )
 
-// String returns the reason in a word; it is empty for reasonNone.
+// String returns the reason in one word; it is empty for reasonNone.
 func (r unhealthyReason) String() string {
 	switch r {
 	case reasonNone:
@@ -45,9 +45,9 @@
 	return "unknown reason"
 }
 
-// healthMonitor detects a machine that hangs or fails, or that cannot do even its most valuable work in time. The last
-// kind must be reported too: quick rejections keep the number of outstanding requests low, which attracts callers that
-// balance by it. The evidence fades, so that a machine is tried again.
+// healthMonitor detects a machine that hangs or fails, or that cannot do even its most valuable work in time. A machine
+// of the last kind must be reported because it rejects requests quickly: it has few requests outstanding, which
+// attracts callers that balance by them. The evidence fades, so that an unhealthy machine is tried again.
 type healthMonitor struct {
 	reason      unhealthyReason
 	overwhelmed bool // even the class of highest weight is mostly rejected
@@ -67,8 +67,8 @@
 	h.stalledSeconds += elapsed * float64(running)
 }
 
-// progressed records that a run or a call made progress. It keeps the slowdown of that time, so that a cold or slow
-// machine is not taken for a hung one.
+// progressed records that a run or a call made progress, and the slowdown at that time, so that a cold or slow machine
+// is not mistaken for a hung one.
 func (h *healthMonitor) progressed(slowdown float64) {
 	h.stalledSeconds = 0
 	h.slowdownAtProgress = math.Max(slowdown, 1)
@@ -83,11 +83,11 @@
 	h.recentErrors++
 }
 
-// healthy is the answer to health checks.
+// healthy returns the answer to health checks.
 func (h *healthMonitor) healthy() bool { return h.reason == reasonNone && !h.overwhelmed }
 
-// check repeats the diagnosis. running counts the running requests, top is the class of highest weight. It returns
-// whether the diagnosis has changed, and a log line about the change for the operators.
+// check repeats the diagnosis. running is the number of running requests, top is the class of highest weight. It
+// returns whether the diagnosis has changed, and a log line about the change for the operators.
 func (h *healthMonitor) check(running int, slowdown *slowdownEstimate, top *classState) (changed bool, line Log) {
 	reasonBefore, healthyBefore := h.reason, h.healthy()
 	h.reason = h.diagnose(running, slowdown)
@@ -96,7 +96,8 @@
 	if h.healthy() == healthyBefore && h.reason == reasonBefore {
 		return false, Log{}
 	}
-	return true, Log{Text: fmt.Sprintf("health: %v, %q after %q, %.0f%% errors, pace %.1f, %.0f of %.0f turned away",
+	return true, Log{Text: fmt.Sprintf(
+		"health changed: healthy %v, reason %q, was %q, %.0f%% errors, slowdown %.1f, %.0f of %.0f rejected",
 		h.healthy(), h.reason, reasonBefore, 100*h.recentErrors/math.Max(h.recentRuns, 1), slowdown.factor,
 		top.recentRejections, top.recentOutcomes)}
 }
@@ -105,7 +106,7 @@
 	switch {
 	case h.recentErrors >= minErrors && h.recentErrors > maxErrorShare*h.recentRuns:
 		return reasonFailing
-	case running > 0 && h.stalledSeconds > stallServices*slowdown.slotSeconds.value*h.slowdownAtProgress:
+	case running > 0 && h.stalledSeconds > stallServiceTimes*slowdown.slotSeconds.value*h.slowdownAtProgress:
 		return reasonHung
 	}
 	return reasonNone
--- a/control/health_test.go
+++ b/control/health_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// What is wrong with a machine shows in its errors, in the lack of progress, and in what is rejected of the class of
-// most weight while it is slow.
+// A machine is unhealthy if too many runs fail, if runs make no progress, or if it is slow and rejects most requests of
+// the class of highest weight.
 func TestHealthDiagnosis(t *testing.T) {
 	tests := []struct {
 		name            string
@@ -21,15 +21,15 @@
 		wantReason      unhealthyReason
 		wantOverwhelmed bool
 	}{
-		{name: "nothing known", factor: 1},
+		{name: "no evidence", factor: 1},
 		{name: "too few errors", runs: 2, errors: 2, factor: 1},
 		{name: "few errors of many runs", runs: 100, errors: 30, factor: 1},
 		{name: "failing", runs: 100, errors: 31, factor: 1, wantReason: reasonFailing},
 		{name: "slow", running: 2, stalledSeconds: 2.4, factor: 1},
 		{name: "hung", running: 2, stalledSeconds: 2.5, factor: 1, wantReason: reasonHung},
-		{name: "nothing runs", stalledSeconds: 2.5, factor: 1},
-		{name: "overloaded at the usual pace", factor: 2.5, outcomes: 10, rejections: 10},
-		{name: "slow and of use", factor: 2.6, outcomes: 10, rejections: 6},
+		{name: "no running requests", stalledSeconds: 2.5, factor: 1},
+		{name: "overloaded at the usual speed", factor: 2.5, outcomes: 10, rejections: 10},
+		{name: "slow but useful", factor: 2.6, outcomes: 10, rejections: 6},
 		{name: "overwhelmed", factor: 2.6, outcomes: 10, rejections: 7, wantOverwhelmed: true},
 		{name: "too few rejections", factor: 2.6, outcomes: 3, rejections: 3},
 	}
@@ -46,13 +46,13 @@
 			require.Equal(t, !health.healthy(), changed)
 			require.Equal(t, changed, line.Text != "")
 			changed, _ = health.check(tc.running, slowdown, top)
-			require.False(t, changed, "told twice")
+			require.False(t, changed, "change reported twice")
 		})
 	}
 }
 
-// Progress begins the stall time anew, and a slow machine is given the more time.
-func TestProgressEndsAStall(t *testing.T) {
+// Progress resets the stall time, and a slow machine is given more time.
+func TestProgressResetsStall(t *testing.T) {
 	health := newHealthMonitor()
 	slowdown := &slowdownEstimate{factor: 3, slotSeconds: runningMean{1, 0.1}}
 	health.advance(2, 1, 2)
@@ -66,7 +66,7 @@
 	require.Equal(t, reasonNone, health.diagnose(2, slowdown))
 }
 
-// The evidence of errors fades.
+// The recent errors fade, so that a failing machine is tried again.
 func TestErrorsFade(t *testing.T) {
 	health := newHealthMonitor()
 	for range 4 {
@@ -78,7 +78,7 @@
 	require.Equal(t, reasonNone, health.diagnose(0, newSlowdownEstimate()))
 }
 
-// One error in three runs is chance; a machine that fails is not told from it by share alone.
+// One error in three runs may be chance, so the share of errors alone does not show that a machine is failing.
 func TestOneErrorIsNotFailing(t *testing.T) {
 	controller := newTestController(t, nil)
 	run := func(id RequestID, outcome Outcome) {
@@ -95,18 +95,19 @@
 		run(id, OutcomeError)
 	}
 	if controller.health.reason != reasonFailing {
-		t.Error("six errors in a row are not seen")
+		t.Error("six errors in a row are not detected")
 	}
 	for range 600 {
 		stepAfter(controller, tickInterval, Tick{})
 	}
 	if controller.health.reason != reasonNone {
-		t.Error("a machine without evidence stays unhealthy")
+		t.Error("still unhealthy after the errors have faded")
 	}
 }
 
-// Guards against a machine taken for hung as it slows down: its callers would all go elsewhere, and its keyed work be
-// rejected. Two runs that take eight times the mean each are no hang; one without end is.
+// Guards against mistaking a machine that slows down for a hung one: all its callers would use other servers, and its
+// keyed requests would be rejected. Two runs that each take eight times the mean are not a hang; runs that do not end
+// are.
 func TestSlowIsNotHung(t *testing.T) {
 	controller := newTestController(t, nil)
 	controller.Step(0, []Event{RequestArrived{ID: 1, QueuedKB: 1}, RequestArrived{ID: 2, QueuedKB: 1}})
@@ -116,18 +117,19 @@
 	}
 	running := controller.requests.counts[stateRunning]
 	if controller.health.reason != reasonNone || running != 2 {
-		t.Errorf("%q with %d running after 16 mean services of slot time", controller.health.reason, running)
+		t.Errorf("reason %q with %d running after 16 mean service times of slot time", controller.health.reason, running)
 	}
 	for controller.now < 20*mean {
 		stepAfter(controller, tickInterval, Tick{})
 	}
 	if controller.health.reason != reasonHung {
-		t.Error("a machine that gets nowhere is not seen")
+		t.Error("a hung machine is not detected")
 	}
 }
 
-// Guards the most valuable work against a machine that is far too slow for it: it rejects that at once, which draws
-// callers that count outstanding requests, so they must be told to go elsewhere. Without evidence it is asked again.
+// Guards the most valuable requests against a machine that is far too slow for them. It rejects them at once, which
+// attracts callers that balance by outstanding requests, so it must report itself unhealthy. Once the evidence has
+// faded, it is tried again.
 func TestOverwhelmedServerIsUnhealthy(t *testing.T) {
 	controller := newTestController(t, func(s *Settings) { s.LoadSignal = LoadSignalThreshold })
 	healthy := true
@@ -141,35 +143,35 @@
 		}
 	}
 	id := RequestID(0)
-	arrive := func(age time.Duration) Event {
+	arrival := func(age time.Duration) Event {
 		id++
 		return RequestArrived{ID: id, Class: 1, QueuedKB: 1, Age: age}
 	}
-	tooLate := 2 * time.Second // Wherever it is run.
+	tooLate := 2 * time.Second // Too late to be run at any speed.
 	for range 50 {
-		step(arrive(0))
+		step(arrival(0))
 		step(RequestFinished{ID: id, Outcome: OutcomeOK})
-		if step(arrive(tooLate)); !healthy {
-			t.Fatal("unhealthy though half of its work is done")
+		if step(arrival(tooLate)); !healthy {
+			t.Fatal("unhealthy though half of the requests succeed")
 		}
 	}
 	for range 50 {
-		if step(arrive(tooLate)); !healthy {
-			t.Fatal("overload at the usual pace is taken for a slow machine")
+		if step(arrival(tooLate)); !healthy {
+			t.Fatal("overload at the usual speed is mistaken for a slow machine")
 		}
 	}
 	slowdown = 5
 	for range 50 {
-		step(arrive(tooLate))
+		step(arrival(tooLate))
 	}
 	if healthy || controller.signal.value != 1 {
-		t.Fatalf("healthy %v, threshold %v, while all of the most valuable work is rejected",
+		t.Fatalf("healthy %v, threshold %v, though all of the most valuable requests are rejected",
 			healthy, controller.signal.value)
 	}
 	for range 250 {
 		step()
 	}
 	if !healthy {
-		t.Error("a machine that nobody asks stays unhealthy")
+		t.Error("a machine that gets no requests stays unhealthy")
 	}
 }
--- a/control/scheduler.go
+++ b/control/scheduler.go
@@ -83,7 +83,7 @@
 		if req == nil {
 			return
 		}
-		if c.isTooLate(req) || c.drain.requested && !c.mayRunHere(req) {
+		if c.isTooLate(req) || c.drain.requested && !c.mayRun(req) {
 			c.reject(req, true)
 			continue
 		}
