--- a/control/call_budget.go
+++ b/control/call_budget.go
@@ -10,7 +10,7 @@
 	// callsInFlightShare is the part of callBudget.share that may be in flight at once. More would slow the dependency
 	// down.
 	callsInFlightShare = 0.35
-	// callTokenMargin is how many expected call times of tokens must be available before a call is made.
+	// callTokenMargin is how many tokens must be available before a call is made, as a multiple of the expected call time.
 	callTokenMargin = 1.5
 	// sufficientTokenShare is the part of the token bucket that always suffices for a call, however long calls take.
 	sufficientTokenShare = 0.9
