--- a/control/admission_test.go
+++ b/control/admission_test.go
@@ -21,8 +21,8 @@
 	}
 }
 
-// Incident i7444c3: few retries show that the fleet is not overloaded, so an overloaded server lets its callers retry at
-// other servers. If the fleet is overloaded, or if the server reads its connections late, it asks them not to retry.
+// Incident i7444c3: few retries show that the fleet is not overloaded, so an overloaded server lets its callers retry
+// at other servers. If the fleet is overloaded, or if the server reads its connections late, it asks them not to retry.
 func TestNoRetryReflectsFleetLoad(t *testing.T) {
 	countRejections := func(retries bool, age time.Duration) (noRetry, total int) {
 		controller := newTestController(t, func(s *Settings) { s.RetriesMarked = true })
--- a/control/events.go
+++ b/control/events.go
@@ -98,7 +98,8 @@
 // RequestCancelled reports that a request needs no answer any more: its caller has gone away, or the host has answered.
 type RequestCancelled struct{ ID RequestID }
 
-// DrainRequested reports a request for a graceful shutdown, made Age before this step. The process is stopped at StopAt.
+// DrainRequested reports a request for a graceful shutdown, made Age before this step. The process is stopped at
+// StopAt.
 type DrainRequested struct{ StopAt, Age time.Duration }
 
 // Tick reports that a timer set by ScheduleTick is due, with the host's gauges.
