--- a/internal/replication/cluster_test.go
+++ b/internal/replication/cluster_test.go
@@ -16,29 +16,29 @@
 )
 
 const (
-	patience       = 30 * time.Second // bounds a test that hangs; no verdict depends on it
-	startMilli     = 1764547200000    // the wall clock when the loop's clock shows 0
+	testTimeout    = 30 * time.Second // real time after which a test that hangs fails; no assertion depends on it
+	startMilli     = 1764547200000    // Unix time in milliseconds when the simulated clock shows 0
 	retention      = 10 * microtime.Second
 	retentionMilli = int64(retention / microtime.Millisecond)
 	attemptTimeout = 100 * microtime.Millisecond
-	keyOne         = "hill-estate\x00one"
+	testKey        = "hill-estate\x00one"
 )
 
-// cluster is an event loop on a clock of its own, shared by the replicas of a group, and the network between them.
+// cluster is an event loop with a simulated clock, shared by the replicas of a group, and the network between them.
 type cluster struct {
 	t         *testing.T
 	now       microtime.Time
-	callbacks chan func() // from goroutines of the disk
+	callbacks chan func() // from the goroutines that write to the disk
 	servers   map[uint32]*server
 	pipes     []*pipe
 }
 
-// server is a replica and what it needs to be opened again.
+// server is a replica and the configuration to open it. replica is nil while the server is stopped.
 type server struct {
-	cluster *cluster
-	config  Config
-	replica *Replica
-	cut     bool // its links lose all that is sent
+	cluster     *cluster
+	config      Config
+	replica     *Replica
+	partitioned bool // nothing is delivered on its links
 }
 
 func newCluster(t *testing.T, ids ...uint32) *cluster {
@@ -74,21 +74,21 @@
 	return group
 }
 
-// bootstrapped is a cluster whose servers run and make one group.
-func bootstrapped(t *testing.T, ids ...uint32) *cluster {
+// newBootstrappedCluster returns a cluster whose servers run and are the members of one group.
+func newBootstrappedCluster(t *testing.T, ids ...uint32) *cluster {
 	t.Helper()
 	c := newCluster(t, ids...)
 	for _, id := range ids {
 		c.servers[id].start()
 	}
-	c.until(c.connected)
+	c.runUntil(c.fullyConnected)
 	require.NoError(t, c.servers[ids[0]].replica.Bootstrap())
-	c.until(c.grouped)
+	c.runUntil(c.allHaveMembership)
 	return c
 }
 
-// grouped says whether all servers know of a group.
-func (c *cluster) grouped() bool {
+// allHaveMembership reports whether all servers know a membership.
+func (c *cluster) allHaveMembership() bool {
 	for _, s := range c.servers {
 		if s.replica.Membership().Epoch == 0 {
 			return false
@@ -97,9 +97,8 @@
 	return true
 }
 
-// connected says whether all servers reach each other.
-
-func (c *cluster) connected() bool {
+// fullyConnected reports whether all servers can reach each other.
+func (c *cluster) fullyConnected() bool {
 	for _, s := range c.servers {
 		for id := range c.servers {
 			if id != s.config.ID && !s.replica.links.Connected(id) {
@@ -119,19 +118,19 @@
 	return nil
 }
 
-// until runs the loop, a millisecond of its clock at a time, until a condition holds.
-func (c *cluster) until(holds func() bool) {
+// runUntil runs the loop in steps of one millisecond of simulated time until a condition holds.
+func (c *cluster) runUntil(holds func() bool) {
 	c.t.Helper()
-	for limit := time.Now().Add(patience); !holds(); {
+	for limit := time.Now().Add(testTimeout); !holds(); {
 		if time.Now().After(limit) {
-			c.t.Fatal("nothing has come of it in time")
+			c.t.Fatal("the condition did not hold within testTimeout")
 		}
 		c.turn()
 	}
 }
 
-// pass runs the loop for a time of its clock, in longer steps.
-func (c *cluster) pass(d microtime.Time) {
+// runFor runs the loop for a duration of simulated time, in longer steps.
+func (c *cluster) runFor(d microtime.Time) {
 	c.t.Helper()
 	const step = 20 * microtime.Millisecond
 	for end := c.now + d; c.now < end; c.now += step {
@@ -158,8 +157,7 @@
 	}
 }
 
-// waitForDisk waits until all that was submitted to the disk is durable or has failed. So the disk takes none of the
-// loop's time.
+// waitForDisk waits until all queued writes are durable or have failed, so that writes take no simulated time.
 func (s *server) waitForDisk() {
 	if s.replica == nil {
 		return
@@ -169,14 +167,14 @@
 	<-done
 }
 
-// link is the event loop as one server sees it.
-type link struct {
+// serverLoop is the event loop of one server, with connections that the cluster delivers.
+type serverLoop struct {
 	*cluster
 	from *server
 }
 
-// Dial implements Loop. A server that does not run is never reached.
-func (l link) Dial(address string, open func(transport.Conn) transport.Session) func() {
+// Dial implements Loop. The connection is established once both servers run.
+func (l serverLoop) Dial(address string, open func(transport.Conn) transport.Session) func() {
 	var id uint32
 	_, err := fmt.Sscan(address, &id)
 	require.NoError(l.t, err)
@@ -189,29 +187,29 @@
 type pipe struct {
 	from, to *server
 	open     func(transport.Conn) transport.Session
-	ends     [2]*end
+	ends     [2]*pipeEnd
 	closed   bool
 }
 
 // end is one end of a pipe.
-type end struct {
+type pipeEnd struct {
 	session  transport.Session
 	outgoing []byte
 	closed   bool
 }
 
-func (e *end) Write(p []byte)  { e.outgoing = append(e.outgoing, p...) }
-func (e *end) Close()          { e.closed = true }
-func (e *end) Resume()         {}
-func (e *end) MarkIdentified() {}
-func (e *end) Remote() string  { return "peer" }
+func (e *pipeEnd) Write(p []byte)  { e.outgoing = append(e.outgoing, p...) }
+func (e *pipeEnd) Close()          { e.closed = true }
+func (e *pipeEnd) Resume()         {}
+func (e *pipeEnd) MarkIdentified() {}
+func (e *pipeEnd) Remote() string  { return "peer" }
 
 func (p *pipe) deliver() {
-	if p.closed || p.from.replica == nil || p.to == nil || p.to.replica == nil || p.from.cut || p.to.cut {
+	if p.closed || p.from.replica == nil || p.to == nil || p.to.replica == nil || p.from.partitioned || p.to.partitioned {
 		return
 	}
 	if p.ends[0] == nil {
-		p.ends = [2]*end{{}, {}}
+		p.ends = [2]*pipeEnd{{}, {}}
 		p.ends[1].session = p.to.replica.Accept(p.ends[1])
 		p.ends[0].session = p.open(p.ends[0])
 	}
@@ -245,10 +243,10 @@
 	replica, err := Open(s.config)
 	require.NoError(t, err)
 	s.replica = replica
-	replica.Attach(link{s.cluster, s})
+	replica.Attach(serverLoop{s.cluster, s})
 }
 
-// stop ends the process, as far as the others see it.
+// stop closes the replica and its connections, as when the process ends.
 func (s *server) stop() {
 	if s.replica == nil {
 		return
@@ -269,14 +267,14 @@
 		Deadline: now + microtime.Second}
 }
 
-// await runs the loop until a call has been answered.
+// await makes a call and runs the loop until its outcome is reported.
 func (s *server) await(call func(done func(Outcome))) Outcome {
 	s.cluster.t.Helper()
-	var answers []Outcome
-	call(func(o Outcome) { answers = append(answers, o) })
-	s.cluster.until(func() bool { return len(answers) > 0 })
-	require.Len(s.cluster.t, answers, 1, "one answer to each call")
-	return answers[0]
+	var outcomes []Outcome
+	call(func(o Outcome) { outcomes = append(outcomes, o) })
+	s.cluster.runUntil(func() bool { return len(outcomes) > 0 })
+	require.Len(s.cluster.t, outcomes, 1, "each call reports one outcome")
+	return outcomes[0]
 }
 
 func (s *server) acquire(key string) Outcome {
--- a/internal/replication/completions.go
+++ b/internal/replication/completions.go
@@ -2,15 +2,15 @@
 
 import "sync"
 
-// completionQueue passes callbacks from the write-ahead log's goroutine to the event loop. All callbacks that are
-// posted before the loop next runs share one task on it.
+// completionQueue passes callbacks from the write-ahead log's goroutine to the event loop. One task on the loop runs
+// all callbacks that were posted since the previous task.
 type completionQueue struct {
 	mu        sync.Mutex
 	pending   []func()
-	scheduled bool // a task that calls run is queued on the loop
+	scheduled bool // a task that runs the pending callbacks is queued on the loop
 }
 
-// post runs a callback on the loop, after those that were posted before it.
+// post runs a callback on the loop, after all callbacks that were posted earlier.
 func (q *completionQueue) post(execute func(func()) error, callback func()) {
 	q.mu.Lock()
 	q.pending = append(q.pending, callback)
@@ -20,7 +20,7 @@
 	if !first {
 		return
 	}
-	// Execute fails only after the loop has ended, when no caller waits for the callbacks.
+	// execute fails only after the loop has ended, when nothing waits for the callbacks.
 	_ = execute(q.run)
 }
 
--- a/internal/replication/doc.go
+++ b/internal/replication/doc.go
@@ -1,9 +1,12 @@
 // Package replication is a log server's replica in a replication group, whose servers store the outcomes of requests
-// with idempotency keys for each other. It drives the decisions of packages consensus and execution with the program's
+// with idempotency keys for each other. It connects the state machines of packages consensus and execution to the
 // event loop, a write-ahead log and the links to the other servers. Package server calls it for each request with an
-// idempotency key, package admin for an operator's commands, and package peers for what other servers send. It owns the
-// write-ahead log, the links and the table of requests in progress. It never runs a request, never waits on the event
-// loop for the disk or for another server, and knows idempotency keys as opaque strings: classes, tenants and client
-// protocols are its callers'. The state behind a vote is durable before the vote is sent. After a failed write the
-// replica does not vote until it has opened and read its log again.
+// idempotency key, package admin for operators' commands, and package peers for messages from other servers.
+//
+// The package owns the write-ahead log, the links and the table of requests in progress. It does not run requests, does
+// not block the event loop on the disk or on another server, and treats idempotency keys as opaque strings: its callers
+// handle classes, tenants and client protocols.
+//
+// A replica makes its state durable before it sends a vote that depends on that state. After a failed write it does not
+// vote until it has reopened and reread its log.
 package replication
--- a/internal/replication/fs.go
+++ b/internal/replication/fs.go
@@ -4,8 +4,8 @@
 
 import "pewterline/internal/wal"
 
-// openFS returns the directory of a write-ahead log.
+// openFS returns the file system of a write-ahead log in a directory.
 func openFS(directory string) wal.FS { return wal.Dir(directory) }
 
-// minSnapshotThreshold is the least number of bytes of records that a snapshot replaces.
+// minSnapshotThreshold is the minimum size of the records that a snapshot replaces, in bytes.
 const minSnapshotThreshold = 8 << 20
--- a/internal/replication/fs_faults.go
+++ b/internal/replication/fs_faults.go
@@ -12,20 +12,20 @@
 	"pewterline/internal/wal"
 )
 
-// openFS returns the directory of a write-ahead log on a disk that fails on demand, for tests with real processes. A
-// file beside the directory, with the suffix ".fault", contains a word that selects the failure:
-//   - "sync": the next sync fails, and the file is renamed
-//   - "full": nothing more is written while the file is there
-//   - "slow": each sync takes slowSync
+// openFS returns the file system of a write-ahead log in a directory, with injected disk faults for tests with real
+// processes. The fault file has the path of the directory with the suffix ".fault", and contains the kind of fault:
+//   - "sync": the next sync fails, and the fault file is renamed
+//   - "full": writes fail while the fault file exists
+//   - "slow": each sync takes slowSync longer
 func openFS(directory string) wal.FS {
 	return &faultyFS{FS: wal.Dir(directory), faultFile: directory + ".fault"}
 }
 
-// minSnapshotThreshold is the least number of bytes of records that a snapshot replaces. It is small, so that tests
-// see snapshots.
+// minSnapshotThreshold is the minimum size of the records that a snapshot replaces, in bytes. It is small, so that
+// snapshots are taken during tests.
 const minSnapshotThreshold = 4 << 10
 
-// slowSync is the duration of a sync on a slow disk.
+// slowSync is the delay of each sync on a slow disk.
 const slowSync = 100 * time.Millisecond
 
 var errInjected = errors.New("injected disk fault")
@@ -35,15 +35,15 @@
 	faultFile string
 }
 
-// has reports whether the fault file asks for a fault.
-func (d *faultyFS) has(fault string) bool {
+// isActive reports whether the fault file contains a kind of fault.
+func (d *faultyFS) isActive(fault string) bool {
 	text, err := os.ReadFile(d.faultFile)
 	return err == nil && strings.TrimSpace(string(text)) == fault
 }
 
 // Create implements wal.FS.
 func (d *faultyFS) Create(name string) (wal.File, error) {
-	if d.has("full") {
+	if d.isActive("full") {
 		return nil, errInjected
 	}
 	file, err := d.FS.Create(name)
@@ -55,9 +55,9 @@
 	fs *faultyFS
 }
 
-// Write implements wal.File. A full disk takes half of what is written.
+// Write implements wal.File. On a full disk it writes only the first half of p.
 func (f *faultyFile) Write(p []byte) (int, error) {
-	if f.fs.has("full") {
+	if f.fs.isActive("full") {
 		n, err := f.File.Write(p[:len(p)/2])
 		return n, errors.Join(errInjected, err)
 	}
@@ -67,9 +67,9 @@
 // Sync implements wal.File.
 func (f *faultyFile) Sync() error {
 	switch {
-	case f.fs.has("sync"):
+	case f.fs.isActive("sync"):
 		return errors.Join(errInjected, os.Rename(f.fs.faultFile, filepath.Clean(f.fs.faultFile)+".done"))
-	case f.fs.has("slow"):
+	case f.fs.isActive("slow"):
 		time.Sleep(slowSync)
 	}
 	return f.File.Sync()
--- a/internal/replication/lease.go
+++ b/internal/replication/lease.go
@@ -5,10 +5,10 @@
 	"pewterline/internal/decide/execution"
 )
 
-// AcquireLease requests the lease to run an attempt. done is called once, on the loop, by the deadline or soon after
-// it: with ActionStart if the lease is granted, ActionServe or ActionReportFailed if an earlier run has ended,
-// ActionReject if the attempt has not run and will not, and ActionReportIndeterminate otherwise. The caller must have
-// at most one attempt of a key in progress.
+// AcquireLease requests the lease to run an attempt. done is called once, on the event loop, by the deadline or shortly
+// after it: with ActionStart if the lease is granted, ActionServe or ActionReportFailed if an earlier run has ended,
+// ActionReject if the attempt has not run and will not run, and ActionReportIndeterminate otherwise. The caller must
+// have at most one attempt of a key in progress.
 func (r *Replica) AcquireLease(attempt Attempt, done func(Outcome)) {
 	request := r.requests.findOrCreate(attempt.Key)
 	request.attempt = attempt
@@ -24,14 +24,14 @@
 	}
 }
 
-// ReleaseLease returns a lease that was granted but not used for a run.
+// ReleaseLease releases a lease that was granted but not used for a run.
 func (r *Replica) ReleaseLease(key string) {
 	if request := r.requests.byKey[key]; request != nil {
 		r.step(request, execution.EventRunNotStarted, consensus.Value{})
 	}
 }
 
-// Complete records the end of a run under a lease. done is called once, on the loop: with ActionServe,
+// Complete records the end of a run under a lease. done is called once, on the event loop: with ActionServe,
 // ActionReportFailed or ActionReportUnrecorded.
 func (r *Replica) Complete(key string, succeeded bool, result []byte, done func(Outcome)) {
 	request := r.requests.byKey[key]
@@ -53,8 +53,8 @@
 	r.step(request, event, consensus.Value{})
 }
 
-// mayComplete reports whether Complete is valid in a state. The states after StateRunning are those in which a caller
-// repeats its report.
+// mayComplete reports whether Complete is valid in a state. The states after StateRunning are valid because a caller
+// may repeat its report.
 func mayComplete(state execution.State) bool {
 	switch state {
 	case execution.StateRunning, execution.StateRecording, execution.StateUnrecorded, execution.StateRecorded:
@@ -64,32 +64,32 @@
 	}
 }
 
-// Lookup reads the agreed value of a key without requesting the lease. done is called once, on the loop: with
-// ActionStart if no record prevents a run, or else with ActionServe, ActionReportFailed or ActionReportIndeterminate.
+// Lookup reads the agreed value of a key without requesting the lease. done is called once, on the event loop: with
+// ActionStart if no record prevents a run, otherwise with ActionServe, ActionReportFailed or ActionReportIndeterminate.
 func (r *Replica) Lookup(attempt Attempt, done func(Outcome)) {
 	request := r.requests.create(attempt.Key)
 	request.lookupOnly = true
 	request.attempt = attempt
 	request.done = done
-	request.lifecycle.State = execution.StateHeldByOther // polled while another server runs it
+	request.lifecycle.State = execution.StateHeldByOther // in this state a due retry polls the value
 	r.step(request, execution.EventRetryDue, consensus.Value{})
 }
 
-// HasRecord reports whether this server stores a value of the key that was still within its retention when the attempt
+// HasRecord reports whether this server stores a value of the key whose retention window had not ended when the attempt
 // arrived.
 func (r *Replica) HasRecord(attempt Attempt) bool {
 	value := r.node.Register(attempt.Key).Value
 	return value.Kind != consensus.KindNone && attempt.ArrivedAtMilli < value.AttemptedAt+attempt.RetentionMilli
 }
 
-// step applies an event to a request and performs the resulting actions. value is the value that the group has agreed
-// on, if the event is the end of a proposal.
+// step applies an event to a request and performs the resulting actions. If the event is the end of a proposal, value
+// is the value that the group has agreed on.
 func (r *Replica) step(request *keyedRequest, event execution.Event, value consensus.Value) {
-	before := request.lifecycle.State
+	previous := request.lifecycle.State
 	if value.Kind == consensus.KindLeased {
-		request.otherArrival = value.AttemptedAt
+		request.leasedArrival = value.AttemptedAt
 	}
-	if request.lookupOnly && before == execution.StatePolling && event == execution.EventVacant {
+	if request.lookupOnly && previous == execution.StatePolling && event == execution.EventVacant {
 		delete(r.requests.waiting, request)
 		r.report(request, execution.ActionStart, value)
 		return
@@ -97,13 +97,13 @@
 	actions := request.lifecycle.Step(event)
 	r.requests.update(request)
 	for _, action := range actions {
-		r.perform(request, action, before, value)
+		r.perform(request, action, previous, value)
 	}
 }
 
-// perform performs an action. before is the state of the request before the event that led to the action.
+// perform performs an action. previous is the state of the request before the event that caused the action.
 func (r *Replica) perform(
-	request *keyedRequest, action execution.Action, before execution.State, value consensus.Value,
+	request *keyedRequest, action execution.Action, previous execution.State, value consensus.Value,
 ) {
 	change := consensus.Change{AttemptedAt: request.attempt.ArrivedAtMilli, Retention: request.attempt.RetentionMilli}
 	switch action {
@@ -128,37 +128,37 @@
 	case execution.ActionRetryLater:
 		request.scheduleRetry(r.loop.Now())
 	default:
-		r.countGranted(action, before)
+		r.countSuccess(action, previous)
 		r.report(request, action, value)
 	}
 }
 
-// countGranted counts granted leases and results. The other outcomes are counted by report.
-func (r *Replica) countGranted(action execution.Action, before execution.State) {
+// countSuccess counts granted leases and results. report counts the other outcomes.
+func (r *Replica) countSuccess(action execution.Action, previous execution.State) {
 	switch {
 	case action == execution.ActionStart:
 		r.counters.LeasesGranted++
-	case action == execution.ActionServe && before == execution.StateRecording:
+	case action == execution.ActionServe && previous == execution.StateRecording:
 		r.counters.ResultsReplicated++
 	case action == execution.ActionServe:
 		r.counters.ResultsFound++
 	}
 }
 
-// report answers the caller that waits for a request, if there is one.
+// report passes the outcome to the caller that waits for a request, if there is one.
 func (r *Replica) report(request *keyedRequest, action execution.Action, value consensus.Value) {
 	outcome := Outcome{Action: action, Value: value}
 	switch action {
 	case execution.ActionReportIndeterminate:
 		r.counters.OutcomesUnknown++
-		if request.otherArrival != 0 {
-			outcome.RetryAtMilli = request.otherArrival + request.attempt.RetentionMilli
+		if request.leasedArrival != 0 {
+			outcome.RetryAtMilli = request.leasedArrival + request.attempt.RetentionMilli
 		}
 	case execution.ActionReportUnrecorded:
 		r.counters.ResultsAtRisk++
 	case execution.ActionReject:
 		r.counters.RejectedUnreplicated++
-	default: // counted by countGranted, or not at all
+	default: // counted by countSuccess, or not counted
 	}
 	done := request.done
 	request.done = nil
@@ -167,8 +167,8 @@
 	}
 }
 
-// propose starts a proposal for a request. If it cannot be started, the request proceeds as if no majority had
-// answered.
+// propose starts a proposal for a request. If the proposal cannot be started, the request is handled as if no majority
+// had replied.
 func (r *Replica) propose(request *keyedRequest, change consensus.Change) {
 	id, err := r.node.Propose(r.loop.Now(), request.key, change)
 	if err != nil {
@@ -178,6 +178,6 @@
 	if change.Kind == consensus.AcquireLease {
 		request.leaseProposal = id
 	}
-	r.requests.proposed(id, request)
+	r.requests.addProposal(id, request)
 	r.flush()
 }
--- a/internal/replication/membership.go
+++ b/internal/replication/membership.go
@@ -8,11 +8,11 @@
 	"pewterline/internal/decide/consensus"
 )
 
-// forceSlackMilli is the most by which callers' clocks are assumed to be ahead, in milliseconds. It is added to the
-// present time when a membership is forced.
-const forceSlackMilli = 15_000
+// maxClockSkewMilli is the assumed maximum by which callers' clocks are ahead, in milliseconds. It is added to the
+// current time when a membership is forced.
+const maxClockSkewMilli = 15_000
 
-// The default reasons of membership changes. They are stored with the membership.
+// The default reasons for membership changes. They are stored with the membership.
 const (
 	reasonBootstrapped = "founded"
 	reasonAdded        = "added server %d"
@@ -31,8 +31,8 @@
 	return fmt.Sprintf("server %d at %s is unreachable or already in a group", e.ID, e.Address)
 }
 
-// Bootstrap creates a group of the configured peers, all of which have to be reachable and in no group. Its error wraps
-// consensus.ErrInvalidChange and a PeerNotReadyError for each peer that is not.
+// Bootstrap creates a group of the configured peers. All of them must be reachable and in no group; otherwise the error
+// wraps consensus.ErrInvalidChange and a PeerNotReadyError for each peer that does not meet this condition.
 func (r *Replica) Bootstrap() error {
 	clusterID, err := newIncarnation()
 	if err != nil {
@@ -57,8 +57,8 @@
 	return r.flushAfter(r.node.Bootstrap(r.loop.Now(), membership))
 }
 
-// mayJoin reports whether a server is reachable and in no group. For this server itself it is always true: the node
-// checks that.
+// mayJoin reports whether a server is reachable and in no group. It returns true for this server: the node checks
+// whether that is in a group.
 func (r *Replica) mayJoin(id uint32) bool {
 	if id == r.config.ID {
 		return true
@@ -71,8 +71,9 @@
 	return consensus.Member{Identity: consensus.Identity{ID: id, Incarnation: incarnation}, Addr: address}
 }
 
-// AddMember proposes a membership with one more server, or with another incarnation or address of a member. An empty
-// address means the configured one, an empty reason the default one. The error may wrap an error of package consensus.
+// AddMember proposes a membership with an additional server, or with a new incarnation or address of a member. If
+// address is empty, the configured address is used; if reason is empty, the default reason. The error may wrap an error
+// of package consensus.
 func (r *Replica) AddMember(id uint32, address, reason string) error {
 	incarnation, known := r.incarnation(id)
 	if !known {
@@ -83,7 +84,7 @@
 		address = r.configuredAddress(id)
 	}
 	next := append(r.membersWithout(id), newMember(id, incarnation, address))
-	reason = reasonOr(reason, fmt.Sprintf(reasonAdded, id))
+	reason = reasonOrDefault(reason, fmt.Sprintf(reasonAdded, id))
 	return r.flushAfter(r.node.ProposeMembership(r.loop.Now(), next, reason))
 }
 
@@ -99,7 +100,7 @@
 
 // RemoveMember proposes a membership without a server. The error may wrap an error of package consensus.
 func (r *Replica) RemoveMember(id uint32, reason string) error {
-	reason = reasonOr(reason, fmt.Sprintf(reasonRemoved, id))
+	reason = reasonOrDefault(reason, fmt.Sprintf(reasonRemoved, id))
 	return r.flushAfter(r.node.ProposeMembership(r.loop.Now(), r.membersWithout(id), reason))
 }
 
@@ -109,39 +110,39 @@
 	return slices.DeleteFunc(slices.Clone(r.node.Membership().Current), isRemoved)
 }
 
-// AbandonChange proposes to return to the membership before the change in progress. The error may wrap an error of
+// AbandonChange proposes to restore the membership from before the change in progress. The error may wrap an error of
 // package consensus.
 func (r *Replica) AbandonChange() error { return r.flushAfter(r.node.AbandonChange(r.loop.Now())) }
 
-// Repair starts to copy every register of this server to all replicas of its key.
+// Repair starts a repair that copies every register of this server to all replicas of its key.
 func (r *Replica) Repair() {
 	r.node.RepairAll()
 	r.flush()
 }
 
-// ForceMembership makes keep the only members, without the agreement of a majority; see consensus.Node. Data that only
-// the removed members held is lost. The error may wrap an error of package consensus.
+// ForceMembership reduces the membership to the servers in keep, without the agreement of a majority; see
+// consensus.Node. Data that only the removed members stored is lost. The error may wrap an error of package consensus.
 func (r *Replica) ForceMembership(keep []uint32, reason string) error {
 	now := r.loop.Now()
-	forcedAt := r.config.UnixMilli(now) + forceSlackMilli
-	err := r.node.ForceMembership(now, keep, forcedAt, reasonOr(reason, fmt.Sprintf(reasonForced, keep)))
+	forcedAt := r.config.UnixMilli(now) + maxClockSkewMilli
+	err := r.node.ForceMembership(now, keep, forcedAt, reasonOrDefault(reason, fmt.Sprintf(reasonForced, keep)))
 	if err == nil {
-		r.config.Logf("replication: LOSS, the group goes on without lost servers and what only they "+
-			"held: servers=%v no_unknown_key_before_unix_ms=%d", keep, forcedAt+r.retentionMilli)
+		r.config.Logf("replication: membership forced, LOSS of data that only the removed servers "+
+			"stored: servers=%v no_unknown_key_before_unix_ms=%d", keep, forcedAt+r.retentionMilli)
 	}
 	return r.flushAfter(err)
 }
 
-// flushAfter sends the messages that an operator's command has caused, and returns the command's error.
+// flushAfter sends the messages that an operator's command has queued, and returns the error of that command.
 func (r *Replica) flushAfter(err error) error {
 	r.flush()
 	return err
 }
 
-// reasonOr returns the operator's reason, or the default if it is empty.
-func reasonOr(reason, usual string) string {
+// reasonOrDefault returns the operator's reason, or defaultReason if it is empty.
+func reasonOrDefault(reason, defaultReason string) string {
 	if reason != "" {
 		return reason
 	}
-	return usual
+	return defaultReason
 }
--- a/internal/replication/membership_test.go
+++ b/internal/replication/membership_test.go
@@ -11,12 +11,12 @@
 	"pewterline/internal/microtime"
 )
 
-// A group is made of servers that can be reached and have none; the error names each that stands in its way.
+// Bootstrap requires that all peers are reachable and in no group. Its error names each peer that is not.
 func TestBootstrapNeedsAllPeers(t *testing.T) {
 	group := newCluster(t, 1, 2, 3)
 	group.servers[1].start()
 	group.servers[2].start()
-	group.until(func() bool { return group.servers[1].replica.links.Connected(2) })
+	group.runUntil(func() bool { return group.servers[1].replica.links.Connected(2) })
 	err := group.servers[1].replica.Bootstrap()
 	require.ErrorIs(t, err, consensus.ErrInvalidChange)
 	var notReady *PeerNotReadyError
@@ -24,50 +24,51 @@
 	require.Equal(t, PeerNotReadyError{ID: 3, Address: "3"}, *notReady)
 
 	group.servers[3].start()
-	group.until(group.connected)
+	group.runUntil(group.fullyConnected)
 	require.NoError(t, group.servers[1].replica.Bootstrap())
-	group.until(group.grouped)
+	group.runUntil(group.allHaveMembership)
 	require.Equal(t, "founded", group.servers[3].replica.Membership().Reason)
-	require.ErrorIs(t, group.servers[2].replica.Bootstrap(), consensus.ErrInvalidChange, "it has a group")
+	require.ErrorIs(t, group.servers[2].replica.Bootstrap(), consensus.ErrInvalidChange, "it is already in a group")
 }
 
-// What a command may not do is an error that says so, and changes nothing.
+// Invalid membership commands return the expected error and do not change the membership.
 func TestInvalidMembershipCommands(t *testing.T) {
 	cases := []struct {
 		name    string
 		command func(*Replica) error
 		want    error
 	}{
-		{"add a server that nobody has heard from", func(r *Replica) error { return r.AddMember(9, "9", "") },
+		{"add a server that has sent no hello", func(r *Replica) error { return r.AddMember(9, "9", "") },
 			consensus.ErrInvalidChange},
-		{"add a member as it is", func(r *Replica) error { return r.AddMember(3, "", "") }, consensus.ErrInvalidChange},
-		{"remove a server that is no member", func(r *Replica) error { return r.RemoveMember(9, "") },
+		{"add an unchanged member", func(r *Replica) error { return r.AddMember(3, "", "") }, consensus.ErrInvalidChange},
+		{"remove a server that is not a member", func(r *Replica) error { return r.RemoveMember(9, "") },
 			consensus.ErrInvalidChange},
-		{"abandon no change", func(r *Replica) error { return r.AbandonChange() }, consensus.ErrInvalidChange},
-		{"go on without this server", func(r *Replica) error { return r.ForceMembership([]uint32{2}, "") },
+		{"abandon without a change in progress", func(r *Replica) error { return r.AbandonChange() },
+			consensus.ErrInvalidChange},
+		{"force a membership without this server", func(r *Replica) error { return r.ForceMembership([]uint32{2}, "") },
 			consensus.ErrInvalidChange},
 	}
-	group := bootstrapped(t, 1, 2, 3)
+	group := newBootstrappedCluster(t, 1, 2, 3)
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			before := group.servers[1].replica.Membership()
 			require.ErrorIs(t, tc.command(group.servers[1].replica), tc.want)
-			group.pass(10 * microtime.Millisecond)
+			group.runFor(10 * microtime.Millisecond)
 			require.Equal(t, before, group.servers[1].replica.Membership())
 		})
 	}
-	alone := newCluster(t, 1)
-	alone.servers[1].start()
-	require.ErrorIs(t, alone.servers[1].replica.RemoveMember(1, ""), consensus.ErrNoMembership)
+	ungrouped := newCluster(t, 1)
+	ungrouped.servers[1].start()
+	require.ErrorIs(t, ungrouped.servers[1].replica.RemoveMember(1, ""), consensus.ErrNoMembership)
 }
 
-// Members are taken out and in while keys keep their outcomes; the reasons that operators read are as they were
-// given.
-func TestMembersComeAndGo(t *testing.T) {
-	group := bootstrapped(t, 1, 2, 3)
+// Outcomes are kept while members are removed and added, and the membership stores the operator's reason or the default
+// one.
+func TestAddAndRemoveMembers(t *testing.T) {
+	group := newBootstrappedCluster(t, 1, 2, 3)
 	server := group.servers[1]
-	require.Equal(t, execution.ActionStart, server.acquire(keyOne).Action)
-	require.Equal(t, execution.ActionServe, server.complete(keyOne, true, "kept").Action)
+	require.Equal(t, execution.ActionStart, server.acquire(testKey).Action)
+	require.Equal(t, execution.ActionServe, server.complete(testKey, true, "kept").Action)
 	settled := func(members int) func() bool {
 		return func() bool {
 			membership := server.replica.Membership()
@@ -75,41 +76,42 @@
 		}
 	}
 	require.NoError(t, server.replica.RemoveMember(3, ""))
-	group.until(settled(2))
+	group.runUntil(settled(2))
 	require.Equal(t, "removed server 3", server.replica.Membership().Reason)
 	require.NoError(t, server.replica.AddMember(3, "", ""))
-	group.until(settled(3))
+	group.runUntil(settled(3))
 	require.Equal(t, "added server 3", server.replica.Membership().Reason)
 	require.Equal(t, "3", server.replica.Membership().Current[2].Addr, "the configured address")
 	require.NoError(t, server.replica.RemoveMember(2, "worn out"))
-	group.until(settled(2))
+	group.runUntil(settled(2))
 	require.Equal(t, "worn out", server.replica.Membership().Reason)
-	require.Equal(t, "kept", group.servers[3].lookup(keyOne).Value.Result)
+	require.Equal(t, "kept", group.servers[3].lookup(testKey).Value.Result)
 }
 
-// An operator's word takes the place of a majority that is lost; what nobody knows of does not run until its
-// retention is over.
+// A forced membership replaces a lost majority. Keys without a record do not run until their retention window has
+// ended, because the lost servers may have run them.
 func TestForcedMembership(t *testing.T) {
-	group := bootstrapped(t, 1, 2, 3)
+	group := newBootstrappedCluster(t, 1, 2, 3)
 	server := group.servers[1]
 	require.Equal(t, execution.ActionStart, server.acquire("known").Action)
 	require.Equal(t, execution.ActionServe, server.complete("known", true, "kept").Action)
 	group.servers[2].stop()
 	group.servers[3].stop()
-	forcedAt := server.config.UnixMilli(group.now) + forceSlackMilli
+	forcedAt := server.config.UnixMilli(group.now) + maxClockSkewMilli
 	require.NoError(t, server.replica.ForceMembership([]uint32{1}, ""))
-	group.until(func() bool { return len(server.replica.Membership().Members()) == 1 })
+	group.runUntil(func() bool { return len(server.replica.Membership().Members()) == 1 })
 	require.Equal(t, "forced: kept [1]", server.replica.Membership().Reason)
 	require.Equal(t, forcedAt, server.replica.Membership().ForcedAt)
 	require.Equal(t, "kept", server.lookup("known").Value.Result)
 	require.Equal(t, execution.ActionReportIndeterminate, server.acquire("unknown").Action)
-	group.pass(retention + forceSlackMilli*microtime.Millisecond)
+	group.runFor(retention + maxClockSkewMilli*microtime.Millisecond)
 	require.Equal(t, execution.ActionStart, server.acquire("unknown").Action)
 }
 
-// Operators see each member, whether it can be reached, and a member whose disk was lost.
+// The status lists each member and whether it is reachable. A member that has lost its disk rejoins as a new
+// incarnation.
 func TestStatus(t *testing.T) {
-	group := bootstrapped(t, 1, 2, 3)
+	group := newBootstrappedCluster(t, 1, 2, 3)
 	group.servers[3].stop()
 	status := group.servers[1].replica.Status()
 	require.True(t, status.Voting)
@@ -125,7 +127,7 @@
 	require.Equal(t, 1, group.servers[1].replica.Counters().MembersUnreachable)
 	group.servers[3].config.Directory = t.TempDir()
 	group.servers[3].start()
-	group.until(func() bool {
+	group.runUntil(func() bool {
 		last := group.servers[1].replica.Status().Members[2]
 		return last.Incarnation != "" && last.Incarnation == last.CurrentIncarnation && last.Up &&
 			group.servers[1].replica.Membership().Epoch > 1
--- a/internal/replication/recovery.go
+++ b/internal/replication/recovery.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	// reopenInterval is the time between two attempts to open a storage that has failed.
+	// reopenInterval is the time between two attempts to reopen a storage that has failed.
 	reopenInterval = 2 * microtime.Second
-	// expirySlackMilli is added to the retention before an outcome is forgotten, because wall clocks differ among
-	// servers, and messages may still be in flight. In milliseconds.
+	// expirySlackMilli is how much longer than its retention an outcome is kept, in milliseconds, because servers' wall
+	// clocks differ and messages may still be in flight.
 	expirySlackMilli = 60_000
 )
 
-// openConfiguredStorage opens the storage of the configured directory, which it creates if it is missing.
+// openConfiguredStorage opens the storage in the configured directory. It creates the directory if it does not exist.
 func (r *Replica) openConfiguredStorage() (*storage, error) {
 	if err := os.MkdirAll(r.config.Directory, 0o700); err != nil {
 		return nil, fmt.Errorf("replication: %w", err)
@@ -39,60 +39,60 @@
 // attachStorage connects the storage's callbacks to the loop and to this replica.
 func (r *Replica) attachStorage() {
 	attached := r.storage
-	attached.attach(r.loop.Execute, func(err error) { r.storageFailed(attached, err) })
+	attached.attach(r.loop.Execute, func(err error) { r.handleStorageFailure(attached, err) })
 }
 
-// storageFailed stops this server from voting until the log has been opened and read again. Otherwise it might send a
-// vote that a restart would forget.
-func (r *Replica) storageFailed(failed *storage, err error) {
-	if failed != r.storage || r.broken {
+// handleStorageFailure stops this server from voting until it has reopened and reread the log. Otherwise the server
+// might send a vote that is lost in a restart.
+func (r *Replica) handleStorageFailure(failed *storage, err error) {
+	if failed != r.storage || r.diskFailed {
 		return
 	}
-	r.config.Logf("replication: the disk has failed, this server does not vote until its log is "+
-		"opened again: error=%v", err)
-	r.broken = true
+	r.config.Logf("replication: disk failed, not voting until the log is "+
+		"reopened: error=%v", err)
+	r.diskFailed = true
 	r.reopenAt = r.loop.Now() + reopenInterval
 	r.counters.DiskFailures++
 }
 
-// reopenStorage opens the log again, and restores the node's registers from it.
+// reopenStorage reopens the log and restores the node's registers from it.
 func (r *Replica) reopenStorage(now microtime.Time) {
 	r.reopenAt = now + reopenInterval
-	_ = r.storage.close() // it has failed already; a second error adds nothing
+	_ = r.storage.close() // the first failure has already been logged
 	opened, err := r.openConfiguredStorage()
 	if err != nil {
-		r.config.Logf("replication: the log cannot be opened: error=%v", err)
+		r.config.Logf("replication: log cannot be reopened: error=%v", err)
 		return
 	}
 	if opened.state.incarnation != r.node.AcceptorID.Incarnation {
-		r.config.Logf("replication: the folder holds another incarnation, this server does not vote until it is "+
+		r.config.Logf("replication: directory holds another incarnation, not voting until this server is "+
 			"restarted: folder=%s",
 			r.config.Directory)
-		_ = opened.close() // at most its new incarnation was written to it
+		_ = opened.close() // nothing was written except, in an empty directory, the new incarnation
 		return
 	}
 	r.storage = opened
-	r.broken = false
+	r.diskFailed = false
 	r.attachStorage()
 	r.node.Restore(opened.registers())
-	r.config.Logf("replication: the log is opened again: keys=%d", r.node.KeyCount())
+	r.config.Logf("replication: log reopened: keys=%d", r.node.KeyCount())
 }
 
-// expire forgets outcomes whose retention is over, in memory and on disk, and lets the storage compact its log.
+// expire drops outcomes whose retention window has ended, in memory and on disk, and compacts the log if necessary.
 func (r *Replica) expire(now microtime.Time) {
-	before := r.config.UnixMilli(now) - r.retentionMilli - expirySlackMilli
-	r.requests.expire(before)
-	if r.broken {
+	cutoff := r.config.UnixMilli(now) - r.retentionMilli - expirySlackMilli
+	r.requests.expire(cutoff)
+	if r.diskFailed {
 		return
 	}
-	if r.node.Expire(before) > 0 {
-		r.storage.write(replicationwire.Record{ForgetBefore: max(before, 1)}, func() {})
+	if r.node.Expire(cutoff) > 0 {
+		r.storage.write(replicationwire.Record{ForgetBefore: max(cutoff, 1)}, func() {})
 	}
 	r.storage.compact()
 }
 
-// ExtendRetention raises the longest time for which any key's outcome is kept, after a change of the settings. It never
-// lowers it, because callers may rely on the longer time.
+// ExtendRetention raises the longest time for which the outcome of any key is kept, after a change of the settings. A
+// shorter retention has no effect, because callers may rely on the longer time.
 func (r *Replica) ExtendRetention(retention microtime.Time) {
 	r.retentionMilli = max(r.retentionMilli, int64(retention/microtime.Millisecond))
 }
--- a/internal/replication/replica.go
+++ b/internal/replication/replica.go
@@ -15,15 +15,14 @@
 )
 
 const (
-	// expiryInterval is the time between two searches for outcomes whose retention is over.
+	// expiryInterval is the time between two scans for outcomes whose retention window has ended.
 	expiryInterval = microtime.Second
-	// maxFlushRounds is the most Ready values that one call of flush processes. The rest is left to the next turn of
-	// the event loop.
+	// maxFlushRounds is the maximum number of Ready values that one call of flush processes. The next turn of the event
+	// loop processes the rest.
 	maxFlushRounds = 64
 )
 
-// Replica is one server's part in a replication group. Its methods are called on the event loop, except Open and
-// Close.
+// Replica is one server's replica in a replication group. Its methods must be called on the event loop, except Close.
 type Replica struct {
 	config         Config
 	retentionMilli int64
@@ -33,15 +32,15 @@
 	requests       requestTable
 	counters       Counters
 	nextExpiry     microtime.Time
-	flushing       bool // flush is on the stack
+	flushing       bool // flush is running
 
-	storage  *storage
-	broken   bool           // the storage has failed, so this server does not vote
-	reopenAt microtime.Time // while it is broken: the next attempt to open it again
+	storage    *storage
+	diskFailed bool           // the storage has failed; this server does not vote
+	reopenAt   microtime.Time // if diskFailed: the time of the next attempt to reopen the storage
 }
 
-// Open opens the storage and restores the replica's state from it. It may wait for the disk, so it must be called
-// before the event loop runs.
+// Open opens the storage and restores the replica's state from it. It blocks on the disk, so it must be called before
+// the event loop runs.
 func Open(config Config) (*Replica, error) {
 	replica := &Replica{
 		config:         config,
@@ -94,8 +93,8 @@
 // Accept returns the session of a connection that another server has opened.
 func (r *Replica) Accept(conn transport.Conn) transport.Session { return r.links.Accept(conn) }
 
-// connect keeps links to all members and configured peers. Configured addresses take precedence: they are the ones
-// that are reachable from here.
+// connect sets the links to all members and configured peers. Configured addresses take precedence, because they are
+// known to be reachable from this server.
 func (r *Replica) connect() {
 	addresses := map[uint32]string{}
 	for _, members := range [][]consensus.Member{r.node.Membership().Members(), r.config.Peers} {
@@ -118,7 +117,7 @@
 	}
 }
 
-// Membership implements peers.Handler. It returns the latest membership that this server knows.
+// Membership implements peers.Handler. It returns the latest membership known to this server.
 func (r *Replica) Membership() consensus.Membership { return r.node.Membership() }
 
 // PeerStateChanged implements peers.Handler.
@@ -138,7 +137,7 @@
 	for _, ack := range message.TransferAcks {
 		r.node.HandleTransferAck(ack)
 	}
-	if !r.broken { // a vote must be durable before it is sent
+	if !r.diskFailed { // a vote must be durable before it is sent
 		sender := consensus.Identity{ID: from.ID, Incarnation: from.ProcessIncarnation}
 		for _, request := range message.Requests {
 			r.node.HandleRequest(sender, request)
@@ -149,10 +148,10 @@
 	}
 }
 
-// Tick runs the timers that are due and flushes the node. It is called in each turn of the event loop, and returns when
-// it has to be called next.
+// Tick runs the timers that are due and flushes the node. It must be called in each turn of the event loop, and returns
+// the latest time of the next call.
 func (r *Replica) Tick(now microtime.Time) microtime.Time {
-	if r.broken && now >= r.reopenAt {
+	if r.diskFailed && now >= r.reopenAt {
 		r.reopenStorage(now)
 	}
 	if now >= r.nextExpiry {
@@ -164,17 +163,17 @@
 	}
 	next := min(r.nextExpiry, r.node.Tick(now))
 	r.flush()
-	next = min(next, r.requests.nextEvent())
-	if r.broken {
+	next = min(next, r.requests.nextEventAt())
+	if r.diskFailed {
 		next = min(next, r.reopenAt)
 	}
 	return min(next, r.links.Check(now))
 }
 
-// flush processes the node's Ready values until there are none left.
+// flush processes the node's Ready values until none are left, or maxFlushRounds of them.
 func (r *Replica) flush() {
 	if r.flushing {
-		return // called by way of step below, which has started a proposal: the loop below handles it
+		return // a step in the loop below started a proposal, which that loop processes
 	}
 	r.flushing = true
 	defer func() { r.flushing = false }()
@@ -189,7 +188,7 @@
 		}
 		r.persistAndSend(ready)
 		for _, result := range ready.Results {
-			if request := r.requests.finished(result.ID); request != nil {
+			if request := r.requests.endProposal(result.ID); request != nil {
 				r.step(request, execution.EventOf(result.Outcome, result.Known), result.Value)
 			}
 		}
@@ -201,8 +200,8 @@
 		len(ready.Notify) == 0 && len(ready.TransferAcks) == 0 && len(ready.Results) == 0
 }
 
-// persistAndSend writes the state of ready to the log, and sends its messages once that is durable. Requests wait only
-// for a new membership: they carry no vote of this server, as replies do.
+// persistAndSend writes the state of ready to the log, and sends its messages once that state is durable. Requests wait
+// only for a new membership to be durable, because, unlike replies, they carry no vote of this server.
 func (r *Replica) persistAndSend(ready consensus.Ready) {
 	if ready.Membership == nil {
 		r.sendRequests(ready.Requests)
@@ -211,18 +210,18 @@
 			return
 		}
 	}
-	if r.broken {
+	if r.diskFailed {
 		return
 	}
 	storage := r.storage
 	records := recordsOf(ready)
 	last := len(records) - 1
 	for _, record := range records[:last] {
-		storage.write(record, func() {}) // durable before the last record is
+		storage.write(record, func() {}) // becomes durable before the last record
 	}
 	storage.write(records[last], func() {
-		if storage != r.storage || r.broken {
-			return // that log has failed since
+		if storage != r.storage || r.diskFailed {
+			return // this storage has failed since the write was queued
 		}
 		if ready.Membership != nil {
 			r.sendRequests(ready.Requests)
@@ -231,13 +230,13 @@
 	})
 }
 
-// sendRequests sends requests to acceptors, this server's among them.
+// sendRequests sends requests to their acceptors, which may include this server.
 func (r *Replica) sendRequests(requests []consensus.Request) {
 	for _, request := range requests {
 		switch {
 		case request.To.ID != r.config.ID:
 			r.links.SendRequest(request)
-		case !r.broken:
+		case !r.diskFailed:
 			r.node.HandleRequest(r.node.ProposerID, request)
 		}
 	}
--- a/internal/replication/replica_test.go
+++ b/internal/replication/replica_test.go
@@ -11,13 +11,12 @@
 	"pewterline/internal/wal"
 )
 
-// A run of a key is the only one: whoever asks for it again, here or elsewhere, gets its result, or hears that it has
-// failed.
-func TestOneRunOfAKey(t *testing.T) {
+// A key runs only once: further attempts on any server are answered with the run's result or its failure.
+func TestKeyRunsOnce(t *testing.T) {
 	cases := []struct {
 		name      string
 		servers   []uint32
-		other     uint32 // the server that asks again
+		other     uint32 // the server of the second attempt
 		succeeded bool
 		result    string
 		end, want execution.Action
@@ -29,20 +28,20 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			group := bootstrapped(t, tc.servers...)
+			group := newBootstrappedCluster(t, tc.servers...)
 			owner, other := group.servers[1], group.servers[tc.other]
-			require.Equal(t, execution.ActionStart, owner.lookup(keyOne).Action, "nothing stands in its way")
-			require.False(t, owner.replica.HasRecord(owner.attempt(keyOne)))
-			require.Equal(t, execution.ActionStart, owner.acquire(keyOne).Action)
-			require.True(t, owner.replica.HasRecord(owner.attempt(keyOne)))
-			require.Equal(t, tc.end, owner.complete(keyOne, tc.succeeded, tc.result).Action)
+			require.Equal(t, execution.ActionStart, owner.lookup(testKey).Action, "no record prevents a run")
+			require.False(t, owner.replica.HasRecord(owner.attempt(testKey)))
+			require.Equal(t, execution.ActionStart, owner.acquire(testKey).Action)
+			require.True(t, owner.replica.HasRecord(owner.attempt(testKey)))
+			require.Equal(t, tc.end, owner.complete(testKey, tc.succeeded, tc.result).Action)
 
-			again := other.acquire(keyOne)
-			require.Equal(t, tc.want, again.Action)
-			require.Equal(t, tc.result, again.Value.Result)
-			looked := other.lookup(keyOne)
-			require.Equal(t, tc.want, looked.Action)
-			require.Equal(t, tc.result, looked.Value.Result)
+			repeated := other.acquire(testKey)
+			require.Equal(t, tc.want, repeated.Action)
+			require.Equal(t, tc.result, repeated.Value.Result)
+			lookedUp := other.lookup(testKey)
+			require.Equal(t, tc.want, lookedUp.Action)
+			require.Equal(t, tc.result, lookedUp.Value.Result)
 			counters := owner.replica.Counters()
 			require.Equal(t, 1, counters.LeasesGranted)
 			require.Equal(t, 1, counters.KeysHeld)
@@ -53,88 +52,89 @@
 }
 
 // While another server runs a key, an attempt waits for that run's result.
-func TestAttemptWaitsForTheRunElsewhere(t *testing.T) {
-	group := bootstrapped(t, 1, 2, 3)
-	require.Equal(t, execution.ActionStart, group.servers[1].acquire(keyOne).Action)
+func TestAttemptWaitsForRunOnAnotherServer(t *testing.T) {
+	group := newBootstrappedCluster(t, 1, 2, 3)
+	require.Equal(t, execution.ActionStart, group.servers[1].acquire(testKey).Action)
 	var got []Outcome
-	group.servers[2].replica.AcquireLease(group.servers[2].attempt(keyOne), func(o Outcome) { got = append(got, o) })
-	group.pass(200 * microtime.Millisecond)
-	require.Empty(t, got, "it waits")
-	require.Equal(t, execution.ActionServe, group.servers[1].complete(keyOne, true, "theirs").Action)
-	group.until(func() bool { return len(got) > 0 })
+	group.servers[2].replica.AcquireLease(group.servers[2].attempt(testKey), func(o Outcome) { got = append(got, o) })
+	group.runFor(200 * microtime.Millisecond)
+	require.Empty(t, got, "the attempt waits")
+	require.Equal(t, execution.ActionServe, group.servers[1].complete(testKey, true, "theirs").Action)
+	group.runUntil(func() bool { return len(got) > 0 })
 	require.Len(t, got, 1)
 	require.Equal(t, execution.ActionServe, got[0].Action)
 	require.Equal(t, "theirs", got[0].Value.Result)
 	require.Equal(t, 1, group.servers[2].replica.Counters().ResultsFound)
-	require.Empty(t, group.servers[2].replica.requests.byKey, "what the register holds is kept there alone")
+	require.Empty(t, group.servers[2].replica.requests.byKey, "the register holds the outcome, so the request is dropped")
 }
 
-// A run that does not end in time leaves whoever waits elsewhere with an outcome that nobody knows, and with the time
-// from which the key may run again.
-func TestRunElsewhereIsIndeterminateAtTheDeadline(t *testing.T) {
-	group := bootstrapped(t, 1, 2, 3)
-	leased := group.servers[1].attempt(keyOne)
-	require.Equal(t, execution.ActionStart, group.servers[1].acquire(keyOne).Action)
-	got := group.servers[2].acquire(keyOne)
+// If a run does not end by the deadline of an attempt that waits on another server, the attempt's outcome is
+// indeterminate, and names the time from which the key may run again.
+func TestUnfinishedRunIsIndeterminateAtDeadline(t *testing.T) {
+	group := newBootstrappedCluster(t, 1, 2, 3)
+	leased := group.servers[1].attempt(testKey)
+	require.Equal(t, execution.ActionStart, group.servers[1].acquire(testKey).Action)
+	got := group.servers[2].acquire(testKey)
 	require.Equal(t, execution.ActionReportIndeterminate, got.Action)
 	require.Equal(t, leased.ArrivedAtMilli+retentionMilli, got.RetryAtMilli)
 	require.Equal(t, 1, group.servers[2].replica.Counters().OutcomesUnknown)
 }
 
-// A lease that is given back stands in nobody's way.
+// A released lease can be granted to another server.
 func TestReleasedLeaseIsGrantedAgain(t *testing.T) {
-	group := bootstrapped(t, 1, 2, 3)
-	require.Equal(t, execution.ActionStart, group.servers[1].acquire(keyOne).Action)
-	group.servers[1].replica.ReleaseLease(keyOne)
-	group.servers[1].replica.ReleaseLease("a key that nobody has asked for")
-	require.Equal(t, execution.ActionStart, group.servers[2].acquire(keyOne).Action)
+	group := newBootstrappedCluster(t, 1, 2, 3)
+	require.Equal(t, execution.ActionStart, group.servers[1].acquire(testKey).Action)
+	group.servers[1].replica.ReleaseLease(testKey)
+	group.servers[1].replica.ReleaseLease("a key without a lease")
+	require.Equal(t, execution.ActionStart, group.servers[2].acquire(testKey).Action)
 }
 
-// Guards the promise that nothing runs without a lease of a majority: without one, attempts are rejected by their
-// deadline.
+// Guards the guarantee that no request runs without a lease from a majority: without a majority, attempts are rejected
+// by their deadline.
 func TestNoMajority(t *testing.T) {
-	group := bootstrapped(t, 1, 2, 3)
+	group := newBootstrappedCluster(t, 1, 2, 3)
 	group.servers[2].stop()
-	group.servers[3].cut = true
+	group.servers[3].partitioned = true
 	server := group.servers[1]
-	require.Equal(t, execution.ActionReject, server.acquire(keyOne).Action)
-	require.Equal(t, execution.ActionReportIndeterminate, server.lookup(keyOne).Action)
+	require.Equal(t, execution.ActionReject, server.acquire(testKey).Action)
+	require.Equal(t, execution.ActionReportIndeterminate, server.lookup(testKey).Action)
 	require.Equal(t, 1, server.replica.Counters().RejectedUnreplicated)
-	group.servers[3].cut = false
-	group.until(func() bool { return server.acquire(keyOne).Action == execution.ActionStart })
+	group.servers[3].partitioned = false
+	group.runUntil(func() bool { return server.acquire(testKey).Action == execution.ActionStart })
 }
 
-// A result that no majority accepts in time is told to be at risk, and recorded as soon as a majority is back.
-func TestResultIsRecordedOnceAMajorityIsBack(t *testing.T) {
-	group := bootstrapped(t, 1, 2, 3)
+// A result that no majority accepts in time is reported as unrecorded, and is recorded once a majority is reachable
+// again.
+func TestResultIsRecordedWhenMajorityReturns(t *testing.T) {
+	group := newBootstrappedCluster(t, 1, 2, 3)
 	server := group.servers[1]
-	require.Equal(t, execution.ActionStart, server.acquire(keyOne).Action)
-	group.servers[2].cut, group.servers[3].cut = true, true
-	require.Equal(t, execution.ActionReportUnrecorded, server.complete(keyOne, true, "late").Action)
+	require.Equal(t, execution.ActionStart, server.acquire(testKey).Action)
+	group.servers[2].partitioned, group.servers[3].partitioned = true, true
+	require.Equal(t, execution.ActionReportUnrecorded, server.complete(testKey, true, "late").Action)
 	require.Equal(t, 1, server.replica.Counters().ResultsAtRisk)
-	group.servers[2].cut, group.servers[3].cut = false, false
-	group.until(func() bool { return group.servers[3].lookup(keyOne).Action == execution.ActionServe })
-	group.until(func() bool { return server.replica.Counters().ResultsReplicated == 1 })
+	group.servers[2].partitioned, group.servers[3].partitioned = false, false
+	group.runUntil(func() bool { return group.servers[3].lookup(testKey).Action == execution.ActionServe })
+	group.runUntil(func() bool { return server.replica.Counters().ResultsReplicated == 1 })
 }
 
-// Reports of runs that had no lease, and a second request for a lease while the first is in progress, come to
-// nothing.
+// The report of a run without a lease and a second lease request while the first is in progress have no effect. The
+// repeated report of a recorded run is answered with the recorded result.
 func TestCallsOutOfOrder(t *testing.T) {
-	group := bootstrapped(t, 1)
+	group := newBootstrappedCluster(t, 1)
 	server := group.servers[1]
-	require.Equal(t, execution.ActionReportUnrecorded, server.complete(keyOne, true, "unasked").Action)
+	require.Equal(t, execution.ActionReportUnrecorded, server.complete(testKey, true, "without a lease").Action)
 	require.Equal(t, execution.ActionStart, server.acquire("leased").Action)
 	require.Equal(t, execution.ActionReportIndeterminate, server.acquire("leased").Action)
-	require.Equal(t, execution.ActionStart, server.acquire(keyOne).Action)
-	require.Equal(t, execution.ActionServe, server.complete(keyOne, true, "first").Action)
-	repeated := server.complete(keyOne, true, "repeated")
-	require.Equal(t, execution.ActionServe, repeated.Action, "a repeated report of a run that has been recorded")
+	require.Equal(t, execution.ActionStart, server.acquire(testKey).Action)
+	require.Equal(t, execution.ActionServe, server.complete(testKey, true, "first").Action)
+	repeated := server.complete(testKey, true, "repeated")
+	require.Equal(t, execution.ActionServe, repeated.Action, "repeated report of a recorded run")
 }
 
-// What was promised outlives the process: results are served, and a run whose end is unknown is never run again
-// within its retention.
+// After a restart, recorded results are served, and a request whose run may not have ended does not run again within
+// its retention window.
 func TestRestart(t *testing.T) {
-	group := bootstrapped(t, 1)
+	group := newBootstrappedCluster(t, 1)
 	server := group.servers[1]
 	require.Equal(t, execution.ActionStart, server.acquire("ended").Action)
 	require.Equal(t, execution.ActionServe, server.complete("ended", true, "did \xff it").Action)
@@ -150,21 +150,21 @@
 	got := server.acquire("began")
 	require.Equal(t, execution.ActionReportIndeterminate, got.Action)
 	require.Equal(t, leased.ArrivedAtMilli+retentionMilli, got.RetryAtMilli)
-	group.pass(retention)
-	require.Equal(t, execution.ActionStart, server.acquire("began").Action, "its retention is over")
+	group.runFor(retention)
+	require.Equal(t, execution.ActionStart, server.acquire("began").Action, "its retention window has ended")
 }
 
-// Outcomes are forgotten once their retention and the slack for clocks are over, on disk too.
+// Outcomes are dropped, also on disk, once their retention window and expirySlackMilli have ended.
 func TestExpiry(t *testing.T) {
-	group := bootstrapped(t, 1)
+	group := newBootstrappedCluster(t, 1)
 	server := group.servers[1]
-	require.Equal(t, execution.ActionStart, server.acquire(keyOne).Action)
-	require.Equal(t, execution.ActionServe, server.complete(keyOne, true, "old").Action)
-	server.replica.ExtendRetention(retention / 2) // is never lowered
+	require.Equal(t, execution.ActionStart, server.acquire(testKey).Action)
+	require.Equal(t, execution.ActionServe, server.complete(testKey, true, "old").Action)
+	server.replica.ExtendRetention(retention / 2) // a shorter retention has no effect
 	group.now += retention + expirySlackMilli*microtime.Millisecond - 2*microtime.Second
 	group.turn()
 	require.Len(t, server.replica.Export("", 10), 1, "not yet")
-	group.pass(4 * microtime.Second)
+	group.runFor(4 * microtime.Second)
 	require.Empty(t, server.replica.Export("", 10))
 	require.Empty(t, server.replica.requests.byKey)
 	server.stop()
@@ -172,7 +172,7 @@
 	require.Empty(t, server.replica.Export("", 10), "not on disk either")
 }
 
-// failingDisk is a folder whose writes fail while it is told to.
+// failingDisk is a directory whose writes fail while *failing is true.
 type failingDisk struct {
 	wal.FS
 	failing *bool
@@ -200,8 +200,8 @@
 	return f.File.Write(p)
 }
 
-// Guards votes against a disk that fails: the server does not vote until its log could be opened again, and goes on
-// from what that holds.
+// Guards against votes that are not durable: after a disk failure the server does not vote until it has reopened its
+// log and restored its registers from it.
 func TestDiskFailure(t *testing.T) {
 	group := newCluster(t, 1)
 	server := group.servers[1]
@@ -214,80 +214,81 @@
 	require.True(t, server.replica.Status().Voting)
 
 	failing = true
-	require.Equal(t, execution.ActionReject, server.acquire(keyOne).Action)
+	require.Equal(t, execution.ActionReject, server.acquire(testKey).Action)
 	require.False(t, server.replica.Status().Voting)
 	require.Equal(t, 1, server.replica.Counters().DiskFailures)
-	group.pass(2 * reopenInterval)
-	require.False(t, server.replica.Status().Voting, "it cannot be opened")
+	group.runFor(2 * reopenInterval)
+	require.False(t, server.replica.Status().Voting, "the log cannot be reopened")
 
 	failing = false
-	group.until(func() bool { return server.replica.Status().Voting })
-	require.Zero(t, server.replica.node.Register(keyOne), "a promise that never was durable is forgotten")
+	group.runUntil(func() bool { return server.replica.Status().Voting })
+	require.Zero(t, server.replica.node.Register(testKey), "a promise that was not durable is dropped")
 	require.Equal(t, "kept", server.lookup("before").Value.Result)
-	require.Equal(t, execution.ActionStart, server.acquire(keyOne).Action)
+	require.Equal(t, execution.ActionStart, server.acquire(testKey).Action)
 	require.Equal(t, 1, server.replica.Counters().DiskFailures)
 }
 
-// Guards votes against what is in memory alone: a server whose disk has failed answers nobody, not even who only asks
-// what it holds.
-func TestBrokenReplicaDoesNotAnswer(t *testing.T) {
-	group := bootstrapped(t, 1, 2, 3)
-	require.Equal(t, execution.ActionStart, group.servers[1].acquire(keyOne).Action)
-	require.Equal(t, execution.ActionServe, group.servers[1].complete(keyOne, true, "kept").Action)
+// Guards against votes for state that is only in memory: a server whose disk has failed does not reply to requests, not
+// even to reads.
+func TestReplicaWithFailedDiskDoesNotReply(t *testing.T) {
+	group := newBootstrappedCluster(t, 1, 2, 3)
+	require.Equal(t, execution.ActionStart, group.servers[1].acquire(testKey).Action)
+	require.Equal(t, execution.ActionServe, group.servers[1].complete(testKey, true, "kept").Action)
 	group.servers[2].stop()
-	broken := group.servers[3].replica
-	broken.storageFailed(broken.storage, errDisk)
+	failed := group.servers[3].replica
+	failed.handleStorageFailure(failed.storage, errDisk)
 	var got []execution.Action
 	for _, id := range []uint32{1, 3} {
 		server := group.servers[id]
-		server.replica.Lookup(server.attempt(keyOne), func(o Outcome) { got = append(got, o.Action) })
+		server.replica.Lookup(server.attempt(testKey), func(o Outcome) { got = append(got, o.Action) })
 	}
-	group.until(func() bool { return len(got) == 2 })
-	require.False(t, broken.Status().Voting)
-	unknown := execution.ActionReportIndeterminate
-	require.Equal(t, []execution.Action{unknown, unknown}, got, "neither of them has a majority")
-	group.until(func() bool { return broken.Status().Voting })
-	require.Equal(t, "kept", group.servers[1].lookup(keyOne).Value.Result)
+	group.runUntil(func() bool { return len(got) == 2 })
+	require.False(t, failed.Status().Voting)
+	indeterminate := execution.ActionReportIndeterminate
+	require.Equal(t, []execution.Action{indeterminate, indeterminate}, got, "neither server has a majority")
+	group.runUntil(func() bool { return failed.Status().Voting })
+	require.Equal(t, "kept", group.servers[1].lookup(testKey).Value.Result)
 }
 
-// Guards votes against a record that became durable behind a failure: the log is read again before this server votes.
-func TestVoteBehindAFailureIsNotSent(t *testing.T) {
-	group := bootstrapped(t, 1)
+// Guards against a vote whose record becomes durable after an earlier write has failed: it is not sent, and the server
+// rereads the log before it votes again.
+func TestVoteAfterStorageFailureIsNotSent(t *testing.T) {
+	group := newBootstrappedCluster(t, 1)
 	server := group.servers[1]
 	got := server.await(func(done func(Outcome)) {
-		server.replica.AcquireLease(server.attempt(keyOne), done)
-		group.turn() // the promise is durable, and the value is accepted next
-		require.False(t, server.replica.HasRecord(server.attempt(keyOne)))
+		server.replica.AcquireLease(server.attempt(testKey), done)
+		group.turn() // the promise is durable; the value is accepted next
+		require.False(t, server.replica.HasRecord(server.attempt(testKey)))
 		require.NoError(t, group.Execute(func() {
-			require.True(t, server.replica.HasRecord(server.attempt(keyOne)), "it is on its way to the disk")
-			server.replica.storageFailed(server.replica.storage, errDisk)
+			require.True(t, server.replica.HasRecord(server.attempt(testKey)), "its write is in progress")
+			server.replica.handleStorageFailure(server.replica.storage, errDisk)
 		}))
 	})
 	require.Equal(t, execution.ActionReject, got.Action)
 	require.Equal(t, 1, server.replica.Counters().DiskFailures)
 }
 
-// A raised retention counts for outcomes that are held already.
+// An extended retention also applies to outcomes that are already stored.
 func TestExtendRetention(t *testing.T) {
-	group := bootstrapped(t, 1)
+	group := newBootstrappedCluster(t, 1)
 	server := group.servers[1]
-	require.Equal(t, execution.ActionStart, server.acquire(keyOne).Action)
-	require.Equal(t, execution.ActionServe, server.complete(keyOne, true, "old").Action)
+	require.Equal(t, execution.ActionStart, server.acquire(testKey).Action)
+	require.Equal(t, execution.ActionServe, server.complete(testKey, true, "old").Action)
 	server.replica.ExtendRetention(2 * retention)
 	group.now += 2*retention + expirySlackMilli*microtime.Millisecond - 2*microtime.Second
 	group.turn()
 	require.Len(t, server.replica.Export("", 10), 1)
-	group.pass(4 * microtime.Second)
+	group.runFor(4 * microtime.Second)
 	require.Empty(t, server.replica.Export("", 10))
 }
 
-// Guards acceptors against a folder that was replaced while its disk was out of order: another incarnation's votes
-// are not its own.
-func TestFolderOfAnotherIncarnation(t *testing.T) {
-	group := bootstrapped(t, 1)
+// Guards against a directory that was replaced after a disk failure: the server does not vote from the state of another
+// incarnation, which is another acceptor.
+func TestDirectoryOfAnotherIncarnation(t *testing.T) {
+	group := newBootstrappedCluster(t, 1)
 	server := group.servers[1]
-	server.replica.storageFailed(server.replica.storage, errDisk)
+	server.replica.handleStorageFailure(server.replica.storage, errDisk)
 	server.replica.config.filesystem = wal.Dir(t.TempDir())
-	group.pass(reopenInterval + microtime.Second)
+	group.runFor(reopenInterval + microtime.Second)
 	require.False(t, server.replica.Status().Voting)
 }
--- a/internal/replication/requests.go
+++ b/internal/replication/requests.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	// The backoff between two polls of a key that another server runs grows from minPollInterval to maxPollInterval.
+	// While another server runs a key, the interval between polls doubles from minPollInterval up to maxPollInterval.
 	minPollInterval = 50 * microtime.Millisecond
 	maxPollInterval = 400 * microtime.Millisecond
 )
@@ -18,30 +18,30 @@
 type keyedRequest struct {
 	lifecycle  execution.Lifecycle
 	key        string
-	sequence   uint64 // in the order of creation
-	lookupOnly bool   // made by Lookup: it never requests the lease, and is not in requestTable.byKey
+	sequence   uint64 // ascending in the order of creation
+	lookupOnly bool   // created by Lookup: never requests the lease, and is not in requestTable.byKey
 
-	attempt       Attempt // that is to run, or ran
-	lastArrival   int64   // the latest arrival of any attempt, in Unix milliseconds
-	leaseProposal uint64  // proposal that asked for the lease
-	proposal      uint64  // proposal in flight; 0: none
-	otherArrival  int64   // of the attempt that another process leases, in Unix milliseconds; 0: unknown
+	attempt       Attempt // the attempt that waits, runs or ran
+	lastArrival   int64   // arrival of the latest attempt, in Unix milliseconds
+	leaseProposal uint64  // ID of the proposal that requested the lease
+	proposal      uint64  // ID of the proposal in flight; 0: none
+	leasedArrival int64   // arrival of the attempt that holds the lease elsewhere, in Unix milliseconds; 0: unknown
 
-	retryAt microtime.Time // the next poll, or the next attempt to record a result
-	backoff microtime.Time // time between that poll and the next
+	retryAt microtime.Time // time of the next poll, or of the next attempt to record the result
+	backoff microtime.Time // interval between that retry and the next
 
-	succeeded bool   // whether the run has succeeded; false: it has failed
-	result    string // of a run that has succeeded
+	succeeded bool   // false: the run has failed
+	result    string // of a successful run
 	done      func(Outcome)
 }
 
-// nextEvent returns when the next timer of a waiting request is due.
-func (q *keyedRequest) nextEvent() microtime.Time {
+// nextEventAt returns the time at which the next timer of a waiting request is due.
+func (q *keyedRequest) nextEventAt() microtime.Time {
 	switch q.lifecycle.State {
 	case execution.StateHeldByOther:
 		return min(q.retryAt, q.attempt.Deadline)
 	case execution.StateUnrecorded:
-		// Recording is retried beyond the deadline, for later attempts of the key.
+		// Recording is retried after the deadline too, for later attempts of the key.
 		return q.retryAt
 	default:
 		return q.attempt.Deadline
@@ -56,13 +56,13 @@
 	return execution.EventRetryDue
 }
 
-// scheduleRetry sets the time of the next poll, and doubles the backoff.
+// scheduleRetry sets the time of the next retry, and doubles the backoff up to maxPollInterval.
 func (q *keyedRequest) scheduleRetry(now microtime.Time) {
 	q.retryAt = now + q.backoff
 	q.backoff = min(2*q.backoff, maxPollInterval)
 }
 
-// requestTable holds the requests in progress. It belongs to the event loop.
+// requestTable holds the requests in progress. It is used only on the event loop.
 type requestTable struct {
 	byKey        map[string]*keyedRequest
 	waiting      map[*keyedRequest]struct{} // requests with a timer
@@ -94,8 +94,8 @@
 	return request
 }
 
-// update updates the table after a change of a request's state. It adds the request to waiting or removes it, and drops
-// a request that holds no information.
+// update updates the table after a request's state has changed. It adds the request to waiting or removes it from
+// there, and drops a request that holds no information.
 func (t *requestTable) update(request *keyedRequest) {
 	switch request.lifecycle.State {
 	case execution.StateHeldByOther, execution.StateAcquiring, execution.StatePolling, execution.StateUnrecorded:
@@ -103,17 +103,17 @@
 	default:
 		delete(t.waiting, request)
 	}
-	forgotten := request.lifecycle.State == execution.StateIdle && !request.lifecycle.Started
-	if forgotten && t.byKey[request.key] == request {
-		delete(t.byKey, request.key) // the key's register, if there is one, has all that is known
+	disposable := request.lifecycle.State == execution.StateIdle && !request.lifecycle.Started
+	if disposable && t.byKey[request.key] == request {
+		delete(t.byKey, request.key) // the key's register, if there is one, holds all information
 	}
 }
 
-// due returns the requests whose next event is due, in the order of their creation.
+// due returns the requests whose next event is due, in order of creation.
 func (t *requestTable) due(now microtime.Time) []*keyedRequest {
 	var due []*keyedRequest
 	for request := range t.waiting {
-		if now >= request.nextEvent() {
+		if now >= request.nextEventAt() {
 			due = append(due, request)
 		}
 	}
@@ -121,23 +121,24 @@
 	return due
 }
 
-// nextEvent returns when the next event of any request is due.
-func (t *requestTable) nextEvent() microtime.Time {
+// nextEventAt returns the time at which the next event of any request is due.
+func (t *requestTable) nextEventAt() microtime.Time {
 	next := microtime.Never
 	for request := range t.waiting {
-		next = min(next, request.nextEvent())
+		next = min(next, request.nextEventAt())
 	}
 	return next
 }
 
-// proposed records which request a proposal in flight belongs to.
-func (t *requestTable) proposed(id uint64, request *keyedRequest) {
+// addProposal records the request to which a proposal in flight belongs.
+func (t *requestTable) addProposal(id uint64, request *keyedRequest) {
 	request.proposal = id
 	t.byProposal[id] = request
 }
 
-// finished removes a proposal that has ended and returns its request, or nil if the request waits for a later proposal.
-func (t *requestTable) finished(id uint64) *keyedRequest {
+// endProposal removes a proposal that has ended. It returns its request, or nil if the request waits for a later
+// proposal.
+func (t *requestTable) endProposal(id uint64) *keyedRequest {
 	request := t.byProposal[id]
 	delete(t.byProposal, id)
 	if request == nil || request.proposal != id {
@@ -147,10 +148,11 @@
 	return request
 }
 
-// expire drops the requests at rest whose last attempt arrived before a time in Unix milliseconds.
-func (t *requestTable) expire(before int64) {
+// expire drops the requests that are not in progress and whose last attempt arrived before cutoff, in Unix
+// milliseconds.
+func (t *requestTable) expire(cutoff int64) {
 	for key, request := range t.byKey {
-		if request.lastArrival >= before {
+		if request.lastArrival >= cutoff {
 			continue
 		}
 		switch request.lifecycle.State {
--- a/internal/replication/requests_test.go
+++ b/internal/replication/requests_test.go
@@ -9,10 +9,10 @@
 	"pewterline/internal/microtime"
 )
 
-// The pause between polls doubles up to a bound.
+// The interval between polls doubles up to maxPollInterval.
 func TestScheduleRetry(t *testing.T) {
 	table := newRequestTable()
-	request := table.create(keyOne)
+	request := table.create(testKey)
 	now := microtime.Second
 	for _, want := range []microtime.Time{50, 100, 200, 400, 400, 400} {
 		request.scheduleRetry(now)
@@ -20,15 +20,15 @@
 	}
 }
 
-// What a request waits for depends on its state.
-func TestNextEvent(t *testing.T) {
+// The next event of a request, and when it is due, depend on the request's state.
+func TestNextEventAt(t *testing.T) {
 	const retryAt, deadline = 1 * microtime.Second, 2 * microtime.Second
 	cases := []struct {
 		name    string
 		state   execution.State
 		next    microtime.Time
-		between execution.Event // due behind retryAt and before the deadline
-		late    execution.Event // due behind the deadline
+		between execution.Event // due after retryAt and before the deadline
+		late    execution.Event // due after the deadline
 	}{
 		{"held by another server", execution.StateHeldByOther, retryAt, execution.EventRetryDue,
 			execution.EventDeadlineReached},
@@ -40,17 +40,17 @@
 		t.Run(tc.name, func(t *testing.T) {
 			request := &keyedRequest{retryAt: retryAt, attempt: Attempt{Deadline: deadline}}
 			request.lifecycle.State = tc.state
-			require.Equal(t, tc.next, request.nextEvent())
+			require.Equal(t, tc.next, request.nextEventAt())
 			require.Equal(t, tc.between, request.dueEvent(retryAt))
 			require.Equal(t, tc.late, request.dueEvent(deadline))
 		})
 	}
 }
 
-// Requests that are due come in the order of their creation; those that wait for nothing are not among them.
+// Due requests are returned in order of creation. Requests without a timer are not returned.
 func TestDueRequests(t *testing.T) {
 	table := newRequestTable()
-	require.Equal(t, microtime.Never, table.nextEvent())
+	require.Equal(t, microtime.Never, table.nextEventAt())
 	var want []*keyedRequest
 	for i := range 20 {
 		request := table.findOrCreate(string(rune('z' - i)))
@@ -66,24 +66,24 @@
 	}
 	require.Empty(t, table.due(microtime.Second-1))
 	require.Equal(t, want, table.due(microtime.Second))
-	require.Equal(t, microtime.Second, table.nextEvent())
+	require.Equal(t, microtime.Second, table.nextEventAt())
 }
 
-// The end of a proposal concerns the request that waits for it, and none that has begun another one since.
-func TestFinishedProposals(t *testing.T) {
+// The end of a proposal is reported to the request that waits for it, but not if the request has started another
+// proposal since.
+func TestEndProposal(t *testing.T) {
 	table := newRequestTable()
-	request := table.findOrCreate(keyOne)
-	table.proposed(1, request)
-	table.proposed(2, request)
-	require.Nil(t, table.finished(1), "superseded")
-	require.Same(t, request, table.finished(2))
-	require.Nil(t, table.finished(2), "once")
+	request := table.findOrCreate(testKey)
+	table.addProposal(1, request)
+	table.addProposal(2, request)
+	require.Nil(t, table.endProposal(1), "superseded")
+	require.Same(t, request, table.endProposal(2))
+	require.Nil(t, table.endProposal(2), "already ended")
 	require.Empty(t, table.byProposal)
 }
 
-// A request of which nothing is known that the register does not hold takes no memory; one whose run has started
-// does.
-func TestForgottenRequests(t *testing.T) {
+// An idle request is dropped from memory, unless its run has started: the register does not hold that information.
+func TestIdleRequestsAreDropped(t *testing.T) {
 	cases := []struct {
 		name    string
 		state   execution.State
@@ -98,38 +98,38 @@
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			table := newRequestTable()
-			request := table.findOrCreate(keyOne)
+			request := table.findOrCreate(testKey)
 			request.lifecycle = execution.Lifecycle{State: tc.state, Started: tc.started}
 			table.update(request)
-			require.Equal(t, tc.kept, table.byKey[keyOne] == request)
+			require.Equal(t, tc.kept, table.byKey[testKey] == request)
 		})
 	}
 }
 
-// Requests at rest are dropped once their last attempt is old; those in progress stay.
+// Requests whose last attempt arrived before the cutoff are dropped, unless they are in progress.
 func TestExpiredRequests(t *testing.T) {
-	const before = 1000
+	const cutoff = 1000
 	cases := []struct {
 		name    string
 		state   execution.State
 		arrival int64
 		kept    bool
 	}{
-		{"recorded, old", execution.StateRecorded, before - 1, false},
-		{"unrecorded, old", execution.StateUnrecorded, before - 1, false},
-		{"idle, old", execution.StateIdle, before - 1, false},
-		{"running, old", execution.StateRunning, before - 1, true},
-		{"recorded, recent", execution.StateRecorded, before, true},
+		{"recorded, old", execution.StateRecorded, cutoff - 1, false},
+		{"unrecorded, old", execution.StateUnrecorded, cutoff - 1, false},
+		{"idle, old", execution.StateIdle, cutoff - 1, false},
+		{"running, old", execution.StateRunning, cutoff - 1, true},
+		{"recorded, recent", execution.StateRecorded, cutoff, true},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			table := newRequestTable()
-			request := table.findOrCreate(keyOne)
+			request := table.findOrCreate(testKey)
 			request.lifecycle = execution.Lifecycle{State: tc.state, Started: true}
 			request.lastArrival = tc.arrival
 			table.update(request)
-			table.expire(before)
-			require.Equal(t, tc.kept, table.byKey[keyOne] == request)
+			table.expire(cutoff)
+			require.Equal(t, tc.kept, table.byKey[testKey] == request)
 			if !tc.kept {
 				require.Empty(t, table.waiting)
 			}
--- a/internal/replication/state.go
+++ b/internal/replication/state.go
@@ -12,21 +12,21 @@
 )
 
 const (
-	snapshotLengthBytes = 4   // before each record of a snapshot
-	snapshotChunkKeys   = 200 // registers in one record of a snapshot
+	snapshotLengthBytes = 4   // size of the length prefix of each record in a snapshot
+	snapshotChunkKeys   = 200 // maximum number of registers in one record of a snapshot
 )
 
-// errTruncatedSnapshot means that a snapshot ends within a record, or within the length before one.
-var errTruncatedSnapshot = errors.New("the snapshot ends within a record")
+// errTruncatedSnapshot means that a snapshot ends within a record or its length prefix.
+var errTruncatedSnapshot = errors.New("snapshot ends within a record")
 
-// durableState is the state that results from the records of the write-ahead log.
+// durableState is the state that the records of the write-ahead log describe.
 type durableState struct {
-	incarnation uint64 // of this server as an acceptor; 0: none has been drawn yet
+	incarnation uint64 // of this server as an acceptor; 0: not yet generated
 	membership  consensus.Membership
 	registers   map[string]consensus.Register
 }
 
-// apply adds a record.
+// apply applies a record to the state.
 func (s *durableState) apply(record replicationwire.Record) {
 	if record.Incarnation != 0 {
 		s.incarnation = record.Incarnation
@@ -42,7 +42,7 @@
 	}
 }
 
-// decode adds an encoded record.
+// decode applies an encoded record to the state.
 func (s *durableState) decode(data []byte) error {
 	record, err := replicationwire.ParseRecord(data)
 	if err != nil {
@@ -52,26 +52,26 @@
 	return nil
 }
 
-// decodeSnapshot adds the records of a snapshot.
+// decodeSnapshot applies the records of a snapshot to the state.
 func (s *durableState) decodeSnapshot(snapshot []byte) error {
-	for at := 0; at < len(snapshot); {
-		if len(snapshot)-at < snapshotLengthBytes {
-			return fmt.Errorf("%w: at offset %d", errTruncatedSnapshot, at)
+	for offset := 0; offset < len(snapshot); {
+		if len(snapshot)-offset < snapshotLengthBytes {
+			return fmt.Errorf("%w: at offset %d", errTruncatedSnapshot, offset)
 		}
-		size := int(binary.BigEndian.Uint32(snapshot[at:]))
-		at += snapshotLengthBytes
-		if len(snapshot)-at < size {
-			return fmt.Errorf("%w: at offset %d", errTruncatedSnapshot, at)
+		size := int(binary.BigEndian.Uint32(snapshot[offset:]))
+		offset += snapshotLengthBytes
+		if len(snapshot)-offset < size {
+			return fmt.Errorf("%w: at offset %d", errTruncatedSnapshot, offset)
 		}
-		if err := s.decode(snapshot[at : at+size]); err != nil {
+		if err := s.decode(snapshot[offset : offset+size]); err != nil {
 			return err
 		}
-		at += size
+		offset += size
 	}
 	return nil
 }
 
-// encodeSnapshot encodes the state as a sequence of records, each of which follows its length.
+// encodeSnapshot encodes the state as a sequence of records, each with a length prefix.
 func (s *durableState) encodeSnapshot() ([]byte, error) {
 	first := replicationwire.Record{Incarnation: s.incarnation}
 	if s.membership.Epoch > 0 {
--- a/internal/replication/state_test.go
+++ b/internal/replication/state_test.go
@@ -17,7 +17,7 @@
 
 const recordedIncarnation = 0x1122334455667788
 
-// recordedState is what the records of testdata/v1 add up to.
+// recordedState is the state that the files in testdata/v1 describe.
 func recordedState() durableState {
 	ballot := consensus.Ballot{Number: 9, Proposer: consensus.Identity{ID: 1, Incarnation: 5}}
 	register := func(kind consensus.ValueKind, attempt uint64, at int64, result string) consensus.Register {
@@ -36,9 +36,9 @@
 	}
 }
 
-// Guards servers that come back with this release on a disk that an earlier one has written: a snapshot, and records
-// behind it.
-func TestRecordedFolderIsRead(t *testing.T) {
+// Guards upgrades: this release must read a directory that an earlier release has written, with a snapshot and records
+// after it.
+func TestRecordedDirectoryIsRead(t *testing.T) {
 	group := newCluster(t, 1)
 	server := group.servers[1]
 	server.config.Directory = golden.Folder(t, "testdata/v1")
@@ -56,10 +56,11 @@
 	require.Equal(t, startMilli+1+retentionMilli, server.acquire("hill-estate\x00runs").RetryAtMilli)
 }
 
-// Guards an earlier release that comes back on a disk of this one: the same records leave the same files.
-func TestFolderIsWrittenAsRecorded(t *testing.T) {
-	folder := t.TempDir()
-	log, _, err := wal.Open(wal.Dir(folder), wal.Options{})
+// Guards downgrades: from the same records, this release must write the same files as the release that wrote
+// testdata/v1.
+func TestDirectoryIsWrittenAsRecorded(t *testing.T) {
+	directory := t.TempDir()
+	log, _, err := wal.Open(wal.Dir(directory), wal.Options{})
 	require.NoError(t, err)
 	first, err := replicationwire.AppendRecord(nil, replicationwire.Record{Incarnation: recordedIncarnation})
 	require.NoError(t, err)
@@ -68,7 +69,7 @@
 	require.NoError(t, log.Sync())
 	require.NoError(t, log.Close())
 
-	opened, err := openStorage(wal.Dir(folder), 1)
+	opened, err := openStorage(wal.Dir(directory), 1)
 	require.NoError(t, err)
 	failed := func(err error) { t.Error(err) }
 	opened.attach(func(f func()) error {
@@ -97,11 +98,11 @@
 	write(replicationwire.Record{ForgetBefore: 2000})
 	require.NoError(t, opened.close())
 	const snapshotBytes = 209
-	require.Equal(t, 2*snapshotBytes, opened.threshold, "the next snapshot comes when the records are twice as large")
-	require.Equal(t, dump(golden.Files(t, "testdata/v1")), dump(golden.Files(t, folder)))
+	require.Equal(t, 2*snapshotBytes, opened.snapshotThreshold, "twice the size of the last snapshot")
+	require.Equal(t, dump(golden.Files(t, "testdata/v1")), dump(golden.Files(t, directory)))
 }
 
-// dump makes binary files readable where they differ.
+// dump replaces the contents of files by hex dumps, so that differences are readable.
 func dump(files map[string]string) map[string]string {
 	for name, content := range files {
 		files[name] = hex.Dump([]byte(content))
@@ -109,7 +110,7 @@
 	return files
 }
 
-// A snapshot of many keys is read as it was written.
+// A snapshot of many keys is decoded to the state that was encoded. A truncated or corrupted snapshot is an error.
 func TestSnapshot(t *testing.T) {
 	state := durableState{incarnation: 5, registers: map[string]consensus.Register{}}
 	for i := range 2*snapshotChunkKeys + 1 {
@@ -123,13 +124,13 @@
 	for _, cut := range []int{1, snapshotLengthBytes + 1, len(snapshot) - 1} {
 		require.ErrorIs(t, read.decodeSnapshot(snapshot[:cut]), errTruncatedSnapshot, "cut at %d", cut)
 	}
-	spoilt := append([]byte(nil), snapshot...)
-	spoilt[snapshotLengthBytes] ^= 0xff
-	require.ErrorIs(t, read.decodeSnapshot(spoilt), replicationwire.ErrMalformedFrame)
+	corrupted := append([]byte(nil), snapshot...)
+	corrupted[snapshotLengthBytes] ^= 0xff
+	require.ErrorIs(t, read.decodeSnapshot(corrupted), replicationwire.ErrMalformedFrame)
 }
 
-// Guards the size of records: what a turn has to make durable is cut into several, in order, and nothing is left out.
-func TestRecordsAreCut(t *testing.T) {
+// Guards the size limit of records: the state of a turn is split into several records, in order and without loss.
+func TestLargeStateIsSplitIntoRecords(t *testing.T) {
 	membership := consensus.Membership{Epoch: 1}
 	ready := consensus.Ready{Membership: &membership}
 	for i := range 20 {
@@ -151,7 +152,7 @@
 	require.Equal(t, ready.Registers, registers)
 }
 
-// Records are replaced by a snapshot once there are enough of them, and a restart reads what they held.
+// Once the records reach the threshold, a snapshot replaces them, and a restart restores the state from it.
 func TestCompaction(t *testing.T) {
 	group := newCluster(t, 1)
 	server := group.servers[1]
@@ -163,7 +164,7 @@
 		require.Equal(t, execution.ActionStart, server.acquire(key).Action)
 		require.Equal(t, execution.ActionServe, server.complete(key, true, strings.Repeat(key, 300)).Action)
 	}
-	group.pass(2 * expiryInterval)
+	group.runFor(2 * expiryInterval)
 	var snapshots int
 	for name := range golden.Files(t, server.config.Directory) {
 		if strings.HasSuffix(name, ".snap") {
--- a/internal/replication/status.go
+++ b/internal/replication/status.go
@@ -8,33 +8,33 @@
 	"pewterline/internal/decide/consensus"
 )
 
-// MemberStatus is a member of the group as operators see it. Incarnations are hexadecimal.
+// MemberStatus is the status of a member of the group, as shown to operators. Incarnations are in hexadecimal.
 type MemberStatus struct {
 	ID          uint32 `json:"id"`
 	Incarnation string `json:"life"`
 	Address     string `json:"address"`
 	Up          bool   `json:"up"`
-	InCurrent   bool   `json:"now"`     // of the members in force
-	InNext      bool   `json:"to_come"` // of the next members, while a change is in progress
-	// CurrentIncarnation is the incarnation that the server itself has last announced. It differs from Incarnation if
-	// the server has lost its disk. "": unknown.
+	InCurrent   bool   `json:"now"`     // is one of the current members
+	InNext      bool   `json:"to_come"` // is one of the next members, while a change is in progress
+	// CurrentIncarnation is the incarnation in the latest hello of the server. It differs from Incarnation if the server
+	// has lost its disk. "": unknown.
 	CurrentIncarnation string `json:"lives"`
 }
 
-// Status is the group as this server sees it.
+// Status is this server's view of the group.
 type Status struct {
 	Self               consensus.Identity
 	Voting             bool // false: this server's disk has failed
-	MembersTransferred int  // members that have transferred their registers to the next members
+	MembersTransferred int  // how many members have transferred their registers to the next members
 	Members            []MemberStatus
 }
 
-// Status returns the group as this server sees it.
+// Status returns this server's view of the group.
 func (r *Replica) Status() Status {
 	membership := r.node.Membership()
 	status := Status{
 		Self:               r.node.AcceptorID,
-		Voting:             !r.broken,
+		Voting:             !r.diskFailed,
 		MembersTransferred: r.node.TransferAcks(),
 	}
 	for _, member := range membership.Members() {
@@ -56,7 +56,7 @@
 
 func formatIncarnation(incarnation uint64) string { return fmt.Sprintf("%x", incarnation) }
 
-// incarnation returns the incarnation that a server has last announced.
+// incarnation returns the incarnation in the latest hello of a server.
 func (r *Replica) incarnation(id uint32) (incarnation uint64, known bool) {
 	if id == r.config.ID {
 		return r.node.AcceptorID.Incarnation, true
@@ -65,18 +65,18 @@
 	return hello.Incarnation, known
 }
 
-// ExportedKey is a key that this server holds, as operators see it.
+// ExportedKey is a key that this server stores, as shown to operators.
 type ExportedKey struct {
-	Key            string `json:"key"`  // tenant, a zero byte, and the idempotency key
+	Key            string `json:"key"`  // tenant, a zero byte and the idempotency key
 	Kind           string `json:"kind"` // "intent", "passed" or "failed"
 	Owner          uint32 `json:"owner"`
 	ArrivedAtMilli int64  `json:"at_ms"`
 	Result         string `json:"result"` // in base64
 }
 
-// Export returns the keys after the given one that this server holds, in ascending order, and at most limit of them.
+// Export returns at most limit keys that this server stores and that are greater than after, in ascending order.
 func (r *Replica) Export(after string, limit int) []ExportedKey {
-	exported := []ExportedKey{} // never nil: it is encoded as an empty list
+	exported := []ExportedKey{} // not nil, so that no keys are encoded as an empty list
 	for _, key := range r.node.Keys(after, limit) {
 		value := r.node.Register(key).Value
 		exported = append(exported, ExportedKey{
@@ -90,7 +90,7 @@
 	return exported
 }
 
-// exportedKind returns the operators' word for a kind.
+// exportedKind returns the name of a kind in the operators' export.
 func exportedKind(kind consensus.ValueKind) string {
 	switch kind {
 	case consensus.KindLeased:
