--- a/internal/peers/exchange.go
+++ b/internal/peers/exchange.go
@@ -12,84 +12,84 @@
 )
 
 const (
-	// exchangeTimeout is how long a peer may take to answer.
+	// exchangeTimeout is the time within which a peer must reply.
 	exchangeTimeout = 500 * microtime.Millisecond
-	// maxExchangeConns is the most connections that peers may have open at once.
+	// maxExchangeConns is the maximum number of open connections that peers have opened.
 	maxExchangeConns = 64
 )
 
-// ErrUnexpectedMessage closes a connection on which a peer sends an answer without a request.
-var ErrUnexpectedMessage = errors.New("peers: an answer that nobody asked for")
+// ErrUnexpectedMessage closes a connection on which a peer sends a reply without a request.
+var ErrUnexpectedMessage = errors.New("peers: gossip reply without a request")
 
 // ExchangeEventLoop is what an exchange needs from the event loop.
 type ExchangeEventLoop interface {
 	Now() microtime.Time
-	DialOnce(addr string, open func(transport.Conn) transport.Session, failed func()) (drop func())
+	DialOnce(addr string, open func(transport.Conn) transport.Session, onFailure func()) (cancel func())
 }
 
 // ExchangeConfig configures an Exchange.
 type ExchangeConfig struct {
 	Name     string
-	Address  string   // where peers reach this instance
-	Peers    []string // addresses of the peers that are known at the start
-	Seed     uint64   // of the random numbers
+	Address  string   // at which peers reach this instance
+	Peers    []string // addresses of the initial peers
+	Seed     uint64   // of the random number generator
 	Balancer *loadbalancer.Balancer
 	Logf     func(format string, args ...any)
 }
 
 // Exchange exchanges gossip about upstream endpoints with other instances: an instance sends its observations, and the
-// peer answers with its own.
+// peer replies with its own.
 type Exchange struct {
-	config    ExchangeConfig
-	loop      ExchangeEventLoop
-	scheduler *loadbalancer.PeerScheduler
-	started   microtime.Time
-	links     orderedset.Set[*exchangeLink]
-	accepted  int // connections of peers that are open
-	scratch   []byte
+	config        ExchangeConfig
+	loop          ExchangeEventLoop
+	scheduler     *loadbalancer.PeerScheduler
+	started       microtime.Time
+	links         orderedset.Set[*exchangeLink]
+	acceptedConns int // open connections that peers have opened
+	scratch       []byte
 }
 
-// NewExchange returns an exchange that starts now.
+// NewExchange returns an Exchange whose uptime counts from now.
 func NewExchange(loop ExchangeEventLoop, config ExchangeConfig) *Exchange {
 	now := loop.Now()
 	scheduler := loadbalancer.NewPeerScheduler(now, loadbalancer.PeerSchedulerConfig{}, config.Peers, config.Seed)
 	return &Exchange{config: config, loop: loop, scheduler: scheduler, started: now}
 }
 
-// Ready reports whether an instance that starts has received its first gossip, or has waited long enough for it.
+// Ready reports whether this instance has received its first gossip since the start, or need not wait for it.
 func (x *Exchange) Ready(now microtime.Time) bool { return x.scheduler.Ready(now) }
 
-// Check starts the exchanges that are due and ends those that have timed out. It returns when it has to be called
-// again.
+// Check starts the exchanges that are due and ends those that have timed out. It returns the time at which it must be
+// called again.
 func (x *Exchange) Check(now microtime.Time) microtime.Time {
 	for _, address := range x.scheduler.NextPeers(now) {
-		x.ask(now, address)
+		x.startExchange(now, address)
 	}
 	next := x.scheduler.NextCheck()
 	for i := x.links.Len() - 1; i >= 0; i-- { // from the end: Remove moves the last link to the index of the removed one
 		link := x.links.Items()[i]
 		switch {
-		case !link.asking:
-		case now >= link.answerDue:
+		case !link.awaitingReply:
+		case now >= link.replyDeadline:
 			link.fail(now)
 		default:
-			next = min(next, link.answerDue)
+			next = min(next, link.replyDeadline)
 		}
 	}
 	return max(next, now)
 }
 
-// ask sends gossip to a peer, on the connection that is open or on a new one, and waits for its answer.
-func (x *Exchange) ask(now microtime.Time, address string) {
+// startExchange sends gossip to a peer and awaits its reply. It uses the open connection or opens a new one.
+func (x *Exchange) startExchange(now microtime.Time, address string) {
 	for _, link := range x.links.Items() {
 		if link.address == address {
-			link.ask(now)
+			link.sendRequest(now)
 			return
 		}
 	}
 	link := &exchangeLink{exchange: x, address: address}
 	x.links.Add(link)
-	link.ask(now)
+	link.sendRequest(now)
 	opened := func(conn transport.Conn) transport.Session {
 		link.conn = conn
 		link.write(true)
@@ -98,20 +98,21 @@
 	link.cancelDial = x.loop.DialOnce(address, opened, func() { link.fail(x.loop.Now()) })
 }
 
-// Accept returns the session of a connection that a peer has opened. It is closed at once if too many are open.
+// Accept returns the session of a connection that a peer has opened. If too many are open, it closes the connection.
 func (x *Exchange) Accept(conn transport.Conn) transport.Session {
 	link := &exchangeLink{exchange: x, conn: conn}
 	x.links.Add(link)
-	x.accepted++
-	if x.accepted > maxExchangeConns {
-		x.config.Logf("exchange: connection rejected, too many are open: peer=%s open=%d", conn.Remote(), x.accepted-1)
+	x.acceptedConns++
+	if x.acceptedConns > maxExchangeConns {
+		x.config.Logf("exchange: connection rejected, too many are open: peer=%s open=%d",
+			conn.Remote(), x.acceptedConns-1)
 		conn.Close()
 	}
 	return link
 }
 
-// message composes a gossip message of this instance.
-func (x *Exchange) message(now microtime.Time, wantsReply bool) gossip.Message {
+// newMessage returns a gossip message of this instance.
+func (x *Exchange) newMessage(now microtime.Time, wantsReply bool) gossip.Message {
 	message := gossip.Message{
 		Name:         x.config.Name,
 		Uptime:       now - x.started,
@@ -141,46 +142,46 @@
 	}
 }
 
-// exchangeLink is a connection to a peer: one that this instance opened to ask, or one that the peer opened. It
-// implements transport.Session.
+// exchangeLink is a connection to a peer, opened by this instance to send requests, or by the peer. It implements
+// transport.Session.
 type exchangeLink struct {
 	orderedset.Position
-	exchange   *Exchange
-	conn       transport.Conn // nil while it is being opened
-	cancelDial func()
-	address    string // that was dialled; "" if the peer opened it
-	asking     bool   // the peer's answer is outstanding
-	answerDue  microtime.Time
-}
-
-// ask sends gossip as soon as the connection is open, and waits for the answer.
-func (l *exchangeLink) ask(now microtime.Time) {
-	l.asking = true
-	l.answerDue = now + exchangeTimeout
+	exchange      *Exchange
+	conn          transport.Conn // nil while it is being opened
+	cancelDial    func()
+	address       string // dialled address; "" if the peer opened the connection
+	awaitingReply bool   // the peer's reply to a request is outstanding
+	replyDeadline microtime.Time
+}
+
+// sendRequest sends gossip, once the connection is open, and awaits the reply.
+func (l *exchangeLink) sendRequest(now microtime.Time) {
+	l.awaitingReply = true
+	l.replyDeadline = now + exchangeTimeout
 	if l.conn != nil {
 		l.write(true)
 	}
 }
 
-// fail closes a connection, or cancels its dial, after the peer has not answered in time.
+// fail closes the connection or cancels its dial, after the dial has failed or the peer has not replied in time.
 func (l *exchangeLink) fail(now microtime.Time) {
 	if l.conn != nil {
-		l.conn.Close() // closed follows
+		l.conn.Close() // the transport then calls Closed
 		return
 	}
 	if l.cancelDial != nil {
 		l.cancelDial()
 	}
-	l.ended(now)
+	l.handleClosed(now)
 }
 
-func (l *exchangeLink) ended(now microtime.Time) {
+func (l *exchangeLink) handleClosed(now microtime.Time) {
 	l.exchange.links.Remove(l)
 	switch {
 	case l.address == "":
-		l.exchange.accepted--
-	case l.asking:
-		l.asking = false
+		l.exchange.acceptedConns--
+	case l.awaitingReply:
+		l.awaitingReply = false
 		l.exchange.scheduler.ExchangeFailed(now, l.address)
 	}
 }
@@ -188,7 +189,7 @@
 // write sends gossip. A message that cannot be encoded is logged and dropped.
 func (l *exchangeLink) write(wantsReply bool) {
 	x := l.exchange
-	encoded, err := gossip.Append(x.scratch[:0], x.message(x.loop.Now(), wantsReply))
+	encoded, err := gossip.Append(x.scratch[:0], x.newMessage(x.loop.Now(), wantsReply))
 	x.scratch = encoded
 	if err != nil {
 		x.config.Logf("exchange: message dropped: peer=%s error=%v", l.conn.Remote(), err)
@@ -216,7 +217,7 @@
 	exchange := l.exchange
 	now := exchange.loop.Now()
 	openedByPeer := l.address == ""
-	if openedByPeer && !message.WantsReply || !openedByPeer && !l.asking {
+	if openedByPeer && !message.WantsReply || !openedByPeer && !l.awaitingReply {
 		return fmt.Errorf("%w: %s", ErrUnexpectedMessage, l.conn.Remote())
 	}
 	exchange.apply(now, l.conn.Remote(), message)
@@ -225,13 +226,13 @@
 		l.write(false)
 		return nil
 	}
-	l.asking = false
+	l.awaitingReply = false
 	exchange.scheduler.ExchangeSucceeded(now, l.address, message.Name)
 	return nil
 }
 
 // Idle implements transport.Session.
-func (l *exchangeLink) Idle() bool { return !l.asking }
+func (l *exchangeLink) Idle() bool { return !l.awaitingReply }
 
 // Closed implements transport.Session.
-func (l *exchangeLink) Closed() { l.ended(l.exchange.loop.Now()) }
+func (l *exchangeLink) Closed() { l.handleClosed(l.exchange.loop.Now()) }
--- a/internal/peers/exchange_test.go
+++ b/internal/peers/exchange_test.go
@@ -12,7 +12,7 @@
 	"pewterline/internal/transport"
 )
 
-// gossipNode is an instance on an event loop that the test plays. It implements ExchangeEventLoop.
+// gossipNode is an instance whose event loop the test simulates. It implements ExchangeEventLoop.
 type gossipNode struct {
 	t        *testing.T
 	now      microtime.Time
@@ -23,19 +23,19 @@
 }
 
 type exchangeDial struct {
-	address string
-	open    func(transport.Conn) transport.Session
-	failed  func()
+	address   string
+	open      func(transport.Conn) transport.Session
+	onFailure func()
 }
 
 func (n *gossipNode) Now() microtime.Time { return n.now }
 
-func (n *gossipNode) DialOnce(address string, open func(transport.Conn) transport.Session, failed func()) func() {
-	n.dials = append(n.dials, exchangeDial{address, open, failed})
+func (n *gossipNode) DialOnce(address string, open func(transport.Conn) transport.Session, onFailure func()) func() {
+	n.dials = append(n.dials, exchangeDial{address, open, onFailure})
 	return func() {}
 }
 
-// newGossipNode returns an instance that is reached at its name and knows the endpoints s0 and s1.
+// newGossipNode returns an instance whose address is its name and that knows the endpoints s0 and s1.
 func newGossipNode(t *testing.T, name string, peers ...string) *gossipNode {
 	t.Helper()
 	balancer, err := loadbalancer.New(loadbalancer.Config{Classes: 1}, 1)
@@ -54,7 +54,7 @@
 	return node
 }
 
-// read takes the only message that was written to a connection.
+// read returns the only message that was written to a connection since the last call.
 func read(t *testing.T, conn *fakeConn) gossip.Message {
 	t.Helper()
 	written := conn.take()
@@ -64,7 +64,7 @@
 	return message
 }
 
-// receive has a session receive a message.
+// receive encodes a message and passes it to a session.
 func receive(t *testing.T, session transport.Session, message gossip.Message) error {
 	t.Helper()
 	encoded, err := gossip.Append(nil, message)
@@ -73,60 +73,60 @@
 	return err
 }
 
-// Two instances tell each other what they know, and of the peers that they know.
+// Two instances exchange their observations and the addresses of their peers.
 func TestExchange(t *testing.T) {
-	young := newGossipNode(t, "young", "old")
-	old := newGossipNode(t, "old", "third")
-	old.now += 100 * microtime.Second
-	old.balancer.AttemptStarted(old.now, loadbalancer.Choice{Endpoint: "s0"})
-	old.balancer.AttemptEnded(old.now, loadbalancer.Choice{Endpoint: "s0"},
+	joining := newGossipNode(t, "joining", "running")
+	running := newGossipNode(t, "running", "third")
+	running.now += 100 * microtime.Second
+	running.balancer.AttemptStarted(running.now, loadbalancer.Choice{Endpoint: "s0"})
+	running.balancer.AttemptEnded(running.now, loadbalancer.Choice{Endpoint: "s0"},
 		loadbalancer.Result{Outcome: loadbalancer.ConnectFailed})
-	old.exchange.scheduler.ExchangeSucceeded(old.now, "third", "third")
-
-	require.False(t, young.exchange.Ready(young.now))
-	require.Equal(t, young.now+200*microtime.Millisecond, young.exchange.Check(young.now))
-	require.Equal(t, "old", young.dials[0].address)
-	asking := &fakeConn{}
-	askingSession := young.dials[0].open(asking)
-	require.False(t, askingSession.Idle())
-	question := read(t, asking)
-	require.True(t, question.WantsReply)
-
-	answering := &fakeConn{}
-	answeringSession := old.exchange.Accept(answering)
-	require.NoError(t, receive(t, answeringSession, question))
-	require.True(t, answering.identified)
-	answer := read(t, answering)
-	require.False(t, answer.WantsReply)
-	require.Equal(t, []gossip.Peer{{Name: "third", Address: "third"}}, answer.Peers)
-
-	require.NoError(t, receive(t, askingSession, answer))
-	require.True(t, askingSession.Idle())
-	require.True(t, young.exchange.Ready(young.now))
-	require.Positive(t, young.balancer.GossipSnapshot().FailureWeight(young.now, "s0"))
-	require.Len(t, young.exchange.scheduler.Peers(young.now), 2)
-	answeringSession.Closed()
-	require.Zero(t, old.exchange.accepted)
+	running.exchange.scheduler.ExchangeSucceeded(running.now, "third", "third")
+
+	require.False(t, joining.exchange.Ready(joining.now))
+	require.Equal(t, joining.now+200*microtime.Millisecond, joining.exchange.Check(joining.now))
+	require.Equal(t, "running", joining.dials[0].address)
+	requestingConn := &fakeConn{}
+	requestingSession := joining.dials[0].open(requestingConn)
+	require.False(t, requestingSession.Idle())
+	request := read(t, requestingConn)
+	require.True(t, request.WantsReply)
+
+	replyingConn := &fakeConn{}
+	replyingSession := running.exchange.Accept(replyingConn)
+	require.NoError(t, receive(t, replyingSession, request))
+	require.True(t, replyingConn.identified)
+	reply := read(t, replyingConn)
+	require.False(t, reply.WantsReply)
+	require.Equal(t, []gossip.Peer{{Name: "third", Address: "third"}}, reply.Peers)
+
+	require.NoError(t, receive(t, requestingSession, reply))
+	require.True(t, requestingSession.Idle())
+	require.True(t, joining.exchange.Ready(joining.now))
+	require.Positive(t, joining.balancer.GossipSnapshot().FailureWeight(joining.now, "s0"))
+	require.Len(t, joining.exchange.scheduler.Peers(joining.now), 2)
+	replyingSession.Closed()
+	require.Zero(t, running.exchange.acceptedConns)
 }
 
-// The next exchange with a peer uses the connection that is open.
+// The next exchange with a peer uses the open connection.
 func TestExchangeReusesConnection(t *testing.T) {
-	node := newGossipNode(t, "young", "old")
+	node := newGossipNode(t, "joining", "running")
 	node.exchange.Check(node.now)
 	conn := &fakeConn{}
 	session := node.dials[0].open(conn)
 	read(t, conn)
-	require.NoError(t, receive(t, session, gossip.Message{Name: "old", Uptime: microtime.Second}))
+	require.NoError(t, receive(t, session, gossip.Message{Name: "running", Uptime: microtime.Second}))
 	node.now = node.exchange.Check(node.now)
 	node.exchange.Check(node.now)
 	require.Len(t, node.dials, 1)
 	require.True(t, read(t, conn).WantsReply)
 }
 
-// A peer that does not answer in time is given up, as is one that cannot be reached or closes its connection.
+// An exchange fails if the peer does not reply in time, does not accept the connection in time, or is unreachable.
 func TestExchangeFails(t *testing.T) {
-	t.Run("no answer", func(t *testing.T) {
-		node := newGossipNode(t, "young", "old")
+	t.Run("no reply", func(t *testing.T) {
+		node := newGossipNode(t, "joining", "running")
 		node.exchange.Check(node.now)
 		conn := &fakeConn{}
 		session := node.dials[0].open(conn)
@@ -141,44 +141,44 @@
 		require.Zero(t, node.exchange.links.Len())
 	})
 	t.Run("no connection in time", func(t *testing.T) {
-		node := newGossipNode(t, "young", "old")
+		node := newGossipNode(t, "joining", "running")
 		node.exchange.Check(node.now)
 		node.now += exchangeTimeout
 		node.exchange.Check(node.now)
 		require.Zero(t, node.exchange.links.Len())
 	})
 	t.Run("unreachable", func(t *testing.T) {
-		node := newGossipNode(t, "young", "old")
+		node := newGossipNode(t, "joining", "running")
 		node.exchange.Check(node.now)
-		node.dials[0].failed()
+		node.dials[0].onFailure()
 		require.Zero(t, node.exchange.links.Len())
 		require.True(t, node.exchange.Ready(node.now), "all first exchanges have failed")
 	})
 }
 
-// An answer that nobody asked for ends the connection, on either side.
+// A reply without a request closes the connection on either side, as does a malformed frame.
 func TestUnexpectedMessage(t *testing.T) {
-	node := newGossipNode(t, "young", "old")
-	answer := gossip.Message{Name: "old", Uptime: microtime.Second}
-	require.ErrorIs(t, receive(t, node.exchange.Accept(&fakeConn{}), answer), ErrUnexpectedMessage)
+	node := newGossipNode(t, "joining", "running")
+	reply := gossip.Message{Name: "running", Uptime: microtime.Second}
+	require.ErrorIs(t, receive(t, node.exchange.Accept(&fakeConn{}), reply), ErrUnexpectedMessage)
 	node.exchange.Check(node.now)
 	session := node.dials[0].open(&fakeConn{})
-	require.NoError(t, receive(t, session, answer))
-	require.ErrorIs(t, receive(t, session, answer), ErrUnexpectedMessage)
+	require.NoError(t, receive(t, session, reply))
+	require.ErrorIs(t, receive(t, session, reply), ErrUnexpectedMessage)
 	_, err := session.Receive([]byte{0, 0, 0, 0})
 	require.ErrorIs(t, err, gossip.ErrMalformedFrame)
 }
 
-// Invalid observations are logged and do not end the connection; this instance's own address makes no peer.
+// Invalid observations are logged and do not close the connection. This instance's own address is not added as a peer.
 func TestInvalidGossipIsLogged(t *testing.T) {
-	node := newGossipNode(t, "young")
+	node := newGossipNode(t, "joining")
 	conn := &fakeConn{}
 	require.NoError(t, receive(t, node.exchange.Accept(conn), gossip.Message{
-		Name:         "old",
+		Name:         "running",
 		Uptime:       microtime.Second,
 		WantsReply:   true,
-		Observations: []loadbalancer.Observation{{Endpoint: "s0", Kind: 99, Evidence: 1, Source: "old", Hops: 1}},
-		Peers:        []gossip.Peer{{Name: "young", Address: "young"}},
+		Observations: []loadbalancer.Observation{{Endpoint: "s0", Kind: 99, Evidence: 1, Source: "running", Hops: 1}},
+		Peers:        []gossip.Peer{{Name: "joining", Address: "joining"}},
 	}))
 	require.Len(t, node.logged, 1)
 	require.Contains(t, node.logged[0], "exchange: invalid observations: peer=peer invalid=1 observations=1")
@@ -186,9 +186,9 @@
 	require.Empty(t, read(t, conn).Observations)
 }
 
-// Beyond the bound, connections of peers are closed at once.
-func TestAcceptedConnectionsAreBounded(t *testing.T) {
-	node := newGossipNode(t, "old")
+// Connections of peers above maxExchangeConns are closed at once.
+func TestAcceptedConnectionsAreLimited(t *testing.T) {
+	node := newGossipNode(t, "running")
 	for range maxExchangeConns {
 		conn := &fakeConn{}
 		node.exchange.Accept(conn)
@@ -199,5 +199,5 @@
 	require.True(t, conn.closed)
 	require.Equal(t, []string{"exchange: connection rejected, too many are open: peer=peer open=64"}, node.logged)
 	session.Closed()
-	require.Equal(t, maxExchangeConns, node.exchange.accepted)
+	require.Equal(t, maxExchangeConns, node.exchange.acceptedConns)
 }
--- a/internal/peers/inbound.go
+++ b/internal/peers/inbound.go
@@ -11,25 +11,25 @@
 
 // inboundLink is a link that another server has opened. It implements transport.Session.
 type inboundLink struct {
-	links   *Links
-	conn    transport.Conn
-	greeted bool // the server has said hello
-	from    replicationwire.Hello
-	replies []consensus.Reply
-	pong    bool // a ping is unanswered
-	notice  membershipNotice
+	links         *Links
+	conn          transport.Conn
+	helloReceived bool // the other server has sent its hello
+	hello         replicationwire.Hello
+	replies       []consensus.Reply
+	pongDue       bool // a ping has not been answered yet
+	notice        membershipNotice
 }
 
 // flush sends the queued messages.
 func (i *inboundLink) flush(now microtime.Time) {
-	if !i.greeted {
+	if !i.helloReceived {
 		return
 	}
 	membership := i.links.handler.Membership()
 	notice := i.notice.take(now, &membership)
-	if notice != nil || i.pong {
+	if notice != nil || i.pongDue {
 		i.links.write(i.conn, replicationwire.Message{Epoch: membership.Epoch, Membership: notice})
-		i.pong = false
+		i.pongDue = false
 	}
 	for batch := range batches(i.replies, replySize) {
 		i.links.write(i.conn, replicationwire.Message{Epoch: membership.Epoch, Replies: batch})
@@ -42,29 +42,29 @@
 
 func (i *inboundLink) handle(message replicationwire.Message) error {
 	if message.Hello != nil {
-		i.greet(*message.Hello)
-	} else if !i.greeted {
+		i.handleHello(*message.Hello)
+	} else if !i.helloReceived {
 		return ErrNoHello
 	}
 	if len(message.Requests) == 0 {
-		i.pong = true
+		i.pongDue = true
 	}
 	if message.Epoch < i.links.membershipEpoch() {
 		i.notice.pending = true
 	}
-	i.links.handler.HandleMessage(i.from, message)
+	i.links.handler.HandleMessage(i.hello, message)
 	return nil
 }
 
-func (i *inboundLink) greet(hello replicationwire.Hello) {
-	i.from = hello
-	i.greeted = true
+func (i *inboundLink) handleHello(hello replicationwire.Hello) {
+	i.hello = hello
+	i.helloReceived = true
 	i.links.hellos[hello.ID] = hello
 	i.conn.MarkIdentified()
 	i.links.writeHello(i.conn)
 }
 
-// Idle implements transport.Session. A link is never evicted.
+// Idle implements transport.Session. It returns false, so that the link is never evicted.
 func (i *inboundLink) Idle() bool { return false }
 
 // Closed implements transport.Session.
--- a/internal/peers/links_test.go
+++ b/internal/peers/links_test.go
@@ -11,7 +11,7 @@
 	"pewterline/internal/transport"
 )
 
-// pair is two servers on an event loop that the test plays. Bytes go from one to the other when the test says so. It
+// pair is two servers whose event loop the test simulates. Bytes are exchanged only by calls of connection.deliver. It
 // implements EventLoop.
 type pair struct {
 	t      *testing.T
@@ -19,7 +19,7 @@
 	dials  []fakeDial
 	first  *Links
 	second *Links
-	// handlers of the first and of the second server
+	// The handlers of the first and the second server.
 	firstHandler  *fakeHandler
 	secondHandler *fakeHandler
 }
@@ -68,7 +68,7 @@
 func (h *fakeHandler) PeerStateChanged(id uint32, up bool) { h.up[id] = up }
 func (h *fakeHandler) Membership() consensus.Membership    { return h.group }
 
-// lastMessage returns the last message that was handled.
+// lastMessage returns the latest message that was handled.
 func (h *fakeHandler) lastMessage() replicationwire.Message { return h.messages[len(h.messages)-1] }
 
 func (p *pair) Now() microtime.Time { return p.now }
@@ -92,13 +92,13 @@
 	p := &pair{t: t, now: microtime.Second}
 	p.firstHandler = &fakeHandler{id: 1, up: map[uint32]bool{}, group: group}
 	p.secondHandler = &fakeHandler{id: 2, up: map[uint32]bool{}, group: group}
-	quiet := func(string, ...any) {}
-	p.first = New(p, p.firstHandler, quiet)
-	p.second = New(p, p.secondHandler, quiet)
+	discardLog := func(string, ...any) {}
+	p.first = New(p, p.firstHandler, discardLog)
+	p.second = New(p, p.secondHandler, discardLog)
 	return p
 }
 
-// connection is a link that the first server has opened to the second.
+// connection is a connection that the first server has opened to the second.
 type connection struct {
 	t               *testing.T
 	outbound        *fakeConn // the first server's end
@@ -107,7 +107,7 @@
 	inboundSession  transport.Session
 }
 
-// connect lets the last dial succeed.
+// connect makes the last dial succeed.
 func (p *pair) connect() *connection {
 	c := &connection{t: p.t, outbound: &fakeConn{}, inbound: &fakeConn{}}
 	c.outboundSession = p.dials[len(p.dials)-1].open(c.outbound)
@@ -115,7 +115,7 @@
 	return c
 }
 
-// deliver carries what both ends have written, until they write nothing more.
+// deliver passes the bytes that each end has written to the other end, until neither has written any more.
 func (c *connection) deliver() error {
 	for len(c.outbound.written)+len(c.inbound.written) > 0 {
 		fromFirst := c.outbound.take()
@@ -134,8 +134,8 @@
 	return nil
 }
 
-// The requests of a turn go in one message, their replies come back on the same link, and a server that goes by an
-// earlier epoch is told of the membership.
+// The requests of a turn are sent in one message, their replies return on the same connection, and a server with an
+// earlier epoch is sent the membership.
 func TestRequestsAndReplies(t *testing.T) {
 	pair := newPair(t)
 	pair.first.SetPeers(map[uint32]string{2: "there"})
@@ -155,7 +155,7 @@
 	for _, key := range []string{"x", "y"} {
 		pair.first.SendRequest(consensus.Request{To: consensus.Identity{ID: 2, Incarnation: 1}, Key: key, Epoch: 3})
 	}
-	pair.first.SendRequest(consensus.Request{To: consensus.Identity{ID: 9, Incarnation: 1}, Key: "nobody", Epoch: 3})
+	pair.first.SendRequest(consensus.Request{To: consensus.Identity{ID: 9, Incarnation: 1}, Key: "unreachable", Epoch: 3})
 	pair.first.Check(pair.now)
 	require.NoError(t, connection.deliver())
 	require.Len(t, pair.secondHandler.messages, 1)
@@ -164,11 +164,11 @@
 	pair.second.SendReply(consensus.Identity{ID: 1, Incarnation: 11}, consensus.Reply{Key: "of an earlier process"})
 	pair.second.Check(pair.now)
 	require.NoError(t, connection.deliver())
-	last := pair.firstHandler.lastMessage() // It is behind a sign of life.
+	last := pair.firstHandler.lastMessage() // It follows the answer to the hello.
 	require.Len(t, last.Replies, 1)
 	require.Equal(t, "x", last.Replies[0].Key)
 
-	pair.firstHandler.group.Epoch = 2 // The first server's next message shows that it is behind.
+	pair.firstHandler.group.Epoch = 2 // The first server's next message carries an earlier epoch.
 	pair.firstHandler.messages = nil
 	pair.now += pingInterval
 	pair.first.Check(pair.now)
@@ -180,13 +180,13 @@
 	require.Equal(t, uint64(3), last.Membership.Epoch)
 }
 
-// What is sent once is not sent again, also where its link ends before that, and a sign of life is answered.
-func TestNothingIsRepeated(t *testing.T) {
+// Messages are not sent twice, messages queued on a link that closes are dropped, and pings are answered.
+func TestMessagesAreSentOnce(t *testing.T) {
 	pair := newPair(t)
 	pair.first.SetPeers(map[uint32]string{2: "there"})
 	connection := pair.connect()
 	require.NoError(t, connection.deliver())
-	pair.second.Check(pair.now) // It answers the hello.
+	pair.second.Check(pair.now) // It answers the hello as if that were a ping.
 	require.NoError(t, connection.deliver())
 	request := consensus.Request{To: consensus.Identity{ID: 2, Incarnation: 1}, Key: "x", Epoch: 3}
 	pair.first.SendRequest(request)
@@ -195,7 +195,7 @@
 	pair.first.Check(pair.now)
 	require.Empty(t, connection.outbound.written)
 	pair.second.Check(pair.now)
-	require.Empty(t, connection.inbound.written, "a request is no sign of life that is to be answered")
+	require.Empty(t, connection.inbound.written, "a request is not a ping")
 
 	pair.now += pingInterval
 	pair.first.Check(pair.now)
@@ -215,7 +215,7 @@
 	require.Empty(t, connection.outbound.written)
 }
 
-// Transfer acknowledgements go to all servers, and the membership to those that are to be told of it.
+// Transfer acknowledgements are sent to all servers, and the membership to the servers for which it is queued.
 func TestAcksAndMembership(t *testing.T) {
 	pair := newPair(t)
 	pair.first.SetPeers(map[uint32]string{2: "there"})
@@ -233,20 +233,21 @@
 	pair.first.Check(pair.now)
 	require.NoError(t, connection.deliver())
 	require.Equal(t, &pair.firstHandler.group, pair.secondHandler.lastMessage().Membership)
-	told := len(pair.secondHandler.messages)
+	received := len(pair.secondHandler.messages)
 	pair.first.QueueMembership(2)
 	pair.first.Check(pair.now)
 	require.NoError(t, connection.deliver())
-	require.Len(t, pair.secondHandler.messages, told, "the same is not repeated at once")
+	require.Len(t, pair.secondHandler.messages, received, "the same membership is not repeated within noticeInterval")
 	pair.now += noticeInterval
 	pair.first.QueueMembership(2)
 	pair.first.Check(pair.now)
 	require.NoError(t, connection.deliver())
-	require.NotNil(t, pair.secondHandler.messages[told].Membership)
+	require.NotNil(t, pair.secondHandler.messages[received].Membership)
 }
 
-// A link that has lost bytes ends, as does one to another server than was meant, and one on which nobody says hello.
-func TestBrokenLinks(t *testing.T) {
+// A link is closed if its bytes are corrupted, if the server at the address has another ID, or if another message
+// arrives before the hello.
+func TestInvalidLinksAreClosed(t *testing.T) {
 	pair := newPair(t)
 	pair.first.SetPeers(map[uint32]string{2: "there"})
 	connection := pair.connect()
@@ -258,7 +259,7 @@
 	pair.first.SetPeers(map[uint32]string{3: "there"})
 	connection = pair.connect()
 	err := connection.deliver()
-	require.ErrorContains(t, err, "says that it is number 2, not 3")
+	require.ErrorContains(t, err, "server at there has ID 2, want 3")
 	var wrongServer *WrongServerError
 	require.ErrorAs(t, err, &wrongServer)
 	require.Equal(t, &WrongServerError{Address: "there", Want: 3, Got: 2}, wrongServer)
@@ -267,14 +268,14 @@
 	withoutHello, err := replicationwire.Append(nil, replicationwire.Message{Epoch: 3})
 	require.NoError(t, err)
 	_, err = pair.second.Accept(&fakeConn{}).Receive(withoutHello)
-	require.ErrorContains(t, err, "before any hello")
+	require.ErrorContains(t, err, "before the hello")
 	require.ErrorIs(t, err, ErrNoHello)
 	_, err = pair.dials[0].open(&fakeConn{}).Receive(withoutHello)
 	require.ErrorIs(t, err, ErrNoHello)
 }
 
-// A link on which no answer comes is closed and opened anew. Guards a server against a peer that hears it and is not
-// heard.
+// A link on which nothing is received is closed and reopened. Guards against a network fault in one direction, where
+// the peer receives this server's messages but its replies are lost.
 func TestSilentLinkIsReopened(t *testing.T) {
 	pair := newPair(t)
 	pair.first.SetPeers(map[uint32]string{2: "there"})
@@ -289,7 +290,7 @@
 		if outbound.closed {
 			break
 		}
-		require.NotEmpty(t, outbound.take(), "it asks for a sign of life")
+		require.NotEmpty(t, outbound.take(), "a ping is sent")
 	}
 	require.True(t, outbound.closed)
 	pair.first.outbound[0].Closed()
@@ -300,7 +301,7 @@
 	require.Len(t, pair.dials, 2)
 }
 
-// The items of a turn are split by number and by size; one that is over the size goes alone.
+// The items of a turn are split by number and by size. An item over maxBatchBytes ends its batch.
 func TestBatches(t *testing.T) {
 	sizes := func(items []int) []int {
 		var counts []int
--- a/internal/peers/messages.go
+++ b/internal/peers/messages.go
@@ -8,38 +8,38 @@
 	"pewterline/internal/protocol/replicationwire"
 )
 
-// The limits of a batch. They are far below those of the protocol, so that a vote does not wait behind a large message.
+// The limits of a batch. They are far below those of the protocol, so that large messages do not delay votes.
 const (
-	maxBatchBytes = 64 << 10 // by the estimate of requestSize and replySize
+	maxBatchBytes = 64 << 10 // as estimated by requestSize and replySize
 	maxBatchItems = 256
 )
 
-// The estimated encoded sizes of a request and of a reply without key and result, in bytes.
+// The estimated encoded sizes of a request and a reply without key and result, in bytes.
 const (
 	requestOverhead = 100
 	replyOverhead   = 120
 )
 
-// noticeInterval is the time between two notices of the same membership to a server that still has an earlier epoch.
+// noticeInterval is the minimum time between two notices of the same membership on a link.
 const noticeInterval = 500 * microtime.Millisecond
 
-// membershipNotice decides when to send the membership to the other end of a link, if that has an earlier epoch.
+// membershipNotice decides when to send the membership to the other end of a link, which may have an earlier epoch.
 type membershipNotice struct {
-	pending   bool
-	lastEpoch uint64 // that was sent
-	lastAt    microtime.Time
+	pending       bool
+	lastSentEpoch uint64 // epoch of the last membership sent
+	lastSentAt    microtime.Time
 }
 
-// take returns the membership if it has to be sent now, and nil otherwise.
+// take clears the pending notice. It returns the membership if it must be sent now, and nil otherwise.
 func (n *membershipNotice) take(now microtime.Time, membership *consensus.Membership) *consensus.Membership {
-	repeated := n.lastEpoch == membership.Epoch && now < n.lastAt+noticeInterval
+	repeated := n.lastSentEpoch == membership.Epoch && now < n.lastSentAt+noticeInterval
 	due := n.pending && membership.Epoch != 0 && !repeated
 	n.pending = false
 	if !due {
 		return nil
 	}
-	n.lastEpoch = membership.Epoch
-	n.lastAt = now
+	n.lastSentEpoch = membership.Epoch
+	n.lastSentAt = now
 	return membership
 }
 
@@ -51,7 +51,8 @@
 	return replyOverhead + len(reply.Key) + len(reply.Value.Result)
 }
 
-// batches splits items into parts that each fit into one message. An item over maxBatchBytes is a part of its own.
+// batches splits items into batches that each fit into one message. A batch ends with the item that reaches
+// maxBatchBytes or maxBatchItems.
 func batches[T any](items []T, size func(*T) int) iter.Seq[[]T] {
 	return func(yield func([]T) bool) {
 		for len(items) > 0 {
@@ -69,7 +70,7 @@
 	}
 }
 
-// receiveMessages handles the complete messages at the front of in. It returns how many bytes they took.
+// receiveMessages handles the complete messages at the start of in. It returns the number of bytes consumed.
 func receiveMessages(in []byte, handle func(replicationwire.Message) error) (int, error) {
 	consumed := 0
 	for {
--- a/internal/peers/outbound.go
+++ b/internal/peers/outbound.go
@@ -12,18 +12,18 @@
 )
 
 const (
-	// pingInterval is the time after the last request or ping at which a ping is sent on a link.
+	// pingInterval is the time after the last request or ping on a link at which the next ping is sent.
 	pingInterval = 300 * microtime.Millisecond
-	// silenceTimeout is how long a link may be without an answer before it is reopened.
+	// silenceTimeout is the time without a message from the other server after which a link is reopened.
 	silenceTimeout = 2 * microtime.Second
-	// redialDelay is the wait before a link that has ended is reopened.
+	// redialDelay is the time after which a closed link is reopened.
 	redialDelay = 100 * microtime.Millisecond
 )
 
-// ErrNoHello closes a connection whose other end sends another message before its hello.
-var ErrNoHello = errors.New("peers: a message before any hello")
+// ErrNoHello closes a connection on which the other server sends another message before its hello.
+var ErrNoHello = errors.New("peers: message received before the hello")
 
-// WrongServerError closes a connection that has reached another server than intended.
+// WrongServerError closes a connection to an address at which a server with another ID answers.
 type WrongServerError struct {
 	Address string
 	Want    uint32
@@ -32,7 +32,7 @@
 
 // Error implements error.
 func (e *WrongServerError) Error() string {
-	return fmt.Sprintf("peers: the server at %s says that it is number %d, not %d", e.Address, e.Got, e.Want)
+	return fmt.Sprintf("peers: server at %s has ID %d, want %d", e.Address, e.Got, e.Want)
 }
 
 // outboundLink is a link that this server opens to another. It implements transport.Session.
@@ -41,9 +41,9 @@
 	id         uint32
 	address    string
 	conn       transport.Conn // nil while it is being opened
-	cancelDial func()         // nil while no dial is in progress and no connection is open
-	up         bool           // the server has said hello
-	removed    bool           // remove was called
+	cancelDial func()         // nil if no dial is in progress and no connection is open
+	up         bool           // the other server has sent its hello
+	removed    bool           // remove has been called
 	lastReadAt microtime.Time
 	lastPingAt microtime.Time
 	redialAt   microtime.Time
@@ -63,13 +63,13 @@
 	})
 }
 
-// check runs the link's timers and sends its queued messages. It returns when it has to be called again.
+// check runs the link's timers and sends its queued messages. It returns the time at which it must be called again.
 func (o *outboundLink) check(now microtime.Time) microtime.Time {
 	switch {
 	case o.conn != nil && now >= o.lastReadAt+silenceTimeout:
-		o.links.logf("peers: no answer from a server: server=%d address=%s silent_for=%v",
+		o.links.logf("peers: link timed out: server=%d address=%s silent_for=%v",
 			o.id, o.address, silenceTimeout.Duration())
-		o.conn.Close() // closed follows
+		o.conn.Close() // the transport then calls Closed
 	case o.conn != nil:
 		o.flush(now)
 		return min(o.lastPingAt+pingInterval, o.lastReadAt+silenceTimeout)
@@ -81,7 +81,7 @@
 	return microtime.Never
 }
 
-// remove ends the link for good.
+// remove closes the link permanently.
 func (o *outboundLink) remove() {
 	o.removed = true
 	o.links.outbound = slices.DeleteFunc(o.links.outbound, func(other *outboundLink) bool { return other == o })
@@ -134,7 +134,7 @@
 func (o *outboundLink) handle(message replicationwire.Message) error {
 	o.lastReadAt = o.links.loop.Now()
 	if message.Hello != nil {
-		if err := o.greet(*message.Hello); err != nil {
+		if err := o.handleHello(*message.Hello); err != nil {
 			return err
 		}
 	} else if !o.up {
@@ -147,7 +147,7 @@
 	return nil
 }
 
-func (o *outboundLink) greet(hello replicationwire.Hello) error {
+func (o *outboundLink) handleHello(hello replicationwire.Hello) error {
 	if hello.ID != o.id {
 		return &WrongServerError{Address: o.address, Want: o.id, Got: hello.ID}
 	}
@@ -159,7 +159,7 @@
 	return nil
 }
 
-// Idle implements transport.Session. A link is never evicted.
+// Idle implements transport.Session. It returns false, so that the link is never evicted.
 func (o *outboundLink) Idle() bool { return false }
 
 // Closed implements transport.Session.
--- a/internal/protocol/replicationwire/encoding.go
+++ b/internal/protocol/replicationwire/encoding.go
@@ -8,8 +8,8 @@
 	"pewterline/internal/decide/consensus"
 )
 
-// decoding limits what a frame or a record can make the decoder allocate.
-var decoding = func() cbor.DecMode {
+// decodeMode limits the memory that the decoder allocates for a frame or a record.
+var decodeMode = func() cbor.DecMode {
 	options := cbor.DecOptions{
 		MaxArrayElements: 1 << 20,
 		MaxMapPairs:      64,
@@ -18,13 +18,13 @@
 	}
 	mode, err := options.DecMode()
 	if err != nil {
-		panic(err) // the options are constants
+		panic(err) // unreachable: the options are constant and valid
 	}
 	return mode
 }()
 
-// The types of this package whose names end in Encoding define the format. Those with "toarray" are encoded as arrays
-// of their fields in order, the others as maps with the fields' numbers as keys.
+// The types of this package whose names end in Encoding define the format. Types tagged "toarray" are encoded as arrays
+// of their fields in order, the others as maps with the field numbers as keys.
 
 type identityEncoding struct {
 	_           struct{} `cbor:",toarray"`
@@ -117,7 +117,7 @@
 	}
 }
 
-// encodeMembership encodes an optional membership as text; "": there is none.
+// encodeMembership encodes an optional membership as text. A nil membership is encoded as "".
 func encodeMembership(membership *consensus.Membership) string {
 	if membership == nil {
 		return ""
--- a/internal/protocol/replicationwire/format_test.go
+++ b/internal/protocol/replicationwire/format_test.go
@@ -23,7 +23,7 @@
 		Next:    []consensus.Member{{Identity: acceptorA, Addr: "127.0.0.1:7401"}}, Reason: "be\"cause\n"}
 )
 
-// recordedMessages are the messages whose frames testdata/frames.hex holds.
+// recordedMessages are the messages that testdata/frames.hex contains, by name.
 var recordedMessages = map[string]Message{
 	"keep-alive":          {Epoch: 3},
 	"empty":               {},
@@ -49,7 +49,7 @@
 		TransferAcks: []consensus.TransferAck{{Epoch: 2, From: acceptorA}}},
 }
 
-// recordedRecords are the records on disk whose bytes testdata/records.hex holds.
+// recordedRecords are the records that testdata/records.hex contains, by name.
 var recordedRecords = map[string]Record{
 	"empty":         {},
 	"incarnation":   {Incarnation: 1 << 62},
@@ -66,8 +66,8 @@
 		Registers: []consensus.SavedRegister{{Key: "k", Register: consensus.Register{Promised: lowBallot}}}, ForgetBefore: 2},
 }
 
-// Guards a group whose servers are upgraded one by one: frames are written and read as the release whose frames were
-// recorded does.
+// Guards rolling upgrades: this release must encode and decode frames in the same way as the release that recorded
+// testdata/frames.hex.
 func TestFramesAreAsRecorded(t *testing.T) {
 	frames := golden.Frames(t, "testdata/frames.hex")
 	require.Len(t, frames, len(recordedMessages))
@@ -86,7 +86,8 @@
 	}
 }
 
-// Guards servers that come back with this release on a disk that an earlier one has written.
+// Guards upgrades: this release must encode and decode the log records of the release that recorded
+// testdata/records.hex in the same way.
 func TestRecordsAreAsRecorded(t *testing.T) {
 	frames := golden.Frames(t, "testdata/records.hex")
 	require.Len(t, frames, len(recordedRecords))
--- a/internal/protocol/replicationwire/message_encoding.go
+++ b/internal/protocol/replicationwire/message_encoding.go
@@ -46,17 +46,17 @@
 	TransferAcks []transferAckEncoding `cbor:"7,keyasint,omitempty"`
 }
 
-// checkBounds checks the limits of a key and its value.
+// checkBounds checks that a key and its value are within the limits, and that the kind of the value is known.
 func checkBounds(key []byte, value *valueEncoding) error {
 	switch {
 	case len(key) > MaxKey:
-		return fmt.Errorf("%w: a key of %d bytes is over %d", ErrTooLarge, len(key), MaxKey)
+		return fmt.Errorf("%w: key of %d bytes exceeds %d", ErrTooLarge, len(key), MaxKey)
 	case value == nil:
 		return nil
 	case len(value.Result) > MaxValue:
-		return fmt.Errorf("%w: a value of %d bytes is over %d", ErrTooLarge, len(value.Result), MaxValue)
+		return fmt.Errorf("%w: value of %d bytes exceeds %d", ErrTooLarge, len(value.Result), MaxValue)
 	case value.Kind > uint8(consensus.KindMembership):
-		return fmt.Errorf("%w: a value of kind %d", ErrMalformedFrame, value.Kind)
+		return fmt.Errorf("%w: unknown value kind %d", ErrMalformedFrame, value.Kind)
 	}
 	return nil
 }
--- a/internal/protocol/replicationwire/message_test.go
+++ b/internal/protocol/replicationwire/message_test.go
@@ -12,8 +12,8 @@
 	"pewterline/internal/decide/consensus"
 )
 
-// sample is a message with all that a message can have.
-func sample() Message {
+// sampleMessage returns a message in which every field is set.
+func sampleMessage() Message {
 	acceptor := consensus.Identity{ID: 3, Incarnation: 1 << 63}
 	ballot := consensus.Ballot{Number: 9, Proposer: acceptor}
 	value := consensus.Value{Kind: consensus.KindSucceeded, Owner: 3, Incarnation: 4, Attempt: 5,
@@ -40,10 +40,10 @@
 	}
 }
 
-// What is written is read, cut anywhere: half a message is no message. A byte that is not what was sent ends the
-// link.
+// A message is decoded as it was encoded. A truncated message is reported as incomplete, and a corrupted byte is an
+// error or makes the message incomplete.
 func TestMessages(t *testing.T) {
-	want := sample()
+	want := sampleMessage()
 	out, err := Append(nil, want)
 	require.NoError(t, err)
 	out, err = Append(out, Message{Epoch: 3})
@@ -57,10 +57,10 @@
 		require.Zero(t, size)
 	}
 	for i := range n {
-		spoilt := append([]byte(nil), out[:n]...)
-		spoilt[i] ^= 0x10
-		_, size, err := Parse(spoilt)
-		if i >= 4 { // else the length has changed, and more may be waited for
+		corrupted := append([]byte(nil), out[:n]...)
+		corrupted[i] ^= 0x10
+		_, size, err := Parse(corrupted)
+		if i >= 4 { // otherwise the length is corrupted, and the frame may seem incomplete
 			require.ErrorIs(t, err, ErrMalformedFrame, i)
 		}
 		require.Zero(t, size)
@@ -70,7 +70,7 @@
 	require.Equal(t, Message{Epoch: 3}, got)
 }
 
-// Guards memory against what is too large, in either direction.
+// Guards memory use: messages over the limits are rejected when they are encoded or decoded.
 func TestBounds(t *testing.T) {
 	cases := []struct {
 		name    string
@@ -84,14 +84,14 @@
 		}}}},
 	}
 	for _, tc := range cases {
-		t.Run("written: "+tc.name, func(t *testing.T) {
+		t.Run("encode: "+tc.name, func(t *testing.T) {
 			_, err := Append(nil, tc.message)
 			require.ErrorIs(t, err, ErrTooLarge)
 		})
 	}
 	value := consensus.Value{Kind: consensus.KindSucceeded, Result: strings.Repeat("x", MaxValue+1)}
 	unknown := consensus.Value{Kind: consensus.KindMembership + 1}
-	received := []struct {
+	decodeCases := []struct {
 		name    string
 		message Message
 		want    error
@@ -102,8 +102,8 @@
 		{"value of a reply", Message{Replies: []consensus.Reply{{Value: value}}}, ErrTooLarge},
 		{"unknown kind", Message{Requests: []consensus.Request{{Value: unknown}}}, ErrMalformedFrame},
 	}
-	for _, tc := range received {
-		t.Run("received: "+tc.name, func(t *testing.T) {
+	for _, tc := range decodeCases {
+		t.Run("decode: "+tc.name, func(t *testing.T) {
 			out, err := Append(nil, tc.message)
 			require.NoError(t, err)
 			_, _, err = Parse(out)
@@ -114,7 +114,7 @@
 	require.ErrorIs(t, err, ErrMalformedFrame)
 }
 
-// A record is read as it was written.
+// A record is decoded as it was encoded. An invalid record is an error.
 func TestRecords(t *testing.T) {
 	ballot := consensus.Ballot{Number: 9, Proposer: consensus.Identity{ID: 1, Incarnation: 2}}
 	registers := []consensus.SavedRegister{
@@ -132,7 +132,7 @@
 		want Record
 	}{
 		{"incarnation", Record{Incarnation: 1 << 62}},
-		{"membership", Record{Membership: sample().Membership}},
+		{"membership", Record{Membership: sampleMessage().Membership}},
 		{"forget before", Record{ForgetBefore: 99}},
 		{"registers", Record{Registers: registers}},
 	}
@@ -145,30 +145,30 @@
 			require.Equal(t, tc.want, got)
 		})
 	}
-	for _, bad := range []string{"", "\xff", "\xa1\x01\x09"} {
-		_, err := ParseRecord([]byte(bad))
+	for _, invalid := range []string{"", "\xff", "\xa1\x01\x09"} {
+		_, err := ParseRecord([]byte(invalid))
 		require.ErrorIs(t, err, ErrMalformedFrame)
 	}
 }
 
-// Whatever bytes come under a right checksum, they are read or refused, and what is read can be written.
+// Any body with a correct checksum is either decoded or rejected, and a decoded message or record can be encoded again.
 func FuzzParse(f *testing.F) {
-	out, err := Append(nil, sample())
+	out, err := Append(nil, sampleMessage())
 	require.NoError(f, err)
 	f.Add(out[bodyOffset:])
 	f.Add([]byte{0xa0})
 	f.Fuzz(func(t *testing.T, body []byte) {
 		in := binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint32(nil, uint32(len(body))), xxhash.Sum64(body))
-		m, n, err := Parse(append(in, body...))
-		if err != nil || n == 0 {
+		message, size, err := Parse(append(in, body...))
+		if err != nil || size == 0 {
 			return
 		}
-		if _, err := Append(nil, m); err != nil && !errors.Is(err, ErrTooLarge) {
-			t.Fatalf("%v: %+v", err, m)
+		if _, err := Append(nil, message); err != nil && !errors.Is(err, ErrTooLarge) {
+			t.Fatalf("%v: %+v", err, message)
 		}
-		if r, err := ParseRecord(body); err == nil {
-			if _, err := AppendRecord(nil, r); err != nil {
-				t.Fatalf("%v: %+v", err, r)
+		if record, err := ParseRecord(body); err == nil {
+			if _, err := AppendRecord(nil, record); err != nil {
+				t.Fatalf("%v: %+v", err, record)
 			}
 		}
 	})
--- a/internal/protocol/replicationwire/record.go
+++ b/internal/protocol/replicationwire/record.go
@@ -8,7 +8,7 @@
 	"pewterline/internal/decide/consensus"
 )
 
-// Record is a change of an acceptor's durable state. Zero fields change nothing.
+// Record is a change to an acceptor's durable state. Fields with zero values change nothing.
 type Record struct {
 	Incarnation  uint64
 	Membership   *consensus.Membership // the new membership
@@ -21,7 +21,7 @@
 func AppendRecord(out []byte, record Record) ([]byte, error) {
 	body, err := cbor.Marshal(encodeRecord(record))
 	if err != nil {
-		return out, fmt.Errorf("replicationwire: encode a record: %w", err)
+		return out, fmt.Errorf("replicationwire: encode record: %w", err)
 	}
 	return append(out, body...), nil
 }
@@ -29,15 +29,15 @@
 // ParseRecord decodes a record. Its error wraps ErrMalformedFrame.
 func ParseRecord(in []byte) (Record, error) {
 	var encoded recordEncoding
-	if err := decoding.Unmarshal(in, &encoded); err != nil {
-		return Record{}, fmt.Errorf("%w: a record: %w", ErrMalformedFrame, err)
+	if err := decodeMode.Unmarshal(in, &encoded); err != nil {
+		return Record{}, fmt.Errorf("%w: record: %w", ErrMalformedFrame, err)
 	}
 	if encoded.Version != Version {
-		return Record{}, fmt.Errorf("%w: a record of version %d, ours is %d", ErrMalformedFrame, encoded.Version, Version)
+		return Record{}, fmt.Errorf("%w: record version %d, want %d", ErrMalformedFrame, encoded.Version, Version)
 	}
 	record, err := encoded.decode()
 	if err != nil {
-		return Record{}, fmt.Errorf("a record: %w", err)
+		return Record{}, fmt.Errorf("record: %w", err)
 	}
 	return record, nil
 }
