--- a/internal/protocol/replicationwire/message_test.go
+++ b/internal/protocol/replicationwire/message_test.go
@@ -151,7 +151,8 @@
 	}
 }
 
-// Any body with a correct checksum is either decoded or rejected, and a decoded message or record can be encoded again.
+// Any body with a correct checksum is either decoded or rejected, and a decoded message or record can be encoded
+// again, unless the message is too large.
 func FuzzParse(f *testing.F) {
 	out, err := Append(nil, sampleMessage())
 	require.NoError(f, err)
--- a/internal/replication/cluster_test.go
+++ b/internal/replication/cluster_test.go
@@ -191,7 +191,7 @@
 	closed   bool
 }
 
-// end is one end of a pipe.
+// pipeEnd is one end of a pipe. It implements transport.Conn.
 type pipeEnd struct {
 	session  transport.Session
 	outgoing []byte
--- a/internal/replication/membership.go
+++ b/internal/replication/membership.go
@@ -127,8 +127,8 @@
 	forcedAt := r.config.UnixMilli(now) + maxClockSkewMilli
 	err := r.node.ForceMembership(now, keep, forcedAt, reasonOrDefault(reason, fmt.Sprintf(reasonForced, keep)))
 	if err == nil {
-		r.config.Logf("replication: membership forced, LOSS of data that only the removed servers "+
-			"stored: servers=%v no_unknown_key_before_unix_ms=%d", keep, forcedAt+r.retentionMilli)
+		r.config.Logf("replication: membership forced to the kept servers, LOSS of data that only the "+
+			"removed ones stored: servers=%v no_unknown_key_before_unix_ms=%d", keep, forcedAt+r.retentionMilli)
 	}
 	return r.flushAfter(err)
 }
