--- a/internal/frontend/ajpfrontend/frontend.go
+++ b/internal/frontend/ajpfrontend/frontend.go
@@ -1,8 +1,8 @@
-// Package ajpfrontend serves web servers over AJP 1.3: each forwarded HTTP request becomes a request to the core, and
-// the core's response an HTTP response. Package server accepts the connections and calls the Frontend on its event
-// loop. The package owns the sessions of these connections and their timeouts. It never decides about a request: it
-// fills in defaults for the fields that a web server does not send, submits the request to the core and writes the
-// response.
+// Package ajpfrontend serves web servers over AJP 1.3: it converts each forwarded HTTP request into a request to the
+// core, and the core's response into an HTTP response. Package server accepts the connections and calls the Frontend on
+// its event loop. The package owns the sessions of these connections and their timeouts. It never decides whether or
+// when a request runs: it fills in defaults for the fields that a web server does not send, submits the request to the
+// core and writes the response.
 package ajpfrontend
 
 import (
@@ -14,11 +14,11 @@
 	"pewterline/internal/transport"
 )
 
-// Server is the log server as this frontend sees it. Beyond frontend.Server it has what the defaults of absent fields
-// are computed from.
+// Server is the log server as this frontend sees it. It adds to frontend.Server the inputs for the defaults of absent
+// fields.
 type Server interface {
 	frontend.Server
-	// Rand returns a random number, which need not be secret.
+	// Rand returns a random number, which need not be cryptographically secure.
 	Rand() uint64
 	// Classes returns the settings' classes, by index.
 	Classes() []control.Class
@@ -49,7 +49,7 @@
 // Len returns the number of connections.
 func (f *Frontend) Len() int { return f.sessions.Len() }
 
-// ExpireTimeouts handles the sessions whose deadline is over. It returns the next deadline, or microtime.Never.
+// ExpireTimeouts handles the sessions whose deadline has passed. It returns the next deadline, or microtime.Never.
 func (f *Frontend) ExpireTimeouts(now microtime.Time) microtime.Time {
 	next := microtime.Never
 	for _, s := range f.sessions.Items() {
--- a/internal/frontend/ajpfrontend/request.go
+++ b/internal/frontend/ajpfrontend/request.go
@@ -27,7 +27,7 @@
 	var err error
 	s.request, err = ajp.ParseForwardRequest(payload)
 	if err != nil {
-		// It is unknown whether a body follows, so the connection has to be closed.
+		// Whether a body follows is unknown, so the connection must be closed.
 		s.reject(statusBadRequest, err.Error())
 		return
 	}
@@ -38,12 +38,12 @@
 	case s.request.URI == healthPath:
 		s.conn.MarkIdentified()
 		s.respondHealth()
-	case !servesMethod(s.request.Method):
+	case !isSupportedMethod(s.request.Method):
 		s.reject(statusMethodNotAllowed, s.request.Method+" is not offered")
 	case s.request.ContentLength > int64(maxBody):
 		s.reject(statusPayloadTooLarge, fmt.Sprintf("a body of %d bytes is over %d", s.request.ContentLength, maxBody))
 	case s.request.ContentLength > 0:
-		s.awaitBody() // web servers send its first packet without being asked
+		s.awaitBody() // web servers send the first packet of the body unrequested
 	case s.request.IsChunked():
 		s.awaitBody()
 		s.write(ajp.AppendGetBodyChunk(s.scratch[:0], maxBody+1))
@@ -57,18 +57,20 @@
 	return secret == "" || subtle.ConstantTimeCompare([]byte(s.request.Secret), []byte(secret)) == 1
 }
 
-func servesMethod(method string) bool { return method == "POST" || method == "PUT" || method == "GET" }
+func isSupportedMethod(method string) bool {
+	return method == "POST" || method == "PUT" || method == "GET"
+}
 
-// awaitBody starts to wait for the body. The connection is identified, and closed if the body does not come within
-// BodyTimeout.
+// awaitBody marks the connection as identified and starts waiting for the body. If the body is not complete within
+// BodyTimeout, the request is rejected and the connection closed.
 func (s *session) awaitBody() {
 	s.conn.MarkIdentified()
 	s.phase = awaitBody
 	s.deadline = s.arrivedAt + s.frontend.config.BodyTimeout
 }
 
-// receiveBody handles a part of the body, and requests the next one or submits the request. An error closes the
-// connection.
+// receiveBody handles a chunk of the body. It then requests the next chunk or, after the last one, submits the request.
+// An error closes the connection.
 func (s *session) receiveBody(payload []byte) error {
 	chunk, err := ajp.ParseBodyChunk(payload)
 	if err != nil {
@@ -97,19 +99,19 @@
 func (s *session) submit() {
 	request, err := s.readRequest()
 	if err == nil {
-		s.phase = awaitAnswer
-		if s.id, err = s.frontend.server.Submit(request); err == nil {
+		s.phase = awaitResponse
+		if s.requestID, err = s.frontend.server.Submit(request); err == nil {
 			s.conn.MarkIdentified()
-			s.body = nil // the core has it
+			s.body = nil // the core owns it now
 			return
 		}
 		s.phase = awaitRequest
 	}
 	s.frontend.server.Logf("ajp: request rejected: peer=%s status=%d error=%v", s.conn.Remote(), statusBadRequest, err)
-	s.respond(response{status: statusBadRequest, body: textBody(err.Error()), keep: true})
+	s.respond(response{status: statusBadRequest, body: textBody(err.Error()), keepAlive: true})
 }
 
-// readRequest reads the fields of a request from the headers, with defaults for absent ones.
+// readRequest reads the fields of a request from its headers, with defaults for absent fields.
 func (s *session) readRequest() (dispatch.Request, error) {
 	server := s.frontend.server
 	now := server.Now()
@@ -125,8 +127,8 @@
 	if s.fieldHeader(frontend.FieldSentAt) == "" {
 		request.ArrivedAt = s.arrivedAt
 	}
-	// A request that seems to be past its deadline on arrival is due to a web server's wrong clock. The core would
-	// reject it.
+	// If a request appears to be past its deadline on arrival, the web server's clock is wrong. The arrival time is
+	// limited here, because the core would reject the request otherwise.
 	classes := server.Classes()
 	request.ArrivedAt = max(request.ArrivedAt, now-microtime.FromDuration(classes[request.Class].Deadline))
 	if s.fieldHeader(frontend.FieldRank) == "" {
@@ -137,13 +139,13 @@
 	return request, nil
 }
 
-// fieldHeader returns the header that carries a field; "" if there is none.
+// fieldHeader returns the value of the header that carries a field, or "" if there is none.
 func (s *session) fieldHeader(field string) string {
 	return s.request.Header(frontend.HeaderPrefix + field)
 }
 
-// defaultField returns the default of an absent field. That of the class is the last part of the path. Those of
-// FieldSentAt and FieldRank are placeholders, which readRequest replaces.
+// defaultField returns the default of an absent field. The default class is the last segment of the path. The defaults
+// of FieldSentAt and FieldRank are placeholders, which readRequest replaces.
 func (s *session) defaultField(field string) string {
 	switch field {
 	case frontend.FieldClass:
--- a/internal/frontend/ajpfrontend/response.go
+++ b/internal/frontend/ajpfrontend/response.go
@@ -55,51 +55,51 @@
 
 // response is one HTTP response.
 type response struct {
-	status  int
-	headers []ajp.Header
-	body    []byte
-	keep    bool // the connection stays open
+	status    int
+	headers   []ajp.Header
+	body      []byte
+	keepAlive bool // whether the connection stays open
 }
 
 // textBody returns a line of text as a body.
 func textBody(text string) []byte { return []byte(text + "\n") }
 
-// Respond is part of dispatch.Responder.
-func (s *session) Respond(answer dispatch.Response) {
-	if s.closed || s.phase != awaitAnswer {
+// Respond implements dispatch.Responder.
+func (s *session) Respond(coreResponse dispatch.Response) {
+	if s.closed || s.phase != awaitResponse {
 		return
 	}
 	s.phase = awaitRequest
-	s.respond(responseTo(answer))
-	s.conn.Resume() // handle packets that came after the request
+	s.respond(toHTTPResponse(coreResponse))
+	s.conn.Resume() // handle packets received after the request
 }
 
-// responseTo converts the core's response.
-func responseTo(answer dispatch.Response) response {
-	switch answer.Status {
+// toHTTPResponse converts a response of the core.
+func toHTTPResponse(coreResponse dispatch.Response) response {
+	switch coreResponse.Status {
 	case dispatch.StatusSucceeded:
 		headers := []ajp.Header{{Name: "Content-Type", Value: "application/octet-stream"}}
-		return response{status: statusOK, headers: headers, body: answer.Result, keep: true}
+		return response{status: statusOK, headers: headers, body: coreResponse.Result, keepAlive: true}
 	case dispatch.StatusRejected:
 		body := textBody("turned away; it never ran")
-		return response{status: statusServiceUnavailable, headers: adviceHeaders(answer), body: body, keep: true}
+		return response{status: statusServiceUnavailable, headers: adviceHeaders(coreResponse), body: body, keepAlive: true}
 	case dispatch.StatusExpired:
-		return response{status: statusGatewayTimeout, body: textBody(answer.Reason), keep: true}
+		return response{status: statusGatewayTimeout, body: textBody(coreResponse.Reason), keepAlive: true}
 	default:
-		return response{status: statusBadGateway, body: textBody(answer.Reason), keep: true}
+		return response{status: statusBadGateway, body: textBody(coreResponse.Reason), keepAlive: true}
 	}
 }
 
-// adviceHeaders returns the headers that say when to retry, and whether another server may be tried. Retry-After is
+// adviceHeaders returns the headers that state when to retry, and whether another server may be tried. Retry-After is
 // always at least a second, so that a client that knows only HTTP does not retry at once.
-func adviceHeaders(answer dispatch.Response) []ajp.Header {
-	milliseconds := max(frontend.CeilMilliseconds(answer.RetryAfter), 1)
+func adviceHeaders(coreResponse dispatch.Response) []ajp.Header {
+	milliseconds := max(frontend.CeilMilliseconds(coreResponse.RetryAfter), 1)
 	seconds := (milliseconds + 999) / 1000
 	headers := []ajp.Header{
 		{Name: "Retry-After", Value: strconv.FormatInt(seconds, 10)},
 		{Name: headerRetryAfterMS, Value: strconv.FormatInt(milliseconds, 10)},
 	}
-	if answer.NoRetry {
+	if coreResponse.NoRetry {
 		headers = append(headers, ajp.Header{Name: headerNoRetry, Value: "1"})
 	}
 	return headers
@@ -111,9 +111,9 @@
 	case s.request.ContentLength > 0 || s.request.IsChunked():
 		s.reject(statusBadRequest, "a health check has no body")
 	case s.frontend.server.Healthy():
-		s.respond(response{status: statusOK, body: textBody("good"), keep: true})
+		s.respond(response{status: statusOK, body: textBody("good"), keepAlive: true})
 	default:
-		s.respond(response{status: statusServiceUnavailable, body: textBody("not good"), keep: true})
+		s.respond(response{status: statusServiceUnavailable, body: textBody("not good"), keepAlive: true})
 	}
 }
 
@@ -126,8 +126,8 @@
 	s.respond(response{status: status, body: textBody(reason)})
 }
 
-// respond writes a response. A connection that is not kept open waits for the peer to close it: to close a socket with
-// unread input would reset the connection and lose the response.
+// respond writes a response. If the connection is not kept alive, the session waits for the peer to close it: closing a
+// socket with unread input would reset the connection and lose the response.
 func (s *session) respond(r response) {
 	server := s.frontend.server
 	headers := r.headers
@@ -135,11 +135,11 @@
 		headers = append(headers, ajp.Header{Name: headerAdmissionLevel, Value: text})
 	}
 	headers = append(headers, ajp.Header{Name: "Content-Length", Value: strconv.Itoa(len(r.body))})
-	keep := r.keep && !server.Draining()
+	keepAlive := r.keepAlive && !server.Draining()
 	out := ajp.AppendSendHeaders(s.scratch[:0], r.status, statusText(r.status), headers)
 	out = ajp.AppendResponseBody(out, r.body)
-	s.write(ajp.AppendEndResponse(out, keep))
-	if keep {
+	s.write(ajp.AppendEndResponse(out, keepAlive))
+	if keepAlive {
 		s.phase = awaitRequest
 		s.deadline = server.Now() + idleTimeout
 		return
--- a/internal/frontend/ajpfrontend/session.go
+++ b/internal/frontend/ajpfrontend/session.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	// idleTimeout is how long a connection may be without a request.
+	// idleTimeout is how long a connection may stay open without a request.
 	idleTimeout = 60 * microtime.Second
-	// maxPipelined is the most bytes that may wait while a request is in flight.
+	// maxPipelined is the most bytes that may be buffered behind a request in flight.
 	maxPipelined = 64 << 10
 )
 
@@ -23,13 +23,13 @@
 const (
 	awaitRequest phase = iota
 	awaitBody
-	awaitAnswer
+	awaitResponse
 	awaitClose // the last response is written; further input is discarded
 )
 
 // String names the phase.
 func (p phase) String() string {
-	return [...]string{"await request", "await body", "await answer", "await close"}[p]
+	return [...]string{"await request", "await body", "await response", "await close"}[p]
 }
 
 // session is one connection. It has one request at a time.
@@ -38,13 +38,13 @@
 	frontend  *Frontend
 	conn      transport.Conn
 	phase     phase
-	request   ajp.Request // the last one
-	body      []byte      // the part of its body received so far
+	request   ajp.Request // the latest request
+	body      []byte      // the part of the request's body received so far
 	arrivedAt microtime.Time
-	deadline  microtime.Time // for the body, for the peer's close, or for the next request
-	id        control.RequestID
+	deadline  microtime.Time // for the body, for the peer's close or for the next request
+	requestID control.RequestID
 	closed    bool
-	scratch   []byte // reused by each response
+	scratch   []byte // buffer reused by each write
 }
 
 // write sends packets that were appended to s.scratch[:0].
@@ -53,32 +53,32 @@
 	s.conn.Write(packets)
 }
 
-// Closed is part of transport.Session. A request with an incomplete body is dropped; a request in flight is cancelled.
+// Closed implements transport.Session. A request with an incomplete body is dropped; a request in flight is cancelled.
 func (s *session) Closed() {
 	s.closed = true
 	s.frontend.sessions.Remove(s)
-	if s.phase == awaitAnswer {
-		s.frontend.server.Cancel(s.id)
+	if s.phase == awaitResponse {
+		s.frontend.server.Cancel(s.requestID)
 	}
 	s.body = nil
 }
 
-// Idle is part of transport.Session.
+// Idle implements transport.Session.
 func (s *session) Idle() bool { return s.phase == awaitRequest }
 
-// Receive is part of transport.Session.
+// Receive implements transport.Session.
 func (s *session) Receive(in []byte) (int, error) {
 	consumed := 0
 	for {
 		switch s.phase {
 		case awaitClose:
 			return len(in), nil
-		case awaitAnswer:
+		case awaitResponse:
 			if waiting := len(in) - consumed; waiting > maxPipelined {
-				return consumed, fmt.Errorf("%w: %d bytes behind a request in hand", ajp.ErrInvalidPacket, waiting)
+				return consumed, fmt.Errorf("%w: %d bytes received behind a request in flight", ajp.ErrInvalidPacket, waiting)
 			}
 			return consumed, nil
-		default: // ready for packets
+		default: // the session accepts packets
 		}
 		payload, size, err := ajp.SplitPacket(in[consumed:], ajp.FromServer)
 		if err != nil || payload == nil {
@@ -99,16 +99,16 @@
 // receivePacket handles a packet that is not part of a body. An error closes the connection.
 func (s *session) receivePacket(payload []byte) error {
 	if len(payload) == 0 {
-		return fmt.Errorf("%w: empty where a request was due", ajp.ErrInvalidPacket)
+		return fmt.Errorf("%w: empty payload, expected a request", ajp.ErrInvalidPacket)
 	}
 	s.deadline = s.frontend.server.Now() + idleTimeout
 	switch code := ajp.Code(payload[0]); code {
 	case ajp.CodeCPing:
 		s.conn.MarkIdentified()
 		s.write(ajp.AppendCPong(s.scratch[:0]))
-	case ajp.CodeShutdown: // anyone who reaches the port could stop the server
+	case ajp.CodeShutdown: // ignored: anyone who reaches the port could stop the server
 		s.frontend.server.Logf("ajp: shutdown ignored: peer=%s", s.conn.Remote())
-	case ajp.CodePing: // has no answer
+	case ajp.CodePing: // needs no response
 	case ajp.CodeForwardRequest:
 		s.receiveRequest(payload)
 	default:
@@ -117,10 +117,10 @@
 	return nil
 }
 
-// expire handles the session's deadline if it is over. It returns the next deadline.
+// expire handles the session's deadline if it has passed. It returns the next deadline.
 func (s *session) expire(now microtime.Time) microtime.Time {
 	switch {
-	case s.phase == awaitAnswer:
+	case s.phase == awaitResponse:
 		return microtime.Never
 	case now < s.deadline:
 	case s.phase == awaitBody:
--- a/internal/frontend/ajpfrontend/session_test.go
+++ b/internal/frontend/ajpfrontend/session_test.go
@@ -16,7 +16,7 @@
 	"pewterline/internal/transport"
 )
 
-// webServer is one web server's connection to a frontend.
+// webServer is a fake web server with one connection to a frontend.
 type webServer struct {
 	t        *testing.T
 	server   *frontendtest.Server
@@ -34,7 +34,7 @@
 	return w
 }
 
-// send hands packets to the session, which has to take them.
+// send passes packets to the session and requires that it consumes all of them.
 func (w *webServer) send(packets []byte) {
 	w.t.Helper()
 	consumed, err := w.session.Receive(packets)
@@ -48,7 +48,7 @@
 	for in := w.conn.Take(); len(in) > 0; {
 		payload, size, err := ajp.SplitPacket(in, ajp.FromContainer)
 		require.NoError(w.t, err)
-		require.NotNil(w.t, payload, "half a packet")
+		require.NotNil(w.t, payload, "incomplete packet")
 		packet, err := ajp.ParseResponse(payload)
 		require.NoError(w.t, err)
 		out = append(out, packet)
@@ -57,8 +57,9 @@
 	return out
 }
 
-// answer returns the one response that the server has sent: its status, its body, and whether the connection is kept.
-func (w *webServer) answer() (status int, body string, keep bool) {
+// response returns the status and body of the only response that the server has sent, and whether the connection is
+// kept alive.
+func (w *webServer) response() (status int, body string, keepAlive bool) {
 	w.t.Helper()
 	packets := w.packets()
 	require.Len(w.t, packets, 3)
@@ -67,7 +68,7 @@
 	return packets[0].Status, string(packets[1].BodyChunk), packets[2].Reuse
 }
 
-// request returns the head of a request for the path.
+// request returns a POST request for the path, without a body.
 func request(path string, headers ...ajp.Header) ajp.Request {
 	return ajp.Request{Method: "POST", URI: path, Secret: "vine", Headers: headers}
 }
@@ -78,7 +79,7 @@
 
 const path = "/relay/" + frontendtest.ClassName
 
-// What a web server leaves out has a value: the class is the path's last part, the time is now.
+// Absent fields have defaults: the class is the last segment of the path, the timestamp is the current time.
 func TestRequestWithoutFields(t *testing.T) {
 	w := newWebServer(t, &frontendtest.Server{})
 	w.send(head(request(path)))
@@ -88,12 +89,12 @@
 	require.Equal(t, "00000000000000a1", got.RunID)
 	require.Equal(t, w.server.Time, got.ArrivedAt)
 	require.InDelta(t, defaultQueuedKB, got.QueuedKB, 0)
-	require.InDelta(t, 0.5, got.Rank, 0, "the middle of the only class's band")
+	require.InDelta(t, 0.5, got.Rank, 0, "the middle of the band of the only class")
 	require.True(t, w.conn.Identified)
 	require.False(t, w.session.Idle())
 }
 
-// Fields come as headers; a time before the deadline's span counts as its beginning.
+// Fields are read from headers. The arrival time is at most the class's deadline before the current time.
 func TestRequestWithFields(t *testing.T) {
 	w := newWebServer(t, &frontendtest.Server{})
 	w.send(head(request("/any", ajp.Header{Name: "X-Relay-Class", Value: frontendtest.ClassName},
@@ -116,16 +117,16 @@
 		name   string
 		head   ajp.Request
 		chunks []string
-		body   string // submitted; "": none is
-		status int    // answered; 0: none is
+		body   string // of the submitted request; "" if none is submitted
+		status int    // of the response; 0 if there is none
 	}{
-		{"of a known length", request(path, withLength("4")), []string{"ab", "cd"}, "abcd", 0},
+		{"known length", request(path, withLength("4")), []string{"ab", "cd"}, "abcd", 0},
 		{"chunked", request(path, ajp.Header{Name: "Transfer-Encoding", Value: "chunked"}),
 			[]string{"ab", "c", ""}, "abc", 0},
 		{"longer than announced", request(path, withLength("1")), []string{"ab"}, "", statusBadRequest},
 		{"shorter than announced", request(path, withLength("4")), []string{"ab", ""}, "", statusBadRequest},
-		{"over the bound", request(path, withLength("101")), nil, "", statusPayloadTooLarge},
-		{"over the bound when chunked", request(path, ajp.Header{Name: "Transfer-Encoding", Value: "chunked"}),
+		{"over the limit", request(path, withLength("101")), nil, "", statusPayloadTooLarge},
+		{"chunked, over the limit", request(path, ajp.Header{Name: "Transfer-Encoding", Value: "chunked"}),
 			[]string{string(make([]byte, 101))}, "", statusPayloadTooLarge},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -146,21 +147,22 @@
 					return
 				}
 			}
-			t.Error("no answer")
+			t.Error("no response")
 		})
 	}
 }
 
-// What the core never sees is answered at once; where a body may be on its way, the connection is not kept.
+// A request that is not submitted to the core gets its response at once. The connection is closed if a body may still
+// be in flight.
 func TestRejectedRequests(t *testing.T) {
 	for _, tc := range []struct {
-		name   string
-		head   ajp.Request
-		status int
-		keep   bool
+		name      string
+		head      ajp.Request
+		status    int
+		keepAlive bool
 	}{
-		{"another secret", ajp.Request{Method: "POST", URI: path, Secret: "wine"}, statusForbidden, false},
-		{"another method", ajp.Request{Method: "DELETE", URI: path, Secret: "vine"}, statusMethodNotAllowed, false},
+		{"wrong secret", ajp.Request{Method: "POST", URI: path, Secret: "wine"}, statusForbidden, false},
+		{"unsupported method", ajp.Request{Method: "DELETE", URI: path, Secret: "vine"}, statusMethodNotAllowed, false},
 		{"unknown class", request("/relay/other"), statusBadRequest, true},
 		{"malformed length", request(path, withLength("many")), statusBadRequest, false},
 		{"health check with a body", request(healthPath, withLength("3")), statusBadRequest, false},
@@ -168,9 +170,9 @@
 		t.Run(tc.name, func(t *testing.T) {
 			w := newWebServer(t, &frontendtest.Server{})
 			w.send(head(tc.head))
-			status, _, keep := w.answer()
+			status, _, keepAlive := w.response()
 			require.Equal(t, tc.status, status)
-			require.Equal(t, tc.keep, keep)
+			require.Equal(t, tc.keepAlive, keepAlive)
 			require.Empty(t, w.server.Submitted)
 		})
 	}
@@ -193,27 +195,27 @@
 			w := newWebServer(t, &frontendtest.Server{})
 			w.send(head(request(path)))
 			w.server.Submitted[0].Responder.Respond(tc.response)
-			status, body, keep := w.answer()
+			status, body, keepAlive := w.response()
 			require.Equal(t, tc.status, status)
 			require.NotEmpty(t, statusText(status))
 			require.Equal(t, tc.body, body)
-			require.True(t, keep)
+			require.True(t, keepAlive)
 			require.Equal(t, 1, w.conn.Resumed)
 			require.True(t, w.session.Idle())
 		})
 	}
 }
 
-// Advice always names a time, and never one that is cut to none.
+// The headers always state a time after which to retry, rounded up so that it never becomes 0.
 func TestAdviceHeaders(t *testing.T) {
 	for _, tc := range []struct {
 		name     string
 		response dispatch.Response
 		want     []ajp.Header
 	}{
-		{"none", dispatch.Response{},
+		{"no advice", dispatch.Response{},
 			[]ajp.Header{{Name: "Retry-After", Value: "1"}, {Name: "X-Relay-After-Ms", Value: "1"}}},
-		{"last", dispatch.Response{RetryAfter: 1500 * microtime.Millisecond, NoRetry: true},
+		{"no retry", dispatch.Response{RetryAfter: 1500 * microtime.Millisecond, NoRetry: true},
 			[]ajp.Header{{Name: "Retry-After", Value: "2"}, {Name: "X-Relay-After-Ms", Value: "1500"},
 				{Name: "X-Relay-Last", Value: "1"}}},
 	} {
@@ -225,9 +227,9 @@
 	for want, unhealthy := range map[int]bool{statusOK: false, statusServiceUnavailable: true} {
 		w := newWebServer(t, &frontendtest.Server{Unhealthy: unhealthy})
 		w.send(head(ajp.Request{Method: "GET", URI: healthPath, Secret: "vine"}))
-		status, _, keep := w.answer()
+		status, _, keepAlive := w.response()
 		require.Equal(t, want, status)
-		require.True(t, keep)
+		require.True(t, keepAlive)
 	}
 }
 
@@ -245,7 +247,7 @@
 	}
 }
 
-// What comes behind a request in flight waits, up to a bound.
+// Bytes received behind a request in flight stay buffered, up to a limit.
 func TestPipelinedBytesAreBounded(t *testing.T) {
 	w := newWebServer(t, &frontendtest.Server{})
 	w.send(head(request(path)))
@@ -263,9 +265,9 @@
 	peer.send(head(request(path, withLength("4"))))
 	require.Equal(t, start+microtime.Second, peer.frontend.ExpireTimeouts(start))
 	require.Equal(t, start+frontend.LingerTimeout, peer.frontend.ExpireTimeouts(start+microtime.Second))
-	status, _, keep := peer.answer()
+	status, _, keepAlive := peer.response()
 	require.Equal(t, statusRequestTimeout, status)
-	require.False(t, keep)
+	require.False(t, keepAlive)
 	require.False(t, peer.conn.Closed)
 	require.Equal(t, microtime.Never, peer.frontend.ExpireTimeouts(start+frontend.LingerTimeout))
 	require.True(t, peer.conn.Closed)
@@ -292,8 +294,8 @@
 	busy.frontend.Drain()
 	require.False(t, busy.conn.Closed)
 	busy.server.Submitted[0].Responder.Respond(dispatch.Response{Status: dispatch.StatusSucceeded, Result: []byte("r")})
-	_, _, keep := busy.answer()
-	require.False(t, keep)
+	_, _, keepAlive := busy.response()
+	require.False(t, keepAlive)
 }
 
 func TestClosedCancels(t *testing.T) {
@@ -305,7 +307,7 @@
 	require.Empty(t, w.conn.Written)
 }
 
-// Each class has a band of ranks of the same width, by weight and then by index.
+// Each class has a band of ranks of equal width. The bands are ordered by weight, then by index.
 func TestMiddleRank(t *testing.T) {
 	classes := []control.Class{{Weight: 2}, {Weight: 1}, {Weight: 1}, {Weight: 3}}
 	for class, want := range []float64{2.5 / 4, 0.5 / 4, 1.5 / 4, 3.5 / 4} {
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -1,7 +1,7 @@
-// Package frontend holds what the protocol frontends share: the interface of the server behind them, and the parser of
-// a request's fields. Each frontend is a package below this one and speaks one protocol to callers: thriftfrontend to
-// the proxies of the platform, ajpfrontend to web servers. The frontends own the sessions of their connections. They
-// never decide whether or when a request runs: the request core does, which they reach through Server.
+// Package frontend holds the code that the protocol frontends share: the interface of the server behind them and the
+// parser of request fields. Each frontend is a subpackage for one protocol: thriftfrontend serves the proxies of the
+// platform, ajpfrontend serves web servers. The frontends own the sessions of their connections. They never decide
+// whether or when a request runs: they submit it to the request core through Server.
 package frontend
 
 import (
@@ -13,7 +13,7 @@
 	"pewterline/internal/microtime"
 )
 
-// HeaderPrefix is the prefix of the HTTP headers that carry a request's fields. The field's name follows.
+// HeaderPrefix is the prefix of the HTTP headers that carry a request's fields. The field's name follows the prefix.
 const HeaderPrefix = "X-Relay-"
 
 // LingerTimeout is how long a peer may take to close its connection after it was asked to do so.
@@ -22,17 +22,17 @@
 // admissionLevelDecimals is the number of decimals of the admission level in responses.
 const admissionLevelDecimals = 4
 
-// ErrUnknownClass is wrapped by the FieldError for a class that the settings do not have. It is not the peer's fault:
-// the peer may have read the settings before or after this server.
+// ErrUnknownClass is wrapped by the FieldError for a class that is not in the settings. It is not the peer's fault:
+// the peer may have loaded an older or newer version of the settings than this server.
 var ErrUnknownClass = errors.New("unknown")
 
 // Server is the log server as a frontend sees it. All its methods are called on the event loop.
 type Server interface {
-	// Now returns the time of the loop's turn.
+	// Now returns the time of the event loop's current turn.
 	Now() microtime.Time
 	// FromUnixMilli converts a wall clock time to the program's time.
 	FromUnixMilli(milliseconds int64) microtime.Time
-	// Class returns the index of a class in the settings.
+	// Class returns the index of a class in the settings; known is false if they do not list it.
 	Class(name string) (index int, known bool)
 	// Tenant returns the index of a tenant in the settings. If they list none, every tenant is known, with index 0.
 	Tenant(name string) (index int, known bool)
@@ -43,11 +43,11 @@
 	// Cancel abandons a request: its response is no longer needed.
 	Cancel(id control.RequestID)
 
-	// Healthy returns the answer to shallow health checks.
+	// Healthy reports whether shallow health checks succeed.
 	Healthy() bool
-	// CheckBackend calls done with whether the backend executes runs: at once if that is known, or else within a
-	// second.
-	CheckBackend(done func(good bool))
+	// CheckBackend checks whether the backend executes runs, and passes the result to done: immediately if it is known
+	// already, and otherwise within a second.
+	CheckBackend(done func(healthy bool))
 	// AdmissionLevel returns the advertised admission level; known is false while there is none.
 	AdmissionLevel() (level float64, known bool)
 	// Draining reports whether connections should be closed because the process shuts down.
@@ -57,7 +57,7 @@
 	Logf(format string, args ...any)
 }
 
-// AdmissionLevelText returns the admission level as responses carry it; known is false while there is none.
+// AdmissionLevelText returns the admission level, formatted for responses; known is false while there is none.
 func AdmissionLevelText(server Server) (text string, known bool) {
 	level, known := server.AdmissionLevel()
 	if !known {
--- a/internal/frontend/request.go
+++ b/internal/frontend/request.go
@@ -38,22 +38,22 @@
 	maxIdempotencyKeyLength = 128
 	// maxCost is the largest cost that a request may announce. Larger values are replaced by it.
 	maxCost = microtime.Time(3600) * microtime.Second
-	// sentAtBits is the size of a time in milliseconds whose microseconds still fit an int64.
+	// sentAtBits limits the size of a timestamp in milliseconds, so that its microseconds fit an int64.
 	sentAtBits = 50
-	// retrySet is the value of FieldRetry that marks a retry; any other value does not.
+	// retrySet is the value of FieldRetry that marks a retry. All other values mean a first attempt.
 	retrySet = "1"
 )
 
-// FieldError is the error of one field of a request.
+// FieldError reports an invalid field of a request.
 type FieldError struct {
 	Field string // one of the Field constants
 	Err   error
 }
 
-// Error is part of error. The text is sent to callers.
+// Error implements error. The text is sent to callers.
 func (e *FieldError) Error() string { return e.Field + ": " + e.Err.Error() }
 
-// Unwrap is for errors.Is and errors.As.
+// Unwrap returns the cause, for errors.Is and errors.As.
 func (e *FieldError) Unwrap() error { return e.Err }
 
 func fieldErrorf(field, format string, args ...any) error {
@@ -64,12 +64,12 @@
 // Errors are of type *FieldError.
 func ReadRequest(server Server, get func(field string) string) (dispatch.Request, error) {
 	var request dispatch.Request
-	err := readOwner(&request, server, get)
+	err := readClassAndTenant(&request, server, get)
 	if err == nil {
 		err = readAttempt(&request, server, get)
 	}
 	if err == nil {
-		err = readSize(&request, get)
+		err = readCostAndRank(&request, get)
 	}
 	if err == nil {
 		err = readKeys(&request, get)
@@ -77,8 +77,7 @@
 	return request, err
 }
 
-// readOwner reads the class and the tenant.
-func readOwner(request *dispatch.Request, server Server, get func(string) string) error {
+func readClassAndTenant(request *dispatch.Request, server Server, get func(string) string) error {
 	var known bool
 	if request.Class, known = server.Class(get(FieldClass)); !known {
 		return fieldErrorf(FieldClass, "%w %q", ErrUnknownClass, get(FieldClass))
@@ -107,8 +106,8 @@
 	return nil
 }
 
-// readSentAt reads the caller's timestamp in Unix milliseconds. The arrival time that the core gets from it is limited
-// to the last maxAge, because clocks differ a little and requests may be very old.
+// readSentAt reads the caller's timestamp in Unix milliseconds and sets the arrival time. The arrival time is clamped
+// to the last maxAge, because clocks differ slightly and requests may be very old.
 func readSentAt(request *dispatch.Request, server Server, text string) error {
 	milliseconds, err := strconv.ParseUint(text, 10, sentAtBits)
 	if err != nil {
@@ -124,8 +123,8 @@
 	return nil
 }
 
-// readSize reads the expected memory and cost, and the rank.
-func readSize(request *dispatch.Request, get func(string) string) (err error) {
+// readCostAndRank reads the expected memory and cost, and the rank.
+func readCostAndRank(request *dispatch.Request, get func(string) string) (err error) {
 	if request.QueuedKB, err = parseDecimal(get(FieldQueuedKB)); err != nil {
 		return fieldErrorf(FieldQueuedKB, "%q is not a number", get(FieldQueuedKB))
 	}
@@ -137,7 +136,7 @@
 	if request.Rank, err = parseDecimal(get(FieldRank)); err != nil {
 		return fieldErrorf(FieldRank, "%q is not a number", get(FieldRank))
 	}
-	// Ranks are below 1, but one just below may be rounded to 1 by its sender.
+	// Ranks are below 1, but the sender may round a rank just below 1 up to 1.
 	if request.Rank == 1 {
 		request.Rank = math.Nextafter(1, 0)
 	}
--- a/internal/frontend/request_test.go
+++ b/internal/frontend/request_test.go
@@ -10,7 +10,7 @@
 	"pewterline/internal/microtime"
 )
 
-// testServer knows one class and no tenants, at a time of one second.
+// testServer knows one class and accepts every tenant. Its clock reads one second.
 type testServer struct{ Server }
 
 func (testServer) Now() microtime.Time { return microtime.Second }
@@ -51,18 +51,18 @@
 		read         func(dispatch.Request) any
 		want         any
 	}{
-		{"class by its index", "class", "block-view", class, 3},
-		{"sent a while ago", "at", "900", arrivedAt, 900 * microtime.Millisecond},
-		{"sent ahead of our clock counts as sent now", "at", "11000", arrivedAt, microtime.Second},
-		{"sent at the epoch", "at", "0", arrivedAt, microtime.Time(0)},
+		{"index of the class", "class", "block-view", class, 3},
+		{"timestamp in the past", "at", "900", arrivedAt, 900 * microtime.Millisecond},
+		{"timestamp ahead of the server's clock is clamped to now", "at", "11000", arrivedAt, microtime.Second},
+		{"timestamp at the epoch", "at", "0", arrivedAt, microtime.Time(0)},
 		{"no cost", "cost", "", cost, microtime.Time(0)},
 		{"cost with decimals", "cost", "12.5", cost, microtime.Time(12500)},
-		{"cost beyond the bound", "cost", "99999999999", cost, maxCost},
-		{"rank that was rounded up to 1", "rank", "1", rank, 0.9999999999999999},
+		{"cost above the limit is clamped", "cost", "99999999999", cost, maxCost},
+		{"rank rounded up to 1 by the sender", "rank", "1", rank, 0.9999999999999999},
 		{"subject key in hex", "key", "ff", subjectKey, uint64(255)},
 		{"longest idempotency key", "once", longestKey, keyLength, maxIdempotencyKeyLength},
 		{"retry", "retry", "1", retry, true},
-		{"no retry", "retry", "yes", retry, false},
+		{"retry flag other than 1", "retry", "yes", retry, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			request, err := readWith(tc.field, tc.value)
@@ -72,7 +72,7 @@
 	}
 }
 
-func TestReadRequestTurnsDown(t *testing.T) {
+func TestReadRequestRejectsInvalidFields(t *testing.T) {
 	for field, values := range map[string][]string{
 		"class": {"", "no-such"},
 		"id":    {"", "00000000000000zz", "00000000000000a", "00000000000000a11"},
@@ -87,12 +87,12 @@
 		for _, value := range values {
 			_, err := readWith(field, value)
 			require.ErrorContains(t, err, field+": ", "%q", value)
-			var wrong *FieldError
-			require.ErrorAs(t, err, &wrong, "%q", value)
-			require.Equal(t, field, wrong.Field, "%q", value)
+			var fieldError *FieldError
+			require.ErrorAs(t, err, &fieldError, "%q", value)
+			require.Equal(t, field, fieldError.Field, "%q", value)
 		}
 	}
 	_, err := readWith("class", "no-such")
 	require.ErrorIs(t, err, ErrUnknownClass)
-	require.EqualError(t, err, `class: unknown "no-such"`, "callers are sent this text")
+	require.EqualError(t, err, `class: unknown "no-such"`, "this text is sent to callers")
 }
--- a/internal/frontend/thriftfrontend/calls.go
+++ b/internal/frontend/thriftfrontend/calls.go
@@ -8,10 +8,10 @@
 	"pewterline/internal/protocol/thrift"
 )
 
-// maxBody is the protocol's limit of a request's body, in bytes.
+// maxBody is the protocol's limit on the body of a request, in bytes.
 const maxBody = 2 << 10
 
-// The errors of calls. Their texts are sent to callers.
+// The errors of calls. Callers receive their texts.
 var (
 	errReusedSequenceID = fmt.Errorf("%w: two requests under one number", thrift.ErrInvalidFrame)
 	errUnknownMethod    = errors.New("no such method")
@@ -24,7 +24,7 @@
 	size int // in bytes
 }
 
-// Error is part of error.
+// Error implements error.
 func (e *bodyTooLargeError) Error() string {
 	return fmt.Sprintf("body of %d bytes is over %d", e.size, maxBody)
 }
@@ -46,7 +46,7 @@
 	return nil
 }
 
-// cancel cancels a request that is in flight. A request that is not may have been answered meanwhile.
+// cancel cancels a request in flight. Other sequence IDs are ignored: their requests may have been answered already.
 func (s *session) cancel(sequenceID int32) {
 	if id, ok := s.inFlight[sequenceID]; ok {
 		delete(s.inFlight, sequenceID)
@@ -54,7 +54,7 @@
 	}
 }
 
-// checkHealth answers a health check. A deep one waits for the backend, for a second at most.
+// checkHealth answers a health check. A deep health check waits for the backend, for a second at most.
 func (s *session) checkHealth(call thrift.Call) {
 	server := s.frontend.server
 	if !call.Deep || !server.Healthy() {
@@ -62,29 +62,29 @@
 		return
 	}
 	s.pendingHealthChecks++
-	server.CheckBackend(func(good bool) {
+	server.CheckBackend(func(healthy bool) {
 		s.pendingHealthChecks--
 		if s.closed {
 			return
 		}
 		s.lastActive = server.Now()
-		s.answerHealthCheck(call, good && server.Healthy())
+		s.answerHealthCheck(call, healthy && server.Healthy())
 	})
 }
 
-func (s *session) answerHealthCheck(call thrift.Call, good bool) {
+func (s *session) answerHealthCheck(call thrift.Call, healthy bool) {
 	s.write(thrift.AppendAnswer(s.scratch[:0], thrift.Answer{
 		MethodName: call.MethodName,
 		SequenceID: call.SequenceID,
-		Fields:     s.answerFields(),
-		Good:       good,
+		Fields:     s.responseFields(),
+		Good:       healthy,
 	}))
 }
 
 // process handles a request. An error closes the connection.
 func (s *session) process(call thrift.Call) error {
 	if call.SequenceID <= s.highestSequenceID && !call.Oneway {
-		return s.rejectReused(call)
+		return s.rejectReusedSequenceID(call)
 	}
 	s.highestSequenceID = max(s.highestSequenceID, call.SequenceID)
 	err := s.submit(call)
@@ -93,18 +93,17 @@
 		return nil
 	}
 	s.sendException(call, thrift.ExceptionProtocolError, err)
-	// An unknown class is not the peer's fault, and must not lead to the end of a connection with other requests in
-	// flight.
+	// An unknown class is not the peer's fault and must not close a connection with other requests in flight.
 	if errors.Is(err, frontend.ErrUnknownClass) {
 		s.consecutiveErrors--
 	}
 	return nil
 }
 
-// rejectReused closes a connection on which a sequence ID is reused. The proxies' sequence IDs only grow, so the peer
-// is not a proxy, and a response with that ID could be for either request. Neither is served: the one in flight is
-// cancelled, and the ID gets one error.
-func (s *session) rejectReused(call thrift.Call) error {
+// rejectReusedSequenceID closes a connection on which a sequence ID is reused. A proxy's sequence IDs only increase, so
+// the peer is not a proxy, and a response with that ID could be for either request. Neither request is served: the one
+// in flight is cancelled, and one error is sent for the ID.
+func (s *session) rejectReusedSequenceID(call thrift.Call) error {
 	s.cancel(call.SequenceID)
 	s.sendException(call, thrift.ExceptionProtocolError, errReusedSequenceID)
 	return errReusedSequenceID
--- a/internal/frontend/thriftfrontend/frontend.go
+++ b/internal/frontend/thriftfrontend/frontend.go
@@ -1,7 +1,8 @@
 // Package thriftfrontend serves the platform's proxies over Thrift: they send requests, cancel them and check the
 // server's health. Package server accepts the connections and calls the Frontend on its event loop. The package owns
 // the sessions of these connections: the requests in flight on each, its health checks, and when its peer is asked to
-// close it. It never decides about a request: it parses it, submits it to the core and writes the response.
+// close it. It never decides whether or when a request runs: it parses the request, submits it to the core and writes
+// the response.
 package thriftfrontend
 
 import (
@@ -46,19 +47,19 @@
 	}
 }
 
-// CloseIdle asks the peers of connections that have been idle for the duration after to close them; 0 keeps them open.
-// The peer closes first, so that no request can cross the close. A connection whose peer does not close it is closed
-// after frontend.LingerTimeout.
-func (f *Frontend) CloseIdle(now, after microtime.Time) {
+// CloseIdle asks the peers of connections that have been idle for idleTimeout to close them; an idleTimeout of 0 keeps
+// them open. The peer closes first, so that no request is in transit when the connection closes. A connection whose
+// peer does not close it is closed after frontend.LingerTimeout.
+func (f *Frontend) CloseIdle(now, idleTimeout microtime.Time) {
 	for _, s := range f.sessions.Items() {
 		if !s.Idle() {
 			continue
 		}
-		idle := now - s.lastActive
+		idleTime := now - s.lastActive
 		switch {
-		case s.farewellSent && idle > frontend.LingerTimeout:
+		case s.farewellSent && idleTime > frontend.LingerTimeout:
 			s.conn.Close()
-		case !s.farewellSent && after > 0 && idle >= after:
+		case !s.farewellSent && idleTimeout > 0 && idleTime >= idleTimeout:
 			s.sendFarewell(now)
 		}
 	}
--- a/internal/frontend/thriftfrontend/responder.go
+++ b/internal/frontend/thriftfrontend/responder.go
@@ -21,7 +21,7 @@
 	sequenceID int32
 }
 
-// Respond is part of dispatch.Responder.
+// Respond implements dispatch.Responder.
 func (r *responder) Respond(response dispatch.Response) {
 	s := r.session
 	if s.closed {
@@ -29,7 +29,7 @@
 	}
 	delete(s.inFlight, r.sequenceID)
 	s.lastActive = s.frontend.server.Now()
-	s.write(appendResponse(s.scratch[:0], r.sequenceID, response, s.answerFields()))
+	s.write(appendResponse(s.scratch[:0], r.sequenceID, response, s.responseFields()))
 }
 
 // appendResponse appends the reply to a call of process.
@@ -50,7 +50,7 @@
 	}
 }
 
-// appendAdvice appends the fields that say when to retry, and whether another server may be tried.
+// appendAdvice appends the fields that state when to retry, and whether another server may be tried.
 func appendAdvice(fields []thrift.Field, response dispatch.Response) []thrift.Field {
 	if response.RetryAfter > 0 {
 		milliseconds := strconv.FormatInt(frontend.CeilMilliseconds(response.RetryAfter), 10)
--- a/internal/frontend/thriftfrontend/session.go
+++ b/internal/frontend/thriftfrontend/session.go
@@ -14,17 +14,17 @@
 )
 
 const (
-	// MaxInFlight is the most requests in flight on a connection. The platform sets it.
+	// MaxInFlight is the most requests in flight on a connection. The platform's protocol sets it.
 	MaxInFlight = 32
 	// MaxConsecutiveErrors is the most calls in a row that may fail before a connection is closed.
 	MaxConsecutiveErrors = 16
-	// MaxMessagesPerTurn is the most calls of a connection that are handled in a turn: as many requests as a proxy may
-	// have in flight, and as many cancellations.
+	// MaxMessagesPerTurn is the most calls of a connection that are handled in a turn of the event loop: as many
+	// requests as a proxy may have in flight, and as many cancellations.
 	MaxMessagesPerTurn = 64
 )
 
 // errTooManyErrors closes a connection.
-var errTooManyErrors = fmt.Errorf("%w: %d calls in a row cannot be served",
+var errTooManyErrors = fmt.Errorf("%w: more than %d consecutive calls failed",
 	thrift.ErrInvalidFrame, MaxConsecutiveErrors)
 
 // session is one connection.
@@ -33,13 +33,13 @@
 	frontend            *Frontend
 	conn                transport.Conn
 	inFlight            map[int32]control.RequestID // by sequence ID
-	pendingHealthChecks int                         // deep ones that wait for the backend
+	pendingHealthChecks int                         // deep health checks that wait for the backend
 	highestSequenceID   int32
 	consecutiveErrors   int
-	lastActive          microtime.Time // of the last call or answer
+	lastActive          microtime.Time // time of the last call or response
 	farewellSent        bool
 	closed              bool
-	scratch             []byte // reused by each message that is written
+	scratch             []byte // buffer reused by each write
 }
 
 // write sends a message that was appended to s.scratch[:0].
@@ -58,7 +58,7 @@
 	s.write(thrift.AppendFarewell(s.scratch[:0]))
 }
 
-// Receive is part of transport.Session. It handles at most MaxMessagesPerTurn calls, so that a peer that sends without
+// Receive implements transport.Session. It handles at most MaxMessagesPerTurn calls, so that a peer that sends without
 // pause cannot starve the others.
 func (s *session) Receive(in []byte) (int, error) {
 	consumed := 0
@@ -92,10 +92,10 @@
 	return err
 }
 
-// Idle is part of transport.Session.
+// Idle implements transport.Session.
 func (s *session) Idle() bool { return len(s.inFlight) == 0 && s.pendingHealthChecks == 0 }
 
-// Closed is part of transport.Session. It cancels the requests in flight, in the order of their sequence IDs, so that a
+// Closed implements transport.Session. It cancels the requests in flight, in the order of their sequence IDs, so that a
 // replay sees the same order.
 func (s *session) Closed() {
 	s.closed = true
@@ -112,7 +112,7 @@
 	s.conn.MarkIdentified()
 }
 
-// sendException answers a call that has failed. Oneway calls get no answer.
+// sendException answers a failed call with an exception. Oneway calls get no reply.
 func (s *session) sendException(call thrift.Call, code thrift.ExceptionCode, err error) {
 	s.consecutiveErrors++
 	s.frontend.server.Logf("thrift: call rejected: peer=%s method=%s sequence_id=%d error=%v",
@@ -122,8 +122,8 @@
 	}
 }
 
-// answerFields returns the fields of every response.
-func (s *session) answerFields() (fields []thrift.Field) {
+// responseFields returns the fields of every response.
+func (s *session) responseFields() (fields []thrift.Field) {
 	if text, known := frontend.AdmissionLevelText(s.frontend.server); known {
 		fields = append(fields, thrift.Field{Name: fieldAdmissionLevel, Value: text})
 	}
--- a/internal/frontend/thriftfrontend/session_test.go
+++ b/internal/frontend/thriftfrontend/session_test.go
@@ -17,7 +17,7 @@
 	"pewterline/internal/transport"
 )
 
-// proxy is one proxy's connection to a frontend.
+// proxy is a fake proxy with one connection to a frontend.
 type proxy struct {
 	t        *testing.T
 	server   *frontendtest.Server
@@ -34,7 +34,7 @@
 	return p
 }
 
-// send hands a whole message to the session, which has to take it.
+// send passes a whole message to the session and requires that it consumes all of it.
 func (p *proxy) send(message []byte) {
 	p.t.Helper()
 	consumed, err := p.session.Receive(message)
@@ -48,7 +48,7 @@
 	for in := p.conn.Take(); len(in) > 0; {
 		payload, size, err := thrift.SplitFrame(in)
 		require.NoError(p.t, err)
-		require.NotNil(p.t, payload, "half a message")
+		require.NotNil(p.t, payload, "incomplete message")
 		reply, err := thrift.DecodeReply(payload)
 		require.NoError(p.t, err)
 		out = append(out, reply)
@@ -57,7 +57,7 @@
 	return out
 }
 
-// call returns a valid request with some fields changed.
+// call returns a call of process with valid fields, followed by the given changed ones.
 func call(sequenceID int32, changed ...thrift.Field) []byte {
 	fields := []thrift.Field{
 		{Name: frontend.FieldClass, Value: frontendtest.ClassName},
@@ -104,17 +104,17 @@
 	}
 }
 
-// A call that cannot be served is answered by an exception; the connection stays open, up to a bound.
+// A failed call is answered with an exception, and the connection stays open.
 func TestRejectedCalls(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
 		message []byte
 		text    string
 	}{
-		{"faulty field", call(1, thrift.Field{Name: frontend.FieldRank, Value: "high"}), "rank: "},
+		{"invalid field", call(1, thrift.Field{Name: frontend.FieldRank, Value: "high"}), "rank: "},
 		{"unknown class", call(1, thrift.Field{Name: frontend.FieldClass, Value: "other"}), `class: unknown "other"`},
 		{"body too long", thrift.AppendCall(nil, 1, nil, make([]byte, maxBody+1)), "over 2048"},
-		{"no answer of the core", call(1), "the core is full"},
+		{"rejected by the core", call(1), "the core is full"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			p := newProxy(t, &frontendtest.Server{SubmitErr: errors.New("the core is full")})
@@ -129,18 +129,18 @@
 	}
 }
 
-func TestTooManyErrorsCloseTheConnection(t *testing.T) {
+func TestConsecutiveErrorsCloseTheConnection(t *testing.T) {
 	p := newProxy(t, &frontendtest.Server{})
-	faulty := func(id int32) []byte { return call(id, thrift.Field{Name: frontend.FieldRank, Value: "high"}) }
+	invalid := func(id int32) []byte { return call(id, thrift.Field{Name: frontend.FieldRank, Value: "high"}) }
 	for i := range MaxConsecutiveErrors {
-		p.send(faulty(int32(i + 1)))
+		p.send(invalid(int32(i + 1)))
 	}
-	_, err := p.session.Receive(faulty(MaxConsecutiveErrors + 1))
+	_, err := p.session.Receive(invalid(MaxConsecutiveErrors + 1))
 	require.ErrorIs(t, err, thrift.ErrInvalidFrame)
 }
 
-// An unknown class is no fault of the peer's, however often it comes.
-func TestUnknownClassesKeepTheConnection(t *testing.T) {
+// Requests with an unknown class are not the peer's fault and never close the connection.
+func TestUnknownClassesKeepTheConnectionOpen(t *testing.T) {
 	p := newProxy(t, &frontendtest.Server{})
 	for i := range 2 * MaxConsecutiveErrors {
 		p.send(call(int32(i+1), thrift.Field{Name: frontend.FieldClass, Value: "other"}))
@@ -158,17 +158,17 @@
 	require.Len(t, p.server.Submitted, MaxInFlight)
 }
 
-// A turn takes a bounded number of calls and asks to be called again for the rest.
-func TestCallsOfATurnAreBounded(t *testing.T) {
+// Receive handles a limited number of calls per turn and asks to be called again for the rest.
+func TestCallsPerTurnAreBounded(t *testing.T) {
 	p := newProxy(t, &frontendtest.Server{})
-	one := thrift.AppendGiveUp(nil, 9)
-	consumed, err := p.session.Receive(slices.Repeat(one, MaxMessagesPerTurn+1))
+	message := thrift.AppendGiveUp(nil, 9)
+	consumed, err := p.session.Receive(slices.Repeat(message, MaxMessagesPerTurn+1))
 	require.NoError(t, err)
-	require.Equal(t, MaxMessagesPerTurn*len(one), consumed)
+	require.Equal(t, MaxMessagesPerTurn*len(message), consumed)
 	require.Equal(t, 1, p.conn.Resumed)
 }
 
-// A sequence ID that comes again ends the connection, and neither request is served.
+// A reused sequence ID closes the connection, and neither request is served.
 func TestReusedSequenceID(t *testing.T) {
 	p := newProxy(t, &frontendtest.Server{})
 	p.send(call(5))
@@ -191,7 +191,7 @@
 	require.Equal(t, []control.RequestID{2, 1}, peer.server.Cancelled)
 	require.Zero(t, peer.frontend.Len())
 	peer.server.Submitted[0].Responder.Respond(dispatch.Response{Status: dispatch.StatusFailed})
-	require.Empty(t, peer.replies(), "nobody reads any more")
+	require.Empty(t, peer.replies(), "the connection is closed")
 }
 
 func TestHealthChecks(t *testing.T) {
@@ -228,7 +228,7 @@
 	p.frontend.Drain(p.server.Time)
 	p.frontend.Drain(p.server.Time)
 	replies := p.replies()
-	require.Len(t, replies, 1, "the peer is told once")
+	require.Len(t, replies, 1, "the farewell is sent once")
 	require.Equal(t, thrift.ReplyFarewell, replies[0].Kind)
 	p.frontend.CloseIdle(p.server.Time+frontend.LingerTimeout, 0)
 	require.False(t, p.conn.Closed)
@@ -236,19 +236,19 @@
 	require.True(t, p.conn.Closed, "the peer did not close")
 
 	late := newProxy(t, &frontendtest.Server{Drains: true})
-	require.Len(t, late.replies(), 1, "one that comes while the server drains is told at once")
+	require.Len(t, late.replies(), 1, "a connection accepted during a drain gets the farewell at once")
 }
 
 func TestCloseIdle(t *testing.T) {
 	p := newProxy(t, &frontendtest.Server{})
-	const after = 10 * microtime.Second
+	const idleTimeout = 10 * microtime.Second
 	start := p.server.Time
-	p.frontend.CloseIdle(start+after-1, after)
+	p.frontend.CloseIdle(start+idleTimeout-1, idleTimeout)
 	require.Empty(t, p.replies())
 	p.send(call(1))
-	p.frontend.CloseIdle(start+after, after)
+	p.frontend.CloseIdle(start+idleTimeout, idleTimeout)
 	require.Empty(t, p.replies(), "a request is in flight")
 	p.send(thrift.AppendGiveUp(nil, 1))
-	p.frontend.CloseIdle(start+after, after)
+	p.frontend.CloseIdle(start+idleTimeout, idleTimeout)
 	require.Len(t, p.replies(), 1)
 }
