--- a/internal/server/admin.go
+++ b/internal/server/admin.go
@@ -5,11 +5,11 @@
 	"pewterline/internal/protocol/upgrade"
 )
 
-// MaxAdminConns is how many connections operators may have open at once. They come out of the descriptors that are
-// left beside those of clients.
+// MaxAdminConns is how many connections operators may have open at once. The connection
+// limit for clients leaves file descriptors for them.
 const MaxAdminConns = 16
 
-// operatorServer is the server as operators see it: it implements admin.Server.
+// operatorServer implements admin.Server.
 type operatorServer struct{ server *Server }
 
 func (o operatorServer) State() admin.State {
@@ -27,15 +27,15 @@
 	}
 	s.outOfService = !inService
 	s.logf("admin: service state set: in_service=%v open=%d", inService, s.core.OpenRequests())
-	if s.handoff.otherProcess != nil { // the command concerns the log server, not just this process
-		s.handoff.otherProcess.send(upgrade.Message{Kind: upgrade.ServiceChanged, OutOfService: s.outOfService})
+	if s.handoff.peer != nil { // the command concerns the log server, not just this process
+		s.handoff.peer.send(upgrade.Message{Kind: upgrade.ServiceChanged, OutOfService: s.outOfService})
 	}
 	return nil
 }
 
 func (o operatorServer) Counters() admin.Counters { return o.server.Counters() }
 
-// Counters returns the figures as they are now.
+// Counters returns the current values of the server's counters.
 func (s *Server) Counters() admin.Counters {
 	total := admin.Counters{
 		Succeeded:    map[string]int{},
--- a/internal/server/backends.go
+++ b/internal/server/backends.go
@@ -18,17 +18,17 @@
 	upstream *upstream.Backend
 	ajp      *ajpbackend.Backend
 	pool     *workerpool.Backend
-	vault    *vaultclient.Client // goes with pool: its runs make calls to the vault
+	vault    *vaultclient.Client // set together with pool, whose runs call the vault
 }
 
-// newBackendSet builds the backend that the configuration names.
+// newBackendSet builds the backend that the configuration selects.
 func newBackendSet(cfg config.Config, clock WallClock, logf func(format string, args ...any)) (backendSet, error) {
 	switch {
 	case len(cfg.Fleet.Members) > 0:
 		backend, err := upstream.New(upstream.Config{Fleet: cfg.Fleet, Name: cfg.Name, Settings: cfg.Settings}, clock, logf)
 		return backendSet{upstream: backend}, err
 	case cfg.AJP.BackendAddress != "":
-		runTimeout := longestUse(cfg.Settings.Classes)
+		runTimeout := maxResultLifetime(cfg.Settings.Classes)
 		return backendSet{ajp: ajpbackend.New(ajpbackend.Config{AJP: cfg.AJP, RunTimeout: runTimeout}, logf)}, nil
 	}
 	return backendSet{
@@ -37,16 +37,16 @@
 	}, nil
 }
 
-// longestUse is the longest time after a request's arrival at which its result can still be used: by the request itself
-// until its deadline, or by a retry with the same idempotency key until the end of the retention window.
-func longestUse(classes []control.Class) (longest microtime.Time) {
+// maxResultLifetime returns the longest time after a request's arrival at which its result can still be used: by the
+// request itself until its deadline, or by a retry with the same idempotency key until the end of the retention window.
+func maxResultLifetime(classes []control.Class) (longest microtime.Time) {
 	for _, class := range classes {
 		longest = max(longest, microtime.FromDuration(class.Deadline), microtime.FromDuration(class.RetentionWindow))
 	}
 	return longest
 }
 
-// active is the backend that runs requests.
+// active returns the backend that runs requests.
 func (b *backendSet) active() dispatch.Backend {
 	switch {
 	case b.upstream != nil:
@@ -57,7 +57,7 @@
 	return b.pool
 }
 
-// attach starts the backend on the loop, and with it the core.
+// attach starts the backend and the core on the loop.
 func (b *backendSet) attach(core *dispatch.Core, loop EventLoop) {
 	if b.upstream != nil {
 		b.upstream.Attach(core, loop)
@@ -73,7 +73,7 @@
 	b.pool.Attach(core, loop) // starts the core once the pool has answered
 }
 
-// exchange is the gossip with other instances. It is nil unless the requests run on an upstream.
+// exchange returns the gossip exchange with other instances. It is nil unless requests run on an upstream.
 func (b *backendSet) exchange() *peers.Exchange {
 	if b.upstream == nil {
 		return nil
--- a/internal/server/database_store.go
+++ b/internal/server/database_store.go
@@ -13,13 +13,13 @@
 type RecordStore interface {
 	// Load reads the records since a time in Unix milliseconds, oldest first.
 	Load(sinceMilli int64) ([]store.Record, error)
-	// Record writes a record. done is called once, from any goroutine but never before Record returns, when the record
-	// is durable. After an error the record may or may not be durable.
+	// Record writes a record. done is called once, from any goroutine but never before Record returns: with nil when
+	// the record is durable, or with an error, after which the record may or may not be durable.
 	Record(record store.Record, done func(error))
 }
 
-// UseStore restores what earlier incarnations of this server have recorded, and records executions of idempotency keys
-// from then on. It must be called before Attach, and may wait for the database.
+// UseStore restores the executions that earlier incarnations of this server recorded, and records executions of
+// idempotency keys from then on. It must be called before Attach, and may block on the database.
 func (s *Server) UseStore(records RecordStore, now microtime.Time) error {
 	restored, err := records.Load(s.clock.UnixMilli(now - s.LongestRetention()))
 	if err != nil {
@@ -46,7 +46,7 @@
 			s.core.Restore(request)
 		}
 	}
-	s.core.UseExecutionStore(&databaseStore{server: s, records: records, open: map[recordKey]*execution.Lifecycle{}})
+	s.core.UseExecutionStore(&databaseStore{server: s, records: records, inProgress: map[recordKey]*execution.Lifecycle{}})
 	s.logf("server: executions restored: restored=%d indeterminate=%d", len(restored), indeterminate)
 	return nil
 }
@@ -57,19 +57,20 @@
 	idempotencyKey string
 }
 
-// databaseStore is the core's dispatch.ExecutionStore on a database of this server's own. The database writes on
-// goroutines of its own, and its callbacks come back through EventLoop.Execute. Results are kept by the core, not here.
+// databaseStore implements dispatch.ExecutionStore with a database that only this server uses. Writes run on goroutines
+// of the database, and their results return to the loop through EventLoop.Execute. The core keeps the results of
+// executions; databaseStore keeps only the lifecycles in progress.
 type databaseStore struct {
-	server  *Server
-	records RecordStore
-	open    map[recordKey]*execution.Lifecycle // the executions in progress
+	server     *Server
+	records    RecordStore
+	inProgress map[recordKey]*execution.Lifecycle
 }
 
-// Lookup is part of dispatch.ExecutionStore. No other server writes to this database, and its records were loaded at
-// the start, so there is nothing to look up.
+// Lookup implements dispatch.ExecutionStore. No other server writes to this database, and its records were loaded at
+// startup, so there is nothing to look up.
 func (d *databaseStore) Lookup(dispatch.KeyedRequest, func(dispatch.LeaseResult)) bool { return false }
 
-// Acquire is part of dispatch.ExecutionStore.
+// Acquire implements dispatch.ExecutionStore.
 func (d *databaseStore) Acquire(request dispatch.KeyedRequest, done func(dispatch.LeaseResult)) {
 	d.apply(request, execution.EventAttemptArrived, func(action execution.Action, err error) {
 		if action == execution.ActionStart {
@@ -80,23 +81,23 @@
 	})
 }
 
-// ReleaseLease is part of dispatch.ExecutionStore. If the write is lost, the intent stays on record, and a retry after
+// ReleaseLease implements dispatch.ExecutionStore. If the write is lost, the intent stays on record, and a retry after
 // a restart fails: the server can no longer know that the request never ran.
 func (d *databaseStore) ReleaseLease(request dispatch.KeyedRequest) {
 	d.apply(request, execution.EventRunNotStarted, func(execution.Action, error) {})
 }
 
-// RecordFailure is part of dispatch.ExecutionStore.
+// RecordFailure implements dispatch.ExecutionStore.
 func (d *databaseStore) RecordFailure(request dispatch.KeyedRequest) {
 	d.apply(request, execution.EventRunFailed, func(execution.Action, error) {})
 }
 
-// RecordResult is part of dispatch.ExecutionStore.
+// RecordResult implements dispatch.ExecutionStore.
 func (d *databaseStore) RecordResult(request dispatch.KeyedRequest, done func(error)) {
 	d.apply(request, execution.EventRunSucceeded, func(_ execution.Action, err error) { done(err) })
 }
 
-// record is a request as the database has it.
+// record returns the database record of a request.
 func (d *databaseStore) record(request dispatch.KeyedRequest) store.Record {
 	return store.Record{
 		Class:          d.server.cfg.Settings.Classes[request.Class].Name,
@@ -114,10 +115,10 @@
 ) {
 	record := d.record(request)
 	key := recordKey{tenant: record.Tenant, idempotencyKey: record.IdempotencyKey}
-	lifecycle := d.open[key]
+	lifecycle := d.inProgress[key]
 	if lifecycle == nil {
 		lifecycle = &execution.Lifecycle{}
-		d.open[key] = lifecycle
+		d.inProgress[key] = lifecycle
 	}
 	change := &lifecycleChange{store: d, key: key, record: record, lifecycle: lifecycle, notify: notify}
 	change.step(event)
@@ -130,7 +131,7 @@
 	record    store.Record
 	lifecycle *execution.Lifecycle
 	notify    func(execution.Action, error)
-	err       error // result of the last write
+	err       error // the result of the last write
 }
 
 // step applies an event and performs the actions that it returns.
@@ -155,23 +156,23 @@
 			c.notify(action, c.err)
 		}
 	}
-	c.forgetEnded()
+	c.removeIfEnded()
 	if event == execution.EventUnavailable && c.lifecycle.State == execution.StateIdle {
 		c.store.server.logf("server: the intent of a request that did not run stays on record: key=%q error=%v",
 			c.key.idempotencyKey, c.err)
 	}
 }
 
-// forgetEnded drops the lifecycle once it has ended; the core keeps the result.
-func (c *lifecycleChange) forgetEnded() {
+// removeIfEnded removes the lifecycle once it has ended; the core keeps the result.
+func (c *lifecycleChange) removeIfEnded() {
 	ended := c.lifecycle.State == execution.StateIdle || c.lifecycle.State == execution.StateRecorded
-	if ended && c.store.open[c.key] == c.lifecycle {
-		delete(c.store.open, c.key)
+	if ended && c.store.inProgress[c.key] == c.lifecycle {
+		delete(c.store.inProgress, c.key)
 	}
 }
 
-// write writes a record; the event follows on the loop once the record is durable.
-func (c *lifecycleChange) write(record store.Record, durable execution.Event) {
+// write writes a record. Once the record is durable, it applies durableEvent on the loop.
+func (c *lifecycleChange) write(record store.Record, durableEvent execution.Event) {
 	c.store.records.Record(record, func(err error) {
 		// Execute fails only after the loop has ended, when no request is left to answer.
 		_ = c.store.server.loop.Execute(func() {
@@ -180,7 +181,7 @@
 				c.step(execution.EventUnavailable)
 				return
 			}
-			c.step(durable)
+			c.step(durableEvent)
 		})
 	})
 }
--- a/internal/server/frontends.go
+++ b/internal/server/frontends.go
@@ -9,11 +9,11 @@
 	"pewterline/internal/microtime"
 )
 
-// clients holds the frontends with the connections of clients.
+// clients holds the frontends, which own the client connections.
 type clients struct {
 	thrift    *thriftfrontend.Frontend
 	ajp       *ajpfrontend.Frontend
-	submitted int // number of requests that the core has accepted so far
+	submitted int // the number of requests that the core has accepted so far
 }
 
 func newClients(server frontendServer, cfg config.AJP) clients {
@@ -23,14 +23,14 @@
 // connections counts the open connections.
 func (c *clients) connections() int { return c.thrift.Len() + c.ajp.Len() }
 
-// drain starts to close all connections: either the client is asked to close, or the connection is closed once its last
-// response is sent.
+// drain starts to close all connections: Thrift clients are asked to close theirs, and an AJP connection is closed once
+// its last response is sent.
 func (c *clients) drain(now microtime.Time) {
 	c.thrift.Drain(now)
 	c.ajp.Drain()
 }
 
-// frontendServer is the server as its frontends see it: it implements frontend.Server and ajpfrontend.Server.
+// frontendServer implements frontend.Server and ajpfrontend.Server.
 type frontendServer struct{ server *Server }
 
 func (f frontendServer) Now() microtime.Time { return f.server.loop.Now() }
@@ -73,9 +73,9 @@
 	return id, err
 }
 
-// CheckBackend asks the worker pool whether it works, and calls done with the answer. Other backends have no such
-// query: for them the answer is always true.
-func (f frontendServer) CheckBackend(done func(good bool)) {
+// CheckBackend checks that the worker pool can execute runs, and calls done with the result. Other backends have no
+// such check and always count as healthy.
+func (f frontendServer) CheckBackend(done func(healthy bool)) {
 	if f.server.backends.pool == nil {
 		done(true)
 		return
--- a/internal/server/health.go
+++ b/internal/server/health.go
@@ -26,7 +26,7 @@
 	return now >= h.nextAt || healthy != h.reported
 }
 
-// sent records that a report goes out at now.
+// sent records that a report is sent at now.
 func (h *healthReporter) sent(now microtime.Time, healthy bool) {
 	h.reported, h.nextAt = healthy, now+healthReportInterval
 }
@@ -44,10 +44,10 @@
 	return s.health.nextAt
 }
 
-// healthy is the answer to health checks.
+// healthy returns the answer to health checks.
 func (s *Server) healthy() bool { return !s.outOfService && s.core.Healthy() }
 
-// reportedHealth is the health to put into reports. If the control plane's endpoint list shows only whether a server
+// reportedHealth returns the health to report. If the control plane's endpoint list shows only whether a server
 // runs or drains, poor health must not remove the server from it: callers learn of it from rejections and from the load
 // signal in responses.
 func (s *Server) reportedHealth() bool {
--- a/internal/server/names.go
+++ b/internal/server/names.go
@@ -5,12 +5,12 @@
 	"pewterline/internal/microtime"
 )
 
-// minRetiredAcceptance is the least time for which a retired class is still accepted, for callers whose configuration
-// changes later.
+// minRetiredAcceptance is the shortest time for which a retired class is still accepted, for callers whose
+// configuration changes later.
 const minRetiredAcceptance = 5 * microtime.Second
 
-// nameIndex finds classes and tenants by their names, as indices in the settings in force. A class that a reload has
-// retired is found until its acceptance ends, unless a class of the same name has replaced it.
+// nameIndex maps the names of classes and tenants to their indices in the current settings. A class that a reload has
+// retired is kept until its acceptance ends, unless a class of the same name has replaced it.
 type nameIndex struct {
 	classes      map[string]int
 	tenants      map[string]int
@@ -43,13 +43,13 @@
 	}
 }
 
-// class is the index of a class.
+// class returns the index of a class.
 func (n *nameIndex) class(name string) (index int, known bool) {
 	index, known = n.classes[name]
 	return index, known
 }
 
-// tenant is the index of a tenant. If the settings name no tenants, every name is known, with index 0.
+// tenant returns the index of a tenant. If the settings name no tenants, every name is known, with index 0.
 func (n *nameIndex) tenant(name string) (index int, known bool) {
 	index, known = n.tenants[name]
 	return index, known || len(n.tenants) == 0
@@ -61,8 +61,8 @@
 	return ok
 }
 
-// replace switches to new settings. Classes that they retire are accepted for their retention window from now on, and
-// for minRetiredAcceptance at least.
+// replace switches to new settings. Classes that the new settings retire are accepted for their retention window, but
+// at least for minRetiredAcceptance.
 func (n *nameIndex) replace(old, settings control.Settings, now microtime.Time) {
 	for index, class := range settings.Classes {
 		switch {
@@ -75,7 +75,8 @@
 	n.rebuild(settings)
 }
 
-// expireRetired ends the acceptance of retired classes whose time is over. It returns when the next acceptance ends.
+// expireRetired ends the acceptance of retired classes whose time has expired. It returns when the next
+// acceptance ends.
 func (n *nameIndex) expireRetired(settings control.Settings, now microtime.Time) microtime.Time {
 	next, expired := microtime.Never, false
 	for index, until := range n.retiredUntil {
--- a/internal/server/peer_session.go
+++ b/internal/server/peer_session.go
@@ -14,12 +14,12 @@
 	// connectionCountInterval is the time between two messages about the number of open connections.
 	connectionCountInterval = 100 * microtime.Millisecond
 	// keySyncTimeout is how long a successor may take to receive all keys. An upgrade is abandoned unless the successor
-	// is ready within 6 s, so one that takes longer has hung.
+	// is ready within 6 s, so a successor that takes longer has hung.
 	keySyncTimeout = 6 * microtime.Second
 )
 
-// peerSession is the link between an old process and its successor, on either side. It implements transport.Session
-// towards the loop and dispatch.PeerProcess towards the core.
+// peerSession is one end of the link between an old process and its successor. It implements transport.Session for the
+// loop and dispatch.PeerProcess for the core.
 type peerSession struct {
 	server    *Server
 	conn      transport.Conn // nil in the successor until its loop runs
@@ -27,15 +27,15 @@
 
 	preambleRead    bool
 	ownershipPassed bool
-	keysSent        bool                      // the other process has all keys
+	keysSent        bool                      // the other process has received all keys
 	unsentKeys      []dispatch.IdempotencyKey // the keys that a successor has yet to receive
 	startedAt       microtime.Time
-	connections     int // the number in the last ConnectionCount message
-	connectionsAt   microtime.Time
+	lastCount       int            // the number in the last ConnectionCount message
+	nextCountAt     microtime.Time // when the next ConnectionCount message may be sent
 	writeBuffer     []byte
 }
 
-// Receive is part of transport.Session.
+// Receive implements transport.Session.
 func (p *peerSession) Receive(in []byte) (int, error) {
 	read := 0
 	if !p.preambleRead {
@@ -58,16 +58,16 @@
 	}
 }
 
-// Idle is part of transport.Session.
+// Idle implements transport.Session.
 func (p *peerSession) Idle() bool { return false }
 
-// Closed is part of transport.Session. The other process has ended, or the link to it is broken.
+// Closed implements transport.Session. It handles the end of the other process or the loss of the link.
 func (p *peerSession) Closed() {
 	server := p.server
-	if server.handoff.otherProcess != p {
+	if server.handoff.peer != p {
 		return
 	}
-	server.handoff.otherProcess = nil
+	server.handoff.peer = nil
 	if p.successor {
 		server.logf("server: the successor is gone: ownership_passed=%v", p.ownershipPassed)
 	} else {
@@ -80,7 +80,7 @@
 	}
 }
 
-// role names the other process.
+// role returns the role of the other process.
 func (p *peerSession) role() string {
 	if p.successor {
 		return "successor"
@@ -98,19 +98,19 @@
 // handle handles one message. It returns an error if the other side violates the protocol.
 func (p *peerSession) handle(message upgrade.Message) error {
 	switch {
-	case p.server.handoff.otherProcess == p && message.Kind >= upgrade.Claim:
+	case p.server.handoff.peer == p && message.Kind >= upgrade.Claim:
 		p.handleKey(message)
-	case p.server.handoff.otherProcess == p:
+	case p.server.handoff.peer == p:
 		p.handleProcess(message)
 	case message.Kind == upgrade.Hello && p.successor:
-		p.greet(message)
-	default: // the other side is unidentified until its hello
+		p.acceptHello(message)
+	default: // the other side is not identified until it sends Hello
 		return fmt.Errorf("%w: kind %d before hello", upgrade.ErrMalformedFrame, message.Kind)
 	}
 	return nil
 }
 
-// handleProcess handles a message about the process. Kinds that are not listed here are ignored.
+// handleProcess handles a message about the process as a whole. Kinds that are not listed here are ignored.
 func (p *peerSession) handleProcess(message upgrade.Message) {
 	server := p.server
 	switch message.Kind {
@@ -167,20 +167,20 @@
 	}
 }
 
-// greet accepts a process as the successor, unless this one is about to end or has a peer already.
-func (p *peerSession) greet(hello upgrade.Message) {
+// acceptHello accepts the sender of a Hello as the successor, or rejects it for the reason that rejectionReason gives.
+func (p *peerSession) acceptHello(hello upgrade.Message) {
 	server := p.server
 	p.conn.MarkIdentified()
-	if reason := server.rejectSuccessor(hello.Name); reason != "" {
+	if reason := server.rejectionReason(hello.Name); reason != "" {
 		server.logf("server: a successor is rejected: reason=%s", reason)
 		p.send(upgrade.Message{Kind: upgrade.Reject, Reason: reason})
 		p.conn.Close()
 		return
 	}
-	server.handoff.otherProcess, p.startedAt = p, server.loop.Now()
+	server.handoff.peer, p.startedAt = p, server.loop.Now()
 	server.logf("server: a successor has connected")
 	server.handoff.host.SteerListeners(0)
-	server.handoff.host.ShareLimits(0) // the successor gets no connections yet
+	server.handoff.host.ShareLimits(0) // the successor has no connections yet
 	server.core.JoinPeer(p, handoff.Owner)
 	learned := server.core.LearnedState()
 	p.send(upgrade.Message{Kind: upgrade.Welcome, OutOfService: server.outOfService, Learned: &learned})
@@ -189,14 +189,14 @@
 	p.sendKeys()
 }
 
-// rejectSuccessor returns the reason to reject a successor of that name, or "" to accept it.
-func (s *Server) rejectSuccessor(name string) string {
+// rejectionReason returns why a successor with this name must be rejected, or "" if it is accepted.
+func (s *Server) rejectionReason(name string) string {
 	switch {
 	case name != s.cfg.Name:
 		return "this is " + s.cfg.Name
 	case s.shutdown.stage != serving:
 		return "leaving"
-	case s.handoff.otherProcess != nil:
+	case s.handoff.peer != nil:
 		return "an upgrade is under way"
 	}
 	return ""
@@ -228,18 +228,18 @@
 		p.conn.Close()
 		return microtime.Never
 	}
-	if now >= p.connectionsAt {
-		p.connectionsAt = now + connectionCountInterval
+	if now >= p.nextCountAt {
+		p.nextCountAt = now + connectionCountInterval
 		p.sendConnectionCount()
 	}
-	return p.connectionsAt
+	return p.nextCountAt
 }
 
 // sendConnectionCount sends the number of open connections to the successor if it has changed, so that both processes
-// together keep to one limit.
+// together stay within one limit.
 func (p *peerSession) sendConnectionCount() {
-	if open := p.server.clients.connections(); p.connections != open {
-		p.connections = open
+	if open := p.server.clients.connections(); p.lastCount != open {
+		p.lastCount = open
 		p.send(upgrade.Message{Kind: upgrade.ConnectionCount, Connections: open})
 	}
 }
@@ -259,23 +259,23 @@
 	p.send(message)
 }
 
-// Claim is part of dispatch.PeerProcess.
+// Claim implements dispatch.PeerProcess.
 func (p *peerSession) Claim(request dispatch.KeyedRequest) { p.sendKey(upgrade.Claim, request) }
 
-// Grant is part of dispatch.PeerProcess.
+// Grant implements dispatch.PeerProcess.
 func (p *peerSession) Grant(request dispatch.KeyedRequest) { p.sendKey(upgrade.Grant, request) }
 
-// NotifyStarted is part of dispatch.PeerProcess.
+// NotifyStarted implements dispatch.PeerProcess.
 func (p *peerSession) NotifyStarted(request dispatch.KeyedRequest) {
 	p.sendKey(upgrade.Started, request)
 }
 
-// NotifyReleased is part of dispatch.PeerProcess.
+// NotifyReleased implements dispatch.PeerProcess.
 func (p *peerSession) NotifyReleased(request dispatch.KeyedRequest) {
 	p.sendKey(upgrade.Released, request)
 }
 
-// NotifyFinished is part of dispatch.PeerProcess.
+// NotifyFinished implements dispatch.PeerProcess.
 func (p *peerSession) NotifyFinished(request dispatch.KeyedRequest, outcome dispatch.RunOutcome) {
 	// A result that is too long for a message is reported as a failure: the other process cannot serve it, and must not
 	// run the request again.
--- a/internal/server/reload.go
+++ b/internal/server/reload.go
@@ -10,7 +10,7 @@
 	"pewterline/internal/config"
 )
 
-// ErrRestartRequired means that a configuration changes something that can only be changed by a restart.
+// ErrRestartRequired means that a configuration changes a key that can only be changed by a restart.
 var ErrRestartRequired = errors.New("a restart is required")
 
 // reloadCounts counts the reloads of the configuration.
@@ -25,7 +25,7 @@
 // Reload applies a configuration while serving: the settings, the addresses of the worker pool, of the vault and of the
 // control plane, the endpoints of an upstream, and the shutdown timeout. Runs in progress are not interrupted, and a
 // new link to the pool resumes after the last notice that was read. Everything else takes effect at the next restart.
-// After an error nothing has changed.
+// If it returns an error, nothing has changed.
 func (s *Server) Reload(next config.Config) error {
 	if err := s.applyConfig(next); err != nil {
 		s.reloads.rejected++
@@ -40,8 +40,8 @@
 		return err
 	}
 	if s.shutdown.stage == draining {
-		// A drain keeps the grace period that it began with: the supervisor counts on it, and stopAt comes from the
-		// configuration of that moment, too.
+		// A drain keeps the grace period that it began with: the supervisor relies on it, and stopAt was computed from
+		// the same configuration.
 		next.Settings.DrainGrace = s.cfg.Settings.DrainGrace
 	}
 	if err := s.applyFallibleParts(next); err != nil {
@@ -64,7 +64,7 @@
 	return nil
 }
 
-// applyFallibleParts applies the address of the control plane and the settings: both, or after an error neither.
+// applyFallibleParts applies the address of the control plane and the settings. If either fails, neither is changed.
 func (s *Server) applyFallibleParts(next config.Config) error {
 	if next.ControlAddress == s.cfg.ControlAddress {
 		return s.applySettings(next)
@@ -80,7 +80,7 @@
 	return nil
 }
 
-// applySettings applies the settings and the gauges that go with them. After an error nothing has changed.
+// applySettings applies the settings and the gauges that belong to them. If it returns an error, nothing has changed.
 func (s *Server) applySettings(next config.Config) error {
 	settings := next.Settings
 	settings.Seed, settings.ColdStart = s.cfg.Settings.Seed, s.cfg.Settings.ColdStart
@@ -88,18 +88,18 @@
 		return nil
 	}
 	if s.backends.pool == nil {
-		return fmt.Errorf("settings: %w where log servers or an AJP server do the work", ErrRestartRequired)
+		return fmt.Errorf("settings: %w if the backend is an upstream or an AJP server", ErrRestartRequired)
 	}
 	now := s.loop.Now()
 	s.names.expireRetired(s.cfg.Settings, now)
-	placed, err := s.core.Reload(settings, s.names.accepted)
+	indexed, err := s.core.Reload(settings, s.names.accepted)
 	if err != nil {
 		return err
 	}
 	old := s.cfg.Settings
-	s.fileSettings, s.cfg.Settings, s.cfg.Gauges = settings, placed, next.Gauges
+	s.fileSettings, s.cfg.Settings, s.cfg.Gauges = settings, indexed, next.Gauges
 	s.backends.pool.SetGauges(next.Gauges)
-	s.names.replace(old, placed, now)
+	s.names.replace(old, indexed, now)
 	return nil
 }
 
@@ -134,7 +134,7 @@
 	}
 }
 
-// classNames are the names of the classes in force, in the file's order.
+// classNames returns the names of the current classes, in the order of the file.
 func (s *Server) classNames() []string {
 	var names []string
 	for _, class := range s.fileSettings.Classes {
--- a/internal/server/replicated_store.go
+++ b/internal/server/replicated_store.go
@@ -9,8 +9,8 @@
 	"pewterline/internal/replication"
 )
 
-// leaseAnswerLead is how long before its deadline an attempt is answered, with what is known by then. It leaves time
-// for the response to reach the caller.
+// leaseAnswerLead is how long before its deadline an attempt is answered, even if the group has not reached a quorum.
+// It leaves time for the response to reach the caller.
 const leaseAnswerLead = 150 * microtime.Millisecond
 
 // The errors of a replication group without a quorum.
@@ -19,20 +19,20 @@
 	errResultNoQuorum = errors.New("replication: record result: no quorum of the key's replicas accepted it in time")
 )
 
-// replicatedStore is the core's dispatch.ExecutionStore on a replication group.
+// replicatedStore implements dispatch.ExecutionStore with a replication group.
 type replicatedStore struct {
 	server  *Server
 	replica *replication.Replica
 }
 
-// key identifies an execution within the group. It contains the tenant's name, because another member's settings may
-// list the tenants in another order.
+// key identifies an execution within the group. It contains the tenant's name rather than its index, because another
+// member's settings may list the tenants in another order.
 func (r *replicatedStore) key(request dispatch.KeyedRequest) string {
 	return r.server.tenantName(request.Tenant) + "\x00" + request.IdempotencyKey
 }
 
-// arrivedAtMilli is when the request arrived, in Unix milliseconds: the time that its caller states, if any, or else
-// the time at which this server read it.
+// arrivedAtMilli returns when the request arrived, in Unix milliseconds: the time that the caller states, if any, or
+// else the time at which this server read the request.
 func (r *replicatedStore) arrivedAtMilli(request dispatch.KeyedRequest) int64 {
 	if request.ArrivedAtUnixMilli != 0 {
 		return request.ArrivedAtUnixMilli
@@ -45,7 +45,8 @@
 	return request.ArrivedAt + microtime.FromDuration(class.Deadline)
 }
 
-// attempt converts a request to the group's terms. The group answers it leaseAnswerLead before the request's deadline.
+// attempt converts a request to an attempt of the replication group, which the group answers leaseAnswerLead before the
+// request's deadline.
 func (r *replicatedStore) attempt(request dispatch.KeyedRequest) replication.Attempt {
 	class := &r.server.cfg.Settings.Classes[request.Class]
 	return replication.Attempt{
@@ -56,7 +57,7 @@
 	}
 }
 
-// leaseResult converts an outcome of the group to the core's terms.
+// leaseResult converts an outcome of the replication group to a lease result of the core.
 func (r *replicatedStore) leaseResult(
 	request dispatch.KeyedRequest, outcome replication.Outcome,
 ) dispatch.LeaseResult {
@@ -85,7 +86,7 @@
 	}
 }
 
-// Lookup is part of dispatch.ExecutionStore. The group is asked only about requests that the caller marks as retries,
+// Lookup implements dispatch.ExecutionStore. The group is asked only about requests that the caller marks as retries,
 // and about keys of which this server has a record.
 func (r *replicatedStore) Lookup(request dispatch.KeyedRequest, done func(dispatch.LeaseResult)) bool {
 	attempt := r.attempt(request)
@@ -102,8 +103,8 @@
 	return true
 }
 
-// Acquire is part of dispatch.ExecutionStore. A lease that is granted after the attempt's deadline is released unused:
-// this server may have stalled meanwhile, and another may have waited for the lease to expire and run the request.
+// Acquire implements dispatch.ExecutionStore. A lease that is granted after the attempt's deadline is released unused:
+// this server may have stalled meanwhile, and another one may have run the request after the lease expired.
 func (r *replicatedStore) Acquire(request dispatch.KeyedRequest, done func(dispatch.LeaseResult)) {
 	attempt := r.attempt(request)
 	r.replica.AcquireLease(attempt, func(outcome replication.Outcome) {
@@ -117,17 +118,17 @@
 	})
 }
 
-// ReleaseLease is part of dispatch.ExecutionStore.
+// ReleaseLease implements dispatch.ExecutionStore.
 func (r *replicatedStore) ReleaseLease(request dispatch.KeyedRequest) {
 	r.replica.ReleaseLease(r.key(request))
 }
 
-// RecordFailure is part of dispatch.ExecutionStore.
+// RecordFailure implements dispatch.ExecutionStore.
 func (r *replicatedStore) RecordFailure(request dispatch.KeyedRequest) {
 	r.replica.Complete(r.key(request), false, nil, func(replication.Outcome) {})
 }
 
-// RecordResult is part of dispatch.ExecutionStore.
+// RecordResult implements dispatch.ExecutionStore.
 func (r *replicatedStore) RecordResult(request dispatch.KeyedRequest, done func(error)) {
 	r.replica.Complete(r.key(request), true, request.Result, func(outcome replication.Outcome) {
 		if outcome.Action != execution.ActionServe {
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -31,22 +31,23 @@
 // idleSweepInterval is the time between two searches for idle client connections.
 const idleSweepInterval = 250 * microtime.Millisecond
 
-// EventLoop is what the server needs of the event loop. Package transport's Loop implements it.
+// EventLoop is the part of the event loop that the server uses. Package transport's Loop implements it.
 type EventLoop interface {
-	// Now is the time of the turn.
+	// Now returns the time of the current turn.
 	Now() microtime.Time
-	// Dial opens a connection to an address. It retries after a backoff until that opens, or until drop is called.
+	// Dial opens a connection to an address. It retries with a backoff until the connection opens or drop is called.
 	Dial(addr string, open func(transport.Conn) transport.Session) (drop func())
-	// DialOnce tries once to open a connection to an address, and calls failed if that fails. Neither open nor failed
-	// is called after drop.
+	// DialOnce tries once to open a connection to an address, and calls failed if it cannot. Neither open nor failed is
+	// called after drop.
 	DialOnce(addr string, open func(transport.Conn) transport.Session, failed func()) (drop func())
-	// SetDatagramPeer sets the address that SendDatagram sends to. After an error the previous address stays.
+	// SetDatagramPeer sets the address that SendDatagram sends to. After an error the previous address
+	// remains in use.
 	SetDatagramPeer(addr string) error
 	// SendDatagram sends a datagram, which may be lost.
 	SendDatagram([]byte)
 	// Execute runs a task in a turn. It may be called from any goroutine. It fails only if the loop has ended.
 	Execute(func()) error
-	// Rand is a random number that need not be secret.
+	// Rand returns a random number that is not cryptographically secure.
 	Rand() uint64
 	// CloseListener accepts the connections in the listener's queue, closes the listener, and then calls done.
 	CloseListener(listener int, done func())
@@ -63,7 +64,7 @@
 
 // Server is one log server. It is not for concurrent use: all its methods run on its event loop once it is attached.
 type Server struct {
-	cfg   config.Config // its classes keep their indices over all reloads
+	cfg   config.Config // its classes keep their indices across reloads
 	loop  EventLoop     // nil until Attach
 	clock WallClock
 	logf  func(format string, args ...any)
@@ -75,7 +76,7 @@
 	operators *admin.Handler
 
 	names        nameIndex
-	fileSettings control.Settings // the settings as the file gives them, without the retired classes
+	fileSettings control.Settings // the settings of the file, without retired classes
 	reloads      reloadCounts
 	health       healthReporter
 	outOfService bool // by an operator's command
@@ -125,7 +126,7 @@
 	s.core.UseController(newController)
 }
 
-// Attach starts the server on its loop; it is called there.
+// Attach starts the server on its loop. It must be called on the loop.
 func (s *Server) Attach(loop EventLoop) {
 	s.loop = loop
 	if s.replica != nil {
@@ -178,7 +179,7 @@
 	return max(next, now)
 }
 
-// closeIdleClients closes idle connections whenever a sweep is due. It returns when the next one is.
+// closeIdleClients closes idle connections if a sweep is due. It returns when the next sweep is due.
 func (s *Server) closeIdleClients(now microtime.Time) microtime.Time {
 	if now >= s.nextSweepAt {
 		s.nextSweepAt = now + idleSweepInterval
@@ -196,7 +197,7 @@
 	return s.backends.upstream.WastedAttempts()
 }
 
-// LongestRetention is the longest time for which any idempotency key is kept.
+// LongestRetention returns the longest time for which any idempotency key is kept.
 func (s *Server) LongestRetention() (longest microtime.Time) {
 	for _, class := range s.cfg.Settings.Classes {
 		longest = max(longest, microtime.FromDuration(class.RetentionWindow))
@@ -204,7 +205,7 @@
 	return longest
 }
 
-// tenantName is the name of a tenant by its index; it is empty if the settings name no tenants.
+// tenantName returns the name of a tenant, or "" if the settings name no tenants.
 func (s *Server) tenantName(index int) string {
 	if index >= len(s.cfg.Settings.Tenants) {
 		return ""
--- a/internal/server/shutdown.go
+++ b/internal/server/shutdown.go
@@ -8,19 +8,20 @@
 )
 
 const (
-	// maxKillMargin is the longest time between the planned end of the process and the moment when it would be killed.
+	// maxKillMargin is the longest time between the planned end of the process and the time at which it would be
+	// killed.
 	maxKillMargin = 100 * microtime.Millisecond
-	// maxCloseTime is how long clients of the last connections get to close them.
+	// maxCloseTime is how long clients have to close the last connections.
 	maxCloseTime = 500 * microtime.Millisecond
 )
 
-// lifecycleStage is a stage of this process's life, as far as its end is concerned.
+// lifecycleStage tells whether the process serves, drains or has handed over.
 type lifecycleStage uint8
 
-// The stages. A process drains or hands over, never both.
+// The lifecycle stages. A process drains or hands over, never both.
 const (
 	serving    lifecycleStage = iota
-	draining                  // the shutdown notice has come; requests are accepted until the grace period ends
+	draining                  // after the shutdown notice; requests are accepted until the grace period ends
 	handedOver                // a successor owns the idempotency keys and gets all new connections
 )
 
@@ -39,7 +40,7 @@
 // shutdownState is the progress of a graceful shutdown, or of the end of a process that has handed over.
 type shutdownState struct {
 	stage          lifecycleStage
-	notifiedAt     microtime.Time // when the notice was sent; the timeout counts from here
+	notifiedAt     microtime.Time // when the notice was sent; the timeout counts from then
 	handedOverAt   microtime.Time
 	stopAt         microtime.Time // the loop ends by then
 	killMargin     microtime.Time // the process would be killed this long after stopAt
@@ -48,20 +49,20 @@
 	loopStopped    bool
 }
 
-// stopWithin sets the time at which the loop ends, somewhat before the process would be killed.
+// stopWithin sets stopAt, the time at which the loop ends, shortly before the process would be killed.
 func (s *shutdownState) stopWithin(notifiedAt, timeout microtime.Time) {
 	s.killMargin = min(maxKillMargin, timeout/4)
 	s.stopAt = notifiedAt + timeout - s.killMargin
 }
 
-// drainStopsAccepting is when a draining process stops accepting requests: at the end of the grace period, but early
+// stopAcceptingAt returns when a draining process stops accepting requests: at the end of the grace period, but early
 // enough that clients have a quarter of their linger timeout to close their connections before the loop ends.
-func (s *shutdownState) drainStopsAccepting(grace microtime.Time) microtime.Time {
+func (s *shutdownState) stopAcceptingAt(grace microtime.Time) microtime.Time {
 	return min(s.notifiedAt+grace, s.stopAt-frontend.LingerTimeout/4)
 }
 
 // Drain begins a graceful shutdown. notifiedAt is when the shutdown notice was sent, at most now. All times of the
-// shutdown count from then, even if the program was still starting or busy when the notice came.
+// shutdown count from then, even if the program was still starting or busy when the notice was sent.
 func (s *Server) Drain(notifiedAt microtime.Time) {
 	if s.shutdown.stage != serving {
 		return
@@ -74,13 +75,13 @@
 }
 
 // continueDrain ends a draining process once every request that was read is answered. New requests are accepted until
-// drainStopsAccepting; then the listeners and the client connections are closed. The process waits until the clients
-// have closed their ends, so that no request is lost unread. It returns when it has to be called again.
+// stopAcceptingAt; then the listeners and the client connections are closed. The process waits until the clients have
+// closed their ends, so that no request is lost unread. It returns when it has to be called again.
 func (s *Server) continueDrain(now microtime.Time) microtime.Time {
 	if s.shutdown.stage != draining {
 		return microtime.Never
 	}
-	closeAt := s.shutdown.drainStopsAccepting(microtime.FromDuration(s.cfg.Settings.DrainGrace))
+	closeAt := s.shutdown.stopAcceptingAt(microtime.FromDuration(s.cfg.Settings.DrainGrace))
 	if now >= closeAt && !s.shutdown.closingClients {
 		s.shutdown.closingClients = true
 		s.closeListeners()
@@ -99,7 +100,7 @@
 	return closeAt
 }
 
-// drained reports whether nothing is left to wait for: no client can send a request, and none waits for a response.
+// drained reports whether the drain is complete: no client can send a request, and none waits for a response.
 func (s *Server) drained() bool {
 	return s.shutdown.closingClients && s.shutdown.openListeners == 0 && s.core.Drained() && s.clients.connections() == 0
 }
@@ -114,7 +115,8 @@
 	}
 }
 
-// stopLoop ends the loop; half of the margin is left for the last connections to be closed.
+// stopLoop ends the loop. Peers have until half of the kill margin after stopAt, and at most maxCloseTime, to close the
+// last connections.
 func (s *Server) stopLoop(now microtime.Time) {
 	s.shutdown.loopStopped = true
 	s.loop.Shutdown(min(s.shutdown.stopAt+s.shutdown.killMargin/2, now+maxCloseTime))
--- a/internal/server/shutdown_test.go
+++ b/internal/server/shutdown_test.go
@@ -30,7 +30,7 @@
 			state.stopWithin(notifiedAt, tc.timeout)
 			require.Equal(t, tc.killMargin, state.killMargin)
 			require.Equal(t, notifiedAt+tc.timeout-tc.killMargin, state.stopAt)
-			require.Equal(t, notifiedAt+tc.stopsAcceptingIn, state.drainStopsAccepting(tc.grace))
+			require.Equal(t, notifiedAt+tc.stopsAcceptingIn, state.stopAcceptingAt(tc.grace))
 		})
 	}
 }
