--- a/internal/server/admin_test.go
+++ b/internal/server/admin_test.go
@@ -17,7 +17,7 @@
 	"pewterline/internal/transport/sockets"
 )
 
-// operatorCall has an operator send a request line; it returns the status line and the body.
+// operatorCall sends a request line on a new admin connection. It returns the status line and the body.
 func (f *loopFixture) operatorCall(line string) (status, body string) {
 	f.t.Helper()
 	f.opened++
@@ -33,10 +33,10 @@
 	return status, body
 }
 
-// probeBytes is a health check by Thrift.
+// probeBytes is the frame of a Thrift health check.
 const probeBytes = "\x00\x00\x00\x16\x80\x01\x00\x01\x00\x00\x00\x05probe\x00\x00\x00\x01\x02\x00\x01\x00\x00"
 
-// healthCheck is the answer to a health check.
+// healthCheck sends a Thrift health check and returns its answer.
 func (f *loopFixture) healthCheck() (healthy bool) {
 	f.t.Helper()
 	f.opened++
@@ -49,7 +49,7 @@
 	return !unhealthy
 }
 
-// counters are the figures as an operator reads them.
+// counters returns the counters that the admin interface reports.
 func (f *loopFixture) counters() (counters admin.Counters) {
 	f.t.Helper()
 	_, body := f.operatorCall("GET /control/counters")
@@ -57,8 +57,8 @@
 	return counters
 }
 
-// Operators take a server out of service: its health is bad from that moment, and good again once it is back. Neither
-// command does harm when it is repeated. After the shutdown notice there is no way back into service.
+// A server that an operator takes out of service is unhealthy until it is put back into service. Both commands are
+// idempotent. After the shutdown notice, the server cannot be put back into service.
 func TestOutOfServiceAndBack(t *testing.T) {
 	fixture := newPoolFixture(t)
 	fixture.reportAddress = "control"
@@ -79,7 +79,7 @@
 		require.Equal(t, tc.healthy, fixture.healthCheck(), tc.call)
 		require.Equal(t, tc.report, strings.TrimSpace(fixture.lastReport), tc.call)
 	}
-	// What arrives is answered as usual.
+	// Requests are still answered while the server is out of service.
 	require.Contains(t, fixture.submit("00000000000000a1", "block-view", ""), "spawn 00000000000000a1")
 	fixture.poolSends(finishedNotice(1, "00000000000000a1", "ok"))
 	require.Contains(t, string(fixture.client.out), "ok")
@@ -106,14 +106,14 @@
 	}
 }
 
-// Each request counts once, where it ends, by its class; one whose client has left counts nowhere.
+// Each request is counted once, when it ends, in its class. A request whose client has disconnected is not counted.
 func TestCounters(t *testing.T) {
 	fixture := newPoolFixture(t)
 	fixture.submit("00000000000000a1", "block-view", "")
 	fixture.submit("00000000000000a2", "lot-intake", "k1")
 	require.Equal(t, 2, fixture.counters().InProgress)
 	fixture.poolSends(finishedNotice(1, "00000000000000a1", "ok") + "finished 2 00000000000000a2 FAIL 5 0\r\n\r\n")
-	fixture.submit("00000000000000a3", "lot-intake", "k1") // Gets the failure of the run before.
+	fixture.submit("00000000000000a3", "lot-intake", "k1") // Gets the failure of the previous run.
 	fixture.submit("00000000000000a4", "block-view", "")
 	fixture.client.closed = true
 	fixture.turn()
@@ -130,8 +130,8 @@
 	}, fixture.counters())
 }
 
-// The connections of operators have a limit of their own: silent and half requests of theirs cost clients no place, the
-// oldest of them makes room for whoever calls next, and clients at their limit do not shut operators out.
+// Admin connections have their own limit: incomplete admin requests take no connections from clients, the oldest admin
+// connection is closed to admit a new one, and admin requests are answered while clients are at their limit.
 func TestAdminConnsHaveOwnLimit(t *testing.T) {
 	clock := microtime.NewClock()
 	srv, err := New(testConfig(t, "127.0.0.1:1"), clock, t.Logf)
@@ -155,15 +155,15 @@
 		n, _ := conn.Read(make([]byte, 100))
 		return n > 0
 	}
-	one, two := dialAndSend(ThriftListener, probeBytes), dialAndSend(ThriftListener, probeBytes)
-	require.True(t, answered(one) && answered(two))
+	client1, client2 := dialAndSend(ThriftListener, probeBytes), dialAndSend(ThriftListener, probeBytes)
+	require.True(t, answered(client1) && answered(client2))
 	for range 9 {
 		dialAndSend(AdminListener, "GET /control/re")
 	}
 	require.True(t, answered(dialAndSend(AdminListener, "GET /control/ready HTTP/1.1\r\nHost: a\r\n\r\n")))
-	for _, conn := range []net.Conn{one, two} {
+	for _, conn := range []net.Conn{client1, client2} {
 		_, err := conn.Write([]byte(probeBytes))
 		require.NoError(t, err)
-		require.True(t, answered(conn), "a client lost its place")
+		require.True(t, answered(conn), "a client lost its connection")
 	}
 }
--- a/internal/server/ajp_backend_test.go
+++ b/internal/server/ajp_backend_test.go
@@ -13,10 +13,10 @@
 	"pewterline/internal/protocol/thrift"
 )
 
-// fakeAJPBackend is a server that speaks AJP, and answers each request with its path and its body.
+// fakeAJPBackend is an AJP server that answers each request with its path and its body.
 type fakeAJPBackend struct {
 	t   *testing.T
-	ran chan string // The paths of the requests, as they are answered.
+	ran chan string // The paths of the answered requests.
 }
 
 // serve accepts connections until the listener is closed.
@@ -57,14 +57,14 @@
 	}
 }
 
-// run reads a request to its end; it returns the packets of its response.
+// run reads a whole request and returns the packets of its response.
 func (f *fakeAJPBackend) run(payload []byte, packets *clientConn) ([]byte, error) {
 	request, err := ajp.ParseForwardRequest(payload)
 	if err != nil {
 		return nil, err
 	}
 	if request.Secret != "vine" {
-		return nil, errors.New("no secret")
+		return nil, errors.New("wrong secret")
 	}
 	body, err := readBody(request.ContentLength, packets)
 	if err != nil {
@@ -77,7 +77,7 @@
 	return ajp.AppendEndResponse(ajp.AppendResponseBody(out, result), true), nil
 }
 
-// readBody reads a request's body; the first chunk comes unasked.
+// readBody reads a request's body. The client sends the first chunk without a request for it.
 func readBody(length int64, packets *clientConn) (body []byte, err error) {
 	for int64(len(body)) < length {
 		if len(body) > 0 {
@@ -98,8 +98,8 @@
 	return body, nil
 }
 
-// An AJP server on real sockets, in place of the worker pool: requests by both protocols, a connection that is kept
-// alive, and a keyed request by both protocols.
+// Requests run on an AJP server instead of the worker pool, over real sockets: requests by both protocols, reuse of
+// connections, and keyed requests that arrive by both protocols and run once.
 func TestLoopbackAJPBackend(t *testing.T) {
 	backend := &fakeAJPBackend{t: t, ran: make(chan string, 100)}
 	listener := listen(t)
--- a/internal/server/bench_test.go
+++ b/internal/server/bench_test.go
@@ -19,16 +19,17 @@
 	"pewterline/internal/transport/sockets"
 )
 
-// BenchmarkRequest is one request on its whole way over loopback sockets: a proxy's call, the transport, the frontend,
+// BenchmarkRequest measures one request end to end over loopback sockets: a proxy's call, the transport, the frontend,
 // the core with its decisions, the worker pool's answer and the reply; and the same for a request whose run makes a
-// call to the vault. Its allocations are those of the server alone, as the peers write from buffers of their own.
+// downstream call to the vault. The measured allocations are mostly the server's, because the peers reuse their
+// buffers.
 func BenchmarkRequest(b *testing.B) {
 	for _, run := range []struct{ name, class string }{{"plain", "block-view"}, {"call", callingClass}} {
 		b.Run(run.name, func(b *testing.B) { benchmarkRequests(b, run.class) })
 	}
 }
 
-// callingClass is the class whose runs make a call each.
+// callingClass is the class whose runs make one downstream call each.
 const callingClass = "lot-update"
 
 func benchmarkRequests(b *testing.B, class string) {
@@ -80,14 +81,14 @@
 	}
 }
 
-// callLength is the length of each call's body.
+// callLength is the length of a downstream call's body, in bytes.
 const callLength = 3
 
-// serveBenchmarkVault answers each call at once, on one connection, until that ends.
+// serveBenchmarkVault answers each call at once on one connection, until the connection is closed.
 func serveBenchmarkVault(listener net.Listener) {
 	conn, err := listener.Accept()
 	if err != nil {
-		return // The benchmark makes no calls.
+		return // The benchmark has ended without a call.
 	}
 	defer func() { _ = conn.Close() }() // The server has closed it.
 	in, out := bufio.NewReader(conn), []byte(nil)
@@ -110,7 +111,7 @@
 	}
 }
 
-// benchmarkPool is a worker pool that finishes each run at once, or has it make its call first.
+// benchmarkPool is a worker pool that finishes each run at once, or as soon as its downstream call is answered.
 type benchmarkPool struct {
 	in      *bufio.Reader
 	out     []byte
@@ -118,7 +119,7 @@
 	skipped []byte
 }
 
-// serveBenchmarkPool answers the commands on a link until it breaks.
+// serveBenchmarkPool answers the commands on a link until the link is closed.
 func serveBenchmarkPool(conn net.Conn) {
 	pool := &benchmarkPool{in: bufio.NewReader(conn), skipped: make([]byte, 64<<10)}
 	for {
@@ -136,7 +137,7 @@
 	}
 }
 
-// answer writes the answer to a command. The line holds until the next one is read.
+// answer appends the answer to a command to p.out. line is valid only until the next read.
 func (p *benchmarkPool) answer(line []byte) error {
 	switch {
 	case line[0] == 'b':
--- a/internal/server/call_fixture_test.go
+++ b/internal/server/call_fixture_test.go
@@ -15,27 +15,27 @@
 	"pewterline/internal/testbed/processtest"
 )
 
-// The classes of a callFixture. Each of their requests makes one call.
+// The classes of a callFixture. Each run makes one downstream call.
 const (
 	safeClass  = "block-view"
-	onceClass  = "lot-update" // Runs once, and has no idempotency key.
+	onceClass  = "lot-update" // Non-idempotent, without an idempotency key.
 	keyedClass = "lot-intake"
 )
 
-// longDeadline outlasts every test, however far its clock runs.
+// longDeadline exceeds the time by which any test advances its clock.
 const longDeadline = 10 * time.Minute
 
-// callFixture is a socketFixture whose requests call the vault.
+// callFixture is a socketFixture whose runs make calls to the vault.
 type callFixture struct {
 	*socketFixture
 	workers         *processtest.Pool
 	vault           *processtest.Vault
 	proxy           *clientConn
-	sequenceNumbers map[string]int32       // Of the requests, by attempt ID.
-	replies         map[int32]thrift.Reply // So far, by sequence number.
+	sequenceNumbers map[string]int32       // By attempt ID.
+	replies         map[int32]thrift.Reply // The replies received so far, by sequence number.
 }
 
-// newCallFixture starts a server; change, where it is not nil, changes its configuration before.
+// newCallFixture starts a server. If change is not nil, it changes the configuration first.
 func newCallFixture(t *testing.T, change func(*config.Config)) *callFixture {
 	t.Helper()
 	workers, err := processtest.NewPool(processtest.NewRunLog())
@@ -64,14 +64,14 @@
 	return fixture
 }
 
-// reconnect has requests come on a new connection from now on: the one before may be closed where the clock has moved
-// far.
+// reconnect opens a new connection for further requests. The server may have closed the previous one as idle when the
+// test advanced the clock.
 func (f *callFixture) reconnect() {
 	f.t.Helper()
 	f.proxy, f.sequenceNumbers, f.replies = f.dial(), map[string]int32{}, map[int32]thrift.Reply{}
 }
 
-// dial opens a connection of a proxy's on which nothing is waited for without end.
+// dial opens a proxy's connection whose reads time out.
 func (f *callFixture) dial() *clientConn {
 	f.t.Helper()
 	proxy := f.dialProxy()
@@ -87,7 +87,7 @@
 	return vault
 }
 
-// submitClass sends a request of a class; one of the keyed class has a key of its own.
+// submitClass sends a request of a class. A request of the keyed class gets a new idempotency key.
 func (f *callFixture) submitClass(class string) (id string) {
 	f.t.Helper()
 	idempotencyKey := ""
@@ -99,7 +99,7 @@
 	return id
 }
 
-// replyTo is the reply to a request.
+// replyTo waits for the reply to a request.
 func (f *callFixture) replyTo(id string) thrift.Reply {
 	f.t.Helper()
 	for {
@@ -115,7 +115,7 @@
 	}
 }
 
-// requireServed requires that a request is served, by a run that got a reply to its call.
+// requireServed requires that a request succeeds, and that its run received callReply.
 func (f *callFixture) requireServed(id, callReply string) {
 	f.t.Helper()
 	reply := f.replyTo(id)
@@ -123,14 +123,14 @@
 	require.Equal(f.t, "did lot got "+callReply, string(reply.Body))
 }
 
-// requireFailed requires that a request fails. The worker pool knows by then that its run is over.
+// requireFailed requires that a request fails, and ends its run at the worker pool.
 func (f *callFixture) requireFailed(id string) {
 	f.t.Helper()
 	require.Equal(f.t, thrift.ReplyBroken, f.replyTo(id).Kind)
 	f.workers.FinishRun(id)
 }
 
-// nextCall is the next call, which has to be that of a request.
+// nextCall returns the next downstream call, which must belong to the request.
 func (f *callFixture) nextCall(id string) *processtest.Call {
 	f.t.Helper()
 	call, err := f.vault.NextCall()
@@ -141,13 +141,13 @@
 	return call
 }
 
-// countCalls counts the calls of a request.
+// countCalls counts the downstream calls of a request.
 func (f *callFixture) countCalls(id string) int {
 	others := func(call processtest.Call) bool { return call.ID != id }
 	return len(slices.DeleteFunc(f.vault.Calls(), others))
 }
 
-// requireAbandoned requires that the next call to be abandoned is that of a request.
+// requireAbandoned requires that the next abandoned call belongs to the request.
 func (f *callFixture) requireAbandoned(id string) {
 	f.t.Helper()
 	got, err := f.vault.NextAbandoned()
@@ -155,14 +155,14 @@
 	require.Equal(f.t, id, got)
 }
 
-// advance moves the clock, and returns after a turn at that time.
+// advance advances the clock, and returns after a turn of the loop at the new time.
 func (f *callFixture) advance(by microtime.Time) {
 	f.t.Helper()
 	f.advanceClock(by)
 	f.onLoop(func() {})
 }
 
-// runClock moves the clock by a step in each turn of the loop, until it is stopped.
+// runClock advances the clock by 10 ms in each turn of the loop, until stop is called.
 func (f *callFixture) runClock() (stop func()) {
 	quit, done := make(chan struct{}), make(chan struct{})
 	go func() {
@@ -177,7 +177,7 @@
 			case <-quit:
 				return
 			case <-turned:
-				time.Sleep(time.Millisecond) // Leaves the machine to the others.
+				time.Sleep(time.Millisecond) // Yields the CPU to other processes.
 			}
 		}
 	}()
@@ -187,7 +187,7 @@
 	})
 }
 
-// requireNoMoreCalls requires that no call is retried later: the next call is that of a request that comes then.
+// requireNoMoreCalls requires that no call is retried within a second: the next call belongs to a new request.
 func (f *callFixture) requireNoMoreCalls() {
 	f.t.Helper()
 	f.advance(microtime.Second)
@@ -197,14 +197,14 @@
 	f.requireServed(last, "kept call 1 of lot")
 }
 
-// stop ends the server, and requires that every reply has gone to the run that waited for it.
+// stop stops the server, and requires that the worker pool received no reply for a run that did not wait for one.
 func (f *callFixture) stop() {
 	f.t.Helper()
 	f.socketFixture.stop()
 	require.Empty(f.t, f.workers.UnexpectedCommands())
 }
 
-// sendProbe sends a health check on a connection of its own.
+// sendProbe sends a health check on a new connection.
 func (f *callFixture) sendProbe(deep bool) *clientConn {
 	f.t.Helper()
 	proxy := f.dial()
--- a/internal/server/calls_test.go
+++ b/internal/server/calls_test.go
@@ -14,7 +14,7 @@
 	"pewterline/internal/testbed/processtest"
 )
 
-// The reply to a call goes to the run as it came, whatever its bytes, and in whatever order replies come.
+// The reply to a call is passed to its run unchanged, whatever bytes it contains and in whatever order replies arrive.
 func TestDownstreamCalls(t *testing.T) {
 	fixture := newCallFixture(t, nil)
 	fixture.vault.Hold()
@@ -29,8 +29,8 @@
 	fixture.stop()
 }
 
-// When the vault dies with calls in flight, a call that may have had its effect is not retried, and its request fails;
-// that of a safe request is retried once the vault is back.
+// When the vault dies with calls in flight, the calls of non-idempotent and keyed requests may have taken effect: they
+// are not retried, and their requests fail. The call of a safe request is retried once the vault is reachable again.
 func TestVaultDiesWithCallsOpen(t *testing.T) {
 	fixture := newCallFixture(t, nil)
 	fixture.vault.Hold()
@@ -57,7 +57,8 @@
 	fixture.stop()
 }
 
-// When a reload moves the vault, calls in flight end where they were made, and new ones are made at the new address.
+// When a reload changes the vault's address, calls in flight complete at the old address, and new calls are made at the
+// new one.
 func TestVaultMovesWithCallsOpen(t *testing.T) {
 	fixture := newCallFixture(t, nil)
 	old, moved := fixture.vault, newVault(t)
@@ -87,8 +88,8 @@
 	fixture.stop()
 }
 
-// A drain with blocked runs, one with its call in flight and one that waits to retry its call, answers every request
-// before the process would be killed. The call is abandoned, and its late reply goes nowhere.
+// A drain with two blocked runs, one with its call in flight and one waiting to retry its call, answers every request
+// before the process would be killed. The call is abandoned, and its late reply is discarded.
 func TestDrainWithRunsBlocked(t *testing.T) {
 	fixture := newCallFixture(t, nil)
 	fixture.vault.Hold()
@@ -108,9 +109,9 @@
 	require.Empty(t, fixture.workers.UnexpectedCommands())
 }
 
-// No call is made for nobody. When a client cancels its request, a call in flight is abandoned, and its reply, which
-// crosses that, goes nowhere. A run that waits to retry its call makes none any more, nor does one that comes to its
-// call only later.
+// No call is made for a cancelled request. When a client cancels its request, a call in flight is abandoned and its
+// late reply is discarded. A run that waits to retry its call does not retry it, and a run that has not made its call
+// yet does not make it.
 func TestCancelWhileBlocked(t *testing.T) {
 	fixture := newCallFixture(t, nil)
 	cancel := func(id string) { fixture.proxy.write(thrift.AppendGiveUp(nil, fixture.sequenceNumbers[id])) }
@@ -146,13 +147,13 @@
 	fixture.stop()
 }
 
-// A call of a request that may run only once is not retried where the one before may have run.
+// A call of a non-idempotent or keyed request is not retried if the previous call may have been executed.
 func TestIndeterminateCallsAreNotRetried(t *testing.T) {
 	for name, end := range map[string]func(*callFixture, *processtest.Call){
-		"failed":  func(_ *callFixture, call *processtest.Call) { call.Reply(vault.Failed, "") },
-		"overdue": func(_ *callFixture, call *processtest.Call) { call.Reply(vault.Overdue, "") },
-		"broken":  func(fixture *callFixture, _ *processtest.Call) { fixture.vault.Break() },
-		"halved":  func(_ *callFixture, call *processtest.Call) { call.BreakReply() },
+		"failed":            func(_ *callFixture, call *processtest.Call) { call.Reply(vault.Failed, "") },
+		"overdue":           func(_ *callFixture, call *processtest.Call) { call.Reply(vault.Overdue, "") },
+		"connection broken": func(fixture *callFixture, _ *processtest.Call) { fixture.vault.Break() },
+		"reply cut off":     func(_ *callFixture, call *processtest.Call) { call.BreakReply() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			fixture := newCallFixture(t, nil)
@@ -178,7 +179,7 @@
 	}
 }
 
-// A call of a request that may run only once is retried where the one before never ran: it was rejected, or its
+// A call of a non-idempotent or keyed request is retried if the previous call was not executed: it was rejected, or its
 // connection was refused.
 func TestRejectedCallsAreRetried(t *testing.T) {
 	for _, class := range []string{onceClass, keyedClass} {
@@ -208,9 +209,9 @@
 	}
 }
 
-// A call that takes too long is abandoned and retried. The reply to the first one, which comes all the same, does not
-// become the reply to the second.
-func TestReplyCrossesEndOfCall(t *testing.T) {
+// A call that takes too long is abandoned and retried. A late reply to the first call is not taken for the reply to the
+// second.
+func TestLateReplyToAbandonedCall(t *testing.T) {
 	fixture := newCallFixture(t, func(cfg *config.Config) {
 		// Calls are abandoned before their request's deadline only at a shared dependency.
 		cfg.Settings.Dependency = control.DependencyShared
@@ -231,8 +232,9 @@
 	fixture.stop()
 }
 
-// The pool's link is lost while runs are blocked. A reply that comes meanwhile is delivered on the next link; a call
-// that the pool has told of before is not made twice; and one that a run came to meanwhile is told of on the next link.
+// The link to the worker pool is lost while runs are blocked. A reply that arrives while there is no link is delivered
+// on the next one, a call that the pool reported before is not made twice, and a call that a run requests while there
+// is no link is reported on the next one.
 func TestPoolLinkLostWhileBlocked(t *testing.T) {
 	fixture := newCallFixture(t, nil)
 	fixture.vault.Hold()
@@ -244,7 +246,7 @@
 	require.NoError(t, fixture.workers.AwaitStart("lot"))
 
 	fixture.workers.Disconnect()
-	fixture.workers.Release() // The second run comes to its call.
+	fixture.workers.Release() // The second run requests its call.
 	seen, err := fixture.workers.AwaitBind()
 	require.NoError(t, err)
 	require.EqualValues(t, 1, seen)
--- a/internal/server/deep_check_test.go
+++ b/internal/server/deep_check_test.go
@@ -9,15 +9,15 @@
 	"pewterline/internal/protocol/pool"
 )
 
-// A worker pool accepts work and does none. A deep health check is answered all the same, and as unhealthy; requests
-// and other checks do not wait for it meanwhile, and however many checks come, few are passed on to the pool.
+// A worker pool that accepts runs but executes none fails deep health checks, which are answered nevertheless. They do
+// not delay requests or other checks, and concurrent deep checks share a few checks of the pool.
 func TestDeepCheckWhilePoolHangs(t *testing.T) {
 	fixture := newCallFixture(t, nil)
 	requireWorking := func() {
 		fixture.reconnect()
 		fixture.requireServed(fixture.submitClass(safeClass), "kept call 1 of lot")
 	}
-	const stale = 2 * microtime.Second // An outcome answers the checks of a moment as well.
+	const stale = 2 * microtime.Second // The age at which the outcome of a check or run is no longer reused.
 	requireChecked := func(good bool) {
 		t.Helper()
 		fixture.advance(stale)
@@ -29,7 +29,7 @@
 	requireWorking()
 	checksBefore := fixture.workers.Checks()
 	require.True(t, nextReply(fixture.sendProbe(true)).Good)
-	require.Equal(t, checksBefore, fixture.workers.Checks(), "a run that has just ended well is answer enough")
+	require.Equal(t, checksBefore, fixture.workers.Checks(), "a run that has just succeeded answers the check")
 	requireChecked(true)
 	require.Greater(t, fixture.workers.Checks(), checksBefore)
 	fixture.workers.AnswerChecksWith(pool.Fail)
@@ -58,7 +58,7 @@
 
 	fixture.workers.Release()
 	fixture.requireServed(meanwhile, "kept call 1 of lot")
-	for good := false; !good; { // The pool may have been taken for hung.
+	for good := false; !good; { // The pool may have been considered hung.
 		proxy := fixture.sendProbe(false)
 		good = nextReply(proxy).Good
 		require.NoError(t, proxy.conn.Close())
@@ -67,7 +67,7 @@
 
 	fixture.advance(stale)
 	deep := fixture.sendProbe(true)
-	requireWorking() // The pool answers no check, but a run that ends well shows that it works.
+	requireWorking() // The pool answers no checks, but a successful run shows that it works.
 	stop = fixture.runClock()
 	require.True(t, nextReply(deep).Good)
 	stop()
--- a/internal/server/exchange_test.go
+++ b/internal/server/exchange_test.go
@@ -19,20 +19,20 @@
 	"pewterline/internal/protocol/thrift"
 )
 
-var update = flag.Bool("update", false, "record the server's side of the exchanges anew")
+var update = flag.Bool("update", false, "record the server's side of the exchanges again")
 
-// endLine is the line of a transcript that says that the server has ended.
+// endLine is the line of a transcript that marks the end of the server.
 const endLine = "the program ends"
 
-// exchange plays the peers' side of a transcript, and records it with the server's side.
+// exchange replays the peers' side of a transcript, and records it together with the server's side.
 type exchange struct {
 	*loopFixture
 	transcript strings.Builder
 }
 
-// play plays the lines of the peers' side. The polls of the gauges, one a tick, are left out of the transcript, and so
-// are reports that repeat the one before.
-func (e *exchange) play(lines []string) string {
+// replay replays the lines of the peers' side. The transcript omits gauge polls, which are sent once per tick, and
+// health reports that repeat the previous one.
+func (e *exchange) replay(lines []string) string {
 	for _, line := range lines {
 		if strings.Contains(line, " < ") || strings.HasSuffix(line, " is closed") || line == endLine {
 			continue // The server's side.
@@ -41,15 +41,15 @@
 		if line == "" || strings.HasPrefix(line, "#") {
 			continue
 		}
-		e.playLine(line)
+		e.replayLine(line)
 		e.turn()
 		e.recordOutput()
 	}
 	return e.transcript.String()
 }
 
-// playLine carries out one line.
-func (e *exchange) playLine(line string) {
+// replayLine executes one line of the peers' side.
+func (e *exchange) replayLine(line string) {
 	words := strings.SplitN(line, " ", 3)
 	switch {
 	case line[0] == '@':
@@ -79,7 +79,7 @@
 	}
 }
 
-// recordOutput records what the server has done in the last turn.
+// recordOutput records the server's output of the last turn.
 func (e *exchange) recordOutput() {
 	for _, name := range e.order {
 		conn := e.conns[name]
@@ -102,7 +102,7 @@
 	}
 }
 
-// Each file of testdata is an exchange: what the peers send, and what the server has to answer.
+// Each file of testdata is a transcript of an exchange: what the peers send, and what the server must answer.
 func TestRecordedExchanges(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.txt")
 	require.NoError(t, err)
@@ -120,7 +120,7 @@
 				ajpConfig.BackendAddress = "backend"
 			}
 			recorded := &exchange{loopFixture: newLoopFixture(t, ajpConfig)}
-			got := recorded.play(strings.Split(strings.TrimSuffix(string(text), "\n"), "\n"))
+			got := recorded.replay(strings.Split(strings.TrimSuffix(string(text), "\n"), "\n"))
 			if *update {
 				require.NoError(t, os.WriteFile(file, []byte(got), 0o644))
 				return
@@ -130,7 +130,7 @@
 	}
 }
 
-// Whatever bytes its peers send, the server does not panic, and both frontends serve afterwards.
+// Whatever bytes its peers send, the server does not panic, and its frontends still serve afterwards.
 func FuzzPeers(f *testing.F) {
 	f.Add([]byte("\x00\x00\x00\x16\x80\x01\x00\x01\x00\x00\x00\x05probe\x00\x00\x00\x03\x02\x00\x01\x00\x00"))
 	f.Add([]byte("\x12\x34\x00\x01\x0a\x12\x34\x00\x04\x02\x04\x00\x99"))
@@ -153,7 +153,8 @@
 	})
 }
 
-// Only a client that sends something valid is identified: the transport closes the connections of others first.
+// Only a client that sends a valid message is marked as identified: at the connection limit, the transport closes the
+// connections of other clients first.
 func TestOnlyValidClientsAreIdentified(t *testing.T) {
 	call := func(class string) string {
 		return string(thrift.AppendCall(nil, 1, thriftFields(thrift.Field{Name: "class", Value: class}), nil))
@@ -174,7 +175,7 @@
 		{"part of a call", ThriftListener, call("block-view")[:60], false},
 		{"health check", ThriftListener, probeBytes, true},
 		{"cancellation", ThriftListener, cancel, false},
-		{"frame of nothing", ThriftListener, "\x00\x00\x00\x02hi", false},
+		{"invalid frame", ThriftListener, "\x00\x00\x00\x02hi", false},
 		{"request with the secret", AJPListener, forward("vine"), true},
 		{"request with another secret", AJPListener, forward("wine"), false},
 		{"CPing", AJPListener, "\x12\x34\x00\x01\x0a", true},
@@ -190,7 +191,7 @@
 	}
 }
 
-// A connection gets a bounded share of a turn: what it pipelines beyond that waits for the next turns.
+// A connection gets a bounded share of a turn: further pipelined messages wait for later turns.
 func TestWorkPerTurnIsBounded(t *testing.T) {
 	loop := newLoopFixture(t, config.AJP{})
 	conn := loop.connect("c", ThriftListener)
--- a/internal/server/fake_peers_test.go
+++ b/internal/server/fake_peers_test.go
@@ -18,7 +18,7 @@
 	"pewterline/internal/protocol/thrift"
 )
 
-// closeAtEnd closes a connection or a listener at the test's end, unless it is closed by then.
+// closeAtEnd closes a connection or a listener at the test's end, if it is still open.
 func closeAtEnd(tb testing.TB, closer io.Closer) {
 	tb.Helper()
 	tb.Cleanup(func() {
@@ -37,11 +37,11 @@
 	return listener
 }
 
-// fakePool is a worker pool on a real socket. It holds every run until the test finishes it.
+// fakePool is a worker pool on a real socket. A run ends only when the test finishes it.
 type fakePool struct {
 	listener net.Listener
-	started  chan string // Run IDs, as they come.
-	mutex    sync.Mutex  // Guards what follows.
+	started  chan string // The IDs of the runs that were started.
+	mutex    sync.Mutex  // Guards the fields below.
 	conn     net.Conn
 	notice   int // The number of the last notice.
 }
@@ -54,7 +54,7 @@
 	return pool
 }
 
-// acceptLinks serves one link after the other until the listener is closed.
+// acceptLinks serves one link at a time until the listener is closed.
 func (p *fakePool) acceptLinks() {
 	for {
 		conn, err := p.listener.Accept()
@@ -75,7 +75,7 @@
 	fmt.Fprintf(p.conn, format, args...)
 }
 
-// serve answers the commands on a link until it breaks.
+// serve answers the commands on a link until the link is closed.
 func (p *fakePool) serve(conn net.Conn) {
 	in := bufio.NewReader(conn)
 	for {
@@ -99,13 +99,13 @@
 	}
 }
 
-// scanned reports whether a line has all values of a format, and reads them.
+// scanned reads the values of a format from a line, and reports whether the line has all of them.
 func scanned(line, format string, values ...any) bool {
 	n, _ := fmt.Sscanf(line, format, values...)
 	return n == len(values)
 }
 
-// finish has a run end with a result.
+// finish ends a run with a result.
 func (p *fakePool) finish(id, result string) {
 	p.mutex.Lock()
 	p.notice++
@@ -114,20 +114,20 @@
 	p.send("finished %d %s PASS 5 %d\r\n%s\r\n", notice, id, len(result), result)
 }
 
-// breakLink breaks the link in use.
+// breakLink closes the current link.
 func (p *fakePool) breakLink() error {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.conn.Close()
 }
 
-// clientConn is a client's connection; read waits for one whole message of its protocol.
+// clientConn is a client's connection. Its read method waits for one whole message of its protocol.
 type clientConn struct {
 	t     *testing.T
 	conn  net.Conn
 	buf   []byte
 	split func([]byte) ([]byte, int, error)
-	sent  int32
+	sent  int32 // The number of requests sent.
 }
 
 func dial(t *testing.T, addr string, split func([]byte) ([]byte, int, error)) *clientConn {
@@ -161,17 +161,17 @@
 			c.buf = c.buf[size:]
 			return payload, nil
 		}
-		more := make([]byte, 4096)
-		n, err := c.conn.Read(more)
+		chunk := make([]byte, 4096)
+		n, err := c.conn.Read(chunk)
 		if err != nil {
 			return nil, err
 		}
-		c.buf = append(c.buf, more[:n]...)
+		c.buf = append(c.buf, chunk[:n]...)
 	}
 }
 
-// thriftFields are the fields of a valid request. Others take the place of those of their name, or follow them.
-func thriftFields(others ...thrift.Field) []thrift.Field {
+// thriftFields returns the fields of a valid request. The overrides replace fields of the same name or are appended.
+func thriftFields(overrides ...thrift.Field) []thrift.Field {
 	fields := []thrift.Field{
 		{Name: "class", Value: "block-view"},
 		{Name: "id", Value: "00000000000000a1"},
@@ -181,18 +181,18 @@
 		{Name: "kb", Value: "9"},
 		{Name: "rank", Value: "0.1"},
 	}
-	for _, other := range others {
-		place := slices.IndexFunc(fields, func(field thrift.Field) bool { return field.Name == other.Name })
-		if place >= 0 {
-			fields[place] = other
+	for _, override := range overrides {
+		index := slices.IndexFunc(fields, func(field thrift.Field) bool { return field.Name == override.Name })
+		if index >= 0 {
+			fields[index] = override
 		} else {
-			fields = append(fields, other)
+			fields = append(fields, override)
 		}
 	}
 	return fields
 }
 
-// lotCall is a request of a proxy's by Thrift, with "lot" for its body.
+// lotCall returns the Thrift frame of a proxy's request with the body "lot".
 func lotCall(sequence int32, class, id string, unixMilli int64, idempotencyKey string) []byte {
 	fields := thriftFields(
 		thrift.Field{Name: "class", Value: class},
@@ -206,7 +206,7 @@
 	return thrift.AppendCall(nil, sequence, fields, []byte("lot"))
 }
 
-// sendIntake sends an intake by Thrift.
+// sendIntake sends a lot-intake request by Thrift.
 func sendIntake(client *clientConn, idempotencyKey string) {
 	client.t.Helper()
 	client.sent++
@@ -214,7 +214,7 @@
 	client.write(lotCall(client.sent, "lot-intake", id, time.Now().UnixMilli(), idempotencyKey))
 }
 
-// forwardIntake sends one by AJP.
+// forwardIntake sends a lot-intake request by AJP.
 func forwardIntake(client *clientConn, idempotencyKey string) {
 	client.t.Helper()
 	out := ajp.AppendForwardRequest(nil, ajp.Request{Method: "POST", URI: "/lot-intake", Headers: []ajp.Header{
@@ -226,7 +226,7 @@
 	client.write(out)
 }
 
-// readServed reads a whole AJP response that serves the request, and returns its body.
+// readServed reads a whole AJP response, which must have status 200, and returns its body.
 func readServed(client *clientConn) string {
 	client.t.Helper()
 	var parts [3]ajp.Response
--- a/internal/server/handoff_test.go
+++ b/internal/server/handoff_test.go
@@ -24,7 +24,8 @@
 
 func (h *fakeHost) Orphaned() { h.orphaned = true }
 
-// peerSends has the other process send messages; it returns those that it receives in that turn.
+// peerSends sends messages as the other process. It returns the messages that the other process receives in that
+// turn.
 func (f *poolFixture) peerSends(peer *fakeConn, messages ...upgrade.Message) []upgrade.Message {
 	f.t.Helper()
 	peer.out = nil
@@ -35,7 +36,7 @@
 	return f.peerMessages(peer)
 }
 
-// peerMessages are the messages that the other process has received since the last time.
+// peerMessages returns the messages that the other process has received since the last call.
 func (f *poolFixture) peerMessages(peer *fakeConn) []upgrade.Message {
 	f.t.Helper()
 	var messages []upgrade.Message
@@ -49,7 +50,7 @@
 	return messages
 }
 
-// connectSuccessor connects a successor; it returns the messages that it receives first.
+// connectSuccessor connects a successor. It returns the first messages that the successor receives.
 func (f *poolFixture) connectSuccessor(host *fakeHost) (*fakeConn, []upgrade.Message) {
 	f.t.Helper()
 	f.srv.UseProcessHost(host)
@@ -67,8 +68,9 @@
 	return kinds
 }
 
-// An old process tells its successor of all keys, in chunks, and of each run before it starts and once it has finished.
-// After the handoff it asks for keys; what the successor has run is served from its result, and reports end.
+// An old process sends all keys to its successor, in chunks, and notifies it of each run before the run starts and once
+// it has finished. After the handoff it claims keys from the successor, serves the results of the successor's runs, and
+// sends no more health reports.
 func TestPredecessorHandsOver(t *testing.T) {
 	fixture, host := newPoolFixture(t), &fakeHost{}
 	for i := range upgrade.ChunkKeys + 1 {
@@ -101,14 +103,14 @@
 	reports := len(fixture.reports)
 
 	successor.out = nil
-	sent := fixture.submit("00000000000000f2", "lot-intake", "asked")
-	require.Empty(t, sent, "it does not run before the successor grants it")
+	sent := fixture.submit("00000000000000f2", "lot-intake", "claimed")
+	require.Empty(t, sent, "it does not run before the successor grants the key")
 	claims := fixture.peerMessages(successor)
 	require.Equal(t, []upgrade.Kind{upgrade.Claim}, messageKinds(claims))
 	fixture.client.out = nil
-	claims[0].Kind, claims[0].Result = upgrade.Succeeded, []byte("theirs")
+	claims[0].Kind, claims[0].Result = upgrade.Succeeded, []byte("result of the successor")
 	fixture.peerSends(successor, claims[0])
-	require.Contains(t, string(fixture.client.out), "theirs")
+	require.Contains(t, string(fixture.client.out), "result of the successor")
 	fixture.submit("00000000000000f3", "lot-intake", "granted")
 	claims = fixture.peerMessages(successor)
 	claims[0].Kind = upgrade.Grant
@@ -118,7 +120,7 @@
 	fixture.advance(fixture.now + microtime.Second)
 	require.Len(t, fixture.reports, reports, "the successor reports now")
 
-	// At its end it answers the two requests that are open, and ends in time.
+	// Before it stops, it answers the two open requests, and it stops in time.
 	fixture.client.out = nil
 	fixture.advance(fixture.now + 4*microtime.Second)
 	require.True(t, fixture.stopped)
@@ -130,37 +132,37 @@
 	}
 }
 
-// A successor that hangs while it receives the keys is cut off, so that the next upgrade can begin. One that comes
-// second, one for another server, and nonsense at the start of the link are rejected.
+// A successor that hangs while it receives the keys is disconnected, so that the next upgrade can begin. A second
+// successor, a successor of another server, and a link that does not start with Hello are rejected.
 func TestSuccessorsRejected(t *testing.T) {
 	fixture, host := newPoolFixture(t), &fakeHost{}
 	fixture.submit("00000000000000a1", "lot-intake", "k1")
 	fixture.poolSends(finishedNotice(1, "00000000000000a1", "lot"))
 	hanging, _ := fixture.connectSuccessor(host)
-	second := fixture.connect("third", HandoffListener)
+	second := fixture.connect("second", HandoffListener)
 	fixture.deliver(second, upgrade.Preamble[:])
 	second.out = nil
 	rejection := fixture.peerSends(second, upgrade.Message{Kind: upgrade.Hello, Name: "n0"})
 	require.Equal(t, "an upgrade is under way", rejection[0].Reason)
 	require.True(t, second.closed)
 	fixture.advance(fixture.now + keySyncTimeout + microtime.Second)
-	require.True(t, hanging.closed, "it has hung")
-	require.Equal(t, -1, host.shared[len(host.shared)-1], "the limits are all its own again")
-	other := fixture.connect("stranger", HandoffListener)
+	require.True(t, hanging.closed, "the successor has hung")
+	require.Equal(t, -1, host.shared[len(host.shared)-1], "the connection limit is not shared any more")
+	other := fixture.connect("other server", HandoffListener)
 	fixture.deliver(other, upgrade.Preamble[:])
 	other.out = nil
 	rejection = fixture.peerSends(other, upgrade.Message{Kind: upgrade.Hello, Name: "n1"})
 	require.Equal(t, "this is n0", rejection[0].Reason)
-	rude := fixture.connect("rude", HandoffListener)
-	fixture.deliver(rude, upgrade.Append(upgrade.Preamble[:], upgrade.Message{Kind: upgrade.OwnershipTransferred}))
-	require.True(t, rude.closed)
+	malformed := fixture.connect("malformed", HandoffListener)
+	fixture.deliver(malformed, upgrade.Append(upgrade.Preamble[:], upgrade.Message{Kind: upgrade.OwnershipTransferred}))
+	require.True(t, malformed.closed)
 	fixture.turn()
 	next, _ := fixture.connectSuccessor(host)
 	require.False(t, next.closed)
 }
 
-// A successor mirrors the keys of its predecessor, claims those that it does not know until it owns them all, and fails
-// what the predecessor may have run when it died.
+// A successor keeps a copy of its predecessor's keys and claims unknown keys until it owns all of them. When the
+// predecessor dies, the successor fails the requests that the predecessor may have been running.
 func TestSuccessorTakesOver(t *testing.T) {
 	fixture, host := newPoolFixture(t), &fakeHost{}
 	fixture.srv.UseProcessHost(host)
@@ -171,7 +173,7 @@
 	require.NoError(t, fixture.srv.Inherit([]upgrade.Message{
 		{Kind: upgrade.Welcome, OutOfService: true}, key(upgrade.Succeeded, "done"), key(upgrade.Started, "runs"),
 	}))
-	require.False(t, fixture.healthCheck(), "it is out of service as its predecessor was")
+	require.False(t, fixture.healthCheck(), "it is out of service like its predecessor")
 	predecessor := &fakeConn{name: "old"}
 	predecessor.session = fixture.srv.AcceptPredecessor(predecessor)
 	fixture.addConn(predecessor)
@@ -184,7 +186,7 @@
 	require.Equal(t, []upgrade.Kind{upgrade.Claim}, messageKinds(fixture.peerMessages(predecessor)))
 	fixture.pool.out = nil
 	fixture.peerSends(predecessor, upgrade.Message{Kind: upgrade.OwnershipTransferred})
-	require.Contains(t, string(fixture.pool.out), "spawn 00000000000000a3", "it owns the keys")
+	require.Contains(t, string(fixture.pool.out), "spawn 00000000000000a3", "the server owns the keys")
 	fixture.poolSends(finishedNotice(1, "00000000000000a3", "new"))
 
 	fixture.client.out = nil
@@ -199,5 +201,5 @@
 	require.Equal(t, 2, fixture.counters().Failed["lot-intake"])
 	fixture.advance(fixture.now + 14*microtime.Second)
 	fixture.connectClient("c2")
-	require.Contains(t, fixture.submit("00000000000000a5", "lot-intake", "runs"), "spawn", "its retention is over")
+	require.Contains(t, fixture.submit("00000000000000a5", "lot-intake", "runs"), "spawn", "its retention window is over")
 }
--- a/internal/server/health_test.go
+++ b/internal/server/health_test.go
@@ -10,8 +10,8 @@
 	"pewterline/internal/microtime"
 )
 
-// Where the endpoint list shows only whether a server runs or drains, one whose runs fail stays on it until it drains;
-// where the list follows health, it goes off. Health checks tell of it either way.
+// If the endpoint list shows only whether a server runs or drains, a server whose runs fail is reported as ready until
+// it drains. If the list follows health, it is reported as not ready. Health checks fail in both cases.
 func TestEndpointListIgnoresHealth(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
@@ -39,11 +39,12 @@
 	}
 }
 
-// A report is due at regular times, at once when health changes, and at once when the control plane has moved.
+// A report is due at regular intervals, at once when health changes, and at once when the control plane's address
+// changes.
 func TestHealthReportIsDue(t *testing.T) {
 	reporter := newHealthReporter()
 	const now = microtime.Second
-	require.True(t, reporter.due(now, true), "the first one")
+	require.True(t, reporter.due(now, true), "the first report")
 	reporter.sent(now, true)
 	require.False(t, reporter.due(now+healthReportInterval-1, true))
 	require.True(t, reporter.due(now+healthReportInterval, true))
--- a/internal/server/loop_fixture_test.go
+++ b/internal/server/loop_fixture_test.go
@@ -12,7 +12,7 @@
 	"pewterline/internal/transport"
 )
 
-// settingsJSON are the platform's settings, for a server of two cores.
+// settingsJSON is a settings document as the platform has it, for a server with two cores.
 const settingsJSON = `{"classes": [
  {"name": "block-view", "aim_ms": 1800, "hard_limit_ms": 4500, "worth": 1, "effect": "free"},
  {"name": "lot-update", "aim_ms": 1800, "hard_limit_ms": 4500, "worth": 1, "effect": "free"},
@@ -24,7 +24,7 @@
  "tip_after_ms": 3000, "grace_to_answer_ms": 100}, "tenants": [{"name": "hill-estate", "quota_rps": 69},
  {"name": "lake-vines", "quota_rps": 43}, {"name": "valley-rows", "quota_rps": 32}]}`
 
-// testConfig is a configuration with the worker pool at an address and the AJP frontend on.
+// testConfig returns a configuration with the worker pool at an address and the AJP frontend enabled.
 func testConfig(t testing.TB, poolAddress string) config.Config {
 	t.Helper()
 	parsed, gauges, err := settings.Parse([]byte(settingsJSON), 7)
@@ -39,7 +39,7 @@
 	}
 }
 
-// zeroBasedClock is a wall clock on which the program's time 0 is the Unix epoch.
+// zeroBasedClock is a wall clock that maps the program's time 0 to the Unix epoch.
 type zeroBasedClock struct{}
 
 func (zeroBasedClock) FromUnixMilli(ms int64) microtime.Time {
@@ -48,16 +48,16 @@
 
 func (zeroBasedClock) UnixMilli(t microtime.Time) int64 { return int64(t / microtime.Millisecond) }
 
-// fakeConn is a connection whose bytes the test reads and writes.
+// fakeConn is a connection whose peer is the test.
 type fakeConn struct {
 	name          string
 	session       transport.Session
-	in            []byte // Written by the peer, and not received yet.
+	in            []byte // Written by the peer and not consumed by the server yet.
 	out           []byte // Written by the server.
 	closed        bool
 	resume        bool
 	identified    bool
-	closeReported bool // Its end is in the transcript.
+	closeReported bool // The transcript contains that it is closed.
 }
 
 func (c *fakeConn) Write(p []byte) {
@@ -74,26 +74,27 @@
 
 func (c *fakeConn) Remote() string { return c.name }
 
-// fakeDial is a connection that the server wants to open.
+// fakeDial is a connection that the server is dialling.
 type fakeDial struct {
 	addr    string
 	open    func(transport.Conn) transport.Session
 	dropped bool
 }
 
-// loopFixture is a server on an event loop without sockets, on a clock that the test moves. It implements EventLoop.
+// loopFixture is a server on an event loop without sockets, with a clock that the test advances. It implements
+// EventLoop.
 type loopFixture struct {
 	t             *testing.T
 	srv           *Server
 	now           microtime.Time
 	next          microtime.Time // When the next turn is due.
 	conns         map[string]*fakeConn
-	order         []string // Of conns, as they were opened.
-	opened        int      // Connections that have a number in their name.
+	order         []string // The names in conns, in the order in which the connections were opened.
+	opened        int      // The number of connections that were named by number.
 	dials         []*fakeDial
 	reportAddress string
 	lastReport    string
-	reports       []string // Without repetitions.
+	reports       []string // Without reports that repeat the previous one.
 	stopped       bool
 	logged        []string
 }
@@ -102,10 +103,10 @@
 	t.Helper()
 	cfg := testConfig(t, "pool")
 	cfg.AJP = ajp
-	return newLoopFixtureOf(t, cfg)
+	return newLoopFixtureWithConfig(t, cfg)
 }
 
-func newLoopFixtureOf(t *testing.T, cfg config.Config) *loopFixture {
+func newLoopFixtureWithConfig(t *testing.T, cfg config.Config) *loopFixture {
 	t.Helper()
 	f := &loopFixture{t: t, now: microtime.Second, conns: map[string]*fakeConn{}, reportAddress: "control"}
 	logf := func(format string, args ...any) { f.logged = append(f.logged, fmt.Sprintf(format, args...)) }
@@ -150,10 +151,11 @@
 	return f.Dial(addr, open)
 }
 
-// nextDialed is in place of a listener for the next connection that the server has dialled.
+// nextDialed stands for the next connection that the server has dialled, in place of a listener's index.
 const nextDialed = -1
 
-// connect opens a connection: to a listener, or as the next one that the server has dialled.
+// connect opens a connection to a listener, or the next connection that the server has dialled if listener is
+// nextDialed.
 func (f *loopFixture) connect(name string, listener int) *fakeConn {
 	f.t.Helper()
 	conn := &fakeConn{name: name}
@@ -170,7 +172,7 @@
 	return conn
 }
 
-// addConn adds a connection that has its session; it takes the place of one of the same name.
+// addConn adds a connection that has a session. It replaces a connection of the same name.
 func (f *loopFixture) addConn(conn *fakeConn) {
 	if f.conns[conn.name] == nil {
 		f.order = append(f.order, conn.name)
@@ -178,7 +180,7 @@
 	f.conns[conn.name] = conn
 }
 
-// deliver has the server receive bytes on a connection.
+// deliver passes bytes from the peer of a connection to the server.
 func (f *loopFixture) deliver(conn *fakeConn, p []byte) {
 	conn.in = append(conn.in, p...)
 	n, err := conn.session.Receive(conn.in)
@@ -189,7 +191,7 @@
 	}
 }
 
-// turn ends a turn, then drops the connections that are closed.
+// turn ends a turn, then ends the sessions of closed connections and delivers the pending input of resumed ones.
 func (f *loopFixture) turn() {
 	f.next = f.srv.Turn(f.now)
 	for _, name := range f.order {
@@ -206,7 +208,7 @@
 	}
 }
 
-// advance moves the clock, with a turn whenever one is due.
+// advance advances the clock to a time, with a turn whenever one is due.
 func (f *loopFixture) advance(to microtime.Time) {
 	for f.next <= to && !f.stopped {
 		f.now = max(f.now, f.next)
--- a/internal/server/loopback_test.go
+++ b/internal/server/loopback_test.go
@@ -17,8 +17,8 @@
 	"pewterline/internal/transport/sockets"
 )
 
-// serveLoopback runs a whole server on ports that the system picks, until stop or the test's end. Executions are
-// recorded in a database file, or not at all if file is empty.
+// serveLoopback runs a whole server on ports that the system picks, until stop is called or the test ends. Executions
+// are recorded in a database file, or not at all if file is empty.
 func serveLoopback(t *testing.T, cfg config.Config, file string) (thriftAddr, ajpAddr string, stop func()) {
 	t.Helper()
 	clock := microtime.NewClock()
@@ -44,9 +44,9 @@
 	return loop.Addr(ThriftListener).String(), loop.Addr(AJPListener).String(), stop
 }
 
-// A keyed request that comes by both protocols runs once, whichever comes first, and whether the first is still
-// running. A client that breaks the protocol harms no other.
-func TestLoopbackOnce(t *testing.T) {
+// A keyed request that arrives by both protocols runs once, whichever attempt arrives first, and whether or not its run
+// has ended. A client that violates the protocol does not affect other clients.
+func TestLoopbackKeyedRequestRunsOnce(t *testing.T) {
 	pool := newFakePool(t)
 	thriftAddr, ajpAddr, _ := serveLoopback(t, testConfig(t, pool.listener.Addr().String()), "")
 	proxy := dial(t, thriftAddr, thrift.SplitFrame)
@@ -76,13 +76,13 @@
 	viaThrift("k3")
 	id := <-pool.started
 	viaAJP("k3")
-	viaThrift("k4") // Its start gives the retry time to be read; whether it has been or not, the answers are the same.
+	viaThrift("k4") // Its start leaves time to read the retry of k3, but the answers do not depend on that.
 	id4 := <-pool.started
 	pool.finish(id, "third")
 	gotThrift("third")
 	gotAJP("third")
 
-	viaAJP("k4") // While the run that came by Thrift is in flight.
+	viaAJP("k4") // While the run of the Thrift request is in flight.
 	viaThrift("k5")
 	id5 := <-pool.started
 	pool.finish(id4, "fourth")
@@ -94,9 +94,9 @@
 	require.Empty(t, pool.started, "a keyed request ran twice")
 }
 
-// With a database, a retry after a restart gets the recorded result and does not run, whatever the protocol of either
-// attempt.
-func TestLoopbackRestart(t *testing.T) {
+// With a database, a retry after a restart gets the recorded result and does not run, whichever protocol each attempt
+// uses.
+func TestLoopbackRetryAfterRestart(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "intakes.db")
 	pool := newFakePool(t)
 	thriftAddr, _, stop := serveLoopback(t, testConfig(t, pool.listener.Addr().String()), file)
--- a/internal/server/malformed_clients_test.go
+++ b/internal/server/malformed_clients_test.go
@@ -11,9 +11,9 @@
 	"pewterline/internal/protocol/thrift"
 )
 
-// Clients that break the protocol, many at once, harm neither the server nor other clients. Each gets the protocol's
-// error or the end of its connection, leaves nothing behind, and costs no more memory than a message; whoever keeps to
-// the protocol is served beside them and after them.
+// Many clients that violate the protocol at the same time harm neither the server nor other clients. Each gets a
+// protocol error or its connection is closed; each buffers at most one message and leaves no requests or sessions
+// behind. A valid client is served at the same time.
 func TestMalformedClients(t *testing.T) {
 	call := func(sequence int32, id string) []byte {
 		return thrift.AppendCall(nil, sequence, thriftFields(thrift.Field{Name: "id", Value: id}), []byte("b"))
@@ -33,32 +33,32 @@
 	nested := processHead + strings.Repeat("\x0c\x00\x09", 200)
 	for name, tc := range map[string]struct {
 		sent   []byte
-		closed bool // At once; if not, an error, or nothing as long as more may come.
-		errors int
+		closed bool // At once. If false, the client gets an error, or nothing while its message may still be completed.
+		errors int  // The number of error replies.
 	}{
-		"no length":                {frame(0, "hello"), true, 0},
-		"a length past any":        {frame(1<<31, "hello"), true, 0},
-		"all ones":                 {[]byte("\xff\xff\xff\xff\xff\xff\xff\xff"), true, 0},
-		"another protocol":         {[]byte("GET /probe HTTP/1.1\r\nHost: n0\r\n\r\n"), true, 0},
-		"a handshake of TLS":       {[]byte("\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03"), true, 0},
-		"half a message":           {call(1, id)[:60], false, 0},
-		"half a length":            {[]byte("\x00\x00"), false, 0},
-		"an old version":           {frame(12, "\x00\x00\x00\x04ping\x01\x00\x00\x00"), true, 0},
-		"an unknown method":        {frame(20, "\x80\x01\x00\x01\x00\x00\x00\x07prosess\x00\x00\x00\x01\x00"[:20]), false, 1},
-		"a string past the end":    {frame(30, processHead+"\x0b\x00\x02"+nextLength+"\x00\x00\x00\x00"), false, 1},
-		"a map past the end":       {frame(33, processHead+mapHead+nextLength+"\x00\x00\x00\x01a\x00"), false, 1},
-		"nested without end":       {frame(uint32(len(nested)), nested), false, 1},
-		"an unknown class":         {with("class", "no-such"), false, 1},
-		"an unknown tenant":        {with("tenant", "nobody"), false, 1},
-		"an id of other letters":   {with("id", "00000000000000zz"), false, 1},
-		"a number past any":        {with("from", "99999999999999999999999"), false, 1},
-		"memory past any":          {with("kb", "2000"), false, 1},
-		"memory of nothing":        {with("kb", "0"), false, 1},
-		"a rank past any":          {with("rank", "1.5"), false, 1},
-		"a time that is no time":   {with("at", "yesterday"), false, 1},
-		"a time far ahead":         {with("at", "9999999999999"), false, 1},
-		"a field of a megabyte":    {frame(1<<20, "\x80\x01\x00\x01"), true, 0},
-		"a sequence number reused": {append(call(1, id), call(1, "00000000000000e2")...), true, 1},
+		"zero length":             {frame(0, "hello"), true, 0},
+		"length out of range":     {frame(1<<31, "hello"), true, 0},
+		"all bits set":            {[]byte("\xff\xff\xff\xff\xff\xff\xff\xff"), true, 0},
+		"HTTP request":            {[]byte("GET /probe HTTP/1.1\r\nHost: n0\r\n\r\n"), true, 0},
+		"TLS handshake":           {[]byte("\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03"), true, 0},
+		"incomplete message":      {call(1, id)[:60], false, 0},
+		"incomplete length":       {[]byte("\x00\x00"), false, 0},
+		"old version":             {frame(12, "\x00\x00\x00\x04ping\x01\x00\x00\x00"), true, 0},
+		"unknown method":          {frame(20, "\x80\x01\x00\x01\x00\x00\x00\x07prosess\x00\x00\x00\x01\x00"[:20]), false, 1},
+		"string beyond the frame": {frame(30, processHead+"\x0b\x00\x02"+nextLength+"\x00\x00\x00\x00"), false, 1},
+		"map beyond the frame":    {frame(33, processHead+mapHead+nextLength+"\x00\x00\x00\x01a\x00"), false, 1},
+		"unterminated nesting":    {frame(uint32(len(nested)), nested), false, 1},
+		"unknown class":           {with("class", "no-such"), false, 1},
+		"unknown tenant":          {with("tenant", "nobody"), false, 1},
+		"non-hexadecimal ID":      {with("id", "00000000000000zz"), false, 1},
+		"number out of range":     {with("from", "99999999999999999999999"), false, 1},
+		"memory out of range":     {with("kb", "2000"), false, 1},
+		"zero memory":             {with("kb", "0"), false, 1},
+		"rank out of range":       {with("rank", "1.5"), false, 1},
+		"invalid time":            {with("at", "yesterday"), false, 1},
+		"time in the far future":  {with("at", "9999999999999"), false, 1},
+		"frame of one MiB":        {frame(1<<20, "\x80\x01\x00\x01"), true, 0},
+		"reused sequence number":  {append(call(1, id), call(1, "00000000000000e2")...), true, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			fixture := newPoolFixture(t)
@@ -85,7 +85,7 @@
 			}
 			fixture.advance(fixture.now + 6*microtime.Second)
 			require.Zero(t, fixture.srv.core.OpenRequests())
-			require.LessOrEqual(t, fixture.srv.clients.thrift.Len(), 1, "the valid client's, if it is still open")
+			require.LessOrEqual(t, fixture.srv.clients.thrift.Len(), 1, "only the valid client's session may be left")
 		})
 	}
 }
--- a/internal/server/names_test.go
+++ b/internal/server/names_test.go
@@ -10,8 +10,8 @@
 	"pewterline/internal/microtime"
 )
 
-// A class that a reload retires is found until its acceptance ends: for its retention window, and for a minimum.
-func TestRetiredClassIsFoundForAWhile(t *testing.T) {
+// A class that a reload retires is accepted for its retention window, but at least for minRetiredAcceptance.
+func TestRetiredClassIsAcceptedUntilExpiry(t *testing.T) {
 	for _, tc := range []struct {
 		name      string
 		retention time.Duration
@@ -28,9 +28,9 @@
 			names := newNameIndex(old)
 			const now = microtime.Second
 			names.replace(old, settings, now)
-			place, known := names.class("lot-intake")
+			index, known := names.class("lot-intake")
 			require.True(t, known)
-			require.Equal(t, 1, place)
+			require.Equal(t, 1, index)
 			require.True(t, names.accepted(1))
 			require.False(t, names.accepted(0))
 
@@ -45,36 +45,37 @@
 	}
 }
 
-// A new class takes the name over from a retired one at once, and a class that comes back to its place is served again.
+// A new class replaces a retired class of the same name at once, and a retired class that is restored at its index is
+// served again.
 func TestRetiredClassIsReplaced(t *testing.T) {
 	old := control.Settings{Classes: []control.Class{{Name: "block-view"}}}
 	replaced := control.Settings{Classes: []control.Class{{Name: "block-view", Retired: true}, {Name: "block-view"}}}
 	names := newNameIndex(old)
 	names.replace(old, replaced, microtime.Second)
-	place, known := names.class("block-view")
+	index, known := names.class("block-view")
 	require.True(t, known)
-	require.Equal(t, 1, place)
-	require.True(t, names.accepted(0), "its place is still in use")
+	require.Equal(t, 1, index)
+	require.True(t, names.accepted(0), "its index is still in use")
 
 	names.replace(replaced, old, 2*microtime.Second)
-	place, known = names.class("block-view")
+	index, known = names.class("block-view")
 	require.True(t, known)
-	require.Zero(t, place)
+	require.Zero(t, index)
 	require.False(t, names.accepted(0))
 }
 
-// Where the settings name tenants, others are unknown; where they name none, each name is known.
+// If the settings name tenants, all others are unknown. If they name none, every name is known.
 func TestTenantNames(t *testing.T) {
 	tenants := []control.Tenant{{Name: "hill-estate"}, {Name: "lake-vines"}}
 	named := newNameIndex(control.Settings{Tenants: tenants})
-	place, known := named.tenant("lake-vines")
+	index, known := named.tenant("lake-vines")
 	require.True(t, known)
-	require.Equal(t, 1, place)
+	require.Equal(t, 1, index)
 	_, known = named.tenant("nobody")
 	require.False(t, known)
 
 	unnamed := newNameIndex(control.Settings{})
-	place, known = unnamed.tenant("anybody")
+	index, known = unnamed.tenant("anybody")
 	require.True(t, known)
-	require.Zero(t, place)
+	require.Zero(t, index)
 }
--- a/internal/server/overload_test.go
+++ b/internal/server/overload_test.go
@@ -23,7 +23,7 @@
 	"pewterline/internal/transport/sockets"
 )
 
-// overloadClock stands still until the test moves it; its time 0 is the Unix epoch.
+// overloadClock advances only when the test advances it. Its time 0 is the Unix epoch.
 type overloadClock struct {
 	zeroBasedClock
 	now atomic.Int64
@@ -41,11 +41,12 @@
 type clientResponse struct {
 	protocol string
 	id       int
-	status   int // As in HTTP.
+	status   int // The HTTP status, or its equivalent in Thrift.
 }
 
-// overloadFixture is a whole server on loopback sockets and a clock of the test's, with fake peers. Every step waits
-// until the server has received what it has sent, so that a run is the same each time, however fast the machine.
+// overloadFixture is a whole server on loopback sockets, with fake peers and a clock that the test advances. Every step
+// waits until the server has received what the step has sent, so that the test is deterministic on machines of any
+// speed.
 type overloadFixture struct {
 	t     *testing.T
 	clock overloadClock
@@ -54,11 +55,11 @@
 
 	pool           net.Conn
 	poolIn         *bufio.Reader
-	queuedRuns     []string                  // At the pool, waiting for a core.
-	runningUntil   map[string]microtime.Time // At the pool, on a core.
-	runsByBody     map[string]int            // How often each request was run.
+	queuedRuns     []string                  // At the pool, waiting for a core, by attempt ID.
+	runningUntil   map[string]microtime.Time // At the pool, on a core, by attempt ID.
+	runsByBody     map[string]int            // The number of runs of each request.
 	noticeCount    uint64
-	pendingNotices []byte // Of this step.
+	pendingNotices []byte // The pool's notices in this step.
 	polls          int
 
 	submitted    int
@@ -92,20 +93,20 @@
 	require.NoError(t, err)
 	closeAtEnd(t, fixture.pool)
 	fixture.poolIn = bufio.NewReader(fixture.pool)
-	fixture.readCommand() // It binds the link.
+	fixture.readCommand() // The bind command.
 	fixture.await(func() bool { return fixture.srv.backends.pool.Status().Bound || fixture.answerFirstPoll() })
 	fixture.thriftClient = dial(t, fixture.loop.Addr(ThriftListener).String(), thrift.SplitFrame)
 	go fixture.readThrift()
 	return fixture
 }
 
-// onLoop runs a task in a turn of the loop, and returns when it has ended.
+// onLoop runs a task in a turn of the loop, and returns when the task has ended.
 func (f *overloadFixture) onLoop(task func()) {
 	f.t.Helper()
 	runOnLoop(f.t, f.loop, task)
 }
 
-// await returns when a condition holds on the loop.
+// await waits until a condition holds, which it evaluates on the loop.
 func (f *overloadFixture) await(condition func() bool) {
 	f.t.Helper()
 	for holds := false; !holds; runtime.Gosched() {
@@ -114,7 +115,7 @@
 }
 
 // answerFirstPoll answers the poll that follows bound, once the link is open. It always returns false, so that await
-// looks again.
+// evaluates its condition again.
 func (f *overloadFixture) answerFirstPoll() bool {
 	if f.srv.backends.pool.Status().Connections == 1 && f.polls == 0 {
 		f.polls = 1
@@ -124,7 +125,7 @@
 	return false
 }
 
-// readCommand reads and carries out one command at the pool; it returns the tag of a poll.
+// readCommand reads and executes one command at the pool. For a poll, it returns the tag.
 func (f *overloadFixture) readCommand() (pollTag string) {
 	f.t.Helper()
 	line, err := f.poolIn.ReadString('\n')
@@ -152,13 +153,13 @@
 	return ""
 }
 
-// finish has the pool notify of a run's end.
+// finish queues the pool's notice of the end of a run.
 func (f *overloadFixture) finish(id, outcome string) {
 	f.noticeCount++
 	f.pendingNotices = fmt.Appendf(f.pendingNotices, "finished %d %s %s 100 2\r\nok\r\n", f.noticeCount, id, outcome)
 }
 
-// runPool lets the pool do what it has been sent by now, and waits until the server has read its notices.
+// runPool lets the pool execute the commands that it has received, and waits until the server has read its notices.
 func (f *overloadFixture) runPool() {
 	f.t.Helper()
 	f.polls++
@@ -179,8 +180,8 @@
 	busy := float64(len(f.runningUntil)) / poolCores
 	runnable := len(f.runningUntil) + len(f.queuedRuns)
 	f.pendingNotices = fmt.Appendf(f.pendingNotices, "polled %s %.2f %d 0.1 4\r\n", tag, busy, runnable)
-	f.finish("mark", "PASS")                 // Of no run: shows that everything before it has been read.
-	_, err := f.pool.Write(f.pendingNotices) // All at once, so that they are read in one turn.
+	f.finish("mark", "PASS")                 // A notice of no run: once it is read, all notices before it have been read.
+	_, err := f.pool.Write(f.pendingNotices) // In one write, so that they are read in one turn.
 	require.NoError(f.t, err)
 	f.pendingNotices = f.pendingNotices[:0]
 	f.await(func() bool { return f.srv.backends.pool.Status().Notice == f.noticeCount })
@@ -227,7 +228,7 @@
 	}
 }
 
-// submit sends a request by one of the protocols, and waits until the core has it.
+// submit sends a request by one of the protocols, and waits until the core has accepted it.
 func (f *overloadFixture) submit(protocol, class, idempotencyKey, body string) {
 	f.t.Helper()
 	f.submitted++
@@ -281,9 +282,10 @@
 	return open
 }
 
-// playOverload plays half a minute of four times what the pool can do, both protocols mixed; it returns how many
-// responses each got, by status. Keyed requests come once or twice, the second time at once and by the other protocol.
-func playOverload(t *testing.T, exchanged bool) map[string]map[int]int {
+// runOverload runs 25 s, of which the first 20 s load the pool with about 2.5 times its capacity by both protocols. It
+// returns the number of responses by protocol and status. Keyed requests are sent once or twice, the second time at
+// once and by the other protocol.
+func runOverload(t *testing.T, swapped bool) map[string]map[int]int {
 	t.Helper()
 	fixture := newOverloadFixture(t)
 	rng := rand.New(rand.NewPCG(1, 2))
@@ -292,51 +294,52 @@
 		fixture.onLoop(func() {})
 		fixture.runPool()
 		if i%5 == 0 && i < 1000 {
-			fixture.submitMix(i, exchanged, rng)
+			fixture.submitMix(i, swapped, rng)
 		}
 		fixture.runPool()
 	}
 	counts, seen := map[string]map[int]int{"thrift": {}, "ajp": {}}, map[int]bool{}
-	for range fixture.submitted { // A response that never comes hangs here.
+	for range fixture.submitted { // Blocks if a response is missing.
 		response := <-fixture.responses
 		require.False(t, seen[response.id], "two responses to request %d", response.id)
 		seen[response.id] = true
 		counts[response.protocol][response.status]++
 	}
 	for body, runs := range fixture.runsByBody {
-		require.Equal(t, 1, runs, "%s ran more than once", body)
+		require.Equal(t, 1, runs, "%s did not run exactly once", body)
 	}
 	return counts
 }
 
-// submitMix submits the requests of one step.
-func (f *overloadFixture) submitMix(step int, exchanged bool, rng *rand.Rand) {
+// submitMix submits the requests of one step. swapped swaps the protocols of all requests.
+func (f *overloadFixture) submitMix(step int, swapped bool, rng *rand.Rand) {
 	f.t.Helper()
 	protocols := []string{"thrift", "ajp"}
-	one, two := fmt.Sprintf("a%d", step), fmt.Sprintf("b%d", step)
-	if exchanged != (rng.IntN(2) == 1) {
+	body1, body2 := fmt.Sprintf("a%d", step), fmt.Sprintf("b%d", step)
+	if swapped != (rng.IntN(2) == 1) {
 		slices.Reverse(protocols)
 	}
-	f.submit(protocols[0], "block-view", "", one)
-	f.submit(protocols[1], "block-view", "", two)
+	f.submit(protocols[0], "block-view", "", body1)
+	f.submit(protocols[1], "block-view", "", body2)
 	if rng.IntN(2) == 0 {
-		f.submit(protocols[0], "lot-intake", one, "intake"+one)
+		f.submit(protocols[0], "lot-intake", body1, "intake"+body1)
 		if rng.IntN(2) == 0 {
-			f.submit(protocols[1], "lot-intake", one, "intake"+one)
+			f.submit(protocols[1], "lot-intake", body1, "intake"+body1)
 		}
 	}
 }
 
-// Both frontends treat requests alike. Under overload, requests by both protocols are mixed, and then once more with
-// the protocols exchanged: what happened to the one must then happen to the other, to the last response. Each request
-// is answered once, and no keyed request runs twice.
+// Both frontends treat requests alike. The same mix of requests by both protocols is run under overload twice, the
+// second time with the protocols swapped: the response counts of the protocols must then be swapped exactly. Each
+// request is answered once, and no keyed request runs twice.
 func TestOverloadTreatsFrontendsAlike(t *testing.T) {
-	one, other := playOverload(t, false), playOverload(t, true)
-	t.Logf("thrift %v, ajp %v; exchanged: thrift %v, ajp %v", one["thrift"], one["ajp"], other["thrift"], other["ajp"])
-	require.Equal(t, one["thrift"], other["ajp"])
-	require.Equal(t, one["ajp"], other["thrift"])
-	for protocol, counts := range one {
+	original, swapped := runOverload(t, false), runOverload(t, true)
+	t.Logf("thrift %v, ajp %v; swapped: thrift %v, ajp %v",
+		original["thrift"], original["ajp"], swapped["thrift"], swapped["ajp"])
+	require.Equal(t, original["thrift"], swapped["ajp"])
+	require.Equal(t, original["ajp"], swapped["thrift"])
+	for protocol, counts := range original {
 		require.Positive(t, counts[200], protocol)
-		require.Positive(t, counts[503], "%s: no overload", protocol)
+		require.Positive(t, counts[503], "%s: no request was rejected", protocol)
 	}
 }
--- a/internal/server/pool_fixture_test.go
+++ b/internal/server/pool_fixture_test.go
@@ -18,13 +18,13 @@
 	safeID  = "00000000000000b2"
 )
 
-// poolFixture is a server with one client, and a worker pool that the test plays.
+// poolFixture is a server with one client and a link to a worker pool whose messages the test sends.
 type poolFixture struct {
 	*loopFixture
 	client    *fakeConn
 	pool      *fakeConn
 	poolLinks int
-	sequence  int32 // Of the client's last request.
+	sequence  int32 // The sequence number of the client's last request.
 }
 
 func newPoolFixture(t *testing.T) *poolFixture {
@@ -35,13 +35,13 @@
 	return f
 }
 
-// connectClient opens a connection of a client's, on which requests come from then on.
+// connectClient opens a client's connection, on which submit sends from then on.
 func (f *poolFixture) connectClient(name string) {
 	f.t.Helper()
 	f.client, f.sequence = f.connect(name, ThriftListener), 0
 }
 
-// openPoolLink opens the next link to the pool, on which nothing has come yet.
+// openPoolLink opens the next link to the pool, on which the pool has sent nothing yet.
 func (f *poolFixture) openPoolLink() {
 	f.t.Helper()
 	f.poolLinks++
@@ -49,16 +49,16 @@
 	f.turn()
 }
 
-// connectPool opens the next link to the pool, which sends what was missed on it; it returns what the server then
-// sends.
-func (f *poolFixture) connectPool(missed string) string {
+// connectPool opens the next link to the pool, which first sends the given messages. It returns what the server sends
+// once its first poll is answered.
+func (f *poolFixture) connectPool(messages string) string {
 	f.t.Helper()
 	f.openPoolLink()
-	f.poolSends(missed)
+	f.poolSends(messages)
 	return f.poolSends("polled sync" + strconv.Itoa(f.poolLinks) + " 0 0 0 0\r\n")
 }
 
-// poolSends has the pool send something; it returns what the server sends it in that turn.
+// poolSends sends text as the pool. It returns what the server sends to the pool in that turn.
 func (f *poolFixture) poolSends(text string) string {
 	f.pool.out = nil
 	f.deliver(f.pool, []byte(text))
@@ -66,13 +66,13 @@
 	return string(f.pool.out)
 }
 
-// breakPoolLink has the link break.
+// breakPoolLink closes the link to the pool.
 func (f *poolFixture) breakPoolLink() {
 	f.pool.closed = true
 	f.turn()
 }
 
-// submit sends a request with an attempt ID; it returns what the server sends to the pool in that turn.
+// submit sends a request with an attempt ID. It returns what the server sends to the pool in that turn.
 func (f *poolFixture) submit(id, class, idempotencyKey string) string {
 	f.sequence++
 	f.pool.out = nil
@@ -86,7 +86,7 @@
 	return string(f.pool.out)
 }
 
-// replyKinds are the kinds of the replies that the client has received since the last time, by sequence number.
+// replyKinds returns the kinds of the replies that the client has received since the last call, by sequence number.
 func (f *poolFixture) replyKinds() map[int32]thrift.ReplyKind {
 	f.t.Helper()
 	kinds := map[int32]thrift.ReplyKind{}
@@ -104,12 +104,13 @@
 	return kinds
 }
 
-// finishedNotice is the pool's notice that a run has ended well.
+// finishedNotice returns the pool's notice that a run has succeeded.
 func finishedNotice(number int, id, result string) string {
 	return fmt.Sprintf("finished %d %s PASS 8 %d\r\n%s\r\n", number, id, len(result), result)
 }
 
-// requireReplies requires that the client has received replies of one kind, to its first requests in any order.
+// requireReplies requires that the client has received exactly one reply, of the given kind, to each of its first count
+// requests, in any order.
 func (f *poolFixture) requireReplies(kind thrift.ReplyKind, count int32) {
 	f.t.Helper()
 	want := map[int32]thrift.ReplyKind{}
--- a/internal/server/pool_link_test.go
+++ b/internal/server/pool_link_test.go
@@ -12,11 +12,12 @@
 	"pewterline/internal/protocol/thrift"
 )
 
-// otherID is the attempt ID of one more safe request.
+// otherID is the attempt ID of a second safe request.
 const otherID = "00000000000000c3"
 
-// Where the link breaks behind a command, a keyed run that may have arrived is not sent again, as it may end while the
-// command is on its way; a safe one is. The notice of the keyed run, if it comes, is its answer.
+// If the link breaks after a run command was sent, a keyed run is not sent again: the pool may have received it, and
+// would run it a second time if it has ended by then. A safe run is sent again. If the notice of the keyed run arrives,
+// the request is answered with it.
 func TestPossiblyReceivedRunIsNotResent(t *testing.T) {
 	fixture := newPoolFixture(t)
 	require.Contains(t, fixture.submit(keyedID, "lot-intake", "k1"), "spawn "+keyedID)
@@ -29,7 +30,7 @@
 	fixture.requireReplies(thrift.ReplyAnswer, 2)
 }
 
-// A keyed run that was wanted while there was no link was never sent, and is sent on the new one.
+// A keyed run that was requested while there was no link has never been sent, and is sent on the next link.
 func TestUnsentRunIsSentOnNextLink(t *testing.T) {
 	fixture := newPoolFixture(t)
 	fixture.breakPoolLink()
@@ -37,13 +38,13 @@
 	require.Contains(t, fixture.connectPool("bound LOADED 100\r\n"), "spawn "+keyedID)
 }
 
-// A command that is known to have arrived is not sent again: a later notice on the same link, or the answer to a later
-// poll, shows that it has.
+// A command that the pool is known to have received is not sent again: a later notice on the same link, or the answer
+// to a later poll, proves that it was received.
 func TestReceivedCommandsAreNotResent(t *testing.T) {
 	for _, tc := range []struct {
 		name        string
 		proof       string
-		withOtherID bool // The notice needs a run that it is of.
+		withOtherID bool // Submits the run to which the notice belongs.
 	}{
 		{"notice", finishedNotice(1, otherID, "ok"), true},
 		{"poll", "polled g 0 0 0 0\r\n", false},
@@ -65,8 +66,8 @@
 	}
 }
 
-// A keyed run whose command and notice were lost fails in the end: nothing of it is left, and a retry within the
-// retention window is told so and does not run.
+// A keyed run whose command and notice were lost fails at its deadline. A retry within the retention window fails as
+// well and does not run. After the window, the server retains nothing of the run.
 func TestLostKeyedRunFailsOnce(t *testing.T) {
 	fixture := newPoolFixture(t)
 	fixture.submit(keyedID, "lot-intake", "k1")
@@ -87,9 +88,9 @@
 	require.Contains(t, fixture.submit("00000000000000a3", "lot-intake", "k1"), "spawn 00000000000000a3")
 }
 
-// A corrupt notice is not served: one whose number is too high, or missing, or comes again, one that is longer than a
-// result may be, one that is cut, or the end of a run that the pool was never given. The next link resumes after the
-// last notice that came in order, and what comes on it is the answer.
+// A corrupt notice is not used as an answer: its number is too high, missing or repeated, its result is too long, it is
+// truncated, or it belongs to a run that was never sent to the pool. The next link resumes after the last notice that
+// arrived in order, and the notices on it are the answers.
 func TestCorruptNotices(t *testing.T) {
 	for name, corrupt := range map[string]string{
 		"number too high":     "finished 1000000 " + safeID + " PASS 8 3\r\nbad\r\n",
@@ -97,13 +98,13 @@
 		"result too long":     "finished 1 " + safeID + " PASS 8 4097\r\n",
 		"length too small":    "finished 1 " + safeID + " PASS 8 1\r\nbad\r\n",
 		"unknown outcome":     "finished 1 " + safeID + " DONE 8 2\r\nok\r\n",
-		"no number":           "finished one " + safeID + " PASS 8 2\r\nok\r\n",
+		"number not numeric":  "finished one " + safeID + " PASS 8 2\r\nok\r\n",
 		"negative number":     "finished -1 " + safeID + " PASS 8 2\r\nok\r\n",
-		"cut in the middle":   "finished 1 " + safeID + " PASS 8 2\r\no\r\n" + finishedNotice(2, otherID, "c3"),
+		"truncated result":    "finished 1 " + safeID + " PASS 8 2\r\no\r\n" + finishedNotice(2, otherID, "c3"),
 		"fields missing":      "finished 1 " + safeID + " 2\r\nok\r\n",
-		"line without end":    strings.Repeat("x", 1<<10),
-		"no message at all":   "finnished 1\r\n",
-		"bound without state": "bound MAYBE 0\r\n",
+		"unterminated line":   strings.Repeat("x", 1<<10),
+		"unknown message":     "finnished 1\r\n",
+		"unknown bound state": "bound MAYBE 0\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
 			fixture := newPoolFixture(t)
@@ -115,7 +116,7 @@
 			fixture.openPoolLink()
 			require.Equal(t, "bind 0\r\n", string(fixture.pool.out))
 			fixture.poolSends("bound LOADED 100\r\n" + finishedNotice(1, safeID, "ok") + finishedNotice(2, otherID, "c3"))
-			// One that came before, and one of an unknown run.
+			// A repeated notice, and a notice of an unknown run.
 			fixture.poolSends(finishedNotice(2, otherID, "else") + finishedNotice(3, "00000000000000dd", "ok"))
 			require.Contains(t, string(fixture.client.out), "c3")
 			require.NotContains(t, string(fixture.client.out), "bad")
@@ -127,8 +128,8 @@
 	}
 }
 
-// A keyed run whose notice was corrupt is not sent again, whatever the notice said: it gets its one answer by its
-// deadline, and its retry does not run.
+// A keyed run whose notice was corrupt is not sent again, whatever the notice contained. The request is answered once,
+// at its deadline, and a retry does not run.
 func TestCorruptNoticeOfKeyedRun(t *testing.T) {
 	for name, corrupt := range map[string]string{
 		"number too high": finishedNotice(7, keyedID, "ok"),
@@ -143,13 +144,13 @@
 			fixture.requireReplies(thrift.ReplyBroken, 1)
 			fixture.connectClient("c2")
 			require.NotContains(t, fixture.submit("00000000000000a2", "lot-intake", "k1"), "spawn")
-			fixture.poolSends(finishedNotice(1, keyedID, "ok")) // It comes after all.
+			fixture.poolSends(finishedNotice(1, keyedID, "ok")) // The valid notice arrives late.
 			fixture.requireReplies(thrift.ReplyAnswer, 1)
 		})
 	}
 }
 
-// A result for a run that waits for its link is ignored: the pool was never given the run.
+// A notice of a run that still waits to be sent is ignored, because the pool has never received the run.
 func TestNoticeOfUnsentRun(t *testing.T) {
 	fixture := newPoolFixture(t)
 	fixture.breakPoolLink()
@@ -163,8 +164,8 @@
 	fixture.requireReplies(thrift.ReplyAnswer, 1)
 }
 
-// A pool that keeps too few notices has lost some for good: the second link that begins with the gap resumes after it,
-// and a run whose notice was lost ends by its deadline.
+// A pool that retains too few notices has lost some permanently. The first link that starts with a gap is closed; the
+// second one resumes after the gap, and the safe run is sent again. A run whose notice was lost ends by its deadline.
 func TestNoticesLostForGood(t *testing.T) {
 	fixture := newPoolFixture(t)
 	fixture.submit(safeID, "block-view", "")
@@ -179,17 +180,17 @@
 	require.Contains(t, strings.Join(fixture.logged, "\n"), "notices are lost: first=1 last=4001")
 }
 
-// A remark without a meaning may take a number of the notices' own, and is then sent again on a new link; it may also
-// take none. Either way the link goes on, and a number that no remark accounts for still ends it.
-func TestRemarksMayTakeNumbers(t *testing.T) {
+// A chatter message may take the number of a notice, and is then sent again on a new link, or it may take none. In both
+// cases the link stays open, and a gap in the numbers that no chatter message accounts for still closes it.
+func TestChatterMayTakeNumbers(t *testing.T) {
 	for _, tc := range []struct {
 		name         string
-		first        int // The numbers of the notices.
-		second       int
+		first        int // The number of the first notice.
+		second       int // The number of the second notice.
 		takesNumbers bool
 	}{
-		{"remarks take numbers", 3, 4, true},
-		{"remarks take none", 1, 2, false},
+		{"chatter takes numbers", 3, 4, true},
+		{"chatter takes none", 1, 2, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			fixture := newPoolFixture(t)
@@ -203,7 +204,7 @@
 			unknownRun := finishedNotice(6, "00000000000000dd", "ok")
 			fixture.poolSends(unknownRun)
 			require.Nil(t, fixture.pool.session)
-			if tc.takesNumbers { // The remark that was missed is sent again and accounts for the gap.
+			if tc.takesNumbers { // The missed chatter message is sent again and accounts for the gap.
 				fixture.connectPool("bound LOADED 9\r\nchatter 5 well\r\n" + unknownRun)
 				require.NotNil(t, fixture.pool.session)
 				require.NotContains(t, strings.Join(fixture.logged, "\n"), "are lost")
@@ -212,15 +213,15 @@
 	}
 }
 
-// A worker pool may start long after the link to it is open. Nothing is sent before it is bound; what was wanted
-// meanwhile runs then, once, and what reached its deadline in between has had its answer and does not run.
+// A worker pool may start long after the link to it is open. No run is sent before the link is bound. Runs that were
+// requested before are then sent once, except for requests that were answered at their deadline.
 func TestPoolStartsLate(t *testing.T) {
 	fixture := &poolFixture{loopFixture: newLoopFixture(t, config.AJP{})}
 	fixture.connectClient("c1")
 	fixture.openPoolLink()
 	require.NotContains(t, fixture.submit(safeID, "block-view", ""), "spawn")
 	fixture.advance(fixture.now + 6*microtime.Second)
-	require.Len(t, fixture.replyKinds(), 1, "it has its answer, whatever the pool does")
+	require.Len(t, fixture.replyKinds(), 1, "the request is answered at its deadline without the pool")
 	fixture.connectClient("c2")
 	require.NotContains(t, fixture.submit(keyedID, "lot-intake", "k1"), "spawn")
 	require.Empty(t, fixture.poolSends("bound LOADED 0\r\n")[len("poll sync1\r\n"):])
--- a/internal/server/pool_move_test.go
+++ b/internal/server/pool_move_test.go
@@ -15,9 +15,9 @@
 	"pewterline/internal/microtime"
 )
 
-// A request that may run once and has no idempotency key is not sent again on the next link when its command went out
-// on one that broke: the pool would run it anew if it has ended since. Its notice comes if it arrived. A safe request
-// is sent again.
+// A run of a non-idempotent request without an idempotency key is not sent again on the next link if its command was
+// sent on a link that broke: the pool would run it a second time if it has ended by then. If the pool received the
+// command, it sends the notice on the next link. A safe run is sent again.
 func TestNonIdempotentRunIsNotResent(t *testing.T) {
 	fixture := newSocketFixture(t, func(cfg *config.Config) {
 		for i, class := range cfg.Settings.Classes {
@@ -26,20 +26,20 @@
 			}
 		}
 	})
-	proxy := fixture.servedProxy() // By a request of that class, with notice 1.
+	proxy := fixture.servedProxy() // Served by a run of that class, with notice 1.
 	once := fixture.submit(proxy, "lot-update", "")
 	require.Equal(t, once, <-fixture.pool.started)
 	safe := fixture.submit(proxy, "block-view", "")
 	require.Equal(t, safe, <-fixture.pool.started)
 	require.NoError(t, fixture.pool.breakLink())
-	require.Equal(t, safe, <-fixture.pool.started, "sent again on the next link, in the order of the first")
+	require.Equal(t, safe, <-fixture.pool.started, "sent again on the next link")
 	fixture.pool.finish(once, "ran once")
 	require.Equal(t, "ran once", string(nextReply(proxy).Body))
 	require.Empty(t, fixture.pool.started)
 	fixture.stop()
 }
 
-// secondPool is the pool at a second address, to which a reload has moved it; the test plays it.
+// secondPool is the worker pool at a second address, to which a reload has moved it. The test sends its messages.
 type secondPool struct {
 	t        *testing.T
 	listener net.Listener
@@ -47,7 +47,7 @@
 	in       *bufio.Reader
 }
 
-// movePool moves the pool to a second address by a reload.
+// movePool changes the pool's address by a reload.
 func (f *socketFixture) movePool() *secondPool {
 	f.t.Helper()
 	listener := listen(f.t)
@@ -59,7 +59,7 @@
 	return &secondPool{t: f.t, listener: listener}
 }
 
-// acceptLink accepts the next link and reads what the server says first.
+// acceptLink accepts the next link and requires that the server's first line is bind.
 func (s *secondPool) acceptLink(bind string) {
 	s.t.Helper()
 	var err error
@@ -70,7 +70,7 @@
 	s.expect(bind)
 }
 
-// expect requires that the next line is as wanted.
+// expect reads the next line and requires that it is want.
 func (s *secondPool) expect(want string) {
 	s.t.Helper()
 	line, err := s.in.ReadString('\n')
@@ -84,7 +84,7 @@
 	require.NoError(s.t, err)
 }
 
-// runOneRequest answers the polls until a request comes, and runs that.
+// runOneRequest submits a request, skips commands until its run arrives, and finishes the run with a result.
 func (s *secondPool) runOneRequest(fixture *socketFixture, proxy *clientConn, notice int, result string) {
 	s.t.Helper()
 	id := fixture.submit(proxy, "lot-update", "")
@@ -99,8 +99,9 @@
 	require.Equal(s.t, result, string(nextReply(proxy).Body))
 }
 
-// A reload moves the pool to an address at which somebody listens and says nothing: the link in use serves on until the
-// new one is bound, and the new one from then on. What the first pool sent meanwhile is sent again.
+// A reload moves the pool to an address that accepts the link but does not bind it yet. The old link stays in use until
+// the new one is bound, and the new one is used from then on. The second pool repeats a notice that the first pool has
+// sent.
 func TestPoolMovesOnceBound(t *testing.T) {
 	fixture := newSocketFixture(t, nil)
 	proxy := fixture.servedProxy() // Notice 1.
@@ -115,9 +116,9 @@
 	fixture.stop()
 }
 
-// While the pool moves, a new link that breaks before it is bound is dialled again, and the one in use serves on. Where
-// the one in use breaks, as it does when the pool takes the new one in its place, the new one is the only link, and
-// nothing is dialled.
+// While the pool moves, a new link that breaks before it is bound is dialled again, and the old link stays in use. If
+// the old link breaks, as it does when the pool replaces it by the new one, the new link is the only one, and no other
+// link is dialled.
 func TestPoolLinkBreaksWhileMoving(t *testing.T) {
 	fixture := newSocketFixture(t, nil)
 	proxy := fixture.servedProxy()
@@ -132,7 +133,7 @@
 			status := fixture.srv.backends.pool.Status()
 			migrating = status.Migrating
 			if !migrating {
-				require.False(t, status.Dialling, "a link is dialled though one waits to be bound")
+				require.False(t, status.Dialling, "a link is dialled although another waits to be bound")
 			}
 		})
 	}
@@ -143,8 +144,8 @@
 	fixture.stop()
 }
 
-// Where a retention window is shorter than a run, a retry that comes after the window, while the run goes on, waits for
-// it.
+// If a run takes longer than the retention window, a retry that arrives after the window but during the run waits for
+// the run's result.
 func TestRetryPastRetentionWaitsForRun(t *testing.T) {
 	fixture := newSocketFixture(t, func(cfg *config.Config) {
 		for i, class := range cfg.Settings.Classes {
--- a/internal/server/reload_test.go
+++ b/internal/server/reload_test.go
@@ -16,7 +16,7 @@
 	"pewterline/internal/settings"
 )
 
-// configWith is the server's configuration with the fixture's settings changed.
+// configWith returns the server's configuration with settingsJSON as change returns it.
 func (f *loopFixture) configWith(change func(string) string) config.Config {
 	f.t.Helper()
 	cfg := f.srv.cfg
@@ -30,14 +30,14 @@
 	return cfg
 }
 
-// grapeClass is a class that the fixture's settings do not have.
+// grapeClass is a class that settingsJSON does not contain.
 const grapeClass = `{"name": "grape-count", "aim_ms": 900, "hard_limit_ms": 2000, "worth": 3, "effect": "free"},`
 
 func withGrape(text string) string {
 	return strings.Replace(text, `{"classes": [`, `{"classes": [`+grapeClass, 1)
 }
 
-// unchanged has the settings as the fixture began with them.
+// unchanged returns the settings that the fixture starts with.
 func unchanged(text string) string { return text }
 
 func without(class string) func(string) string {
@@ -48,8 +48,9 @@
 	}
 }
 
-// Settings change while the server serves. A new class is served at once. Requests that are open when their class is
-// retired keep it and are answered; a retry of one finds its result, until the class's acceptance is over.
+// Settings change while the server is serving. A new class is served at once. Requests that are open when their class
+// is retired keep their class and are answered. A retry of such a request gets the recorded result until the acceptance
+// of the class ends.
 func TestReloadSettings(t *testing.T) {
 	fixture := newPoolFixture(t)
 	fixture.submit("00000000000000a1", "lot-intake", "k1")
@@ -58,7 +59,7 @@
 	require.Contains(t, fixture.submit("00000000000000a3", "lot-intake", "k2"), "spawn")
 	fixture.client.out = nil
 
-	first := func(text string) string { // In another order: one class is retired, one is new and one has changed.
+	first := func(text string) string { // One class is retired, one is added in front, and one has changed.
 		text = without("lot-intake")(withGrape(text))
 		text = strings.Replace(text, `"worth": 1, "effect": "free"},
  ],`, `"worth": 1, "effect": "free"}],`, 1)
@@ -66,19 +67,19 @@
 			`"lot-update", "aim_ms": 700, "hard_limit_ms": 1500`, 1)
 	}
 	require.NoError(t, fixture.srv.Reload(fixture.configWith(first)))
-	fixture.submit("00000000000000a4", "grape-count", "") // Waits: both cores are busy.
+	fixture.submit("00000000000000a4", "grape-count", "") // Waits because both cores are busy.
 	sent := fixture.poolSends(finishedNotice(2, "00000000000000a3", "lot2"))
 	require.Contains(t, sent, "spawn 00000000000000a4 grape-count")
 	fixture.poolSends(finishedNotice(3, "00000000000000a4", "grape"))
 	require.Contains(t, string(fixture.client.out), "lot2")
 	require.Contains(t, string(fixture.client.out), "grape")
 
-	// What was open keeps its class and its deadline: 4.5 s, not 1.5.
+	// An open request keeps its class and its deadline: 4.5 s, not 1.5 s.
 	fixture.advance(fixture.now + 3*microtime.Second)
 	require.Equal(t, 1, fixture.counters().InProgress)
 	fixture.poolSends(finishedNotice(4, "00000000000000a2", "update"))
 	require.Contains(t, string(fixture.client.out), "update")
-	// A retry of the retired class finds its result, within the retention window.
+	// A retry in the retired class gets its result within the retention window.
 	fixture.client.out = nil
 	require.NotContains(t, fixture.submit("00000000000000a5", "lot-intake", "k1"), "spawn")
 	require.Contains(t, string(fixture.client.out), "lot")
@@ -86,9 +87,9 @@
 	fixture.connectClient("c2")
 	fixture.submit("00000000000000a6", "lot-intake", "k9")
 	require.Contains(t, string(fixture.client.out), `class: unknown "lot-intake"`)
-	require.Equal(t, 3, fixture.counters().Succeeded["lot-intake"], "a retired class keeps its figures")
+	require.Equal(t, 3, fixture.counters().Succeeded["lot-intake"], "a retired class keeps its counters")
 
-	// The class comes back, twice in a row and during a drain: it is served as at first.
+	// The class is restored, twice, the second time during a drain: it is served again.
 	require.NoError(t, fixture.srv.Reload(fixture.configWith(unchanged)))
 	require.NoError(t, fixture.srv.Reload(fixture.configWith(withGrape)))
 	fixture.srv.Drain(fixture.now)
@@ -99,8 +100,8 @@
 	require.Equal(t, 5, fixture.counters().Reloads+fixture.counters().ReloadErrors+1)
 }
 
-// Reloads without end do not fill the table of classes: places that no request refers to any more are used again.
-func TestReloadsReuseClassPlaces(t *testing.T) {
+// Many reloads do not fill the table of classes: indices that no request refers to any more are reused.
+func TestReloadsReuseClassIndices(t *testing.T) {
 	fixture := newPoolFixture(t)
 	for i := range 2000 {
 		withDeadline := func(text string) string {
@@ -113,7 +114,7 @@
 	require.Contains(t, fixture.submit("00000000000000a1", "block-view", ""), "spawn")
 }
 
-// A file with invalid settings changes nothing, not even the address beside them, and the error names the key.
+// A configuration with invalid settings changes nothing, not even its other keys, and the error names the invalid key.
 func TestInvalidSettingsChangeNothing(t *testing.T) {
 	fixture := newPoolFixture(t)
 	cfg := fixture.configWith(unchanged)
@@ -148,8 +149,8 @@
 	require.Contains(t, fixture.submit("00000000000000a1", "lot-intake", "k1"), "spawn")
 }
 
-// Requests of a class that this server does not know yet are answered with an error; the connection stays, and so does
-// what is open on it.
+// Requests of a class that this server does not know yet are answered with an error. The connection stays open, and
+// other requests on it are still answered.
 func TestUnknownClassKeepsConnection(t *testing.T) {
 	fixture := newPoolFixture(t)
 	fixture.submit("00000000000000a1", "block-view", "")
@@ -159,8 +160,8 @@
 	require.False(t, fixture.client.closed)
 	require.Equal(t, 3*thriftfrontend.MaxConsecutiveErrors, bytes.Count(fixture.client.out, []byte(`class: unknown`)))
 	fixture.poolSends(finishedNotice(1, "00000000000000a1", "ok"))
-	const frameHead = 12 // The bytes of a frame before the method's name.
-	last := bytes.LastIndex(fixture.client.out, []byte("process")) - frameHead
+	const methodOffset = 12 // The number of bytes of a frame before the method's name.
+	last := bytes.LastIndex(fixture.client.out, []byte("process")) - methodOffset
 	payload, _, err := thrift.SplitFrame(fixture.client.out[last:])
 	require.NoError(t, err)
 	require.NotNil(t, payload)
--- a/internal/server/shutdown_test.go
+++ b/internal/server/shutdown_test.go
@@ -10,8 +10,8 @@
 	"pewterline/internal/protocol/thrift"
 )
 
-// The loop ends somewhat before the process would be killed, and a drain stops accepting requests at the end of the
-// grace, or earlier where the time is too short for clients to close their connections.
+// The loop ends shortly before the process would be killed. A drain stops accepting requests at the end of the grace
+// period, or earlier if clients would otherwise have too little time to close their connections.
 func TestShutdownTimes(t *testing.T) {
 	const notifiedAt = 10 * microtime.Second
 	for _, tc := range []struct {
@@ -43,14 +43,14 @@
 	}
 }
 
-// Requests in the accept queue when the server comes to its end are answered: the system has accepted them, so that
-// they are the server's. They come while the loop is in the turn in which the last request before them is answered.
+// Requests on connections that are still in the accept queue when the server stops are answered, because the system has
+// already accepted their connections. They arrive during the turn in which the server would otherwise be drained.
 func TestShutdownAnswersAcceptQueue(t *testing.T) {
 	fixture := newSocketFixture(t, nil)
 	proxy := fixture.servedProxy()
 	require.NoError(t, proxy.conn.Close())
 	fixture.onLoop(func() { fixture.srv.Drain(fixture.Now()) })
-	for fixture.proxyConnections() > 0 { // Its end may not have been read yet.
+	for fixture.proxyConnections() > 0 { // Until the server has read the end of the connection.
 	}
 	grace := microtime.FromDuration(fixture.srv.cfg.Settings.DrainGrace)
 	fixture.advanceClock(grace + microtime.Millisecond)
@@ -64,15 +64,15 @@
 	})
 	for _, proxy := range late {
 		require.Equal(t, thrift.ReplyFarewell, nextReply(proxy).Kind)
-		require.Equal(t, thrift.ReplyThrottled, nextReply(proxy).Kind, "a request that came at the end never ran")
+		require.Equal(t, thrift.ReplyThrottled, nextReply(proxy).Kind, "a request after the grace period does not run")
 		require.NoError(t, proxy.conn.Close())
 	}
 	fixture.requireEnd()
 	require.Empty(t, fixture.pool.started)
 }
 
-// A request that comes as the server ends, on a connection that outlasts its farewell, finds an end and no reset, after
-// the answer to what was read. The time to stop is reached in the turn in which that answer is written.
+// A client that sends a request while the server stops sees the end of its connection, not a reset, after the answer to
+// the request that was read. The time to stop is reached in the turn in which that answer is written.
 func TestRequestCrossesShutdown(t *testing.T) {
 	fixture := newSocketFixture(t, nil)
 	proxy := fixture.dialProxy()
@@ -80,7 +80,7 @@
 	require.Equal(t, id, <-fixture.pool.started)
 	fixture.onLoop(func() { fixture.srv.Drain(fixture.Now()) })
 	fixture.advanceClock(fixture.srv.cfg.ShutdownTimeout)
-	fixture.onLoop(func() { // The last turn: the run is not over, and the proxy sends another request.
+	fixture.onLoop(func() { // The last turn: the run has not ended, and the proxy sends another request.
 		fixture.submit(proxy, "lot-update", "")
 	})
 	require.Equal(t, thrift.ReplyBroken, nextReply(proxy).Kind)
@@ -90,8 +90,9 @@
 	fixture.requireEnd()
 }
 
-// The grace of a drain counts from when the notice came, also where the server comes to it late, as one does that was
-// starting: what is read after the grace does not run, though the server has only just heard of the notice.
+// The grace period of a drain counts from when the notice was sent, even if the server handles the notice late, for
+// example because it was still starting. A request that is read after the grace period does not run, although the drain
+// has only just begun.
 func TestDrainCountsFromNotice(t *testing.T) {
 	fixture := newSocketFixture(t, nil)
 	notifiedAt := fixture.Now()
@@ -105,7 +106,7 @@
 	fixture.requireThrottledEnd(proxy)
 }
 
-// A reload during a drain that gives more time does not extend the drain.
+// A reload with a longer grace period during a drain does not extend the drain.
 func TestReloadDoesNotExtendDrain(t *testing.T) {
 	fixture := newSocketFixture(t, nil)
 	proxy := fixture.servedProxy()
@@ -121,8 +122,8 @@
 	fixture.requireThrottledEnd(proxy)
 }
 
-// requireThrottledEnd requires that the proxy's request is rejected, that it is told to close its connection, and that
-// the server ends once it has.
+// requireThrottledEnd requires that the proxy's request is rejected, that the proxy is asked to close its connection,
+// and that the server stops once the connection is closed.
 func (f *socketFixture) requireThrottledEnd(proxy *clientConn) {
 	f.t.Helper()
 	kinds := []thrift.ReplyKind{nextReply(proxy).Kind, nextReply(proxy).Kind}
--- a/internal/server/socket_fixture_test.go
+++ b/internal/server/socket_fixture_test.go
@@ -23,14 +23,14 @@
 	return loop
 }
 
-// stopLoop stops an event loop and waits for its end.
+// stopLoop stops an event loop and waits until it has ended.
 func stopLoop(tb testing.TB, loop *sockets.Loop) {
 	tb.Helper()
 	loop.Stop()
 	require.NoError(tb, loop.Wait())
 }
 
-// runOnLoop runs a task in a turn of the loop, and returns when it has ended.
+// runOnLoop runs a task in a turn of the loop, and returns when the task has ended.
 func runOnLoop(t *testing.T, loop *sockets.Loop, task func()) {
 	t.Helper()
 	done := make(chan struct{})
@@ -41,18 +41,18 @@
 	<-done
 }
 
-// socketFixture is a whole server on real sockets, on a clock that the test moves, with a worker pool that holds every
-// run until the test finishes it. The test has to end it.
+// socketFixture is a whole server on real sockets, with a clock that the test advances and a worker pool whose runs end
+// only when the test finishes them. The test must stop the server, or wait for its end.
 type socketFixture struct {
 	t    *testing.T
 	srv  *Server
 	loop *sockets.Loop
 	pool *fakePool
 	now  atomic.Int64
-	sent int
+	sent int // The number of requests sent.
 }
 
-// newSocketFixture starts a server; change, where it is not nil, changes its configuration before.
+// newSocketFixture starts a server. If change is not nil, it changes the configuration first.
 func newSocketFixture(t *testing.T, change func(*config.Config)) *socketFixture {
 	t.Helper()
 	fixture := &socketFixture{t: t, pool: newFakePool(t)}
@@ -73,25 +73,25 @@
 	return fixture
 }
 
-// Now is the clock of the event loop.
+// Now returns the time of the fixture's clock, which the event loop uses.
 func (f *socketFixture) Now() microtime.Time { return microtime.Time(f.now.Load()) }
 
-// advanceClock moves the clock; what is due by it is done from the next turn on.
+// advanceClock advances the clock. Timers that are due then run from the next turn on.
 func (f *socketFixture) advanceClock(by microtime.Time) { f.now.Add(int64(by)) }
 
-// onLoop runs a task in a turn of the loop, and returns when it has ended.
+// onLoop runs a task in a turn of the loop, and returns when the task has ended.
 func (f *socketFixture) onLoop(task func()) {
 	f.t.Helper()
 	runOnLoop(f.t, f.loop, task)
 }
 
-// dialProxy opens a connection of a proxy's.
+// dialProxy opens a proxy's connection.
 func (f *socketFixture) dialProxy() *clientConn {
 	f.t.Helper()
 	return dial(f.t, f.loop.Addr(ThriftListener).String(), thrift.SplitFrame)
 }
 
-// servedProxy opens a connection of a proxy's that has been served once.
+// servedProxy opens a proxy's connection on which one request has been served.
 func (f *socketFixture) servedProxy() *clientConn {
 	f.t.Helper()
 	proxy := f.dialProxy()
@@ -99,7 +99,7 @@
 	return proxy
 }
 
-// submit sends a request; it returns its attempt ID.
+// submit sends a request and returns its attempt ID.
 func (f *socketFixture) submit(proxy *clientConn, class, idempotencyKey string) (id string) {
 	f.t.Helper()
 	f.sent++
@@ -110,7 +110,7 @@
 	return id
 }
 
-// runOnFirstPool has the fixture's pool run a request, whose attempt ID it returns.
+// runOnFirstPool submits a request, and requires that the fixture's pool runs it. It returns the attempt ID.
 func (f *socketFixture) runOnFirstPool(proxy *clientConn, result string) (id string) {
 	f.t.Helper()
 	id = f.submit(proxy, "lot-update", "")
@@ -120,26 +120,26 @@
 	return id
 }
 
-// proxyConnections counts the connections of proxies.
+// proxyConnections returns the number of proxy connections.
 func (f *socketFixture) proxyConnections() (count int) {
 	f.t.Helper()
 	f.onLoop(func() { count = f.srv.clients.thrift.Len() })
 	return count
 }
 
-// requireEnd requires that the server ends by itself.
+// requireEnd requires that the server stops by itself.
 func (f *socketFixture) requireEnd() {
 	f.t.Helper()
 	require.NoError(f.t, f.loop.Wait())
 }
 
-// stop ends the server.
+// stop stops the server.
 func (f *socketFixture) stop() {
 	f.t.Helper()
 	stopLoop(f.t, f.loop)
 }
 
-// nextReply is the next message to a proxy.
+// nextReply reads the next message to a proxy.
 func nextReply(proxy *clientConn) thrift.Reply {
 	proxy.t.Helper()
 	reply, err := thrift.DecodeReply(proxy.read())
@@ -147,7 +147,7 @@
 	return reply
 }
 
-// requireEOF requires that nothing more comes, and that the server has ended the connection without a reset.
+// requireEOF requires that no further message arrives, and that the server closes the connection without a reset.
 func requireEOF(client *clientConn) {
 	client.t.Helper()
 	_, err := client.next()
--- a/internal/server/upstream_test.go
+++ b/internal/server/upstream_test.go
@@ -14,7 +14,7 @@
 	"pewterline/internal/protocol/thrift"
 )
 
-// serveUpstream runs a server on real sockets whose work is done by other log servers, at those addresses.
+// serveUpstream runs an edge on real sockets, whose requests run on the log servers at the given addresses.
 func serveUpstream(t *testing.T, addresses ...string) (thriftAddr, ajpAddr string) {
 	t.Helper()
 	cfg := testConfig(t, "")
@@ -26,8 +26,8 @@
 	return thriftAddr, ajpAddr
 }
 
-// A keyed request that comes by Thrift, and again by AJP while its run goes on, runs once: on one of the log servers
-// upstream, and on no other. Each of them is a whole one, on real sockets.
+// A keyed request that arrives by Thrift, and again by AJP during its run, runs once, on one of the upstream log
+// servers. Each of them is a whole server on real sockets.
 func TestUpstreamRunsKeyOnce(t *testing.T) {
 	pools, addresses := make([]*fakePool, 3), make([]string, 3)
 	for i := range pools {
@@ -54,11 +54,12 @@
 	require.Equal(t, "lot 7 recorded", string(reply.Body))
 	require.Equal(t, "lot 7 recorded", readServed(webServer))
 	for _, pool := range pools {
-		require.Empty(t, pool.started, "it ran once")
+		require.Empty(t, pool.started, "the request ran more than once")
 	}
 }
 
-// deadAddress is one at which nobody listens until the test's end: it is held, so that no server of the test gets it.
+// deadAddress returns an address on which no process listens. Its port stays bound until the test's end, so that no
+// server of the test can get it.
 func deadAddress(t *testing.T) string {
 	t.Helper()
 	socket, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
@@ -72,8 +73,8 @@
 	return fmt.Sprintf("127.0.0.1:%d", address.Port)
 }
 
-// An endpoint that refuses connections is left out at once, and its requests are served elsewhere: the client sees
-// nothing of it.
+// An endpoint that refuses connections is taken out of use at once, and its requests are served by other endpoints.
+// Clients see no error.
 func TestUpstreamSkipsDeadEndpoints(t *testing.T) {
 	dead := deadAddress(t)
 	pool := newFakePool(t)
@@ -98,7 +99,7 @@
 	}
 }
 
-// Where all endpoints are dead, requests are rejected at once, with advice when to retry, and none is queued.
+// If no endpoint accepts connections, requests are rejected at once with a time to retry after, and none is queued.
 func TestUpstreamWithoutEndpoints(t *testing.T) {
 	thriftAddr, _ := serveUpstream(t, deadAddress(t))
 	proxy := dial(t, thriftAddr, thrift.SplitFrame)
@@ -108,7 +109,7 @@
 	require.NotEmpty(t, reply.Fields["after"])
 }
 
-// A server with an invalid configuration of its upstream does not start.
+// A server with an invalid configuration of its upstream is not built.
 func TestUpstreamConfigIsValidated(t *testing.T) {
 	cfg := testConfig(t, "")
 	cfg.Fleet = config.Fleet{
@@ -119,12 +120,12 @@
 	require.ErrorContains(t, err, "warm_from")
 }
 
-// The list of endpoints is reloaded while the server serves: a new endpoint is used, and one that was removed gets
-// nothing new, but a keyed request that may have run there does not run elsewhere.
+// The endpoint list is reloaded while the server is serving. A new endpoint is used, and a removed endpoint gets no new
+// requests, but a keyed request that may have run on it does not run on another endpoint.
 func TestUpstreamReloadsEndpoints(t *testing.T) {
 	cfg := testConfig(t, "")
 	cfg.Fleet.Members = []config.Member{{Name: "n1", Address: "a1"}}
-	loop := newLoopFixtureOf(t, cfg)
+	loop := newLoopFixtureWithConfig(t, cfg)
 	proxy := loop.connect("c1", ThriftListener)
 	submit := func(sequence int32, class, idempotencyKey string) {
 		unixMilli := zeroBasedClock{}.UnixMilli(loop.now)
@@ -143,20 +144,20 @@
 	next.Fleet.Members = []config.Member{{Name: "n2", Address: "a2"}}
 	require.NoError(t, loop.srv.Reload(next))
 	submit(2, "block-view", "")
-	require.Equal(t, "a2", loop.dials[0].addr, "the new one gets what is new")
+	require.Equal(t, "a2", loop.dials[0].addr, "the new endpoint gets new requests")
 	added := loop.connect("n2", nextDialed)
 	loop.turn()
 	require.NotEmpty(t, added.out)
 	added.out = nil
 
-	removed.closed = true // It is lost after the keyed request was written to it.
+	removed.closed = true // The connection is lost after the keyed request was written to it.
 	loop.turn()
 	submit(3, "lot-intake", "k1")
-	require.Empty(t, added.out, "the request may have run on the removed one")
+	require.Empty(t, added.out, "the request may have run on the removed endpoint")
 	require.Equal(t, "a1", loop.dials[0].addr)
 	known, isRemoved := loop.srv.backends.upstream.Lookup("n1")
 	require.True(t, known && isRemoved)
 	loop.srv.backends.upstream.ExpireRemoved(loop.now + upstream.RemovedEndpointRetention + microtime.Second)
 	known, _ = loop.srv.backends.upstream.Lookup("n1")
-	require.True(t, known, "a request is open there")
+	require.True(t, known, "a request is still open at the endpoint")
 }
