--- a/internal/server/admin.go
+++ b/internal/server/admin.go
@@ -5,8 +5,8 @@
 	"pewterline/internal/protocol/upgrade"
 )
 
-// MaxAdminConns is how many connections operators may have open at once. The connection
-// limit for clients leaves file descriptors for them.
+// MaxAdminConns is how many connections operators may have open at once. The connection limit
+// for clients leaves file descriptors for them.
 const MaxAdminConns = 16
 
 // operatorServer implements admin.Server.
--- a/internal/server/admin_test.go
+++ b/internal/server/admin_test.go
@@ -23,7 +23,7 @@
 	f.opened++
 	conn := f.connect(fmt.Sprintf("op%d", f.opened), AdminListener)
 	f.deliver(conn, []byte(line+" HTTP/1.1\r\nHost: n0\r\n\r\n"))
-	require.True(f.t, conn.closed, "one request on a connection")
+	require.True(f.t, conn.closed, "the server closes an admin connection after one request")
 	head, body, _ := strings.Cut(string(conn.out), "\r\n\r\n")
 	status, _, _ = strings.Cut(head, "\r\n")
 	if strings.Contains(status, "405") {
--- a/internal/server/call_fixture_test.go
+++ b/internal/server/call_fixture_test.go
@@ -17,9 +17,9 @@
 
 // The classes of a callFixture. Each run makes one downstream call.
 const (
-	safeClass  = "block-view"
-	onceClass  = "lot-update" // Non-idempotent, without an idempotency key.
-	keyedClass = "lot-intake"
+	safeClass          = "block-view"
+	nonIdempotentClass = "lot-update" // Non-idempotent, without an idempotency key.
+	keyedClass         = "lot-intake"
 )
 
 // longDeadline exceeds the time by which any test advances its clock.
@@ -49,7 +49,7 @@
 			class := &cfg.Settings.Classes[i]
 			class.MakesCalls = true
 			class.LatencyObjective, class.Deadline = longDeadline, longDeadline
-			if class.Name == onceClass {
+			if class.Name == nonIdempotentClass {
 				class.Idempotency = control.NonIdempotent
 			}
 			workers.SetCallsPerRun(class.Name, 1)
--- a/internal/server/calls_test.go
+++ b/internal/server/calls_test.go
@@ -34,15 +34,15 @@
 func TestVaultDiesWithCallsOpen(t *testing.T) {
 	fixture := newCallFixture(t, nil)
 	fixture.vault.Hold()
-	once := fixture.submitClass(onceClass)
-	fixture.nextCall(once)
+	nonIdempotent := fixture.submitClass(nonIdempotentClass)
+	fixture.nextCall(nonIdempotent)
 	keyed := fixture.submitClass(keyedClass)
 	fixture.nextCall(keyed)
 	safe := fixture.submitClass(safeClass)
 	fixture.nextCall(safe)
 	fixture.vault.RejectConnections()
 	fixture.vault.Break()
-	fixture.requireFailed(once)
+	fixture.requireFailed(nonIdempotent)
 	fixture.requireFailed(keyed)
 	fixture.vault.Release()
 	require.NoError(t, fixture.vault.AcceptConnections())
@@ -51,7 +51,7 @@
 	fixture.requireServed(safe, "kept call 1 of lot")
 	stop()
 	fixture.requireNoMoreCalls()
-	require.Equal(t, 1, fixture.countCalls(once))
+	require.Equal(t, 1, fixture.countCalls(nonIdempotent))
 	require.Equal(t, 1, fixture.countCalls(keyed))
 	require.Equal(t, 2, fixture.countCalls(safe))
 	fixture.stop()
@@ -63,7 +63,7 @@
 	fixture := newCallFixture(t, nil)
 	old, moved := fixture.vault, newVault(t)
 	old.Hold()
-	once, safe := fixture.submitClass(onceClass), fixture.submitClass(safeClass)
+	nonIdempotent, safe := fixture.submitClass(nonIdempotentClass), fixture.submitClass(safeClass)
 	calls := map[string]*processtest.Call{}
 	for range 2 {
 		call, err := old.NextCall()
@@ -80,9 +80,9 @@
 	fixture.nextCall(after)
 	fixture.requireServed(after, "kept call 1 of lot")
 	calls[safe].Reply(vault.Yes, "old safe")
-	calls[once].Reply(vault.Yes, "old once")
+	calls[nonIdempotent].Reply(vault.Yes, "old once")
 	fixture.requireServed(safe, "old safe")
-	fixture.requireServed(once, "old once")
+	fixture.requireServed(nonIdempotent, "old once")
 	require.Len(t, old.Calls(), 2)
 	require.Len(t, moved.Calls(), 1)
 	fixture.stop()
@@ -93,7 +93,7 @@
 func TestDrainWithRunsBlocked(t *testing.T) {
 	fixture := newCallFixture(t, nil)
 	fixture.vault.Hold()
-	inFlight := fixture.submitClass(onceClass)
+	inFlight := fixture.submitClass(nonIdempotentClass)
 	late := fixture.nextCall(inFlight)
 	waiting := fixture.submitClass(safeClass)
 	fixture.nextCall(waiting).Reply(vault.NotNow, "")
@@ -131,7 +131,7 @@
 	cancel(waiting)
 
 	fixture.workers.Hold()
-	notYetCalling := fixture.submitClass(onceClass)
+	notYetCalling := fixture.submitClass(nonIdempotentClass)
 	require.NoError(t, fixture.workers.AwaitStart("lot"))
 	cancel(notYetCalling)
 	last := fixture.submitClass(keyedClass) // Read after the cancellation.
@@ -157,7 +157,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			fixture := newCallFixture(t, nil)
-			for _, class := range []string{onceClass, keyedClass} {
+			for _, class := range []string{nonIdempotentClass, keyedClass} {
 				fixture.vault.Hold()
 				id := fixture.submitClass(class)
 				end(fixture, fixture.nextCall(id))
@@ -182,7 +182,7 @@
 // A call of a non-idempotent or keyed request is retried if the previous call was not executed: it was rejected, or its
 // connection was refused.
 func TestRejectedCallsAreRetried(t *testing.T) {
-	for _, class := range []string{onceClass, keyedClass} {
+	for _, class := range []string{nonIdempotentClass, keyedClass} {
 		t.Run(class, func(t *testing.T) {
 			fixture := newCallFixture(t, nil)
 			fixture.vault.Hold()
@@ -238,7 +238,7 @@
 func TestPoolLinkLostWhileBlocked(t *testing.T) {
 	fixture := newCallFixture(t, nil)
 	fixture.vault.Hold()
-	blocked := fixture.submitClass(onceClass)
+	blocked := fixture.submitClass(nonIdempotentClass)
 	call := fixture.nextCall(blocked)
 	require.NoError(t, fixture.workers.AwaitStart("lot"))
 	fixture.workers.Hold()
--- a/internal/server/handoff.go
+++ b/internal/server/handoff.go
@@ -18,8 +18,8 @@
 	// handoffKillDelay is the time between the longest deadline and the kill.
 	handoffKillDelay = 700 * microtime.Millisecond
 	// handoffLinger is how long the old process keeps reading after the handoff. It covers connections that were
-	// already in the listener's queue, and requests that clients sent before they read the request to
-	// close their connection.
+	// already in the listener's queue, and requests that clients sent before they read the request to close their
+	// connection.
 	handoffLinger = 200 * microtime.Millisecond
 )
 
--- a/internal/server/handoff_test.go
+++ b/internal/server/handoff_test.go
@@ -104,7 +104,7 @@
 
 	successor.out = nil
 	sent := fixture.submit("00000000000000f2", "lot-intake", "claimed")
-	require.Empty(t, sent, "it does not run before the successor grants the key")
+	require.Empty(t, sent, "the request does not run before the successor grants the key")
 	claims := fixture.peerMessages(successor)
 	require.Equal(t, []upgrade.Kind{upgrade.Claim}, messageKinds(claims))
 	fixture.client.out = nil
@@ -118,7 +118,7 @@
 	fixture.peerSends(successor, claims[0])
 	require.Contains(t, string(fixture.pool.out), "spawn 00000000000000f3")
 	fixture.advance(fixture.now + microtime.Second)
-	require.Len(t, fixture.reports, reports, "the successor reports now")
+	require.Len(t, fixture.reports, reports, "only the successor reports after the handoff")
 
 	// Before it stops, it answers the two open requests, and it stops in time.
 	fixture.client.out = nil
@@ -171,22 +171,22 @@
 			ArrivedAtMilli: zeroBasedClock{}.UnixMilli(fixture.now), Result: []byte("old")}
 	}
 	require.NoError(t, fixture.srv.Inherit([]upgrade.Message{
-		{Kind: upgrade.Welcome, OutOfService: true}, key(upgrade.Succeeded, "done"), key(upgrade.Started, "runs"),
+		{Kind: upgrade.Welcome, OutOfService: true}, key(upgrade.Succeeded, "finished"), key(upgrade.Started, "running"),
 	}))
-	require.False(t, fixture.healthCheck(), "it is out of service like its predecessor")
+	require.False(t, fixture.healthCheck(), "the successor is out of service like its predecessor")
 	predecessor := &fakeConn{name: "old"}
 	predecessor.session = fixture.srv.AcceptPredecessor(predecessor)
 	fixture.addConn(predecessor)
 
 	fixture.client.out = nil
-	require.NotContains(t, fixture.submit("00000000000000a1", "lot-intake", "done"), "spawn")
+	require.NotContains(t, fixture.submit("00000000000000a1", "lot-intake", "finished"), "spawn")
 	require.Contains(t, string(fixture.client.out), "old")
-	require.Empty(t, fixture.submit("00000000000000a2", "lot-intake", "runs"))
-	require.Empty(t, fixture.submit("00000000000000a3", "lot-intake", "mine"))
+	require.Empty(t, fixture.submit("00000000000000a2", "lot-intake", "running"))
+	require.Empty(t, fixture.submit("00000000000000a3", "lot-intake", "unclaimed"))
 	require.Equal(t, []upgrade.Kind{upgrade.Claim}, messageKinds(fixture.peerMessages(predecessor)))
 	fixture.pool.out = nil
 	fixture.peerSends(predecessor, upgrade.Message{Kind: upgrade.OwnershipTransferred})
-	require.Contains(t, string(fixture.pool.out), "spawn 00000000000000a3", "the server owns the keys")
+	require.Contains(t, string(fixture.pool.out), "spawn 00000000000000a3", "the successor owns the keys")
 	fixture.poolSends(finishedNotice(1, "00000000000000a3", "new"))
 
 	fixture.client.out = nil
@@ -196,10 +196,10 @@
 	require.NotEmpty(t, fixture.client.out, "the request that waits for the predecessor's run fails")
 	require.False(t, host.orphaned, "the predecessor had handed over")
 	fixture.client.out = nil
-	require.Empty(t, fixture.submit("00000000000000a4", "lot-intake", "runs"))
+	require.Empty(t, fixture.submit("00000000000000a4", "lot-intake", "running"))
 	require.NotEmpty(t, fixture.client.out)
 	require.Equal(t, 2, fixture.counters().Failed["lot-intake"])
 	fixture.advance(fixture.now + 14*microtime.Second)
 	fixture.connectClient("c2")
-	require.Contains(t, fixture.submit("00000000000000a5", "lot-intake", "runs"), "spawn", "its retention window is over")
+	require.Contains(t, fixture.submit("00000000000000a5", "lot-intake", "running"), "spawn", "its retention window ended")
 }
--- a/internal/server/malformed_clients_test.go
+++ b/internal/server/malformed_clients_test.go
@@ -18,7 +18,7 @@
 	call := func(sequence int32, id string) []byte {
 		return thrift.AppendCall(nil, sequence, thriftFields(thrift.Field{Name: "id", Value: id}), []byte("b"))
 	}
-	with := func(name, value string) []byte {
+	callWith := func(name, value string) []byte {
 		return thrift.AppendCall(nil, 1, thriftFields(thrift.Field{Name: name, Value: value}), []byte("b"))
 	}
 	frame := func(size uint32, rest string) []byte {
@@ -28,7 +28,7 @@
 		id          = "00000000000000e1"
 		processHead = "\x80\x01\x00\x01\x00\x00\x00\x07process\x00\x00\x00\x01"
 		mapHead     = "\x0d\x00\x01\x0b\x0b"
-		nextLength  = "\x7f\xff\xff\xff"
+		maxLength   = "\x7f\xff\xff\xff"
 	)
 	nested := processHead + strings.Repeat("\x0c\x00\x09", 200)
 	for name, tc := range map[string]struct {
@@ -45,18 +45,18 @@
 		"incomplete length":       {[]byte("\x00\x00"), false, 0},
 		"old version":             {frame(12, "\x00\x00\x00\x04ping\x01\x00\x00\x00"), true, 0},
 		"unknown method":          {frame(20, "\x80\x01\x00\x01\x00\x00\x00\x07prosess\x00\x00\x00\x01\x00"[:20]), false, 1},
-		"string beyond the frame": {frame(30, processHead+"\x0b\x00\x02"+nextLength+"\x00\x00\x00\x00"), false, 1},
-		"map beyond the frame":    {frame(33, processHead+mapHead+nextLength+"\x00\x00\x00\x01a\x00"), false, 1},
+		"string beyond the frame": {frame(30, processHead+"\x0b\x00\x02"+maxLength+"\x00\x00\x00\x00"), false, 1},
+		"map beyond the frame":    {frame(33, processHead+mapHead+maxLength+"\x00\x00\x00\x01a\x00"), false, 1},
 		"unterminated nesting":    {frame(uint32(len(nested)), nested), false, 1},
-		"unknown class":           {with("class", "no-such"), false, 1},
-		"unknown tenant":          {with("tenant", "nobody"), false, 1},
-		"non-hexadecimal ID":      {with("id", "00000000000000zz"), false, 1},
-		"number out of range":     {with("from", "99999999999999999999999"), false, 1},
-		"memory out of range":     {with("kb", "2000"), false, 1},
-		"zero memory":             {with("kb", "0"), false, 1},
-		"rank out of range":       {with("rank", "1.5"), false, 1},
-		"invalid time":            {with("at", "yesterday"), false, 1},
-		"time in the far future":  {with("at", "9999999999999"), false, 1},
+		"unknown class":           {callWith("class", "no-such"), false, 1},
+		"unknown tenant":          {callWith("tenant", "no-such"), false, 1},
+		"non-hexadecimal ID":      {callWith("id", "00000000000000zz"), false, 1},
+		"number out of range":     {callWith("from", "99999999999999999999999"), false, 1},
+		"memory out of range":     {callWith("kb", "2000"), false, 1},
+		"zero memory":             {callWith("kb", "0"), false, 1},
+		"rank out of range":       {callWith("rank", "1.5"), false, 1},
+		"invalid time":            {callWith("at", "yesterday"), false, 1},
+		"time in the far future":  {callWith("at", "9999999999999"), false, 1},
 		"frame of one MiB":        {frame(1<<20, "\x80\x01\x00\x01"), true, 0},
 		"reused sequence number":  {append(call(1, id), call(1, "00000000000000e2")...), true, 1},
 	} {
--- a/internal/server/names.go
+++ b/internal/server/names.go
@@ -75,8 +75,8 @@
 	n.rebuild(settings)
 }
 
-// expireRetired ends the acceptance of retired classes whose time has expired. It returns when the next
-// acceptance ends.
+// expireRetired ends the acceptance of retired classes whose time has expired. It returns when the next acceptance
+// ends.
 func (n *nameIndex) expireRetired(settings control.Settings, now microtime.Time) microtime.Time {
 	next, expired := microtime.Never, false
 	for index, until := range n.retiredUntil {
--- a/internal/server/names_test.go
+++ b/internal/server/names_test.go
@@ -71,11 +71,11 @@
 	index, known := named.tenant("lake-vines")
 	require.True(t, known)
 	require.Equal(t, 1, index)
-	_, known = named.tenant("nobody")
+	_, known = named.tenant("no-such")
 	require.False(t, known)
 
 	unnamed := newNameIndex(control.Settings{})
-	index, known = unnamed.tenant("anybody")
+	index, known = unnamed.tenant("any-tenant")
 	require.True(t, known)
 	require.Zero(t, index)
 }
--- a/internal/server/pool_move_test.go
+++ b/internal/server/pool_move_test.go
@@ -27,13 +27,13 @@
 		}
 	})
 	proxy := fixture.servedProxy() // Served by a run of that class, with notice 1.
-	once := fixture.submit(proxy, "lot-update", "")
-	require.Equal(t, once, <-fixture.pool.started)
+	nonIdempotent := fixture.submit(proxy, "lot-update", "")
+	require.Equal(t, nonIdempotent, <-fixture.pool.started)
 	safe := fixture.submit(proxy, "block-view", "")
 	require.Equal(t, safe, <-fixture.pool.started)
 	require.NoError(t, fixture.pool.breakLink())
 	require.Equal(t, safe, <-fixture.pool.started, "sent again on the next link")
-	fixture.pool.finish(once, "ran once")
+	fixture.pool.finish(nonIdempotent, "ran once")
 	require.Equal(t, "ran once", string(nextReply(proxy).Body))
 	require.Empty(t, fixture.pool.started)
 	fixture.stop()
--- a/internal/server/reload.go
+++ b/internal/server/reload.go
@@ -25,7 +25,7 @@
 // Reload applies a configuration while serving: the settings, the addresses of the worker pool, of the vault and of the
 // control plane, the endpoints of an upstream, and the shutdown timeout. Runs in progress are not interrupted, and a
 // new link to the pool resumes after the last notice that was read. Everything else takes effect at the next restart.
-// If it returns an error, nothing has changed.
+// If Reload returns an error, nothing has changed.
 func (s *Server) Reload(next config.Config) error {
 	if err := s.applyConfig(next); err != nil {
 		s.reloads.rejected++
@@ -80,7 +80,7 @@
 	return nil
 }
 
-// applySettings applies the settings and the gauges that belong to them. If it returns an error, nothing has changed.
+// applySettings applies the settings and the gauges that belong to them. On an error nothing has changed.
 func (s *Server) applySettings(next config.Config) error {
 	settings := next.Settings
 	settings.Seed, settings.ColdStart = s.cfg.Settings.Seed, s.cfg.Settings.ColdStart
--- a/internal/server/reload_test.go
+++ b/internal/server/reload_test.go
@@ -16,7 +16,7 @@
 	"pewterline/internal/settings"
 )
 
-// configWith returns the server's configuration with settingsJSON as change returns it.
+// configWith returns the server's configuration with the settings of settingsJSON as modified by change.
 func (f *loopFixture) configWith(change func(string) string) config.Config {
 	f.t.Helper()
 	cfg := f.srv.cfg
@@ -59,14 +59,14 @@
 	require.Contains(t, fixture.submit("00000000000000a3", "lot-intake", "k2"), "spawn")
 	fixture.client.out = nil
 
-	first := func(text string) string { // One class is retired, one is added in front, and one has changed.
+	modified := func(text string) string { // One class is retired, one is added in front, and one has changed.
 		text = without("lot-intake")(withGrape(text))
 		text = strings.Replace(text, `"worth": 1, "effect": "free"},
  ],`, `"worth": 1, "effect": "free"}],`, 1)
 		return strings.Replace(text, `"lot-update", "aim_ms": 1800, "hard_limit_ms": 4500`,
 			`"lot-update", "aim_ms": 700, "hard_limit_ms": 1500`, 1)
 	}
-	require.NoError(t, fixture.srv.Reload(fixture.configWith(first)))
+	require.NoError(t, fixture.srv.Reload(fixture.configWith(modified)))
 	fixture.submit("00000000000000a4", "grape-count", "") // Waits because both cores are busy.
 	sent := fixture.poolSends(finishedNotice(2, "00000000000000a3", "lot2"))
 	require.Contains(t, sent, "spawn 00000000000000a4 grape-count")
@@ -89,7 +89,7 @@
 	require.Contains(t, string(fixture.client.out), `class: unknown "lot-intake"`)
 	require.Equal(t, 3, fixture.counters().Succeeded["lot-intake"], "a retired class keeps its counters")
 
-	// The class is restored, twice, the second time during a drain: it is served again.
+	// The class is restored, and is still served after two more reloads, the last of them during a drain.
 	require.NoError(t, fixture.srv.Reload(fixture.configWith(unchanged)))
 	require.NoError(t, fixture.srv.Reload(fixture.configWith(withGrape)))
 	fixture.srv.Drain(fixture.now)
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -14,21 +14,21 @@
 
 // The listeners, as indices into the list of addresses that the event loop is started with.
 const (
-	// ThriftListener is for proxies.
+	// ThriftListener accepts connections of proxies.
 	ThriftListener = iota
-	// AJPListener is for web servers.
+	// AJPListener accepts connections of web servers.
 	AJPListener
-	// ExchangeListener is for the gossip of other instances.
+	// ExchangeListener accepts gossip connections of other instances.
 	ExchangeListener
-	// AdminListener is for operators.
+	// AdminListener accepts connections of operators.
 	AdminListener
-	// HandoffListener is for a successor.
+	// HandoffListener accepts the connection of a successor.
 	HandoffListener
-	// ReplicationListener is for the other members of the replication group.
+	// ReplicationListener accepts connections of the other members of the replication group.
 	ReplicationListener
 )
 
-// idleSweepInterval is the time between two searches for idle client connections.
+// idleSweepInterval is the time between two sweeps that close idle client connections.
 const idleSweepInterval = 250 * microtime.Millisecond
 
 // EventLoop is the part of the event loop that the server uses. Package transport's Loop implements it.
@@ -40,8 +40,8 @@
 	// DialOnce tries once to open a connection to an address, and calls failed if it cannot. Neither open nor failed is
 	// called after drop.
 	DialOnce(addr string, open func(transport.Conn) transport.Session, failed func()) (drop func())
-	// SetDatagramPeer sets the address that SendDatagram sends to. After an error the previous address
-	// remains in use.
+	// SetDatagramPeer sets the address that SendDatagram sends to. After an error the previous address remains
+	// in use.
 	SetDatagramPeer(addr string) error
 	// SendDatagram sends a datagram, which may be lost.
 	SendDatagram([]byte)
@@ -79,7 +79,7 @@
 	fileSettings control.Settings // the settings of the file, without retired classes
 	reloads      reloadCounts
 	health       healthReporter
-	outOfService bool // by an operator's command
+	outOfService bool // set by an operator's command
 	handoff      handoffState
 	shutdown     shutdownState
 	nextSweepAt  microtime.Time
@@ -113,7 +113,8 @@
 	return server, nil
 }
 
-// UseReplication records executions of idempotency keys with a replication group. It must be called before Attach.
+// UseReplication makes the server record executions of idempotency keys with a replication group. It must be called
+// before Attach.
 func (s *Server) UseReplication(replica *replication.Replica) {
 	s.replica = replica
 	s.operators.UseReplication(replica)
--- a/internal/server/shutdown.go
+++ b/internal/server/shutdown.go
@@ -8,8 +8,7 @@
 )
 
 const (
-	// maxKillMargin is the longest time between the planned end of the process and the time at which it would be
-	// killed.
+	// maxKillMargin is the longest time between the planned end of the process and the time at which it would be killed.
 	maxKillMargin = 100 * microtime.Millisecond
 	// maxCloseTime is how long clients have to close the last connections.
 	maxCloseTime = 500 * microtime.Millisecond
@@ -42,7 +41,7 @@
 	stage          lifecycleStage
 	notifiedAt     microtime.Time // when the notice was sent; the timeout counts from then
 	handedOverAt   microtime.Time
-	stopAt         microtime.Time // the loop ends by then
+	stopAt         microtime.Time // when the loop ends at the latest
 	killMargin     microtime.Time // the process would be killed this long after stopAt
 	closingClients bool           // client connections are being closed
 	openListeners  int            // the number of listeners that are being closed
