--- a/internal/backend/ajpbackend/backend.go
+++ b/internal/backend/ajpbackend/backend.go
@@ -1,7 +1,7 @@
 // Package ajpbackend is the backend that forwards runs to one server that speaks AJP, in place of the worker pool.
-// Package server builds it and expires its timeouts; the request core starts and cancels runs. The package owns the
-// connections to that server and the queue of runs that wait for one. It never sends a run twice: if the connection is
-// lost after the run was sent, the run has failed. It has no gauges.
+// Package server creates the backend and calls ExpireTimeouts; the request core starts and cancels runs. The backend
+// owns the connections to the AJP server and the queue of runs that wait for a connection. It never sends a run twice:
+// if the connection is lost after the run was sent, the run has failed. It has no gauges.
 package ajpbackend
 
 import (
@@ -14,24 +14,25 @@
 	"pewterline/internal/transport"
 )
 
-// Core is the request core as the backend sees it.
+// Core is the part of the request core that the backend calls.
 type Core interface {
-	// RunFinished reports the end of a run. It may start and cancel runs.
+	// RunFinished reports the end of a run. The core may start and cancel runs during the call.
 	RunFinished(id string, outcome dispatch.RunOutcome, result []byte)
 }
 
-// Loop is the event loop as the backend sees it.
-type Loop interface {
-	// Now returns the time of the loop's turn.
+// EventLoop is what the backend needs from the event loop.
+type EventLoop interface {
+	// Now returns the time of the current turn of the loop.
 	Now() microtime.Time
-	// Dial opens a connection, and retries until it succeeds. open returns its session.
-	Dial(addr string, open func(transport.Conn) transport.Session) (drop func())
+	// Dial opens a connection, and retries until it succeeds. Then open is called and returns the connection's session.
+	// The returned function cancels the dial.
+	Dial(addr string, open func(transport.Conn) transport.Session) (cancel func())
 }
 
 // Config configures a Backend.
 type Config struct {
 	config.AJP
-	// RunTimeout is how long a run may take. After it no request can use the result any more.
+	// RunTimeout is how long a run may take. After that no request can use its result.
 	RunTimeout microtime.Time
 }
 
@@ -39,7 +40,7 @@
 type Backend struct {
 	config      Config
 	core        Core
-	loop        Loop
+	loop        EventLoop
 	logf        func(format string, args ...any)
 	connections orderedset.Set[*connection]
 	idle        []*connection
@@ -54,13 +55,13 @@
 	connection *connection // nil while queued
 }
 
-// New returns a backend without a connection: the first run opens one. Attach must follow.
+// New returns a backend without a connection: the first run opens one. Attach must be called before any other method.
 func New(cfg Config, logf func(format string, args ...any)) *Backend {
 	return &Backend{config: cfg, logf: logf, runs: map[string]*run{}}
 }
 
-// Attach connects the backend to its core and its loop.
-func (b *Backend) Attach(core Core, loop Loop) {
+// Attach sets the core and the event loop of the backend.
+func (b *Backend) Attach(core Core, loop EventLoop) {
 	b.core = core
 	b.loop = loop
 }
@@ -99,7 +100,8 @@
 	b.core.RunFinished(r.ID, outcome, result)
 }
 
-// dispatchQueue assigns queued runs to idle connections, the last used first, and opens more connections for the rest.
+// dispatchQueue assigns queued runs to idle connections, the most recently used first, and opens more connections for
+// the remaining runs.
 func (b *Backend) dispatchQueue() {
 	for len(b.queue) > 0 && len(b.idle) > 0 {
 		last := len(b.idle) - 1
@@ -124,14 +126,14 @@
 	return c
 }
 
-// closed removes a connection. A run that it had not sent yet goes back to the head of the queue.
+// closed removes a connection. If its run was not sent yet, the run goes back to the head of the queue.
 func (b *Backend) closed(c *connection) {
 	b.connections.Remove(c)
 	if i := slices.Index(b.idle, c); i >= 0 {
 		b.idle = slices.Delete(b.idle, i, i+1)
 	}
 	if r := c.run; r != nil {
-		if c.sent { // it may have run: never sent again
+		if c.sent { // the server may have executed the run, so it is not sent again
 			c.finish(dispatch.RunFailed, nil)
 		} else {
 			c.run, r.connection = nil, nil
@@ -141,7 +143,8 @@
 	b.dispatchQueue()
 }
 
-// ExpireTimeouts fails the runs that have exceeded RunTimeout. It returns when to call it again, or microtime.Never.
+// ExpireTimeouts fails the runs that have exceeded RunTimeout. It returns when it has to be called
+// again, or microtime.Never.
 func (b *Backend) ExpireTimeouts(now microtime.Time) microtime.Time {
 	next := microtime.Never
 	for _, c := range b.connections.Items() {
@@ -150,7 +153,7 @@
 		case now < c.deadline:
 			next = min(next, c.deadline)
 		default:
-			b.logf("ajp: run did not end in time: backend=%s run=%s", c.conn.Remote(), c.run.ID)
+			b.logf("ajp: run timed out: backend=%s run=%s", c.conn.Remote(), c.run.ID)
 			c.conn.Close()
 			c.finish(dispatch.RunFailed, nil)
 		}
--- a/internal/backend/ajpbackend/backend_test.go
+++ b/internal/backend/ajpbackend/backend_test.go
@@ -13,71 +13,71 @@
 	"pewterline/internal/transport"
 )
 
-// container is the server that does the work, the core and the event loop in one: it sees all that the backend does.
-type container struct {
-	t        *testing.T
-	backend  *Backend
-	now      microtime.Time
-	dialled  []func(transport.Conn) transport.Session // attempts that have not succeeded yet
-	finished map[string]dispatch.RunOutcome
-	results  map[string]string
-	log      []string
+// harness is a backend under test. It implements Core and EventLoop, and the test uses it as the AJP server.
+type harness struct {
+	t            *testing.T
+	backend      *Backend
+	now          microtime.Time
+	pendingDials []func(transport.Conn) transport.Session // the open functions of pending dials, oldest first
+	finished     map[string]dispatch.RunOutcome
+	results      map[string]string
+	log          []string
 }
 
-func newContainer(t *testing.T, connections int) *container {
+func newHarness(t *testing.T, connections int) *harness {
 	t.Helper()
-	c := &container{t: t, finished: map[string]dispatch.RunOutcome{}, results: map[string]string{}}
+	h := &harness{t: t, finished: map[string]dispatch.RunOutcome{}, results: map[string]string{}}
 	cfg := config.AJP{BackendAddress: "there", BackendSecret: "vine", BackendPath: "/run", BackendConnections: connections}
-	c.backend = New(Config{AJP: cfg, RunTimeout: microtime.Second}, func(format string, _ ...any) {
-		c.log = append(c.log, format)
+	h.backend = New(Config{AJP: cfg, RunTimeout: microtime.Second}, func(format string, _ ...any) {
+		h.log = append(h.log, format)
 	})
-	c.backend.Attach(c, c)
-	return c
+	h.backend.Attach(h, h)
+	return h
 }
 
 // Now is part of Loop.
-func (c *container) Now() microtime.Time { return c.now }
+func (h *harness) Now() microtime.Time { return h.now }
 
 // Dial is part of Loop.
-func (c *container) Dial(addr string, open func(transport.Conn) transport.Session) (drop func()) {
-	require.Equal(c.t, "there", addr)
-	c.dialled = append(c.dialled, open)
+func (h *harness) Dial(addr string, open func(transport.Conn) transport.Session) (cancel func()) {
+	require.Equal(h.t, "there", addr)
+	h.pendingDials = append(h.pendingDials, open)
 	return func() {}
 }
 
 // RunFinished is part of Core.
-func (c *container) RunFinished(id string, outcome dispatch.RunOutcome, result []byte) {
-	c.finished[id] = outcome
-	c.results[id] = string(result)
+func (h *harness) RunFinished(id string, outcome dispatch.RunOutcome, result []byte) {
+	h.finished[id] = outcome
+	h.results[id] = string(result)
 }
 
-// accept lets the oldest attempt to dial succeed.
-func (c *container) accept() (*frontendtest.Conn, transport.Session) {
-	c.t.Helper()
-	require.NotEmpty(c.t, c.dialled)
-	open := c.dialled[0]
-	c.dialled = c.dialled[1:]
+// accept completes the oldest pending dial, and returns the connection and its session.
+func (h *harness) accept() (*frontendtest.Conn, transport.Session) {
+	h.t.Helper()
+	require.NotEmpty(h.t, h.pendingDials)
+	open := h.pendingDials[0]
+	h.pendingDials = h.pendingDials[1:]
 	conn := &frontendtest.Conn{}
 	return conn, open(conn)
 }
 
-// respond sends a whole response.
-func (c *container) respond(session transport.Session, status int, body string, reuse bool) {
-	c.t.Helper()
+// respond passes a whole response from the server to the session.
+func (h *harness) respond(session transport.Session, status int, body string, reuse bool) {
+	h.t.Helper()
 	out := ajp.AppendSendHeaders(nil, status, "", nil)
 	out = ajp.AppendResponseBody(out, []byte(body))
 	out = ajp.AppendEndResponse(out, reuse)
 	consumed, err := session.Receive(out)
-	require.NoError(c.t, err)
-	require.Equal(c.t, len(out), consumed)
+	require.NoError(h.t, err)
+	require.Equal(h.t, len(out), consumed)
 }
 
-func runOf(id string) dispatch.Run {
+func newRun(id string) dispatch.Run {
 	return dispatch.Run{ID: id, Class: "lot-intake", Body: []byte("body")}
 }
 
-// request reads the request that a connection was sent.
-func request(t *testing.T, conn *frontendtest.Conn) ajp.Request {
+// readRequest takes the request that was written to a connection, and checks its body.
+func readRequest(t *testing.T, conn *frontendtest.Conn) ajp.Request {
 	t.Helper()
 	in := conn.Take()
 	payload, size, err := ajp.SplitPacket(in, ajp.FromServer)
@@ -92,7 +92,7 @@
 	return head
 }
 
-func TestRunOnANewConnection(t *testing.T) {
+func TestRunOnNewConnection(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
 		status int
@@ -103,96 +103,96 @@
 		{"fails", 500, dispatch.RunFailed, ""},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			c := newContainer(t, 1)
-			c.backend.Start(runOf("a"))
-			conn, session := c.accept()
-			head := request(t, conn)
+			h := newHarness(t, 1)
+			h.backend.Start(newRun("a"))
+			conn, session := h.accept()
+			head := readRequest(t, conn)
 			require.Equal(t, "/run/lot-intake", head.URI)
 			require.Equal(t, "vine", head.Secret)
 			require.Equal(t, "a", head.Header("X-Relay-Id"))
 			require.False(t, session.Idle())
-			c.respond(session, tc.status, "result", true)
-			require.Equal(t, map[string]dispatch.RunOutcome{"a": tc.want}, c.finished)
-			require.Equal(t, tc.result, c.results["a"])
+			h.respond(session, tc.status, "result", true)
+			require.Equal(t, map[string]dispatch.RunOutcome{"a": tc.want}, h.finished)
+			require.Equal(t, tc.result, h.results["a"])
 			require.True(t, session.Idle())
 			require.False(t, conn.Closed)
 		})
 	}
 }
 
-// A connection that was kept is asked whether it still lives before a run is sent on it. Where it does not, the run
-// goes to another one.
-func TestKeptConnectionIsAskedFirst(t *testing.T) {
-	server := newContainer(t, 1)
-	server.backend.Start(runOf("a"))
-	conn, session := server.accept()
+// A reused connection is pinged before a run is sent on it. If the connection turns out to be lost, the run is sent on
+// another one.
+func TestReusedConnectionIsPingedFirst(t *testing.T) {
+	h := newHarness(t, 1)
+	h.backend.Start(newRun("a"))
+	conn, session := h.accept()
 	conn.Take()
-	server.respond(session, 200, "", true)
-	server.backend.Start(runOf("b"))
+	h.respond(session, 200, "", true)
+	h.backend.Start(newRun("b"))
 	require.Equal(t, ajp.AppendCPing(nil), conn.Take())
 	_, err := session.Receive(ajp.AppendCPong(nil))
 	require.NoError(t, err)
-	request(t, conn)
-	server.respond(session, 200, "", true)
+	readRequest(t, conn)
+	h.respond(session, 200, "", true)
 
-	server.backend.Start(runOf("c"))
+	h.backend.Start(newRun("c"))
 	require.Equal(t, ajp.AppendCPing(nil), conn.Take())
 	session.Closed()
-	require.NotContains(t, server.finished, "c")
-	second, _ := server.accept()
-	head := request(t, second)
+	require.NotContains(t, h.finished, "c")
+	second, _ := h.accept()
+	head := readRequest(t, second)
 	require.Equal(t, "c", head.Header("X-Relay-Id"))
 }
 
-// A run that was sent on a connection that is lost is never sent again.
-func TestLostConnectionFailsTheRun(t *testing.T) {
-	c := newContainer(t, 1)
-	c.backend.Start(runOf("a"))
-	_, session := c.accept()
+// A run fails if its connection is lost after the run was sent. It is not sent again.
+func TestConnectionLossFailsSentRun(t *testing.T) {
+	h := newHarness(t, 1)
+	h.backend.Start(newRun("a"))
+	_, session := h.accept()
 	session.Closed()
-	require.Equal(t, map[string]dispatch.RunOutcome{"a": dispatch.RunFailed}, c.finished)
-	require.Empty(t, c.dialled)
+	require.Equal(t, map[string]dispatch.RunOutcome{"a": dispatch.RunFailed}, h.finished)
+	require.Empty(t, h.pendingDials)
 }
 
-func TestConnectionsAreBounded(t *testing.T) {
-	server := newContainer(t, 2)
+func TestConnectionsAreLimited(t *testing.T) {
+	h := newHarness(t, 2)
 	for _, id := range []string{"a", "b", "c"} {
-		server.backend.Start(runOf(id))
+		h.backend.Start(newRun(id))
 	}
-	require.Len(t, server.dialled, 2)
-	_, first := server.accept()
-	server.accept()
-	require.Len(t, server.backend.queue, 1)
-	server.respond(first, 200, "", false)
-	require.Len(t, server.backend.queue, 1, "a connection that is not offered again takes no run")
+	require.Len(t, h.pendingDials, 2)
+	_, first := h.accept()
+	h.accept()
+	require.Len(t, h.backend.queue, 1)
+	h.respond(first, 200, "", false)
+	require.Len(t, h.backend.queue, 1, "a connection that the server does not allow to be reused gets no further run")
 	first.Closed()
-	require.Len(t, server.dialled, 1)
+	require.Len(t, h.pendingDials, 1)
 }
 
 func TestCancel(t *testing.T) {
-	server := newContainer(t, 1)
-	server.backend.Start(runOf("sent"))
-	server.backend.Start(runOf("queued"))
-	conn, _ := server.accept()
-	server.backend.Cancel("queued")
+	h := newHarness(t, 1)
+	h.backend.Start(newRun("sent"))
+	h.backend.Start(newRun("queued"))
+	conn, _ := h.accept()
+	h.backend.Cancel("queued")
 	require.False(t, conn.Closed)
-	server.backend.Cancel("sent")
+	h.backend.Cancel("sent")
 	require.True(t, conn.Closed)
-	server.backend.Cancel("unknown")
+	h.backend.Cancel("unknown")
 	want := map[string]dispatch.RunOutcome{"sent": dispatch.RunCancelled, "queued": dispatch.RunCancelled}
-	require.Equal(t, want, server.finished)
+	require.Equal(t, want, h.finished)
 }
 
 func TestExpireTimeouts(t *testing.T) {
-	c := newContainer(t, 1)
-	require.Equal(t, microtime.Never, c.backend.ExpireTimeouts(c.now))
-	c.backend.Start(runOf("a"))
-	conn, _ := c.accept()
-	require.Equal(t, microtime.Second, c.backend.ExpireTimeouts(c.now))
-	require.Equal(t, microtime.Never, c.backend.ExpireTimeouts(microtime.Second))
+	h := newHarness(t, 1)
+	require.Equal(t, microtime.Never, h.backend.ExpireTimeouts(h.now))
+	h.backend.Start(newRun("a"))
+	conn, _ := h.accept()
+	require.Equal(t, microtime.Second, h.backend.ExpireTimeouts(h.now))
+	require.Equal(t, microtime.Never, h.backend.ExpireTimeouts(microtime.Second))
 	require.True(t, conn.Closed)
-	require.Equal(t, map[string]dispatch.RunOutcome{"a": dispatch.RunFailed}, c.finished)
-	require.Len(t, c.log, 1)
+	require.Equal(t, map[string]dispatch.RunOutcome{"a": dispatch.RunFailed}, h.finished)
+	require.Len(t, h.log, 1)
 }
 
 func TestInvalidResponses(t *testing.T) {
@@ -200,16 +200,16 @@
 		name string
 		in   []byte
 	}{
-		{"with no run", ajp.AppendEndResponse(nil, true)},
-		{"result over the bound", ajp.AppendResponseBody(nil, make([]byte, maxResult+1))},
-		{"another side's", ajp.AppendCPing(nil)},
+		{"no run in progress", ajp.AppendEndResponse(nil, true)},
+		{"result over the limit", ajp.AppendResponseBody(nil, make([]byte, maxResult+1))},
+		{"message that only a web server sends", ajp.AppendCPing(nil)},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			c := newContainer(t, 1)
-			c.backend.Start(runOf("a"))
-			_, session := c.accept()
-			if tc.name == "with no run" {
-				c.respond(session, 200, "", true)
+			h := newHarness(t, 1)
+			h.backend.Start(newRun("a"))
+			_, session := h.accept()
+			if tc.name == "no run in progress" {
+				h.respond(session, 200, "", true)
 			}
 			_, err := session.Receive(tc.in)
 			require.ErrorIs(t, err, ajp.ErrInvalidPacket)
--- a/internal/backend/ajpbackend/connection.go
+++ b/internal/backend/ajpbackend/connection.go
@@ -13,41 +13,41 @@
 )
 
 const (
-	// maxResult is the most bytes of a run's result. The limit of the worker pool is the same.
+	// maxResult is the maximum size of a run's result in bytes. The worker pool has the same limit.
 	maxResult = 64 << 10
-	// remoteAddr is sent to the server as the caller's address, because runs have none of their own.
+	// remoteAddr is sent to the server as the caller's address, because a run has no address of its own.
 	remoteAddr = "127.0.0.1"
 )
 
-// The headers of a run's request, besides the length of its body.
+// The headers of a run's request other than content-length.
 const (
 	headerClass = frontend.HeaderPrefix + "Class"
 	headerRunID = frontend.HeaderPrefix + "Id"
 )
 
-// connection is one connection to the server. It has one run at a time.
+// connection is one connection to the server. It carries one run at a time. It implements transport.Session.
 type connection struct {
 	orderedset.Position
-	backend  *Backend
-	conn     transport.Conn
-	run      *run           // nil: it is idle
-	deadline microtime.Time // of the run
-	used     bool           // it has carried a run before, so the server may have closed it since
-	sent     bool           // the run was sent; while false, a lost connection proves that it did not run
-	unsent   []byte         // the rest of the run's body
-	status   int
-	result   []byte
-	scratch  []byte // reused by each message that is written
+	backend    *Backend
+	conn       transport.Conn
+	run        *run           // nil: the connection is idle
+	deadline   microtime.Time // of the run
+	used       bool           // a run was sent on it before, so the server may have closed it since
+	sent       bool           // the run was sent; while false, a lost connection proves that it was not executed
+	unsentBody []byte         // the part of the run's body that has not been sent yet
+	status     int            // of the response
+	result     []byte         // the part of the response's body received so far
+	scratch    []byte         // the write buffer, reused for each message
 }
 
-// write sends packets that were appended to c.scratch[:0].
+// write sends packets that were appended to c.scratch[:0], and keeps their buffer for reuse.
 func (c *connection) write(packets []byte) {
 	c.scratch = packets[:0]
 	c.conn.Write(packets)
 }
 
-// start assigns a run to the connection. A reused connection is pinged first: the server may have closed it meanwhile,
-// and then it would be unknown whether a run that was sent on it ran.
+// start assigns a run to the connection. A reused connection is pinged before the run is sent: the server may have
+// closed it meanwhile, and it would then be unknown whether the server executed the run.
 func (c *connection) start(r *run) {
 	c.run = r
 	r.connection = c
@@ -78,9 +78,9 @@
 			{Name: headerRunID, Value: started.ID},
 		},
 	})
-	c.unsent = started.Body
+	c.unsentBody = started.Body
 	if len(started.Body) > 0 {
-		out, c.unsent = ajp.AppendBodyChunk(out, started.Body)
+		out, c.unsentBody = ajp.AppendBodyChunk(out, started.Body)
 	}
 	c.write(out)
 }
@@ -88,7 +88,7 @@
 // finish detaches the run from the connection and reports its end.
 func (c *connection) finish(outcome dispatch.RunOutcome, result []byte) {
 	r := c.run
-	c.run, c.unsent, c.result = nil, nil, nil
+	c.run, c.unsentBody, c.result = nil, nil, nil
 	c.backend.finish(r, outcome, result)
 }
 
@@ -106,7 +106,7 @@
 			return consumed, err
 		}
 		if c.run == nil {
-			return consumed, fmt.Errorf("%w: code %d with no request in hand", ajp.ErrInvalidPacket, response.Code)
+			return consumed, fmt.Errorf("%w: code %d with no request in progress", ajp.ErrInvalidPacket, response.Code)
 		}
 		if err := c.handle(response); err != nil {
 			return consumed, err
@@ -114,7 +114,7 @@
 	}
 }
 
-// handle handles one packet of the response to the run. An error closes the connection.
+// handle handles one packet of the response to the run. After an error the caller closes the connection.
 func (c *connection) handle(response ajp.Response) error {
 	switch response.Code {
 	case ajp.CodeCPong:
@@ -123,23 +123,23 @@
 		}
 	case ajp.CodeGetBodyChunk:
 		var out []byte
-		out, c.unsent = ajp.AppendBodyChunk(c.scratch[:0], c.unsent)
+		out, c.unsentBody = ajp.AppendBodyChunk(c.scratch[:0], c.unsentBody)
 		c.write(out)
 	case ajp.CodeSendHeaders:
 		c.status = response.Status
 	case ajp.CodeSendBodyChunk:
 		if len(c.result)+len(response.BodyChunk) > maxResult {
-			return fmt.Errorf("%w: a result of over %d bytes", ajp.ErrInvalidPacket, maxResult)
+			return fmt.Errorf("%w: result exceeds %d bytes", ajp.ErrInvalidPacket, maxResult)
 		}
 		c.result = append(c.result, response.BodyChunk...)
 	case ajp.CodeEndResponse:
 		c.responseEnded(response.Reuse)
-	default: // ParseResponse returns no other
+	default: // ParseResponse returns no other code
 	}
 	return nil
 }
 
-// responseEnded reports the run's end. The connection is reused if the server allows it.
+// responseEnded reports the end of the run. The connection is reused if the server allows it.
 func (c *connection) responseEnded(reuse bool) {
 	if c.status >= 200 && c.status < 300 {
 		c.finish(dispatch.RunSucceeded, c.result)
