--- a/internal/backend/ajpbackend/backend_test.go
+++ b/internal/backend/ajpbackend/backend_test.go
@@ -103,17 +103,17 @@
 		{"fails", 500, dispatch.RunFailed, ""},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			h := newHarness(t, 1)
-			h.backend.Start(newRun("a"))
-			conn, session := h.accept()
+			fixture := newHarness(t, 1)
+			fixture.backend.Start(newRun("a"))
+			conn, session := fixture.accept()
 			head := readRequest(t, conn)
 			require.Equal(t, "/run/lot-intake", head.URI)
 			require.Equal(t, "vine", head.Secret)
 			require.Equal(t, "a", head.Header("X-Relay-Id"))
 			require.False(t, session.Idle())
-			h.respond(session, tc.status, "result", true)
-			require.Equal(t, map[string]dispatch.RunOutcome{"a": tc.want}, h.finished)
-			require.Equal(t, tc.result, h.results["a"])
+			fixture.respond(session, tc.status, "result", true)
+			require.Equal(t, map[string]dispatch.RunOutcome{"a": tc.want}, fixture.finished)
+			require.Equal(t, tc.result, fixture.results["a"])
 			require.True(t, session.Idle())
 			require.False(t, conn.Closed)
 		})
@@ -123,76 +123,76 @@
 // A reused connection is pinged before a run is sent on it. If the connection turns out to be lost, the run is sent on
 // another one.
 func TestReusedConnectionIsPingedFirst(t *testing.T) {
-	h := newHarness(t, 1)
-	h.backend.Start(newRun("a"))
-	conn, session := h.accept()
+	fixture := newHarness(t, 1)
+	fixture.backend.Start(newRun("a"))
+	conn, session := fixture.accept()
 	conn.Take()
-	h.respond(session, 200, "", true)
-	h.backend.Start(newRun("b"))
+	fixture.respond(session, 200, "", true)
+	fixture.backend.Start(newRun("b"))
 	require.Equal(t, ajp.AppendCPing(nil), conn.Take())
 	_, err := session.Receive(ajp.AppendCPong(nil))
 	require.NoError(t, err)
 	readRequest(t, conn)
-	h.respond(session, 200, "", true)
+	fixture.respond(session, 200, "", true)
 
-	h.backend.Start(newRun("c"))
+	fixture.backend.Start(newRun("c"))
 	require.Equal(t, ajp.AppendCPing(nil), conn.Take())
 	session.Closed()
-	require.NotContains(t, h.finished, "c")
-	second, _ := h.accept()
+	require.NotContains(t, fixture.finished, "c")
+	second, _ := fixture.accept()
 	head := readRequest(t, second)
 	require.Equal(t, "c", head.Header("X-Relay-Id"))
 }
 
 // A run fails if its connection is lost after the run was sent. It is not sent again.
 func TestConnectionLossFailsSentRun(t *testing.T) {
-	h := newHarness(t, 1)
-	h.backend.Start(newRun("a"))
-	_, session := h.accept()
+	fixture := newHarness(t, 1)
+	fixture.backend.Start(newRun("a"))
+	_, session := fixture.accept()
 	session.Closed()
-	require.Equal(t, map[string]dispatch.RunOutcome{"a": dispatch.RunFailed}, h.finished)
-	require.Empty(t, h.pendingDials)
+	require.Equal(t, map[string]dispatch.RunOutcome{"a": dispatch.RunFailed}, fixture.finished)
+	require.Empty(t, fixture.pendingDials)
 }
 
 func TestConnectionsAreLimited(t *testing.T) {
-	h := newHarness(t, 2)
+	fixture := newHarness(t, 2)
 	for _, id := range []string{"a", "b", "c"} {
-		h.backend.Start(newRun(id))
+		fixture.backend.Start(newRun(id))
 	}
-	require.Len(t, h.pendingDials, 2)
-	_, first := h.accept()
-	h.accept()
-	require.Len(t, h.backend.queue, 1)
-	h.respond(first, 200, "", false)
-	require.Len(t, h.backend.queue, 1, "a connection that the server does not allow to be reused gets no further run")
+	require.Len(t, fixture.pendingDials, 2)
+	_, first := fixture.accept()
+	fixture.accept()
+	require.Len(t, fixture.backend.queue, 1)
+	fixture.respond(first, 200, "", false)
+	require.Len(t, fixture.backend.queue, 1, "a connection that the server does not allow to be reused gets no further run")
 	first.Closed()
-	require.Len(t, h.pendingDials, 1)
+	require.Len(t, fixture.pendingDials, 1)
 }
 
 func TestCancel(t *testing.T) {
-	h := newHarness(t, 1)
-	h.backend.Start(newRun("sent"))
-	h.backend.Start(newRun("queued"))
-	conn, _ := h.accept()
-	h.backend.Cancel("queued")
+	fixture := newHarness(t, 1)
+	fixture.backend.Start(newRun("sent"))
+	fixture.backend.Start(newRun("queued"))
+	conn, _ := fixture.accept()
+	fixture.backend.Cancel("queued")
 	require.False(t, conn.Closed)
-	h.backend.Cancel("sent")
+	fixture.backend.Cancel("sent")
 	require.True(t, conn.Closed)
-	h.backend.Cancel("unknown")
+	fixture.backend.Cancel("unknown")
 	want := map[string]dispatch.RunOutcome{"sent": dispatch.RunCancelled, "queued": dispatch.RunCancelled}
-	require.Equal(t, want, h.finished)
+	require.Equal(t, want, fixture.finished)
 }
 
 func TestExpireTimeouts(t *testing.T) {
-	h := newHarness(t, 1)
-	require.Equal(t, microtime.Never, h.backend.ExpireTimeouts(h.now))
-	h.backend.Start(newRun("a"))
-	conn, _ := h.accept()
-	require.Equal(t, microtime.Second, h.backend.ExpireTimeouts(h.now))
-	require.Equal(t, microtime.Never, h.backend.ExpireTimeouts(microtime.Second))
+	fixture := newHarness(t, 1)
+	require.Equal(t, microtime.Never, fixture.backend.ExpireTimeouts(fixture.now))
+	fixture.backend.Start(newRun("a"))
+	conn, _ := fixture.accept()
+	require.Equal(t, microtime.Second, fixture.backend.ExpireTimeouts(fixture.now))
+	require.Equal(t, microtime.Never, fixture.backend.ExpireTimeouts(microtime.Second))
 	require.True(t, conn.Closed)
-	require.Equal(t, map[string]dispatch.RunOutcome{"a": dispatch.RunFailed}, h.finished)
-	require.Len(t, h.log, 1)
+	require.Equal(t, map[string]dispatch.RunOutcome{"a": dispatch.RunFailed}, fixture.finished)
+	require.Len(t, fixture.log, 1)
 }
 
 func TestInvalidResponses(t *testing.T) {
@@ -205,11 +205,11 @@
 		{"message that only a web server sends", ajp.AppendCPing(nil)},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			h := newHarness(t, 1)
-			h.backend.Start(newRun("a"))
-			_, session := h.accept()
+			fixture := newHarness(t, 1)
+			fixture.backend.Start(newRun("a"))
+			_, session := fixture.accept()
 			if tc.name == "no run in progress" {
-				h.respond(session, 200, "", true)
+				fixture.respond(session, 200, "", true)
 			}
 			_, err := session.Receive(tc.in)
 			require.ErrorIs(t, err, ajp.ErrInvalidPacket)
--- a/internal/backend/upstream/attempt.go
+++ b/internal/backend/upstream/attempt.go
@@ -28,17 +28,17 @@
 	written    bool // the endpoint may have executed it
 }
 
-// route sends a run to the endpoint that may have executed it, or else to the one that the balancer picks. If there is
-// none, the next Check reports the run as declined.
+// route sends a run to the endpoint that may already have executed it, or otherwise to the endpoint that the balancer
+// picks. If no endpoint is available, the next Check reports the run as declined.
 func (b *Backend) route(routed *run) {
 	now := b.now()
 	routed.retryAt = microtime.Never
-	// After its start, an instance waits for the first gossip, for a limited time.
+	// After its start, an instance waits a limited time for the first gossip exchange.
 	if b.exchange != nil && !b.exchange.Ready(now) {
 		b.awaitingGossip = append(b.awaitingGossip, routed)
 		return
 	}
-	choice, ok := b.choose(now, routed)
+	choice, ok := b.chooseEndpoint(now, routed)
 	if !ok {
 		routed.declined = true
 		b.declined = append(b.declined, routed)
@@ -47,14 +47,16 @@
 	b.send(routed, choice)
 }
 
-func (b *Backend) choose(now microtime.Time, r *run) (loadbalancer.Choice, bool) {
+// chooseEndpoint returns false if no endpoint is available, or if the run's key is new and no more keys can
+// be retained.
+func (b *Backend) chooseEndpoint(now microtime.Time, r *run) (loadbalancer.Choice, bool) {
 	if r.keyed {
 		sticky, ok := b.retries.StickyEndpoint(now, r.key)
 		if !ok || sticky != "" {
 			return loadbalancer.Choice{Endpoint: sticky}, ok
 		}
 	}
-	return b.balancer.Pick(now, r.selection())
+	return b.balancer.Pick(now, r.balancerRequest())
 }
 
 // send starts an attempt on a connection with capacity, or on a new one.
@@ -80,7 +82,8 @@
 	b.open(e, sent)
 }
 
-// hedgeTime is when a hedged request may be sent after the attempt that was just started; Never: none may.
+// hedgeTime returns when a hedged request may be sent for the attempt that was just started, or Never if none may be
+// sent.
 func (b *Backend) hedgeTime(now microtime.Time, r *run) microtime.Time {
 	if !r.idempotent() || len(r.attempts) != 1 {
 		return microtime.Never
@@ -95,7 +98,7 @@
 // hedge sends a hedged request, if the retry budget allows it and the balancer prefers another endpoint.
 func (b *Backend) hedge(r *run) {
 	r.hedgeAt = microtime.Never
-	choice, ok := b.balancer.Pick(b.now(), r.selection())
+	choice, ok := b.balancer.Pick(b.now(), r.balancerRequest())
 	if !ok || choice.Probe || choice.Endpoint == r.attempts[0].choice.Endpoint {
 		return
 	}
@@ -137,12 +140,12 @@
 		return
 	}
 	if outcome == loadbalancer.Cancelled {
-		outcome = loadbalancer.TimedOut // the endpoint may have executed it, and the answer will not be read
+		outcome = loadbalancer.TimedOut // the endpoint may have executed the attempt, and its reply will not be read
 	}
 	b.retries.RecordOutcome(owner.key, outcome)
 }
 
-// attemptEnded handles the end of an attempt: the run finishes, waits for its other attempt, or is retried.
+// attemptEnded handles the end of an attempt: the run finishes, waits for its other attempt, is retried or is declined.
 func (b *Backend) attemptEnded(ended *attempt, result loadbalancer.Result, body []byte) {
 	owner := ended.run
 	owner.attempts = slices.DeleteFunc(owner.attempts, func(a *attempt) bool { return a == ended })
@@ -176,7 +179,7 @@
 		Attempts:       owner.attemptCount,
 		Outcome:        result.Outcome,
 		NoRetry:        result.NoRetry,
-		EarliestFinish: b.balancer.EarliestFinish(now, owner.selection()),
+		EarliestFinish: b.balancer.EarliestFinish(now, owner.balancerRequest()),
 		Deadline:       owner.deadline,
 	})
 	switch decision {
--- a/internal/backend/upstream/attempt_test.go
+++ b/internal/backend/upstream/attempt_test.go
@@ -11,28 +11,28 @@
 	"pewterline/internal/protocol/thrift"
 )
 
-// A connection that cannot be opened proves that nothing was executed: the request is retried at another endpoint.
+// A failed dial proves that the request was not executed: it is retried at another endpoint.
 func TestRetryAfterFailedConnect(t *testing.T) {
 	for name, class := range map[string]int{"idempotent": readClass, "keyed": keyedClass, "not idempotent": writeClass} {
 		t.Run(name, func(t *testing.T) {
 			edge := newHarness(t, nil, "n1", "n2")
 			edge.start("a", class, "k1")
-			dead := edge.refuse()
-			require.Equal(t, loadbalancer.Down, edge.stateOf(dead))
-			conn, alive := edge.accept()
-			require.NotEqual(t, dead, alive)
+			refused := edge.refuse()
+			require.Equal(t, loadbalancer.Down, edge.endpointState(refused))
+			conn, accepted := edge.accept()
+			require.NotEqual(t, refused, accepted)
 			call := conn.oneCall()
 			require.Equal(t, "1", call.Fields["retry"])
-			require.Equal(t, "0000000000000001", call.Fields["id"], "an attempt has an ID of its own")
+			require.Equal(t, "0000000000000001", call.Fields["id"], "each attempt after the first has its own ID")
 			conn.answer(call.SequenceID, "done")
 			edge.requireFinished(finishedRun{"a", dispatch.RunSucceeded, "done"})
 			require.Equal(t, 1, edge.backend.WastedAttempts())
-			edge.requireAtRest()
+			edge.requireNoRuns()
 		})
 	}
 }
 
-// A connection that is lost after the request was written: only an idempotent request is retried.
+// If the connection is lost after the request was written, only an idempotent request is retried.
 func TestConnectionLost(t *testing.T) {
 	t.Run("idempotent", func(t *testing.T) {
 		edge := newHarness(t, nil, "n1", "n2")
@@ -50,19 +50,19 @@
 		conn.session.Closed()
 		edge.requireFinished(finishedRun{"a", dispatch.RunFailed, ""})
 		require.Empty(t, edge.dials)
-		edge.requireAtRest()
+		edge.requireNoRuns()
 	})
 	t.Run("keyed", func(t *testing.T) {
 		edge := newHarness(t, nil, "n1", "n2")
 		edge.start("a", keyedClass, "k1")
-		conn, holder := edge.accept()
+		conn, stickyAddress := edge.accept()
 		conn.session.Closed()
 		edge.requireFinished(finishedRun{"a", dispatch.RunIndeterminate, ""})
-		want := "upstream: not known whether an endpoint executed a run: run=a endpoint=" + holder
+		want := "upstream: not known whether an endpoint executed a run: run=a endpoint=" + stickyAddress
 		require.Equal(t, []string{want}, edge.logged)
 		edge.start("b", keyedClass, "k1")
 		_, address := edge.accept()
-		require.Equal(t, holder, address, "a repeat goes where it may have been executed")
+		require.Equal(t, stickyAddress, address, "a repeat goes to the endpoint that may have executed the request")
 	})
 }
 
@@ -79,8 +79,8 @@
 		finishedRun{"c", dispatch.RunFailed, ""})
 }
 
-// A request with a key that failed is retried at the same endpoint, after a short wait.
-func TestKeyedRequestIsRetriedAtTheSameEndpoint(t *testing.T) {
+// A keyed request that failed is retried at the same endpoint after sameEndpointRetryDelay.
+func TestKeyedRequestIsRetriedAtSameEndpoint(t *testing.T) {
 	edge := newHarness(t, nil, "n1", "n2")
 	edge.start("a", keyedClass, "k1")
 	conn, _ := edge.accept()
@@ -98,11 +98,12 @@
 	edge.requireFinished(finishedRun{"a", dispatch.RunSucceeded, "done"})
 }
 
-// A rejection is retried elsewhere unless the endpoint asks for no retry; its retry-after goes to the caller.
+// A rejected request is retried at another endpoint unless the endpoint forbids retries. Then the caller gets the
+// endpoint's retry-after.
 func TestRejection(t *testing.T) {
 	after := thrift.Field{Name: "after", Value: "700"}
 	last := thrift.Field{Name: "last", Value: "1"}
-	t.Run("retried elsewhere", func(t *testing.T) {
+	t.Run("retried at another endpoint", func(t *testing.T) {
 		edge := newHarness(t, nil, "n1", "n2")
 		edge.start("a", writeClass, "")
 		conn, first := edge.accept()
@@ -116,8 +117,8 @@
 	}{
 		"no retry":            {[]thrift.Field{after, last}, declinedRun{"a", 700 * microtime.Millisecond, true}},
 		"without retry-after": {[]thrift.Field{last}, declinedRun{"a", minRetryAfter, true}},
-		"no number":           {[]thrift.Field{{Name: "after", Value: "soon"}, last}, declinedRun{"a", minRetryAfter, true}},
-		"over the bound": {[]thrift.Field{{Name: "after", Value: "99999999"}, last},
+		"malformed":           {[]thrift.Field{{Name: "after", Value: "soon"}, last}, declinedRun{"a", minRetryAfter, true}},
+		"over the limit": {[]thrift.Field{{Name: "after", Value: "99999999"}, last},
 			declinedRun{"a", (1<<maxRetryAfterBits - 1) * microtime.Millisecond, true}},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -127,12 +128,13 @@
 			conn.reject(conn.oneCall().SequenceID, tc.fields...)
 			require.Equal(t, []declinedRun{tc.want}, edge.declined)
 			require.Empty(t, edge.dials)
-			edge.requireAtRest()
+			edge.requireNoRuns()
 		})
 	}
 }
 
-// A slow idempotent request is hedged at another endpoint; the first answer counts, and the other attempt is abandoned.
+// A slow idempotent request is hedged at another endpoint. The first answer ends the run, and the other attempt is
+// abandoned.
 func TestHedgedRequest(t *testing.T) {
 	edge := newHarness(t, nil, "n1")
 	slow := edge.warmUp(20 * microtime.Millisecond)
@@ -153,16 +155,16 @@
 	abandoned := slow.oneCall()
 	require.Equal(t, thrift.MethodGiveUp, abandoned.Method)
 	require.Equal(t, slowCall.SequenceID, abandoned.CancelledID)
-	edge.requireAtRest()
+	edge.requireNoRuns()
 }
 
-// A hedged request takes a token of the retry budget; without one there is none.
+// A hedged request spends a token of the retry budget. Without a token none is sent.
 func TestHedgedRequestNeedsToken(t *testing.T) {
-	scarce := func(c *Config) {
+	smallBudget := func(c *Config) {
 		c.Retries.TokensPerSuccess = 0.001
 		c.Retries.MaxCallerTokens = 1
 	}
-	edge := newHarness(t, scarce, "n1")
+	edge := newHarness(t, smallBudget, "n1")
 	slow := edge.warmUp(20 * microtime.Millisecond)
 	for _, id := range []string{"a", "b"} {
 		edge.start(id, readClass, "")
--- a/internal/backend/upstream/backend.go
+++ b/internal/backend/upstream/backend.go
@@ -13,11 +13,11 @@
 const (
 	// sweepInterval is the time between two sweeps of idle connections, removed endpoints and old gossip.
 	sweepInterval = 5 * microtime.Second
-	// minRetryAfter is the least Retry-After that is reported to the caller of a declined run.
+	// minRetryAfter is the minimum retry-after that is reported to the caller of a declined run.
 	minRetryAfter = 100 * microtime.Millisecond
 )
 
-// Core receives the ends of runs.
+// Core is the part of the request core that the backend notifies of the ends of runs.
 type Core interface {
 	RunFinished(id string, outcome dispatch.RunOutcome, result []byte)
 	RunDeclined(id string, retryAfter microtime.Time, noRetry bool)
@@ -26,10 +26,10 @@
 // EventLoop is what the backend needs from the event loop.
 type EventLoop interface {
 	peers.ExchangeEventLoop
-	Rand() uint64 // need not be secret
+	Rand() uint64 // need not be cryptographically secure
 }
 
-// WallClock converts the program's time to the wall clock, in Unix milliseconds.
+// WallClock converts a time of the event loop to wall-clock time, in Unix milliseconds.
 type WallClock interface {
 	UnixMilli(t microtime.Time) int64
 }
@@ -54,8 +54,8 @@
 	endpoints endpointList
 	runs      map[string]*run
 	ordered   orderedset.Set[*run] // the same runs, in a deterministic order
-	// declined are the runs for which there is no endpoint. Check reports them, because Start must not call back into
-	// the core.
+	// declined are the runs for which no endpoint is available. Check reports them, because Start must not call back
+	// into the core.
 	declined []*run
 	// awaitingGossip are the runs that wait for the first gossip exchange.
 	awaitingGossip []*run
@@ -64,7 +64,8 @@
 	scratch        []byte
 }
 
-// New returns a backend without connections. Attach must follow. The error is a *loadbalancer.ConfigError.
+// New returns a backend without connections. Attach must be called before any other method. The error is a
+// *loadbalancer.ConfigError.
 func New(cfg Config, wallClock WallClock, logf func(format string, args ...any)) (*Backend, error) {
 	cfg.LoadBalancer.Classes = len(cfg.Settings.Classes)
 	balancer, err := loadbalancer.New(cfg.LoadBalancer, cfg.Settings.Seed)
@@ -90,7 +91,7 @@
 	return backend, nil
 }
 
-// Attach connects the backend to its core and its event loop.
+// Attach sets the core and the event loop of the backend.
 func (b *Backend) Attach(core Core, loop EventLoop) {
 	b.core = core
 	b.loop = loop
@@ -133,23 +134,24 @@
 	}
 }
 
-// RequestGauges implements dispatch.Backend. It does nothing: the endpoints' gauges concern only the endpoints.
+// RequestGauges implements dispatch.Backend. It does nothing: only the endpoints use the gauges of
+// their worker pools.
 func (b *Backend) RequestGauges() {}
 
-func (b *Backend) forget(r *run) {
+func (b *Backend) removeRun(r *run) {
 	delete(b.runs, r.ID)
 	b.ordered.Remove(r)
 }
 
 // finish reports the end of a run.
 func (b *Backend) finish(r *run, outcome dispatch.RunOutcome, result []byte) {
-	b.forget(r)
+	b.removeRun(r)
 	b.core.RunFinished(r.ID, outcome, result)
 }
 
-// decline reports that no endpoint has executed a run, and after what time its caller may retry.
+// decline reports that no endpoint has executed a run, and how long its caller must wait before a retry.
 func (b *Backend) decline(r *run) {
-	b.forget(r)
+	b.removeRun(r)
 	b.core.RunDeclined(r.ID, max(r.retryAfter, minRetryAfter), r.noRetry)
 }
 
--- a/internal/backend/upstream/backend_test.go
+++ b/internal/backend/upstream/backend_test.go
@@ -14,7 +14,7 @@
 	"pewterline/internal/protocol/thrift"
 )
 
-func TestNewReportsFaultyParameters(t *testing.T) {
+func TestNewReportsInvalidConfig(t *testing.T) {
 	for name, change := range map[string]func(*Config){
 		"load balancer": func(c *Config) { c.LoadBalancer.SlowStartShare = 2 },
 		"retries":       func(c *Config) { c.Retries.MaxAttempts = 99 },
@@ -30,7 +30,7 @@
 	}
 }
 
-// A run is forwarded as this instance's own request, and its answer goes back.
+// A run is forwarded with the caller ID of this instance, and its answer is reported to the core.
 func TestRunIsForwarded(t *testing.T) {
 	edge := newHarness(t, nil, "n1")
 	edge.start("a", keyedClass, "k1")
@@ -53,7 +53,7 @@
 	conn.answer(call.SequenceID, "done")
 	edge.requireFinished(finishedRun{"a", dispatch.RunSucceeded, "done"})
 	require.True(t, conn.session.Idle())
-	edge.requireAtRest()
+	edge.requireNoRuns()
 }
 
 // recordedCall is the call of TestRecordedCall in hexadecimal.
@@ -64,8 +64,8 @@
 	"7365636f6e640000000572657472790000000131000000046f6e6365000000026b3100000004636f737400000005312e3233" +
 	"34000000036b657900000004626565660b0002000000036c6f7400"
 
-// All fields of a request go over the wire as they always did: these bytes were recorded of the program before its
-// identifiers were renamed.
+// Guards the encoding of all fields of a call against changes: it must equal bytes recorded from an earlier version of
+// the program.
 func TestRecordedCall(t *testing.T) {
 	edge := newHarness(t, nil, "n1")
 	edge.backend.Start(dispatch.Run{ID: "0000000000000001", Body: []byte("lot"), Request: &dispatch.Request{
@@ -76,8 +76,8 @@
 	require.Equal(t, recordedCall, hex.EncodeToString(conn.written))
 }
 
-// Requests share a connection up to its capacity; beyond it another is opened.
-func TestConnectionsHaveBoundedCapacity(t *testing.T) {
+// Requests share a connection up to maxInFlight. Beyond that another connection is opened.
+func TestConnectionsHaveLimitedCapacity(t *testing.T) {
 	edge := newHarness(t, func(c *Config) { c.LoadBalancer.InitialConcurrency = 100 }, "n1")
 	for i := range maxInFlight {
 		edge.start(fmt.Sprint(i), writeClass, "")
@@ -91,17 +91,17 @@
 	require.Equal(t, "one more", second.oneCall().Fields["id"])
 }
 
-// A run that no endpoint takes is declined in the next check, never from within Start.
+// A run for which no endpoint is available is declined by the next Check, never by Start.
 func TestRunIsDeclinedWithoutEndpoint(t *testing.T) {
 	edge := newHarness(t, nil)
 	edge.start("a", readClass, "")
 	require.Empty(t, edge.declined)
-	require.Equal(t, edge.now, edge.backend.Check(edge.now), "it is to be called again at once")
+	require.Equal(t, edge.now, edge.backend.Check(edge.now), "Check is due again at once")
 	require.Equal(t, []declinedRun{{"a", minRetryAfter, false}}, edge.declined)
-	edge.requireAtRest()
+	edge.requireNoRuns()
 }
 
-// Beyond the keys that are remembered, runs with a new key are declined.
+// While MaxKeys keys are retained, runs with a new key are declined.
 func TestRunIsDeclinedBeyondMaxKeys(t *testing.T) {
 	edge := newHarness(t, func(c *Config) { c.Retries.MaxKeys = 1 }, "n1")
 	edge.start("a", keyedClass, "k1")
@@ -111,7 +111,7 @@
 	require.Equal(t, []declinedRun{{"b", minRetryAfter, false}}, edge.declined)
 }
 
-// The deadline ends a run: its attempt is abandoned, and the endpoint is told so.
+// At its deadline a run ends, its attempt is abandoned, and the endpoint is notified.
 func TestDeadline(t *testing.T) {
 	for name, tc := range map[string]struct {
 		class   int
@@ -137,42 +137,42 @@
 			conn.answer(call.SequenceID, "too late")
 			require.Empty(t, edge.finished)
 			require.Equal(t, 1, edge.backend.WastedAttempts())
-			edge.requireAtRest()
+			edge.requireNoRuns()
 		})
 	}
 }
 
-// A cancelled run ends at once. If it has a key and was written, its outcome is not known, and a repeat goes to the
-// same endpoint alone.
+// A cancelled run ends at once. If it is keyed and was written, its outcome is indeterminate, and repeats are sent only
+// to the same endpoint.
 func TestCancel(t *testing.T) {
 	edge := newHarness(t, nil, "n1", "n2")
 	edge.start("waiting", readClass, "")
 	edge.backend.Cancel("waiting")
 	edge.requireFinished(finishedRun{"waiting", dispatch.RunCancelled, ""})
 	conn, _ := edge.accept()
-	require.Empty(t, conn.written, "it was never written")
+	require.Empty(t, conn.written, "the cancelled run was never written")
 
 	edge.start("a", keyedClass, "k1")
-	holder := conn
+	stickyConn := conn
 	if len(edge.dials) > 0 {
-		holder, _ = edge.accept()
+		stickyConn, _ = edge.accept()
 	}
-	require.Equal(t, "a", holder.oneCall().Fields["id"])
+	require.Equal(t, "a", stickyConn.oneCall().Fields["id"])
 	edge.backend.Cancel("a")
 	edge.requireFinished(finishedRun{"a", dispatch.RunIndeterminate, ""})
-	require.Equal(t, thrift.MethodGiveUp, holder.oneCall().Method)
-	edge.backend.Cancel("a") // It is over.
+	require.Equal(t, thrift.MethodGiveUp, stickyConn.oneCall().Method)
+	edge.backend.Cancel("a") // has no effect: the run has ended
 	require.Empty(t, edge.finished)
 
 	for i := range 4 {
 		edge.start(fmt.Sprint(i), keyedClass, "k1")
 		require.Empty(t, edge.dials)
-		require.Len(t, holder.calls(), 1)
+		require.Len(t, stickyConn.calls(), 1)
 	}
 }
 
-// Nobody waits for the answer to a cancelled attempt, so the outcome of its key stays unknown, whatever a repeat
-// brings.
+// The answer to a cancelled attempt is not read, so the outcome of its key stays indeterminate even if a repeat of the
+// request fails.
 func TestCancelledKeyStaysIndeterminate(t *testing.T) {
 	h := newHarness(t, nil, "n1", "n2")
 	h.start("a", keyedClass, "k1")
@@ -185,7 +185,7 @@
 	h.requireFinished(finishedRun{"a", dispatch.RunIndeterminate, ""}, finishedRun{"b", dispatch.RunIndeterminate, ""})
 }
 
-// An instance with peers holds its first runs until one of them has told of the endpoints, for a bounded time.
+// An instance with peers delays its first runs until the first gossip exchange, but only for a limited time.
 func TestFirstRunsAwaitGossip(t *testing.T) {
 	edge := newHarness(t, func(c *Config) { c.GossipPeers = []string{"peer"} }, "n1")
 	require.IsType(t, &peers.Exchange{}, edge.backend.Exchange())
--- a/internal/backend/upstream/connection.go
+++ b/internal/backend/upstream/connection.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	// maxInFlight is the most requests in flight on a connection. The platform allows no more.
+	// maxInFlight is the maximum number of requests in flight on a connection. The platform's protocol sets it.
 	maxInFlight = 32
-	// maxMessagesPerTurn is the most messages that are read from a connection in a turn: twice the requests in flight.
+	// maxMessagesPerTurn is the maximum number of messages read from a connection in one turn: twice maxInFlight.
 	maxMessagesPerTurn = 64
 	// idleTimeout is how long a connection without a request is kept open.
 	idleTimeout = 5 * microtime.Second
@@ -22,21 +22,21 @@
 	maxRetryAfterBits = 20
 )
 
-// connection is a connection to an endpoint, or one that is being opened. It implements transport.Session.
+// connection is an open connection to an endpoint, or one that is being opened. It implements transport.Session.
 type connection struct {
 	backend      *Backend
 	endpoint     *endpoint
 	conn         transport.Conn // nil while it is being opened
-	unsent       []*attempt     // to be written once it is open
+	unsent       []*attempt     // attempts to write once the connection is open
 	inFlight     map[int32]*attempt
 	lastSequence int32
-	draining     bool           // it gets no further attempts
+	draining     bool           // no further attempts are sent on it
 	lastReadAt   microtime.Time // when bytes were last received
-	busySince    microtime.Time // since when a request has been in flight
-	idleSince    microtime.Time
+	busySince    microtime.Time // when requests in flight last rose from zero, or the dial began
+	idleSince    microtime.Time // when a request last ended, or the dial began
 }
 
-// open opens a connection for an attempt.
+// open starts to open a connection to an endpoint, and queues an attempt on it.
 func (b *Backend) open(target *endpoint, first *attempt) {
 	now := b.now()
 	c := &connection{
@@ -76,8 +76,8 @@
 	c.endpoint.connections = slices.DeleteFunc(c.endpoint.connections, func(other *connection) bool { return other == c })
 }
 
-// hasCapacity reports whether the connection can take another attempt. A silent connection cannot: a probe must not
-// wait behind requests that are stuck there.
+// hasCapacity reports whether another attempt may be sent on the connection. On a silent connection it may not: a probe
+// must not wait behind requests that get no reply.
 func (c *connection) hasCapacity(now microtime.Time) bool {
 	count := len(c.inFlight) + len(c.unsent)
 	silent := count > 0 && now-max(c.lastReadAt, c.busySince) > c.backend.balancer.SilenceTimeout()
@@ -93,7 +93,7 @@
 	c.write(a)
 }
 
-// write sends an attempt. From then on the endpoint may execute it.
+// write sends an attempt. After this the endpoint may have executed it.
 func (c *connection) write(sent *attempt) {
 	backend := c.backend
 	if len(c.inFlight) == 0 {
@@ -110,7 +110,7 @@
 	c.conn.Write(backend.scratch)
 }
 
-// abandon stops waiting for an attempt, and tells the endpoint so if it was written.
+// abandon drops an attempt. If the attempt was written, the endpoint is notified that its reply is not needed.
 func (c *connection) abandon(abandoned *attempt) {
 	c.unsent = slices.DeleteFunc(c.unsent, func(a *attempt) bool { return a == abandoned })
 	if !abandoned.written || c.inFlight[abandoned.sequenceID] != abandoned {
@@ -123,7 +123,7 @@
 	c.closeIfDrained()
 }
 
-// drain excludes the connection from further attempts, and closes it once all in flight are answered.
+// drain stops the connection from getting further attempts, and closes it once all attempts in flight have ended.
 func (c *connection) drain() {
 	c.draining = true
 	c.closeIfDrained()
--- a/internal/backend/upstream/connection_test.go
+++ b/internal/backend/upstream/connection_test.go
@@ -11,7 +11,8 @@
 	"pewterline/internal/protocol/thrift"
 )
 
-// An endpoint that says farewell on a connection gets no new requests there; it closes once all are answered.
+// After a farewell on a connection no new requests are sent on it, and it is closed once all requests in flight are
+// answered.
 func TestFarewell(t *testing.T) {
 	edge := newHarness(t, nil, "n1")
 	edge.start("a", writeClass, "")
@@ -27,8 +28,8 @@
 	edge.requireFinished(finishedRun{"a", dispatch.RunSucceeded, "done"})
 }
 
-// Replies may come in pieces, and several at once.
-func TestReceiveInPieces(t *testing.T) {
+// A reply may arrive in several reads, and several replies in one read.
+func TestReceivePartialFrames(t *testing.T) {
 	edge := newHarness(t, nil, "n1")
 	edge.start("a", writeClass, "")
 	edge.start("b", writeClass, "")
@@ -49,7 +50,7 @@
 	)
 }
 
-func TestReceiveRejectsBrokenFrames(t *testing.T) {
+func TestReceiveRejectsInvalidFrames(t *testing.T) {
 	edge := newHarness(t, nil, "n1")
 	edge.start("a", writeClass, "")
 	conn, _ := edge.accept()
@@ -57,8 +58,8 @@
 	require.ErrorIs(t, err, thrift.ErrInvalidFrame)
 }
 
-// A connection that has fallen silent takes nothing new: another is opened beside it.
-func TestSilentConnectionTakesNothingNew(t *testing.T) {
+// No new requests are sent on a silent connection. Another connection to the endpoint is opened instead.
+func TestSilentConnectionGetsNoNewRequests(t *testing.T) {
 	edge := newHarness(t, nil, "n1")
 	edge.start("a", writeClass, "")
 	silent, _ := edge.accept()
@@ -71,7 +72,7 @@
 	require.Equal(t, "b", other.oneCall().Fields["id"])
 }
 
-// A connection without requests is closed after idleTimeout.
+// A connection without requests is closed by the first sweep after idleTimeout.
 func TestIdleConnectionIsClosed(t *testing.T) {
 	edge := newHarness(t, nil, "n1")
 	edge.start("a", writeClass, "")
@@ -81,7 +82,7 @@
 	conn.answer(conn.oneCall().SequenceID, "done")
 	edge.now += idleTimeout
 	edge.backend.Check(edge.now)
-	require.False(t, conn.closed, "it has been idle for no longer than that")
+	require.False(t, conn.closed, "the connection has not been idle for longer than idleTimeout")
 	edge.now += sweepInterval
 	edge.backend.Check(edge.now)
 	require.True(t, conn.closed)
@@ -91,7 +92,7 @@
 	require.Len(t, edge.dials, 1)
 }
 
-// A connection whose attempts were all abandoned is idle since the last of them was.
+// A connection whose attempts were all abandoned counts as idle from the time when the last of them was abandoned.
 func TestAbandonedConnectionIsIdle(t *testing.T) {
 	h := newHarness(t, nil, "n1")
 	h.start("a", writeClass, "")
@@ -106,7 +107,7 @@
 	require.True(t, conn.closed)
 }
 
-// A connection counts as silent only while something is in flight on it: one that was idle is used at once.
+// A connection can be silent only while a request is in flight on it. An idle connection is used at once.
 func TestIdleConnectionIsNotSilent(t *testing.T) {
 	h := newHarness(t, nil, "n1")
 	h.start("a", writeClass, "")
@@ -119,8 +120,8 @@
 	require.Len(t, conn.calls(), 2)
 }
 
-// An endpoint that is removed from the list gets nothing new but repeats of what it may have executed, and is forgotten
-// long after.
+// An endpoint that was removed from the list gets no new requests, only repeats of keyed requests that it may have
+// executed. It is dropped once RemovedEndpointRetention has passed and it has no connection.
 func TestUpdateEndpoints(t *testing.T) {
 	edge := newHarness(t, nil, "n1")
 	edge.start("a", keyedClass, "k1")
@@ -141,7 +142,7 @@
 
 	edge.backend.ExpireRemoved(edge.now + RemovedEndpointRetention + 1)
 	known, _ = edge.backend.Lookup("n1")
-	require.True(t, known, "it has a connection")
+	require.True(t, known, "the endpoint still has a connection")
 	conn.session.Closed()
 	edge.backend.ExpireRemoved(edge.now + RemovedEndpointRetention)
 	known, _ = edge.backend.Lookup("n1")
@@ -151,8 +152,8 @@
 	require.False(t, known)
 }
 
-// An endpoint that is listed again is used again.
-func TestEndpointIsListedAgain(t *testing.T) {
+// A removed endpoint that is added to the list again is used again.
+func TestEndpointIsAddedAgain(t *testing.T) {
 	edge := newHarness(t, nil, "n1")
 	edge.backend.UpdateEndpoints(members("n2"))
 	edge.backend.UpdateEndpoints(members("n1"))
@@ -163,18 +164,19 @@
 	require.Equal(t, "n1", address)
 }
 
-// An endpoint that has moved is reached at its new address; what is in flight at the former one may end there.
-func TestEndpointMoves(t *testing.T) {
+// After a change of its address, an endpoint is dialled at the new address. Requests in flight at the old address end
+// there.
+func TestEndpointAddressChange(t *testing.T) {
 	edge := newHarness(t, nil, "n1")
 	edge.start("a", writeClass, "")
-	former, _ := edge.accept()
-	call := former.oneCall()
-	edge.backend.UpdateEndpoints([]config.Member{{Name: "n1", Address: "elsewhere"}})
-	require.False(t, former.closed)
+	oldConn, _ := edge.accept()
+	call := oldConn.oneCall()
+	edge.backend.UpdateEndpoints([]config.Member{{Name: "n1", Address: "new-address"}})
+	require.False(t, oldConn.closed)
 	edge.start("b", writeClass, "")
 	_, address := edge.accept()
-	require.Equal(t, "elsewhere", address)
-	former.answer(call.SequenceID, "done")
+	require.Equal(t, "new-address", address)
+	oldConn.answer(call.SequenceID, "done")
 	edge.requireFinished(finishedRun{"a", dispatch.RunSucceeded, "done"})
-	require.True(t, former.closed)
+	require.True(t, oldConn.closed)
 }
--- a/internal/backend/upstream/endpoint.go
+++ b/internal/backend/upstream/endpoint.go
@@ -7,19 +7,19 @@
 	"pewterline/internal/microtime"
 )
 
-// RemovedEndpointRetention is how long an endpoint that was removed from the list is still known. It is longer than any
-// retention window, because a request with an idempotency key that the endpoint may have executed can be sent to no
-// other.
+// RemovedEndpointRetention is how long an endpoint is still known after it was removed from the list. It is longer than
+// any retention window, because a request with an idempotency key that the endpoint may have executed must not be sent
+// to another endpoint.
 const RemovedEndpointRetention = 600 * microtime.Second
 
 // endpoint is one log server.
 type endpoint struct {
 	config.Member
 	connections []*connection
-	removedAt   microtime.Time // when it was removed from the list; 0: it is listed
+	removedAt   microtime.Time // when it was removed from the list; 0: it is on the list
 }
 
-// endpointList holds the endpoints that are known, in the order in which they were added.
+// endpointList holds the known endpoints, in the order in which they were added.
 type endpointList struct {
 	ordered []*endpoint
 	byName  map[string]*endpoint
@@ -52,8 +52,8 @@
 	})
 }
 
-// moveTo changes the address for new connections. Connections to the old address are drained.
-func (e *endpoint) moveTo(address string) {
+// setAddress sets the address for new connections. Connections to the old address are drained.
+func (e *endpoint) setAddress(address string) {
 	if e.Address == address {
 		return
 	}
@@ -86,7 +86,7 @@
 			b.addEndpoint(now, listed)
 			continue
 		}
-		known.moveTo(listed.Address)
+		known.setAddress(listed.Address)
 		known.removedAt = 0
 		b.balancer.Add(now, known.Name)
 	}
--- a/internal/backend/upstream/harness_test.go
+++ b/internal/backend/upstream/harness_test.go
@@ -17,19 +17,19 @@
 	"pewterline/internal/transport"
 )
 
-// The classes of the harness's settings.
+// The indexes of the classes in the harness's settings.
 const (
 	readClass  = iota // idempotent
 	keyedClass        // idempotent by key
 	writeClass        // not idempotent
 )
 
-// harness is a backend on an event loop that the test plays. It implements Core, EventLoop and WallClock.
+// harness is a backend under test. It implements the Core, EventLoop and WallClock of the backend.
 type harness struct {
 	t        *testing.T
 	backend  *Backend
 	now      microtime.Time
-	dials    []*fakeDial
+	dials    []*fakeDial // pending, oldest first
 	random   uint64
 	finished []finishedRun
 	declined []declinedRun
@@ -48,14 +48,14 @@
 	noRetry    bool
 }
 
-// fakeDial is an attempt to open a connection, which the test lets succeed or fail.
+// fakeDial is a pending dial, which the test completes or fails.
 type fakeDial struct {
 	address string
 	open    func(transport.Conn) transport.Session
 	failed  func()
 }
 
-// fakeConn is the endpoint's end of a connection. It implements transport.Conn.
+// fakeConn is a connection to an endpoint. It implements transport.Conn, and records what the backend writes.
 type fakeConn struct {
 	t       *testing.T
 	session transport.Session
@@ -69,7 +69,7 @@
 func (c *fakeConn) MarkIdentified() {}
 func (c *fakeConn) Remote() string  { return "endpoint" }
 
-// newHarness returns a backend in front of endpoints that are named and addressed alike.
+// newHarness returns a harness with the given endpoints, whose addresses equal their names.
 func newHarness(t *testing.T, change func(*Config), endpoints ...string) *harness {
 	t.Helper()
 	cfg := Config{
@@ -142,7 +142,7 @@
 
 func (h *harness) UnixMilli(t microtime.Time) int64 { return int64(t / microtime.Millisecond) }
 
-// start starts a run of a class. The key is empty for classes without keys.
+// start starts a run of the given class. The key is empty if the class does not use keys.
 func (h *harness) start(id string, class int, key string) {
 	h.backend.Start(dispatch.Run{
 		ID:   id,
@@ -159,16 +159,16 @@
 	})
 }
 
-// nextDial returns the oldest attempt to open a connection.
+// nextDial removes and returns the oldest pending dial.
 func (h *harness) nextDial() *fakeDial {
 	h.t.Helper()
-	require.NotEmpty(h.t, h.dials, "a connection is being opened")
+	require.NotEmpty(h.t, h.dials, "no dial is pending")
 	dial := h.dials[0]
 	h.dials = h.dials[1:]
 	return dial
 }
 
-// accept lets the oldest attempt to open a connection succeed.
+// accept completes the oldest pending dial.
 func (h *harness) accept() (conn *fakeConn, address string) {
 	h.t.Helper()
 	dial := h.nextDial()
@@ -177,7 +177,7 @@
 	return conn, dial.address
 }
 
-// refuse lets the oldest attempt to open a connection fail.
+// refuse fails the oldest pending dial.
 func (h *harness) refuse() (address string) {
 	h.t.Helper()
 	dial := h.nextDial()
@@ -185,7 +185,8 @@
 	return dial.address
 }
 
-// warmUp has many reads served, so that the latency of their class is known. It returns a connection.
+// warmUp serves enough reads with the given latency that the balancer knows the latency of their class. It returns the
+// connection that served them.
 func (h *harness) warmUp(latency microtime.Time) *fakeConn {
 	h.t.Helper()
 	h.start("first", readClass, "")
@@ -201,7 +202,7 @@
 	return conn
 }
 
-// calls takes the messages that were written to the endpoint.
+// calls removes and returns the messages that were written to the endpoint.
 func (c *fakeConn) calls() []thrift.Call {
 	c.t.Helper()
 	var calls []thrift.Call
@@ -216,7 +217,7 @@
 	return calls
 }
 
-// oneCall takes the only message that was written to the endpoint.
+// oneCall removes and returns the only message that was written to the endpoint.
 func (c *fakeConn) oneCall() thrift.Call {
 	c.t.Helper()
 	calls := c.calls()
@@ -224,7 +225,7 @@
 	return calls[0]
 }
 
-// receive has the backend receive the endpoint's bytes.
+// receive passes bytes from the endpoint to the backend, which must consume all of them.
 func (c *fakeConn) receive(frame []byte) {
 	c.t.Helper()
 	consumed, err := c.session.Receive(frame)
@@ -242,7 +243,7 @@
 	c.receive(thrift.AppendThrottled(nil, sequenceID, fields))
 }
 
-// answerFrame is a reply of the method process with a body alone, in the strict binary protocol of Thrift.
+// answerFrame returns a reply of the method process that has only a body, in Thrift's strict binary protocol.
 func answerFrame(sequenceID int32, body string) []byte {
 	frame := []byte{0, 0, 0, 0, 0x80, 1, 0, 2, 0, 0, 0, 7}
 	frame = append(frame, "process"...)
@@ -255,14 +256,14 @@
 	return frame
 }
 
-// requireFinished checks the runs that have finished since the last look.
+// requireFinished checks the runs that have finished since the last call.
 func (h *harness) requireFinished(want ...finishedRun) {
 	h.t.Helper()
 	require.Equal(h.t, want, h.finished)
 	h.finished = nil
 }
 
-// attemptsIn counts the attempts in flight that the balancer knows of.
+// attemptsInFlight returns the number of attempts that the balancer counts as in flight.
 func (h *harness) attemptsInFlight() int {
 	count := 0
 	for _, endpoint := range h.backend.balancer.Endpoints(h.now) {
@@ -271,16 +272,16 @@
 	return count
 }
 
-// requireAtRest checks that nothing is left of runs that have ended.
-func (h *harness) requireAtRest() {
+// requireNoRuns checks that the backend holds no run and the balancer counts no attempt in flight.
+func (h *harness) requireNoRuns() {
 	h.t.Helper()
 	require.Empty(h.t, h.backend.runs)
 	require.Zero(h.t, h.backend.ordered.Len())
 	require.Zero(h.t, h.attemptsInFlight())
 }
 
-// stateOf returns an endpoint's state as the balancer sees it.
-func (h *harness) stateOf(name string) loadbalancer.State {
+// endpointState returns the balancer's state of an endpoint.
+func (h *harness) endpointState(name string) loadbalancer.State {
 	for _, endpoint := range h.backend.balancer.Endpoints(h.now) {
 		if endpoint.Name == name {
 			return endpoint.State
--- a/internal/backend/upstream/request.go
+++ b/internal/backend/upstream/request.go
@@ -13,8 +13,8 @@
 	costPrecision = 3
 )
 
-// callFields returns the fields of an attempt's call, in the order in which they are written. The names are those of
-// the platform's protocol. The field from carries this instance's own caller ID.
+// callFields returns the fields of an attempt's call, in the order in which they are written. The platform's protocol
+// defines their names. The field "from" carries this instance's own caller ID.
 func (b *Backend) callFields(sent *attempt) []thrift.Field {
 	request := sent.run.request
 	fields := []thrift.Field{
--- a/internal/backend/upstream/run.go
+++ b/internal/backend/upstream/run.go
@@ -15,19 +15,19 @@
 	request  *dispatch.Request
 	class    control.Class
 	deadline microtime.Time
-	keyed    bool // its class is idempotent by key: it must run at most once in the retention window
+	keyed    bool // its class is idempotent by key: the request must run at most once in the retention window
 	key      loadbalancer.IdempotencyKey
 
 	attempts     []*attempt // in flight
 	attemptCount int        // so far
 	unproven     int        // attempts that were written and ended without proof that they were not executed
-	tried        []string   // endpoints
+	tried        []string   // the names of the endpoints of all attempts
 
-	hedgeAt    microtime.Time // when a hedged request may be sent; Never: none
+	hedgeAt    microtime.Time // when a hedged request may be sent; Never: no hedged request is sent
 	retryAt    microtime.Time // when the next attempt is due; Never: an attempt is in flight
 	retryAfter microtime.Time // of the last rejection
 	noRetry    bool           // of the last rejection
-	declined   bool           // there is no endpoint for it
+	declined   bool           // no endpoint is available
 }
 
 func newRun(started dispatch.Run, class control.Class) *run {
@@ -46,8 +46,8 @@
 
 func (r *run) idempotent() bool { return r.class.Idempotency == control.Idempotent }
 
-// outcomeWithoutResult is the outcome of a run that ends without a result: the given one, or RunIndeterminate if the
-// run is keyed and may have been executed.
+// outcomeWithoutResult returns the outcome of a run that ends without a result: the given outcome, or RunIndeterminate
+// if the run is keyed and may have been executed.
 func (r *run) outcomeWithoutResult(outcome dispatch.RunOutcome) dispatch.RunOutcome {
 	if r.keyed && r.unproven > 0 {
 		return dispatch.RunIndeterminate
@@ -55,8 +55,8 @@
 	return outcome
 }
 
-// selection returns the properties of the run that the choice of an endpoint depends on.
-func (r *run) selection() loadbalancer.Request {
+// balancerRequest returns the properties of the run that the choice of an endpoint depends on.
+func (r *run) balancerRequest() loadbalancer.Request {
 	return loadbalancer.Request{
 		Class:      r.request.Class,
 		Idempotent: r.idempotent(),
