--- a/internal/backend/ajpbackend/backend_test.go
+++ b/internal/backend/ajpbackend/backend_test.go
@@ -164,7 +164,7 @@
 	fixture.accept()
 	require.Len(t, fixture.backend.queue, 1)
 	fixture.respond(first, 200, "", false)
-	require.Len(t, fixture.backend.queue, 1, "a connection that the server does not allow to be reused gets no further run")
+	require.Len(t, fixture.backend.queue, 1, "a connection that must not be reused gets no further run")
 	first.Closed()
 	require.Len(t, fixture.pendingDials, 1)
 }
