--- a/internal/backend/ajpbackend/backend.go
+++ b/internal/backend/ajpbackend/backend.go
@@ -66,7 +66,7 @@
 	b.loop = loop
 }
 
-// Start is part of dispatch.Backend.
+// Start implements dispatch.Backend.
 func (b *Backend) Start(started dispatch.Run) {
 	r := &run{Run: started}
 	b.runs[r.ID] = r
@@ -74,7 +74,7 @@
 	b.dispatchQueue()
 }
 
-// Cancel is part of dispatch.Backend. AJP has no message to cancel a request, so the connection of a run that was sent
+// Cancel implements dispatch.Backend. AJP has no message to cancel a request, so the connection of a run that was sent
 // is closed.
 func (b *Backend) Cancel(id string) {
 	r := b.runs[id]
@@ -91,7 +91,7 @@
 	}
 }
 
-// RequestGauges is part of dispatch.Backend. AJP has no gauges.
+// RequestGauges implements dispatch.Backend. AJP has no gauges.
 func (b *Backend) RequestGauges() {}
 
 // finish removes a run and reports its end.
--- a/internal/backend/ajpbackend/backend_test.go
+++ b/internal/backend/ajpbackend/backend_test.go
@@ -35,17 +35,17 @@
 	return h
 }
 
-// Now is part of Loop.
+// Now implements Loop.
 func (h *harness) Now() microtime.Time { return h.now }
 
-// Dial is part of Loop.
+// Dial implements Loop.
 func (h *harness) Dial(addr string, open func(transport.Conn) transport.Session) (cancel func()) {
 	require.Equal(h.t, "there", addr)
 	h.pendingDials = append(h.pendingDials, open)
 	return func() {}
 }
 
-// RunFinished is part of Core.
+// RunFinished implements Core.
 func (h *harness) RunFinished(id string, outcome dispatch.RunOutcome, result []byte) {
 	h.finished[id] = outcome
 	h.results[id] = string(result)
--- a/internal/backend/ajpbackend/connection.go
+++ b/internal/backend/ajpbackend/connection.go
@@ -92,7 +92,7 @@
 	c.backend.finish(r, outcome, result)
 }
 
-// Receive is part of transport.Session.
+// Receive implements transport.Session.
 func (c *connection) Receive(in []byte) (int, error) {
 	consumed := 0
 	for {
@@ -154,8 +154,8 @@
 	c.backend.dispatchQueue()
 }
 
-// Idle is part of transport.Session.
+// Idle implements transport.Session.
 func (c *connection) Idle() bool { return c.run == nil }
 
-// Closed is part of transport.Session.
+// Closed implements transport.Session.
 func (c *connection) Closed() { c.backend.closed(c) }
--- a/internal/backend/workerpool/acknowledgements.go
+++ b/internal/backend/workerpool/acknowledgements.go
@@ -1,9 +1,9 @@
 package workerpool
 
-// position is the position of a command in the sequence of all commands that were sent.
+// position is the position of a command in the sequence of all commands sent to the pool.
 type position struct {
-	connection int // the number of the connection it was sent on; 0: it was not sent
-	order      int // over all connections
+	connection int // the number of the connection on which the command was sent; 0: it was not sent
+	order      int // the number of the command, counted over all connections
 }
 
 func (p position) sent() bool { return p.connection > 0 }
@@ -20,7 +20,7 @@
 	a.received[p.connection] = max(a.received[p.connection], p.order)
 }
 
-// includes reports that the command at a position is known to have been read.
+// includes reports whether the command at a position is known to have been read.
 func (a *acknowledgements) includes(p position) bool {
 	return p.sent() && p.order <= a.received[p.connection]
 }
@@ -37,10 +37,10 @@
 	a.polls = a.polls[1:]
 }
 
-// connectionChanged drops the polls of the previous connection, which will not be answered.
+// connectionChanged drops the polls that were sent on the previous connection, because they will not be answered.
 func (a *acknowledgements) connectionChanged() { a.polls = nil }
 
-// keepOnly drops the acknowledgements of all other connections, which are no longer needed.
+// keepOnly drops the acknowledgements of all connections other than the given one. They are no longer needed.
 func (a *acknowledgements) keepOnly(connection int) {
 	for other := range a.received {
 		if other != connection {
--- a/internal/backend/workerpool/acknowledgements_test.go
+++ b/internal/backend/workerpool/acknowledgements_test.go
@@ -6,10 +6,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-// What was sent before a command that was read was read as well, on the same connection and on no other.
+// If a command was read, all commands before it on the same connection were read. It proves nothing about other
+// connections.
 func TestAcknowledgements(t *testing.T) {
 	acks := acknowledgements{received: map[int]int{}}
-	require.False(t, acks.includes(position{}), "what was not sent")
+	require.False(t, acks.includes(position{}), "a command that was not sent")
 	acks.acknowledge(position{connection: 1, order: 5})
 	acks.acknowledge(position{connection: 1, order: 3})
 	require.True(t, acks.includes(position{connection: 1, order: 5}))
@@ -22,7 +23,7 @@
 	require.False(t, acks.includes(position{connection: 1, order: 1}))
 }
 
-// The answer to a poll acknowledges what was sent before that poll, in the order of the polls.
+// The answer to a poll acknowledges all commands that were sent before the poll. Polls are answered in order.
 func TestAcknowledgementByPoll(t *testing.T) {
 	acks := acknowledgements{received: map[int]int{}}
 	acks.pollAnswered(1)
--- a/internal/backend/workerpool/backend.go
+++ b/internal/backend/workerpool/backend.go
@@ -1,8 +1,8 @@
 // Package workerpool is the backend that runs requests on the worker pool, over one connection at a time on the event
 // loop. Package server creates it. Package dispatch starts runs through its Backend interface and is notified of their
-// ends. It owns the runs in progress and the state of the connection. Runs survive a lost connection: after a new one
-// is bound, the pool first repeats the missed notices, and only then commands that may have been lost are sent again. A
-// run that must run at most once is never started twice. The order of runs is decided by the request core.
+// ends. The backend owns the runs in progress and the state of the connection. Runs survive a lost connection: after a
+// new connection is bound, the pool first repeats the missed notices. Only then are commands sent again that may have
+// been lost. An at-most-once run is never started twice. The request core decides the order of runs.
 package workerpool
 
 import (
@@ -14,10 +14,10 @@
 	"pewterline/internal/transport"
 )
 
-// gaugesTag is the tag of the polls for the gauges.
+// gaugesTag is the tag of the polls that RequestGauges sends.
 const gaugesTag = "g"
 
-// Core is notified of the state of the worker pool and of the progress of runs.
+// Core is the part of the request core that is notified of the state of the worker pool and of the progress of runs.
 type Core interface {
 	Start(now, age microtime.Time, cold bool)
 	RunFinished(id string, outcome dispatch.RunOutcome, result []byte)
@@ -34,11 +34,11 @@
 // Config configures a Backend.
 type Config struct {
 	Address string
-	Gauges  []string // names of its gauges, in their order
+	Gauges  []string // the names of the pool's gauges, in the order in which it reports them
 }
 
-// Backend starts runs on the worker pool. It implements dispatch.CallingBackend. All its methods are called on the
-// loop.
+// Backend starts runs on the worker pool. It implements dispatch.CallingBackend. All its methods must be called
+// on the event loop.
 type Backend struct {
 	config Config
 	core   Core
@@ -46,22 +46,22 @@
 	logf   func(format string, args ...any)
 
 	current     transport.Conn // nil while there is no connection
-	candidate   transport.Conn // replaces current once the pool has bound it; nil: none
-	cancelDial  func()         // nil while nothing is dialled
+	candidate   transport.Conn // replaces current once the pool has bound it; nil: there is none
+	cancelDial  func()         // nil while no connection is being dialled
 	synced      bool           // the missed notices have been read on the current connection
-	connections int            // that have been current so far; also the number of the current one
+	connections int            // how many connections have become current; also the number of the current one
 
 	acks    acknowledgements
 	notices noticeSequence
 
 	runs      map[string]*run // in progress, by ID
 	uncertain []*run          // runs of which it is unknown whether the pool has received them
-	lastOrder int             // of the last command that was numbered
+	lastOrder int             // the number of the last command
 	checks    deepChecks
 	scratch   []byte
 }
 
-// New returns a backend without a connection. Attach must follow.
+// New returns a backend without a connection. Attach must be called before any other method.
 func New(config Config, logf func(format string, args ...any)) *Backend {
 	return &Backend{
 		config: config,
@@ -72,7 +72,7 @@
 	}
 }
 
-// Attach connects the backend to its core and its loop, and opens the connection.
+// Attach sets the core and the event loop of the backend, and dials the worker pool.
 func (b *Backend) Attach(core Core, loop EventLoop) {
 	b.core, b.loop = core, loop
 	b.dial()
@@ -92,11 +92,11 @@
 
 // Status is the state of the backend, for operators and tests.
 type Status struct {
-	Bound       bool // the connection is in use
-	Connections int  // opened since the start
+	Bound       bool // the current connection is bound, and the missed notices have been read
+	Connections int  // how many connections have become current since the start
 	Dialling    bool
 	Migrating   bool   // a connection waits to be bound in place of the current one
-	Notice      uint64 // the number of the last notice that was read
+	LastNotice  uint64 // the number of the last notice that was read
 	Runs        int    // in progress
 	Uncertain   int    // of these, those of which it is unknown whether the pool has received them
 }
@@ -108,13 +108,13 @@
 		Connections: b.connections,
 		Dialling:    b.cancelDial != nil,
 		Migrating:   b.candidate != nil,
-		Notice:      b.notices.last,
+		LastNotice:  b.notices.last,
 		Runs:        len(b.runs),
 		Uncertain:   len(b.uncertain),
 	}
 }
 
-// Start is part of dispatch.Backend.
+// Start implements dispatch.Backend.
 func (b *Backend) Start(request dispatch.Run) {
 	started := &run{Run: request, spawn: position{order: b.nextOrder()}}
 	b.runs[request.ID] = started
@@ -123,7 +123,7 @@
 	}
 }
 
-// Cancel is part of dispatch.Backend.
+// Cancel implements dispatch.Backend.
 func (b *Backend) Cancel(id string) {
 	r := b.runs[id]
 	switch {
@@ -138,7 +138,7 @@
 	}
 }
 
-// DeliverReply is part of dispatch.CallingBackend.
+// DeliverReply implements dispatch.CallingBackend.
 func (b *Backend) DeliverReply(id string, reply []byte) {
 	r := b.runs[id]
 	if r == nil {
@@ -150,10 +150,11 @@
 	}
 }
 
-// RequestGauges is part of dispatch.Backend.
+// RequestGauges implements dispatch.Backend.
 func (b *Backend) RequestGauges() { b.PollTagged(gaugesTag) }
 
-// PollTagged requests the gauges under the given tag. Its answer proves that all commands before it were read.
+// PollTagged requests the gauges. The answer carries the given tag, and proves that the pool has read all commands that
+// were sent before.
 func (b *Backend) PollTagged(tag string) {
 	if !b.synced {
 		return
@@ -170,8 +171,8 @@
 	b.core.RunFinished(id, outcome, result)
 }
 
-// takeGauges handles the answer to a poll.
-func (b *Backend) takeGauges(m pool.Message) {
+// handleGauges handles the answer to a poll.
+func (b *Backend) handleGauges(m pool.Message) {
 	if m.Tag == gaugesTag {
 		b.acks.pollAnswered(b.connections)
 	}
--- a/internal/backend/workerpool/backend_test.go
+++ b/internal/backend/workerpool/backend_test.go
@@ -22,182 +22,182 @@
 	firstNotice = 1
 )
 
-// testBench is a backend on a clock that the test moves, with connections that the test opens and reads. It is the
-// backend's event loop and its core.
-type testBench struct {
-	t        *testing.T
-	backend  *Backend
-	now      microtime.Time
-	open     func(transport.Conn) transport.Session
-	conn     *transporttest.Conn
-	reported []string // what the core was told of runs
+// harness is a backend under test. It implements the EventLoop and the Core of the backend, and opens its connections.
+type harness struct {
+	t          *testing.T
+	backend    *Backend
+	now        microtime.Time
+	open       func(transport.Conn) transport.Session
+	conn       *transporttest.Conn
+	coreEvents []string // the calls of RunBlocked and RunFinished
 }
 
-func (b *testBench) Now() microtime.Time { return b.now }
-func (b *testBench) Dial(_ string, open func(transport.Conn) transport.Session) func() {
-	b.open = open
+func (h *harness) Now() microtime.Time { return h.now }
+func (h *harness) Dial(_ string, open func(transport.Conn) transport.Session) func() {
+	h.open = open
 	return func() {}
 }
-func (b *testBench) Start(microtime.Time, microtime.Time, bool) {}
-func (b *testBench) SetGauges(control.Gauges)                   {}
-func (b *testBench) RunBlocked(id string, call []byte) {
-	b.reported = append(b.reported, fmt.Sprintf("blocked %s %s", id, call))
+func (h *harness) Start(microtime.Time, microtime.Time, bool) {}
+func (h *harness) SetGauges(control.Gauges)                   {}
+func (h *harness) RunBlocked(id string, call []byte) {
+	h.coreEvents = append(h.coreEvents, fmt.Sprintf("blocked %s %s", id, call))
 }
-func (b *testBench) RunFinished(id string, end dispatch.RunOutcome, _ []byte) {
-	b.reported = append(b.reported, fmt.Sprintf("finished %s %d", id, end))
+func (h *harness) RunFinished(id string, end dispatch.RunOutcome, _ []byte) {
+	h.coreEvents = append(h.coreEvents, fmt.Sprintf("finished %s %d", id, end))
 }
 
-func newBench(t *testing.T) *testBench {
-	b := &testBench{t: t, backend: New(Config{Address: "p1"}, t.Logf)}
-	b.backend.Attach(b, b)
-	b.reconnect("")
-	return b
+func newHarness(t *testing.T) *harness {
+	h := &harness{t: t, backend: New(Config{Address: "p1"}, t.Logf)}
+	h.backend.Attach(h, h)
+	h.reconnect("")
+	return h
 }
 
-// reconnect opens the next connection, on which the pool sends what was missed; it returns what it is sent once that
-// has been read.
-func (b *testBench) reconnect(missed string) string {
-	b.conn = transporttest.Open("pool", b.open)
-	b.sends("bound LOADED 0\r\n" + missed)
-	return b.sends(fmt.Sprintf("polled sync%d\r\n", b.backend.Status().Connections))
+// reconnect opens the next connection, on which the pool repeats the missed notices. It returns the commands that the
+// backend sends once it has read them.
+func (h *harness) reconnect(missedNotices string) string {
+	h.conn = transporttest.Open("pool", h.open)
+	h.receive("bound LOADED 0\r\n" + missedNotices)
+	return h.receive(fmt.Sprintf("polled sync%d\r\n", h.backend.Status().Connections))
 }
 
-// sends has the pool send something; it returns what it is sent upon that.
-func (b *testBench) sends(text string) string {
-	b.conn.Written = ""
-	n, err := b.conn.Receive(text)
-	require.NoError(b.t, err)
-	require.Equal(b.t, len(text), n)
-	return b.conn.Written
+// receive passes text from the pool to the backend. It returns the commands that the backend sends in response.
+func (h *harness) receive(text string) string {
+	h.conn.Written = ""
+	n, err := h.conn.Receive(text)
+	require.NoError(h.t, err)
+	require.Equal(h.t, len(text), n)
+	return h.conn.Written
 }
 
-// blocked starts a run that comes to its call under the first notice.
-func (b *testBench) blocked(id string, atMostOnce bool) {
-	b.backend.Start(dispatch.Run{
+// startBlockedRun starts a run that makes a call, which the first notice reports.
+func (h *harness) startBlockedRun(id string, atMostOnce bool) {
+	h.backend.Start(dispatch.Run{
 		ID:         id,
 		Class:      "c",
 		Body:       []byte("b"),
 		AtMostOnce: atMostOnce,
-		Deadline:   b.now + 4*microtime.Second,
+		Deadline:   h.now + 4*microtime.Second,
 	})
-	b.sends(string(pool.AppendBlocked(nil, firstNotice, id, []byte("call"))))
-	require.Contains(b.t, b.reported, "blocked "+id+" call")
-	b.reported = nil
+	h.receive(string(pool.AppendBlocked(nil, firstNotice, id, []byte("call"))))
+	require.Contains(h.t, h.coreEvents, "blocked "+id+" call")
+	h.coreEvents = nil
 }
 
-func (b *testBench) disconnect() { b.conn.Disconnect() }
+func (h *harness) disconnect() { h.conn.Disconnect() }
 
 func finished(notice uint64, id string, end pool.Outcome) string {
 	return string(pool.AppendFinished(nil, notice, id, end, 1, nil))
 }
 
-// Guards runs against the reply to an earlier call: one that may have been lost with the connection is not sent again,
-// as the run may be at its next call. A run that may be repeated is suspended and started anew, and the core is not
-// told.
-func TestReplyThatMayBeLostStartsASafeRunAnew(t *testing.T) {
-	bench := newBench(t)
-	bench.blocked(repeatableRun, false)
-	bench.backend.DeliverReply(repeatableRun, []byte("reply"))
-	bench.disconnect()
-	require.Equal(t, "suspend "+repeatableRun+"\r\n", bench.reconnect(""))
-	bench.disconnect()
-	require.Equal(t, "suspend "+repeatableRun+"\r\n", bench.reconnect(""), "the suspend may be lost as well")
-	require.Equal(t, "spawn "+repeatableRun+" c 1\r\nb\r\n", bench.sends(finished(2, repeatableRun, pool.Killed)))
-	require.Empty(t, bench.reported)
-	bench.sends(string(pool.AppendBlocked(nil, 3, repeatableRun, []byte("call"))))
-	bench.backend.DeliverReply(repeatableRun, []byte("again"))
-	require.Contains(t, bench.conn.Written, "supply "+repeatableRun+" 5\r\nagain\r\n")
-	bench.sends(finished(4, repeatableRun, pool.Pass))
+// Guards runs against the reply to an earlier call: a reply that may have been lost with the connection is not sent
+// again, because the run may be in its next call. A repeatable run is suspended and restarted instead, without a
+// notification of the core.
+func TestPossiblyLostReplyRestartsRepeatableRun(t *testing.T) {
+	fixture := newHarness(t)
+	fixture.startBlockedRun(repeatableRun, false)
+	fixture.backend.DeliverReply(repeatableRun, []byte("reply"))
+	fixture.disconnect()
+	require.Equal(t, "suspend "+repeatableRun+"\r\n", fixture.reconnect(""))
+	fixture.disconnect()
+	require.Equal(t, "suspend "+repeatableRun+"\r\n", fixture.reconnect(""), "the suspend may be lost as well")
+	require.Equal(t, "spawn "+repeatableRun+" c 1\r\nb\r\n", fixture.receive(finished(2, repeatableRun, pool.Killed)))
+	require.Empty(t, fixture.coreEvents)
+	fixture.receive(string(pool.AppendBlocked(nil, 3, repeatableRun, []byte("call"))))
+	fixture.backend.DeliverReply(repeatableRun, []byte("again"))
+	require.Contains(t, fixture.conn.Written, "supply "+repeatableRun+" 5\r\nagain\r\n")
+	fixture.receive(finished(4, repeatableRun, pool.Pass))
 	require.Equal(t, []string{
 		"blocked " + repeatableRun + " call",
 		fmt.Sprintf("finished %s %d", repeatableRun, dispatch.RunSucceeded),
-	}, bench.reported)
+	}, fixture.coreEvents)
 }
 
-// A run that may run at most once is neither supplied again nor suspended nor started anew: its notice tells, or it
-// fails at its deadline.
-func TestReplyThatMayBeLostLeavesASingleRunAlone(t *testing.T) {
+// After a possibly lost reply, no command is sent for an at-most-once run: neither supply nor suspend nor spawn. Its
+// notice reports the outcome, or the run fails at its deadline.
+func TestPossiblyLostReplyDoesNotRestartAtMostOnceRun(t *testing.T) {
 	for _, noticed := range []bool{true, false} {
-		bench := newBench(t)
-		bench.blocked(atMostOnceRun, true)
-		bench.backend.DeliverReply(atMostOnceRun, []byte("reply"))
-		bench.disconnect()
-		require.Empty(t, bench.reconnect(""))
+		fixture := newHarness(t)
+		fixture.startBlockedRun(atMostOnceRun, true)
+		fixture.backend.DeliverReply(atMostOnceRun, []byte("reply"))
+		fixture.disconnect()
+		require.Empty(t, fixture.reconnect(""))
 		want := dispatch.RunFailed
 		if noticed {
 			want = dispatch.RunSucceeded
-			bench.sends(finished(2, atMostOnceRun, pool.Pass))
+			fixture.receive(finished(2, atMostOnceRun, pool.Pass))
 		}
-		for bench.now < 5*microtime.Second {
-			bench.now += microtime.Second
-			bench.backend.Check(bench.now)
+		for fixture.now < 5*microtime.Second {
+			fixture.now += microtime.Second
+			fixture.backend.Check(fixture.now)
 		}
-		require.Equal(t, []string{fmt.Sprintf("finished %s %d", atMostOnceRun, want)}, bench.reported)
-		require.NotContains(t, bench.conn.Written, atMostOnceRun)
-		require.Zero(t, bench.backend.Status().Runs)
+		require.Equal(t, []string{fmt.Sprintf("finished %s %d", atMostOnceRun, want)}, fixture.coreEvents)
+		require.NotContains(t, fixture.conn.Written, atMostOnceRun)
+		require.Zero(t, fixture.backend.Status().Runs)
 	}
 }
 
-// A reply that is known to have been read is not sent again and leaves its run alone: by a poll answered behind it, or
-// by a later notice of the run. One for which there was no connection is sent on the next.
-func TestReplyThatIsNotLost(t *testing.T) {
-	for _, once := range []bool{false, true} {
-		bench := newBench(t)
-		bench.blocked(repeatableRun, once)
-		bench.backend.DeliverReply(repeatableRun, []byte("reply"))
-		bench.backend.RequestGauges()
-		bench.sends("polled g\r\n")
-		bench.disconnect()
-		require.Empty(t, bench.reconnect(""), "answered poll")
-
-		bench = newBench(t)
-		bench.blocked(repeatableRun, once)
-		bench.backend.DeliverReply(repeatableRun, []byte("reply"))
-		bench.disconnect()
+// A reply that the pool is known to have read is not sent again, and its run is not restarted. The answer to a later
+// poll or a later notice about the run proves that it was read. A reply without a connection is sent on the next one.
+func TestReplyThatWasNotLost(t *testing.T) {
+	for _, atMostOnce := range []bool{false, true} {
+		fixture := newHarness(t)
+		fixture.startBlockedRun(repeatableRun, atMostOnce)
+		fixture.backend.DeliverReply(repeatableRun, []byte("reply"))
+		fixture.backend.RequestGauges()
+		fixture.receive("polled g\r\n")
+		fixture.disconnect()
+		require.Empty(t, fixture.reconnect(""), "the poll after the reply was answered")
+
+		fixture = newHarness(t)
+		fixture.startBlockedRun(repeatableRun, atMostOnce)
+		fixture.backend.DeliverReply(repeatableRun, []byte("reply"))
+		fixture.disconnect()
 		nextCall := string(pool.AppendBlocked(nil, 2, repeatableRun, []byte("next")))
-		require.Empty(t, bench.reconnect(nextCall), "it waits for its next call")
+		require.Empty(t, fixture.reconnect(nextCall), "the run is in its next call")
 
-		bench = newBench(t)
-		bench.blocked(repeatableRun, once)
-		bench.disconnect()
-		bench.backend.DeliverReply(repeatableRun, []byte("reply"))
-		require.Equal(t, "supply "+repeatableRun+" 5\r\nreply\r\n", bench.reconnect(""), "sent on no connection yet")
+		fixture = newHarness(t)
+		fixture.startBlockedRun(repeatableRun, atMostOnce)
+		fixture.disconnect()
+		fixture.backend.DeliverReply(repeatableRun, []byte("reply"))
+		require.Equal(t, "supply "+repeatableRun+" 5\r\nreply\r\n", fixture.reconnect(""), "the reply was not sent before")
 	}
 }
 
-// A run whose answer is not wanted any more is not started anew once it has been stopped.
-func TestUnwantedRunIsNotStartedAnew(t *testing.T) {
-	bench := newBench(t)
-	bench.blocked(repeatableRun, false)
-	bench.backend.DeliverReply(repeatableRun, []byte("reply"))
-	bench.disconnect()
-	bench.reconnect("")
-	bench.backend.Cancel(repeatableRun)
-	require.NotContains(t, bench.sends(finished(2, repeatableRun, pool.Killed)), "spawn")
-	require.Equal(t, []string{fmt.Sprintf("finished %s %d", repeatableRun, dispatch.RunCancelled)}, bench.reported)
+// A run that is cancelled while it is suspended for a restart is not restarted.
+func TestCancelledRunIsNotRestarted(t *testing.T) {
+	fixture := newHarness(t)
+	fixture.startBlockedRun(repeatableRun, false)
+	fixture.backend.DeliverReply(repeatableRun, []byte("reply"))
+	fixture.disconnect()
+	fixture.reconnect("")
+	fixture.backend.Cancel(repeatableRun)
+	require.NotContains(t, fixture.receive(finished(2, repeatableRun, pool.Killed)), "spawn")
+	require.Equal(t, []string{fmt.Sprintf("finished %s %d", repeatableRun, dispatch.RunCancelled)}, fixture.coreEvents)
 }
 
-// A deep check outlives a connection that breaks, and is asked on the next; without any it ends in time.
-func TestDeepCheckOutlivesTheConnection(t *testing.T) {
-	bench := newBench(t)
+// A pending verification is requested again on the next connection. Without a connection the deep check fails after
+// checkTimeout.
+func TestDeepCheckSurvivesConnectionLoss(t *testing.T) {
+	fixture := newHarness(t)
 	var answers []bool
-	ask := func() { bench.backend.Verify(func(good bool) { answers = append(answers, good) }) }
-	ask()
-	require.Equal(t, "verify check1\r\n", bench.conn.Written[strings.LastIndex(bench.conn.Written, "verify"):])
-	bench.disconnect()
-	ask()
-	require.Equal(t, "verify check1\r\n", bench.reconnect(""))
+	verify := func() { fixture.backend.Verify(func(healthy bool) { answers = append(answers, healthy) }) }
+	verify()
+	require.Equal(t, "verify check1\r\n", fixture.conn.Written[strings.LastIndex(fixture.conn.Written, "verify"):])
+	fixture.disconnect()
+	verify()
+	require.Equal(t, "verify check1\r\n", fixture.reconnect(""))
 	require.Empty(t, answers)
-	bench.sends("verified check0 PASS\r\n")
-	require.Empty(t, answers, "another's outcome")
-	bench.sends("verified check1 PASS\r\n")
+	fixture.receive("verified check0 PASS\r\n")
+	require.Empty(t, answers, "the outcome of another verification")
+	fixture.receive("verified check1 PASS\r\n")
 	require.Equal(t, []bool{true, true}, answers)
 
-	bench.disconnect()
+	fixture.disconnect()
 	answers = nil
-	ask()
-	require.Equal(t, bench.now+checkTimeout, bench.backend.Check(bench.now))
-	bench.now += checkTimeout
-	bench.backend.Check(bench.now)
+	verify()
+	require.Equal(t, fixture.now+checkTimeout, fixture.backend.Check(fixture.now))
+	fixture.now += checkTimeout
+	fixture.backend.Check(fixture.now)
 	require.Equal(t, []bool{false}, answers)
 }
--- a/internal/backend/workerpool/connection.go
+++ b/internal/backend/workerpool/connection.go
@@ -7,16 +7,16 @@
 	"pewterline/internal/transport"
 )
 
-// session is the transport.Session of one connection. Messages of earlier connections are ignored, because their
-// notices are repeated on the current one; their close is ignored too, so that the address is not dialled twice. Of the
-// candidate, only the bound message is handled.
+// session is the transport.Session of one connection. Messages on earlier connections are ignored, because their
+// notices are repeated on the current one. The close of an earlier connection is ignored too, so that the address is
+// not dialled twice. On the candidate, only the bound message is handled.
 type session struct {
 	backend *Backend
 	conn    transport.Conn
 }
 
-// dial opens a new connection, in place of any that is still being dialled. The current connection stays in use until
-// the new one is bound, in case a process at the new address accepts connections but never answers.
+// dial opens a new connection, and cancels a dial that is still pending. The current connection stays in use until the
+// new one is bound, in case the process at the new address accepts connections but never answers.
 func (b *Backend) dial() {
 	if b.cancelDial != nil {
 		b.cancelDial()
@@ -28,7 +28,7 @@
 func (b *Backend) opened(conn transport.Conn) transport.Session {
 	b.cancelDial = nil
 	if b.candidate != nil {
-		b.candidate.Close() // a newer configuration has replaced it
+		b.candidate.Close() // a later change of the address replaces it
 	}
 	b.candidate = conn
 	if b.current == nil {
@@ -39,8 +39,8 @@
 	return &session{backend: b, conn: conn}
 }
 
-// promote makes the candidate the current connection. Notices that have come on the previous one since the bind are
-// repeated.
+// promote makes the candidate the current connection. Notices that were read on the previous connection after the bind
+// was sent are repeated on this one.
 func (b *Backend) promote() {
 	previous := b.current
 	b.current, b.candidate = b.candidate, nil
@@ -54,10 +54,10 @@
 	}
 }
 
-// syncTag is the tag of the poll that is answered after the missed notices on the current connection.
+// syncTag is the tag of the poll whose answer follows the missed notices on the current connection.
 func (b *Backend) syncTag() string { return "sync" + strconv.Itoa(b.connections) }
 
-// Receive is part of transport.Session.
+// Receive implements transport.Session.
 func (s *session) Receive(in []byte) (int, error) {
 	backend := s.backend
 	consumed := 0
@@ -83,10 +83,10 @@
 	}
 }
 
-// Idle is part of transport.Session. The connection is never evicted.
+// Idle implements transport.Session. The connection is never evicted.
 func (s *session) Idle() bool { return false }
 
-// Closed is part of transport.Session.
+// Closed implements transport.Session.
 func (s *session) Closed() {
 	backend := s.backend
 	switch s.conn {
--- a/internal/backend/workerpool/deepchecks_test.go
+++ b/internal/backend/workerpool/deepchecks_test.go
@@ -9,90 +9,91 @@
 	"pewterline/internal/protocol/pool"
 )
 
-// verify asks for a deep check, whose answer is appended to the others.
-func (b *testBench) verify(answers *[]bool) {
-	b.backend.Verify(func(good bool) { *answers = append(*answers, good) })
+// verify requests a deep check, and appends its answer to answers.
+func (h *harness) verify(answers *[]bool) {
+	h.backend.Verify(func(healthy bool) { *answers = append(*answers, healthy) })
 }
 
-// An outcome answers further checks while it is fresh, on the same connection.
+// The outcome of a verification answers further checks while it is fresh and the connection is the same.
 func TestDeepCheckOutcomeIsReused(t *testing.T) {
 	tests := map[string]struct {
-		meanwhile func(b *testBench)
-		asksAgain bool
+		between       func(h *harness)
+		verifiesAgain bool
 	}{
 		"fresh": {
-			meanwhile: func(b *testBench) { b.now += checkFreshness - 1 },
+			between: func(h *harness) { h.now += checkFreshness - 1 },
 		},
 		"stale": {
-			meanwhile: func(b *testBench) { b.now += checkFreshness },
-			asksAgain: true,
+			between:       func(h *harness) { h.now += checkFreshness },
+			verifiesAgain: true,
 		},
 		"on the next connection": {
-			meanwhile: func(b *testBench) {
-				b.disconnect()
-				b.reconnect("")
+			between: func(h *harness) {
+				h.disconnect()
+				h.reconnect("")
 			},
-			asksAgain: true,
+			verifiesAgain: true,
 		},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
-			bench := newBench(t)
+			fixture := newHarness(t)
 			var answers []bool
-			bench.verify(&answers)
-			bench.sends("verified check1 FAIL\r\n")
+			fixture.verify(&answers)
+			fixture.receive("verified check1 FAIL\r\n")
 			require.Equal(t, []bool{false}, answers)
-			tc.meanwhile(bench)
-			bench.conn.Written = ""
-			bench.verify(&answers)
-			if tc.asksAgain {
-				require.Equal(t, "verify check2\r\n", bench.conn.Written)
+			tc.between(fixture)
+			fixture.conn.Written = ""
+			fixture.verify(&answers)
+			if tc.verifiesAgain {
+				require.Equal(t, "verify check2\r\n", fixture.conn.Written)
 				require.Equal(t, []bool{false}, answers)
 				return
 			}
-			require.Empty(t, bench.conn.Written)
+			require.Empty(t, fixture.conn.Written)
 			require.Equal(t, []bool{false, false}, answers)
 		})
 	}
 }
 
-// A run that has passed proves that work gets done: no verification is asked for.
+// A run that has passed recently proves that the pool executes runs: no verification is requested.
 func TestPassedRunAnswersDeepChecks(t *testing.T) {
-	bench := newBench(t)
-	bench.backend.Start(dispatch.Run{ID: repeatableRun, Class: "c"})
-	bench.sends(finished(1, repeatableRun, pool.Pass))
-	bench.now += checkFreshness - 1
+	fixture := newHarness(t)
+	fixture.backend.Start(dispatch.Run{ID: repeatableRun, Class: "c"})
+	fixture.receive(finished(1, repeatableRun, pool.Pass))
+	fixture.now += checkFreshness - 1
 	var answers []bool
-	bench.verify(&answers)
+	fixture.verify(&answers)
 	require.Equal(t, []bool{true}, answers)
-	require.NotContains(t, bench.conn.Written, "verify")
+	require.NotContains(t, fixture.conn.Written, "verify")
 }
 
-// A run that passes while a verification is pending makes that good, where the pool never answers it.
-func TestPassedRunMakesPendingCheckGood(t *testing.T) {
-	bench := newBench(t)
-	bench.backend.Start(dispatch.Run{ID: repeatableRun, Class: "c"})
+// If the pool does not answer a verification within checkTimeout, a run that has passed meanwhile makes the deep check
+// succeed.
+func TestPassedRunAnswersPendingCheck(t *testing.T) {
+	fixture := newHarness(t)
+	fixture.backend.Start(dispatch.Run{ID: repeatableRun, Class: "c"})
 	var answers []bool
-	bench.verify(&answers)
-	bench.now++
-	bench.sends(finished(1, repeatableRun, pool.Pass))
-	bench.now += checkTimeout
-	bench.backend.Check(bench.now)
+	fixture.verify(&answers)
+	fixture.now++
+	fixture.receive(finished(1, repeatableRun, pool.Pass))
+	fixture.now += checkTimeout
+	fixture.backend.Check(fixture.now)
 	require.Equal(t, []bool{true}, answers)
 }
 
-// All checks that wait share one verification; one more than may wait fails at once.
+// All waiting checks share one verification. Beyond maxCheckWaiters a check fails at once.
 func TestDeepCheckWaitersAreLimited(t *testing.T) {
-	bench := newBench(t)
-	bench.conn.Written = ""
+	fixture := newHarness(t)
+	fixture.conn.Written = ""
 	var answers []bool
 	for range maxCheckWaiters {
-		bench.verify(&answers)
+		fixture.verify(&answers)
 	}
-	require.Equal(t, "verify check1\r\n", bench.conn.Written)
+	require.Equal(t, "verify check1\r\n", fixture.conn.Written)
 	require.Empty(t, answers)
-	bench.verify(&answers)
+	fixture.verify(&answers)
 	require.Equal(t, []bool{false}, answers)
-	bench.sends("verified check1 PASS\r\n")
+	fixture.receive("verified check1 PASS\r\n")
 	require.Len(t, answers, maxCheckWaiters+1)
 }
--- a/internal/backend/workerpool/messages.go
+++ b/internal/backend/workerpool/messages.go
@@ -6,7 +6,7 @@
 	"pewterline/internal/protocol/pool"
 )
 
-// runOutcome converts a run's outcome from the protocol.
+// runOutcome converts the protocol's outcome of a run.
 func runOutcome(outcome pool.Outcome) dispatch.RunOutcome {
 	switch outcome {
 	case pool.Pass:
@@ -20,31 +20,31 @@
 	return dispatch.RunFailed
 }
 
-// handle handles a message. After an error the connection must be closed. The next one is bound with the number of the
-// last notice that came in order, so that all later notices are repeated.
+// handle handles a message. After an error the connection must be closed. The next connection is bound with the number
+// of the last notice that was in order, so that all later notices are repeated.
 func (b *Backend) handle(message pool.Message) error {
 	switch message.Kind {
 	case pool.Bound:
 		b.core.Start(b.loop.Now(), microtime.Time(message.Milliseconds*1000), !message.Loaded)
-		// Not earlier: a pool that is still starting ignores commands that follow bind. The answer to this poll marks
-		// the end of the missed notices.
+		// The poll is not sent before this message, because a pool that is still starting ignores commands that follow
+		// bind. The answer to the poll marks the end of the missed notices.
 		b.write(pool.AppendPoll(b.scratch[:0], b.syncTag()))
 	case pool.Finished, pool.Blocked:
-		return b.takeNotice(message)
+		return b.handleNotice(message)
 	case pool.Chatter:
-		b.notices.ignored(message.Notice)
+		b.notices.recordIgnored(message.Notice)
 	case pool.Polled:
-		b.takeGauges(message)
+		b.handleGauges(message)
 	case pool.Verified:
-		b.checks.answered(b.loop.Now(), message.Tag, message.Outcome == pool.Pass)
+		b.checks.handleOutcome(b.loop.Now(), message.Tag, message.Outcome == pool.Pass)
 	case pool.Unknown:
-		b.takeUnknown(message)
+		b.handleUnknown(message)
 	}
 	return nil
 }
 
-// takeNotice handles a notice about a run, unless it was read before.
-func (b *Backend) takeNotice(message pool.Message) error {
+// handleNotice handles a notice about a run, unless it was read before.
+func (b *Backend) handleNotice(message pool.Message) error {
 	if b.notices.wasRead(message.Notice) {
 		return nil
 	}
@@ -64,11 +64,11 @@
 		b.core.RunBlocked(message.ID, append([]byte(nil), message.Call...))
 		return nil
 	}
-	b.takeOutcome(r, message)
+	b.handleOutcome(r, message)
 	return nil
 }
 
-// acknowledge records that the pool has read all commands of a run, which a new notice about the run proves.
+// acknowledge records that the pool has read all commands of a run. A new notice about the run proves that.
 func (b *Backend) acknowledge(r *run) {
 	b.acks.acknowledge(r.spawn)
 	if r.reply != nil && r.reply.supply.sent() {
@@ -77,8 +77,8 @@
 	}
 }
 
-// takeOutcome handles the end of a run in the pool.
-func (b *Backend) takeOutcome(r *run, message pool.Message) {
+// handleOutcome handles the end of a run in the pool.
+func (b *Backend) handleOutcome(r *run, message pool.Message) {
 	if r.restarting && message.Outcome == pool.Killed {
 		b.restart(r)
 		return
@@ -89,17 +89,17 @@
 	b.finish(r.ID, runOutcome(message.Outcome), append([]byte(nil), message.Result...))
 }
 
-// takeUnknown handles a command that was not carried out.
-func (b *Backend) takeUnknown(message pool.Message) {
+// handleUnknown handles the message that the pool did not carry out a command.
+func (b *Backend) handleUnknown(message pool.Message) {
 	b.logf("pool: command was not carried out: command=%s run=%s", message.Command, message.ID)
 	switch message.Command {
 	case "poll":
-		// The answer of a pool without gauges also marks the end of the missed notices.
+		// A pool without gauges answers every poll like this. The answer also marks the end of the missed notices.
 		if message.ID == b.syncTag() && !b.synced {
 			b.resync()
 		}
 	case "verify":
-		b.checks.declined(b.loop.Now(), message.ID)
+		b.checks.handleUnsupported(b.loop.Now(), message.ID)
 	case "spawn":
 		if b.runs[message.ID] != nil {
 			b.finish(message.ID, dispatch.RunUnsupported, nil)
--- a/internal/backend/workerpool/resync.go
+++ b/internal/backend/workerpool/resync.go
@@ -9,9 +9,9 @@
 	"pewterline/internal/microtime"
 )
 
-// resync sends the commands of the runs without a notice, oldest first. It is called once the missed notices are read.
-// So no command is lost with a connection, and none is repeated for a run whose notice was in flight. Commands that are
-// known to have been read are not sent again.
+// resync sends the outstanding commands of the runs in progress, oldest run first. It is called once the missed notices
+// have been read. So no command is lost with a connection, and no command is repeated for a run whose notice was still
+// in flight. Commands that the pool is known to have read are not sent again.
 func (b *Backend) resync() {
 	b.synced = true
 	byOrder := func(x, y *run) int { return cmp.Compare(x.spawn.order, y.spawn.order) }
@@ -24,10 +24,10 @@
 	b.acks.keepOnly(b.connections)
 }
 
-// resyncRun sends the commands of a run that the pool may not have read. An at-most-once run is not spawned again once
-// it was sent: it may end between the last missed notice and the second spawn, and the pool would then run it twice. If
-// the pool has read the first spawn, a notice will follow; if none comes before the deadline, the outcome is unknown,
-// and the run is reported as failed.
+// resyncRun sends the commands of a run that the pool may not have read. The spawn command of an at-most-once run is
+// sent only once: the run may end between the last missed notice and a second spawn, and the pool would then execute it
+// twice. If the pool has read the first spawn, a notice will follow. If none arrives before the deadline, the outcome
+// is unknown, and the run is reported as failed.
 func (b *Backend) resyncRun(unfinished *run) {
 	unfinished.received = unfinished.received || b.acks.includes(unfinished.spawn)
 	if !unfinished.spawn.sent() || !unfinished.received && !unfinished.AtMostOnce {
@@ -45,7 +45,7 @@
 	}
 }
 
-// markUncertain schedules a run to be failed at its deadline unless a notice comes before.
+// markUncertain schedules a run to be reported as failed at its deadline unless it has ended before.
 func (b *Backend) markUncertain(r *run) {
 	if !r.uncertain {
 		r.uncertain = true
@@ -53,9 +53,9 @@
 	}
 }
 
-// resyncReply handles the unacknowledged reply to a call after a new connection. If the reply may have been read, it is
-// not sent again: the run may be in its next call, which would get the wrong reply. So a run that may be repeated is
-// suspended and restarted; the outcome of an at-most-once run is unknown unless a notice comes.
+// resyncReply handles, on a new connection, the unacknowledged reply to a call. If the pool may have read the reply, it
+// is not sent again: the run may be in its next call, which would get the wrong reply. Instead, a repeatable run is
+// suspended and restarted. The outcome of an at-most-once run is unknown unless a notice arrives.
 func (b *Backend) resyncReply(r *run) {
 	switch {
 	case !r.reply.supply.sent():
@@ -84,24 +84,24 @@
 	}
 }
 
-// Check fails the uncertain runs whose deadline is over, and ends a deep check that has timed out. It returns when to
-// check again.
+// Check fails the uncertain runs whose deadline has passed, and ends a deep check that has timed out. It returns when
+// it has to be called again.
 func (b *Backend) Check(now microtime.Time) microtime.Time {
 	next := b.checks.expire(now)
-	left := b.uncertain[:0]
+	remaining := b.uncertain[:0]
 	for _, r := range b.uncertain {
 		switch {
-		case b.runs[r.ID] != r: // its notice has come
+		case b.runs[r.ID] != r: // the run has ended
 		case r.Deadline <= now:
 			b.logf("pool: not known whether a run was executed: run=%s", r.ID)
 			b.finish(r.ID, dispatch.RunFailed, nil)
 			next = now
 		default:
 			next = min(next, r.Deadline)
-			left = append(left, r)
+			remaining = append(remaining, r)
 		}
 	}
-	clear(b.uncertain[len(left):])
-	b.uncertain = left
+	clear(b.uncertain[len(remaining):])
+	b.uncertain = remaining
 	return next
 }
--- a/internal/backend/workerpool/run.go
+++ b/internal/backend/workerpool/run.go
@@ -8,11 +8,11 @@
 // run is a run that has not ended.
 type run struct {
 	dispatch.Run
-	spawn      position   // of its last spawn command; until that is sent, only the order of Start
+	spawn      position   // of its last spawn command; until it is sent, only the order is set
 	received   bool       // the pool is known to have read the spawn command
-	uncertain  bool       // it is unknown whether the pool has received it
+	uncertain  bool       // it is unknown whether the pool has read its last command
 	cancelled  bool       // its result is no longer wanted
-	restarting bool       // it is being suspended to be restarted
+	restarting bool       // it was suspended, and is restarted once the pool confirms that
 	reply      *callReply // nil: there is none, or the pool has read it
 }
 
@@ -22,19 +22,19 @@
 	supply position // of the supply command
 }
 
-// write sends a command that was appended to the scratch buffer.
+// write sends a command that was appended to b.scratch[:0], and keeps its buffer for reuse.
 func (b *Backend) write(command []byte) {
 	b.scratch = command[:0]
 	b.current.Write(command)
 }
 
-// nextOrder numbers a command.
+// nextOrder returns the number of the next command.
 func (b *Backend) nextOrder() int {
 	b.lastOrder++
 	return b.lastOrder
 }
 
-// nextPosition is that of a command that is sent now.
+// nextPosition returns the position of the command that is sent next on the current connection.
 func (b *Backend) nextPosition() position {
 	return position{connection: b.connections, order: b.nextOrder()}
 }
--- a/internal/server/overload_test.go
+++ b/internal/server/overload_test.go
@@ -183,7 +183,7 @@
 	_, err := f.pool.Write(f.pendingNotices) // All at once, so that they are read in one turn.
 	require.NoError(f.t, err)
 	f.pendingNotices = f.pendingNotices[:0]
-	f.await(func() bool { return f.srv.backends.pool.Status().Notice == f.noticeCount })
+	f.await(func() bool { return f.srv.backends.pool.Status().LastNotice == f.noticeCount })
 }
 
 // readThrift reads the replies to the Thrift client until its connection ends.
