--- a/internal/vaultclient/client.go
+++ b/internal/vaultclient/client.go
@@ -1,7 +1,7 @@
 // Package vaultclient is the client of the vault, the service that runs make calls to. Package server creates it, and
 // package dispatch makes calls through it. It carries out the decisions of calls.Pool on the event loop: it opens and
-// closes connections, writes calls and reads replies. It owns the connections and the outcomes of calls that are not
-// reported yet. It decides nothing about calls and never repeats one.
+// closes connections, writes calls and reads replies. It owns the connections and the outcomes of calls that have not
+// been reported yet. All decisions about calls are made by calls.Pool, and no call is ever repeated.
 package vaultclient
 
 import (
@@ -12,20 +12,21 @@
 	"pewterline/internal/transport"
 )
 
-// MaxConns is the most connections, and so descriptors, of a client.
+// MaxConns is the maximum number of connections, and so of file descriptors, of a client.
 const MaxConns = calls.MaxConns
 
-// EventLoop is what the client needs of the event loop.
+// EventLoop is what the client needs from the event loop.
 type EventLoop interface {
 	Now() microtime.Time
-	// DialOnce tries once to open a connection. Either open is called and returns its session, or failed is called.
-	DialOnce(addr string, open func(transport.Conn) transport.Session, failed func()) (drop func())
+	// DialOnce tries once to open a connection. Either open is called and returns the connection's session, or failed is
+	// called. The returned function cancels the dial.
+	DialOnce(addr string, open func(transport.Conn) transport.Session, failed func()) (cancel func())
 }
 
-// CallEnded reports how a call ended. Only calls.Answered has a reply, which the callee may keep.
+// CallEnded is called with the outcome of a call. Only calls.Answered has a reply, which the callback may retain.
 type CallEnded func(now microtime.Time, id string, outcome calls.Outcome, reply []byte)
 
-// Client makes calls. All its methods are called on the loop. CallEnded is only called by Check.
+// Client makes calls to the vault. All its methods must be called on the event loop. CallEnded is only called by Check.
 type Client struct {
 	address    string
 	loop       EventLoop
@@ -33,12 +34,13 @@
 	logf       func(format string, args ...any)
 	pool       *calls.Pool
 	conns      map[calls.ConnID]*connection
-	cancelDial func()           // cancels the last dial
-	ended      []calls.Complete // outcomes to be reported by Check
-	reachable  bool             // the last attempt to open a connection did not fail
+	cancelDial func()           // cancels the most recent dial
+	unreported []calls.Complete // outcomes that the next Check reports
+	reachable  bool             // false: the last dial failed
 }
 
-// New returns a client without a connection: one is opened for the first call. Attach must follow.
+// New returns a client without a connection: one is opened for the first call. Attach must be called before any other
+// method.
 func New(address string, logf func(format string, args ...any)) *Client {
 	return &Client{
 		address:   address,
@@ -49,15 +51,15 @@
 	}
 }
 
-// Attach connects the client to its loop and to its caller.
+// Attach sets the event loop of the client, and the callback that reports the outcomes of calls.
 func (c *Client) Attach(loop EventLoop, callEnded CallEnded) { c.loop, c.callEnded = loop, callEnded }
 
 // Status is the state of the client, for operators.
 type Status struct {
-	Reachable   bool // the last attempt to open a connection did not fail
+	Reachable   bool // false: the last dial failed
 	Connections int
-	InFlight    int // calls
-	Waiting     int // of these, for a connection
+	InFlight    int // calls that have not ended
+	Waiting     int // of these, calls that wait for a connection
 }
 
 // Status returns the state of the client.
@@ -66,23 +68,23 @@
 	return Status{Reachable: c.reachable, Connections: conns, InFlight: inFlight, Waiting: waiting}
 }
 
-// Call is part of dispatch.Downstream.
+// Call implements dispatch.Downstream.
 func (c *Client) Call(request calls.Request) {
-	c.forgetEnd(request.ID)
+	c.dropUnreported(request.ID)
 	c.pool.Call(c.loop.Now(), request)
 	c.carryOut()
 }
 
-// Abandon is part of dispatch.Downstream.
+// Abandon implements dispatch.Downstream.
 func (c *Client) Abandon(id string) {
-	c.forgetEnd(id)
+	c.dropUnreported(id)
 	c.pool.Abandon(c.loop.Now(), id)
 	c.carryOut()
 }
 
-// forgetEnd drops the unreported outcome of a call that was abandoned, or whose ID is used again.
-func (c *Client) forgetEnd(id string) {
-	c.ended = slices.DeleteFunc(c.ended, func(end calls.Complete) bool { return end.ID == id })
+// dropUnreported drops the unreported outcome of a call that is abandoned or whose ID is reused.
+func (c *Client) dropUnreported(id string) {
+	c.unreported = slices.DeleteFunc(c.unreported, func(end calls.Complete) bool { return end.ID == id })
 }
 
 // SetAddress changes the address for new calls. Calls in flight stay on their connections.
@@ -95,27 +97,27 @@
 	c.carryOut()
 }
 
-// Check ends the calls that have timed out, and reports the outcomes of all ended calls. It is called in each turn,
-// before the core's step.
+// Check ends the calls that have timed out, and reports the outcomes of all ended calls. It is called in each turn of
+// the event loop, before the step of the core.
 func (c *Client) Check(now microtime.Time) {
 	c.pool.Expire(now)
 	c.carryOut()
-	ended := c.ended
-	c.ended = nil
-	for _, end := range ended {
+	unreported := c.unreported
+	c.unreported = nil
+	for _, end := range unreported {
 		c.callEnded(now, end.ID, end.Outcome, end.Reply)
 	}
 }
 
 // NextDue returns when Check has to be called next.
 func (c *Client) NextDue() microtime.Time {
-	if len(c.ended) > 0 {
+	if len(c.unreported) > 0 {
 		return c.loop.Now()
 	}
 	return c.pool.NextWakeup()
 }
 
-// carryOut performs the actions of the pool.
+// carryOut performs the actions that the pool has decided on.
 func (c *Client) carryOut() {
 	for _, action := range c.pool.Actions() {
 		switch action := action.(type) {
@@ -131,7 +133,7 @@
 		case calls.Close:
 			c.conns[action.Conn].conn.Close()
 		case calls.Complete:
-			c.ended = append(c.ended, action)
+			c.unreported = append(c.unreported, action)
 		case calls.ReportSilence:
 			c.logf("vault: connection is silent: calls=%d duration=%v", action.Calls, action.Duration.Duration())
 		}
@@ -140,7 +142,7 @@
 
 func (c *Client) dial() { c.cancelDial = c.loop.DialOnce(c.address, c.opened, c.dialFailed) }
 
-// opened adds a connection that was dialled.
+// opened handles the success of a dial.
 func (c *Client) opened(conn transport.Conn) transport.Session {
 	if !c.reachable {
 		c.logf("vault: reachable again: address=%s", c.address)
--- a/internal/vaultclient/connection.go
+++ b/internal/vaultclient/connection.go
@@ -15,7 +15,7 @@
 	scratch []byte
 }
 
-// callOutcome converts the vault's answer to the outcome of a call.
+// callOutcome converts the status of the vault's reply to the outcome of a call.
 func callOutcome(status vault.Status) calls.Outcome {
 	switch status {
 	case vault.Yes:
@@ -31,23 +31,23 @@
 	return calls.Failed
 }
 
-// write sends a command that was appended to the scratch buffer.
+// write sends a command that was appended to c.scratch[:0], and keeps its buffer for reuse.
 func (c *connection) write(command []byte) {
 	c.scratch = command[:0]
 	c.conn.Write(command)
 }
 
-// call sends a call. The protocol carries the timeout in whole milliseconds, at least 1.
+// call sends a call. The protocol states the timeout in whole milliseconds, at least 1, so it is rounded up.
 func (c *connection) call(send calls.Send) {
 	timeout := (send.Timeout + microtime.Millisecond - 1) / microtime.Millisecond
-	waitMS := min(max(timeout, 1), vault.MaxWaitMS)
-	c.write(vault.AppendAsk(c.scratch[:0], send.ID, int(waitMS), send.Body))
+	timeoutMillis := min(max(timeout, 1), vault.MaxWaitMS)
+	c.write(vault.AppendAsk(c.scratch[:0], send.ID, int(timeoutMillis), send.Body))
 }
 
-// abandon tells the vault that the reply to a call is no longer needed.
+// abandon notifies the vault that the reply to a call is no longer needed.
 func (c *connection) abandon(id string) { c.write(vault.AppendUnask(c.scratch[:0], id)) }
 
-// Receive is part of transport.Session.
+// Receive implements transport.Session.
 func (c *connection) Receive(in []byte) (int, error) {
 	client := c.client
 	now := client.loop.Now()
@@ -68,10 +68,10 @@
 	}
 }
 
-// Idle is part of transport.Session. The connection is never evicted.
+// Idle implements transport.Session. The connection is never evicted.
 func (c *connection) Idle() bool { return false }
 
-// Closed is part of transport.Session.
+// Closed implements transport.Session.
 func (c *connection) Closed() {
 	client := c.client
 	delete(client.conns, c.id)
