--- a/internal/backend/ajpbackend/backend.go
+++ b/internal/backend/ajpbackend/backend.go
@@ -36,7 +36,7 @@
 	RunTimeout microtime.Time
 }
 
-// Backend forwards runs to the server. All its methods are called on the event loop.
+// Backend forwards runs to the server. All its methods must be called on the event loop.
 type Backend struct {
 	config      Config
 	core        Core
@@ -143,8 +143,8 @@
 	b.dispatchQueue()
 }
 
-// ExpireTimeouts fails the runs that have exceeded RunTimeout. It returns when it has to be called
-// again, or microtime.Never.
+// ExpireTimeouts fails the runs that have exceeded RunTimeout. It returns when it has to be called again,
+// or microtime.Never.
 func (b *Backend) ExpireTimeouts(now microtime.Time) microtime.Time {
 	next := microtime.Never
 	for _, c := range b.connections.Items() {
--- a/internal/backend/upstream/attempt.go
+++ b/internal/backend/upstream/attempt.go
@@ -47,8 +47,8 @@
 	b.send(routed, choice)
 }
 
-// chooseEndpoint returns false if no endpoint is available, or if the run's key is new and no more keys can
-// be retained.
+// chooseEndpoint returns false if no endpoint is available, or if the run's key is new and no more keys can be
+// retained.
 func (b *Backend) chooseEndpoint(now microtime.Time, r *run) (loadbalancer.Choice, bool) {
 	if r.keyed {
 		sticky, ok := b.retries.StickyEndpoint(now, r.key)
--- a/internal/backend/upstream/backend.go
+++ b/internal/backend/upstream/backend.go
@@ -134,8 +134,8 @@
 	}
 }
 
-// RequestGauges implements dispatch.Backend. It does nothing: only the endpoints use the gauges of
-// their worker pools.
+// RequestGauges implements dispatch.Backend. It does nothing: only the endpoints use the gauges of their
+// worker pools.
 func (b *Backend) RequestGauges() {}
 
 func (b *Backend) removeRun(r *run) {
--- a/internal/backend/upstream/endpoint.go
+++ b/internal/backend/upstream/endpoint.go
@@ -98,5 +98,5 @@
 	}
 }
 
-// ExpireRemoved drops endpoints that were removed more than RemovedEndpointRetention ago.
+// ExpireRemoved drops the endpoints that were removed more than RemovedEndpointRetention ago and have no connection.
 func (b *Backend) ExpireRemoved(now microtime.Time) { b.endpoints.expireRemoved(now) }
--- a/internal/backend/workerpool/backend.go
+++ b/internal/backend/workerpool/backend.go
@@ -37,8 +37,8 @@
 	Gauges  []string // the names of the pool's gauges, in the order in which it reports them
 }
 
-// Backend starts runs on the worker pool. It implements dispatch.CallingBackend. All its methods must be called
-// on the event loop.
+// Backend starts runs on the worker pool. It implements dispatch.CallingBackend. All its methods must be called on
+// the event loop.
 type Backend struct {
 	config Config
 	core   Core
@@ -55,7 +55,7 @@
 	notices noticeSequence
 
 	runs      map[string]*run // in progress, by ID
-	uncertain []*run          // runs of which it is unknown whether the pool has received them
+	uncertain []*run          // runs of which it is unknown whether the pool has read the last command
 	lastOrder int             // the number of the last command
 	checks    deepChecks
 	scratch   []byte
@@ -98,7 +98,7 @@
 	Migrating   bool   // a connection waits to be bound in place of the current one
 	LastNotice  uint64 // the number of the last notice that was read
 	Runs        int    // in progress
-	Uncertain   int    // of these, those of which it is unknown whether the pool has received them
+	Uncertain   int    // of these, those of which it is unknown whether the pool has read the last command
 }
 
 // Status returns the state of the backend.
--- a/internal/backend/workerpool/deepchecks.go
+++ b/internal/backend/workerpool/deepchecks.go
@@ -82,8 +82,8 @@
 // connectionChanged drops the last outcome, which does not apply to the next connection.
 func (c *deepChecks) connectionChanged() { c.hasOutcome = false }
 
-// expire ends the pending verification after checkTimeout. The pool counts as healthy if a run has passed
-// meanwhile. It returns when it has to be called again.
+// expire ends the pending verification after checkTimeout. The pool counts as healthy if a run has passed meanwhile.
+// It returns when it has to be called again.
 func (c *deepChecks) expire(now microtime.Time) microtime.Time {
 	if !c.pending() {
 		return microtime.Never
--- a/internal/backend/workerpool/run.go
+++ b/internal/backend/workerpool/run.go
@@ -10,7 +10,7 @@
 	dispatch.Run
 	spawn      position   // of its last spawn command; until it is sent, only the order is set
 	received   bool       // the pool is known to have read the spawn command
-	uncertain  bool       // it is unknown whether the pool has read its last command
+	uncertain  bool       // it is unknown whether the pool has read the last command
 	cancelled  bool       // its result is no longer wanted
 	restarting bool       // it was suspended, and is restarted once the pool confirms that
 	reply      *callReply // nil: there is none, or the pool has read it
--- a/internal/vaultclient/client.go
+++ b/internal/vaultclient/client.go
@@ -36,7 +36,7 @@
 	conns      map[calls.ConnID]*connection
 	cancelDial func()           // cancels the most recent dial
 	unreported []calls.Complete // outcomes that the next Check reports
-	reachable  bool             // false: the last dial failed
+	reachable  bool             // false: the last dial to the current address failed
 }
 
 // New returns a client without a connection: one is opened for the first call. Attach must be called before any other
@@ -56,7 +56,7 @@
 
 // Status is the state of the client, for operators.
 type Status struct {
-	Reachable   bool // false: the last dial failed
+	Reachable   bool // false: the last dial to the current address failed
 	Connections int
 	InFlight    int // calls that have not ended
 	Waiting     int // of these, calls that wait for a connection
