--- a/internal/transport/buffers.go
+++ b/internal/transport/buffers.go
@@ -3,15 +3,15 @@
 // bufferBudget limits the bytes in the buffers of all connections together. Without it, many connections with few bytes
 // each could exhaust the memory of a small machine.
 type bufferBudget struct {
-	limit int // 0: none
+	limit int // 0: no limit
 	used  int
 }
 
-// exceeded reports that the buffers hold more than the limit.
+// exceeded reports whether the buffers hold more than the limit.
 func (b *bufferBudget) exceeded() bool { return b.limit > 0 && b.used > b.limit }
 
-// accountBuffers updates this connection's share of the buffered bytes. Over the limit, the connection with the most
-// buffered bytes is closed.
+// accountBuffers updates this connection's share of the buffered bytes. If the limit is exceeded, it closes the
+// connection with the most buffered bytes.
 func (c *Connection) accountBuffers() {
 	loop := c.loop
 	size := cap(c.received) + cap(c.outgoing)
@@ -41,7 +41,7 @@
 	if largest.group == nil || largest.closing {
 		return
 	}
-	l.logf("transport: connection closed, it has most of the buffered bytes: peer=%s bytes=%d total_bytes=%d",
+	l.logf("transport: connection closed, it has the most buffered bytes: peer=%s bytes=%d total_bytes=%d",
 		largest.Remote(), largest.buffered, l.buffers.used)
 	largest.outgoing = nil
 	largest.Close()
--- a/internal/transport/connection.go
+++ b/internal/transport/connection.go
@@ -3,7 +3,7 @@
 import "pewterline/internal/microtime"
 
 // Connection is one connection, accepted or dialled. It implements Conn for its session; the driver calls Received and
-// Ended. It has one buffer for what is read and not yet consumed, and one for what is written in this turn.
+// Ended. It has one buffer for received bytes that are not consumed yet, and one for the bytes written in this turn.
 type Connection struct {
 	loop     *Loop
 	raw      RawConn
@@ -11,20 +11,20 @@
 	received []byte
 	outgoing []byte
 
-	// A connection ends in three steps.
-	closing bool // it closes at the end of the turn, after its unsent bytes are sent
+	// A connection ends in three steps, in this order.
+	closing bool // closes at the end of the turn, after its unsent bytes are sent
 	closed  bool // the session has been notified; the connection may linger
-	ended   bool // the driver has closed it
+	ended   bool // the driver has closed the connection
 
-	lingerDeadline microtime.Time // when it is closed even if the peer has not closed it
-	discarded      int            // bytes received while it was closing or lingering
+	lingerDeadline microtime.Time // when the connection is closed even if the peer has not closed it
+	discarded      int            // bytes received while closing or lingering
 
-	group      *connGroup // nil: it was dialled
+	group      *connGroup // nil for a dialled connection
 	index      int        // in group.conns
 	identified bool
 	acceptedAt microtime.Time
-	lastActive microtime.Time // when it last received something, or was written to
-	buffered   int            // its share of the loop's buffered bytes
+	lastActive microtime.Time // time of the last receive or write
+	buffered   int            // this connection's share of the loop's buffered bytes
 }
 
 // Remote is part of Conn.
@@ -33,8 +33,8 @@
 // MarkIdentified is part of Conn.
 func (c *Connection) MarkIdentified() { c.identified = true }
 
-// Received passes the received bytes to the session. It does not retain in. It returns false if the driver has to close
-// the connection. Bytes that arrive while the connection is closing are discarded, because no answer can be sent.
+// Received passes the received bytes to the session. It does not retain in. It returns false if the driver must close
+// the connection. Bytes that arrive while the connection is closing are discarded, because no response can be sent.
 func (c *Connection) Received(in []byte) bool {
 	l := c.loop
 	l.beginTurn()
@@ -45,8 +45,8 @@
 	c.lastActive = l.now
 	// A peer may send faster than its session consumes.
 	if len(c.received)+len(in) > maxReceived {
-		l.logf("transport: connection closed, too much is unconsumed: peer=%s limit_bytes=%d", c.Remote(), maxReceived)
-		c.Close() // after its unsent responses
+		l.logf("transport: connection closed, too many unconsumed bytes: peer=%s limit_bytes=%d", c.Remote(), maxReceived)
+		c.Close() // after its unsent responses are sent
 		return true
 	}
 	c.received = append(c.received, in...)
@@ -62,8 +62,8 @@
 	if err != nil {
 		c.loop.logf("transport: connection closed: peer=%s error=%v", c.Remote(), err)
 		c.Close()
-		// Responses that are already written, such as the protocol's own error, are sent now: the session must be
-		// notified before the turn goes on.
+		// Responses that are already written, such as a protocol error, are sent now, because the session must be
+		// notified before the turn continues.
 		c.flush()
 		return false
 	}
@@ -71,12 +71,12 @@
 	return true
 }
 
-// Resume is part of Conn. It does nothing if the session has consumed everything.
+// Resume is part of Conn. It does nothing if the session has consumed all received bytes.
 func (c *Connection) Resume() {
 	if len(c.received) == 0 {
 		return
 	}
-	_ = c.loop.Execute(func() { // it fails only after the loop, and so the connection, has ended
+	_ = c.loop.Execute(func() { // fails only if the loop, and so the connection, has ended
 		if c.closed || c.closing {
 			return
 		}
@@ -101,9 +101,10 @@
 	}
 	c.lastActive = c.loop.now
 	c.scheduleFlush()
-	// This limits the unsent bytes of one turn, as send does over turns: one turn may bring many large responses.
+	// This limits the unsent bytes of a single turn, which may produce many large responses. send limits those that
+	// remain over several turns.
 	if len(c.outgoing)+len(data) > maxOutgoing {
-		c.loop.logf("transport: connection closed, too much is unsent: peer=%s limit_bytes=%d", c.Remote(), maxOutgoing)
+		c.loop.logf("transport: connection closed, too many unsent bytes: peer=%s limit_bytes=%d", c.Remote(), maxOutgoing)
 		c.outgoing, c.closing = c.outgoing[:0], true
 		return
 	}
@@ -145,14 +146,14 @@
 	out := c.outgoing
 	c.outgoing = c.outgoing[:0]
 	if err := c.raw.Write(out); err != nil || c.closed {
-		return false // the driver has closed it
+		return false // the driver has closed the connection
 	}
 	if cap(c.outgoing) > retainedCapacity {
 		c.outgoing = nil
 	}
 	// A peer may send requests without reading the responses.
 	if n := c.raw.Unsent(); n > maxOutgoing {
-		c.loop.logf("transport: connection closed, too much is unread: peer=%s bytes=%d", c.Remote(), n)
+		c.loop.logf("transport: connection closed, too many unread bytes: peer=%s bytes=%d", c.Remote(), n)
 		c.raw.Close()
 		return false
 	}
@@ -160,8 +161,8 @@
 	return true
 }
 
-// Ended is called by the driver when it has closed the connection. The session is notified, unless it has been before.
-// Calls after the first do nothing.
+// Ended is called by the driver when it has closed the connection. It notifies the session, unless that has been done
+// already. Calls after the first do nothing.
 func (c *Connection) Ended() {
 	if c.ended {
 		return
--- a/internal/transport/connection_test.go
+++ b/internal/transport/connection_test.go
@@ -10,7 +10,7 @@
 	"pewterline/internal/microtime"
 )
 
-// What a session leaves in its buffer stays there, at the front, until the message is complete.
+// Unconsumed bytes move to the front of the buffer, and a large buffer is released once it is empty.
 func TestConsume(t *testing.T) {
 	c := &Connection{received: []byte("abcdef")}
 	c.consume(2)
@@ -22,9 +22,9 @@
 	require.Nil(t, c.received)
 }
 
-// What a session writes is sent at the end of the turn, in one piece, and a close comes behind it.
-func TestWriteAndCloseAtTheEndOfTheTurn(t *testing.T) {
-	env := newBench(t, Options{MaxConns: 9})
+// The bytes that a session writes in a turn are sent at its end in one write, and the connection closes after that.
+func TestWriteAndCloseAtEndOfTurn(t *testing.T) {
+	env := newTestEnv(t, Options{MaxConns: 9})
 	raw, session := env.connect(0)
 	require.NoError(t, env.loop.Execute(func() {
 		session.conn.Write([]byte("one "))
@@ -35,28 +35,28 @@
 	}))
 	env.run()
 	require.Equal(t, "one two", string(raw.written))
-	requireShut(t, raw, session)
+	requireHalfClosed(t, raw, session)
 }
 
-// After the shutdown the peer's bytes are discarded, in a limited number, until it closes or the LingerTimeout is over.
+// On a half-closed connection a limited number of bytes is discarded, until the peer closes or LingerTimeout expires.
 func TestLingering(t *testing.T) {
 	tests := map[string]struct {
-		end    func(env *bench, raw *fakeConn)
-		closed bool // by this side
+		end    func(env *testEnv, raw *fakeConn)
+		closed bool // whether this side closes the connection
 	}{
-		"the peer closes":         {end: func(_ *bench, raw *fakeConn) { raw.conn.Ended() }},
-		"the peer does nothing":   {end: func(env *bench, _ *fakeConn) { env.advance(LingerTimeout) }, closed: true},
-		"not before the timeout":  {end: func(env *bench, _ *fakeConn) { env.advance(LingerTimeout - 1) }},
-		"the peer goes on a bit":  {end: func(env *bench, raw *fakeConn) { require.True(env.t, env.receives(raw, "more")) }},
-		"the peer sends too much": {end: func(env *bench, raw *fakeConn) { sendTooMuch(env, raw) }, closed: true},
+		"the peer closes":         {end: func(_ *testEnv, raw *fakeConn) { raw.conn.Ended() }},
+		"the peer does nothing":   {end: func(env *testEnv, _ *fakeConn) { env.advance(LingerTimeout) }, closed: true},
+		"not before the timeout":  {end: func(env *testEnv, _ *fakeConn) { env.advance(LingerTimeout - 1) }},
+		"the peer sends a little": {end: func(env *testEnv, raw *fakeConn) { require.True(env.t, env.receive(raw, "more")) }},
+		"the peer sends too much": {end: func(env *testEnv, raw *fakeConn) { sendTooMuch(env, raw) }, closed: true},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
-			env := newBench(t, Options{MaxConns: 9})
+			env := newTestEnv(t, Options{MaxConns: 9})
 			raw, session := env.connect(0)
 			session.conn.Close()
 			env.run()
-			requireShut(t, raw, session)
+			requireHalfClosed(t, raw, session)
 			tc.end(env, raw)
 			require.Equal(t, tc.closed, raw.closed)
 			require.Empty(t, session.received)
@@ -65,16 +65,16 @@
 	}
 }
 
-// sendTooMuch sends more than a lingering connection may get; the driver closes it.
-func sendTooMuch(env *bench, raw *fakeConn) {
-	require.True(env.t, env.receives(raw, strings.Repeat("x", maxLingeringBytes)))
-	require.False(env.t, env.receives(raw, "x"))
+// sendTooMuch sends more bytes than a lingering connection may receive. The driver then closes it.
+func sendTooMuch(env *testEnv, raw *fakeConn) {
+	require.True(env.t, env.receive(raw, strings.Repeat("x", maxLingeringBytes)))
+	require.False(env.t, env.receive(raw, "x"))
 	raw.Close()
 }
 
-// The half-close waits until the slow peer has read everything.
-func TestHalfCloseBehindUnsentBytes(t *testing.T) {
-	env := newBench(t, Options{MaxConns: 9})
+// The half-close waits until a slow peer has read all bytes.
+func TestHalfCloseAfterUnsentBytes(t *testing.T) {
+	env := newTestEnv(t, Options{MaxConns: 9})
 	raw, session := env.connect(0)
 	raw.slow = true
 	session.conn.Write([]byte("answer"))
@@ -88,35 +88,35 @@
 	require.True(t, raw.halfClosed)
 }
 
-// An error of the session closes its connection behind what the session wrote, such as the protocol's own error.
-func TestErrorOfTheSession(t *testing.T) {
-	env := newBench(t, Options{MaxConns: 9})
+// An error of the session closes its connection after the bytes that the session wrote, such as a protocol error.
+func TestSessionError(t *testing.T) {
+	env := newTestEnv(t, Options{MaxConns: 9})
 	raw, session := env.connect(0)
 	session.err = errors.New("malformed message")
 	session.conn.Write([]byte("error"))
-	require.True(t, env.receives(raw, "?"))
+	require.True(t, env.receive(raw, "?"))
 	require.Equal(t, "error", string(raw.written))
-	requireShut(t, raw, session)
+	requireHalfClosed(t, raw, session)
 	require.Contains(t, env.log[0], "connection closed: peer=peer 1 error=malformed message")
 }
 
 // The buffers of a single connection are limited in both directions.
-func TestBufferLimitsOfAConnection(t *testing.T) {
+func TestConnectionBufferLimits(t *testing.T) {
 	tests := map[string]struct {
-		exceed func(env *bench, raw *fakeConn, session *fakeSession)
+		exceed func(env *testEnv, raw *fakeConn, session *fakeSession)
 		reason string
 	}{
 		"unconsumed": {
-			exceed: func(env *bench, raw *fakeConn, session *fakeSession) {
-				session.hoards = true
-				env.receives(raw, strings.Repeat("x", maxReceived))
+			exceed: func(env *testEnv, raw *fakeConn, session *fakeSession) {
+				session.stalled = true
+				env.receive(raw, strings.Repeat("x", maxReceived))
 				requireOpen(env.t, raw, session)
-				env.receives(raw, "x")
+				env.receive(raw, "x")
 			},
 			reason: "unconsumed",
 		},
 		"unsent in one turn": {
-			exceed: func(env *bench, _ *fakeConn, session *fakeSession) {
+			exceed: func(env *testEnv, _ *fakeConn, session *fakeSession) {
 				session.conn.Write(make([]byte, maxOutgoing))
 				session.conn.Write([]byte("x"))
 				env.run()
@@ -124,7 +124,7 @@
 			reason: "unsent",
 		},
 		"unread over turns": {
-			exceed: func(env *bench, raw *fakeConn, session *fakeSession) {
+			exceed: func(env *testEnv, raw *fakeConn, session *fakeSession) {
 				raw.slow = true
 				session.conn.Write(make([]byte, maxOutgoing))
 				env.run()
@@ -137,7 +137,7 @@
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
-			env := newBench(t, Options{MaxConns: 9})
+			env := newTestEnv(t, Options{MaxConns: 9})
 			raw, session := env.connect(0)
 			session.identify()
 			tc.exceed(env, raw, session)
@@ -147,11 +147,11 @@
 	}
 }
 
-// A failed write ends the connection: the session is notified once.
+// A failed write closes the connection, and the session is notified once.
 func TestFailedWrite(t *testing.T) {
-	env := newBench(t, Options{MaxConns: 9})
+	env := newTestEnv(t, Options{MaxConns: 9})
 	raw, session := env.connect(0)
-	raw.broken = true
+	raw.failWrites = true
 	session.conn.Write([]byte("answer"))
 	env.run()
 	require.Equal(t, 1, session.closes)
@@ -159,52 +159,53 @@
 	require.Empty(t, env.loop.accepted.shared.conns)
 }
 
-// Over the limit of all buffers together, the connection with the most is closed, and the others stay.
+// When all buffers together exceed the limit, the connection with the most buffered bytes is closed, and the others
+// stay open.
 func TestBufferBudget(t *testing.T) {
 	const limit = 100 << 10
-	env := newBench(t, Options{MaxConns: 9, MaxBuffered: limit})
+	env := newTestEnv(t, Options{MaxConns: 9, MaxBuffered: limit})
 	small, smallSession := env.connect(0)
 	large, largeSession := env.connect(0)
 	for _, session := range []*fakeSession{smallSession, largeSession} {
 		session.identify()
-		session.hoards = true
+		session.stalled = true
 	}
-	env.receives(large, strings.Repeat("x", limit*3/4))
-	env.receives(small, strings.Repeat("x", limit/2))
-	requireShut(t, large, largeSession)
+	env.receive(large, strings.Repeat("x", limit*3/4))
+	env.receive(small, strings.Repeat("x", limit/2))
+	requireHalfClosed(t, large, largeSession)
 	requireOpen(t, small, smallSession)
 	require.LessOrEqual(t, env.loop.buffers.used, limit)
 }
 
-// Resume hands the session again what it left, in a turn to come.
+// Resume passes the unconsumed bytes to the session again, in a later turn.
 func TestResume(t *testing.T) {
-	env := newBench(t, Options{MaxConns: 9})
+	env := newTestEnv(t, Options{MaxConns: 9})
 	raw, session := env.connect(0)
-	session.hoards = true
-	env.receives(raw, "held")
-	session.hoards = false
+	session.stalled = true
+	env.receive(raw, "held")
+	session.stalled = false
 	session.conn.Resume()
 	require.Empty(t, session.received)
 	env.run()
 	require.Equal(t, "held", session.received)
 	session.conn.Resume()
-	require.Empty(t, env.queue, "nothing is left")
+	require.Empty(t, env.queue, "no bytes are left to consume")
 }
 
-// A shutdown ends the loop once the peers have closed their connections, or at its deadline.
+// A shutdown stops the loop once the peers have closed their connections, or at its deadline.
 func TestShutdown(t *testing.T) {
-	const patience = 300 * microtime.Millisecond
-	for name, peersClose := range map[string]bool{"the peers close": true, "the deadline comes": false} {
+	const timeout = 300 * microtime.Millisecond
+	for name, peersClose := range map[string]bool{"the peers close": true, "the deadline passes": false} {
 		t.Run(name, func(t *testing.T) {
-			env := newBench(t, Options{MaxConns: 9, DedicatedLimits: map[int]int{1: 1}})
+			env := newTestEnv(t, Options{MaxConns: 9, DedicatedLimits: map[int]int{1: 1}})
 			first, firstSession := env.connect(0)
 			second, secondSession := env.connect(1)
-			env.loop.Shutdown(env.now + patience)
+			env.loop.Shutdown(env.now + timeout)
 			env.run()
-			requireShut(t, first, firstSession)
-			requireShut(t, second, secondSession)
-			_, late := env.connect(0)
-			require.Nil(t, late)
+			requireHalfClosed(t, first, firstSession)
+			requireHalfClosed(t, second, secondSession)
+			_, rejected := env.connect(0)
+			require.Nil(t, rejected)
 			first.Close()
 			env.run()
 			require.False(t, env.stopped)
@@ -212,7 +213,7 @@
 				second.Close()
 				env.run()
 			} else {
-				env.advance(patience - 1)
+				env.advance(timeout - 1)
 				require.False(t, env.stopped)
 				env.advance(1)
 			}
--- a/internal/transport/dial_test.go
+++ b/internal/transport/dial_test.go
@@ -8,7 +8,7 @@
 	"pewterline/internal/microtime"
 )
 
-// neverOpens fails the test if it is called.
+// neverOpens returns an open function that fails the test if it is called.
 func neverOpens(t *testing.T) func(Conn) Session {
 	t.Helper()
 	return func(Conn) Session {
@@ -17,9 +17,9 @@
 	}
 }
 
-// The backoff doubles from initialRedialBackoff to maxRedialBackoff and stays there, until the connection opens.
+// The backoff doubles from initialRedialBackoff to maxRedialBackoff and then stays, until the connection opens.
 func TestRedialBackoff(t *testing.T) {
-	env := newBench(t, Options{})
+	env := newTestEnv(t, Options{})
 	session := &fakeSession{}
 	opened := 0
 	env.loop.Dial("pool", func(Conn) Session {
@@ -30,9 +30,9 @@
 		backoff *= microtime.Millisecond
 		require.Len(t, env.dials, attempt+1)
 		require.Equal(t, "pool", env.dials[attempt].Addr())
-		env.fail()
+		env.failDial()
 		env.advance(backoff - 1)
-		require.Len(t, env.dials, attempt+1, "before the backoff is over")
+		require.Len(t, env.dials, attempt+1, "before the backoff has passed")
 		env.advance(1)
 		require.Len(t, env.dials, attempt+2)
 	}
@@ -40,19 +40,19 @@
 	raw.conn = env.loop.Connected(env.dials[len(env.dials)-1], raw)
 	env.run()
 	require.Equal(t, 1, opened)
-	env.receives(raw, "bound")
+	env.receive(raw, "bound")
 	require.Equal(t, "bound", session.received)
 }
 
-// Each dial has a backoff of its own.
-func TestRedialBackoffOfEach(t *testing.T) {
-	env := newBench(t, Options{})
+// Each dial has its own backoff.
+func TestRedialBackoffIsPerDial(t *testing.T) {
+	env := newTestEnv(t, Options{})
 	env.loop.Dial("pool", neverOpens(t))
-	env.fail()
+	env.failDial()
 	env.advance(initialRedialBackoff)
-	env.fail()
+	env.failDial()
 	env.loop.Dial("peer", neverOpens(t))
-	env.fail()
+	env.failDial()
 	dials := len(env.dials)
 	env.advance(initialRedialBackoff)
 	require.Len(t, env.dials, dials+1)
@@ -62,25 +62,25 @@
 	require.Equal(t, "pool", env.dials[dials+1].Addr())
 }
 
-func TestDroppedDial(t *testing.T) {
-	tests := map[string]func(env *bench, drop func()){
-		"while the attempt is under way, which fails": func(env *bench, drop func()) {
-			drop()
-			env.fail()
+func TestCancelledDial(t *testing.T) {
+	tests := map[string]func(env *testEnv, cancel func()){
+		"during an attempt that fails": func(env *testEnv, cancel func()) {
+			cancel()
+			env.failDial()
 		},
-		"during the backoff": func(env *bench, drop func()) {
-			env.fail()
-			drop()
+		"during the backoff": func(env *testEnv, cancel func()) {
+			env.failDial()
+			cancel()
 		},
-		"while the attempt is under way, which opens": func(env *bench, drop func()) {
-			drop()
+		"during an attempt that succeeds": func(env *testEnv, cancel func()) {
+			cancel()
 			require.Nil(env.t, env.loop.Connected(env.dials[0], &fakeConn{}))
 			env.run()
 		},
 	}
 	for name, end := range tests {
 		t.Run(name, func(t *testing.T) {
-			env := newBench(t, Options{})
+			env := newTestEnv(t, Options{})
 			end(env, env.loop.Dial("pool", neverOpens(t)))
 			env.advance(10 * maxRedialBackoff)
 			require.Len(t, env.dials, 1, "it is not dialled again")
@@ -89,20 +89,20 @@
 	}
 }
 
-// A single attempt reports its failure instead of being repeated, and nothing once it is dropped.
+// DialOnce reports the failure of its attempt and does not retry. It reports nothing once it is cancelled.
 func TestDialOnce(t *testing.T) {
-	for name, dropped := range map[string]bool{"wanted": false, "dropped": true} {
+	for name, cancelled := range map[string]bool{"not cancelled": false, "cancelled": true} {
 		t.Run(name, func(t *testing.T) {
-			env := newBench(t, Options{})
+			env := newTestEnv(t, Options{})
 			failures := 0
-			drop := env.loop.DialOnce("vault", neverOpens(t), func() { failures++ })
-			if dropped {
-				drop()
+			cancel := env.loop.DialOnce("vault", neverOpens(t), func() { failures++ })
+			if cancelled {
+				cancel()
 			}
-			env.fail()
+			env.failDial()
 			env.advance(10 * maxRedialBackoff)
 			require.Len(t, env.dials, 1)
-			require.Equal(t, dropped, failures == 0)
+			require.Equal(t, cancelled, failures == 0)
 		})
 	}
 }
--- a/internal/transport/fake_test.go
+++ b/internal/transport/fake_test.go
@@ -10,16 +10,16 @@
 	"pewterline/internal/microtime"
 )
 
-var errPeerReset = errors.New("the peer has reset the connection")
+var errPeerReset = errors.New("connection reset by peer")
 
-// fakeDriver is a Driver whose clock stands still until the test advances it, and whose network is lists in memory.
+// fakeDriver is a Driver with a clock that only the test advances. It opens no connections, but records the dials.
 type fakeDriver struct {
 	t       *testing.T
 	loop    *Loop
 	now     microtime.Time
 	queue   []func()
 	timerAt microtime.Time
-	dials   []*Dial // attempts so far
+	dials   []*Dial // all attempts so far
 	stopped bool
 }
 
@@ -41,7 +41,7 @@
 
 func (d *fakeDriver) CloseListener(_ int, done func()) { _ = d.Queue(done) }
 
-// run runs what is queued, as the end of a poll does.
+// run calls the queued functions, as a driver does at the end of a poll.
 func (d *fakeDriver) run() {
 	for len(d.queue) > 0 && !d.stopped {
 		f := d.queue[0]
@@ -50,7 +50,7 @@
 	}
 }
 
-// advance moves the clock on and fires the timer each time it is due meanwhile.
+// advance advances the clock, and fires the timer each time that it is due meanwhile.
 func (d *fakeDriver) advance(by microtime.Time) {
 	end := d.now + by
 	for d.timerAt <= end && !d.stopped {
@@ -62,12 +62,12 @@
 	d.now = end
 }
 
-// fakeConn is a RawConn and its peer, which takes all that is written unless it is slow.
+// fakeConn is a RawConn whose peer reads all written bytes, unless it is slow.
 type fakeConn struct {
 	name       string
 	conn       *Connection
 	slow       bool // the peer reads nothing
-	broken     bool // writes fail
+	failWrites bool
 	written    []byte
 	unsent     int
 	halfClosed bool
@@ -75,7 +75,7 @@
 }
 
 func (c *fakeConn) Write(p []byte) error {
-	if c.broken {
+	if c.failWrites {
 		c.Close()
 		return errPeerReset
 	}
@@ -100,18 +100,18 @@
 	c.conn.Ended()
 }
 
-// fakeSession consumes everything, or nothing.
+// fakeSession is a Session that consumes all received bytes, unless it is stalled.
 type fakeSession struct {
 	conn     Conn
 	busy     bool
-	hoards   bool // consumes nothing
+	stalled  bool // consumes nothing
 	err      error
 	received string
-	closes   int
+	closes   int // number of calls of Closed
 }
 
 func (s *fakeSession) Receive(in []byte) (int, error) {
-	if s.hoards {
+	if s.stalled {
 		return 0, nil
 	}
 	s.received += string(in)
@@ -121,59 +121,60 @@
 func (s *fakeSession) Closed()    { s.closes++ }
 func (s *fakeSession) Idle() bool { return !s.busy }
 
-// bench is a loop on a fakeDriver, and its Handler.
-type bench struct {
+// testEnv is a loop on a fakeDriver, and the Handler of that loop.
+type testEnv struct {
 	*fakeDriver
 	accepted int
 	log      []string
 }
 
-func (b *bench) Accept(_ int, conn Conn) Session    { return &fakeSession{conn: conn} }
-func (b *bench) Turn(microtime.Time) microtime.Time { return microtime.Never }
-func (b *bench) logf(format string, arguments ...any) {
-	b.log = append(b.log, fmt.Sprintf(format, arguments...))
+func (e *testEnv) Accept(_ int, conn Conn) Session    { return &fakeSession{conn: conn} }
+func (e *testEnv) Turn(microtime.Time) microtime.Time { return microtime.Never }
+func (e *testEnv) logf(format string, args ...any) {
+	e.log = append(e.log, fmt.Sprintf(format, args...))
 }
 
-func newBench(t *testing.T, options Options) *bench {
+func newTestEnv(t *testing.T, options Options) *testEnv {
 	t.Helper()
-	b := &bench{fakeDriver: &fakeDriver{t: t, now: microtime.Second, timerAt: microtime.Never}}
-	options.Logf = b.logf
-	b.loop = New(options, b.fakeDriver, b, func(*Loop) {})
-	b.loop.Begin()
-	b.run()
-	return b
-}
-
-// connect has a peer connect to a listener. The session is nil where the connection is rejected.
-func (b *bench) connect(listener int) (*fakeConn, *fakeSession) {
-	b.accepted++
-	raw := &fakeConn{name: fmt.Sprintf("peer %d", b.accepted)}
-	if raw.conn = b.loop.Accept(raw, listener); raw.conn == nil {
-		b.run()
+	e := &testEnv{fakeDriver: &fakeDriver{t: t, now: microtime.Second, timerAt: microtime.Never}}
+	options.Logf = e.logf
+	e.loop = New(options, e.fakeDriver, e, func(*Loop) {})
+	e.loop.Begin()
+	e.run()
+	return e
+}
+
+// connect connects a new peer to a listener. The session is nil if the connection is rejected.
+func (e *testEnv) connect(listener int) (*fakeConn, *fakeSession) {
+	e.accepted++
+	raw := &fakeConn{name: fmt.Sprintf("peer %d", e.accepted)}
+	if raw.conn = e.loop.Accept(raw, listener); raw.conn == nil {
+		e.run()
 		return raw, nil
 	}
-	b.run()
+	e.run()
 	return raw, raw.conn.session.(*fakeSession)
 }
 
-// identify has the session recognize its peer.
+// identify marks the peer of the session as identified.
 func (s *fakeSession) identify() { s.conn.MarkIdentified() }
 
-// receives has bytes arrive, and the turn end.
-func (b *bench) receives(raw *fakeConn, data string) bool {
+// receive passes bytes to the connection and completes the turn. It returns false if the driver must close the
+// connection.
+func (e *testEnv) receive(raw *fakeConn, data string) bool {
 	keep := raw.conn.Received([]byte(data))
-	b.run()
+	e.run()
 	return keep
 }
 
-// requireShut requires that the session is notified once and that the peer has got the half-close.
-func requireShut(t *testing.T, raw *fakeConn, session *fakeSession) {
+// requireHalfClosed requires that the session was notified once and that the connection is half-closed.
+func requireHalfClosed(t *testing.T, raw *fakeConn, session *fakeSession) {
 	t.Helper()
 	require.Equal(t, 1, session.closes)
 	require.True(t, raw.halfClosed)
 }
 
-// requireOpen requires that neither the session nor the peer has seen an end.
+// requireOpen requires that the session was not notified and that the connection is open in both directions.
 func requireOpen(t *testing.T, raw *fakeConn, session *fakeSession) {
 	t.Helper()
 	require.Zero(t, session.closes)
@@ -181,8 +182,8 @@
 	require.False(t, raw.closed)
 }
 
-// fail reports the failure of the last attempt.
-func (b *bench) fail() {
-	b.loop.DialFailed(b.dials[len(b.dials)-1])
-	b.run()
+// failDial reports the failure of the last attempt to dial.
+func (e *testEnv) failDial() {
+	e.loop.DialFailed(e.dials[len(e.dials)-1])
+	e.run()
 }
--- a/internal/transport/identification.go
+++ b/internal/transport/identification.go
@@ -2,8 +2,8 @@
 
 import "pewterline/internal/microtime"
 
-// identificationQueue holds the accepted connections that were unidentified when last checked, oldest first. It keeps
-// peers that connect and send nothing valid, or half a message, from using up the connection limit of the proxies.
+// identificationQueue holds the accepted connections that were unidentified when last checked, oldest first. It
+// prevents peers that send no valid message, or only part of one, from using up the proxies' connection limit.
 type identificationQueue struct {
 	conns []*Connection
 }
@@ -20,8 +20,9 @@
 	return nil
 }
 
-// popOverdue removes the first connection whose IdentificationTimeout is over, and with it all earlier connections,
-// which are identified or closed. If none is overdue, it returns nil and the time at which the next one will be.
+// popOverdue removes and returns the first connection whose IdentificationTimeout has expired. It also removes the
+// connections before it, which are identified or closed. If none is overdue, it returns nil and the time at which the
+// next one will be.
 func (q *identificationQueue) popOverdue(now microtime.Time) (overdue *Connection, next microtime.Time) {
 	for len(q.conns) > 0 {
 		c := q.conns[0]
@@ -38,7 +39,8 @@
 	return nil, microtime.Never
 }
 
-// closeUnidentified closes the connections whose IdentificationTimeout is over; it returns when the next one's will be.
+// closeUnidentified closes the connections whose IdentificationTimeout has expired. It returns the time at which the
+// next one expires.
 func (l *Loop) closeUnidentified() microtime.Time {
 	for {
 		overdue, next := l.unidentified.popOverdue(l.now)
--- a/internal/transport/identification_test.go
+++ b/internal/transport/identification_test.go
@@ -6,31 +6,31 @@
 	"github.com/stretchr/testify/require"
 )
 
-// An accepted connection has IdentificationTimeout for its first valid message, however much arrives on it meanwhile.
+// An accepted connection must get a valid message within IdentificationTimeout, however many bytes arrive before.
 func TestIdentificationTimeout(t *testing.T) {
 	tests := map[string]struct {
-		meanwhile func(env *bench, raw *fakeConn, session *fakeSession)
-		closed    bool
+		during func(env *testEnv, raw *fakeConn, session *fakeSession)
+		closed bool
 	}{
 		"silent": {
-			meanwhile: func(*bench, *fakeConn, *fakeSession) {},
-			closed:    true,
+			during: func(*testEnv, *fakeConn, *fakeSession) {},
+			closed: true,
 		},
 		"half a message, byte by byte": {
-			meanwhile: func(env *bench, raw *fakeConn, session *fakeSession) {
-				session.hoards = true
+			during: func(env *testEnv, raw *fakeConn, session *fakeSession) {
+				session.stalled = true
 				for range 10 {
-					require.True(env.t, env.receives(raw, "h"))
+					require.True(env.t, env.receive(raw, "h"))
 					env.advance(IdentificationTimeout / 20)
 				}
 			},
 			closed: true,
 		},
 		"identified at once": {
-			meanwhile: func(_ *bench, _ *fakeConn, session *fakeSession) { session.identify() },
+			during: func(_ *testEnv, _ *fakeConn, session *fakeSession) { session.identify() },
 		},
 		"identified at the last moment": {
-			meanwhile: func(env *bench, _ *fakeConn, session *fakeSession) {
+			during: func(env *testEnv, _ *fakeConn, session *fakeSession) {
 				env.advance(IdentificationTimeout - 1)
 				session.identify()
 			},
@@ -38,15 +38,15 @@
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
-			env := newBench(t, Options{MaxConns: 9})
+			env := newTestEnv(t, Options{MaxConns: 9})
 			accepted := env.now
 			raw, session := env.connect(0)
-			tc.meanwhile(env, raw, session)
+			tc.during(env, raw, session)
 			env.advance(accepted + IdentificationTimeout - 1 - env.now)
 			requireOpen(t, raw, session)
 			env.advance(1)
 			if tc.closed {
-				requireShut(t, raw, session)
+				requireHalfClosed(t, raw, session)
 				require.Contains(t, env.log[0], "closed, no valid message within the identification timeout: peer=peer 1")
 				return
 			}
@@ -56,26 +56,26 @@
 	}
 }
 
-// Each connection has its own timeout, also behind one that is identified.
-func TestIdentificationTimeoutOfEach(t *testing.T) {
-	env := newBench(t, Options{MaxConns: 9})
+// Each connection has its own timeout, also after an identified one in the queue.
+func TestIdentificationTimeoutIsPerConnection(t *testing.T) {
+	env := newTestEnv(t, Options{MaxConns: 9})
 	first, firstSession := env.connect(0)
 	second, secondSession := env.connect(0)
 	secondSession.identify()
 	env.advance(IdentificationTimeout / 2)
 	third, thirdSession := env.connect(0)
 	env.advance(IdentificationTimeout / 2)
-	requireShut(t, first, firstSession)
+	requireHalfClosed(t, first, firstSession)
 	requireOpen(t, third, thirdSession)
 	env.advance(IdentificationTimeout / 2)
-	requireShut(t, third, thirdSession)
+	requireHalfClosed(t, third, thirdSession)
 	requireOpen(t, second, secondSession)
 	require.Empty(t, env.loop.unidentified.conns)
 }
 
-// A dialled connection is the program's own, and needs no identification.
+// A connection that the program has dialled is trusted and needs no identification.
 func TestDialledConnectionNeedsNoIdentification(t *testing.T) {
-	env := newBench(t, Options{})
+	env := newTestEnv(t, Options{})
 	session := &fakeSession{}
 	env.loop.Dial("pool", func(Conn) Session { return session })
 	raw := &fakeConn{name: "pool"}
--- a/internal/transport/limits.go
+++ b/internal/transport/limits.go
@@ -11,10 +11,10 @@
 // inUse counts the connections that are not lingering.
 func (g *connGroup) inUse() int { return len(g.conns) - g.lingering }
 
-// full reports that a further connection needs an eviction.
+// full reports whether another connection can be added only after an eviction.
 func (g *connGroup) full() bool { return g.inUse() >= g.limit }
 
-// add appends a connection.
+// add appends a connection and makes it a member of the group.
 func (g *connGroup) add(c *Connection) {
 	c.group = g
 	c.index = len(g.conns)
@@ -33,7 +33,7 @@
 }
 
 // connLimits holds the connection limits of all listeners. A dedicated limit separates a listener from the others:
-// silent operators cannot use up the proxies' connections, and proxies cannot use up the operators'.
+// idle connections of operators cannot use up the proxies' limit, and proxies cannot use up the operators' limit.
 type connLimits struct {
 	shared    connGroup
 	dedicated map[int]*connGroup // by the index of the listener
@@ -47,15 +47,15 @@
 	return limits
 }
 
-// of returns the group that connections to a listener belong to.
-func (l *connLimits) of(listener int) *connGroup {
+// groupOf returns the group that connections to a listener belong to.
+func (l *connLimits) groupOf(listener int) *connGroup {
 	if group := l.dedicated[listener]; group != nil {
 		return group
 	}
 	return &l.shared
 }
 
-// each calls f for all accepted connections: first those under the shared limit, then the others in any order.
+// each calls f for all accepted connections: first those under the shared limit, then the others in no fixed order.
 func (l *connLimits) each(f func(*Connection)) {
 	for _, c := range l.shared.conns {
 		f(c)
@@ -67,8 +67,8 @@
 	}
 }
 
-// SetLimits replaces the shared connection limit and the limit of the buffered bytes. If more than maxConns are open,
-// unidentified and idle ones are closed now; connections in use stay.
+// SetLimits replaces the shared connection limit and the limit of the buffered bytes. If more than maxConns connections
+// are open, unidentified and idle ones are closed now; connections in use stay open.
 func (l *Loop) SetLimits(maxConns, maxBuffered int) {
 	shared := &l.accepted.shared
 	shared.limit, l.buffers.limit = maxConns, maxBuffered
@@ -76,14 +76,15 @@
 	}
 }
 
-// Accept is called by the driver for a new connection to a listener. It returns nil if the driver has to close it.
+// Accept is called by the driver for a new connection to a listener. It returns nil if the driver must close the
+// connection.
 func (l *Loop) Accept(raw RawConn, listener int) *Connection {
 	l.beginTurn()
 	if l.shuttingDown {
 		return nil
 	}
-	// Without a limit the process could run out of descriptors, and then the driver may stop to listen altogether.
-	group := l.accepted.of(listener)
+	// Without a limit the process could run out of descriptors, and the driver might then stop listening for good.
+	group := l.accepted.groupOf(listener)
 	if group.full() && !l.evict(group) {
 		l.logf("transport: connection rejected, all are in use: peer=%s open=%d", raw.Remote(), group.inUse())
 		return nil
@@ -99,6 +100,7 @@
 }
 
 // evict closes one connection of a group: the oldest unidentified one, or else the one that has been idle the longest.
+// It returns false if there is none.
 func (l *Loop) evict(group *connGroup) bool {
 	victim := l.unidentified.oldest(group)
 	if victim == nil {
@@ -109,7 +111,7 @@
 	}
 	l.logf("transport: connection evicted: peer=%s open=%d", victim.Remote(), group.inUse())
 	victim.Close()
-	victim.flush() // now: the new connection needs the capacity
+	victim.flush() // immediately, because the new connection needs the capacity
 	return true
 }
 
--- a/internal/transport/limits_test.go
+++ b/internal/transport/limits_test.go
@@ -6,9 +6,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// At the connection limit a further connection is rejected while all others are in use, and they stay.
+// At the connection limit, while all connections are in use, a further one is rejected and the others stay open.
 func TestConnectionOverTheLimitIsRejected(t *testing.T) {
-	env := newBench(t, Options{MaxConns: 2})
+	env := newTestEnv(t, Options{MaxConns: 2})
 	first, firstSession := env.connect(0)
 	second, secondSession := env.connect(0)
 	for _, session := range []*fakeSession{firstSession, secondSession} {
@@ -24,27 +24,27 @@
 
 	first.Close()
 	_, accepted := env.connect(0)
-	require.NotNil(t, accepted, "the limit has a connection left")
+	require.NotNil(t, accepted, "one connection below the limit")
 }
 
 func TestEvictionOrder(t *testing.T) {
 	tests := map[string]struct {
-		prepare func(env *bench, older, newer *fakeSession)
+		prepare func(env *testEnv, older, newer *fakeSession)
 		evicted string // "older", "newer" or "none"
 	}{
-		"the oldest unidentified one": {
-			prepare: func(*bench, *fakeSession, *fakeSession) {},
+		"the oldest unidentified": {
+			prepare: func(*testEnv, *fakeSession, *fakeSession) {},
 			evicted: "older",
 		},
-		"an unidentified one before one that is idle": {
-			prepare: func(env *bench, older, _ *fakeSession) {
+		"an unidentified one before an idle one": {
+			prepare: func(env *testEnv, older, _ *fakeSession) {
 				older.identify()
 				env.advance(EvictionGrace)
 			},
 			evicted: "newer",
 		},
-		"the one idle the longest": {
-			prepare: func(env *bench, older, newer *fakeSession) {
+		"the longest idle": {
+			prepare: func(env *testEnv, older, newer *fakeSession) {
 				older.identify()
 				newer.identify()
 				env.advance(1)
@@ -55,7 +55,7 @@
 			evicted: "newer",
 		},
 		"never one in use": {
-			prepare: func(env *bench, older, newer *fakeSession) {
+			prepare: func(env *testEnv, older, newer *fakeSession) {
 				older.identify()
 				newer.identify()
 				older.busy = true
@@ -63,8 +63,8 @@
 			},
 			evicted: "newer",
 		},
-		"none within the eviction grace": {
-			prepare: func(env *bench, older, newer *fakeSession) {
+		"none during the eviction grace": {
+			prepare: func(env *testEnv, older, newer *fakeSession) {
 				older.identify()
 				newer.identify()
 				env.advance(EvictionGrace - 1)
@@ -74,19 +74,19 @@
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
-			env := newBench(t, Options{MaxConns: 2})
+			env := newTestEnv(t, Options{MaxConns: 2})
 			older, olderSession := env.connect(0)
 			newer, newerSession := env.connect(0)
 			tc.prepare(env, olderSession, newerSession)
 			_, third := env.connect(0)
 			require.Equal(t, tc.evicted != "none", third != nil)
 			if tc.evicted == "older" {
-				requireShut(t, older, olderSession)
+				requireHalfClosed(t, older, olderSession)
 			} else {
 				requireOpen(t, older, olderSession)
 			}
 			if tc.evicted == "newer" {
-				requireShut(t, newer, newerSession)
+				requireHalfClosed(t, newer, newerSession)
 			} else {
 				requireOpen(t, newer, newerSession)
 			}
@@ -94,10 +94,10 @@
 	}
 }
 
-// Dedicated limits and the shared one do not take connections from each other.
+// Connections under a dedicated limit and under the shared one are never evicted for each other.
 func TestDedicatedLimit(t *testing.T) {
 	const adminListener = 3
-	env := newBench(t, Options{MaxConns: 1, DedicatedLimits: map[int]int{adminListener: 1}})
+	env := newTestEnv(t, Options{MaxConns: 1, DedicatedLimits: map[int]int{adminListener: 1}})
 	shared, sharedSession := env.connect(0)
 	admin, adminSession := env.connect(adminListener)
 	requireOpen(t, shared, sharedSession)
@@ -105,13 +105,13 @@
 
 	_, another := env.connect(adminListener)
 	require.NotNil(t, another)
-	requireShut(t, admin, adminSession)
+	requireHalfClosed(t, admin, adminSession)
 	requireOpen(t, shared, sharedSession)
 }
 
-// A lower limit takes effect at once on what is unidentified or idle, and leaves what is in use.
+// A lower limit closes unidentified and idle connections at once, but none that is in use.
 func TestSetLimits(t *testing.T) {
-	env := newBench(t, Options{MaxConns: 3})
+	env := newTestEnv(t, Options{MaxConns: 3})
 	busy, busySession := env.connect(0)
 	busySession.identify()
 	busySession.busy = true
@@ -122,35 +122,35 @@
 
 	env.loop.SetLimits(2, 0)
 	env.run()
-	requireShut(t, unidentified, unidentifiedSession)
+	requireHalfClosed(t, unidentified, unidentifiedSession)
 	requireOpen(t, idle, idleSession)
 	env.loop.SetLimits(0, 0)
 	env.run()
-	requireShut(t, idle, idleSession)
+	requireHalfClosed(t, idle, idleSession)
 	requireOpen(t, busy, busySession)
 }
 
 // Lingering connections do not count against the limit, but their number is limited.
-func TestLingeringConnectionsBesideTheLimit(t *testing.T) {
-	env := newBench(t, Options{MaxConns: 1})
-	var shut []*fakeConn
+func TestLingeringConnectionsOutsideLimit(t *testing.T) {
+	env := newTestEnv(t, Options{MaxConns: 1})
+	var lingering []*fakeConn
 	for range maxLingeringConns + 1 { // each but the last is evicted as unidentified
 		raw, session := env.connect(0)
 		require.NotNil(t, session)
-		shut = append(shut, raw)
+		lingering = append(lingering, raw)
 	}
-	for _, raw := range shut {
+	for _, raw := range lingering {
 		require.False(t, raw.closed)
 	}
 	_, session := env.connect(0)
 	require.NotNil(t, session)
-	require.True(t, shut[0].closed, "the one that has lingered the longest")
-	for _, raw := range shut[1:] {
+	require.True(t, lingering[0].closed, "the connection that has lingered the longest")
+	for _, raw := range lingering[1:] {
 		require.False(t, raw.closed)
 	}
 }
 
-// The last connection of a group takes the index of the one that is removed.
+// When a connection is removed from a group, the last one moves to its index.
 func TestConnGroupRemove(t *testing.T) {
 	group := &connGroup{limit: 3}
 	first, second, third := &Connection{}, &Connection{}, &Connection{}
--- a/internal/transport/lingering.go
+++ b/internal/transport/lingering.go
@@ -5,16 +5,16 @@
 const (
 	// maxLingeringBytes is the most bytes that may still arrive on a lingering connection before it is closed.
 	maxLingeringBytes = 256 << 10
-	// maxLingeringConns is how many connections a group may hold beyond its limit while some of them linger.
+	// maxLingeringConns is how many connections beyond its limit a group may hold while some of them linger.
 	maxLingeringConns = 4
-	// lingerPollInterval is the interval at which a connection with unsent bytes is checked. It is half-closed once
-	// they are sent.
+	// lingerPollInterval is the interval at which a lingering connection with unsent bytes is checked. It is
+	// half-closed once they are sent.
 	lingerPollInterval = 10 * microtime.Millisecond
 )
 
 // lingeringConns holds the connections that this side has half-closed and that their peers have not closed yet, oldest
-// first. To close a socket with unread bytes would reset the connection, and the peer would lose responses that it has
-// not read yet. This can happen whenever a request crosses the shutdown, so the connection lingers instead.
+// first. Closing a socket with unread bytes resets the connection, and the peer loses responses that it has not read
+// yet. To avoid this when a request arrives during the shutdown, the connection lingers first.
 type lingeringConns struct {
 	conns []*Connection
 }
@@ -43,7 +43,7 @@
 }
 
 // sweep closes the connections that have lingered too long, drops those that have ended, and half-closes those that
-// have sent all their bytes. It returns when to sweep again.
+// have sent all their bytes. It returns the time of the next sweep.
 func (s *lingeringConns) sweep(now microtime.Time) microtime.Time {
 	next := microtime.Never
 	left := s.conns[:0]
@@ -68,7 +68,8 @@
 	return next
 }
 
-// sweepLingering sweeps the lingering connections; it returns when that, or the end of the shutdown, is due.
+// sweepLingering sweeps the lingering connections. It returns the time at which the next sweep or the end of the
+// shutdown is due.
 func (l *Loop) sweepLingering() microtime.Time {
 	next := l.lingering.sweep(l.now)
 	if l.shuttingDown {
--- a/internal/transport/loop.go
+++ b/internal/transport/loop.go
@@ -8,13 +8,13 @@
 	handler Handler
 	logf    func(format string, args ...any)
 
-	begin func(*Loop) // runs first on the loop
+	begin func(*Loop) // runs on the loop before anything else
 	begun bool
 
-	now         microtime.Time // of this turn
-	turnPending bool           // a turn is in progress: its end is queued
+	now         microtime.Time // time of the current turn
+	turnPending bool           // a turn is in progress, and its end is queued
 	timerAt     microtime.Time // when the driver's timer is set to fire
-	toFlush     []*Connection  // to send bytes on, or to close, at the end of the turn
+	toFlush     []*Connection  // connections to flush or close at the end of the turn
 
 	accepted     connLimits
 	unidentified identificationQueue
@@ -22,7 +22,7 @@
 	redials      redialQueue
 	lingering    lingeringConns
 
-	shuttingDown     bool // no connection is accepted, and the loop stops with the last lingering one
+	shuttingDown     bool // no connection is accepted, and the loop stops once none is lingering
 	shutdownDeadline microtime.Time
 }
 
@@ -50,7 +50,7 @@
 	l.begin(l)
 }
 
-// Now returns the time of this turn.
+// Now returns the time of the current turn.
 func (l *Loop) Now() microtime.Time { return l.now }
 
 // Rand returns a random number from the driver.
@@ -64,8 +64,8 @@
 	})
 }
 
-// TimerFired begins a turn that is due by the clock. A turn may be in progress already whose time was read just before
-// the timer fired. The timer is no longer set then, so the end of that turn must set it again.
+// TimerFired begins a turn when the timer fires. If a turn whose time was read just before that is still in progress,
+// its end must set the timer again, so timerAt is reset here.
 func (l *Loop) TimerFired() {
 	l.timerAt = microtime.Never
 	l.beginTurn()
@@ -86,7 +86,7 @@
 // endTurn calls the handler's Turn, flushes the connections, and sets the timer.
 func (l *Loop) endTurn() {
 	l.turnPending = false
-	next := min(l.handler.Turn(l.now), l.closeUnidentified(), l.redialDue())
+	next := min(l.handler.Turn(l.now), l.closeUnidentified(), l.startDueRedials())
 	l.flushAll()
 	next = min(next, l.sweepLingering())
 	if l.shutdownComplete() {
@@ -99,8 +99,8 @@
 	}
 }
 
-// flushAll flushes the connections. The list may grow meanwhile: a failed write may close a connection, whose session
-// may then write to another.
+// flushAll flushes the connections in toFlush. The list may grow meanwhile: a failed write may close a connection,
+// whose session may then write to another connection.
 func (l *Loop) flushAll() {
 	for i := 0; i < len(l.toFlush); i++ {
 		l.toFlush[i].flush()
@@ -120,7 +120,7 @@
 }
 
 // Shutdown flushes and closes all accepted connections. The loop ends once their peers have closed them too, or at the
-// deadline. The wait is needed because a process that ends with unread bytes resets the connection, and the peer loses
+// deadline. The wait is needed because a process that exits with unread bytes resets the connection, and the peer loses
 // the last responses.
 func (l *Loop) Shutdown(deadline microtime.Time) {
 	l.beginTurn()
@@ -134,7 +134,7 @@
 	return l.shuttingDown && (l.lingering.empty() || l.now >= l.shutdownDeadline)
 }
 
-// SetDatagramPeer sets the peer of SendDatagram; empty: none. After an error the previous peer stays.
+// SetDatagramPeer sets the peer of SendDatagram; an empty address removes it. On an error the previous peer stays.
 func (l *Loop) SetDatagramPeer(addr string) error { return l.driver.SetDatagramPeer(addr) }
 
 // SendDatagram sends one datagram, which may be lost.
--- a/internal/transport/loop_test.go
+++ b/internal/transport/loop_test.go
@@ -8,9 +8,9 @@
 	"pewterline/internal/microtime"
 )
 
-// turnRecorder is a Handler that notes the turns and says when the next one is due.
+// turnRecorder is a Handler that records the times of the turns. Each turn returns next as the time of the next one.
 type turnRecorder struct {
-	bench
+	testEnv
 	turns []microtime.Time
 	next  microtime.Time
 }
@@ -28,26 +28,26 @@
 	return r
 }
 
-// A turn reads the clock once and ends behind all that was ready with its first event.
+// A turn reads the clock once and ends after all events that were ready with its first one.
 func TestTurn(t *testing.T) {
 	recorder := newTurnRecorder(t)
 	recorder.loop.Begin()
 	recorder.run()
 	recorder.turns = nil
-	seen := []microtime.Time{}
+	times := []microtime.Time{}
 	for range 3 {
 		require.NoError(t, recorder.loop.Execute(func() {
-			recorder.now++ // the clock goes on meanwhile
-			seen = append(seen, recorder.loop.Now())
+			recorder.now++ // the clock advances during the turn
+			times = append(times, recorder.loop.Now())
 		}))
 	}
 	start := recorder.now
 	recorder.run()
-	require.Equal(t, []microtime.Time{start, start, start}, seen)
+	require.Equal(t, []microtime.Time{start, start, start}, times)
 	require.Equal(t, []microtime.Time{start}, recorder.turns)
 }
 
-// The timer is set to when the handler's next turn is due, and not at all while that is never.
+// The timer is set to the time of the handler's next turn, and is not set if that is microtime.Never.
 func TestTimer(t *testing.T) {
 	recorder := newTurnRecorder(t)
 	recorder.loop.Begin()
@@ -64,8 +64,8 @@
 	require.Equal(t, microtime.Never, recorder.timerAt)
 }
 
-// A timer that fires during a turn, whose time was read just before, is set again for the same time: nothing
-// else would wake an idle loop.
+// A timer that fires during a turn whose time was read just before is set again for the same time. Otherwise nothing
+// would wake an idle loop.
 func TestTimerFiresDuringTurn(t *testing.T) {
 	recorder := newTurnRecorder(t)
 	recorder.next = recorder.now + 2
@@ -74,7 +74,7 @@
 	due := recorder.next
 	require.Equal(t, due, recorder.timerAt)
 	recorder.now = due - 1
-	require.NoError(t, recorder.loop.Execute(func() { // in a turn of the time before due
+	require.NoError(t, recorder.loop.Execute(func() { // in a turn that began before due
 		recorder.timerAt = microtime.Never // the driver's timer fires
 		recorder.loop.TimerFired()
 	}))
@@ -85,7 +85,7 @@
 	require.Equal(t, due, recorder.turns[len(recorder.turns)-1])
 }
 
-// The program begins once, before any session.
+// Begin calls the begin function once, in a turn.
 func TestBegin(t *testing.T) {
 	recorder := newTurnRecorder(t)
 	begins := 0
@@ -98,7 +98,7 @@
 	require.Equal(t, 1, begins)
 }
 
-// The listener's end is reported in a turn.
+// The end of CloseListener is reported in a turn.
 func TestCloseListener(t *testing.T) {
 	recorder := newTurnRecorder(t)
 	recorder.loop.Begin()
--- a/internal/transport/sockets/driver.go
+++ b/internal/transport/sockets/driver.go
@@ -1,10 +1,12 @@
-// Package sockets is the transport.Driver of the real program: gnet's event loop with listeners, connections, dialled
+// Package sockets is the transport.Driver of the real program: gnet's event loop with listeners, accepted and dialled
 // connections, a timer and datagrams. Command pewterline starts it, with internal/server as its handler. It owns the
-// sockets and the goroutine of the loop, and decides nothing about connections: that is package transport's. Nothing
-// else imports gnet. gnet has a callback for each ready connection, but none for the end of a round of its poller. The
-// end of a turn relies on how the poller works: it first calls back for every descriptor that is ready, and then runs
-// the tasks that were queued with Execute. So a task that is queued in the first callback of a turn runs after all
-// callbacks of that round.
+// sockets and the goroutine of the loop; package transport makes all decisions about connections. No other package
+// imports gnet.
+//
+// gnet has a callback for each ready connection, but none for the end of a poll. The end of a turn therefore relies on
+// the order in which gnet's poller works: it first calls back for every descriptor that is ready, and then runs the
+// tasks that were queued with Execute. So a task that is queued in the first callback of a turn runs after all
+// callbacks of the same poll.
 package sockets
 
 import (
@@ -24,16 +26,16 @@
 )
 
 const (
-	// readBuffer is how many bytes are read at once from a connection.
-	readBuffer = 64 << 10
-	// unarmed is the interval of a timer that should not fire.
-	unarmed = time.Hour
+	// readBufferSize is the maximum number of bytes read at once from a connection.
+	readBufferSize = 64 << 10
+	// idleInterval is the interval of a timer or ticker that is not meant to fire.
+	idleInterval = time.Hour
 )
 
 // errEndedEarly means that gnet returned without an error before its event loop ran.
-var errEndedEarly = errors.New("the event loop ended as it began")
+var errEndedEarly = errors.New("the event loop ended during its start")
 
-// Clock is the source of the times of turns. Timers run by the system's own clock.
+// Clock supplies the times of turns. Timers run on the system's clock.
 type Clock interface {
 	Now() microtime.Time
 }
@@ -41,7 +43,7 @@
 // Options configure a Loop.
 type Options struct {
 	transport.Options
-	Listen       []string // addresses, in the order of Handler.Accept's index; an empty one has no listener
+	Listen       []string // addresses by the listener's index; an empty one has no listener
 	DatagramPeer string   // the peer of SendDatagram; empty: none
 	Clock        Clock
 }
@@ -67,11 +69,11 @@
 	stopping atomic.Bool
 	ready    chan struct{} // closed once the loop runs
 	done     chan error    // receives the result of the loop's goroutine
-	ticked   bool          // gnet's ticker has ticked; the ticker's goroutine alone uses it
+	ticked   bool          // gnet's ticker has ticked; used only by the ticker's goroutine
 }
 
-// Start opens the listeners and runs the loop on a goroutine of its own, which ends after Stop. Wait waits for that.
-// begin runs first on the loop, before any session.
+// Start opens the listeners and runs the loop on its own goroutine, which ends after Stop; Wait waits for its end.
+// begin runs on the loop before any session.
 func Start(options Options, handler transport.Handler, begin func(*transport.Loop)) (*Loop, error) {
 	driver := &driver{options: options, ready: make(chan struct{}), done: make(chan error, 1)}
 	driver.loop = transport.New(options.Options, driver, handler, begin)
@@ -79,7 +81,7 @@
 	if err := driver.SetDatagramPeer(options.DatagramPeer); err != nil {
 		return nil, err
 	}
-	go func() { driver.done <- driver.rotate() }()
+	go func() { driver.done <- driver.runGnet() }()
 	if err := driver.awaitReady(); err != nil {
 		return nil, fmt.Errorf("transport: listen: %w", err)
 	}
@@ -91,19 +93,19 @@
 	return loop, nil
 }
 
-// newTimer returns the timer of turns, stopped.
+// newTimer returns the timer that begins turns. The timer is stopped.
 func (d *driver) newTimer() *time.Timer {
-	timer := time.AfterFunc(unarmed, func() {
+	timer := time.AfterFunc(idleInterval, func() {
 		if !d.stopping.Load() {
-			_ = d.Queue(d.loop.TimerFired) // an error says that the loop has ended
+			_ = d.Queue(d.loop.TimerFired) // fails only if the loop has ended
 		}
 	})
 	timer.Stop()
 	return timer
 }
 
-// rotate runs gnet until it is stopped, and returns its error.
-func (d *driver) rotate() error {
+// runGnet runs gnet's event loop until it is stopped, and returns its error.
+func (d *driver) runGnet() error {
 	var addrs []string
 	for _, addr := range d.options.Listen {
 		if addr != "" {
@@ -112,17 +114,17 @@
 	}
 	return gnet.Rotate(d, addrs,
 		gnet.WithNumEventLoop(1),
-		// SO_REUSEPORT makes gnet accept on the loop that serves; without it, a second loop only accepts.
+		// With SO_REUSEPORT gnet accepts on the loop that serves; without it, a separate loop accepts.
 		gnet.WithReusePort(true),
 		gnet.WithReuseAddr(true),
 		gnet.WithTicker(true),
-		gnet.WithReadBufferCap(readBuffer),
+		gnet.WithReadBufferCap(readBufferSize),
 		gnet.WithTCPNoDelay(gnet.TCPNoDelay),
 		gnet.WithLogger(gnetLogger{d.options.Logf}),
 		gnet.WithLogLevel(logging.WarnLevel))
 }
 
-// awaitReady returns nil once the loop runs, or the error with which it ended before.
+// awaitReady returns nil once the loop runs, or an error if it has ended before that.
 func (d *driver) awaitReady() error {
 	select {
 	case <-d.ready:
@@ -147,8 +149,8 @@
 	if d.stopping.Swap(true) {
 		return
 	}
-	// On a goroutine of its own, because it waits for the loop. Its error is ignored: without a deadline it can only
-	// repeat the loop's own error, which Wait returns.
+	// engine.Stop waits for the loop, so it runs on its own goroutine. Its error is ignored: without a deadline it can
+	// only be the loop's error, which Wait returns as well.
 	go func() { _ = d.engine.Stop(context.Background()) }()
 }
 
--- a/internal/transport/sockets/events.go
+++ b/internal/transport/sockets/events.go
@@ -9,13 +9,13 @@
 	"github.com/panjf2000/gnet/v2"
 )
 
-// ownSocket is the context of the loop's own socket, which captureEventLoop registers.
+// ownSocket is the context of the datagram socket that captureEventLoop registers.
 type ownSocket struct{}
 
-// captureEventLoop gets gnet's event loop and begins the Loop. gnet exposes its event loop only through connections, so
-// this registers a datagram socket of our own and closes it afterwards.
+// captureEventLoop obtains gnet's event loop and begins the Loop. gnet exposes its event loop only through connections,
+// so this registers a datagram socket and closes it afterwards.
 func (d *driver) captureEventLoop() error {
-	conn, err := net.Dial("udp", d.listeners[0].addr.String()) // our own address: nothing is sent
+	conn, err := net.Dial("udp", d.listeners[0].addr.String()) // the process's own address; nothing is sent
 	if err != nil {
 		return fmt.Errorf("datagram socket: %w", err)
 	}
@@ -28,7 +28,7 @@
 	if result.Err != nil {
 		return fmt.Errorf("register: %w", result.Err)
 	}
-	return d.loop.Execute(func() { _ = d.eventLoop.Close(result.Conn) }) // it was never used
+	return d.loop.Execute(func() { _ = d.eventLoop.Close(result.Conn) }) // the socket was never used
 }
 
 // OnBoot stores the engine and the listeners' addresses.
@@ -39,7 +39,7 @@
 		if addr != "" {
 			var err error
 			if found, err = findListener(engine, addr); err != nil {
-				d.options.Logf("transport: address cannot be dialled: address=%s error=%v", addr, err)
+				d.options.Logf("transport: listener not identified: address=%s error=%v", addr, err)
 			}
 		}
 		d.listeners = append(d.listeners, found)
@@ -47,31 +47,31 @@
 	return gnet.None
 }
 
-// OnTick is first called once the loop runs: from then on gnet can be given connections.
+// OnTick signals on its first call that the loop runs, so that connections can be registered with gnet.
 func (d *driver) OnTick() (time.Duration, gnet.Action) {
 	if !d.ticked {
 		d.ticked = true
 		close(d.ready)
 	}
-	return unarmed, gnet.None
+	return idleInterval, gnet.None
 }
 
-// OnOpen gives a new connection its session.
+// OnOpen opens a new connection on the Loop, which opens its session.
 func (d *driver) OnOpen(gnetConn gnet.Conn) ([]byte, gnet.Action) {
-	// A peer may connect as soon as the port listens, before captureEventLoop has registered its socket. So the first
-	// connection of either kind begins the Loop.
+	// A peer may connect as soon as the port listens, before captureEventLoop has registered its socket. Therefore the
+	// first connection begins the Loop, whether it is the peer's or that socket.
 	if d.eventLoop == nil {
 		d.eventLoop = gnetConn.EventLoop()
 		d.loop.Begin()
 	}
-	// Our own socket is recognized by its context, not by its network: on some systems a datagram socket that has sent
-	// nothing has no address, and then gnet panics when asked for its network.
+	// The socket of captureEventLoop is recognized by its context, not by its network: on some systems a datagram socket
+	// that has sent nothing has no address, and gnet panics when asked for its network.
 	if _, own := gnetConn.Context().(ownSocket); own {
 		return nil, gnet.None
 	}
 	s, registered := gnetConn.Context().(*socket)
 	if registered {
-		_ = gnetConn.SetNoDelay(true) // as for accepted connections; an error does no harm
+		_ = gnetConn.SetNoDelay(true) // as for accepted connections; an error can be ignored
 	} else {
 		s = &socket{driver: d, listener: d.listenerOf(gnetConn)}
 		gnetConn.SetContext(s)
@@ -86,7 +86,7 @@
 func (d *driver) OnTraffic(gnetConn gnet.Conn) gnet.Action {
 	s, ok := gnetConn.Context().(*socket)
 	if !ok || s.conn == nil {
-		_, _ = gnetConn.Discard(-1) // -1 discards everything, which cannot fail
+		_, _ = gnetConn.Discard(-1) // -1 discards all bytes, which cannot fail
 		return gnet.None
 	}
 	in, err := gnetConn.Next(-1)
@@ -104,7 +104,7 @@
 	return gnet.None
 }
 
-// gnetLogger passes on gnet's warnings and errors.
+// gnetLogger writes gnet's warnings and errors to the log.
 type gnetLogger struct {
 	logf func(string, ...any)
 }
--- a/internal/transport/sockets/linger_test.go
+++ b/internal/transport/sockets/linger_test.go
@@ -16,28 +16,30 @@
 	"pewterline/internal/transport"
 )
 
-// narrow connects with a small receive buffer, so that a large answer stays with the server until it is read.
-func narrow(t *testing.T, l *Loop) net.Conn {
-	d := net.Dialer{Control: func(_, _ string, c syscall.RawConn) error {
-		return c.Control(func(fd uintptr) { _ = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_RCVBUF, 4<<10) })
+// connectWithSmallBuffer connects with a small receive buffer, so that most of a large response stays buffered at the
+// server until the test reads it.
+func connectWithSmallBuffer(t *testing.T, loop *Loop) net.Conn {
+	dialer := net.Dialer{Control: func(_, _ string, raw syscall.RawConn) error {
+		return raw.Control(func(fd uintptr) { _ = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_RCVBUF, 4<<10) })
 	}}
-	c, err := d.Dial("tcp", l.Addr(0).String())
+	conn, err := dialer.Dial("tcp", loop.Addr(0).String())
 	require.NoError(t, err)
-	closeAtEnd(t, c)
-	return c
+	closeAtEnd(t, conn)
+	return conn
 }
 
-// arrived returns once so many bytes lie unread at the server's end of a connection.
-func arrived(c net.Conn, n int) {
-	want := c.LocalAddr().(*net.TCPAddr)
+// awaitUnread waits until n bytes are unread at the server's side of a connection. The server is in this process, so its
+// socket is found among the process's descriptors.
+func awaitUnread(conn net.Conn, n int) {
+	local := conn.LocalAddr().(*net.TCPAddr)
 	for {
 		for fd := range 1024 {
-			sa, err := unix.Getpeername(fd)
-			if a, ok := sa.(*unix.SockaddrInet4); err != nil || !ok || a.Port != want.Port {
+			peer, err := unix.Getpeername(fd)
+			if addr, ok := peer.(*unix.SockaddrInet4); err != nil || !ok || addr.Port != local.Port {
 				continue
 			}
-			have, err := unix.IoctlGetInt(fd, unix.TIOCINQ)
-			if err == nil && have >= n {
+			unread, err := unix.IoctlGetInt(fd, unix.TIOCINQ)
+			if err == nil && unread >= n {
 				return
 			}
 		}
@@ -45,44 +47,45 @@
 	}
 }
 
-// A connection that is closed from this side while bytes of its peer's are on their way, in each of the ways in which
-// that happens: the peer gets all that was written, and then its end, not a reset; what came late is consumed by
-// nobody. The bytes are made to arrive behind the last read and before the close, as the loop stands still meanwhile.
-func TestBytesThatArriveInTheMomentOfAClose(t *testing.T) {
-	const late = "x"                            // would be answered if it were taken
-	answer := bytes.Repeat([]byte("r"), 60<<10) // all of them fit into what a peer may leave unread
-	for name, by := range map[string]struct {
-		says  string // before; each byte has an answer
-		close func(*handClock, *Loop, *echoSession)
+// Guards against a reset, by which the peer loses written responses, when bytes of the peer arrive just before this side
+// closes the connection. The peer must get all responses and then an end of file, and the late bytes are discarded. The
+// test sends them from a function on the loop, so that they arrive after the loop's last read and before the close.
+func TestBytesReceivedDuringClose(t *testing.T) {
+	const late = "x" // would get a response if a session consumed it
+	// All responses of a case fit into the limit of unread bytes.
+	response := bytes.Repeat([]byte("r"), 60<<10)
+	for name, tc := range map[string]struct {
+		requests string // sent before the close; each byte gets a response
+		close    func(*manualClock, *Loop, *echoSession)
 	}{
-		"by its session": {"v", func(_ *handClock, _ *Loop, session *echoSession) { session.conn.Close() }},
-		"as the loop ends": {"v", func(clock *handClock, loop *Loop, _ *echoSession) {
+		"by its session": {"v", func(_ *manualClock, _ *Loop, session *echoSession) { session.conn.Close() }},
+		"by a shutdown": {"v", func(clock *manualClock, loop *Loop, _ *echoSession) {
 			loop.Shutdown(clock.Now() + microtime.Second)
 		}},
-		"as it is evicted": {"vi", func(_ *handClock, loop *Loop, _ *echoSession) { loop.SetLimits(0, 0) }},
-		"as unidentified":  {"i", func(*handClock, *Loop, *echoSession) {}}, // the end of the turn closes it
+		"by an eviction":                {"vi", func(_ *manualClock, loop *Loop, _ *echoSession) { loop.SetLimits(0, 0) }},
+		"by the identification timeout": {"i", func(*manualClock, *Loop, *echoSession) {}}, // at the end of the turn
 	} {
 		t.Run(name, func(t *testing.T) {
-			handler, clock := &echo{answer: answer, dials: make(chan *echoSession, 1)}, &handClock{}
-			loop := startOnly(t, handler, clock)
-			conn := narrow(t, loop)
-			_, err := conn.Write([]byte(by.says))
+			handler, clock := &echoHandler{response: response, sessions: make(chan *echoSession, 1)}, &manualClock{}
+			loop := startUnmanagedLoop(t, handler, clock)
+			conn := connectWithSmallBuffer(t, loop)
+			_, err := conn.Write([]byte(tc.requests))
 			require.NoError(t, err)
 			first := make([]byte, 1)
 			_, err = io.ReadFull(conn, first)
 			require.NoError(t, err)
-			session := <-handler.dials
-			clock.now.Add(int64(transport.IdentificationTimeout)) // also past BusyLately
+			session := <-handler.sessions
+			clock.now.Add(int64(transport.IdentificationTimeout)) // longer than EvictionGrace, too
 			require.NoError(t, loop.Execute(func() {
 				_, err := conn.Write([]byte(late))
 				require.NoError(t, err)
-				arrived(conn, len(late))
-				by.close(clock, loop, session)
+				awaitUnread(conn, len(late))
+				tc.close(clock, loop, session)
 			}))
-			<-handler.closed // the close is done, over bytes that lay unread
+			<-handler.closed // the connection is closed while bytes are unread
 			got, err := io.ReadAll(conn)
-			require.NoError(t, err, "a reset in place of an end")
-			require.Equal(t, len(by.says)*len(answer), 1+len(got), "the answers are whole, and nothing follows")
+			require.NoError(t, err, "a reset instead of an end of file")
+			require.Equal(t, len(tc.requests)*len(response), 1+len(got), "the responses are complete, and nothing follows")
 			require.NoError(t, conn.Close())
 			loop.Stop()
 			require.NoError(t, loop.Wait())
@@ -90,142 +93,143 @@
 	}
 }
 
-// startOnly starts a loop that the test stops, and tells its first session.
-func startOnly(t *testing.T, e *echo, c Clock) *Loop {
-	e.closed = make(chan string, 100)
-	l, err := Start(Options{
+// startUnmanagedLoop starts a loop that the test must stop. Each accepted session is sent to the handler's sessions.
+func startUnmanagedLoop(t *testing.T, handler *echoHandler, clock Clock) *Loop {
+	handler.closed = make(chan string, 100)
+	loop, err := Start(Options{
 		Options: transport.Options{MaxConns: 9, Logf: t.Logf},
-		Clock:   c,
+		Clock:   clock,
 		Listen:  []string{"127.0.0.1:0"},
-	}, tells{e}, func(*transport.Loop) {})
+	}, sessionReporter{handler}, func(*transport.Loop) {})
 	require.NoError(t, err)
-	return l
+	return loop
 }
 
-// tells passes on each session.
-type tells struct{ *echo }
+// sessionReporter is an echoHandler that sends each accepted session to its sessions.
+type sessionReporter struct{ *echoHandler }
 
-func (e tells) Accept(i int, l transport.Conn) transport.Session {
-	s := e.echo.Accept(i, l).(*echoSession)
-	e.dials <- s
-	return s
+func (r sessionReporter) Accept(listener int, conn transport.Conn) transport.Session {
+	session := r.echoHandler.Accept(listener, conn).(*echoSession)
+	r.sessions <- session
+	return session
 }
 
-// A message that makes no sense ends its connection; the error that tells so arrives, whatever came behind the message.
-func TestErrorArrivesBeforeTheEnd(t *testing.T) {
-	handler := &fussy{answer: bytes.Repeat([]byte("e"), 100<<10)}
+// A malformed message closes its connection. The peer gets the complete error response, even if more bytes arrive after
+// the message.
+func TestErrorResponsePrecedesClose(t *testing.T) {
+	handler := &rejectingHandler{response: bytes.Repeat([]byte("e"), 100<<10)}
 	loop, err := Start(Options{
 		Options: transport.Options{MaxConns: 9, Logf: t.Logf},
 		Clock:   microtime.NewClock(),
 		Listen:  []string{"127.0.0.1:0"},
 	}, handler, func(*transport.Loop) {})
 	require.NoError(t, err)
-	conn := narrow(t, loop)
-	set := make(chan struct{})
+	conn := connectWithSmallBuffer(t, loop)
+	configured := make(chan struct{})
 	require.NoError(t, loop.Execute(func() {
-		defer close(set)
-		handler.wait = func() {
+		defer close(configured)
+		handler.beforeResponse = func() {
 			_, err := conn.Write([]byte("more"))
 			require.NoError(t, err)
-			arrived(conn, len("more"))
+			awaitUnread(conn, len("more"))
 		}
 	}))
-	<-set
+	<-configured
 	_, err = conn.Write([]byte("?"))
 	require.NoError(t, err)
 	got, err := io.ReadAll(conn)
 	require.NoError(t, err)
-	require.Equal(t, handler.answer, got)
+	require.Equal(t, handler.response, got)
 	require.NoError(t, conn.Close())
 	loop.Stop()
 	require.NoError(t, loop.Wait())
-	require.Equal(t, 1, handler.taken)
+	require.Equal(t, 1, handler.receiveCalls)
 }
 
-// fussy takes nothing: it tells an error.
-type fussy struct {
-	answer []byte
-	wait   func()
-	conn   transport.Conn
-	taken  int
+// rejectingHandler is a Handler and its only Session, which rejects each message with an error response.
+type rejectingHandler struct {
+	response       []byte
+	beforeResponse func()
+	conn           transport.Conn
+	receiveCalls   int
 }
 
-func (f *fussy) Accept(_ int, l transport.Conn) transport.Session {
-	f.conn = l
-	return f
+func (h *rejectingHandler) Accept(_ int, conn transport.Conn) transport.Session {
+	h.conn = conn
+	return h
 }
-func (f *fussy) Turn(microtime.Time) microtime.Time { return microtime.Never }
-func (f *fussy) Closed()                            {}
-func (f *fussy) Idle() bool                         { return true }
-func (f *fussy) Receive(in []byte) (int, error) {
-	f.taken++
-	f.wait()
-	f.conn.Write(f.answer)
-	return len(in), errors.New("no sense")
+func (h *rejectingHandler) Turn(microtime.Time) microtime.Time { return microtime.Never }
+func (h *rejectingHandler) Closed()                            {}
+func (h *rejectingHandler) Idle() bool                         { return true }
+func (h *rejectingHandler) Receive(in []byte) (int, error) {
+	h.receiveCalls++
+	h.beforeResponse()
+	h.conn.Write(h.response)
+	return len(in), errors.New("malformed message")
 }
 
-// A connection that was shut and that its peer never closes goes after a while, and so does one on which bytes come
-// without end; until then at most maxLingeringConns of them stand beside those that are in use.
-func TestLingeringIsBounded(t *testing.T) {
-	const most, over = 2, 4
-	handler, clock := &echo{answer: []byte("r")}, &handClock{}
-	loop := startWith(t, handler, Options{Options: transport.Options{MaxConns: most}, Clock: clock})
+// A half-closed connection is closed after a timeout if its peer never closes it, and also if its peer keeps sending.
+// Until then at most maxLingeringConns such connections are open beside those in use.
+func TestLingeringConnectionLimits(t *testing.T) {
+	const maxConns, maxLingering = 2, 4
+	handler, clock := &echoHandler{response: []byte("r")}, &manualClock{}
+	loop := startLoopWith(t, handler, Options{Options: transport.Options{MaxConns: maxConns}, Clock: clock})
 	open := func() int {
-		n := make(chan int, 1)
-		require.NoError(t, loop.Execute(func() { n <- loop.driver.engine.CountConnections() }))
-		return <-n
+		count := make(chan int, 1)
+		require.NoError(t, loop.Execute(func() { count <- loop.driver.engine.CountConnections() }))
+		return <-count
 	}
-	var all []net.Conn
-	for i := range 4 * over { // each has the oldest evicted, which is unidentified
+	var conns []net.Conn
+	for i := range 4 * maxLingering { // at the limit, each evicts the oldest, which is unidentified
 		conn := connect(t, loop)
-		works(t, conn, handler.answer)
-		all = append(all, conn)
-		require.LessOrEqual(t, open(), most+over)
-		require.Equal(t, min(i+1, most+over), open(), "those that were shut are left to their peers while there is room")
+		requireServed(t, conn, handler.response)
+		conns = append(conns, conn)
+		require.LessOrEqual(t, open(), maxConns+maxLingering)
+		require.Equal(t, min(i+1, maxConns+maxLingering), open(), "evicted connections linger up to the limit")
 	}
-	clock.move(t, loop, transport.LingerTimeout)
-	clock.move(t, loop, 0)
-	require.Equal(t, most, open())
-	// Without end.
-	last, shut := all[len(all)-1], all[len(all)-2]
-	works(t, last, handler.answer)
+	clock.advance(t, loop, transport.LingerTimeout)
+	clock.advance(t, loop, 0)
+	require.Equal(t, maxConns, open())
+	// A peer that keeps sending on a half-closed connection is disconnected.
+	last, evicted := conns[len(conns)-1], conns[len(conns)-2]
+	requireServed(t, last, handler.response)
 	require.NoError(t, loop.Execute(func() { loop.SetLimits(1, 0) }))
-	works(t, last, handler.answer)
+	requireServed(t, last, handler.response)
 	for {
-		if _, err := shut.Write(make([]byte, 64<<10)); err != nil {
+		if _, err := evicted.Write(make([]byte, 64<<10)); err != nil {
 			break
 		}
 	}
-	works(t, last, handler.answer)
+	requireServed(t, last, handler.response)
 }
 
-// Connections that wait to be accepted as a listener ends are accepted, and get their answers; whoever comes later is
-// refused. All of them come while the loop stands still, so that none has been accepted; a batch of them no longer
-// waits when it goes on.
-func TestNobodyIsLeftInTheQueue(t *testing.T) {
-	const waiting = 3*acceptBatch + 1
-	handler := &echo{answer: []byte("r")}
-	loop := start(t, handler, 99)
-	queue := func() int {
+// When a listener is closed, the connections in its accept queue are accepted and served, and later ones are refused.
+// The test opens the connections from a function on the loop, so that gnet accepts none of them before CloseListener
+// accepts the first batch.
+func TestCloseListenerAcceptsQueue(t *testing.T) {
+	const queued = 3*acceptBatch + 1
+	handler := &echoHandler{response: []byte("r")}
+	loop := startLoop(t, handler, 99)
+	queueLength := func() int {
 		fd, err := loop.driver.engine.DupListener("tcp", loop.driver.options.Listen[0])
 		require.NoError(t, err)
-		defer closeCopy(fd)
+		defer closeDuplicate(fd)
 		info, err := unix.GetsockoptTCPInfo(fd, unix.IPPROTO_TCP, unix.TCP_INFO)
 		require.NoError(t, err)
-		return int(info.Unacked) // of a listener: how many wait
+		return int(info.Unacked) // for a listener, the length of its accept queue
 	}
 	var conns []net.Conn
 	done := make(chan struct{})
 	require.NoError(t, loop.Execute(func() {
-		for range waiting {
+		for range queued {
 			conn := connect(t, loop)
 			_, err := conn.Write([]byte("x"))
 			require.NoError(t, err)
 			conns = append(conns, conn)
 		}
-		require.Equal(t, waiting, queue())
+		require.Equal(t, queued, queueLength())
 		loop.CloseListener(0, func() { close(done) })
-		require.Equal(t, waiting-acceptBatch, queue())
+		require.Equal(t, queued-acceptBatch, queueLength())
 	}))
 	<-done
 	for _, conn := range conns {
@@ -235,5 +239,5 @@
 	}
 	_, err := net.Dial("tcp", loop.Addr(0).String())
 	require.ErrorIs(t, err, syscall.ECONNREFUSED)
-	works(t, conns[0], handler.answer)
+	requireServed(t, conns[0], handler.response)
 }
--- a/internal/transport/sockets/listener.go
+++ b/internal/transport/sockets/listener.go
@@ -13,46 +13,49 @@
 
 const (
 	// acceptBatch is how many queued connections of a closing listener are accepted at once. Each uses three
-	// descriptors until gnet has taken it over; without a limit the process could run out of them, and gnet would stop.
+	// descriptors until it is registered with gnet. Without a limit the process could run out of descriptors, and gnet
+	// would stop.
 	acceptBatch = 4
-	// maxDescriptor is the number of descriptors that are searched for a listener's, which is one of the first.
-	maxDescriptor = 1024
+	// maxDescriptors is how many descriptors are searched for that of a listener. A listener is opened early, so its
+	// descriptor is low.
+	maxDescriptors = 1024
 )
 
 var (
 	errNoListenerAddress    = errors.New("the listener has no address")
-	errNoListenerDescriptor = errors.New("the listener's descriptor is not found")
-	errListenerNotClosable  = errors.New("the listener can't be closed: its descriptor is not known")
+	errNoListenerDescriptor = errors.New("the listener's descriptor was not found")
+	errListenerNotClosable  = errors.New("the listener cannot be closed: its descriptor is unknown")
 )
 
-// listener is one of gnet's listeners as the system knows it.
+// listener is the address and the descriptor of one of gnet's listeners.
 type listener struct {
-	addr *net.TCPAddr // nil: there is no listener
-	fd   int          // gnet's descriptor; 0: not found
+	addr *net.TCPAddr // nil if there is no listener
+	fd   int          // gnet's descriptor; 0 if it was not found
 }
 
-// Addr returns the address that a listener is bound to; nil: there is no listener at that index.
+// Addr returns the address that a listener is bound to, or nil if there is no listener with that index.
 func (l *Loop) Addr(index int) *net.TCPAddr { return l.driver.listeners[index].addr }
 
-// findListener asks the system for the address of a listener, because the system may have chosen the port.
+// findListener finds the bound address and the descriptor of a listener. The address may differ from the configured
+// one, because the system may have chosen the port.
 func findListener(engine gnet.Engine, addr string) (found listener, err error) {
 	fd, err := engine.DupListener("tcp", addr)
 	if err != nil {
 		return found, err
 	}
-	defer closeCopy(fd)
+	defer closeDuplicate(fd)
 	if found.addr = localAddr(fd); found.addr == nil {
 		return found, errNoListenerAddress
 	}
-	found.fd, err = originalOf(fd, found.addr)
+	found.fd, err = findOriginal(fd, found.addr)
 	return found, err
 }
 
-// closeCopy closes a copy of a descriptor. Its error is ignored: the socket stays open under the original, and nothing
-// was written to the copy.
-func closeCopy(fd int) { _ = unix.Close(fd) }
+// closeDuplicate closes a duplicate of a descriptor. Its error is ignored: the socket stays open under the original
+// descriptor, and nothing was written to the duplicate.
+func closeDuplicate(fd int) { _ = unix.Close(fd) }
 
-// localAddr returns the address that a socket is bound to; nil: it has none.
+// localAddr returns the address that a socket is bound to, or nil if it has none.
 func localAddr(fd int) *net.TCPAddr {
 	addr, err := unix.Getsockname(fd)
 	if err != nil {
@@ -67,23 +70,23 @@
 	return nil
 }
 
-// originalOf finds the descriptor of which fd, of a listener, is a copy. It must be called before any connection is
-// accepted: an accepted connection has the same local address.
-func originalOf(fd int, addr *net.TCPAddr) (int, error) {
-	for candidate := range maxDescriptor {
+// findOriginal finds the listener's descriptor that fd is a duplicate of. It must be called before any connection is
+// accepted, because an accepted connection has the same local address.
+func findOriginal(fd int, addr *net.TCPAddr) (int, error) {
+	for candidate := range maxDescriptors {
 		bound := localAddr(candidate)
 		if candidate == fd || bound == nil || bound.Port != addr.Port || !bound.IP.Equal(addr.IP) {
 			continue
 		}
-		kind, err := unix.GetsockoptInt(candidate, unix.SOL_SOCKET, unix.SO_TYPE)
-		if err == nil && kind == unix.SOCK_STREAM {
+		socketType, err := unix.GetsockoptInt(candidate, unix.SOL_SOCKET, unix.SO_TYPE)
+		if err == nil && socketType == unix.SOCK_STREAM {
 			return candidate, nil
 		}
 	}
 	return 0, errNoListenerDescriptor
 }
 
-// listenerOf returns the index of the listener that has accepted a connection, found by its local address.
+// listenerOf returns the index of the listener that has accepted a connection. It compares their local addresses.
 func (d *driver) listenerOf(conn gnet.Conn) int {
 	local := localAddr(conn.Fd())
 	if local == nil {
@@ -99,14 +102,14 @@
 }
 
 // DirectConnections makes the kernel pass new connections of a listener to one of the processes that share its address
-// by SO_REUSEPORT. place is the index of that process, in the order in which they started to listen. If there is no
+// by SO_REUSEPORT. process is the index of that process, in the order in which they started to listen. If there is no
 // such process, the kernel distributes connections as usual.
 func (l *Loop) DirectConnections(listener, process int) error {
 	fd, err := l.driver.engine.DupListener("tcp", l.driver.options.Listen[listener])
 	if err != nil {
 		return fmt.Errorf("transport: direct connections: %w", err)
 	}
-	defer closeCopy(fd)
+	defer closeDuplicate(fd)
 	filter := []unix.SockFilter{
 		{Code: unix.BPF_RET | unix.BPF_K, K: uint32(process)},
 	}
@@ -116,7 +119,7 @@
 	return nil
 }
 
-// attachFilter attaches a classic BPF program to a socket. option is the socket option that does so.
+// attachFilter attaches a classic BPF program to a socket by the given socket option.
 func attachFilter(fd, option int, filter []unix.SockFilter) error {
 	program := &unix.SockFprog{Len: uint16(len(filter)), Filter: &filter[0]}
 	return unix.SetsockoptSockFprog(fd, unix.SOL_SOCKET, option, program)
@@ -136,10 +139,9 @@
 	})
 }
 
-// CloseListener is part of transport.Driver. New handshakes are dropped first, so that no connection can enter the
-// queue between the last accept and the close: a peer that connects meanwhile gets no answer, and is refused when it
-// repeats its SYN. The queue is accepted here, because gnet accepts one connection in a round of its poller and offers
-// no way to accept the rest.
+// CloseListener is part of transport.Driver. It first drops new handshakes, so that no connection can enter the accept
+// queue between the last accept and the close: a peer that connects meanwhile gets no response, and is refused when it
+// repeats its SYN. It accepts the queued connections itself, because gnet accepts only one connection per poll.
 func (d *driver) CloseListener(index int, done func()) {
 	fd, err := d.engine.DupListener("tcp", d.options.Listen[index])
 	if err == nil && d.listeners[index].fd == 0 {
@@ -150,37 +152,37 @@
 		done()
 		return
 	}
-	// Not every system supports this. Without it, a connection that arrives between the last accept and the close is
-	// reset.
+	// The error is ignored, because not every system supports the filter. Without it, a connection that arrives between
+	// the last accept and the close is reset.
 	_ = rejectHandshakes(fd)
 	d.drainListener(&closingListener{fd: fd, index: index, done: done})
 }
 
 // closingListener is a listener whose queued connections are being accepted before it is closed.
 type closingListener struct {
-	fd     int // a copy of its descriptor
+	fd     int // a duplicate of the listener's descriptor
 	index  int
-	rounds int // of accepts so far
+	rounds int // number of batches accepted so far
 	done   func()
 }
 
-// drainListener accepts the queued connections of a listener, one batch in a turn. It closes the listener in the first
-// round after the first in which the queue is empty.
+// drainListener accepts the queued connections of a listener, one batch per turn. It closes the listener when it finds
+// the queue empty, but not in the first turn.
 func (d *driver) drainListener(closing *closingListener) {
-	waiting, err := acceptWaiting(closing.fd)
+	queued, err := acceptQueued(closing.fd)
 	if err != nil {
 		d.logListenerError(err)
 	}
-	if closing.rounds > 0 && len(waiting) == 0 {
-		if err := d.endListener(closing); err != nil {
+	if closing.rounds > 0 && len(queued) == 0 {
+		if err := d.replaceListener(closing); err != nil {
 			d.logListenerError(err)
 		}
 		closing.done()
 		return
 	}
-	// register must not be called on the loop. The goroutine ends with the batch.
+	// The batch is registered on a goroutine of its own, because register must not be called on the loop.
 	go func() {
-		for _, conn := range waiting {
+		for _, conn := range queued {
 			if err := d.register(conn, &socket{driver: d, listener: closing.index}); err != nil {
 				d.logListenerError(err)
 			}
@@ -190,42 +192,43 @@
 			d.drainListener(closing)
 		})
 		if err != nil { // the loop has ended
-			closeCopy(closing.fd)
+			closeDuplicate(closing.fd)
 		}
 	}()
 }
 
-// logListenerError logs an error in the closing of a listener.
+// logListenerError logs an error that occurred while a listener was closed.
 func (d *driver) logListenerError(err error) {
 	d.options.Logf("transport: close listener: error=%v", err)
 }
 
-// acceptWaiting accepts at most acceptBatch queued connections of a listener.
-func acceptWaiting(listenerFD int) (waiting []net.Conn, err error) {
-	for len(waiting) < acceptBatch {
+// acceptQueued accepts at most acceptBatch queued connections of a listener.
+func acceptQueued(listenerFD int) (queued []net.Conn, err error) {
+	for len(queued) < acceptBatch {
 		fd, _, err := unix.Accept4(listenerFD, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
 		switch {
 		case err == nil:
 		case errors.Is(err, unix.EINTR), errors.Is(err, unix.ECONNABORTED), errors.Is(err, unix.ECONNRESET):
 			continue
 		case errors.Is(err, unix.EAGAIN):
-			return waiting, nil
+			return queued, nil
 		default:
-			return waiting, fmt.Errorf("accept: %w", err)
+			return queued, fmt.Errorf("accept: %w", err)
 		}
 		file := os.NewFile(uintptr(fd), "connection")
-		conn, err := net.FileConn(file) // a copy
+		conn, err := net.FileConn(file) // duplicates the descriptor
 		if err = errors.Join(err, file.Close()); err != nil {
-			return waiting, err
+			return queued, err
 		}
-		waiting = append(waiting, conn)
+		queued = append(queued, conn)
 	}
-	return waiting, nil
+	return queued, nil
 }
 
-// endListener closes a listener. gnet cannot close one while it serves, so another file replaces it under the same
-// descriptor. This removes the listener from the poller, and gnet closes the replacement in the end.
-func (d *driver) endListener(closing *closingListener) error {
+// replaceListener closes a drained listener. gnet cannot close a listener while it serves, so another socket replaces
+// it under the same descriptor. This removes the listener from the poller, and gnet closes the replacement when it
+// stops.
+func (d *driver) replaceListener(closing *closingListener) error {
 	if err := unix.Close(closing.fd); err != nil {
 		return err
 	}
@@ -233,6 +236,6 @@
 	if err != nil {
 		return err
 	}
-	defer closeCopy(replacement)
+	defer closeDuplicate(replacement)
 	return unix.Dup3(replacement, d.listeners[closing.index].fd, unix.O_CLOEXEC)
 }
--- a/internal/transport/sockets/socket.go
+++ b/internal/transport/sockets/socket.go
@@ -12,17 +12,17 @@
 	"pewterline/internal/transport"
 )
 
-// socket is one of gnet's connections. gnet keeps it as the connection's context. It implements transport.RawConn.
+// socket implements transport.RawConn on a connection of gnet, and is the context of that connection.
 type socket struct {
 	driver     *driver
 	gnetConn   gnet.Conn
 	conn       *transport.Connection
-	dial       *transport.Dial // nil: a listener has accepted it
-	listener   int             // index of that listener
+	dial       *transport.Dial // nil for an accepted connection
+	listener   int             // index of the listener of an accepted connection
 	halfClosed bool
 }
 
-// open registers the connection with the Loop. It returns false if the connection has to be closed.
+// open registers the connection with the Loop. It returns false if the connection must be closed.
 func (s *socket) open(gnetConn gnet.Conn) bool {
 	s.gnetConn = gnetConn
 	if s.dial != nil {
@@ -49,11 +49,11 @@
 	}
 	s.halfClosed = true
 	if unix.Shutdown(s.gnetConn.Fd(), unix.SHUT_WR) != nil {
-		s.Close() // the peer has reset it
+		s.Close() // the peer has reset the connection
 	}
 }
 
-// Close is part of transport.RawConn. An error would mean that gnet has closed the connection already.
+// Close is part of transport.RawConn. An error is ignored: it means that gnet has closed the connection already.
 func (s *socket) Close() { _ = s.driver.eventLoop.Close(s.gnetConn) }
 
 // Remote is part of transport.RawConn.
@@ -64,16 +64,16 @@
 	return "a closed connection"
 }
 
-// Dial is part of transport.Driver. It waits on a goroutine of its own, which ends within transport.DialTimeout.
+// Dial is part of transport.Driver. It dials on its own goroutine, which ends within transport.DialTimeout.
 func (d *driver) Dial(dial *transport.Dial) {
 	go func() {
 		if d.connect(dial) != nil {
-			_ = d.Queue(func() { d.loop.DialFailed(dial) }) // an error says that the loop has ended
+			_ = d.Queue(func() { d.loop.DialFailed(dial) }) // fails only if the loop has ended
 		}
 	}()
 }
 
-// connect opens the connection of a dial and gives it to the loop.
+// connect opens the connection of a dial and registers it with the loop.
 func (d *driver) connect(dial *transport.Dial) error {
 	conn, err := net.DialTimeout("tcp", dial.Addr(), transport.DialTimeout)
 	if err != nil {
@@ -82,24 +82,24 @@
 	return d.register(conn, &socket{driver: d, dial: dial})
 }
 
-// register passes a connection that was opened off the loop to gnet. It must not be called on the loop, because it
-// waits for it.
+// register passes a connection that was opened outside the loop to gnet. It must not be called on the loop, because it
+// waits for the loop.
 func (d *driver) register(conn net.Conn, s *socket) error {
 	registered, err := d.engine.Register(gnet.NewContext(gnet.NewNetConnContext(context.Background(), conn), s))
 	if err != nil {
-		return fmt.Errorf("register: %w", errors.Join(err, conn.Close())) // it was never used
+		return fmt.Errorf("register: %w", errors.Join(err, conn.Close())) // the connection was never used
 	}
 	return (<-registered).Err
 }
 
-// Adopt adds a connection that was opened off the loop. open is called on the loop and returns its session.
+// Adopt adds a connection that was opened outside the loop. open is called on the loop and returns its session.
 func (l *Loop) Adopt(conn net.Conn, open func(transport.Conn) transport.Session) error {
 	return l.driver.register(conn, &socket{driver: l.driver, dial: l.Adopted(open)})
 }
 
-// Serve accepts connections of a listener that is not gnet's, under the given index, until that listener is closed. It
-// exists because gnet cannot serve Unix sockets beside listeners with SO_REUSEPORT. It waits on a goroutine of its own,
-// which ends when the listener is closed.
+// Serve accepts connections of a listener that is not managed by gnet, under the given index. It exists because gnet
+// cannot serve Unix sockets beside listeners with SO_REUSEPORT. It accepts on its own goroutine, which ends when the
+// listener is closed.
 func (l *Loop) Serve(ln net.Listener, index int) {
 	go func() {
 		for {
@@ -124,7 +124,7 @@
 		}
 	}
 	if d.datagrams != nil {
-		_ = d.datagrams.Close() // nothing is buffered in it that could be lost
+		_ = d.datagrams.Close() // no unsent bytes can be lost
 	}
 	d.datagrams = conn
 	return nil
@@ -135,8 +135,8 @@
 	if d.datagrams == nil {
 		return
 	}
-	// A send may fail, without sending, because the peer refused the previous datagram. The peer may have returned
-	// since.
+	// If the peer refused the previous datagram, this write fails without sending. The peer may be reachable again, so
+	// the write is repeated once.
 	if _, err := d.datagrams.Write(p); err != nil {
 		_, _ = d.datagrams.Write(p) // a datagram may be lost
 	}
--- a/internal/transport/sockets/sockets_test.go
+++ b/internal/transport/sockets/sockets_test.go
@@ -16,23 +16,25 @@
 	"pewterline/internal/transport"
 )
 
-// echo answers each byte by as many as it has; its sessions report their end.
-type echo struct {
-	answer []byte
-	closed chan string
-	dials  chan *echoSession
+// echoHandler is a Handler whose sessions send its response for each byte that they receive.
+type echoHandler struct {
+	response []byte
+	closed   chan string       // receives the remote address of each session that is closed
+	sessions chan *echoSession // receives the sessions of tests that need them
 }
 
 type echoSession struct {
-	e    *echo
-	conn transport.Conn
-	idle bool
+	handler *echoHandler
+	conn    transport.Conn
+	idle    bool
 }
 
-func (e *echo) Accept(_ int, l transport.Conn) transport.Session { return &echoSession{e: e, conn: l} }
-func (e *echo) Turn(microtime.Time) microtime.Time               { return microtime.Never }
-func (s *echoSession) Closed()                                   { s.e.closed <- s.conn.Remote() }
-func (s *echoSession) Idle() bool                                { return s.idle }
+func (h *echoHandler) Accept(_ int, conn transport.Conn) transport.Session {
+	return &echoSession{handler: h, conn: conn}
+}
+func (h *echoHandler) Turn(microtime.Time) microtime.Time { return microtime.Never }
+func (s *echoSession) Closed()                            { s.handler.closed <- s.conn.Remote() }
+func (s *echoSession) Idle() bool                         { return s.idle }
 func (s *echoSession) Receive(in []byte) (int, error) {
 	for i, b := range in {
 		switch b {
@@ -40,265 +42,273 @@
 			s.conn.MarkIdentified()
 		case 'i':
 			s.idle = true
-		case 'h': // half a message: it waits for the rest
-			s.conn.Write(s.e.answer)
+		case 'h': // an incomplete message: it is not consumed
+			s.conn.Write(s.handler.response)
 			return i, nil
 		}
-		s.conn.Write(s.e.answer)
+		s.conn.Write(s.handler.response)
 	}
 	return len(in), nil
 }
 
-// handClock stands still until a test moves it.
-type handClock struct{ now atomic.Int64 }
+// manualClock is a Clock that only the test advances.
+type manualClock struct{ now atomic.Int64 }
 
-func (c *handClock) Now() microtime.Time { return microtime.Time(c.now.Load()) }
+func (c *manualClock) Now() microtime.Time { return microtime.Time(c.now.Load()) }
 
-// move sets the clock forward and has the loop take a turn.
-func (c *handClock) move(t *testing.T, l *Loop, by microtime.Time) {
+// advance advances the clock, and waits until the loop has begun a turn.
+func (c *manualClock) advance(t *testing.T, loop *Loop, by microtime.Time) {
 	c.now.Add(int64(by))
 	done := make(chan struct{})
-	require.NoError(t, l.Execute(func() { close(done) }))
+	require.NoError(t, loop.Execute(func() { close(done) }))
 	<-done
 }
 
-func start(t *testing.T, e *echo, most int) *Loop {
-	return startWith(t, e, Options{Options: transport.Options{MaxConns: most}, Clock: microtime.NewClock()})
+// startLoop starts a loop with a connection limit, which ends with the test.
+func startLoop(t *testing.T, handler *echoHandler, maxConns int) *Loop {
+	return startLoopWith(t, handler, Options{Options: transport.Options{MaxConns: maxConns}, Clock: microtime.NewClock()})
 }
 
-func startWith(t *testing.T, e *echo, o Options) *Loop {
-	e.closed, e.dials = make(chan string, 100), make(chan *echoSession, 100)
-	o.Listen, o.Logf = []string{"127.0.0.1:0"}, t.Logf
-	l, err := Start(o, e, func(*transport.Loop) {})
+// startLoopWith starts a loop with options, which ends with the test.
+func startLoopWith(t *testing.T, handler *echoHandler, options Options) *Loop {
+	handler.closed, handler.sessions = make(chan string, 100), make(chan *echoSession, 100)
+	options.Listen, options.Logf = []string{"127.0.0.1:0"}, t.Logf
+	loop, err := Start(options, handler, func(*transport.Loop) {})
 	require.NoError(t, err)
 	t.Cleanup(func() {
-		l.Stop()
-		require.NoError(t, l.Wait())
+		loop.Stop()
+		require.NoError(t, loop.Wait())
 	})
-	return l
+	return loop
 }
 
-// closeAtEnd closes what the test opened, unless the test has.
+// closeAtEnd closes closer at the end of the test, unless the test has closed it already.
 func closeAtEnd(t *testing.T, closer io.Closer) {
 	t.Helper()
-	t.Cleanup(func() { _ = closer.Close() }) // the test's own checks are over
+	t.Cleanup(func() { _ = closer.Close() }) // the test is over, or has closed it already
 }
 
-func connect(t *testing.T, l *Loop) net.Conn {
-	c, err := net.Dial("tcp", l.Addr(0).String())
+// connect opens a connection to the loop's first listener.
+func connect(t *testing.T, loop *Loop) net.Conn {
+	conn, err := net.Dial("tcp", loop.Addr(0).String())
 	require.NoError(t, err)
-	closeAtEnd(t, c)
-	return c
+	closeAtEnd(t, conn)
+	return conn
 }
 
-func works(t *testing.T, c net.Conn, want []byte) { says(t, c, "x", want) }
+// requireServed requires that the loop responds on a connection.
+func requireServed(t *testing.T, conn net.Conn, want []byte) { exchange(t, conn, "x", want) }
 
-func says(t *testing.T, c net.Conn, what string, want []byte) {
-	_, err := c.Write([]byte(what))
+// exchange sends a request and requires the given response.
+func exchange(t *testing.T, conn net.Conn, request string, want []byte) {
+	_, err := conn.Write([]byte(request))
 	require.NoError(t, err)
 	got := make([]byte, len(want))
-	_, err = io.ReadFull(c, got)
+	_, err = io.ReadFull(conn, got)
 	require.NoError(t, err)
 	require.Equal(t, want, got)
 }
 
-// nowhere is a datagram socket of which the system told no address.
-type nowhere struct{ gnet.Conn }
+// addresslessConn is the socket of captureEventLoop on a system that reports no address for it.
+type addresslessConn struct{ gnet.Conn }
 
-func (nowhere) Context() any              { return ownSocket{} }
-func (nowhere) EventLoop() gnet.EventLoop { return nil }
-func (nowhere) LocalAddr() net.Addr       { return nil }
+func (addresslessConn) Context() any              { return ownSocket{} }
+func (addresslessConn) EventLoop() gnet.EventLoop { return nil }
+func (addresslessConn) LocalAddr() net.Addr       { return nil }
 
-// Guards against a crash in the first moment of the start: the loop's own socket is known by its mark, not by an
-// address, which it may lack, and it is no session.
+// Guards against a crash during the start: the loop's own socket is recognized by its context, not by its address, which
+// may be missing, and it gets no session.
 func TestOwnSocketNeedsNoAddress(t *testing.T) {
-	begun := 0
+	begins := 0
 	d := &driver{options: Options{Clock: microtime.NewClock()}}
-	d.loop = transport.New(transport.Options{Logf: t.Logf}, begins{d}, &echo{}, func(*transport.Loop) { begun++ })
-	out, action := d.OnOpen(nowhere{})
+	d.loop = transport.New(transport.Options{Logf: t.Logf}, noQueueDriver{d}, &echoHandler{},
+		func(*transport.Loop) { begins++ })
+	out, action := d.OnOpen(addresslessConn{})
 	require.Empty(t, out)
 	require.Equal(t, gnet.None, action)
-	require.Equal(t, 1, begun)
-	require.Equal(t, gnet.None, d.OnClose(nowhere{}, nil))
+	require.Equal(t, 1, begins)
+	require.Equal(t, gnet.None, d.OnClose(addresslessConn{}, nil))
 }
 
-// begins is a driver whose loop takes no turns.
-type begins struct{ *driver }
+// noQueueDriver is a driver that never runs queued functions, so that its loop ends no turn.
+type noQueueDriver struct{ *driver }
 
-func (begins) Queue(func()) error { return nil }
+func (noQueueDriver) Queue(func()) error { return nil }
 
-// Guards against a caller that connects as soon as the port listens: the program behind the loop has begun
-// before any session. The port is held, without listening, so that the caller can dial it from the start.
-func TestBeginComesFirst(t *testing.T) {
+// Guards against a session that starts before the loop's begin function has run, because a peer connects as soon as the
+// port listens. The test binds the port without listening, so that its peer can dial the port from the beginning.
+func TestBeginPrecedesSessions(t *testing.T) {
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM, 0)
 	require.NoError(t, err)
-	defer closeCopy(fd)
+	defer closeDuplicate(fd)
 	require.NoError(t, unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEPORT, 1))
 	require.NoError(t, unix.Bind(fd, &unix.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}))
 	addr := localAddr(fd).String()
-	called := make(chan net.Conn)
+	connected := make(chan net.Conn)
 	go func() {
 		for {
 			if conn, err := net.Dial("tcp", addr); err == nil {
-				called <- conn
+				connected <- conn
 				return
 			}
 		}
 	}()
-	handler := &eager{echo: echo{answer: []byte("r"), closed: make(chan string, 10)}}
+	handler := &beginChecker{echoHandler: echoHandler{response: []byte("r"), closed: make(chan string, 10)}}
 	loop, err := Start(Options{
 		Options: transport.Options{MaxConns: 2, Logf: t.Logf},
 		Listen:  []string{addr},
 		Clock:   microtime.NewClock(),
 	}, handler, func(*transport.Loop) { handler.begun = true })
 	require.NoError(t, err)
-	conn := <-called
-	works(t, conn, handler.answer) // its session is there
+	conn := <-connected
+	requireServed(t, conn, handler.response) // the session exists
 	require.NoError(t, conn.Close())
 	<-handler.closed
 	loop.Stop()
 	require.NoError(t, loop.Wait())
-	require.False(t, handler.early, "a session before the beginning")
+	require.False(t, handler.acceptedEarly, "a session was accepted before begin")
 }
 
-// eager notes a session that comes before the program has begun.
-type eager struct {
-	echo
-	begun, early bool
+// beginChecker is an echoHandler that records whether a session was accepted before begin was called.
+type beginChecker struct {
+	echoHandler
+	begun, acceptedEarly bool
 }
 
-func (e *eager) Accept(i int, l transport.Conn) transport.Session {
-	e.early = e.early || !e.begun
-	return e.echo.Accept(i, l)
+func (c *beginChecker) Accept(listener int, conn transport.Conn) transport.Session {
+	c.acceptedEarly = c.acceptedEarly || !c.begun
+	return c.echoHandler.Accept(listener, conn)
 }
 
-// Guards the memory: a peer that asks and never reads is cut off, and harms no other.
-func TestSlowReaderIsCut(t *testing.T) {
-	handler := &echo{answer: bytes.Repeat([]byte("r"), 32<<10)}
-	loop := start(t, handler, 10)
+// Guards the memory against a peer that sends requests and never reads the responses. Its connection is closed, and
+// other connections are not affected.
+func TestSlowReaderIsDisconnected(t *testing.T) {
+	handler := &echoHandler{response: bytes.Repeat([]byte("r"), 32<<10)}
+	loop := startLoop(t, handler, 10)
 	slow, other := connect(t, loop), connect(t, loop)
-	for cut := false; !cut; {
-		_, _ = slow.Write([]byte("x")) // fails once it is cut
+	for closed := false; !closed; {
+		_, _ = slow.Write([]byte("x")) // fails once the connection is closed
 		select {
-		case who := <-handler.closed:
-			require.Equal(t, slow.LocalAddr().String(), who)
-			cut = true
+		case remote := <-handler.closed:
+			require.Equal(t, slow.LocalAddr().String(), remote)
+			closed = true
 		default:
 		}
 	}
-	works(t, other, handler.answer)
+	requireServed(t, other, handler.response)
 }
 
-func isClosed(t *testing.T, c net.Conn) {
-	_, err := c.Read(make([]byte, 1))
+// requireClosed requires that the loop closes the connection.
+func requireClosed(t *testing.T, conn net.Conn) {
+	_, err := conn.Read(make([]byte, 1))
 	require.ErrorIs(t, err, io.EOF)
 }
 
-// Guards the descriptors: a connection too many is closed at once where all others are in use, and they go on.
-// gnet would stop listening for good if the system had to refuse it one.
-func TestConnectionsAreBounded(t *testing.T) {
-	handler := &echo{answer: []byte("r")}
-	loop := start(t, handler, 2)
-	one, two := connect(t, loop), connect(t, loop)
-	says(t, one, "v", handler.answer)
-	says(t, two, "v", handler.answer)
-	isClosed(t, connect(t, loop))
-	works(t, one, handler.answer)
-	require.NoError(t, one.Close())
+// Guards against running out of descriptors, after which gnet would stop listening for good. A connection over the limit
+// is closed at once while all others are in use, and the others continue.
+func TestConnectionLimit(t *testing.T) {
+	handler := &echoHandler{response: []byte("r")}
+	loop := startLoop(t, handler, 2)
+	first, second := connect(t, loop), connect(t, loop)
+	exchange(t, first, "v", handler.response)
+	exchange(t, second, "v", handler.response)
+	requireClosed(t, connect(t, loop))
+	requireServed(t, first, handler.response)
+	require.NoError(t, first.Close())
 	<-handler.closed
-	works(t, connect(t, loop), handler.answer)
+	requireServed(t, connect(t, loop), handler.response)
 }
 
-// Unidentified connections are closed when their time is up: those that have sent nothing valid, or half a message.
-// Whoever has sent something valid stays, however quiet.
+// Connections without a complete valid message are closed after the identification timeout. Identified connections stay
+// open, even if they are idle.
 func TestUnidentifiedConnectionsAreClosed(t *testing.T) {
-	handler, clock := &echo{answer: []byte("r")}, &handClock{}
-	loop := startWith(t, handler, Options{Options: transport.Options{MaxConns: 9}, Clock: clock})
+	handler, clock := &echoHandler{response: []byte("r")}, &manualClock{}
+	loop := startLoopWith(t, handler, Options{Options: transport.Options{MaxConns: 9}, Clock: clock})
 	proxy, silent := connect(t, loop), connect(t, loop)
-	says(t, proxy, "v", handler.answer)
-	clock.move(t, loop, transport.IdentificationTimeout/2)
+	exchange(t, proxy, "v", handler.response)
+	clock.advance(t, loop, transport.IdentificationTimeout/2)
 	half := connect(t, loop)
-	says(t, half, "h", handler.answer)
-	clock.move(t, loop, transport.IdentificationTimeout/2)
+	exchange(t, half, "h", handler.response)
+	clock.advance(t, loop, transport.IdentificationTimeout/2)
 	require.Equal(t, silent.LocalAddr().String(), <-handler.closed)
-	says(t, half, "h", handler.answer) // trickles on
-	clock.move(t, loop, transport.IdentificationTimeout/2)
+	exchange(t, half, "h", handler.response) // another part of the message
+	clock.advance(t, loop, transport.IdentificationTimeout/2)
 	require.Equal(t, half.LocalAddr().String(), <-handler.closed)
-	clock.move(t, loop, 100*transport.IdentificationTimeout)
-	works(t, proxy, handler.answer)
+	clock.advance(t, loop, 100*transport.IdentificationTimeout)
+	requireServed(t, proxy, handler.response)
 }
 
-// At the limit the oldest unidentified connection is evicted, then the one that has been idle the longest; a
-// connection with something open never is.
+// At the limit the oldest unidentified connection is evicted, then the one that has been idle the longest. A connection
+// with an open request is never evicted.
 func TestEviction(t *testing.T) {
-	handler, clock := &echo{answer: []byte("r")}, &handClock{}
-	loop := startWith(t, handler, Options{Options: transport.Options{MaxConns: 4}, Clock: clock})
+	handler, clock := &echoHandler{response: []byte("r")}, &manualClock{}
+	loop := startLoopWith(t, handler, Options{Options: transport.Options{MaxConns: 4}, Clock: clock})
 	busy, idle, kept, unidentified := connect(t, loop), connect(t, loop), connect(t, loop), connect(t, loop)
-	says(t, busy, "v", handler.answer)
-	says(t, idle, "vi", []byte("rr"))
-	says(t, unidentified, "x", handler.answer)
-	clock.move(t, loop, transport.EvictionGrace)
-	says(t, kept, "vi", []byte("rr"))
-	clock.move(t, loop, transport.EvictionGrace)
-	for _, next := range []net.Conn{unidentified, idle, kept} {
+	exchange(t, busy, "v", handler.response)
+	exchange(t, idle, "vi", []byte("rr"))
+	exchange(t, unidentified, "x", handler.response)
+	clock.advance(t, loop, transport.EvictionGrace)
+	exchange(t, kept, "vi", []byte("rr"))
+	clock.advance(t, loop, transport.EvictionGrace)
+	for _, victim := range []net.Conn{unidentified, idle, kept} {
 		conn := connect(t, loop)
-		says(t, conn, "v", handler.answer)
-		require.Equal(t, next.LocalAddr().String(), <-handler.closed)
+		exchange(t, conn, "v", handler.response)
+		require.Equal(t, victim.LocalAddr().String(), <-handler.closed)
 	}
-	isClosed(t, connect(t, loop))
-	works(t, busy, handler.answer)
+	requireClosed(t, connect(t, loop))
+	requireServed(t, busy, handler.response)
 }
 
-// Guards the memory of a small machine: where all buffers together hold too much, whoever has the most waiting
-// goes first, and the others are served.
-func TestBuffersAreBoundedTogether(t *testing.T) {
-	handler := &echo{answer: []byte("r")}
-	loop := startWith(t, handler, Options{
+// Guards the memory of a small machine. When all buffers together exceed the limit, the connection with the most
+// buffered bytes is closed, and the others are served.
+func TestTotalBufferLimit(t *testing.T) {
+	handler := &echoHandler{response: []byte("r")}
+	loop := startLoopWith(t, handler, Options{
 		Options: transport.Options{MaxConns: 99, MaxBuffered: 128 << 10},
-		Clock:   &handClock{},
+		Clock:   &manualClock{},
 	})
 	other := connect(t, loop)
-	works(t, other, handler.answer)
-	hoards := map[string]bool{}
+	requireServed(t, other, handler.response)
+	stalled := map[string]bool{}
 	for range 3 {
 		conn := connect(t, loop)
-		hoards[conn.LocalAddr().String()] = true
-		_, err := conn.Write(bytes.Repeat([]byte("h"), 60<<10)) // each within its own bound
+		stalled[conn.LocalAddr().String()] = true
+		_, err := conn.Write(bytes.Repeat([]byte("h"), 60<<10)) // within the limit of one connection
 		require.NoError(t, err)
 	}
-	require.Contains(t, hoards, <-handler.closed)
-	works(t, other, handler.answer)
+	require.Contains(t, stalled, <-handler.closed)
+	requireServed(t, other, handler.response)
 }
 
-// Guards the memory against a peer that sends without end what is never taken.
-func TestUntakenInputIsBounded(t *testing.T) {
-	handler := &echo{answer: []byte("r")}
-	loop := start(t, handler, 9)
+// Guards the memory against a peer that keeps sending bytes that its session does not consume.
+func TestUnconsumedInputLimit(t *testing.T) {
+	handler := &echoHandler{response: []byte("r")}
+	loop := startLoop(t, handler, 9)
 	conn := connect(t, loop)
-	for cut := false; !cut; {
-		_, _ = conn.Write(bytes.Repeat([]byte("h"), 32<<10)) // fails once it is cut
+	for closed := false; !closed; {
+		_, _ = conn.Write(bytes.Repeat([]byte("h"), 32<<10)) // fails once the connection is closed
 		select {
 		case <-handler.closed:
-			cut = true
+			closed = true
 		default:
 		}
 	}
 }
 
-// A link that is refused is dialled again until its peer listens.
-func TestDialUntilItOpens(t *testing.T) {
-	handler := &echo{answer: []byte("r")}
-	loop := start(t, handler, 2)
-	// A port that is taken, and refuses until it listens.
+// A refused dial is retried until the peer listens.
+func TestDialRetriesUntilConnected(t *testing.T) {
+	handler := &echoHandler{response: []byte("r")}
+	loop := startLoop(t, handler, 2)
+	// A bound port refuses connections until it listens.
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM, 0)
 	require.NoError(t, err)
 	require.NoError(t, unix.Bind(fd, &unix.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}))
 	addr := localAddr(fd).String()
 	require.NoError(t, loop.Execute(func() {
 		loop.Dial(addr, func(conn transport.Conn) transport.Session {
-			s := &echoSession{e: handler, conn: conn}
-			handler.dials <- s
-			return s
+			session := &echoSession{handler: handler, conn: conn}
+			handler.sessions <- session
+			return session
 		})
 	}))
 	_, err = net.Dial("tcp", addr)
@@ -311,29 +321,29 @@
 	closeAtEnd(t, listener)
 	conn, err := listener.Accept()
 	require.NoError(t, err)
-	<-handler.dials
-	works(t, conn, handler.answer)
+	<-handler.sessions
+	requireServed(t, conn, handler.response)
 	require.NoError(t, conn.Close())
 	<-handler.closed
 }
 
-// Guards a change of configuration: a link that was dropped while it was dialled is closed as it opens, and its
-// address is not dialled again.
-func TestDroppedDialNeverOpens(t *testing.T) {
-	handler := &echo{answer: []byte("r")}
-	loop := start(t, handler, 2)
+// Guards against a dial that survives a change of configuration: if it is cancelled during the attempt, its connection
+// is closed without a session, and the address is not dialled again.
+func TestCancelledDialNeverOpens(t *testing.T) {
+	handler := &echoHandler{response: []byte("r")}
+	loop := startLoop(t, handler, 2)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	closeAtEnd(t, listener)
 	var peer net.Conn
 	opened := make(chan struct{}, 1)
 	require.NoError(t, loop.Execute(func() {
-		drop := loop.Dial(listener.Addr().String(), func(conn transport.Conn) transport.Session {
+		cancel := loop.Dial(listener.Addr().String(), func(conn transport.Conn) transport.Session {
 			opened <- struct{}{}
-			return &echoSession{e: handler, conn: conn}
+			return &echoSession{handler: handler, conn: conn}
 		})
-		peer, err = listener.Accept() // the loop is here, so the link cannot be open on it yet
-		drop()
+		peer, err = listener.Accept() // this runs on the loop, so the loop cannot have opened the connection yet
+		cancel()
 	}))
 	done := make(chan struct{})
 	require.NoError(t, loop.Execute(func() { close(done) }))
@@ -345,23 +355,23 @@
 	require.Empty(t, opened)
 }
 
-// Reports go to the address set last; one that makes no sense leaves the one before.
-func TestDatagramsMove(t *testing.T) {
-	loop := start(t, &echo{}, 2)
+// Datagrams go to the peer that was set last. An invalid address leaves the previous peer.
+func TestDatagramPeerChange(t *testing.T) {
+	loop := startLoop(t, &echoHandler{}, 2)
 	peers := make([]net.PacketConn, 2)
 	for i := range peers {
 		var err error
 		peers[i], err = net.ListenPacket("udp", "127.0.0.1:0")
 		require.NoError(t, err)
 		closeAtEnd(t, peers[i])
-		failed := make(chan error, 2)
+		results := make(chan error, 2)
 		require.NoError(t, loop.Execute(func() {
-			failed <- loop.SetDatagramPeer(peers[i].LocalAddr().String())
-			failed <- loop.SetDatagramPeer("nowhere")
+			results <- loop.SetDatagramPeer(peers[i].LocalAddr().String())
+			results <- loop.SetDatagramPeer("no address")
 			loop.SendDatagram([]byte{byte(i)})
 		}))
-		require.NoError(t, <-failed)
-		require.Error(t, <-failed)
+		require.NoError(t, <-results)
+		require.Error(t, <-results)
 		got := make([]byte, 2)
 		n, _, err := peers[i].ReadFrom(got)
 		require.NoError(t, err)
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -1,9 +1,9 @@
-// Package transport is the policy of the program's event loop: it manages the connections and orders the steps of a
-// turn. It limits the number of connections and the bytes buffered for them, closes connections that never identify
-// themselves, shuts connections down without losing the last response, and retries dials with backoff.
+// Package transport implements the policy of the program's event loop: it manages the connections and orders the steps
+// of a turn. It limits the number of connections and the bytes buffered for them, closes connections that never
+// identify themselves, shuts connections down without losing the last response, and retries dials with backoff.
 //
 // It has no socket, goroutine, lock or clock of its own. A Driver supplies sockets and time: package sockets is the
-// driver of the real program, package simnet the one of the simulation. The program behind the loop is a Handler and
+// driver of the real program, and package simnet that of the simulation. The program behind the loop is a Handler and
 // its Sessions. All methods run on the loop's goroutine unless their comment says otherwise. A turn begins with the
 // first ready event, reads the clock once, and ends after all events that were ready with the first one, as
 // Driver.Queue orders it. The bytes that sessions write are sent at the end of the turn.
@@ -22,8 +22,8 @@
 	// IdentificationTimeout is how long an accepted connection may stay unidentified, which means that its peer has not
 	// sent a valid message.
 	IdentificationTimeout = 1500 * microtime.Millisecond
-	// EvictionGrace is how long a connection must have been inactive before it is evicted as idle: a request may be in
-	// flight.
+	// EvictionGrace is how long a connection must have been inactive before it can be evicted as idle. Until then, a
+	// request of its peer may still be in flight.
 	EvictionGrace = 200 * microtime.Millisecond
 	// DialTimeout is the longest time that a Driver may take for one attempt to dial.
 	DialTimeout = time.Second
@@ -32,14 +32,14 @@
 )
 
 const (
-	// maxOutgoing is the most unsent bytes of a connection. It is twice the size of all responses that the open
-	// requests of a connection can get.
+	// maxOutgoing is the most unsent bytes of a connection. It is twice the size of the responses to all open requests
+	// of a connection.
 	maxOutgoing = 256 << 10
 	// maxReceived is the most bytes that a session may leave unconsumed. It is several times the size of all open
 	// requests of a connection.
 	maxReceived = 256 << 10
-	// retainedCapacity is the largest capacity of an empty buffer that is kept for reuse. An ordinary request or
-	// response fits.
+	// retainedCapacity is the largest capacity of an empty buffer that is kept for reuse. It holds an ordinary request
+	// or response.
 	retainedCapacity = 4 << 10
 )
 
@@ -72,8 +72,8 @@
 type Handler interface {
 	// Accept returns the session of a new connection to the listener of that index.
 	Accept(listener int, c Conn) Session
-	// Turn is called at the end of a turn, when all ready bytes have been received. It returns when the next turn is
-	// due.
+	// Turn is called at the end of a turn, when all ready bytes have been received. It returns the time at which the
+	// next turn is due.
 	Turn(now microtime.Time) microtime.Time
 }
 
@@ -83,15 +83,16 @@
 type Driver interface {
 	// Now reads the clock. It never goes back.
 	Now() microtime.Time
-	// Queue runs f on the loop, after all events that are ready now. It may be called from any goroutine. An error
-	// means that the loop has ended and that f will never run.
+	// Queue runs f on the loop, after all events that are ready now. It may be called from any goroutine. It returns an
+	// error if the loop has ended; f is then never run.
 	Queue(f func()) error
-	// SetTimer schedules a call of Loop.TimerFired at a time or soon after it. It replaces the previous timer.
+	// SetTimer schedules a call of Loop.TimerFired at the given time or soon after it. It replaces the previous timer.
 	// microtime.Never stops the timer.
 	SetTimer(at microtime.Time)
-	// Dial tries once to open a connection to d's address, for DialTimeout at most. Connected or DialFailed follows.
+	// Dial tries once to open a connection to d's address, for DialTimeout at most. It reports the result by
+	// Loop.Connected or Loop.DialFailed.
 	Dial(d *Dial)
-	// SetDatagramPeer sets the peer of SendDatagram; empty: none. After an error the previous peer stays.
+	// SetDatagramPeer sets the peer of SendDatagram; an empty address removes it. On an error the previous peer stays.
 	SetDatagramPeer(addr string) error
 	// SendDatagram sends one datagram, which may be lost.
 	SendDatagram(p []byte)
@@ -106,16 +107,17 @@
 
 // RawConn is one connection of a Driver.
 type RawConn interface {
-	// Write sends p, and buffers the part that the peer does not accept yet. It may call Ended before it returns an
+	// Write sends p, and buffers the part that cannot be sent yet. It may call Connection.Ended before it returns an
 	// error.
 	Write(p []byte) error
 	// Unsent returns the number of buffered bytes.
 	Unsent() int
 	// CloseWrite half-closes the connection, so that the peer reads an end of file. While bytes are buffered it does
-	// nothing, and has to be called again. Bytes that arrive are still passed to Received. It may call Ended.
+	// nothing, and must be called again later. Bytes that arrive are still passed to Connection.Received. It may call
+	// Connection.Ended.
 	CloseWrite()
-	// Close closes the connection at once; Ended is called before it returns. If bytes have arrived that were not read,
-	// the connection is reset, and the peer loses what it has not read yet.
+	// Close closes the connection at once, and calls Connection.Ended before it returns. If received bytes are unread,
+	// the connection is reset, and the peer loses the bytes that it has not read yet.
 	Close()
 	// Remote names the peer.
 	Remote() string
@@ -123,10 +125,11 @@
 
 // Options configure a Loop.
 type Options struct {
-	// MaxConns is the most accepted connections. A further one is accepted only if another can be evicted.
+	// MaxConns is the maximum number of accepted connections. At the limit, a further one is accepted only if another
+	// can be evicted.
 	MaxConns int
-	// DedicatedLimits are limits of single listeners, by their index. Connections to these count against their own
-	// limit alone, and not against MaxConns.
+	// DedicatedLimits are connection limits of single listeners, by the listener's index. Connections to such a
+	// listener count against its own limit only, and not against MaxConns.
 	DedicatedLimits map[int]int
 	// MaxBuffered limits the bytes in the buffers of all connections together; 0: no limit.
 	MaxBuffered int
