--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,4 +1,5 @@
-// Command simadapter hosts controller instances on the simulator's wire: frames in on standard input, replies out.
+// Command simadapter runs controllers for the simulator: it reads frames from standard input and writes the replies to
+// standard output.
 package main
 
 import (
--- a/internal/config/ajp.go
+++ b/internal/config/ajp.go
@@ -10,10 +10,10 @@
 // pool.
 type AJP struct {
 	Listen             string         // empty: there is no frontend
-	Secret             string         // that web servers have to send; empty: none
+	Secret             string         // that web servers must send; empty: none
 	BodyTimeout        microtime.Time // how long a web server may take to send a body
 	MaxBody            int            // in bytes
-	MaxConnections     int            // of the frontend; they count against Config.SocketLimit
+	MaxConnections     int            // of web servers; they count against Config.SocketLimit
 	BackendAddress     string         // empty: requests do not run on an AJP server
 	BackendSecret      string
 	BackendPath        string
--- a/internal/config/classes.go
+++ b/internal/config/classes.go
@@ -10,7 +10,7 @@
 
 var errNoClasses = errors.New("none")
 
-// checkClasses returns the first error in the settings' classes.
+// checkClasses returns the first error in the classes of the settings.
 func checkClasses(settings control.Settings) error {
 	if len(settings.Classes) == 0 {
 		return &KeyError{Key: "settings.classes", Err: errNoClasses}
@@ -25,24 +25,25 @@
 	return nil
 }
 
-func checkClass(index int, class control.Class, seen bool) error {
-	fault := func(key, format string, args ...any) error {
+// checkClass checks one class. duplicate means that an earlier class has the same name.
+func checkClass(index int, class control.Class, duplicate bool) error {
+	keyErrorf := func(key, format string, args ...any) error {
 		return inJSON.errorf(fmt.Sprintf("settings.classes[%d].%s (%q)", index, key, class.Name), format, args...)
 	}
 	keyed := class.Idempotency == control.IdempotentByKey
 	switch {
 	case !isWord(class.Name):
-		return fault("name", "not one word")
-	case seen:
-		return fault("name", "there twice")
+		return keyErrorf("name", "must be one word without white space")
+	case duplicate:
+		return keyErrorf("name", "duplicate name")
 	case class.Deadline <= 0:
-		return fault("hard_limit_ms", "%v is not over 0", class.Deadline)
+		return keyErrorf("hard_limit_ms", "%v is not over 0", class.Deadline)
 	case class.LatencyObjective <= 0:
-		return fault("aim_ms", "%v is not over 0", class.LatencyObjective)
+		return keyErrorf("aim_ms", "%v is not over 0", class.LatencyObjective)
 	case class.RetentionWindow < 0 || keyed && class.RetentionWindow == 0:
-		return fault("window_ms", "%v is not over 0", class.RetentionWindow)
+		return keyErrorf("window_ms", "%v is not over 0", class.RetentionWindow)
 	case !(class.Weight >= 0) || math.IsInf(class.Weight, 0): // the negated comparison also catches NaN
-		return fault("worth", "%v is under 0", class.Weight)
+		return keyErrorf("worth", "%v is under 0", class.Weight)
 	default:
 		return nil
 	}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -10,15 +10,15 @@
 	"pewterline/internal/microtime"
 )
 
-const goodJSON = `{"name": "n3", "listen": "127.0.0.1:4100", "pool": "127.0.0.1:9300", "control": "127.0.0.1:7946",
+const validJSON = `{"name": "n3", "listen": "127.0.0.1:4100", "pool": "127.0.0.1:9300", "control": "127.0.0.1:7946",
  "seed": "8c1f30d27a5be964", "stop_ms": 3200, "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
  "settings": {"classes": [{"name": "a", "aim_ms": 1000, "hard_limit_ms": 4000, "worth": 1, "effect": "free"}],
  "extra": {"cores": 4, "gauges": ["cpu_busy"]}}}`
 
-// goodSources returns the texts of a valid JSON file and of no TOML file.
-func goodSources() sources { return sources{json: []byte(goodJSON)} }
+// validSources returns a valid JSON file and no TOML files.
+func validSources() sources { return sources{json: []byte(validJSON)} }
 
-// env returns an environment with one variable.
+// env returns an environment with a single variable.
 func env(variable, value string) func(string) string {
 	return func(name string) string {
 		if name == variable {
@@ -30,13 +30,13 @@
 
 func emptyEnv(string) string { return "" }
 
-func TestGood(t *testing.T) {
-	texts := goodSources()
+func TestParseValidFiles(t *testing.T) {
+	texts := validSources()
 	texts.ajp = []byte("[front]\nlisten = \"127.0.0.1:8009\"\n")
 	cfg, err := parse(texts, env("RELAY_LISTEN", "127.0.0.2:4100"))
 	require.NoError(t, err)
 	require.Equal(t, "n3", cfg.Name)
-	require.Equal(t, "127.0.0.2:4100", cfg.Listen, "the environment wins")
+	require.Equal(t, "127.0.0.2:4100", cfg.Listen, "the environment takes precedence")
 	require.Equal(t, 3200*microtime.Millisecond, cfg.ShutdownTimeout)
 	require.EqualValues(t, 192<<20, cfg.MemoryLimit)
 	require.Equal(t, uint64(0x8c1f30d27a5be964), cfg.Settings.Seed)
@@ -46,7 +46,7 @@
 	require.Equal(t, 2*microtime.Second, cfg.AJP.BodyTimeout)
 }
 
-// Every error names the key at fault.
+// Every error names the invalid key.
 func TestErrorsNameTheKey(t *testing.T) {
 	for _, tc := range []struct{ old, new, ajp, want string }{
 		{`"name": "n3"`, `"name": "n 3"`, "", "name:"},
@@ -72,18 +72,18 @@
 		{"", "", "front = [", "ajp.toml:"},
 	} {
 		t.Run(tc.want, func(t *testing.T) {
-			texts := sources{json: []byte(strings.Replace(goodJSON, tc.old, tc.new, 1)), ajp: []byte(tc.ajp)}
+			texts := sources{json: []byte(strings.Replace(validJSON, tc.old, tc.new, 1)), ajp: []byte(tc.ajp)}
 			_, err := parse(texts, emptyEnv)
 			require.ErrorContains(t, err, tc.want)
-			var wrong *KeyError
-			require.ErrorAs(t, err, &wrong)
+			var keyError *KeyError
+			require.ErrorAs(t, err, &keyError)
 		})
 	}
 	for text, want := range map[string]string{
 		"driver = \"oracle\"": "driver:", "driver = \"sqlite\"": "dsn:", "path = \"x\"": "path: unknown",
 		"driver = \"postgres\"\ndsn = \"x\"\ntimeout_ms = 0": "timeout_ms:",
 	} {
-		texts := goodSources()
+		texts := validSources()
 		texts.store = []byte(text)
 		_, err := parse(texts, emptyEnv)
 		require.ErrorContains(t, err, "store.toml: "+want)
@@ -92,8 +92,8 @@
 	require.ErrorContains(t, err, "RELAY_CONFIG")
 }
 
-// The files that ship are off: the platform runs with them.
-func TestShippedFilesAreOff(t *testing.T) {
+// The features of the shipped TOML files are disabled, because the platform runs with these files.
+func TestShippedFilesAreDisabled(t *testing.T) {
 	variables := map[string]string{
 		"RELAY_CONFIG": "testdata/config.json",
 		"RELAY_AJP":    "../../deploy/ajp.toml",
@@ -106,10 +106,10 @@
 	require.Empty(t, cfg.Store.Driver)
 }
 
-// Guards the fleet's file: what is faulty is named, and what is right is read.
+// A valid fleet.toml is read, the shipped one configures no servers, and each error names the invalid key.
 func TestFleetFile(t *testing.T) {
 	parseWith := func(text string) (Config, error) {
-		texts := goodSources()
+		texts := validSources()
 		texts.fleet = []byte(text)
 		return parse(texts, emptyEnv)
 	}
@@ -134,29 +134,29 @@
 	require.NoError(t, err)
 	cfg, err = parseWith(string(text))
 	require.NoError(t, err)
-	require.Empty(t, cfg.Fleet.Members, "it ships off")
+	require.Empty(t, cfg.Fleet.Members, "the shipped file configures no servers")
 }
 
-// The operators' address is the environment's before the file's, is checked, and may be absent.
-func TestAdmin(t *testing.T) {
-	withAdmin := sources{json: []byte(strings.Replace(goodJSON, "{", `{"admin": "127.0.0.1:7000", `, 1))}
+// The address for operators is optional and is checked. The environment takes precedence over the file.
+func TestAdminAddress(t *testing.T) {
+	withAdmin := sources{json: []byte(strings.Replace(validJSON, "{", `{"admin": "127.0.0.1:7000", `, 1))}
 	cfg, err := parse(withAdmin, emptyEnv)
 	require.NoError(t, err)
 	require.Equal(t, "127.0.0.1:7000", cfg.AdminAddress)
 	cfg, err = parse(withAdmin, env("RELAY_ADMIN", "127.0.0.1:7001"))
 	require.NoError(t, err)
 	require.Equal(t, "127.0.0.1:7001", cfg.AdminAddress)
-	cfg, err = parse(goodSources(), emptyEnv)
+	cfg, err = parse(validSources(), emptyEnv)
 	require.NoError(t, err)
 	require.Empty(t, cfg.AdminAddress)
-	_, err = parse(goodSources(), env("RELAY_ADMIN", "here"))
+	_, err = parse(validSources(), env("RELAY_ADMIN", "here"))
 	require.ErrorContains(t, err, `admin: "here"`)
 }
 
-// The file for replication is off as it ships, and each faulty key is named.
+// A valid copies.toml is read, the shipped one disables replication, and each error names the invalid key.
 func TestReplicationFile(t *testing.T) {
 	parseWith := func(text, store string) (Config, error) {
-		texts := goodSources()
+		texts := validSources()
 		texts.replication = []byte(text)
 		texts.store = []byte(store)
 		return parse(texts, emptyEnv)
@@ -166,9 +166,9 @@
 	cfg, err := parseWith(string(text), "")
 	require.NoError(t, err)
 	require.Zero(t, cfg.Replication.ServerID)
-	const good = "id = 2\nlisten = \"127.0.0.1:7002\"\nfolder = \"held\"\n" +
+	const valid = "id = 2\nlisten = \"127.0.0.1:7002\"\nfolder = \"held\"\n" +
 		"[[member]]\nid = 1\naddress = \"127.0.0.1:7001\"\n[[member]]\nid = 2\naddress = \"127.0.0.1:7002\"\n"
-	cfg, err = parseWith(good, "")
+	cfg, err = parseWith(valid, "")
 	require.NoError(t, err)
 	require.Len(t, cfg.Replication.Peers, 2)
 	require.Equal(t, 3, cfg.Replication.ReplicationFactor)
@@ -183,11 +183,11 @@
 		{"id = 1\n", "id = 2\n", "member 2"},
 		{"folder", "colour = 1\nfolder", "colour"},
 	} {
-		require.Contains(t, good, tc.old)
-		_, err := parseWith(strings.Replace(good, tc.old, tc.new, 1), "")
+		require.Contains(t, valid, tc.old)
+		_, err := parseWith(strings.Replace(valid, tc.old, tc.new, 1), "")
 		require.ErrorContains(t, err, tc.want)
 		require.ErrorContains(t, err, "copies.toml")
 	}
-	_, err = parseWith(good, "driver = \"sqlite\"\ndsn = \"a.db\"\n")
-	require.ErrorContains(t, err, "only one can hold the intakes")
+	_, err = parseWith(valid, "driver = \"sqlite\"\ndsn = \"a.db\"\n")
+	require.ErrorContains(t, err, "executions can be recorded in only one")
 }
--- a/internal/config/files.go
+++ b/internal/config/files.go
@@ -41,11 +41,11 @@
 	replication []byte
 }
 
-// optionalFile is a file that may be missing, unless the environment names it.
+// optionalFile is a TOML file. It may be missing, unless the environment names it.
 type optionalFile struct {
-	variable    string // of the environment
+	variable    string // the environment variable that names the file
 	defaultPath string
-	text        func(*sources) *[]byte
+	text        func(*sources) *[]byte // where the file's text is stored
 	check       func(text []byte) error
 }
 
@@ -68,7 +68,7 @@
 	return orDefault(getenv(f.variable), f.defaultPath)
 }
 
-// read returns the file's text, or nil if there is no file and none is named.
+// read returns the file's text. It returns nil if there is no file and the environment names none.
 func (f optionalFile) read(getenv func(string) string) ([]byte, error) {
 	text, err := os.ReadFile(f.path(getenv))
 	if errors.Is(err, fs.ErrNotExist) && getenv(f.variable) == "" {
@@ -111,7 +111,7 @@
 
 // FileError is the first error in one file.
 type FileError struct {
-	File string // as the environment names it, or its default path
+	File string // the path in the environment, or the default path
 	Err  error
 }
 
@@ -121,9 +121,9 @@
 // Unwrap is for errors.Is and errors.As.
 func (e FileError) Unwrap() error { return e.Err }
 
-// ValidateFiles checks each file by itself, and then whether the files fit together. It returns the first error of each
-// file.
-func ValidateFiles(getenv func(string) string) (faults []FileError) {
+// ValidateFiles checks each file by itself, and then whether the files are consistent with each other. It returns the
+// first error of each file.
+func ValidateFiles(getenv func(string) string) (fileErrors []FileError) {
 	var texts sources
 	for _, file := range optionalFiles() {
 		text, err := file.read(getenv)
@@ -131,25 +131,25 @@
 			err = file.check(text)
 		}
 		if err != nil {
-			faults = append(faults, FileError{File: file.path(getenv), Err: err})
+			fileErrors = append(fileErrors, FileError{File: file.path(getenv), Err: err})
 			continue
 		}
 		*file.text(&texts) = text
 	}
 	var err error
 	if texts.json, err = readJSON(getenv); err == nil {
-		_, err = parse(texts, getenv) // without the files that have errors of their own
+		_, err = parse(texts, getenv) // without the TOML files that are invalid by themselves
 	}
 	if err != nil {
-		faults = append(faults, FileError{File: orDefault(getenv(envConfig), envConfig), Err: err})
+		fileErrors = append(fileErrors, FileError{File: orDefault(getenv(envConfig), envConfig), Err: err})
 	}
-	return faults
+	return fileErrors
 }
 
 // KeyError is the error of one key of one file, or of an environment variable.
 type KeyError struct {
-	File string // of a TOML file; empty: the JSON file or the environment
-	Key  string // with its path; empty: the file as a whole
+	File string // name of a TOML file; empty: the JSON file or the environment
+	Key  string // path of the key, or name of the variable; empty: the file as a whole
 	Err  error
 }
 
@@ -169,14 +169,14 @@
 // Unwrap is for errors.Is and errors.As.
 func (e *KeyError) Unwrap() error { return e.Err }
 
-// inFile is the name of the file whose keys are checked, for the errors; empty: the JSON file.
+// inFile is the name of the checked file in errors; empty: the JSON file. Its methods check values of that file.
 type inFile string
 
 func (f inFile) errorf(key, format string, args ...any) error {
 	return &KeyError{File: string(f), Key: key, Err: fmt.Errorf(format, args...)}
 }
 
-// decode decodes a TOML file. Keys that the struct does not have are errors.
+// decode decodes a TOML file. A key without a matching struct field is an error.
 func (f inFile) decode(text []byte, into any) error {
 	meta, err := toml.Decode(string(text), into)
 	if err != nil {
@@ -209,27 +209,27 @@
 	return f.checkAddress(key, address)
 }
 
-// readInt stores a number from the file, which must be within 1 to most, in into. If the file does not have it, into is
-// unchanged.
-func (f inFile) readInt(key string, value *int, most int, into *int) error {
+// readInt stores a number from the file, which must be within 1 to limit, in into. If the file does not have the key,
+// value is nil and into stays unchanged.
+func (f inFile) readInt(key string, value *int, limit int, into *int) error {
 	if value == nil {
 		return nil
 	}
-	if *value < 1 || *value > most {
-		return f.errorf(key, "%d is not within 1 to %d", *value, most)
+	if *value < 1 || *value > limit {
+		return f.errorf(key, "%d is not within 1 to %d", *value, limit)
 	}
 	*into = *value
 	return nil
 }
 
-// isWord reports whether text is one word without white space, as names have to be.
+// isWord reports whether text is one word without white space, as is required of names.
 func isWord(text string) bool { return text != "" && !strings.ContainsAny(text, " \r\n\t") }
 
 func milliseconds(n int) microtime.Time { return microtime.Time(n) * microtime.Millisecond }
 
-func orDefault(text, otherwise string) string {
+func orDefault(text, fallback string) string {
 	if text != "" {
 		return text
 	}
-	return otherwise
+	return fallback
 }
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -9,9 +9,9 @@
 // Fleet is the file fleet.toml: the log servers to which requests are forwarded in place of a worker pool.
 type Fleet struct {
 	Members  []Member // none: requests are not forwarded
-	CallerID uint32   // how this instance identifies itself to them
-	// GossipListen is where other instances reach this one, and GossipPeers where it reaches them. No file sets them,
-	// because gossip must only be exchanged over TLS.
+	CallerID uint32   // identifies this instance to the members
+	// GossipListen is the address at which other instances reach this one, and GossipPeers are the addresses of the
+	// others. No file sets them, because gossip must only be exchanged over TLS.
 	GossipListen string
 	GossipPeers  []string
 	LoadBalancer loadbalancer.Config
@@ -85,16 +85,16 @@
 	return cfg, nil
 }
 
-// checkMembers checks that the members' names differ and that their addresses are well-formed.
+// checkMembers checks that the members have valid names, which differ, and valid addresses.
 func checkMembers(in inFile, members []Member) error {
 	if len(members) > maxMembers {
-		return in.errorf("server", "%d are over %d", len(members), maxMembers)
+		return in.errorf("server", "%d servers exceed the limit of %d", len(members), maxMembers)
 	}
 	seen := map[string]bool{}
 	for i, member := range members {
 		key := fmt.Sprintf("server %d", i+1)
 		if !isWord(member.Name) || len(member.Name) > maxMemberNameLength || seen[member.Name] {
-			return in.errorf(key+": name", "%q is not one word of its own", member.Name)
+			return in.errorf(key+": name", "%q is empty, too long, not unique or has white space", member.Name)
 		}
 		seen[member.Name] = true
 		if err := in.checkAddress(key+": address", member.Address); err != nil {
--- a/internal/config/parse.go
+++ b/internal/config/parse.go
@@ -29,7 +29,7 @@
 	bytesPerMB               = 1 << 20
 )
 
-// inJSON reports errors of the JSON file, which do not name it.
+// inJSON checks values of the JSON file. Errors in it do not name the file.
 const inJSON inFile = ""
 
 type jsonFile struct {
@@ -50,8 +50,8 @@
 	Sockets  *int     `json:"sockets"`
 }
 
-// parse parses and checks the files. The name and the addresses in the environment take precedence over the JSON
-// file's.
+// parse parses and checks the files. The name and the addresses in the environment take precedence over those in the
+// JSON file.
 func parse(texts sources, getenv func(string) string) (Config, error) {
 	var file jsonFile
 	var document map[string]any
@@ -96,7 +96,7 @@
 	case err == nil:
 		return nil
 	case errors.As(err, &wrongType):
-		return inJSON.errorf(wrongType.Field, "a %s does not fit", wrongType.Value)
+		return inJSON.errorf(wrongType.Field, "unexpected type %s", wrongType.Value)
 	default:
 		return &KeyError{Key: envConfig, Err: err}
 	}
@@ -118,12 +118,12 @@
 }
 
 var (
-	errTwoStores   = errors.New("store.toml names a store of record as well; only one can hold the intakes")
-	errTwoBackends = errors.New("ajp.toml names a runner as well; only one can do the work")
+	errTwoStores   = errors.New("store.toml names a store of record as well; executions can be recorded in only one")
+	errTwoBackends = errors.New("ajp.toml names a runner as well; only one backend can run requests")
 )
 
-// checkExclusive checks that at most one file configures where executions are recorded, and at most one a backend in
-// place of the worker pool.
+// checkExclusive checks that at most one file configures where executions are recorded, and that at most one file
+// configures a backend in place of the worker pool.
 func (c *Config) checkExclusive() error {
 	if c.Replication.ServerID != 0 && c.Store.Driver != "" {
 		return &KeyError{File: replicationFileName, Key: "id", Err: errTwoStores}
@@ -180,7 +180,7 @@
 	return nil
 }
 
-// readSettings reads the platform's settings and the seed of the random draws.
+// readSettings reads the platform's settings and the seed of the random numbers.
 func (c *Config) readSettings(file jsonFile) error {
 	var seed uint64
 	var err error
@@ -209,7 +209,7 @@
 	errCallsNeedVault = errors.New("missing; settings.extra.downstream says that runs call it")
 )
 
-// checkCalls checks that runs can make the downstream calls that the settings declare.
+// checkCalls checks that runs can make downstream calls if the settings declare them.
 func (c *Config) checkCalls() error {
 	const key = "settings.extra.downstream"
 	switch {
--- a/internal/config/replication.go
+++ b/internal/config/replication.go
@@ -12,10 +12,10 @@
 type Replication struct {
 	ServerID          uint32 // of this server; 0: replication is off
 	Listen            string // where the other members connect
-	Directory         string // of the log on disk
-	ReplicationFactor int    // of a group that is bootstrapped here
+	Directory         string // of the write-ahead log
+	ReplicationFactor int    // of a group that this server bootstraps
 	Consensus         consensus.Config
-	Peers             []consensus.Member // members of the group to bootstrap, or addresses of present members
+	Peers             []consensus.Member // members of the group to bootstrap, or the addresses of its current members
 }
 
 // The defaults of copies.toml.
@@ -24,7 +24,7 @@
 	defaultAttemptTimeoutMS  = 100
 	defaultProposalTimeoutMS = 1000
 	defaultMaxInFlight       = 1024
-	defaultRepairRate        = 2000 // keys a second
+	defaultRepairRate        = 2000 // keys per second
 	defaultMaxRepairs        = 32
 )
 
@@ -91,9 +91,9 @@
 
 var errNoFolder = errors.New("folder: missing")
 
-// notMemberError is the error of a group that does not contain this server.
+// notMemberError means that the configured group does not contain this server.
 type notMemberError struct {
-	serverID uint32 // of this server
+	serverID uint32 // id of this server
 }
 
 // Error is part of error.
--- a/internal/config/required_keys.go
+++ b/internal/config/required_keys.go
@@ -8,8 +8,8 @@
 	"strings"
 )
 
-// optionalKeys are the keys that a new file may leave out although the file in force has them: the platform declares
-// them optional, or the environment may set them.
+// optionalKeys are the keys that a new file may omit even if the file in force has them. The platform declares them
+// optional, or the environment may set them.
 var optionalKeys = map[string]bool{
 	"name":            true,
 	"listen":          true,
@@ -21,9 +21,9 @@
 
 var errKeyMissing = errors.New("missing; the file in force has it")
 
-// RequireKeysOf returns an error that names a key which the file in force has and this one does not, or nil. It keeps a
-// running server from loading a truncated file, in which a missing key does not mean that the default is wanted. Each
-// entry of a list needs the keys that all entries of the list in force have.
+// RequireKeysOf returns an error if a required key of the file in force is missing in this file. It prevents a running
+// server from loading a truncated file, in which a missing key does not mean that the default is wanted. Each entry of
+// a list needs the keys that all entries of the list in force have.
 func (c Config) RequireKeysOf(inForce Config) error {
 	if inForce.Document == nil {
 		return nil
@@ -34,12 +34,12 @@
 	return nil
 }
 
-// missingKey returns the path of the first key, in the order of names, that before has and now does not; "": there is
-// none.
+// missingKey returns the path of the first key, in alphabetical order, that is in before but missing in now. It returns
+// an empty path if there is none.
 func missingKey(path string, before, now any) string {
 	switch before := before.(type) {
 	case map[string]any:
-		now, _ := now.(map[string]any) // nil if it has another type, so all keys are missing
+		now, _ := now.(map[string]any) // nil if it has another type; then all keys are missing
 		return missingInObject(path, before, now)
 	case []any:
 		now, _ := now.([]any) // nil if it has another type
@@ -75,8 +75,8 @@
 	return ""
 }
 
-// commonKeys returns the keys that all entries of a list have, with the values of the first entry; nil if an entry is
-// not an object.
+// commonKeys returns the keys that all entries of a list have, with the values of the first entry. It returns nil if
+// the list is empty or an entry is not an object.
 func commonKeys(list []any) any {
 	var common map[string]any
 	for _, entry := range list {
@@ -90,7 +90,7 @@
 		maps.DeleteFunc(common, func(key string, _ any) bool { return object[key] == nil })
 	}
 	if common == nil {
-		return nil // an untyped nil: a nil map would count as an object
+		return nil // an untyped nil, because a nil map would count as an object
 	}
 	return common
 }
--- a/internal/config/store.go
+++ b/internal/config/store.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// Store is the file store.toml: the database of executions of idempotency keys.
+// Store is the file store.toml: the database that records the executions of idempotency keys.
 type Store struct {
 	Driver  string // empty: there is no database
 	DSN     string
 	Timeout time.Duration // of each operation on the database
 }
 
-// The drivers that a store may have.
+// The names of the database drivers.
 const (
 	driverSQLite   = "sqlite"
 	driverPostgres = "postgres"
--- a/internal/protocol/gossip/gossip.go
+++ b/internal/protocol/gossip/gossip.go
@@ -1,8 +1,8 @@
-// Package gossip encodes and decodes the messages in which instances exchange observations of upstream endpoints. A
-// message is a frame of a length and a CBOR map (RFC 8949). internal/peers sends and receives them. The package works
-// on byte slices and does no I/O; internal/decide/loadbalancer weighs the observations.
+// Package gossip encodes and decodes the messages in which instances exchange observations of upstream endpoints. The
+// frame of a message consists of a length and a CBOR map (RFC 8949). internal/peers sends and receives the messages,
+// and internal/decide/loadbalancer evaluates the observations. The package works on byte slices and does no I/O.
 //
-// Unknown fields are ignored. Another version, a frame that is too long and a list that is too long are errors.
+// Unknown fields are ignored. An unsupported version, a frame that is too long and a list that is too long are errors.
 package gossip
 
 import (
@@ -28,7 +28,7 @@
 )
 
 const (
-	// lengthBytes is the size of the length before each message, in big-endian order.
+	// lengthBytes is the size of the length before each message, which is in big-endian order.
 	lengthBytes = 4
 	// maxArrayElements is above MaxObservations, so that a list that is too long is reported as such.
 	maxArrayElements = 4 * MaxObservations
@@ -46,17 +46,17 @@
 	ErrTooLarge = errors.New("gossip: message too large")
 )
 
-// VersionError is wrapped by the error of Parse about a message of another version.
+// VersionError is wrapped by the error of Parse about a message of an unsupported version.
 type VersionError struct {
 	Version int // of the message
 }
 
 // Error is part of error.
 func (e *VersionError) Error() string {
-	return fmt.Sprintf("version %d, ours is %d", e.Version, Version)
+	return fmt.Sprintf("version %d is not the supported version %d", e.Version, Version)
 }
 
-// countError is the error of a message with too many items of a kind.
+// countError is the error of a message with too many items of one kind.
 type countError struct {
 	count int
 	items string
@@ -65,7 +65,7 @@
 
 // Error is part of error.
 func (e *countError) Error() string {
-	return fmt.Sprintf("%d %s are over %d", e.count, e.items, e.limit)
+	return fmt.Sprintf("%d %s exceed the limit of %d", e.count, e.items, e.limit)
 }
 
 // Message is a gossip message: the sender's identity, its observations, and the peers that it knows.
@@ -83,7 +83,7 @@
 	Address string `cbor:"2,keyasint"`
 }
 
-// wireMessage is a Message as it is encoded.
+// wireMessage defines the format of a Message.
 type wireMessage struct {
 	Version      int               `cbor:"1,keyasint"`
 	Name         string            `cbor:"2,keyasint"`
@@ -93,7 +93,7 @@
 	Peers        []Peer            `cbor:"6,keyasint,omitempty"`
 }
 
-// wireObservation is an observation as it is encoded.
+// wireObservation defines the format of an observation.
 type wireObservation struct {
 	Endpoint  string  `cbor:"1,keyasint"`
 	Kind      uint8   `cbor:"2,keyasint"`
@@ -114,8 +114,8 @@
 	}.DecMode()
 })
 
-// Append appends the frame of a message to out. Observations and peers beyond the limits are left out, from the end of
-// the lists. On an error out is returned unchanged.
+// Append appends the frame of a message to out. Observations and peers beyond the limits are omitted from the end of
+// the lists. On an error, out is returned unchanged.
 func Append(out []byte, message Message) ([]byte, error) {
 	encoded := wireMessage{
 		Version:      Version,
@@ -132,7 +132,7 @@
 		return out, fmt.Errorf("gossip: %w", err)
 	}
 	if len(body) > MaxFrameBytes {
-		return out, fmt.Errorf("%w: %d bytes are over %d", ErrTooLarge, len(body), MaxFrameBytes)
+		return out, fmt.Errorf("%w: %d bytes exceed the limit of %d", ErrTooLarge, len(body), MaxFrameBytes)
 	}
 	out = binary.BigEndian.AppendUint32(out, uint32(len(body)))
 	return append(out, body...), nil
--- a/internal/protocol/gossip/gossip_test.go
+++ b/internal/protocol/gossip/gossip_test.go
@@ -14,15 +14,16 @@
 	"pewterline/internal/microtime"
 )
 
+// message returns a message with the given number of observations.
 func message(observations int) Message {
-	built := Message{
+	result := Message{
 		Name:       "e1",
 		Uptime:     5 * microtime.Second,
 		WantsReply: true,
 		Peers:      []Peer{{"e2", "127.0.0.1:7000"}},
 	}
 	for i := range observations {
-		built.Observations = append(built.Observations, loadbalancer.Observation{
+		result.Observations = append(result.Observations, loadbalancer.Observation{
 			Endpoint: fmt.Sprintf("s%d", i),
 			Kind:     loadbalancer.TypicalLatency,
 			Value:    1234.5,
@@ -32,10 +33,11 @@
 			Hops:     1,
 		})
 	}
-	return built
+	return result
 }
 
-func TestMessagesReadBack(t *testing.T) {
+// A message is decoded from its frame unchanged. A truncated frame is incomplete, and bytes after a frame are ignored.
+func TestRoundTrip(t *testing.T) {
 	for _, count := range []int{0, 1, 800} {
 		t.Run(fmt.Sprintf("%d observations", count), func(t *testing.T) {
 			encoded, err := Append(nil, message(count))
@@ -56,7 +58,7 @@
 	}
 }
 
-// Frames stay as they were: these bytes were recorded of the program before its identifiers were renamed.
+// Guards the format of frames: the bytes were recorded before the program's identifiers were renamed.
 func TestRecordedFrames(t *testing.T) {
 	full := Message{
 		Name:       "e1",
@@ -70,7 +72,7 @@
 		},
 		Peers: []Peer{{"e2", "127.0.0.1:7000"}, {"", "10.0.0.3:7000"}},
 	}
-	// What is read back has whole milliseconds.
+	// Decoded durations have whole milliseconds.
 	fullRead := full
 	fullRead.Uptime = 5001 * microtime.Millisecond
 	fullRead.Observations = append([]loadbalancer.Observation(nil), full.Observations...)
@@ -88,7 +90,7 @@
 			"a701627332020303fb40934a000000000004fb40080000000000000500066265310701" +
 			"a601627333020404fb3ff0000000000000051a000927c0066265330704" +
 			"0682a201626532026e3132372e302e302e313a37303030a20160026d31302e302e302e333a37303030"},
-		"name and uptime alone": {small, small, "00000009a3010102626539030a"},
+		"name and uptime only": {small, small, "00000009a3010102626539030a"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			encoded, err := Append(nil, tc.written)
@@ -102,6 +104,7 @@
 	}
 }
 
+// frame returns a frame with the CBOR encoding of v as its body.
 func frame(t *testing.T, v any) []byte {
 	t.Helper()
 	body, err := cbor.Marshal(v)
@@ -109,8 +112,9 @@
 	return append(binary.BigEndian.AppendUint32(nil, uint32(len(body))), body...)
 }
 
-// Another version is an error, unknown fields are ignored, and lists that are too long cost nothing.
-func TestBounds(t *testing.T) {
+// Unknown fields are ignored. An unsupported version, duplicate keys, invalid lengths and lists that are too long are
+// errors.
+func TestParseLimits(t *testing.T) {
 	later := map[string]any{"later": []int{1, 2}}
 	read, _, err := Parse(frame(t, map[int]any{1: Version, 2: "e9", 3: 10, 99: later}))
 	require.NoError(t, err)
@@ -120,15 +124,15 @@
 		many[i] = map[int]any{1: "s", 2: 1, 4: 1.0, 5: 1, 6: "x", 7: 1}
 	}
 	for name, malformed := range map[string][]byte{
-		"version":      frame(t, map[int]any{1: 2, 2: "e9"}),
-		"observations": frame(t, map[int]any{1: Version, 5: many}),
-		"elements":     frame(t, map[int]any{1: Version, 5: make([]int, maxArrayElements+1)}),
-		"peers":        frame(t, map[int]any{1: Version, 6: make([]Peer, MaxPeers+1)}),
-		"twice":        {0, 0, 0, 5, 0xa2, 1, 1, 1, 1},
-		"no map":       frame(t, "hello"),
-		"length 0":     {0, 0, 0, 0},
-		"endless":      {0xff, 0xff, 0xff, 0xff},
-		"cut":          {0, 0, 0, 2, 0xa1, 1},
+		"version":           frame(t, map[int]any{1: 2, 2: "e9"}),
+		"observations":      frame(t, map[int]any{1: Version, 5: many}),
+		"elements":          frame(t, map[int]any{1: Version, 5: make([]int, maxArrayElements+1)}),
+		"peers":             frame(t, map[int]any{1: Version, 6: make([]Peer, MaxPeers+1)}),
+		"duplicate key":     {0, 0, 0, 5, 0xa2, 1, 1, 1, 1},
+		"not a map":         frame(t, "hello"),
+		"length 0":          {0, 0, 0, 0},
+		"length over limit": {0xff, 0xff, 0xff, 0xff},
+		"truncated body":    {0, 0, 0, 2, 0xa1, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, size, err := Parse(malformed)
@@ -138,17 +142,17 @@
 	}
 }
 
-// Spans that would overflow are cut, and stay out of the load balancer's bounds.
-func TestSpansOutOfBounds(t *testing.T) {
+// Durations that would overflow are limited, and remain outside the load balancer's limits.
+func TestDurationsOutOfRange(t *testing.T) {
 	observation := map[int]any{1: "s", 2: 1, 4: 1.0, 5: -77, 6: "x", 7: 1}
 	read, _, err := Parse(frame(t, map[int]any{1: Version, 3: int64(1) << 62, 5: []map[int]any{observation}}))
 	require.NoError(t, err)
 	require.Positive(t, read.Uptime)
-	require.Error(t, loadbalancer.ValidateObservation(read.Observations[0]), "the age stays out of bounds")
+	require.Error(t, loadbalancer.ValidateObservation(read.Observations[0]), "the age is still out of range")
 }
 
-// Observations beyond the bound are left out; a message that does not fit in a frame is an error.
-func TestAppendBounds(t *testing.T) {
+// Observations beyond the limit are omitted. A message that does not fit in a frame is an error.
+func TestAppendLimits(t *testing.T) {
 	encoded, err := Append(nil, message(MaxObservations+500))
 	require.NoError(t, err)
 	read, _, err := Parse(encoded)
--- a/internal/protocol/upgrade/encoding.go
+++ b/internal/protocol/upgrade/encoding.go
@@ -8,8 +8,8 @@
 	"pewterline/control"
 )
 
-// decoding limits what a message can make the decoder allocate.
-var decoding = func() cbor.DecMode {
+// decodingMode limits the memory that a message can make the decoder allocate.
+var decodingMode = func() cbor.DecMode {
 	options := cbor.DecOptions{
 		MaxArrayElements: 1 << 12,
 		MaxMapPairs:      1 << 10,
@@ -88,7 +88,7 @@
 // Decode decodes the body of a message.
 func Decode(body []byte) (Message, error) {
 	var encoded messageEncoding
-	if err := decoding.Unmarshal(body, &encoded); err != nil {
+	if err := decodingMode.Unmarshal(body, &encoded); err != nil {
 		return Message{}, fmt.Errorf("%w: %w", ErrMalformedFrame, err)
 	}
 	if !encoded.Kind.valid() {
@@ -109,7 +109,7 @@
 	}, nil
 }
 
-// encodeLearned encodes the learned state of a process; nil: there is none.
+// encodeLearned encodes the learned state of a process, which may be nil.
 func encodeLearned(learned *control.LearnedState) *learnedEncoding {
 	if learned == nil {
 		return nil
--- a/internal/protocol/upgrade/format_test.go
+++ b/internal/protocol/upgrade/format_test.go
@@ -9,7 +9,7 @@
 	"pewterline/internal/testbed/golden"
 )
 
-// learned is what the old process of the recorded stream had learned.
+// learned is the learned state in the recorded stream.
 var learned = control.LearnedState{
 	ConcurrencyLimit: 12.5, PriorityShare: 0.1, LoadSignal: 3,
 	UsualSlowdown: control.MeanEstimate{Count: 20, Value: 0.0123},
@@ -29,8 +29,7 @@
 
 const recordedMilli = 1764576000123
 
-// recordedMessages are the messages whose frames testdata/stream.hex holds behind the preamble, one of each kind at
-// least.
+// recordedMessages are the messages whose frames follow the preamble in testdata/stream.hex, at least one of each kind.
 var recordedMessages = map[string]Message{
 	"hello":                   {Kind: Hello, Name: "n0"},
 	"welcome":                 {Kind: Welcome, OutOfService: true, Learned: &learned},
@@ -58,14 +57,14 @@
 		ArrivedAtMilli: recordedMilli},
 }
 
-// Guards an upgrade from the release whose stream was recorded, and one back to it: both processes write and read the
-// same bytes.
-func TestStreamIsAsRecorded(t *testing.T) {
+// Guards upgrades from the release whose stream was recorded, and downgrades to it: the format must be the same in both
+// directions.
+func TestRecordedStream(t *testing.T) {
 	frames := golden.Frames(t, "testdata/stream.hex")
 	require.Equal(t, golden.Frame{Name: "preamble", Bytes: Preamble[:]}, frames[0])
-	whole, err := CheckPreamble(frames[0].Bytes)
+	complete, err := CheckPreamble(frames[0].Bytes)
 	require.NoError(t, err)
-	require.True(t, whole)
+	require.True(t, complete)
 	require.Len(t, frames[1:], len(recordedMessages))
 	kinds := map[Kind]bool{}
 	for _, frame := range frames[1:] {
--- a/internal/protocol/upgrade/frame.go
+++ b/internal/protocol/upgrade/frame.go
@@ -6,16 +6,16 @@
 	"fmt"
 )
 
-// Version is the version of the messages. It is part of the preamble, so that a process with another version is
-// detected by its first bytes.
+// Version is the version of the messages. It is part of the preamble, so that another version is detected before any
+// message is decoded.
 const Version = 1
 
 // Preamble is sent first in both directions.
 var Preamble = [6]byte{'p', 'w', 't', 'u', 0, Version}
 
 const (
-	preambleMagicBytes = 4 // before the version
-	lengthBytes        = 4 // before the body of a frame
+	preambleMagicBytes = 4 // size of the part of the preamble before the version
+	lengthBytes        = 4 // size of the length before the body of a frame
 )
 
 // The limits of a message's body and of a result in it, in bytes. The platform limits results to 4 KiB.
@@ -28,13 +28,13 @@
 // results, a chunk is smaller than transport's limit of unsent bytes.
 const ChunkKeys = 32
 
-// Every error of this package wraps one of these. After either the connection must be closed.
+// Every error of this package wraps one of these errors. After either of them the connection must be closed.
 var (
 	ErrMalformedFrame  = errors.New("upgrade: broken frame")
 	ErrVersionMismatch = errors.New("upgrade: the other process speaks another version")
 )
 
-// CheckPreamble checks the preamble at the front of in. complete is false while more bytes of it are needed.
+// CheckPreamble checks the preamble at the front of in. complete is false while bytes of the preamble are missing.
 func CheckPreamble(in []byte) (complete bool, err error) {
 	received := min(len(in), len(Preamble))
 	for i := range received {
@@ -56,7 +56,7 @@
 	return append(out, body...)
 }
 
-// Size returns the length of the body that follows the four bytes at the front of in.
+// Size returns the length of a body from the four bytes at the front of in, which precede the body.
 func Size(in []byte) (int, error) {
 	length := binary.BigEndian.Uint32(in)
 	if length == 0 || length > MaxFrame {
--- a/internal/protocol/upgrade/message.go
+++ b/internal/protocol/upgrade/message.go
@@ -9,23 +9,23 @@
 // Kind is the kind of a message.
 type Kind uint8
 
-// The kinds of messages. Their numbers are part of the format. The kinds from Claim on are about a key, and are sent by
+// The kinds of messages. Their numbers are part of the format. The kinds from Claim on concern a key, and are sent by
 // both processes.
 const (
 	Hello                Kind = iota + 1 // from the successor: its Name
 	Welcome                              // from the old process: its Learned state, and whether it is OutOfService
 	Reject                               // from the old process: the Reason why it closes the connection
 	NextChunk                            // from both: the end of a chunk of keys, or a request for the next one
-	Synced                               // from the old process: all keys were sent; each later change follows
+	Synced                               // from the old process: all keys have been sent; later changes follow
 	OwnershipTransferred                 // from the old process: the successor owns the keys and gets new connections
 	ServiceChanged                       // from both: an operator has changed OutOfService
-	ConnectionCount                      // from the old process: how many Connections it has open
-	Claim                                // asks the owner for permission to run the key here
+	ConnectionCount                      // from the old process: the number of its open Connections
+	Claim                                // asks the owner for permission to run the key at the sender
 	Grant                                // the owner's permission
 	Started                              // a run of the key has started
 	Succeeded                            // the run has succeeded, with Result
 	Failed                               // the run has failed
-	Released                             // the key will not run here
+	Released                             // the sender will not run the key
 	kindCount
 )
 
@@ -61,9 +61,9 @@
 	Kind           Kind
 	Name           string // of the server, as it is configured
 	Class          string
-	Tenant         string // "": there are no tenants
+	Tenant         string // empty if there are no tenants
 	IdempotencyKey string
-	ArrivedAtMilli int64 // when the attempt that runs arrived, in Unix milliseconds
+	ArrivedAtMilli int64 // when the running attempt arrived, in Unix milliseconds
 	Result         []byte
 	OutOfService   bool
 	Connections    int
--- a/internal/settings/document.go
+++ b/internal/settings/document.go
@@ -58,7 +58,7 @@
 	Callers                 int       `json:"callers"`
 	CallConcurrencyShare    float64   `json:"calls_out"`
 	CallConcurrencyWindowMS float64   `json:"calls_over_ms"`
-	ClassMakesCalls         []bool    `json:"class_calls"` // by class
+	ClassMakesCalls         []bool    `json:"class_calls"` // in the order of the classes
 	Cores                   int       `json:"cores"`
 	Dependency              string    `json:"downstream"`
 	ResultFreshnessMS       float64   `json:"fresh_ms"`
@@ -68,11 +68,11 @@
 	MaxKeepAliveMS          float64   `json:"keepalive_max_ms"`
 	KeyKB                   float64   `json:"key_kb"`
 	MemoryKB                float64   `json:"memory_kb"`
-	ListFollowsHealth       *bool     `json:"readiness"` // nil: not stated
+	ListFollowsHealth       *bool     `json:"readiness"` // nil if the key is missing
 	DeadlinePropagated      bool      `json:"passes_deadline"`
 	RunningMemoryFactor     float64   `json:"run_factor"`
 	LoadSignal              string    `json:"say"`
 	AbandonedCallTimeMS     float64   `json:"stays_for_ms"`
 	Preemption              string    `json:"stop_mode"`
-	SkippedCallWeightShares []float64 `json:"worth_without"` // by class
+	SkippedCallWeightShares []float64 `json:"worth_without"` // in the order of the classes
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,7 +1,7 @@
 // Package settings parses the settings text that an operator gives a server into control.Settings and the names of the
 // gauges. The configuration of the server (internal/config) and the adapter for the simulator (internal/simadapter)
-// share it, so that both accept the same text. Only this package uses the fixed keys and words of the text. It has no
-// state.
+// share it, so that both accept the same text. Only this package uses the fixed keys and enum values of the text. It
+// has no state.
 package settings
 
 import (
@@ -13,9 +13,9 @@
 	"pewterline/control"
 )
 
-// UnknownValueError means that a setting has none of its allowed values.
+// UnknownValueError means that the value of a setting is not one of the allowed ones.
 type UnknownValueError struct {
-	Setting string // its key in the text
+	Setting string // key of the setting in the text
 	Value   string
 }
 
@@ -25,13 +25,13 @@
 }
 
 // Parse reads the settings text; unknown keys are ignored. seed becomes Settings.Seed. Parse also returns the names of
-// the gauges of each tick, in their order. The error is an *UnknownValueError or wraps that of encoding/json.
+// the gauges, in the order of their values in a tick. The error is an *UnknownValueError or wraps one of encoding/json.
 func Parse(text []byte, seed uint64) (settings control.Settings, gauges []string, err error) {
 	var doc document
 	if err := json.Unmarshal(text, &doc); err != nil {
 		return control.Settings{}, nil, fmt.Errorf("settings: %w", err)
 	}
-	settings = doc.figures()
+	settings = doc.scalars()
 	settings.Seed = seed
 	if settings.Preemption, err = parsePreemption(doc.Site.Preemption); err != nil {
 		return settings, nil, err
@@ -51,8 +51,8 @@
 	return settings, doc.Site.Gauges, nil
 }
 
-// figures returns the settings that are numbers or booleans; only WeightPerWork is a word in the text.
-func (d *document) figures() control.Settings {
+// scalars returns the settings that are numbers or booleans. In the text, WeightPerWork is an enum value.
+func (d *document) scalars() control.Settings {
 	settings := control.Settings{
 		Cores:                     d.Site.Cores,
 		Peers:                     d.Peers,
@@ -85,7 +85,7 @@
 	return settings
 }
 
-// classes returns the classes, combined with the lists by class in the site's part of the text.
+// classes returns the classes, combined with the per-class lists in the site's part of the text.
 func (d *document) classes() ([]control.Class, error) {
 	var classes []control.Class
 	for i, text := range d.Classes {
@@ -119,8 +119,8 @@
 	}, nil
 }
 
-func parsePreemption(word string) (control.PreemptionMode, error) {
-	switch word {
+func parsePreemption(value string) (control.PreemptionMode, error) {
+	switch value {
 	case "", "none":
 		return control.PreemptNever, nil
 	case "discard":
@@ -128,11 +128,11 @@
 	case "freeze":
 		return control.PreemptSuspend, nil
 	}
-	return 0, &UnknownValueError{Setting: "stop_mode", Value: word}
+	return 0, &UnknownValueError{Setting: "stop_mode", Value: value}
 }
 
-func parseLoadSignal(word string) (control.LoadSignalKind, error) {
-	switch word {
+func parseLoadSignal(value string) (control.LoadSignalKind, error) {
+	switch value {
 	case "", "none":
 		return control.LoadSignalNone, nil
 	case "floor":
@@ -142,11 +142,11 @@
 	case "weight":
 		return control.LoadSignalWeight, nil
 	}
-	return 0, &UnknownValueError{Setting: "say", Value: word}
+	return 0, &UnknownValueError{Setting: "say", Value: value}
 }
 
-func parseDependency(word string) (control.Dependency, error) {
-	switch word {
+func parseDependency(value string) (control.Dependency, error) {
+	switch value {
 	case "", "none":
 		return control.DependencyNone, nil
 	case "one_for_all":
@@ -154,11 +154,11 @@
 	case "tier":
 		return control.DependencyTier, nil
 	}
-	return 0, &UnknownValueError{Setting: "downstream", Value: word}
+	return 0, &UnknownValueError{Setting: "downstream", Value: value}
 }
 
-func parseIdempotency(word string) (control.Idempotency, error) {
-	switch word {
+func parseIdempotency(value string) (control.Idempotency, error) {
+	switch value {
 	case "", "free":
 		return control.Idempotent, nil
 	case "guarded":
@@ -166,7 +166,7 @@
 	case "single_shot":
 		return control.NonIdempotent, nil
 	}
-	return 0, &UnknownValueError{Setting: "effect", Value: word}
+	return 0, &UnknownValueError{Setting: "effect", Value: value}
 }
 
 // ReadGauges assigns the values of a tick to gauges by the names that Parse returned, in the same order. A gauge
@@ -188,8 +188,9 @@
 	return gauges
 }
 
-// FromMillis converts milliseconds, the unit of settings and wire, to a duration of whole microseconds. NaN becomes
-// zero. Values out of range become a quarter of the longest duration, so that sums of a few durations do not overflow.
+// FromMillis converts milliseconds, the unit of the settings and of the simulator's frames, to a duration of whole
+// microseconds. NaN becomes zero. Values out of range become a quarter of the longest duration, so that sums of a few
+// durations do not overflow.
 func FromMillis(milliseconds float64) time.Duration {
 	const longest = math.MaxInt64 / 4
 	nanoseconds := milliseconds * 1e6
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -26,7 +26,7 @@
  "rules": {"grace_to_answer_ms": 100, "cold_from": 0.24, "ramp_time_ms": 5000, "stop_sending_within_ms": 2500,
   "fall_multiple": 8, "tip_after_ms": 3000}}`
 
-// Every key of the text arrives in the setting that it stands for.
+// Every key of the text sets its setting.
 func TestParse(t *testing.T) {
 	settings, gauges, err := Parse([]byte(settingsText), 9)
 	require.NoError(t, err)
@@ -71,8 +71,8 @@
 	}, settings)
 }
 
-// Each word of a setting has its meaning; none at all is what the platform's oldest sites mean.
-func TestWords(t *testing.T) {
+// Every enum value is parsed. A missing value has the meaning that the oldest sites of the platform rely on.
+func TestEnumValues(t *testing.T) {
 	tests := []struct {
 		setting string
 		want    map[string]any
@@ -92,9 +92,9 @@
 		}, func(s control.Settings) any { return s.Dependency }},
 	}
 	for _, tc := range tests {
-		for word, want := range tc.want {
-			t.Run(tc.setting+" "+word, func(t *testing.T) {
-				settings, _, err := Parse([]byte(`{"extra": {"`+tc.setting+`": "`+word+`"}}`), 1)
+		for value, want := range tc.want {
+			t.Run(tc.setting+" "+value, func(t *testing.T) {
+				settings, _, err := Parse([]byte(`{"extra": {"`+tc.setting+`": "`+value+`"}}`), 1)
 				require.NoError(t, err)
 				require.Equal(t, want, tc.read(settings))
 			})
@@ -104,16 +104,16 @@
 		"": control.Idempotent, "free": control.Idempotent,
 		"guarded": control.IdempotentByKey, "single_shot": control.NonIdempotent,
 	}
-	for word, want := range effects {
-		t.Run("effect "+word, func(t *testing.T) {
-			settings, _, err := Parse([]byte(`{"classes": [{"effect": "`+word+`"}]}`), 1)
+	for value, want := range effects {
+		t.Run("effect "+value, func(t *testing.T) {
+			settings, _, err := Parse([]byte(`{"classes": [{"effect": "`+value+`"}]}`), 1)
 			require.NoError(t, err)
 			require.Equal(t, want, settings.Classes[0].Idempotency)
 		})
 	}
 }
 
-// Text that makes no sense is an error that names the setting.
+// An unknown value is an error that names the setting.
 func TestUnknownValues(t *testing.T) {
 	tests := []struct{ setting, old, value string }{
 		{"stop_mode", "freeze", "melt"},
@@ -135,7 +135,7 @@
 	require.ErrorContains(t, err, "settings: ")
 }
 
-// Gauges are sorted by their names; what has no name or no value is not known.
+// Values are assigned to gauges by name. A gauge without a name or a value is unknown.
 func TestReadGauges(t *testing.T) {
 	require.Equal(t, control.Gauges{CPUUtilization: 0.5, Runnable: -1, Memory: 0.25, Connections: -1},
 		ReadGauges([]string{"mem_used", "cpu_busy", "sockets"}, []float64{0.25, 0.5}))
@@ -143,7 +143,7 @@
 		ReadGauges([]string{"sockets", "some_new_gauge", "runnable"}, []float64{7, 1, 3, 9}))
 }
 
-// Durations are of whole microseconds and bounded.
+// Durations are rounded to whole microseconds and limited.
 func TestFromMillis(t *testing.T) {
 	tests := []struct {
 		name         string
@@ -153,9 +153,9 @@
 		{"whole", 1500, 1500 * time.Millisecond},
 		{"rounded to a microsecond", 0.0015, 2 * time.Microsecond},
 		{"negative", -2.5, -2500 * time.Microsecond},
-		{"no number", math.NaN(), 0},
+		{"not a number", math.NaN(), 0},
 		{"too long", math.Inf(1), math.MaxInt64 / 4},
-		{"too far back", math.Inf(-1), -math.MaxInt64 / 4},
+		{"too negative", math.Inf(-1), -math.MaxInt64 / 4},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) { require.Equal(t, tc.want, FromMillis(tc.milliseconds)) })
--- a/internal/simadapter/batch.go
+++ b/internal/simadapter/batch.go
@@ -8,14 +8,14 @@
 	"pewterline/control"
 )
 
-// Batch is one decoded frame: the events of one moment.
+// Batch is one decoded frame: the events at one point in time.
 type Batch struct {
 	Number  uint32
 	Now     time.Duration // the simulator's clock
 	Records []Record
 }
 
-// RecordKind is what a Record holds.
+// RecordKind is the kind of a Record.
 type RecordKind uint8
 
 // The kinds of records.
@@ -25,7 +25,7 @@
 	RecordInstanceKilled                    // an instance is killed and loses its state
 )
 
-// String returns the kind in words.
+// String returns the name of the kind.
 func (k RecordKind) String() string {
 	switch k {
 	case RecordEvent:
@@ -42,9 +42,9 @@
 type Record struct {
 	Instance    uint32
 	Kind        RecordKind
-	Started     InstanceStarted // of RecordInstanceStarted
-	Event       control.Event   // of RecordEvent; the Gauges of a Tick are in GaugeValues
-	GaugeValues []float64       // of a Tick, in the order of the names in the settings
+	Started     InstanceStarted // set for RecordInstanceStarted
+	Event       control.Event   // set for RecordEvent; the gauges of a Tick are in GaugeValues
+	GaugeValues []float64       // set for a Tick, in the order of the names in the settings
 }
 
 // InstanceStarted starts an instance. A running instance of the same number is replaced.
@@ -53,7 +53,7 @@
 	Settings []byte // the settings text
 }
 
-// Decode decodes one whole frame. Its errors are of type *FrameError.
+// Decode decodes one complete frame. Its errors are of type *FrameError.
 func Decode(frame []byte) (Batch, error) {
 	if len(frame) < batchHeaderSize {
 		return Batch{}, frameErrorf(0, "%w: a frame of %d bytes is shorter than its header", ErrTruncated, len(frame))
--- a/internal/simadapter/batch_test.go
+++ b/internal/simadapter/batch_test.go
@@ -10,7 +10,7 @@
 	"pewterline/control"
 )
 
-// Every event of the wire is decoded with its fields.
+// Every event of the protocol is decoded with its fields. The cases have the names of the protocol.
 func TestDecodeEvents(t *testing.T) {
 	tests := []struct {
 		name  string
@@ -77,7 +77,7 @@
 	}
 }
 
-// The wire counts outcomes in control's order; anything else is an error.
+// Outcomes are numbered 10, 20, ... in the order of package control; any other number is an error.
 func TestDecodeOutcome(t *testing.T) {
 	for outcome := control.OutcomeOK; outcome <= control.OutcomeAlreadyEnded; outcome++ {
 		got, err := decodeOutcome(10 * (uint8(outcome) + 1))
@@ -90,7 +90,7 @@
 	}
 }
 
-// A frame that cannot be read is an error that names the reason and the byte.
+// The error of an invalid frame contains the reason and the offset of the invalid byte.
 func TestDecodeErrors(t *testing.T) {
 	build := func(change func(frame record)) []byte {
 		var builder frameBuilder
@@ -109,7 +109,7 @@
 		{"shorter than a header", make([]byte, 7), 0, ErrTruncated},
 		{"wrong length", build(func(f record) { f.putUint32(4, 3) }), 4, ErrLength},
 		{"clock", build(func(f record) { f.putFloat64(8, math.NaN()) }), 8, ErrClock},
-		{"endless clock", build(func(f record) { f.putFloat64(8, math.Inf(1)) }), 8, ErrClock},
+		{"infinite clock", build(func(f record) { f.putFloat64(8, math.Inf(1)) }), 8, ErrClock},
 		{"count", build(func(f record) { f.putUint32(16, 1e9) }), 16, ErrLength},
 		{"tail start", build(func(f record) { firstRecord(f).putUint32(14, 1e9) }), 20, ErrTailRange},
 		{"tail length", build(func(f record) { firstRecord(f).putUint32(18, math.MaxUint32) }), 20, ErrTailRange},
--- a/internal/simadapter/frame_test.go
+++ b/internal/simadapter/frame_test.go
@@ -1,6 +1,6 @@
 package simadapter
 
-// settingsText is of a tier that calls another one.
+// settingsText is the settings of a server that makes downstream calls to another tier.
 const settingsText = `{"classes": [{"name": "a", "aim_ms": 1000, "hard_limit_ms": 4000, "worth": 1, "effect": "free"},
  {"name": "b", "aim_ms": 1500.5, "hard_limit_ms": 4000, "worth": 3, "effect": "guarded", "window_ms": 9000}],
  "limits": {"retry_after": true, "max_retry_after_ms": 700}, "layer": 1, "some_new_key": [1, 2],
@@ -11,7 +11,7 @@
 // frameBuilder builds the frame of a batch.
 type frameBuilder struct{ records, tail []byte }
 
-// add adds an event record with the fields that all have.
+// add adds an event record with the fields that all event records have.
 func (b *frameBuilder) add(code eventCode, instance uint32) record {
 	b.records = append(b.records, make([]byte, eventRecordSize)...)
 	r := record(b.records[len(b.records)-eventRecordSize:])
@@ -20,14 +20,14 @@
 	return r
 }
 
-// addForRequest adds an event record that names a request.
+// addForRequest adds an event record for a request.
 func (b *frameBuilder) addForRequest(code eventCode, instance, id uint32) record {
 	r := b.add(code, instance)
 	r.putUint32(atRequest, id)
 	return r
 }
 
-// addStart adds the start of an instance.
+// addStart adds the event record that starts an instance, with the settings text in the tail.
 func (b *frameBuilder) addStart(instance uint32, text string) {
 	r := b.add(eventInstanceStarted, instance)
 	r.putUint64(6, 9)
@@ -36,7 +36,7 @@
 	b.tail = append(b.tail, text...)
 }
 
-// frame returns the whole frame.
+// frame returns the complete frame.
 func (b *frameBuilder) frame(number uint32, clock float64) []byte {
 	header := make(record, batchHeaderSize)
 	header.putUint32(0, number)
@@ -63,7 +63,7 @@
 	return records
 }
 
-// hasAction reports whether a reply has an action on a request.
+// hasAction reports whether a reply has an action of the given kind for a request.
 func hasAction(reply []byte, code actionCode, id uint32) bool {
 	for _, action := range replyRecords(reply) {
 		if action.code == code && action.fields.uint32(atRequest) == id {
--- a/internal/simadapter/host.go
+++ b/internal/simadapter/host.go
@@ -30,8 +30,8 @@
 // NewHost returns a Host without instances.
 func NewHost() *Host { return &Host{instances: map[uint32]*instance{}} }
 
-// Serve reads frames and writes one reply to each. It returns nil when the input ends between two frames. Its errors
-// contain the number of the frame; those of invalid frames wrap a *FrameError.
+// Serve reads frames and writes one reply to each. It returns nil when the input ends between two frames. An error
+// contains the number of the frame; the error of an invalid frame wraps a *FrameError.
 func (h *Host) Serve(input io.Reader, output io.Writer) error {
 	reader, writer := bufio.NewReaderSize(input, inputBufferSize), bufio.NewWriter(output)
 	for number := 0; ; number++ {
@@ -55,7 +55,7 @@
 	}
 }
 
-// readFrame reads one whole frame. The error is io.EOF if the input has ended.
+// readFrame reads one complete frame. The error is io.EOF if the input has ended before it.
 func readFrame(reader *bufio.Reader) ([]byte, error) {
 	header := make(record, batchHeaderSize)
 	if read, err := io.ReadFull(reader, header); err != nil {
@@ -80,8 +80,8 @@
 	return append(header, rest...), nil
 }
 
-// HandleBatch passes each instance its events, in their order, and collects its actions. Instances are stepped in the
-// order in which the batch first names them.
+// HandleBatch passes each instance its events, in their order, and collects the resulting actions. Instances are
+// stepped in the order in which the batch first names them.
 func (h *Host) HandleBatch(batch Batch) *Reply {
 	reply := &Reply{}
 	var order []uint32
@@ -107,7 +107,7 @@
 	return reply
 }
 
-// addEvent queues an event for its instance. It returns false if there is no such instance any more.
+// addEvent queues an event for its instance. It returns false if the instance is not running.
 func (h *Host) addEvent(rec Record) bool {
 	target := h.instances[rec.Instance]
 	if target == nil {
--- a/internal/simadapter/host_test.go
+++ b/internal/simadapter/host_test.go
@@ -12,14 +12,15 @@
 	"pewterline/control"
 )
 
-// serve answers the frames of an input.
+// serve runs a Host on the frames of an input and returns its replies.
 func serve(input []byte) (replies []byte, err error) {
 	var output bytes.Buffer
 	err = NewHost().Serve(bytes.NewReader(input), &output)
 	return output.Bytes(), err
 }
 
-// A request is started in the reply to the batch that brings it; a kill and a start in one batch leave nothing behind.
+// A request is started in the reply to the batch in which it arrives. A kill and a start in one batch leave no state of
+// the earlier instance.
 func TestServe(t *testing.T) {
 	var first, second frameBuilder
 	first.addStart(3, settingsText)
@@ -33,10 +34,11 @@
 	firstReply, secondReply := replies[:size], replies[size:]
 	require.True(t, hasAction(firstReply, actionStart, 77), "the request was not started")
 	require.Equal(t, uint32(2), record(secondReply).uint32(0))
-	require.False(t, hasAction(secondReply, actionStart, 77), "the second life knows the first one's request")
+	require.False(t, hasAction(secondReply, actionStart, 77), "the new instance has a request of the killed one")
 }
 
-// Instances act once a batch, in the order in which it first names them; events of a life that is over are skipped.
+// Instances are stepped once per batch, in the order in which the batch first names them. Events for an instance that
+// is not running are skipped.
 func TestInstancesActInOrder(t *testing.T) {
 	var builder frameBuilder
 	builder.addStart(5, settingsText)
@@ -53,8 +55,8 @@
 	require.True(t, hasAction(replies, actionStart, 77))
 }
 
-// The gauges of a tick are sorted by the names in the settings.
-func TestGaugesOfATick(t *testing.T) {
+// The gauge values of a tick are assigned by the names in the settings.
+func TestTickGauges(t *testing.T) {
 	host := NewHost()
 	host.start(3, InstanceStarted{Settings: []byte(settingsText)}, &Reply{})
 	require.True(t, host.addEvent(Record{Instance: 3, Event: control.Tick{Token: 4}, GaugeValues: []float64{0.25, 0.5}}))
@@ -62,13 +64,13 @@
 	require.Equal(t, []control.Event{control.Tick{Token: 4, Gauges: gauges}}, host.instances[3].events)
 }
 
-// Input that ends inside a frame, or that is none, ends the service with an error that says where.
+// Truncated or invalid input ends Serve with an error that contains the number of the frame and the offset.
 func TestMalformedInput(t *testing.T) {
 	var builder frameBuilder
 	builder.addStart(1, settingsText)
-	good := builder.frame(1, 5)
+	valid := builder.frame(1, 5)
 	change := func(at int, value uint32) []byte {
-		frame := record(bytes.Clone(good))
+		frame := record(bytes.Clone(valid))
 		frame.putUint32(at, value)
 		return frame
 	}
@@ -78,14 +80,14 @@
 		want   string
 		reason error
 	}{
-		{"cut inside a header", good[:7], "frame 0: offset 7:", ErrTruncated},
-		{"cut inside a frame", good[:50], "frame 0: offset 50:", ErrTruncated},
+		{"truncated header", valid[:7], "frame 0: offset 7:", ErrTruncated},
+		{"truncated frame", valid[:50], "frame 0: offset 50:", ErrTruncated},
 		{"length too small", change(4, 3), "frame 0: offset 4:", ErrLength},
 		{"length too large", change(4, math.MaxUint32), "frame 0: offset 4:", ErrLength},
 		{"count", change(16, 1e9), "frame 0: offset 16:", ErrLength},
 		{"tail offset", change(batchHeaderSize+14, 1e9), "frame 0: offset 20:", ErrTailRange},
 		{"event code", change(batchHeaderSize, 99), "unknown event code", ErrUnknownEvent},
-		{"second frame", slices.Concat(good, good[:7]), "frame 1: offset 7:", ErrTruncated},
+		{"second frame", slices.Concat(valid, valid[:7]), "frame 1: offset 7:", ErrTruncated},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
@@ -98,24 +100,24 @@
 	require.NoError(t, err, "end of input between frames")
 }
 
-// brokenWriter fails at once.
-type brokenWriter struct{}
+// failingWriter fails on every write.
+type failingWriter struct{}
 
-var errBroken = errors.New("broken")
+var errWriteFailed = errors.New("write failed")
 
-func (brokenWriter) Write([]byte) (int, error) { return 0, errBroken }
+func (failingWriter) Write([]byte) (int, error) { return 0, errWriteFailed }
 
-// An output that fails ends the service.
-func TestBrokenOutput(t *testing.T) {
+// A write error ends Serve.
+func TestOutputError(t *testing.T) {
 	var builder frameBuilder
-	err := NewHost().Serve(bytes.NewReader(builder.frame(1, 5)), brokenWriter{})
-	require.ErrorIs(t, err, errBroken)
+	err := NewHost().Serve(bytes.NewReader(builder.frame(1, 5)), failingWriter{})
+	require.ErrorIs(t, err, errWriteFailed)
 	require.ErrorContains(t, err, "reply to frame 0")
 }
 
-// Settings that make no sense and a panic both come back as the wire's report of a failure.
+// Invalid settings and a panic of a controller are both reported as a failure in the reply.
 func TestFailuresAreReported(t *testing.T) {
-	for name, text := range map[string]string{"no class": `{"classes": []}`, "no JSON": `{`} {
+	for name, text := range map[string]string{"no class": `{"classes": []}`, "malformed JSON": `{`} {
 		t.Run(name, func(t *testing.T) {
 			var builder frameBuilder
 			builder.addStart(1, text)
@@ -126,7 +128,7 @@
 	}
 	t.Run("panic", func(t *testing.T) {
 		host := NewHost()
-		host.instances[5] = &instance{events: []control.Event{control.Tick{}}} // Without a controller the step panics.
+		host.instances[5] = &instance{events: []control.Event{control.Tick{}}} // without a controller, step panics
 		reply := &Reply{}
 		host.step(0, 5, reply)
 		require.Equal(t, actionReportFailure, replyRecords(reply.Encode(1))[0].code)
--- a/internal/simadapter/reply.go
+++ b/internal/simadapter/reply.go
@@ -2,7 +2,7 @@
 
 import "pewterline/control"
 
-// Reply collects the actions that answer one batch. The zero value is an empty reply.
+// Reply collects the actions of the instances in response to one batch. The zero value is an empty reply.
 type Reply struct {
 	records []byte
 	tail    []byte
@@ -37,7 +37,7 @@
 	}
 }
 
-// appendForInstance appends an action that names no request.
+// appendForInstance appends an action that concerns the instance and no request.
 func (p *Reply) appendForInstance(instance uint32, action control.Action) {
 	switch action := action.(type) {
 	case control.SetHealth:
@@ -89,7 +89,7 @@
 	return r
 }
 
-// addText appends a record whose only field is a text in the tail.
+// addText appends a record whose only field is a text, which is stored in the tail.
 func (p *Reply) addText(code actionCode, instance uint32, text string) {
 	r := p.add(code, instance)
 	r.putUint32(6, uint32(len(p.tail)))
--- a/internal/simadapter/reply_test.go
+++ b/internal/simadapter/reply_test.go
@@ -9,35 +9,35 @@
 	"pewterline/control"
 )
 
-// Every action of a controller has its code and its fields on the wire.
+// Every action of a controller is encoded with its code and its fields. The cases have the names of the protocol.
 func TestReplyActions(t *testing.T) {
-	request := func(want record) { want.putUint32(atRequest, 9) }
+	setRequest := func(want record) { want.putUint32(atRequest, 9) }
 	tests := []struct {
 		name   string
 		action control.Action
 		code   actionCode
 		fields func(record)
 	}{
-		{"launch", control.Start{ID: 9}, 1, request},
+		{"launch", control.Start{ID: 9}, 1, setRequest},
 		{"busy", control.Reject{ID: 9, NoRetry: true, RetryAfter: 250 * time.Millisecond}, 2, func(r record) {
-			request(r)
+			setRequest(r)
 			r.putBool(10, true)
 			r.putFloat64(11, 250)
 		}},
-		{"busy without advice", control.Reject{ID: 9}, 2, request},
-		{"drop_request", control.Fail{ID: 9}, 3, request},
-		{"interrupt", control.Preempt{ID: 9}, 4, request},
+		{"busy without advice", control.Reject{ID: 9}, 2, setRequest},
+		{"drop_request", control.Fail{ID: 9}, 3, setRequest},
+		{"interrupt", control.Preempt{ID: 9}, 4, setRequest},
 		{"call", control.Call{ID: 9, Timeout: 80 * time.Millisecond}, 5, func(r record) {
-			request(r)
+			setRequest(r)
 			r.putFloat64(10, 80)
 		}},
-		{"bypass", control.SkipCall{ID: 9}, 6, request},
+		{"bypass", control.SkipCall{ID: 9}, 6, setRequest},
 		{"remember", control.RetainKey{ID: 9, TTL: 8 * time.Second}, 7, func(r record) {
-			request(r)
+			setRequest(r)
 			r.putFloat64(10, 8000)
 		}},
-		{"release_key", control.ReleaseKey{ID: 9}, 8, request},
-		{"reuse", control.ReplayResult{ID: 9}, 9, request},
+		{"release_key", control.ReleaseKey{ID: 9}, 8, setRequest},
+		{"reuse", control.ReplayResult{ID: 9}, 9, setRequest},
 		{"readiness", control.SetHealth{Healthy: true, Cached: true}, 10, func(r record) {
 			r.putBool(6, true)
 			r.putBool(7, true)
@@ -65,7 +65,7 @@
 	}
 }
 
-// Texts are in the tail, and the header counts records and bytes.
+// Texts are stored in the tail, and the header contains the numbers of records and bytes.
 func TestReplyTexts(t *testing.T) {
 	var reply Reply
 	reply.Append(4, control.Log{Text: "why"})
@@ -84,7 +84,7 @@
 	require.Equal(t, "failed", text(records[1].fields))
 }
 
-// An empty reply is a header alone.
+// An empty reply consists of the header only.
 func TestEmptyReply(t *testing.T) {
 	require.Equal(t, []byte{8, 0, 0, 0, 0, 0, 0, 0, 12, 0, 0, 0}, new(Reply).Encode(8))
 }
--- a/internal/simadapter/wire.go
+++ b/internal/simadapter/wire.go
@@ -1,7 +1,7 @@
 // Package simadapter connects controllers to the platform's simulator: it decodes the simulator's frames into events of
 // package control and encodes the actions into frames. cmd/simadapter runs one Host on standard input and output. A
 // Host owns the controllers of the instances in its process, which share no state. The package makes no decisions about
-// requests and reads no clock: the time is that of the batches.
+// requests and reads no clock; batches contain the simulator's time.
 package simadapter
 
 import (
@@ -21,13 +21,13 @@
 	replyHeaderSize  = 12
 	eventRecordSize  = 72
 	actionRecordSize = 24
-	maxFrameSize     = 1 << 28 // Batches have a few megabytes: a larger length is corrupt.
+	maxFrameSize     = 1 << 28 // Batches have a few megabytes, so a larger length is corrupt.
 )
 
 // eventCode is the first field of an event record.
 type eventCode uint16
 
-// The event codes, with the names of the wire.
+// The event codes, with their names in the simulator's protocol.
 const (
 	eventCallFinished     eventCode = iota + 1 // call_ended
 	eventInstanceKilled                        // killed
@@ -43,7 +43,7 @@
 // actionCode is the first field of an action record.
 type actionCode uint16
 
-// The action codes, with the names of the wire.
+// The action codes, with their names in the simulator's protocol.
 const (
 	actionStart                actionCode = iota + 1 // launch
 	actionReject                                     // busy
@@ -62,8 +62,8 @@
 	actionReportFailure                              // internal_error
 )
 
-// Byte offsets of fields from the start of their record. Each record starts with a code and an instance; most continue
-// with a request.
+// Byte offsets of fields in their record. Each record starts with a code and an instance. Most records continue with a
+// request.
 const (
 	atCode     = 0
 	atInstance = 2
@@ -78,9 +78,9 @@
 
 // The reasons why a frame is invalid. A *FrameError wraps one of them.
 var (
-	ErrTruncated      = errors.New("input ends too early")
-	ErrLength         = errors.New("bad length")
-	ErrClock          = errors.New("clock is not a number")
+	ErrTruncated      = errors.New("unexpected end of input")
+	ErrLength         = errors.New("invalid length")
+	ErrClock          = errors.New("clock is not a finite number")
 	ErrTailRange      = errors.New("range outside the tail")
 	ErrUnknownOutcome = errors.New("unknown outcome")
 	ErrUnknownEvent   = errors.New("unknown event code")
@@ -103,7 +103,7 @@
 	return &FrameError{Offset: offset, Err: fmt.Errorf(format, args...)}
 }
 
-// record is the bytes of one record or header. Its methods read and write fields at byte offsets.
+// record holds the bytes of one record or header. Its methods read and write fields at byte offsets.
 type record []byte
 
 func (r record) uint8(at int) uint8   { return r[at] }
@@ -114,7 +114,7 @@
 func (r record) float32(at int) float64 { return float64(math.Float32frombits(r.uint32(at))) }
 func (r record) float64(at int) float64 { return math.Float64frombits(r.uint64(at)) }
 
-// duration reads milliseconds.
+// duration reads a duration in milliseconds.
 func (r record) duration(at int) time.Duration { return settings.FromMillis(r.float64(at)) }
 
 func (r record) requestID(at int) control.RequestID { return control.RequestID(r.uint32(at)) }
@@ -126,7 +126,7 @@
 func (r record) putFloat32(at int, value float64) { r.putUint32(at, math.Float32bits(float32(value))) }
 func (r record) putFloat64(at int, value float64) { r.putUint64(at, math.Float64bits(value)) }
 
-// putDuration writes milliseconds.
+// putDuration writes a duration in milliseconds.
 func (r record) putDuration(at int, value time.Duration) { r.putFloat64(at, float64(value)/1e6) }
 
 func (r record) putBool(at int, value bool) {
--- a/internal/transport/sockets/linger_test.go
+++ b/internal/transport/sockets/linger_test.go
@@ -28,8 +28,8 @@
 	return conn
 }
 
-// awaitUnread waits until n bytes are unread at the server's side of a connection. The server is in this process, so its
-// socket is found among the process's descriptors.
+// awaitUnread waits until n bytes are unread at the server's side of a connection. The server is in this process, so
+// its socket is found among the process's descriptors.
 func awaitUnread(conn net.Conn, n int) {
 	local := conn.LocalAddr().(*net.TCPAddr)
 	for {
@@ -47,9 +47,10 @@
 	}
 }
 
-// Guards against a reset, by which the peer loses written responses, when bytes of the peer arrive just before this side
-// closes the connection. The peer must get all responses and then an end of file, and the late bytes are discarded. The
-// test sends them from a function on the loop, so that they arrive after the loop's last read and before the close.
+// Guards against a reset, by which the peer loses written responses, when bytes of the peer arrive just before this
+// side closes the connection. The peer must get all responses and then an end of file, and the late bytes are
+// discarded. The test sends them from a function on the loop, so that they arrive after the loop's last read and before
+// the close.
 func TestBytesReceivedDuringClose(t *testing.T) {
 	const late = "x" // would get a response if a session consumed it
 	// All responses of a case fit into the limit of unread bytes.
--- a/internal/transport/sockets/sockets_test.go
+++ b/internal/transport/sockets/sockets_test.go
@@ -116,8 +116,8 @@
 func (addresslessConn) EventLoop() gnet.EventLoop { return nil }
 func (addresslessConn) LocalAddr() net.Addr       { return nil }
 
-// Guards against a crash during the start: the loop's own socket is recognized by its context, not by its address, which
-// may be missing, and it gets no session.
+// Guards against a crash during the start: the loop's own socket is recognized by its context, not by its address,
+// which may be missing, and it gets no session.
 func TestOwnSocketNeedsNoAddress(t *testing.T) {
 	begins := 0
 	d := &driver{options: Options{Clock: microtime.NewClock()}}
@@ -204,8 +204,8 @@
 	require.ErrorIs(t, err, io.EOF)
 }
 
-// Guards against running out of descriptors, after which gnet would stop listening for good. A connection over the limit
-// is closed at once while all others are in use, and the others continue.
+// Guards against running out of descriptors, after which gnet would stop listening for good. A connection over the
+// limit is closed at once while all others are in use, and the others continue.
 func TestConnectionLimit(t *testing.T) {
 	handler := &echoHandler{response: []byte("r")}
 	loop := startLoop(t, handler, 2)
