--- a/internal/transport/dial.go
+++ b/internal/transport/dial.go
@@ -41,8 +41,9 @@
 	return d.cancel
 }
 
-// Adopted returns a Dial for a connection that the driver has opened by itself. The driver passes both to Connected.
-func (l *Loop) Adopted(open func(Conn) Session) *Dial { return &Dial{open: open} }
+// AdoptedDial returns a Dial for a connection that the driver has opened by itself. The driver passes both to
+// Connected.
+func (l *Loop) AdoptedDial(open func(Conn) Session) *Dial { return &Dial{open: open} }
 
 // Connected is called by the driver when a dial has succeeded. It returns nil if the driver must close the
 // connection.
--- a/internal/transport/sockets/listener.go
+++ b/internal/transport/sockets/listener.go
@@ -141,7 +141,8 @@
 
 // CloseListener is part of transport.Driver. It first drops new handshakes, so that no connection can enter the accept
 // queue between the last accept and the close: a peer that connects meanwhile gets no response, and is refused when it
-// repeats its SYN. It accepts the queued connections itself, because gnet accepts only one connection per poll.
+// repeats its SYN. It accepts the queued connections itself, because gnet accepts one connection per
+// poll and offers no way to accept the rest.
 func (d *driver) CloseListener(index int, done func()) {
 	fd, err := d.engine.DupListener("tcp", d.options.Listen[index])
 	if err == nil && d.listeners[index].fd == 0 {
@@ -180,7 +181,7 @@
 		closing.done()
 		return
 	}
-	// The batch is registered on a goroutine of its own, because register must not be called on the loop.
+	// register must not be called on the loop, so this goroutine registers the batch and ends after it.
 	go func() {
 		for _, conn := range queued {
 			if err := d.register(conn, &socket{driver: d, listener: closing.index}); err != nil {
--- a/internal/transport/sockets/socket.go
+++ b/internal/transport/sockets/socket.go
@@ -94,7 +94,7 @@
 
 // Adopt adds a connection that was opened outside the loop. open is called on the loop and returns its session.
 func (l *Loop) Adopt(conn net.Conn, open func(transport.Conn) transport.Session) error {
-	return l.driver.register(conn, &socket{driver: l.driver, dial: l.Adopted(open)})
+	return l.driver.register(conn, &socket{driver: l.driver, dial: l.AdoptedDial(open)})
 }
 
 // Serve accepts connections of a listener that is not managed by gnet, under the given index. It exists because gnet
