--- a/cmd/pewterline/upgrade_test.go
+++ b/cmd/pewterline/upgrade_test.go
@@ -103,6 +103,45 @@
 	require.Equal(s.t, "did "+body, string(p.Body))
 }
 
+// minIdleTimeout is the shortest idle timeout of a server, control.minKeepAlive.
+const minIdleTimeout = 100 * time.Millisecond
+
+// idleConn is a connection that a test leaves idle, so that the server may ask its client to close it.
+type idleConn struct {
+	*processtest.Conn
+	lastUsedAt time.Time // just before the connection was opened or its last answered request was sent
+}
+
+func (s *testServer) dialIdle() idleConn {
+	openedAt := time.Now()
+	return idleConn{Conn: s.dial(), lastUsedAt: openedAt}
+}
+
+// servedAfterIdle requires that an intake is served on an idle connection. If the server has sent its farewell on the
+// connection, conn becomes a new one; an intake that crosses the farewell is sent once more. A connection that has
+// ended without a farewell, or that got one before it can have been idle, fails the test.
+func (s *testServer) servedAfterIdle(conn *idleConn, key string) {
+	s.t.Helper()
+	reopen := func() {
+		require.GreaterOrEqual(s.t, time.Since(conn.lastUsedAt), minIdleTimeout, "a farewell without idleness")
+		*conn = s.dialIdle()
+	}
+	if conn.SaidFarewell() {
+		reopen()
+	}
+	sentAt := time.Now()
+	reply, err := exchangeIntake(conn.Conn, key)
+	if err != nil && conn.SaidFarewell() {
+		reopen()
+		sentAt = time.Now()
+		reply, err = exchangeIntake(conn.Conn, key)
+	}
+	require.NoError(s.t, err)
+	require.Equal(s.t, thrift.ReplyAnswer, reply.Kind, key)
+	require.Equal(s.t, "did "+key, string(reply.Body))
+	conn.lastUsedAt = sentAt
+}
+
 func (s *testServer) failed(a processtest.PendingRequest) {
 	s.t.Helper()
 	p, err := a.Await()
@@ -201,9 +240,10 @@
 	t.Parallel()
 	srv := newTestServer(t)
 	old := srv.start()
-	conn := srv.dial()
+	conn := srv.dialIdle()
 	works := func(once string) {
-		srv.served(srv.ask(conn, "lot-intake", once, once), once)
+		srv.servedAfterIdle(&conn, once)
+		require.NotContains(t, old.Log(), "server: draining", "a drain would explain the farewell")
 		srv.served(srv.ask(srv.dial(), "lot-intake", once, once), once)
 		good, err := processtest.CheckHealth(srv.Listen)
 		require.NoError(t, err)
@@ -225,7 +265,8 @@
 	next := srv.start()
 	require.NoError(t, old.Signal(syscall.SIGTERM))
 	require.NoError(t, old.Wait())
-	conn = srv.dial()
+	old = next
+	conn = srv.dialIdle()
 	works("k4")
 	works("k1")
 	require.NoError(t, next.Signal(syscall.SIGTERM))
@@ -522,11 +563,17 @@
 
 // sendIntake sends an intake and waits for its answer.
 func sendIntake(conn *processtest.Conn, body string) error {
+	_, err := exchangeIntake(conn, body)
+	return err
+}
+
+// exchangeIntake sends an intake and returns its reply.
+func exchangeIntake(conn *processtest.Conn, body string) (thrift.Reply, error) {
 	pending, err := conn.Send(processtest.NewKeyedRequest(body))
-	if err == nil {
-		_, err = pending.Await()
+	if err != nil {
+		return thrift.Reply{}, err
 	}
-	return err
+	return pending.Await()
 }
 
 // Guards the operators' calls against load: with half as much again as the worker pool can do, and a thousand
