--- a/cmd/pewterline/admin_client.go
+++ b/cmd/pewterline/admin_client.go
@@ -22,8 +22,8 @@
 
 // adminError is the error response of a server to a call.
 type adminError struct {
-	Status int    // of HTTP
-	Reason string // the server's
+	Status int    // the HTTP status code
+	Reason string // as the server gave it
 }
 
 // Error is part of error.
@@ -57,8 +57,7 @@
 	return json.NewDecoder(response.Body).Decode(into)
 }
 
-// readAdminError reads an error response. It removes the prefixes by which the server's errors name the package that
-// they come from.
+// readAdminError reads an error response. It removes the prefixes that name the package of the server's error.
 func readAdminError(response *http.Response) error {
 	var answer struct{ Error string }
 	if err := json.NewDecoder(response.Body).Decode(&answer); err != nil || answer.Error == "" {
--- a/cmd/pewterline/command.go
+++ b/cmd/pewterline/command.go
@@ -16,11 +16,11 @@
 // The exit codes.
 const (
 	exitOK     = 0
-	exitFailed = 1 // the server, an operator's call, or the check of a file has failed
+	exitFailed = 1 // the server, an operator's call or the check of a file failed
 	exitUsage  = 2
 )
 
-// environment is what a command uses of the process.
+// environment is the part of the process that commands use.
 type environment struct {
 	getenv func(string) string
 	out    io.Writer
--- a/cmd/pewterline/demo.go
+++ b/cmd/pewterline/demo.go
@@ -66,14 +66,14 @@
 	if c.Log {
 		fmt.Fprint(out, "\n"+cluster.Log())
 	}
-	return d.wrong
+	return d.deviations
 }
 
 // demo is one demonstration.
 type demo struct {
-	cluster *processtest.Cluster
-	table   *tabwriter.Writer
-	wrong   error // the deviations from the expected results
+	cluster    *processtest.Cluster
+	table      *tabwriter.Writer
+	deviations error // from the expected results
 }
 
 // demoRequest is one request of a demonstration.
@@ -116,7 +116,7 @@
 	return d.table.Flush()
 }
 
-// send sends a request, prints the response, and records deviations in wrong.
+// send sends a request, prints the response and records deviations from the expected result.
 func (d *demo) send(request demoRequest) {
 	reply, err := d.cluster.Send(request.server, processtest.Request{
 		Class:     request.class,
@@ -134,7 +134,7 @@
 		request.server, request.class, request.key, answer, reply.Result, runs)
 	served := reply.Kind == thrift.ReplyAnswer && reply.Result == expectedResult(request.class, request.key)
 	if !served || request.runOnce && runs != 1 {
-		d.wrong = errors.Join(d.wrong,
+		d.deviations = errors.Join(d.deviations,
 			fmt.Errorf("demo: %s at server %d: %s %q after %d runs", request.key, request.server, answer, reply.Result, runs))
 	}
 }
--- a/cmd/pewterline/logs.go
+++ b/cmd/pewterline/logs.go
@@ -37,8 +37,8 @@
 	logger  *zap.Logger // for lines whose number no peer can drive up
 	limited *zap.Logger // limits the rate of each kind of line
 	limiter *logLimiter
-	// named says that the first word of other packages' lines, which names a part of the program, becomes a field.
-	named bool
+	// partAsField moves the prefix of other packages' lines, which names a part of the program, into a field.
+	partAsField bool
 }
 
 // newLogs returns logs that write to out. Lines of the text form have the time of day and the level; those of the
@@ -68,20 +68,20 @@
 	limited := logger.WithOptions(zap.WrapCore(func(core zapcore.Core) zapcore.Core {
 		return limitedCore{Core: core, limiter: limiter}
 	}))
-	return &logs{logger: logger, limited: limited, limiter: limiter, named: form != logFormText}, nil
+	return &logs{logger: logger, limited: limited, limiter: limiter, partAsField: form != logFormText}, nil
 }
 
-// Logf writes a line of another package, and limits the rate of each kind of line: peers that cause a line with each
-// message must not cost the server the time that proxies need. The next line of a kind has the number of omitted ones.
-// A format such as "part: message: key=%v other_key=%d" is a constant message with fields; a line with an error among
-// them is a warning.
+// Logf writes a line of another package, and limits the rate of each kind of line: otherwise peers that cause a line
+// with each message would cost the server time that it needs for proxies. The next line of a kind has the number of
+// omitted ones. A format such as "part: message: key=%v other_key=%d" is a constant message with fields; a line with an
+// error among its fields is a warning.
 func (l *logs) Logf(format string, args ...any) {
 	omitted, allowed := l.limiter.allow(format)
 	if !allowed {
 		return
 	}
 	message, fields := formatLine(format, args)
-	if l.named {
+	if l.partAsField {
 		var part string
 		part, message = splitPart(message)
 		fields = append(fields, zap.String("part", part))
@@ -92,7 +92,7 @@
 	l.logger.Log(levelOf(fields), message, fields...)
 }
 
-// levelOf is warn for a line that names an error, and info for any other.
+// levelOf returns warn for a line with an error among its fields, and info for any other.
 func levelOf(fields []zap.Field) zapcore.Level {
 	for _, field := range fields {
 		if field.Type == zapcore.ErrorType {
@@ -102,7 +102,7 @@
 	return zapcore.InfoLevel
 }
 
-// fieldsFormat matches a format with a constant message and fields behind it.
+// fieldsFormat matches a format that is a constant message followed by fields.
 var fieldsFormat = regexp.MustCompile(`^([^%]+): (\w+=%[a-z](?: \w+=%[a-z])*)$`)
 
 // formatLine returns the message of a line, and its fields if the format has any.
@@ -122,7 +122,8 @@
 	return match[1], fields
 }
 
-// lineField returns a field with a value of its own type if a log line has one for it, else as the verb formats it.
+// lineField returns a field that keeps the type of the value if it is one of those below, and else holds the value as
+// text.
 func lineField(name, verb string, value any) zap.Field {
 	if verb == "%x" {
 		return zap.String(name, fmt.Sprintf(verb, value))
@@ -153,7 +154,7 @@
 
 type lineKind struct {
 	limit   *rate.Limiter
-	omitted int // lines since the last that was allowed
+	omitted int // lines since the last allowed one
 }
 
 func newLogLimiter() *logLimiter {
--- a/cmd/pewterline/predecessor.go
+++ b/cmd/pewterline/predecessor.go
@@ -21,12 +21,12 @@
 )
 
 const (
-	// predecessorPatience is how long a start waits for a predecessor that does not answer, or that has to end another
-	// upgrade first.
-	predecessorPatience = 5 * time.Second
+	// predecessorTimeout limits how long a starting process waits for a predecessor that does not answer or is still
+	// busy with another upgrade.
+	predecessorTimeout = 5 * time.Second
 	// predecessorRetryInterval is the pause between two attempts to reach a predecessor.
 	predecessorRetryInterval = 100 * time.Millisecond
-	// maxStateBytes is the most bytes that a predecessor may send: the idempotency keys of a retention window.
+	// maxStateBytes limits the state that a predecessor may send: mainly the idempotency keys of a retention window.
 	maxStateBytes = 64 << 20
 	// messageHeaderSize is the size of a message's length on the wire, in bytes.
 	messageHeaderSize = 4
@@ -35,32 +35,32 @@
 )
 
 var (
-	// errNotOurs means that there is a running process from which this one cannot take over.
-	errNotOurs = errors.New("upgrade: a process of this name lives that cannot be taken over from")
-	// errRejected means that a predecessor has refused to hand over to this process.
+	// errCannotTakeOver means that there is a running process from which this one cannot take over.
+	errCannotTakeOver = errors.New("upgrade: a process of this name lives that cannot be taken over from")
+	// errRejected means that a predecessor rejected the handoff to this process.
 	errRejected = errors.New("refused")
-	// errNoSocket means that a path is not a socket of this user.
-	errNoSocket = errors.New("no socket of this user's")
+	// errNotOwnSocket means that a path is not a socket of this user.
+	errNotOwnSocket = errors.New("not a socket of this user")
 )
 
-// socketPrefix returns the common prefix of the names of the sockets at which the processes of one server, identified
+// socketPrefix returns the common prefix of the names of the sockets on which the processes of one server, identified
 // by its name and its listen address, wait for a successor. Each process adds a unique suffix, so that a process that
-// ends cannot remove the socket of another. Process IDs would not do, because they are reused.
+// ends cannot remove the socket of another. A process ID is no such suffix, because process IDs are reused.
 func socketPrefix(cfg config.Config) string {
 	return fmt.Sprintf("pewterline-%08x-", uint32(xxhash.Sum64String(cfg.Name+" "+cfg.Listen)))
 }
 
-// handsOver reports whether the server supports hot restarts. It does not without an operators' listener, which is
-// needed to ask a successor whether it is ready, and not as a replica, because only one process can open the
-// write-ahead log.
-func handsOver(cfg config.Config) bool {
+// supportsHotRestart reports whether the server supports hot restarts. They need an operators' listener, to ask a
+// successor whether it is ready. A replica does not support them, because only one process can open the write-ahead
+// log.
+func supportsHotRestart(cfg config.Config) bool {
 	return cfg.AdminAddress != "" && cfg.Replication.ServerID == 0
 }
 
-// listenForSuccessor listens on a socket in the directory that successors search. It returns nil if this process cannot
-// hand over.
+// listenForSuccessor listens on a socket in the directory that successors search. It returns nil if the server does not
+// support hot restarts or the socket cannot be opened.
 func listenForSuccessor(dir string, cfg config.Config, logger *zap.Logger) net.Listener {
-	if !handsOver(cfg) {
+	if !supportsHotRestart(cfg) {
 		return nil
 	}
 	path := filepath.Join(dir, socketPrefix(cfg)+strconv.FormatInt(time.Now().UnixNano(), 36))
@@ -77,7 +77,7 @@
 	return listener
 }
 
-// predecessor is the link to the process that serves now, with the state that it has sent.
+// predecessor is the connection to the process that serves now, with the state that it has sent.
 type predecessor struct {
 	path     string // of its socket
 	conn     net.Conn
@@ -86,32 +86,33 @@
 
 // predecessorSearch looks for a process to take over from.
 type predecessorSearch struct {
-	dir      string // where predecessors listen
-	cfg      config.Config
-	patience time.Duration
-	logger   *zap.Logger
+	dir     string // where predecessors listen
+	cfg     config.Config
+	timeout time.Duration // for the whole search
+	logger  *zap.Logger
 }
 
-// run returns the predecessor, or nil if there is none. A running predecessor that does not hand over within patience
-// is an error, because its idempotency keys are unknown here and it may be running them.
+// run returns the predecessor, or nil if there is none. It returns an error if a predecessor is running but does not
+// send its state within the timeout: this process would not know its idempotency keys, and could run a request that the
+// predecessor is running.
 func (s predecessorSearch) run() (*predecessor, error) {
-	if !handsOver(s.cfg) {
+	if !supportsHotRestart(s.cfg) {
 		return nil, nil //nolint:nilnil // no predecessor is not an error
 	}
-	deadline := time.Now().Add(s.patience)
+	deadline := time.Now().Add(s.timeout)
 	var reason error
 	for {
-		found, busy, err := s.tryAll(deadline)
-		if found != nil || err != nil || busy == nil {
+		found, retryable, err := s.tryAll(deadline)
+		if found != nil || err != nil || retryable == nil {
 			return found, err
 		}
 		// Prefer the error of an earlier attempt over a timeout caused by our own deadline, which does not tell an
 		// operator what is wrong with the process.
-		if reason == nil || !isTimeout(busy) {
-			reason = busy
+		if reason == nil || !isTimeout(retryable) {
+			reason = retryable
 		}
 		if time.Now().Add(predecessorRetryInterval).After(deadline) {
-			return nil, fmt.Errorf("%w: %w", errNotOurs, reason)
+			return nil, fmt.Errorf("%w: %w", errCannotTakeOver, reason)
 		}
 		time.Sleep(predecessorRetryInterval)
 	}
@@ -122,12 +123,13 @@
 	return errors.As(err, &timeout) && timeout.Timeout()
 }
 
-// tryAll tries each socket in the directory. busy is the error of the last one whose process may still hand over later.
-func (s predecessorSearch) tryAll(deadline time.Time) (found *predecessor, busy, err error) {
+// tryAll tries each socket in the directory. retryable is the error of the last socket whose process may hand over at a
+// later attempt.
+func (s predecessorSearch) tryAll(deadline time.Time) (found *predecessor, retryable, err error) {
 	entries, err := os.ReadDir(s.dir)
 	if err != nil {
 		// Without the directory there can be no predecessor, and the server can serve without one.
-		s.logger.Warn("no predecessor can be found", zap.Error(err))
+		s.logger.Warn("cannot search for a predecessor", zap.Error(err))
 		return nil, nil, nil
 	}
 	for _, entry := range entries {
@@ -142,15 +144,15 @@
 		case errors.Is(err, syscall.ECONNREFUSED) || errors.Is(err, fs.ErrNotExist):
 			s.logger.Info("leftover socket of a dead process removed", zap.String("path", path))
 			_ = os.Remove(path) // an error means that another process has removed it
-		case errors.Is(err, syscall.ENOTSOCK) || errors.Is(err, errNoSocket):
-			s.logger.Warn("no socket of this user's, passed over", zap.String("path", path))
+		case errors.Is(err, syscall.ENOTSOCK) || errors.Is(err, errNotOwnSocket):
+			s.logger.Warn("path skipped, not a socket of this user", zap.String("path", path))
 		case errors.Is(err, upgrade.ErrVersionMismatch):
-			return nil, nil, fmt.Errorf("%w: %s: %w", errNotOurs, path, err)
+			return nil, nil, fmt.Errorf("%w: %s: %w", errCannotTakeOver, path, err)
 		default:
-			busy = fmt.Errorf("%s: %w", path, err)
+			retryable = fmt.Errorf("%s: %w", path, err)
 		}
 	}
-	return nil, busy, nil
+	return nil, retryable, nil
 }
 
 // connectPredecessor connects to the process that listens at a path and receives its state.
@@ -169,8 +171,8 @@
 	return &predecessor{path: path, conn: conn, messages: messages}, nil
 }
 
-// checkSocket returns errNoSocket if a path is not a socket of this user: the directory may be writable by other users,
-// who could create sockets in it.
+// checkSocket returns errNotOwnSocket if a path is not a socket of this user: the directory may be writable by other
+// users, who could create sockets in it.
 func checkSocket(path string) error {
 	info, err := os.Lstat(path)
 	if err != nil {
@@ -178,7 +180,7 @@
 	}
 	stat, ok := info.Sys().(*syscall.Stat_t)
 	if info.Mode()&fs.ModeSocket == 0 || ok && int(stat.Uid) != os.Geteuid() {
-		return errNoSocket
+		return errNotOwnSocket
 	}
 	return nil
 }
@@ -206,7 +208,7 @@
 			return nil, err
 		}
 		if received += size; received > maxStateBytes {
-			return nil, fmt.Errorf("%w: over %d bytes were told", upgrade.ErrMalformedFrame, maxStateBytes)
+			return nil, fmt.Errorf("%w: the state exceeds %d bytes", upgrade.ErrMalformedFrame, maxStateBytes)
 		}
 		switch message.Kind {
 		case upgrade.Reject:
--- a/cmd/pewterline/process_host.go
+++ b/cmd/pewterline/process_host.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	// minSharedConnections is the least connection limit of a process beside another one.
+	// minSharedConnections is the lowest connection limit of a process that shares its limits with another one.
 	minSharedConnections = 8
 	// orphanCheckTimeout is the timeout of the check whether a lost predecessor is still running.
 	orphanCheckTimeout = time.Second
@@ -26,20 +26,20 @@
 type processHost struct {
 	cfg             config.Config
 	logger          *zap.Logger
-	limits          loopLimits // without another process
+	limits          loopLimits // of a process that runs alone
 	loop            atomic.Pointer[sockets.Loop]
-	successors      net.Listener // nil: this process cannot hand over
-	predecessorPath string       // of its socket; empty: there was none
-	others          int          // connections of the other process, as last reported
-	orphaned        atomic.Bool  // the link to a predecessor that still runs is lost
+	successors      net.Listener // accepts successors; nil: this process cannot hand over
+	predecessorPath string       // of the predecessor's socket; empty: there was no predecessor
+	others          int          // connections of the other process, as last reported; negative: there is none
+	orphaned        atomic.Bool  // the connection to a predecessor that still runs is lost
 }
 
 func newProcessHost(cfg config.Config, logger *zap.Logger) *processHost {
 	return &processHost{cfg: cfg, logger: logger, limits: socketLimits(cfg)}
 }
 
-// use sets the host's loop, which may be running already.
-func (h *processHost) use(loop *sockets.Loop) error {
+// attach sets the host's loop, which may be running already.
+func (h *processHost) attach(loop *sockets.Loop) error {
 	h.loop.Store(loop)
 	if h.successors != nil {
 		loop.Serve(h.successors, server.HandoffListener)
@@ -72,24 +72,25 @@
 func (h *processHost) ShareLimits(others int) {
 	h.others = others
 	alone := others < 0
-	heap := h.cfg.MemoryLimit / heapShare
+	heap := h.cfg.MemoryLimit / heapLimitDivisor
 	if !alone {
 		heap /= 2
 	}
 	debug.SetMemoryLimit(heap)
 	loop := h.loop.Load()
 	switch {
-	case loop == nil: // use comes later
+	case loop == nil: // attach applies the limits later
 	case alone:
 		loop.SetLimits(h.limits.connections, h.limits.buffered)
 	default:
-		both := h.limits.connections - spareSockets - vaultConns(h.cfg)
+		both := h.limits.connections - reservedSockets - vaultConns(h.cfg)
 		loop.SetLimits(max(min(both/2, both-others), minSharedConnections), h.limits.buffered/2)
 	}
 }
 
-// Orphaned is part of server.ProcessHost. If the predecessor has died, this process serves in its place. But the link
-// may also break while both processes run; then this one must not serve beside the other.
+// Orphaned is part of server.ProcessHost. If the predecessor has died, this process serves in its place. But the
+// connection may also break while both processes run; then this one must end, because only one of them may own the
+// keys.
 func (h *processHost) Orphaned() { go h.checkPredecessor() }
 
 // checkPredecessor ends this process if the predecessor is still running. It runs once, on a goroutine of its own.
@@ -100,7 +101,7 @@
 		h.logger.Info("predecessor has died, this process owns the keys")
 		return
 	}
-	_ = conn.Close() // only whether it opens matters
+	_ = conn.Close() // only whether the connection opens matters
 	h.orphaned.Store(true)
 	h.loop.Load().Stop()
 }
@@ -108,7 +109,7 @@
 // err returns why the host has stopped the loop, or nil if it has not.
 func (h *processHost) err() error {
 	if h.orphaned.Load() {
-		return fmt.Errorf("%w: the link to it is lost", errNotOurs)
+		return fmt.Errorf("%w: the connection to it was lost", errCannotTakeOver)
 	}
 	return nil
 }
--- a/cmd/pewterline/replication.go
+++ b/cmd/pewterline/replication.go
@@ -52,9 +52,9 @@
 
 var (
 	errNoAdminAddress = errors.New("replication: the server has no address for operators; " +
-		"set admin or RELAY_ADMIN, or say --admin")
-	errUnconfirmed = errors.New("replication: force gives up what only the other servers hold; " +
-		"if they are lost for good, say --confirm")
+		"set admin or RELAY_ADMIN, or pass --admin")
+	errUnconfirmed = errors.New("replication: force discards the keys that only the other servers hold; " +
+		"if those servers are lost for good, pass --confirm")
 )
 
 // client returns a client of the running server. Its address comes from --admin, or else from the server's own
@@ -67,7 +67,7 @@
 	if address == "" {
 		cfg, err := config.Load(env.getenv)
 		if err != nil {
-			return adminClient{}, fmt.Errorf("%w; or say --admin", err)
+			return adminClient{}, fmt.Errorf("%w; or pass --admin", err)
 		}
 		address = cfg.AdminAddress
 	}
--- a/cmd/pewterline/replication_report.go
+++ b/cmd/pewterline/replication_report.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// incarnation returns a member's incarnation in the group and, if it differs, the incarnation as which the server runs
+// incarnation returns a member's incarnation in the group and, if it differs, the incarnation of the server that runs
 // now.
 func incarnation(member replication.MemberStatus) string {
 	if member.CurrentIncarnation == "" || member.CurrentIncarnation == member.Incarnation {
@@ -55,15 +55,15 @@
 	fmt.Fprintf(out, "Group %s, epoch %d, %d copies of each key; the last change: %s\n",
 		status.ClusterID, status.Epoch, status.ReplicationFactor, status.Reason)
 	if status.ChangeInProgress {
-		fmt.Fprintf(out, "Members change: %d of them have transferred their keys, %d keys here are pending\n",
+		fmt.Fprintf(out, "Membership change: %d members have transferred their keys, %d keys here are pending\n",
 			status.MembersTransferred, status.Counters.KeysPendingTransfer)
 	}
 	if status.ForcedAt > 0 {
 		forcedAt := time.UnixMilli(status.ForcedAt).UTC().Format(time.RFC3339)
-		fmt.Fprintf(out, "A majority was given up: until %s and a retention window no unknown key is run\n", forcedAt)
+		fmt.Fprintf(out, "Forced without a majority: no unknown key is run until %s plus a retention window\n", forcedAt)
 	}
 	if !status.Voting {
-		fmt.Fprintln(out, "THE DISK HAS FAILED: this server does not vote until its log can be opened anew")
+		fmt.Fprintln(out, "THE DISK HAS FAILED: this server does not vote until its log can be opened again")
 	}
 	if err := printMembers(out, status); err != nil {
 		return err
@@ -81,13 +81,13 @@
 		{counters.KeysHeld, "keys held here"},
 		{counters.KeysToRepair, "keys to be transferred to other replicas"},
 		{counters.KeysRepaired, "keys transferred so far"},
-		{counters.LeasesGranted, "leases to run granted"},
+		{counters.LeasesGranted, "execution leases granted"},
 		{counters.ResultsReplicated, "results replicated"},
 		{counters.ResultsFound, "results found for a retry"},
 		{counters.RejectedUnreplicated, "requests rejected before they ran: no majority in time"},
-		{counters.OutcomesUnknown, "answers of which nobody knows whether the request ran"},
-		{counters.ResultsAtRisk, "results AT RISK: ran, and no majority took the result in time"},
-		{counters.DiskFailures, "failures of the disk"},
+		{counters.OutcomesUnknown, "answers with an unknown outcome: the request may have run"},
+		{counters.ResultsAtRisk, "results AT RISK: the request ran, but no majority stored its result in time"},
+		{counters.DiskFailures, "disk failures"},
 		{counters.MembersUnreachable, "members that cannot be reached"},
 	} {
 		fmt.Fprintf(table, "%v\t  %s\n", line.value, line.label)
--- a/cmd/pewterline/serve.go
+++ b/cmd/pewterline/serve.go
@@ -20,17 +20,17 @@
 )
 
 const (
-	// spareSockets is the number of descriptors reserved for other uses than accepted connections: the listeners, the
+	// reservedSockets is the number of descriptors reserved for uses other than accepted connections: the listeners, the
 	// poller, the worker pool's connection, the standard streams, and a margin.
-	spareSockets = 40
+	reservedSockets = 40
 	// threads is the value of GOMAXPROCS: with two, a timer fires in time while the loop blocks in the poller.
 	threads = 2
-	// heapShare is the divisor of the memory limit that gives the heap's limit. The rest is for stacks, the binary and
-	// the kernel's pages of files, which also count against the memory limit.
-	heapShare = 2
-	// bufferShare is the divisor of the memory limit that gives the limit of the bytes buffered for connections. The
-	// kernel's socket buffers take the same amount again.
-	bufferShare = 8
+	// heapLimitDivisor is the ratio of the memory limit to the heap limit. The rest is for stacks, the binary and the
+	// kernel's page cache, which also count against the memory limit.
+	heapLimitDivisor = 2
+	// bufferLimitDivisor is the ratio of the memory limit to the limit on bytes buffered for connections. The kernel's
+	// socket buffers take the same amount again.
+	bufferLimitDivisor = 8
 )
 
 type serveCommand struct{}
@@ -45,38 +45,38 @@
 		return err
 	}
 	clock := microtime.NewClock()
-	// First of all: a signal that comes during the start must be handled after it, and not kill the process.
+	// This must come first, so that a signal during startup is handled afterwards instead of killing the process.
 	signals := watchSignals(clock, logs.logger)
 	defer signals.stop()
 	cfg, err := config.Load(getenv)
 	if err != nil {
 		return err
 	}
-	debug.SetMemoryLimit(cfg.MemoryLimit / heapShare)
+	debug.SetMemoryLimit(cfg.MemoryLimit / heapLimitDivisor)
 	runtime.GOMAXPROCS(threads)
-	self := &process{cfg: cfg, clock: clock, logs: logs}
-	defer self.close()
-	if err := self.prepare(); err != nil {
+	proc := &process{cfg: cfg, clock: clock, logs: logs}
+	defer proc.close()
+	if err := proc.prepare(); err != nil {
 		return err
 	}
-	// Do not start listening if already told to stop; little of the shutdown budget may be left.
+	// Do not start listening if a shutdown was requested during startup: little of the shutdown budget may be left.
 	if signals.shutdownRequested() {
 		logs.logger.Info("told to stop before serving", zap.String("server", cfg.Name))
 		return nil
 	}
-	loop, err := self.start()
+	loop, err := proc.start()
 	if err != nil {
 		return err
 	}
-	signals.handle(signalTarget{loop: loop, server: self.server, getenv: getenv})
+	signals.handle(signalTarget{loop: loop, server: proc.server, getenv: getenv})
 	logs.logger.Info("serving", zap.String("server", cfg.Name), zap.Stringer("address", loop.Addr(0)))
 	if err := loop.Wait(); err != nil {
 		return err
 	}
-	return self.host.err()
+	return proc.host.err()
 }
 
-// process is the server with its resources of the operating system.
+// process is the server with the operating system resources that it uses.
 type process struct {
 	cfg         config.Config
 	clock       microtime.Clock
@@ -116,7 +116,7 @@
 	if err := p.openReplication(wall); err != nil {
 		return err
 	}
-	search := predecessorSearch{dir: os.TempDir(), cfg: p.cfg, patience: predecessorPatience, logger: p.logs.limited}
+	search := predecessorSearch{dir: os.TempDir(), cfg: p.cfg, timeout: predecessorTimeout, logger: p.logs.limited}
 	if p.predecessor, err = search.run(); err != nil {
 		return err
 	}
@@ -128,7 +128,8 @@
 			return err
 		}
 	}
-	// Before the listeners for proxies open, so that a successor can always find the process that serves.
+	// Listen for successors before the listeners for proxies open, so that a successor can always find the serving
+	// process.
 	if listener := listenForSuccessor(os.TempDir(), p.cfg, p.logs.limited); listener != nil {
 		p.closers = append(p.closers, func() { _ = listener.Close() }) // the event loop may have closed it already
 		p.host.successors = listener
@@ -186,7 +187,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := p.host.use(loop); err != nil {
+	if err := p.host.attach(loop); err != nil {
 		return nil, err
 	}
 	if p.predecessor == nil {
@@ -220,7 +221,7 @@
 	}
 }
 
-// loopLimits are the limits of the event loop in a process without another one beside it.
+// loopLimits are the limits of the event loop in a process that runs alone.
 type loopLimits struct {
 	connections int // accepted connections
 	buffered    int // in bytes, of all connections together
@@ -228,8 +229,8 @@
 
 func socketLimits(cfg config.Config) loopLimits {
 	limits := loopLimits{
-		connections: cfg.SocketLimit - spareSockets - vaultConns(cfg),
-		buffered:    int(cfg.MemoryLimit / bufferShare),
+		connections: cfg.SocketLimit - reservedSockets - vaultConns(cfg),
+		buffered:    int(cfg.MemoryLimit / bufferLimitDivisor),
 	}
 	if cfg.AJP.BackendAddress != "" {
 		limits.connections -= cfg.AJP.BackendConnections
@@ -237,8 +238,8 @@
 	return limits
 }
 
-// vaultConns is the number of descriptors reserved for connections to the vault. They are reserved whenever an address
-// is configured, because a reload may enable calls.
+// vaultConns returns the number of descriptors reserved for connections to the vault. They are reserved whenever an
+// address is configured, because a reload may enable calls.
 func vaultConns(cfg config.Config) int {
 	if cfg.VaultAddress == "" {
 		return 0
--- a/cmd/pewterline/signals.go
+++ b/cmd/pewterline/signals.go
@@ -52,8 +52,8 @@
 	signal.Stop(w.signals)
 }
 
-// shutdownRequested reports whether a shutdown signal has come. It consumes the signal: the target of handle does not
-// get it.
+// shutdownRequested reports whether a shutdown signal has been received. It consumes the signal, so that the target of
+// handle does not get it.
 func (w *signalWatcher) shutdownRequested() bool {
 	select {
 	case <-w.shutdown:
@@ -63,7 +63,7 @@
 	}
 }
 
-// dispatch queues each signal by its kind. It runs on a goroutine of its own until stop.
+// dispatch queues each signal by its kind. It runs on its own goroutine until stop.
 func (w *signalWatcher) dispatch() {
 	for {
 		select {
@@ -154,6 +154,6 @@
 // effect.
 func (t signalTarget) execute(logger *zap.Logger, f func()) {
 	if err := t.loop.Execute(f); err != nil {
-		logger.Warn("signal came too late", zap.Error(err))
+		logger.Warn("signal ignored, the event loop has ended", zap.Error(err))
 	}
 }
--- a/cmd/pewterline/upgrade_test.go
+++ b/cmd/pewterline/upgrade_test.go
@@ -354,7 +354,7 @@
 	}
 	require.NoError(t, next.Signal(syscall.SIGCONT))
 	require.Error(t, next.Wait())
-	require.Contains(t, next.Log(), errNotOurs.Error())
+	require.Contains(t, next.Log(), errCannotTakeOver.Error())
 	srv.served(srv.ask(srv.dial(), "lot-intake", "k0", "0"+long), "0"+long)
 	srv.once()
 }
@@ -691,7 +691,7 @@
 	next, err := srv.Start(nil)
 	require.NoError(t, err)
 	require.Error(t, next.Wait())
-	require.Contains(t, next.Log(), errNotOurs.Error())
+	require.Contains(t, next.Log(), errCannotTakeOver.Error())
 	require.NoError(t, old.Signal(syscall.SIGCONT))
 	srv.served(srv.ask(srv.dial(), "lot-intake", "k1", "one"), "one")
 	srv.once()
@@ -728,9 +728,9 @@
 			require.NoError(t, conn.Close())
 		}
 	})
-	search := predecessorSearch{dir: dir, cfg: cfg, patience: 10 * predecessorRetryInterval, logger: zap.NewNop()}
+	search := predecessorSearch{dir: dir, cfg: cfg, timeout: 10 * predecessorRetryInterval, logger: zap.NewNop()}
 	_, err = search.run()
-	require.ErrorIs(t, err, errNotOurs)
+	require.ErrorIs(t, err, errCannotTakeOver)
 	require.ErrorContains(t, err, "no preamble")
 }
 
@@ -743,7 +743,7 @@
 	t.Cleanup(func() { require.NoError(t, os.RemoveAll(dir)) })
 	cfg := config.Config{Name: "n0", Listen: "127.0.0.1:2", AdminAddress: "127.0.0.1:1"}
 	at := func(n int) string { return filepath.Join(dir, socketPrefix(cfg)+strconv.Itoa(n)) }
-	search := predecessorSearch{dir: dir, cfg: cfg, patience: 10 * predecessorRetryInterval, logger: zap.NewNop()}
+	search := predecessorSearch{dir: dir, cfg: cfg, timeout: 10 * predecessorRetryInterval, logger: zap.NewNop()}
 	require.NoError(t, os.WriteFile(at(1), []byte("spoilt"), 0o600))
 	ln, err := net.ListenUnix("unix", &net.UnixAddr{Name: at(2), Net: "unix"})
 	require.NoError(t, err)
@@ -800,7 +800,7 @@
 			}
 		}()
 		_, err = search.run()
-		require.ErrorIs(t, err, errNotOurs)
+		require.ErrorIs(t, err, errCannotTakeOver)
 		require.ErrorContains(t, err, want)
 		require.NoError(t, ln.Close())
 	}
--- a/example/example.go
+++ b/example/example.go
@@ -1,9 +1,9 @@
-// Package example holds the configuration that the program is tried with.
+// Package example embeds the example configuration of the program.
 package example
 
 import _ "embed"
 
-// Config is config.json.
+// Config is the content of config.json.
 //
 //go:embed config.json
 var Config []byte
--- a/example/toy/client.go
+++ b/example/toy/client.go
@@ -52,12 +52,12 @@
 			{Name: "X-Relay-Once", Value: idempotencyKey},
 		},
 	})
-	request, _ = ajp.AppendBodyChunk(request, body) // it fits one packet
-	split := func(in []byte) ([]byte, int, error) { return ajp.SplitPacket(in, ajp.FromContainer) }
+	request, _ = ajp.AppendBodyChunk(request, body) // the body fits into one packet
+	split := func(received []byte) ([]byte, int, error) { return ajp.SplitPacket(received, ajp.FromContainer) }
 	return exchange(addr, request, split, printResponse)
 }
 
-// printResponse prints a packet of a response. It returns true after the last.
+// printResponse prints a packet of a response. It returns true after the last packet.
 func printResponse(payload []byte) bool {
 	response, err := ajp.ParseResponse(payload)
 	if err != nil {
@@ -69,13 +69,13 @@
 		fmt.Println(response.Status, response.Headers)
 	case ajp.CodeSendBodyChunk:
 		fmt.Printf("%s\n", response.BodyChunk)
-	default: // it has nothing to print
+	default: // other packets have nothing to print
 	}
 	return response.Code == ajp.CodeEndResponse
 }
 
 // errLastMessage makes readMessages return after the last message.
-var errLastMessage = errors.New("that was the last message")
+var errLastMessage = errors.New("last message received")
 
 // exchange sends a request on a new connection, and calls show for each message of the response until show returns
 // true.
@@ -88,8 +88,8 @@
 	if _, err := conn.Write(request); err != nil {
 		return err
 	}
-	err = readMessages(conn, func(in []byte) (int, error) {
-		message, size, err := split(in)
+	err = readMessages(conn, func(received []byte) (int, error) {
+		message, size, err := split(received)
 		if message != nil && show(message) {
 			return size, errLastMessage
 		}
--- a/example/toy/main.go
+++ b/example/toy/main.go
@@ -13,7 +13,7 @@
 // readBufferSize is the size of a single read from a connection, in bytes.
 const readBufferSize = 4096
 
-// options are the options of the command line.
+// options are the command-line options.
 type options struct {
 	poolAddr       string
 	vaultAddr      string
@@ -48,21 +48,21 @@
 	}
 }
 
-func run(o options) error {
+func run(opts options) error {
 	switch {
-	case o.poolAddr != "":
-		return serve(o.poolAddr, o.vaultAddr, workerPool{work: o.work, callClass: o.callClass})
-	case o.thriftAddr != "":
-		return sendThrift(o.thriftAddr, o.class, o.idempotencyKey)
-	case o.ajpAddr != "":
-		return sendAJP(o.ajpAddr, o.class, o.idempotencyKey)
+	case opts.poolAddr != "":
+		return serve(opts.poolAddr, opts.vaultAddr, workerPool{work: opts.work, callClass: opts.callClass})
+	case opts.thriftAddr != "":
+		return sendThrift(opts.thriftAddr, opts.class, opts.idempotencyKey)
+	case opts.ajpAddr != "":
+		return sendAJP(opts.ajpAddr, opts.class, opts.idempotencyKey)
 	default:
 		return errNothingToDo
 	}
 }
 
-// serve serves as a worker pool and, if vaultAddr is not empty, as a vault, until either fails. Their goroutines end
-// with the process.
+// serve serves as a worker pool and, if vaultAddr is not empty, as a vault, until either fails. The goroutines of both
+// end with the process.
 func serve(poolAddr, vaultAddr string, pool workerPool) error {
 	failed := make(chan error, 2)
 	go func() { failed <- accept("worker pool", poolAddr, pool.serve) }()
@@ -88,24 +88,24 @@
 	}
 }
 
-// readMessages reads from a connection until it ends or parse fails. parse handles the first message in in and returns
-// its size, or 0 while the message is incomplete.
-func readMessages(conn net.Conn, parse func(in []byte) (size int, err error)) error {
-	var in []byte
+// readMessages reads from a connection until it ends or parse fails. parse handles the first message in received and
+// returns its size, or 0 while the message is incomplete.
+func readMessages(conn net.Conn, parse func(received []byte) (size int, err error)) error {
+	var received []byte
 	buffer := make([]byte, readBufferSize)
 	for {
-		size, err := parse(in)
+		size, err := parse(received)
 		if err != nil {
 			return err
 		}
 		if size > 0 {
-			in = in[size:]
+			received = received[size:]
 			continue
 		}
 		n, err := conn.Read(buffer)
 		if err != nil {
 			return err
 		}
-		in = append(in, buffer[:n]...)
+		received = append(received, buffer[:n]...)
 	}
 }
--- a/example/toy/vault.go
+++ b/example/toy/vault.go
@@ -10,8 +10,8 @@
 // serveVault answers each call on a connection at once, with the body of the call.
 func serveVault(conn net.Conn) {
 	defer func() { _ = conn.Close() }() // nothing is left to write
-	err := readMessages(conn, func(in []byte) (int, error) {
-		command, size, err := vault.ParseCommand(in)
+	err := readMessages(conn, func(received []byte) (int, error) {
+		command, size, err := vault.ParseCommand(received)
 		if size == 0 || command.Verb != vault.Ask {
 			return size, err
 		}
--- a/example/toy/worker_pool.go
+++ b/example/toy/worker_pool.go
@@ -14,7 +14,7 @@
 const (
 	// cores is the number of cores that the reported utilization is based on.
 	cores = 2
-	// callTimeout is how long a run waits for the reply to its call. It is longer than the request's deadline.
+	// callTimeout limits how long a run waits for the reply to its call. It is longer than the request's deadline.
 	callTimeout = 5 * time.Second
 )
 
@@ -28,11 +28,11 @@
 // connection is lost.
 func (p workerPool) serve(conn net.Conn) {
 	defer func() { _ = conn.Close() }() // nothing is left to write
-	s := &poolSession{pool: p, conn: conn, blocked: map[string]*time.Timer{}}
-	err := readMessages(conn, func(in []byte) (int, error) {
-		command, size, err := pool.ParseCommand(in)
+	session := &poolSession{pool: p, conn: conn, blocked: map[string]*time.Timer{}}
+	err := readMessages(conn, func(received []byte) (int, error) {
+		command, size, err := pool.ParseCommand(received)
 		if size > 0 {
-			s.handle(command)
+			session.handle(command)
 		}
 		return size, err
 	})
@@ -45,7 +45,7 @@
 	pool workerPool
 	conn net.Conn
 
-	mu         sync.Mutex // guards what follows, and what is written
+	mu         sync.Mutex // guards the fields below and writes to conn
 	lastNotice uint64
 	running    int
 	blocked    map[string]*time.Timer // timeouts of the runs that wait for the reply to their call, by ID
@@ -60,15 +60,15 @@
 		s.lastNotice = command.Notice
 		s.write([]byte("bound LOADED 0\r\n"))
 	case pool.Poll:
-		busy := math.Min(1, float64(s.running)/cores)
-		s.write(fmt.Appendf(nil, "polled %s %.2f %d 0.1 1\r\n", command.Tag, busy, s.running))
+		utilization := math.Min(1, float64(s.running)/cores)
+		s.write(fmt.Appendf(nil, "polled %s %.2f %d 0.1 1\r\n", command.Tag, utilization, s.running))
 	case pool.Verify:
 		s.after(s.pool.work, func() { s.write(pool.AppendVerified(nil, command.Tag, pool.Pass)) })
 	case pool.Spawn:
 		s.spawn(command.ID, command.Class, string(command.Body))
 	case pool.Supply:
 		s.supply(command.ID, string(command.Body))
-	default: // suspend is ignored: the toy lets the run end
+	default: // suspend is ignored: the toy lets the run finish
 	}
 }
 
