--- a/cmd/pewterline/build_test.go
+++ b/cmd/pewterline/build_test.go
@@ -21,15 +21,16 @@
 	"github.com/stretchr/testify/require"
 )
 
-// built builds the server by the deploy file's own line, into a folder of the test's in place of bin.
-func built(t *testing.T) (program, run string) {
+// buildDeployed builds the server with the build command of the deployment file, into a directory of the test instead
+// of bin. It returns the path of the program and the run command of the file.
+func buildDeployed(t *testing.T) (program, run string) {
 	t.Helper()
 	var deploy struct{ Build, Run string }
 	_, err := toml.DecodeFile("../../deploy/balancer.toml", &deploy)
 	require.NoError(t, err)
 	readme, err := os.ReadFile("../../README.md")
 	require.NoError(t, err)
-	require.Contains(t, string(readme), deploy.Build, "README tells another build")
+	require.Contains(t, string(readme), deploy.Build, "README has another build command")
 	words := strings.Fields(deploy.Build)
 	require.Contains(t, words, "bin/", deploy.Build)
 	dir := t.TempDir()
@@ -45,11 +46,11 @@
 	return filepath.Join(dir, "pewterline"), deploy.Run
 }
 
-// Guards the start on a platform that loads a library of its own into the process: that takes a program which the C
-// library starts, so one linked externally. A program linked by Go's own linker names the C library too, but its first
-// instruction is the runtime's. run is one process, by exec; what ships as off holds no socket.
+// The program must be started by the C library, which takes an external linker, because the platform loads a library of
+// its own into the process. A program linked by Go's own linker imports the C library too, but starts in the Go
+// runtime. The run command uses exec, so that there is one process. Features that are off by default open no sockets.
 func TestDeployedServer(t *testing.T) {
-	program, run := built(t)
+	program, run := buildDeployed(t)
 	require.Equal(t, "exec bin/pewterline", run)
 	file, err := elf.Open(program)
 	require.NoError(t, err)
@@ -62,12 +63,12 @@
 	symbols, err := file.ImportedSymbols()
 	require.NoError(t, err)
 	require.True(t, slices.ContainsFunc(symbols, func(s elf.ImportedSymbol) bool { return s.Name == "__libc_start_main" }),
-		"the C library does not start it")
+		"the C library does not start the program")
 
 	reports, err := net.ListenPacket("udp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer func() { require.NoError(t, reports.Close()) }()
-	poolAddr, binds := standIn(t)
+	poolAddr, binds := startFakePool(t)
 	text, err := os.ReadFile("../../internal/config/testdata/config.json")
 	require.NoError(t, err)
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -78,7 +79,7 @@
 		"limits":  json.RawMessage(`{"cores": 1, "memory_mb": 48, "sockets": 384}`),
 	}), 0o600))
 	cmd := exec.Command("/bin/sh", "-c", "exec "+program)
-	cmd.Dir = "../.." // the files under deploy are found from the root
+	cmd.Dir = "../.." // paths below deploy are relative to the root
 	cmd.Env = shippedEnv(path)
 	cmd.Stderr = io.Discard
 	require.NoError(t, cmd.Start())
@@ -86,26 +87,26 @@
 	go func() { ended <- cmd.Wait() }()
 	defer func() { _ = cmd.Process.Kill() }()
 	require.Equal(t, "bind 0\r\n", <-binds)
-	// One listener, the pool's link and the socket for reports; the loop's own, by which it starts, is closed again.
+	// One listener, the pool's connection and the socket for reports. The loop closes the socket that it opens to start.
 	var sockets []string
 	require.Eventually(t, func() bool {
 		sockets = openSockets(cmd.Process.Pid)
 		return len(sockets) == 3
 	}, 10*time.Second, 10*time.Millisecond, "%v", &sockets)
 	children, err := os.ReadFile(fmt.Sprintf("/proc/%d/task/%d/children", cmd.Process.Pid, cmd.Process.Pid))
-	if err == nil { // not every kernel tells
+	if err == nil { // not every kernel has this file
 		require.Empty(t, string(children))
 	}
-	t.Run("what is off does not run", func(t *testing.T) { offMeansOff(t, program, path, binds) })
+	t.Run("disabled features do not run", func(t *testing.T) { testDisabledFeatures(t, program, path, binds) })
 	require.NoError(t, cmd.Process.Signal(syscall.SIGTERM))
 	require.NoError(t, <-ended)
-	t.Run("told to stop while it starts", func(t *testing.T) { stopAtTheStart(t, program, path) })
+	t.Run("stopped during startup", func(t *testing.T) { testStopDuringStartup(t, program, path) })
 }
 
-// offMeansOff guards the platform's limits against what ships as off: of a server at work, whose goroutines SIGQUIT has
-// the runtime print, none is of the store, its databases, the edge's runner or the exchange, nor was one started by
-// them.
-func offMeansOff(t *testing.T, program, config string, binds chan string) {
+// testDisabledFeatures checks that features that are off by default run no goroutines, which would count against the
+// platform's limits: none of the goroutines of a serving process, which the runtime prints at SIGQUIT, runs code of the
+// store, its databases, the edge's upstream or the peer exchange, or was started by them.
+func testDisabledFeatures(t *testing.T, program, config string, binds chan string) {
 	cmd := exec.Command(program)
 	cmd.Dir = "../.."
 	cmd.Env = append(shippedEnv(config), "GOTRACEBACK=all")
@@ -115,17 +116,17 @@
 	defer func() { _ = cmd.Process.Kill() }()
 	require.Equal(t, "bind 0\r\n", <-binds)
 	require.NoError(t, cmd.Process.Signal(syscall.SIGQUIT))
-	require.Error(t, cmd.Wait(), "it ends by the signal")
-	require.Contains(t, log.String(), "pewterline/internal/transport/sockets", "the loop is among them")
-	for _, off := range []string{"internal/store", "database/sql", "sqlite", "pgx", "backend/upstream", "exchange"} {
-		require.NotContains(t, log.String(), off)
+	require.Error(t, cmd.Wait(), "the signal ends the process")
+	require.Contains(t, log.String(), "pewterline/internal/transport/sockets", "the event loop is printed")
+	for _, disabled := range []string{"internal/store", "database/sql", "sqlite", "pgx", "backend/upstream", "exchange"} {
+		require.NotContains(t, log.String(), disabled)
 	}
 }
 
-// stopAtTheStart guards against a release that overtakes itself: the notice to leave finds a program that still reads
-// its configuration, here from a pipe that the test holds. It ends as told, and is not killed; nobody could reach it
-// before.
-func stopAtTheStart(t *testing.T, program, config string) {
+// testStopDuringStartup checks a shutdown during startup, which happens if one release quickly follows another: SIGTERM
+// comes while the program still reads its configuration, here from a pipe of the test. The program must exit without
+// serving, and must not be killed by the signal.
+func testStopDuringStartup(t *testing.T, program, config string) {
 	pipe := filepath.Join(t.TempDir(), "config.json")
 	require.NoError(t, syscall.Mkfifo(pipe, 0o600))
 	cmd := exec.Command(program)
@@ -139,9 +140,9 @@
 	require.NoError(t, err)
 	require.NoError(t, cmd.Process.Signal(syscall.SIGTERM))
 	lines := bufio.NewReader(stderr)
-	heard, err := lines.ReadString('\n') // it has the notice
+	line, err := lines.ReadString('\n') // the program has received the signal
 	require.NoError(t, err)
-	require.Contains(t, heard, "told to stop")
+	require.Contains(t, line, "told to stop")
 	text, err := os.ReadFile(config)
 	require.NoError(t, err)
 	_, err = writer.Write(text)
@@ -154,19 +155,19 @@
 	require.NotContains(t, string(log), "INFO serving")
 }
 
-// shippedEnv returns the environment of a server with the TOML files that ship, on a port of its own.
+// shippedEnv returns the environment of a server with the default TOML files, on a port that the kernel chooses.
 func shippedEnv(config string) []string {
 	return append(os.Environ(),
 		"RELAY_CONFIG="+config, "RELAY_LISTEN=127.0.0.1:0", "RELAY_AJP=", "RELAY_STORE=", "RELAY_FLEET=")
 }
 
-// openSockets are those that a process holds.
+// openSockets returns the open sockets of a process.
 func openSockets(pid int) (sockets []string) {
 	dir := fmt.Sprintf("/proc/%d/fd", pid)
-	entries, _ := os.ReadDir(dir) // without any, it holds none
-	for _, e := range entries {
-		if to, err := os.Readlink(filepath.Join(dir, e.Name())); err == nil && strings.HasPrefix(to, "socket:") {
-			sockets = append(sockets, to)
+	entries, _ := os.ReadDir(dir) // no sockets if the directory cannot be read
+	for _, entry := range entries {
+		if target, err := os.Readlink(filepath.Join(dir, entry.Name())); err == nil && strings.HasPrefix(target, "socket:") {
+			sockets = append(sockets, target)
 		}
 	}
 	return sockets
--- a/cmd/pewterline/calls_test.go
+++ b/cmd/pewterline/calls_test.go
@@ -10,79 +10,79 @@
 	"pewterline/internal/testbed/processtest"
 )
 
-// newCallingTwin is one whose intakes call the vault once.
+// newCallingServer returns a server whose keyed requests each make one call to the returned vault.
 func newCallingServer(t *testing.T) (*testServer, *processtest.Vault) {
 	srv := newTestServer(t)
-	v, err := processtest.NewVault()
+	vault, err := processtest.NewVault()
 	require.NoError(t, err)
-	t.Cleanup(v.Close)
+	t.Cleanup(vault.Close)
 	srv.Settings, err = processtest.WithCalls(srv.Settings, "lot-intake")
 	require.NoError(t, err)
-	srv.VaultAddress = v.Addr()
-	return srv, v
+	srv.VaultAddress = vault.Addr()
+	return srv, vault
 }
 
-// called is the next call, which has to be of a body.
-func called(t *testing.T, v *processtest.Vault, of string) *processtest.Call {
+// awaitCall returns the next call, and requires that it is the first call of the request with a body.
+func awaitCall(t *testing.T, vault *processtest.Vault, requestBody string) *processtest.Call {
 	t.Helper()
-	c, err := v.NextCall()
+	call, err := vault.NextCall()
 	require.NoError(t, err)
-	require.Equal(t, processtest.CallBody(1, of), c.Body)
-	return c
+	require.Equal(t, processtest.CallBody(1, requestBody), call.Body)
+	return call
 }
 
-// Guards intakes whose runs wait for their calls while another process takes over, or come to them only then: the old
-// process brings the calls to their end, and a repeat at the new one gets the result. Each call is made once.
+// Runs must survive an upgrade if they wait for the reply to a call, or make their call only after the handoff: the old
+// process completes the calls, and a retry at the new process gets the result. Each call is made once.
 func TestUpgradeWhileBlocked(t *testing.T) {
 	t.Parallel()
 	srv, vault := newCallingServer(t)
 	old := srv.start()
 	vault.Hold()
-	blocked := srv.ask(srv.dial(), "lot-intake", "k1", "one")
-	called(t, vault, "one")
+	blocked := srv.sendRequest(srv.dial(), "lot-intake", "k1", "one")
+	awaitCall(t, vault, "one")
 	old.Pool.Hold()
-	running := srv.ask(srv.dial(), "lot-intake", "k3", "three")
+	running := srv.sendRequest(srv.dial(), "lot-intake", "k3", "three")
 	require.NoError(t, old.Pool.AwaitStart("three"))
 	next := srv.start()
 	require.NoError(t, old.Signal(syscall.SIGTERM))
 	awaitLog(t, next, "has handed over")
-	d := srv.dial()
-	again, fresh := srv.ask(d, "lot-intake", "k1", "one"), srv.ask(d, "lot-intake", "k2", "two")
-	called(t, vault, "two")
+	conn := srv.dial()
+	retry, fresh := srv.sendRequest(conn, "lot-intake", "k1", "one"), srv.sendRequest(conn, "lot-intake", "k2", "two")
+	awaitCall(t, vault, "two")
 	old.Pool.Release()
-	called(t, vault, "three")
+	awaitCall(t, vault, "three")
 	vault.Release()
-	srv.served(blocked, "one got kept call 1 of one")
-	srv.served(again, "one got kept call 1 of one")
-	srv.served(fresh, "two got kept call 1 of two")
-	srv.served(running, "three got kept call 1 of three")
+	srv.requireServed(blocked, "one got kept call 1 of one")
+	srv.requireServed(retry, "one got kept call 1 of one")
+	srv.requireServed(fresh, "two got kept call 1 of two")
+	srv.requireServed(running, "three got kept call 1 of three")
 	require.NoError(t, old.Wait(), old.Log())
 	require.Len(t, vault.Calls(), 3)
-	srv.once()
+	srv.requireNoDuplicateRuns()
 }
 
-// Guards what was read against the end of the process while runs are blocked, at a vault that never answers: the notice
-// to leave has all of it answered, and the process ends of itself before it would be stopped.
-func TestLeaveWithRunsBlocked(t *testing.T) {
+// A notice to drain must not lose requests whose runs wait for a vault that never answers: the process replies to all
+// requests that it has read, and exits by itself before the platform would kill it.
+func TestShutdownWithBlockedRuns(t *testing.T) {
 	t.Parallel()
 	srv, vault := newCallingServer(t)
 	process := srv.start()
 	vault.Hold()
 	conn := srv.dial()
 	var open []processtest.PendingRequest
-	for _, once := range []string{"one", "two", "three"} {
-		open = append(open, srv.ask(conn, "lot-intake", once, once))
-		called(t, vault, once)
+	for _, key := range []string{"one", "two", "three"} {
+		open = append(open, srv.sendRequest(conn, "lot-intake", key, key))
+		awaitCall(t, vault, key)
 	}
 	require.NoError(t, process.Signal(syscall.SIGTERM))
-	for _, a := range open {
-		r, err := a.Await()
+	for _, pending := range open {
+		reply, err := pending.Await()
 		require.NoError(t, err)
-		require.Equal(t, thrift.ReplyBroken, r.Kind)
+		require.Equal(t, thrift.ReplyBroken, reply.Kind)
 	}
 	conn.Close()
 	require.NoError(t, process.Wait(), process.Log())
 	require.Len(t, vault.Calls(), len(open))
 	require.Empty(t, process.Pool.UnexpectedCommands())
-	srv.once()
+	srv.requireNoDuplicateRuns()
 }
--- a/cmd/pewterline/command_test.go
+++ b/cmd/pewterline/command_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// runWith runs the program with an environment and returns its exit code and all that it printed.
+// runWith runs the command in this process with environment variables, and returns its exit code and output.
 func runWith(t *testing.T, variables map[string]string, args ...string) (code int, printed string) {
 	t.Helper()
 	var out bytes.Buffer
@@ -17,7 +17,8 @@
 	return code, out.String()
 }
 
-// check names every faulty file with its key, not the first one alone, and exits with 1; a sound set exits with 0.
+// The check command reports the faulty key of every invalid file, not only of the first, and exits with 1. It exits
+// with 0 if all files are valid.
 func TestCheckNamesEveryFault(t *testing.T) {
 	dir := t.TempDir()
 	write := func(name, text string) string {
@@ -59,9 +60,9 @@
 	require.Contains(t, out, "check")
 }
 
-// The names that commands and flags had before still work, and the help does not name them.
-func TestOldSpellings(t *testing.T) {
-	variables := map[string]string{"RELAY_ADMIN": "127.0.0.1:1"} // where nobody listens
+// The former names of commands and flags still work, and the help does not show them.
+func TestFormerNames(t *testing.T) {
+	variables := map[string]string{"RELAY_ADMIN": "127.0.0.1:1"} // no process listens there
 	for _, tc := range []struct {
 		name string
 		args []string
--- a/cmd/pewterline/demo.go
+++ b/cmd/pewterline/demo.go
@@ -16,11 +16,11 @@
 
 // The cluster of the demonstration, and the classes of its requests, which the example's configuration defines.
 const (
-	demoServers     = 3
-	demoReplicas    = 3
-	demoReadClass   = "block-view"
-	demoCallClass   = "lot-update" // its runs call the vault
-	demoIntakeClass = "lot-intake" // its requests have idempotency keys
+	demoServers    = 3
+	demoReplicas   = 3
+	demoReadClass  = "block-view"
+	demoCallClass  = "lot-update" // its runs call the vault
+	demoKeyedClass = "lot-intake" // its requests have idempotency keys
 )
 
 // demoCommand demonstrates what the program does: it starts three log servers that replicate for each other, in a
@@ -62,7 +62,7 @@
 	if err := d.play(); err != nil {
 		return err
 	}
-	fmt.Fprintln(out, "\nEach intake ran once; the server that was lost found both results at the others.")
+	fmt.Fprintln(out, "\nEach keyed request ran once; the lost server found both results at the other servers.")
 	if c.Log {
 		fmt.Fprint(out, "\n"+cluster.Log())
 	}
@@ -93,13 +93,13 @@
 	fmt.Fprintln(d.table, "SERVER\tCLASS\tREQUEST\tANSWER\tRESULT\tRUNS SO FAR")
 	d.send(demoRequest{server: 1, class: demoReadClass, key: "block-4"})
 	d.send(demoRequest{server: 2, class: demoCallClass, key: "lot-12"})
-	d.send(demoRequest{server: 1, class: demoIntakeClass, key: "basket-17", runOnce: true})
+	d.send(demoRequest{server: 1, class: demoKeyedClass, key: "basket-17", runOnce: true})
 	if err := errors.Join(d.cluster.Kill(1), d.cluster.Wipe(1)); err != nil {
 		return err
 	}
 	d.note("server 1 is killed, its folder is lost")
-	d.send(demoRequest{server: 2, class: demoIntakeClass, key: "basket-17", retry: true, runOnce: true})
-	d.send(demoRequest{server: 3, class: demoIntakeClass, key: "basket-18", runOnce: true})
+	d.send(demoRequest{server: 2, class: demoKeyedClass, key: "basket-17", retry: true, runOnce: true})
+	d.send(demoRequest{server: 3, class: demoKeyedClass, key: "basket-18", runOnce: true})
 	if err := d.cluster.Start(1); err != nil {
 		return err
 	}
@@ -110,9 +110,9 @@
 	if err != nil {
 		return err
 	}
-	d.note(fmt.Sprintf("server 1 is back, and holds %d intakes", state.Counters.Held))
-	d.send(demoRequest{server: 1, class: demoIntakeClass, key: "basket-17", retry: true, runOnce: true})
-	d.send(demoRequest{server: 1, class: demoIntakeClass, key: "basket-18", retry: true, runOnce: true})
+	d.note(fmt.Sprintf("server 1 is back, and holds %d idempotency keys", state.Counters.Held))
+	d.send(demoRequest{server: 1, class: demoKeyedClass, key: "basket-17", retry: true, runOnce: true})
+	d.send(demoRequest{server: 1, class: demoKeyedClass, key: "basket-18", retry: true, runOnce: true})
 	return d.table.Flush()
 }
 
--- a/cmd/pewterline/log_messages_test.go
+++ b/cmd/pewterline/log_messages_test.go
@@ -26,8 +26,8 @@
 	fields string // names in the order of the code
 }
 
-// The table that operators go by and the code name the same messages, with the same level and the same fields, and each
-// row says what it means and what to do.
+// The operators' table and the code must have the same messages, with the same levels and fields, and each row must
+// state a meaning and an action.
 func TestLogMessagesAreInTheTable(t *testing.T) {
 	t.Parallel()
 	code := messagesOfCode(t)
@@ -50,7 +50,7 @@
 	}
 }
 
-// messagesOfTable reads the rows of the page.
+// messagesOfTable returns the messages in the rows of the page.
 func messagesOfTable(t *testing.T) map[string]logMessage {
 	t.Helper()
 	text, err := os.ReadFile(logTablePath)
@@ -65,14 +65,14 @@
 		message := strings.TrimSuffix(strings.TrimPrefix(cells[0], "| `"), "`")
 		require.NotContains(t, out, message, "two rows")
 		require.NotEmpty(t, strings.TrimSpace(cells[3]), "%q has no meaning", message)
-		require.NotEmpty(t, strings.Trim(cells[4], " |"), "%q has nothing to do", message)
+		require.NotEmpty(t, strings.Trim(cells[4], " |"), "%q has no action", message)
 		out[message] = logMessage{level: cells[1], fields: cells[2]}
 	}
 	return out
 }
 
-// messagesOfCode reads the log calls of the server's packages. A message that is no constant cannot be in a table, and
-// is an error.
+// messagesOfCode returns the messages of the log calls in the server's packages. A message that is not a constant
+// cannot be in a table, and is an error.
 func messagesOfCode(t *testing.T) map[string]logMessage {
 	t.Helper()
 	out := map[string]logMessage{}
@@ -82,7 +82,7 @@
 			case err != nil:
 				return err
 			case entry.IsDir() && (entry.Name() == "testbed" || entry.Name() == "simadapter"):
-				return filepath.SkipDir // no part of the server
+				return filepath.SkipDir // not part of the server
 			case entry.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go"):
 				return nil
 			}
@@ -114,19 +114,19 @@
 		return
 	}
 	if _, ok := call.Args[0].(*ast.Ident); ok && call.Ellipsis.IsValid() {
-		return // it passes on the arguments of another call
+		return // the call forwards the arguments of another one
 	}
 	message, ok := constantMessage(call)
 	if !ok {
-		t.Errorf("%s: the message is no constant", files.Position(call.Pos()))
+		t.Errorf("%s: the message is not a constant", files.Position(call.Pos()))
 		return
 	}
 	if message == controlPrefix+"%s" {
-		return // the texts of the decision module, which collectLogAction finds
+		return // the message comes from the decision module; collectLogAction finds it
 	}
 	found := logMessage{level: level, fields: logFields(message, call.Args[1:])}
 	if level == "info" && strings.HasSuffix(found.fields, "error") {
-		found.level = "warn" // as logs.Logf has it
+		found.level = "warn" // as in logs.Logf
 	}
 	if match := fieldsFormat.FindStringSubmatch(message); match != nil {
 		message = match[1]
@@ -137,10 +137,10 @@
 	out[message] = found
 }
 
-// controlPrefix begins the lines that the decision module asks for.
+// controlPrefix is the prefix of the lines that the decision module requests.
 const controlPrefix = "control: "
 
-// collectLogAction adds the text of a control.Log, by which the decision module asks for a log line.
+// collectLogAction adds the text of a control.Log, the action by which the decision module requests a log line.
 func collectLogAction(t *testing.T, files *token.FileSet, literal *ast.CompositeLit, out map[string]logMessage) {
 	t.Helper()
 	name, ok := literal.Type.(*ast.Ident)
@@ -158,7 +158,7 @@
 		}
 		message, ok := constantString(text)
 		if !ok {
-			t.Errorf("%s: the message is no constant", files.Position(literal.Pos()))
+			t.Errorf("%s: the message is not a constant", files.Position(literal.Pos()))
 		}
 		out[controlPrefix+message] = logMessage{level: "info", fields: "-"}
 	}
@@ -197,8 +197,8 @@
 	}
 }
 
-// constantMessage returns the message of a log call. Where a constant prefix is followed by another's format, it is the
-// prefix with "..." behind it.
+// constantMessage returns the message of a log call. If the call joins a constant prefix and the format of another
+// call, the message is the prefix followed by "...".
 func constantMessage(call *ast.CallExpr) (message string, ok bool) {
 	joined, isJoined := call.Args[0].(*ast.BinaryExpr)
 	if isJoined && call.Ellipsis.IsValid() {
@@ -208,7 +208,7 @@
 	return constantString(call.Args[0])
 }
 
-// constantString returns the value of a string literal, or of several that are joined.
+// constantString returns the value of a string literal, or of several joined literals.
 func constantString(expr ast.Expr) (text string, ok bool) {
 	switch x := expr.(type) {
 	case *ast.BasicLit:
@@ -225,7 +225,7 @@
 
 var formatField = regexp.MustCompile(`(\w+)=%`)
 
-// logFields returns the names of a line's fields: of a format those before each "=", else those of zap's fields.
+// logFields returns the names of a line's fields: those before each "=" in a format, followed by those of zap fields.
 func logFields(message string, args []ast.Expr) string {
 	var names []string
 	for _, match := range formatField.FindAllStringSubmatch(message, -1) {
--- a/cmd/pewterline/logs_test.go
+++ b/cmd/pewterline/logs_test.go
@@ -12,9 +12,9 @@
 	"go.uber.org/zap"
 )
 
-// Guards the core against abuse that would have a line written for each message: a kind of line is limited, the next
-// one tells how many were left out, and other kinds are not held back.
-func TestLinesAreLimited(t *testing.T) {
+// A peer must not be able to slow the server down by causing a log line with each message: the rate of each kind of
+// line is limited, the next line reports how many were omitted, and other kinds are not affected.
+func TestLineRateIsLimited(t *testing.T) {
 	now := time.Unix(100, 0)
 	var out bytes.Buffer
 	logs, err := newLogs(logFormText, &out)
@@ -40,8 +40,8 @@
 	require.Len(t, lines(), linesAtOnce+3)
 }
 
-// The process's own lines are limited by their message, where whoever can cause them is not trusted.
-func TestOwnLinesAreLimited(t *testing.T) {
+// The rate of the process's own lines is limited by message if untrusted peers can cause the lines.
+func TestRateOfOwnLinesIsLimited(t *testing.T) {
 	now := time.Unix(100, 0)
 	var out bytes.Buffer
 	logs, err := newLogs(logFormJSON, &out)
@@ -61,8 +61,8 @@
 	require.Equal(t, 1, count(`"omitted":30`))
 }
 
-// A line in JSON names its time in full, the part that speaks and the process; a form that there is none of is an
-// error.
+// A line in JSON has the full time, the part of the program that logged it, and the process ID. An unknown form of log
+// lines is an error.
 func TestLinesInJSON(t *testing.T) {
 	var out bytes.Buffer
 	logs, err := newLogs(logFormJSON, &out)
@@ -91,7 +91,8 @@
 	require.ErrorContains(t, err, "RELAY_LOG")
 }
 
-// What other packages log as a message with fields has them as fields; any other line is one text.
+// A line of another package whose format is a message with fields is logged with these fields; any other line is one
+// text.
 func TestLinesOfOtherPackagesHaveFields(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
--- a/cmd/pewterline/replication_test.go
+++ b/cmd/pewterline/replication_test.go
@@ -15,7 +15,7 @@
 	"pewterline/internal/testbed/processtest"
 )
 
-// The command that a newcomer begins with: it plays the loss of a server, ends with 0 and leaves nothing behind.
+// The demo command demonstrates the loss of a server, exits with 0 and leaves no files behind.
 func TestDemo(t *testing.T) {
 	t.Parallel()
 	program, err := processtest.Build("../..", t.TempDir())
@@ -28,12 +28,12 @@
 	require.NoError(t, err, "%s", out)
 	require.Contains(t, string(out), "its folder is lost")
 	require.Contains(t, string(out), "did basket-17")
-	left, err := filepath.Glob(filepath.Join(tmp, "*"))
+	leftovers, err := filepath.Glob(filepath.Join(tmp, "*"))
 	require.NoError(t, err)
-	require.Empty(t, left)
+	require.Empty(t, leftovers)
 }
 
-// What operators do to a group by the command line, and what they are told; each fault is named.
+// The commands by which operators change a group print the result, and a reason for each error.
 func TestReplicationCommands(t *testing.T) {
 	t.Parallel()
 	program, err := processtest.Build("../..", t.TempDir())
@@ -51,65 +51,65 @@
 	for id := 1; id <= 3; id++ {
 		require.NoError(t, cluster.Start(id))
 	}
-	do := func(id int, args ...string) (int, string) {
+	runAt := func(id int, args ...string) (int, string) {
 		admin := cluster.Servers[id-1].Process().Admin
 		return runWith(t, nil, append([]string{"replication", "--admin", admin}, args...)...)
 	}
-	code, out := do(1)
+	code, out := runAt(1)
 	require.Equal(t, exitOK, code)
 	require.Contains(t, out, "no group yet")
 	require.NoError(t, cluster.Eventually(func() error { return cluster.AdminCall(1, "found") }))
 	require.NoError(t, cluster.AwaitStable())
-	code, out = do(2, "bootstrap")
+	code, out = runAt(2, "bootstrap")
 	require.Equal(t, exitFailed, code)
 	require.Contains(t, out, "a group is known here")
-	told, err := cluster.Send(1, processtest.NewKeyedRequest("basket"))
+	reply, err := cluster.Send(1, processtest.NewKeyedRequest("basket"))
 	require.NoError(t, err)
-	require.Equal(t, thrift.ReplyAnswer, told.Kind)
-	code, out = do(2, "status")
+	require.Equal(t, thrift.ReplyAnswer, reply.Kind)
+	code, out = runAt(2, "status")
 	require.Equal(t, exitOK, code)
 	require.Contains(t, out, "epoch 1, 3 copies")
 	require.Contains(t, out, "keys held here")
 	require.NoError(t, cluster.Eventually(func() error {
-		if _, out = do(3, "export"); !bytes.Contains([]byte(out), []byte(`"kind":"passed"`)) {
+		if _, out = runAt(3, "export"); !bytes.Contains([]byte(out), []byte(`"kind":"passed"`)) {
 			return os.ErrNotExist
 		}
 		return nil
 	}))
 	require.Contains(t, out, "basket")
-	code, out = do(1, "remove", "7")
+	code, out = runAt(1, "remove", "7")
 	require.Equal(t, exitFailed, code)
 	require.Contains(t, out, "would change nothing")
-	code, out = do(1, "add", "9")
+	code, out = runAt(1, "add", "9")
 	require.Equal(t, exitFailed, code)
 	require.Contains(t, out, "has not been heard of")
-	code, out = do(1, "force", "1", "--reason", "test")
+	code, out = runAt(1, "force", "1", "--reason", "test")
 	require.Equal(t, exitFailed, code)
 	require.Contains(t, out, "--confirm")
-	code, out = do(1, "force", "2", "--reason", "test", "--confirm")
+	code, out = runAt(1, "force", "2", "--reason", "test", "--confirm")
 	require.Equal(t, exitFailed, code)
 	require.Contains(t, out, "this server among them")
-	code, _ = do(1, "remove", "3", "--reason", "it is old")
+	code, _ = runAt(1, "remove", "3", "--reason", "it is old")
 	require.Equal(t, exitOK, code)
 	require.NoError(t, cluster.Eventually(func() error {
-		if _, out = do(2, "status"); !bytes.Contains([]byte(out), []byte("epoch 3")) {
+		if _, out = runAt(2, "status"); !bytes.Contains([]byte(out), []byte("epoch 3")) {
 			return os.ErrNotExist
 		}
 		return nil
 	}))
 	require.Contains(t, out, "it is old")
-	require.NoError(t, cluster.Eventually(func() error { // server 2 may hear of the end of the change before server 1
-		if code, out = do(1, "members"); bytes.Contains([]byte(out), []byte("\n3 ")) {
+	require.NoError(t, cluster.Eventually(func() error { // server 2 may learn before server 1 that the change is complete
+		if code, out = runAt(1, "members"); bytes.Contains([]byte(out), []byte("\n3 ")) {
 			return os.ErrExist
 		}
 		return nil
 	}))
 	require.Equal(t, exitOK, code)
 	require.NotContains(t, out, "\n3 ")
-	code, out = do(1, "abort-change")
+	code, out = runAt(1, "abort-change")
 	require.Equal(t, exitFailed, code)
 	require.Contains(t, out, "none is under way")
-	code, _ = do(1, "repair")
+	code, _ = runAt(1, "repair")
 	require.Equal(t, exitOK, code)
 	code, out = runWith(t, nil, "replication", "--admin", "127.0.0.1:1")
 	require.Equal(t, exitFailed, code)
--- a/cmd/pewterline/serve_test.go
+++ b/cmd/pewterline/serve_test.go
@@ -18,29 +18,29 @@
 	"pewterline/internal/server"
 )
 
-// standIn is a worker pool's address: it tells of each bind that it reads, and answers it.
-func standIn(t *testing.T) (addr string, binds chan string) {
+// startFakePool starts a worker pool that answers the bind command of each connection, and sends the command to binds.
+func startFakePool(t *testing.T) (addr string, binds chan string) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = ln.Close() })
 	binds = make(chan string, 10)
 	go func() {
 		for {
-			c, err := ln.Accept()
+			conn, err := ln.Accept()
 			if err != nil {
 				return
 			}
-			t.Cleanup(func() { _ = c.Close() })
-			line, _ := bufio.NewReader(c).ReadString('\n')
+			t.Cleanup(func() { _ = conn.Close() })
+			line, _ := bufio.NewReader(conn).ReadString('\n')
 			binds <- line
-			fmt.Fprint(c, "bound LOADED 0\r\n")
+			fmt.Fprint(conn, "bound LOADED 0\r\n")
 		}
 	}()
 	return ln.Addr().String(), binds
 }
 
-// Guards against SIGHUP ending the program. A new file's addresses are taken up at once, a faulty one changes
-// nothing, and SIGTERM still ends it.
+// SIGHUP must not end the program: it uses the addresses of a new valid file at once, and an invalid file changes
+// nothing. SIGTERM still ends the program afterwards.
 func TestSignals(t *testing.T) {
 	text, err := os.ReadFile("../../internal/config/testdata/config.json")
 	require.NoError(t, err)
@@ -58,9 +58,9 @@
 	reports, err := net.ListenPacket("udp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { require.NoError(t, reports.Close()) })
-	first, firstBinds := standIn(t)
-	second, secondBinds := standIn(t)
-	third, thirdBinds := standIn(t)
+	first, firstBinds := startFakePool(t)
+	second, secondBinds := startFakePool(t)
+	third, thirdBinds := startFakePool(t)
 	write(first, "")
 	done := make(chan error, 1)
 	go func() { done <- serve(os.Getenv, io.Discard) }()
@@ -76,7 +76,7 @@
 
 	write("nowhere", "")
 	signal(syscall.SIGHUP)
-	_, _, err = reports.ReadFrom(got) // still reported to
+	_, _, err = reports.ReadFrom(got) // reports are still sent to the old address
 	require.NoError(t, err)
 	write(third, "")
 	signal(syscall.SIGHUP)
@@ -88,16 +88,15 @@
 	require.NoError(t, <-done)
 }
 
-// atOnce is a loop that runs what it is given.
-type atOnce struct{}
+// immediateExecutor is an executor that runs functions at once, on the caller's goroutine.
+type immediateExecutor struct{}
 
-func (atOnce) Execute(f func()) error {
+func (immediateExecutor) Execute(f func()) error {
 	f()
 	return nil
 }
 
-// Guards a reload against a faulty file: the line names the key and says that nothing has changed, and the server
-// counts it and does nothing else.
+// A reload of an invalid file must change nothing: the log line names the key, and the server only counts the failure.
 func TestFaultyFileIsNamedOnReload(t *testing.T) {
 	text, err := os.ReadFile("../../internal/config/testdata/config.json")
 	require.NoError(t, err)
@@ -109,15 +108,16 @@
 	var lines bytes.Buffer
 	logs, err := newLogs(logFormText, &lines)
 	require.NoError(t, err)
-	signalTarget{loop: atOnce{}, server: &server.Server{}, getenv: os.Getenv}.reload(logs.logger)
+	signalTarget{loop: immediateExecutor{}, server: &server.Server{}, getenv: os.Getenv}.reload(logs.logger)
 	require.Contains(t, lines.String(), `ERROR reload rejected, nothing has changed {"error": "config: pool`)
 }
 
-func replaceKeys(t *testing.T, text []byte, with map[string]any) []byte {
-	var all map[string]any
-	require.NoError(t, json.Unmarshal(text, &all))
-	maps.Copy(all, with)
-	out, err := json.Marshal(all)
+// replaceKeys returns a JSON object with the values of some keys replaced.
+func replaceKeys(t *testing.T, text []byte, replacements map[string]any) []byte {
+	var object map[string]any
+	require.NoError(t, json.Unmarshal(text, &object))
+	maps.Copy(object, replacements)
+	replaced, err := json.Marshal(object)
 	require.NoError(t, err)
-	return out
+	return replaced
 }
--- a/cmd/pewterline/signals_test.go
+++ b/cmd/pewterline/signals_test.go
@@ -9,15 +9,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards the notice to leave against a reload that does not come to its end: the configuration is a pipe here, which
-// the program opens at SIGHUP and from which nothing comes. The program drains and ends all the same; its sender would
-// kill it.
-func TestLeaveDuringAReload(t *testing.T) {
+// A reload that does not end must not delay a shutdown, or the platform would kill the process. Here the configuration
+// is a pipe, which the program opens at SIGHUP and from which it reads no data. It must still drain and exit.
+func TestShutdownDuringReload(t *testing.T) {
 	t.Parallel()
 	srv := newTestServer(t)
 	process := srv.start()
 	conn := srv.dial()
-	srv.served(srv.ask(conn, "lot-intake", "k1", "one"), "one")
+	srv.requireServed(srv.sendRequest(conn, "lot-intake", "k1", "one"), "one")
 	require.NoError(t, os.Remove(process.Config))
 	require.NoError(t, syscall.Mkfifo(process.Config, 0o600))
 	require.NoError(t, process.Signal(syscall.SIGHUP))
@@ -30,15 +29,15 @@
 	require.Contains(t, process.Log(), "drained")
 }
 
-// Guards what is under way against a notice that comes twice, and a reload behind it: the drain goes on as it began,
-// and a run that ends later is answered.
-func TestLeaveTwice(t *testing.T) {
+// A second SIGTERM, followed by a reload, must not affect a drain: it continues, and the reply of a run that ends later
+// is sent.
+func TestRepeatedShutdownSignal(t *testing.T) {
 	t.Parallel()
 	srv := newTestServer(t)
 	process := srv.start()
 	conn := srv.dial()
 	process.Pool.Hold()
-	running := srv.ask(conn, "lot-intake", "k1", "one")
+	running := srv.sendRequest(conn, "lot-intake", "k1", "one")
 	require.NoError(t, process.Pool.AwaitStart("one"))
 	require.NoError(t, process.Signal(syscall.SIGTERM))
 	for !strings.Contains(process.Log(), "server: draining") {
@@ -46,31 +45,31 @@
 	}
 	require.NoError(t, process.Signal(syscall.SIGTERM))
 	require.NoError(t, process.Signal(syscall.SIGHUP))
-	for !strings.Contains(process.Log(), "configuration reloaded") { // both have been heard
+	for !strings.Contains(process.Log(), "configuration reloaded") { // both signals have been handled
 		require.False(t, process.Ended())
 	}
 	process.Pool.Release()
-	srv.served(running, "one")
+	srv.requireServed(running, "one")
 	conn.Close()
 	require.NoError(t, process.Wait(), process.Log())
 	require.Equal(t, 1, strings.Count(process.Log(), "server: draining"))
-	srv.once()
+	srv.requireNoDuplicateRuns()
 }
 
-// Guards an upgrade that is taken back: the new process is told to leave before the old one has handed over. It ends,
-// and the old one serves on, with its keys.
-func TestSuccessorIsToldToLeave(t *testing.T) {
+// An upgrade can be aborted by SIGTERM to the new process before the handoff: the new process exits, and the old one
+// keeps serving, with its keys.
+func TestSuccessorStoppedBeforeHandoff(t *testing.T) {
 	t.Parallel()
 	srv := newTestServer(t)
 	old := srv.start()
-	c := srv.dial()
-	srv.served(srv.ask(c, "lot-intake", "k1", "one"), "one")
+	oldConn := srv.dial()
+	srv.requireServed(srv.sendRequest(oldConn, "lot-intake", "k1", "one"), "one")
 	next := srv.start()
 	require.NoError(t, next.Signal(syscall.SIGTERM))
 	require.NoError(t, next.Wait(), next.Log())
-	d := srv.dial()
-	srv.served(srv.ask(d, "lot-intake", "k1", "one"), "one")
-	srv.served(srv.ask(d, "lot-intake", "k2", "two"), "two")
+	newConn := srv.dial()
+	srv.requireServed(srv.sendRequest(newConn, "lot-intake", "k1", "one"), "one")
+	srv.requireServed(srv.sendRequest(newConn, "lot-intake", "k2", "two"), "two")
 	require.False(t, old.Ended())
-	srv.once()
+	srv.requireNoDuplicateRuns()
 }
--- a/cmd/pewterline/upgrade_test.go
+++ b/cmd/pewterline/upgrade_test.go
@@ -25,6 +25,7 @@
 	"pewterline/internal/testbed/processtest"
 )
 
+// program builds the server once for all tests and returns the path of its executable.
 var program = sync.OnceValues(func() (string, error) {
 	dir, err := os.MkdirTemp("", "pewterline-test")
 	if err != nil {
@@ -41,7 +42,7 @@
 	os.Exit(code)
 }
 
-// testServer is one log server, of which several processes may live at once.
+// testServer is one log server. Several of its processes may run at once.
 type testServer struct {
 	*processtest.Server
 	t *testing.T
@@ -57,7 +58,7 @@
 	require.NoError(t, err)
 	var file struct{ Settings json.RawMessage }
 	require.NoError(t, json.Unmarshal(text, &file))
-	dir, err := os.MkdirTemp("", "pw") // short: a socket's path has to fit
+	dir, err := os.MkdirTemp("", "pw") // short, because the length of a socket's path is limited
 	require.NoError(t, err)
 	server := &processtest.Server{
 		Program:  path,
@@ -89,52 +90,56 @@
 	return c
 }
 
-func (s *testServer) ask(c *processtest.Conn, class, once, body string) processtest.PendingRequest {
-	a, err := c.Send(processtest.Request{Class: class, Key: once, Body: body, ArrivedAt: time.Now()})
+// sendRequest sends a request; an empty key means that the request has none.
+func (s *testServer) sendRequest(conn *processtest.Conn, class, key, body string) processtest.PendingRequest {
+	pending, err := conn.Send(processtest.Request{Class: class, Key: key, Body: body, ArrivedAt: time.Now()})
 	require.NoError(s.t, err)
-	return a
+	return pending
 }
 
-func (s *testServer) served(a processtest.PendingRequest, body string) {
+// requireServed requires that a request succeeded with the result of its body.
+func (s *testServer) requireServed(pending processtest.PendingRequest, body string) {
 	s.t.Helper()
-	p, err := a.Await()
+	reply, err := pending.Await()
 	require.NoError(s.t, err)
-	require.Equal(s.t, thrift.ReplyAnswer, p.Kind, body)
-	require.Equal(s.t, "did "+body, string(p.Body))
+	require.Equal(s.t, thrift.ReplyAnswer, reply.Kind, body)
+	require.Equal(s.t, "did "+body, string(reply.Body))
 }
 
 // minIdleTimeout is the shortest idle timeout of a server, control.minKeepAlive.
 const minIdleTimeout = 100 * time.Millisecond
 
-// idleConn is a connection that a test leaves idle, so that the server may ask its client to close it.
+// idleConn is a connection that a test keeps idle, so that the server may ask its client to close it.
 type idleConn struct {
 	*processtest.Conn
 	lastUsedAt time.Time // just before the connection was opened or its last answered request was sent
 }
 
+// dialIdle opens a connection for requireServedAfterIdle.
 func (s *testServer) dialIdle() idleConn {
 	openedAt := time.Now()
 	return idleConn{Conn: s.dial(), lastUsedAt: openedAt}
 }
 
-// servedAfterIdle requires that an intake is served on an idle connection. If the server has sent its farewell on the
-// connection, conn becomes a new one; an intake that crosses the farewell is sent once more. A connection that has
-// ended without a farewell, or that got one before it can have been idle, fails the test.
-func (s *testServer) servedAfterIdle(conn *idleConn, key string) {
+// requireServedAfterIdle requires that a keyed request succeeds on an idle connection. If the server has sent its
+// farewell on the connection, conn becomes a new one; a request that crosses the farewell is sent once more. A
+// connection that ended without a farewell, or got one before it can have been idle for the shortest idle timeout,
+// fails the test.
+func (s *testServer) requireServedAfterIdle(conn *idleConn, key string) {
 	s.t.Helper()
 	reopen := func() {
-		require.GreaterOrEqual(s.t, time.Since(conn.lastUsedAt), minIdleTimeout, "a farewell without idleness")
+		require.GreaterOrEqual(s.t, time.Since(conn.lastUsedAt), minIdleTimeout, "farewell on a connection that was not idle")
 		*conn = s.dialIdle()
 	}
 	if conn.SaidFarewell() {
 		reopen()
 	}
 	sentAt := time.Now()
-	reply, err := exchangeIntake(conn.Conn, key)
+	reply, err := exchangeKeyed(conn.Conn, key)
 	if err != nil && conn.SaidFarewell() {
 		reopen()
 		sentAt = time.Now()
-		reply, err = exchangeIntake(conn.Conn, key)
+		reply, err = exchangeKeyed(conn.Conn, key)
 	}
 	require.NoError(s.t, err)
 	require.Equal(s.t, thrift.ReplyAnswer, reply.Kind, key)
@@ -142,141 +147,143 @@
 	conn.lastUsedAt = sentAt
 }
 
-func (s *testServer) failed(a processtest.PendingRequest) {
+// requireFailed requires that a request failed with an unknown outcome: it may have run.
+func (s *testServer) requireFailed(pending processtest.PendingRequest) {
 	s.t.Helper()
-	p, err := a.Await()
+	reply, err := pending.Await()
 	require.NoError(s.t, err)
-	require.Equal(s.t, thrift.ReplyBroken, p.Kind, "neither served nor refused: whether it ran is not known")
+	require.Equal(s.t, thrift.ReplyBroken, reply.Kind, "neither succeeded nor rejected: whether it ran is not known")
 }
 
-func (s *testServer) once() { require.Empty(s.t, s.RunLog.DuplicateRuns()) }
+func (s *testServer) requireNoDuplicateRuns() { require.Empty(s.t, s.RunLog.DuplicateRuns()) }
 
-// Guards the once-only rule across an upgrade: an intake read by the old process, and its repeat by the new one while
-// it runs there, once it has run, and while it is held and has not run yet.
-func TestRepeatAtTheSuccessor(t *testing.T) {
+// A keyed request must not run twice across an upgrade: the old process reads it, and the new one reads its retry while
+// the first attempt runs in the old process, after it has run, and while it is queued there.
+func TestRetryAtSuccessor(t *testing.T) {
 	t.Parallel()
 	srv := newTestServer(t)
 	old := srv.start()
-	c := srv.dial()
-	srv.served(srv.ask(c, "lot-intake", "k1", "one"), "one")
+	oldConn := srv.dial()
+	srv.requireServed(srv.sendRequest(oldConn, "lot-intake", "k1", "one"), "one")
 	old.Pool.Hold()
-	running := srv.ask(c, "lot-intake", "k2", "two")
+	running := srv.sendRequest(oldConn, "lot-intake", "k2", "two")
 	require.NoError(t, old.Pool.AwaitStart("two"))
-	var fill []processtest.PendingRequest
-	for i := range 10 { // more than may run at once: the last are held
-		fill = append(fill, srv.ask(c, "lot-intake", fmt.Sprintf("f%d", i), fmt.Sprintf("fill%d", i)))
+	var queued []processtest.PendingRequest
+	for i := range 10 { // more than the maximum concurrency: the last are queued
+		queued = append(queued, srv.sendRequest(oldConn, "lot-intake", fmt.Sprintf("f%d", i), fmt.Sprintf("fill%d", i)))
 	}
 	next := srv.start()
 	require.NoError(t, old.Signal(syscall.SIGTERM))
 	awaitLog(t, next, "has handed over")
-	d := srv.dial()
-	srv.served(srv.ask(d, "lot-intake", "k1", "one"), "one")
-	again := srv.ask(d, "lot-intake", "k2", "two")
-	var repeats []processtest.PendingRequest
+	newConn := srv.dial()
+	srv.requireServed(srv.sendRequest(newConn, "lot-intake", "k1", "one"), "one")
+	retry := srv.sendRequest(newConn, "lot-intake", "k2", "two")
+	var retries []processtest.PendingRequest
 	for i := range 10 {
-		repeats = append(repeats, srv.ask(d, "lot-intake", fmt.Sprintf("f%d", i), fmt.Sprintf("fill%d", i)))
+		retries = append(retries, srv.sendRequest(newConn, "lot-intake", fmt.Sprintf("f%d", i), fmt.Sprintf("fill%d", i)))
 	}
-	srv.served(srv.ask(d, "lot-intake", "k3", "three"), "three") // a key that nobody knows is the new one's
+	// The successor runs a key that the old process does not know.
+	srv.requireServed(srv.sendRequest(newConn, "lot-intake", "k3", "three"), "three")
 	old.Pool.Release()
-	srv.served(running, "two")
-	srv.served(again, "two")
-	for i := range fill {
-		srv.served(repeats[i], fmt.Sprintf("fill%d", i))
+	srv.requireServed(running, "two")
+	srv.requireServed(retry, "two")
+	for i := range queued {
+		srv.requireServed(retries[i], fmt.Sprintf("fill%d", i))
 	}
 	require.NoError(t, old.Wait(), old.Log())
-	srv.once()
+	srv.requireNoDuplicateRuns()
 }
 
-// Guards the once-only rule against the death of the old process while it runs an intake, or holds one: the repeats
-// fail, as it may have run, and none is refused or run; what it had ended is served.
-func TestOldOneKilled(t *testing.T) {
+// A keyed request must not run twice if the old process is killed while the request runs or is queued there. The retry
+// of a request that may have run fails; it is neither rejected nor run. The retry of a request that had ended succeeds.
+func TestPredecessorKilled(t *testing.T) {
 	t.Parallel()
-	for _, handed := range []bool{false, true} {
-		t.Run(fmt.Sprintf("handed over %v", handed), func(t *testing.T) {
+	for _, handedOver := range []bool{false, true} {
+		t.Run(fmt.Sprintf("handed over %v", handedOver), func(t *testing.T) {
 			srv := newTestServer(t)
 			old := srv.start()
-			c := srv.dial()
-			srv.served(srv.ask(c, "lot-intake", "k1", "one"), "one")
+			oldConn := srv.dial()
+			srv.requireServed(srv.sendRequest(oldConn, "lot-intake", "k1", "one"), "one")
 			old.Pool.Hold()
-			for _, k := range []string{"two", "three", "four"} { // the last is held: two may run at once
-				srv.ask(c, "lot-intake", k, k)
+			for _, key := range []string{"two", "three", "four"} { // the last is queued: two may run at once
+				srv.sendRequest(oldConn, "lot-intake", key, key)
 			}
 			require.NoError(t, old.Pool.AwaitStart("two"))
 			next := srv.start()
-			if handed {
+			if handedOver {
 				require.NoError(t, old.Signal(syscall.SIGTERM))
 				awaitLog(t, next, "has handed over")
-				d := srv.dial()
-				waits, held := srv.ask(d, "lot-intake", "two", "two"), srv.ask(d, "lot-intake", "four", "four")
+				newConn := srv.dial()
+				running, queued := srv.sendRequest(newConn, "lot-intake", "two", "two"),
+					srv.sendRequest(newConn, "lot-intake", "four", "four")
 				require.NoError(t, old.Signal(syscall.SIGKILL))
-				srv.failed(waits)
-				srv.failed(held) // it may have been run since it was handed over as held
+				srv.requireFailed(running)
+				srv.requireFailed(queued) // it may have started to run since the handoff
 			} else {
 				require.NoError(t, old.Signal(syscall.SIGKILL))
 			}
 			require.Error(t, old.Wait())
 			awaitLog(t, next, "predecessor is gone")
 			conn := srv.dial()
-			srv.served(srv.ask(conn, "lot-intake", "k1", "one"), "one")
-			srv.failed(srv.ask(conn, "lot-intake", "two", "two"))
-			if handed {
-				srv.failed(srv.ask(conn, "lot-intake", "four", "four"))
-			} else { // the successor knows whether the old one had begun it by then; either way it runs once
-				p, err := srv.ask(conn, "lot-intake", "four", "four").Await()
+			srv.requireServed(srv.sendRequest(conn, "lot-intake", "k1", "one"), "one")
+			srv.requireFailed(srv.sendRequest(conn, "lot-intake", "two", "two"))
+			if handedOver {
+				srv.requireFailed(srv.sendRequest(conn, "lot-intake", "four", "four"))
+			} else { // the successor knows whether the old process had started it; in both cases it runs once
+				reply, err := srv.sendRequest(conn, "lot-intake", "four", "four").Await()
 				require.NoError(t, err)
-				require.Contains(t, []thrift.ReplyKind{thrift.ReplyAnswer, thrift.ReplyBroken}, p.Kind)
+				require.Contains(t, []thrift.ReplyKind{thrift.ReplyAnswer, thrift.ReplyBroken}, reply.Kind)
 				require.Len(t, srv.RunLog.Runs("four"), 1)
 			}
-			srv.served(srv.ask(conn, "lot-intake", "new", "new"), "new")
-			srv.served(srv.ask(conn, "block-view", "", "view"), "view")
-			srv.once()
+			srv.requireServed(srv.sendRequest(conn, "lot-intake", "new", "new"), "new")
+			srv.requireServed(srv.sendRequest(conn, "block-view", "", "view"), "view")
+			srv.requireNoDuplicateRuns()
 		})
 	}
 }
 
-// Guards the server at work against a successor that comes to nothing: one that does not start, one that hangs before
-// it is ready, and one that is killed once it is. The next upgrade goes through all the same.
-func TestSuccessorComesToNothing(t *testing.T) {
+// A serving process must not be affected by a successor that fails: one that does not start, one that hangs before it
+// is ready, and one that is killed once it is ready. The next upgrade must succeed.
+func TestFailedSuccessor(t *testing.T) {
 	t.Parallel()
 	srv := newTestServer(t)
 	old := srv.start()
 	conn := srv.dialIdle()
-	works := func(once string) {
-		srv.servedAfterIdle(&conn, once)
-		require.NotContains(t, old.Log(), "server: draining", "a drain would explain the farewell")
-		srv.served(srv.ask(srv.dial(), "lot-intake", once, once), once)
-		good, err := processtest.CheckHealth(srv.Listen)
+	requireWorking := func(key string) {
+		srv.requireServedAfterIdle(&conn, key)
+		require.NotContains(t, old.Log(), "server: draining", "a drain sends farewells, too")
+		srv.requireServed(srv.sendRequest(srv.dial(), "lot-intake", key, key), key)
+		healthy, err := processtest.CheckHealth(srv.Listen)
 		require.NoError(t, err)
-		require.True(t, good)
+		require.True(t, healthy)
 	}
 	faulty, err := srv.Start(func(cfg map[string]any) { cfg["listen"] = "nowhere" })
 	require.NoError(t, err)
 	require.Error(t, faulty.Wait())
-	works("k1")
-	hung, err := net.Dial("unix", waitsAt(t, srv.Dir)) // says nothing
+	requireWorking("k1")
+	hung, err := net.Dial("unix", successorSocket(t, srv.Dir)) // a successor that sends nothing
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = hung.Close() })
-	works("k2")
+	requireWorking("k2")
 	killed := srv.start()
 	require.NoError(t, killed.Signal(syscall.SIGKILL))
 	require.Error(t, killed.Wait())
 	awaitLog(t, old, "successor is gone")
-	works("k3")
+	requireWorking("k3")
 	next := srv.start()
 	require.NoError(t, old.Signal(syscall.SIGTERM))
 	require.NoError(t, old.Wait())
 	old = next
 	conn = srv.dialIdle()
-	works("k4")
-	works("k1")
+	requireWorking("k4")
+	requireWorking("k1")
 	require.NoError(t, next.Signal(syscall.SIGTERM))
-	srv.once()
+	srv.requireNoDuplicateRuns()
 }
 
-// Guards what the old process has read, and who comes in the moment of the change: 32 open requests on each of many
-// connections all get their answers, and a connection that was opened to the old one, with its first request still to
-// come, is served.
-func TestManyOpenAtTheChange(t *testing.T) {
+// Requests must not be lost in a handoff: 32 open requests on each of many connections all get their replies, and so
+// does the first request of a connection that was opened to the old process and was silent until the handoff.
+func TestOpenRequestsDuringUpgrade(t *testing.T) {
 	t.Parallel()
 	srv := newTestServer(t)
 	old := srv.start()
@@ -284,138 +291,137 @@
 	var open []processtest.PendingRequest
 	var bodies []string
 	for i := range 12 {
-		c := srv.dial()
+		conn := srv.dial()
 		for j := range 32 {
 			bodies = append(bodies, fmt.Sprintf("lot %d/%d", i, j))
-			open = append(open, srv.ask(c, "lot-intake", bodies[len(bodies)-1], bodies[len(bodies)-1]))
+			open = append(open, srv.sendRequest(conn, "lot-intake", bodies[len(bodies)-1], bodies[len(bodies)-1]))
 		}
 	}
 	silent := srv.dial()
 	next := srv.start()
 	require.NoError(t, old.Signal(syscall.SIGTERM))
-	// It crosses the farewell, if it has not read that yet.
+	// The request crosses the farewell if the client has not read the farewell yet.
 	first, err := silent.Send(processtest.NewKeyedRequest("first"))
 	if err != nil {
-		first = srv.ask(srv.dial(), "lot-intake", "first", "first")
+		first = srv.sendRequest(srv.dial(), "lot-intake", "first", "first")
 	}
 	old.Pool.Release()
-	for i, a := range open {
-		p, err := a.Await()
+	for i, pending := range open {
+		reply, err := pending.Await()
 		require.NoError(t, err, bodies[i])
-		if p.Kind == thrift.ReplyAnswer {
-			require.Equal(t, "did "+bodies[i], string(p.Body))
-		} else { // what never ran may be refused, and may come again at the successor
-			require.Equal(t, thrift.ReplyThrottled, p.Kind, "%s: %v", bodies[i], p)
-			require.Empty(t, srv.RunLog.Runs(bodies[i]), "refused though it ran")
+		if reply.Kind == thrift.ReplyAnswer {
+			require.Equal(t, "did "+bodies[i], string(reply.Body))
+		} else { // a request that never ran may be rejected, and retried at the successor
+			require.Equal(t, thrift.ReplyThrottled, reply.Kind, "%s: %v", bodies[i], reply)
+			require.Empty(t, srv.RunLog.Runs(bodies[i]), "rejected although it ran")
 		}
 	}
 	if _, err := first.Await(); err != nil {
-		srv.served(srv.ask(srv.dial(), "lot-intake", "first", "first"), "first")
+		srv.requireServed(srv.sendRequest(srv.dial(), "lot-intake", "first", "first"), "first")
 	}
 	require.NoError(t, old.Wait(), old.Log())
 	require.False(t, next.Ended())
-	srv.once()
+	srv.requireNoDuplicateRuns()
 }
 
-// Guards the time to leave: an old process whose runs never end answers what it has read, and is gone before it would
-// be killed. What it held is not known to have run, and is not run by the successor.
-func TestOldOneLeavesInTime(t *testing.T) {
+// An old process whose runs never end must reply to all requests that it has read, and exit before the platform would
+// kill it. Its unfinished requests have an unknown outcome, so the successor must not run them.
+func TestPredecessorExitsInTime(t *testing.T) {
 	t.Parallel()
 	srv := newTestServer(t)
 	old := srv.start()
 	old.Pool.Hold()
-	a := srv.ask(srv.dial(), "lot-intake", "k1", "one")
+	unfinished := srv.sendRequest(srv.dial(), "lot-intake", "k1", "one")
 	require.NoError(t, old.Pool.AwaitStart("one"))
 	next := srv.start()
 	require.NoError(t, old.Signal(syscall.SIGTERM))
-	srv.failed(a)
-	require.NoError(t, old.Wait(), "it ends by itself")
+	srv.requireFailed(unfinished)
+	require.NoError(t, old.Wait(), "the process exits by itself")
 	awaitLog(t, next, "predecessor is gone")
-	srv.failed(srv.ask(srv.dial(), "lot-intake", "k1", "one"))
-	srv.once()
+	srv.requireFailed(srv.sendRequest(srv.dial(), "lot-intake", "k1", "one"))
+	srv.requireNoDuplicateRuns()
 }
 
-// Guards the keys where the link breaks between two processes that both live, as the new one stood still for too long:
-// it ends with an error when it wakes, and the old one serves on.
-func TestLinkBreaksBetweenTheLiving(t *testing.T) {
+// Only one process may own the keys if the connection between two running processes breaks, here because the new
+// process was stalled for too long: when it resumes it exits with an error, and the old process keeps serving.
+func TestConnectionBetweenProcessesLost(t *testing.T) {
 	t.Parallel()
 	srv := newTestServer(t)
 	old := srv.start()
 	next := srv.start()
 	require.NoError(t, next.Stall())
-	c := srv.dial()
-	long := strings.Repeat("x", 1900)
+	conn := srv.dial()
+	padding := strings.Repeat("x", 1900)
 	for i := 0; !strings.Contains(old.Log(), "the successor is gone"); i++ {
-		require.Less(t, i, 5000, "what the successor does not read is bounded")
-		body := fmt.Sprintf("%d%s", i, long)
-		a := srv.ask(c, "lot-intake", fmt.Sprintf("k%d", i), body)
-		_, err := a.Await()
+		require.Less(t, i, 5000, "the data that the successor has not read is bounded")
+		body := fmt.Sprintf("%d%s", i, padding)
+		pending := srv.sendRequest(conn, "lot-intake", fmt.Sprintf("k%d", i), body)
+		_, err := pending.Await()
 		require.NoError(t, err)
 	}
 	require.NoError(t, next.Signal(syscall.SIGCONT))
 	require.Error(t, next.Wait())
 	require.Contains(t, next.Log(), errCannotTakeOver.Error())
-	srv.served(srv.ask(srv.dial(), "lot-intake", "k0", "0"+long), "0"+long)
-	srv.once()
+	srv.requireServed(srv.sendRequest(srv.dial(), "lot-intake", "k0", "0"+padding), "0"+padding)
+	srv.requireNoDuplicateRuns()
 }
 
-// Guards one limit for two processes: their sockets together stay within it, however many connections stay open in
-// silence.
-func TestBothWithinOneLimit(t *testing.T) {
+// Two processes share one limit on sockets: together they stay within it, even if many idle connections stay open.
+func TestSocketLimitDuringUpgrade(t *testing.T) {
 	t.Parallel()
 	srv := newTestServer(t)
-	small := func(cfg map[string]any) {
+	withSocketLimit := func(cfg map[string]any) {
 		cfg["limits"] = map[string]any{"cores": 1.0, "memory_mb": 64, "sockets": 160}
 	}
 	start := func() *processtest.Process {
-		p, err := srv.Start(small)
+		p, err := srv.Start(withSocketLimit)
 		require.NoError(t, err)
 		require.NoError(t, p.Ready())
 		return p
 	}
 	old := start()
-	var crowd []*processtest.Conn
-	idle := func() {
-		c := srv.dial()
-		crowd = append(crowd, c)
-		// The connection is known, then silent; or it is closed to make room.
-		a, err := c.Send(processtest.Request{Class: "block-view", Body: "v", ArrivedAt: time.Now()})
+	var conns []*processtest.Conn
+	openIdle := func() {
+		conn := srv.dial()
+		conns = append(conns, conn)
+		// The server either replies and keeps the idle connection, or closes it to stay within the limit.
+		pending, err := conn.Send(processtest.Request{Class: "block-view", Body: "v", ArrivedAt: time.Now()})
 		if err == nil {
-			_, _ = a.Await()
+			_, _ = pending.Await()
 		}
 	}
 	for range 140 {
-		idle()
+		openIdle()
 	}
 	next := start()
-	sum := func() int { return len(openSockets(old.PID())) + len(openSockets(next.PID())) }
-	require.LessOrEqual(t, sum(), 160)
+	socketsInUse := func() int { return len(openSockets(old.PID())) + len(openSockets(next.PID())) }
+	require.LessOrEqual(t, socketsInUse(), 160)
 	require.NoError(t, old.Signal(syscall.SIGTERM))
 	for range 140 {
-		idle()
-		require.LessOrEqual(t, sum(), 160)
+		openIdle()
+		require.LessOrEqual(t, socketsInUse(), 160)
 	}
 	require.NoError(t, old.Wait())
 }
 
-// Guards a reload in the middle of an upgrade: both processes take the new settings, and an intake of a class that one
-// of them has dropped is still the same intake to both.
-func TestReloadDuringAnUpgrade(t *testing.T) {
+// A reload during an upgrade must reach both processes: each applies the new settings, and a keyed request is still the
+// same request to both, although the reload changes the positions of the classes in the list.
+func TestReloadDuringUpgrade(t *testing.T) {
 	t.Parallel()
 	srv := newTestServer(t)
 	old := srv.start()
 	old.Pool.Hold()
-	running := srv.ask(srv.dial(), "lot-intake", "k1", "one")
+	running := srv.sendRequest(srv.dial(), "lot-intake", "k1", "one")
 	require.NoError(t, old.Pool.AwaitStart("one"))
 	next := srv.start()
 	reload := func(process *processtest.Process, pool string) {
-		var set map[string]any
-		require.NoError(t, json.Unmarshal(srv.Settings, &set))
-		classes := set["classes"].([]any)
-		more := map[string]any{
+		var settings map[string]any
+		require.NoError(t, json.Unmarshal(srv.Settings, &settings))
+		classes := settings["classes"].([]any)
+		added := map[string]any{
 			"name": "grape-count", "aim_ms": 900, "hard_limit_ms": 2000, "worth": 3, "effect": "free",
 		}
-		set["classes"] = append([]any{more}, classes[0], classes[2])
+		settings["classes"] = append([]any{added}, classes[0], classes[2])
 		require.NoError(t, process.WriteConfig(map[string]any{
 			"name":     "n0",
 			"listen":   srv.Listen,
@@ -424,7 +430,7 @@
 			"stop_ms":  3200,
 			"seed":     "8c1f30d27a5be964",
 			"limits":   map[string]any{"cores": 1.0, "memory_mb": 64, "sockets": 512},
-			"settings": set,
+			"settings": settings,
 		}))
 		require.NoError(t, process.Signal(syscall.SIGHUP))
 		awaitLog(t, process, `"classes": "grape-count block-view lot-intake"`)
@@ -433,14 +439,14 @@
 	require.NoError(t, old.Signal(syscall.SIGTERM))
 	reload(old, old.Pool.Addr())
 	awaitLog(t, next, "has handed over")
-	d := srv.dial()
-	again := srv.ask(d, "lot-intake", "k1", "one")
-	srv.served(srv.ask(d, "grape-count", "", "grapes"), "grapes")
+	newConn := srv.dial()
+	retry := srv.sendRequest(newConn, "lot-intake", "k1", "one")
+	srv.requireServed(srv.sendRequest(newConn, "grape-count", "", "grapes"), "grapes")
 	old.Pool.Release()
-	srv.served(running, "one")
-	srv.served(again, "one")
+	srv.requireServed(running, "one")
+	srv.requireServed(retry, "one")
 	require.NoError(t, old.Wait())
-	srv.once()
+	srv.requireNoDuplicateRuns()
 }
 
 // awaitLog waits until a process has logged a text.
@@ -450,14 +456,14 @@
 	require.Eventually(t, logged, processtest.Patience, time.Millisecond, "%q in %s", text, processLog{p})
 }
 
-// processLog is printed as what a process has logged by then.
+// processLog formats as the log of a process at the time of formatting.
 type processLog struct{ p *processtest.Process }
 
 // String is part of fmt.Stringer.
 func (l processLog) String() string { return l.p.Log() }
 
-// waitsAt is the path where a process waits for a successor.
-func waitsAt(t *testing.T, dir string) string {
+// successorSocket returns the path of the only socket in dir on which a process waits for a successor.
+func successorSocket(t *testing.T, dir string) string {
 	t.Helper()
 	paths, err := filepath.Glob(filepath.Join(dir, "pewterline-*"))
 	require.NoError(t, err)
@@ -465,27 +471,27 @@
 	return paths[0]
 }
 
-// Guards callers against being turned back unheard: under load, on kept connections and on new ones, upgrade after
-// upgrade, each request gets an answer, and no intake runs twice.
+// Upgrades must not lose requests: during many upgrades under load, on kept and on new connections, each request gets a
+// reply, and no keyed request runs twice.
 func TestUpgradesUnderLoad(t *testing.T) {
 	t.Parallel()
-	upgrades(t, *upgradesMost)
+	upgradeUnderLoad(t, *upgradeCount)
 }
 
 var (
-	upgradesMost = flag.Int("upgrades", 6, "how many upgrades TestUpgradesUnderLoad makes")
-	memoryMB     = flag.Int("memory-mb", 64, "the limit on memory of the servers under test")
-	measureFor   = flag.Duration("measure", time.Second, "for how long TestOperatorsUnderLoad puts load on the server")
+	upgradeCount = flag.Int("upgrades", 6, "number of upgrades in TestUpgradesUnderLoad")
+	memoryMB     = flag.Int("memory-mb", 64, "memory limit of the servers under test, in MB")
+	measureFor   = flag.Duration("measure", time.Second, "duration of the load in TestOperatorsUnderLoad")
 )
 
-func upgrades(t *testing.T, n int) {
+func upgradeUnderLoad(t *testing.T, upgrades int) {
 	t.Helper()
 	srv := newTestServer(t)
 	current := srv.start()
 	load := &upgradeLoad{t: t, listen: srv.Listen}
 	load.start()
-	var took, memory []float64 // from ready to the old one's end, ms; of both together, MB
-	for range n {
+	var took, memory []float64 // ms from the successor's readiness to the old process's end; MB of both processes
+	for range upgrades {
 		before := load.answered.Load()
 		next := srv.start()
 		ready := time.Now()
@@ -499,21 +505,22 @@
 	}
 	load.end()
 	slices.Sort(took)
-	t.Logf("%d upgrades, %d requests answered, %d turned back unheard; from ready to the old one's end %.0f ms at the "+
-		"median, %.0f at most; both together held %.1f MB at most",
-		n, load.answered.Load(), load.unheard.Load(), took[len(took)/2], took[len(took)-1], slices.Max(memory))
-	require.Zero(t, load.unheard.Load())
-	srv.once()
+	t.Logf("%d upgrades, %d requests answered, %d without a reply; from readiness to the old process's end %.0f ms at "+
+		"the median, %.0f at most; both processes together used %.1f MB at most",
+		upgrades, load.answered.Load(), load.unanswered.Load(), took[len(took)/2], took[len(took)-1], slices.Max(memory))
+	require.Zero(t, load.unanswered.Load())
+	srv.requireNoDuplicateRuns()
 }
 
-// upgradeLoad are callers that send one request after another, half of them each on a new connection.
+// upgradeLoad is a set of callers that each send one request after another. Half of the callers open a new connection
+// for each request.
 type upgradeLoad struct {
-	t        *testing.T
-	listen   string
-	stop     atomic.Bool
-	callers  sync.WaitGroup
-	answered atomic.Int64
-	unheard  atomic.Int64
+	t          *testing.T
+	listen     string
+	stop       atomic.Bool
+	callers    sync.WaitGroup
+	answered   atomic.Int64
+	unanswered atomic.Int64
 }
 
 func (l *upgradeLoad) start() {
@@ -527,7 +534,7 @@
 	l.callers.Wait()
 }
 
-// call sends requests until the end.
+// call sends the requests of one caller until end is called.
 func (l *upgradeLoad) call(caller int, keepsConn bool) {
 	var conn *processtest.Conn
 	for n := 0; !l.stop.Load(); n++ {
@@ -538,21 +545,21 @@
 		if conn == nil {
 			var err error
 			if conn, err = processtest.Dial(l.listen); err != nil {
-				l.unheard.Add(1)
-				l.t.Errorf("refused: %v", err)
+				l.unanswered.Add(1)
+				l.t.Errorf("connection refused: %v", err)
 				conn = nil
 				continue
 			}
 		}
 		body := fmt.Sprintf("lot %d/%d", caller, n)
-		err := sendIntake(conn, body)
-		if err != nil && conn.SaidFarewell() { // it crossed the farewell: a proxy sends it once more
+		err := sendKeyed(conn, body)
+		if err != nil && conn.SaidFarewell() { // the request crossed the farewell: a proxy sends it once more
 			if conn, err = processtest.Dial(l.listen); err == nil {
-				err = sendIntake(conn, body)
+				err = sendKeyed(conn, body)
 			}
 		}
 		if err != nil {
-			l.unheard.Add(1)
+			l.unanswered.Add(1)
 			l.t.Errorf("%s: %v", body, err)
 			conn = nil
 			continue
@@ -561,14 +568,14 @@
 	}
 }
 
-// sendIntake sends an intake and waits for its answer.
-func sendIntake(conn *processtest.Conn, body string) error {
-	_, err := exchangeIntake(conn, body)
+// sendKeyed sends a keyed request and waits for its reply.
+func sendKeyed(conn *processtest.Conn, body string) error {
+	_, err := exchangeKeyed(conn, body)
 	return err
 }
 
-// exchangeIntake sends an intake and returns its reply.
-func exchangeIntake(conn *processtest.Conn, body string) (thrift.Reply, error) {
+// exchangeKeyed sends a keyed request and returns its reply.
+func exchangeKeyed(conn *processtest.Conn, body string) (thrift.Reply, error) {
 	pending, err := conn.Send(processtest.NewKeyedRequest(body))
 	if err != nil {
 		return thrift.Reply{}, err
@@ -576,8 +583,8 @@
 	return pending.Await()
 }
 
-// Guards the operators' calls against load: with half as much again as the worker pool can do, and a thousand
-// connections that say nothing, each call gets its answer. How soon is measured, and no verdict.
+// Operators' calls must succeed under load: at 150% of the worker pool's capacity, and with 1000 silent connections.
+// The test logs their latency and does not check it.
 func TestOperatorsUnderLoad(t *testing.T) {
 	srv := newTestServer(t)
 	process, err := srv.Start(func(cfg map[string]any) {
@@ -587,39 +594,39 @@
 	require.NoError(t, process.Ready())
 	const slots, runTook = 2, 4 * time.Millisecond
 	process.Pool.Slow(slots, runTook)
-	const every = runTook / slots * 2 / 3 // one and a half times what the slots can do
+	const interval = runTook / slots * 2 / 3 // 150% of the capacity of the slots
 	for i := range 1000 {
 		addr := srv.Listen
 		if i%10 == 0 {
 			addr = process.Admin
 		}
-		c, err := net.Dial("tcp", addr)
+		conn, err := net.Dial("tcp", addr)
 		require.NoError(t, err)
-		t.Cleanup(func() { _ = c.Close() })
+		t.Cleanup(func() { _ = conn.Close() })
 	}
 	until := time.Now().Add(*measureFor)
 	var wg sync.WaitGroup
 	wg.Add(1)
-	go func() { // open loop
+	go func() { // open loop: it does not wait for replies
 		defer wg.Done()
-		c, n := srv.dial(), 0
-		tick := time.NewTicker(every)
+		conn, sent := srv.dial(), 0
+		tick := time.NewTicker(interval)
 		defer tick.Stop()
 		for time.Now().Before(until) {
 			<-tick.C
-			if n++; n%16 == 0 || !c.Usable() {
-				c = srv.dial()
+			if sent++; sent%16 == 0 || !conn.Usable() {
+				conn = srv.dial()
 			}
-			_, _ = c.Send(processtest.Request{Class: "block-view", Body: "v", ArrivedAt: time.Now()})
+			_, _ = conn.Send(processtest.Request{Class: "block-view", Body: "v", ArrivedAt: time.Now()})
 		}
 	}()
 	var took []float64
 	for time.Now().Before(until) {
-		began := time.Now()
+		startedAt := time.Now()
 		status, body, err := process.AdminCall(http.MethodGet, "/control/counters")
 		require.NoError(t, err)
 		require.Equal(t, http.StatusOK, status, body)
-		took = append(took, float64(time.Since(began).Microseconds())/1000)
+		took = append(took, float64(time.Since(startedAt).Microseconds())/1000)
 		time.Sleep(5 * time.Millisecond)
 	}
 	wg.Wait()
@@ -630,14 +637,15 @@
 		len(took), took[len(took)/2], took[len(took)*99/100], took[len(took)-1], body)
 }
 
-// Guards against three processes at once: a second upgrade while the first is not over waits until the old one is gone.
+// Three processes must not take part in upgrades at once: a second upgrade waits until the predecessor of the first has
+// exited.
 func TestSecondUpgradeWaits(t *testing.T) {
 	t.Parallel()
 	srv := newTestServer(t)
 	old := srv.start()
 	old.Pool.Hold()
-	c := srv.dial()
-	running := srv.ask(c, "lot-intake", "k1", "one")
+	conn := srv.dial()
+	running := srv.sendRequest(conn, "lot-intake", "k1", "one")
 	require.NoError(t, old.Pool.AwaitStart("one"))
 	next := srv.start()
 	require.NoError(t, old.Signal(syscall.SIGTERM))
@@ -645,60 +653,61 @@
 	require.NoError(t, err)
 	awaitLog(t, next, `a successor is rejected {"reason": "an upgrade is under way"}`)
 	old.Pool.Release()
-	srv.served(running, "one")
+	srv.requireServed(running, "one")
 	require.NoError(t, old.Wait())
 	require.NoError(t, third.Ready())
 	require.NoError(t, next.Signal(syscall.SIGTERM))
 	require.NoError(t, next.Wait())
-	srv.served(srv.ask(srv.dial(), "lot-intake", "k1", "one"), "one") // known through two hand-overs
-	srv.once()
+	srv.requireServed(srv.sendRequest(srv.dial(), "lot-intake", "k1", "one"), "one") // the key has passed two handoffs
+	srv.requireNoDuplicateRuns()
 }
 
-// Out of service is a word about the log server: its next process is out as well, until it is told otherwise.
-func TestOutOfServiceOutlivesAnUpgrade(t *testing.T) {
+// A server that operators took out of service must stay out of service across an upgrade, until they put it back in
+// service.
+func TestOutOfServiceSurvivesUpgrade(t *testing.T) {
 	t.Parallel()
 	srv := newTestServer(t)
 	old := srv.start()
-	call := func(p *processtest.Process, word string) {
-		status, body, err := p.AdminCall(http.MethodPut, "/control/"+word)
+	call := func(p *processtest.Process, name string) {
+		status, body, err := p.AdminCall(http.MethodPut, "/control/"+name)
 		require.NoError(t, err)
 		require.Equal(t, http.StatusOK, status, body)
 	}
-	good := func(want bool) {
+	awaitHealth := func(want bool) {
 		require.Eventually(t, func() bool {
-			good, err := processtest.CheckHealth(srv.Listen)
-			return err == nil && good == want
+			healthy, err := processtest.CheckHealth(srv.Listen)
+			return err == nil && healthy == want
 		}, processtest.Patience, time.Millisecond)
 	}
 	call(old, "out-of-service")
 	next := srv.start()
 	require.NoError(t, old.Signal(syscall.SIGTERM))
-	good(false)
+	awaitHealth(false)
 	require.NoError(t, old.Wait())
-	good(false)
+	awaitHealth(false)
 	call(next, "in-service")
-	good(true)
+	awaitHealth(true)
 }
 
-// Guards the keys against a predecessor that lives but does not answer: the new process ends with an error, and the old
-// one serves on once it wakes.
+// Only one process may own the keys if the predecessor runs but does not answer: the new process exits with an error,
+// and the old one keeps serving once it resumes.
 func TestStalledPredecessor(t *testing.T) {
 	t.Parallel()
 	srv := newTestServer(t)
 	old := srv.start()
-	srv.served(srv.ask(srv.dial(), "lot-intake", "k1", "one"), "one")
+	srv.requireServed(srv.sendRequest(srv.dial(), "lot-intake", "k1", "one"), "one")
 	require.NoError(t, old.Stall())
 	next, err := srv.Start(nil)
 	require.NoError(t, err)
 	require.Error(t, next.Wait())
 	require.Contains(t, next.Log(), errCannotTakeOver.Error())
 	require.NoError(t, old.Signal(syscall.SIGCONT))
-	srv.served(srv.ask(srv.dial(), "lot-intake", "k1", "one"), "one")
-	srv.once()
+	srv.requireServed(srv.sendRequest(srv.dial(), "lot-intake", "k1", "one"), "one")
+	srv.requireNoDuplicateRuns()
 }
 
-// Guards the reason that an operator reads: where a process that is none of ours answers once and is silent then, the
-// timeout of the last attempt does not hide what the first one has shown.
+// The error must tell an operator why a takeover is impossible: if a foreign process answers the first attempt and not
+// the later ones, the timeout of the last attempt must not replace the error of the first.
 func TestTimeoutDoesNotHideTheReason(t *testing.T) {
 	t.Parallel()
 	dir, err := os.MkdirTemp("", "pw")
@@ -707,7 +716,7 @@
 	cfg := config.Config{Name: "n0", Listen: "127.0.0.1:2", AdminAddress: "127.0.0.1:1"}
 	listener, err := net.Listen("unix", filepath.Join(dir, socketPrefix(cfg)+"1"))
 	require.NoError(t, err)
-	var held []net.Conn // an unreferenced connection would be closed by the garbage collector
+	var accepted []net.Conn // an unreferenced connection would be closed by the garbage collector
 	accepting := make(chan struct{})
 	go func() { // ends with the listener
 		defer close(accepting)
@@ -716,15 +725,15 @@
 			if err != nil {
 				return
 			}
-			if held = append(held, conn); len(held) == 1 {
-				_, _ = conn.Write([]byte("HTTP/1.1")) // later connections wait in vain
+			if accepted = append(accepted, conn); len(accepted) == 1 {
+				_, _ = conn.Write([]byte("HTTP/1.1")) // later connections get no data
 			}
 		}
 	}()
 	t.Cleanup(func() {
 		require.NoError(t, listener.Close())
 		<-accepting
-		for _, conn := range held {
+		for _, conn := range accepted {
 			require.NoError(t, conn.Close())
 		}
 	})
@@ -734,31 +743,31 @@
 	require.ErrorContains(t, err, "no preamble")
 }
 
-// Guards the start against what lies in $TMPDIR: the socket of a dead process is taken away, what is no socket is
-// passed over, and a living process that speaks another version, or nonsense, is never believed.
-func TestLeftovers(t *testing.T) {
+// A start must cope with any files in $TMPDIR: the socket of a dead process is removed, a file that is not a socket is
+// skipped, and a running process that speaks another version, or does not speak the protocol, is an error.
+func TestLeftoverSockets(t *testing.T) {
 	t.Parallel()
 	dir, err := os.MkdirTemp("", "pw")
 	require.NoError(t, err)
 	t.Cleanup(func() { require.NoError(t, os.RemoveAll(dir)) })
 	cfg := config.Config{Name: "n0", Listen: "127.0.0.1:2", AdminAddress: "127.0.0.1:1"}
-	at := func(n int) string { return filepath.Join(dir, socketPrefix(cfg)+strconv.Itoa(n)) }
+	socketPath := func(n int) string { return filepath.Join(dir, socketPrefix(cfg)+strconv.Itoa(n)) }
 	search := predecessorSearch{dir: dir, cfg: cfg, timeout: 10 * predecessorRetryInterval, logger: zap.NewNop()}
-	require.NoError(t, os.WriteFile(at(1), []byte("spoilt"), 0o600))
-	ln, err := net.ListenUnix("unix", &net.UnixAddr{Name: at(2), Net: "unix"})
+	require.NoError(t, os.WriteFile(socketPath(1), []byte("not a socket"), 0o600))
+	ln, err := net.ListenUnix("unix", &net.UnixAddr{Name: socketPath(2), Net: "unix"})
 	require.NoError(t, err)
 	ln.SetUnlinkOnClose(false)
-	require.NoError(t, ln.Close()) // as a killed process leaves it
+	require.NoError(t, ln.Close()) // a killed process leaves its socket behind in the same way
 	found, err := search.run()
 	require.NoError(t, err)
 	require.Nil(t, found)
-	require.FileExists(t, at(1))
-	require.NoFileExists(t, at(2))
-	// A socket of another user's, and that of a server at another address, are none of ours.
-	other, err := net.Listen("unix", at(4))
+	require.FileExists(t, socketPath(1))
+	require.NoFileExists(t, socketPath(2))
+	// Sockets of another user, and of a server at another address, are ignored.
+	other, err := net.Listen("unix", socketPath(4))
 	require.NoError(t, err)
-	if os.Geteuid() == 0 { // who else could give it away
-		require.NoError(t, os.Chown(at(4), 12345, -1))
+	if os.Geteuid() == 0 { // only root may change the owner
+		require.NoError(t, os.Chown(socketPath(4), 12345, -1))
 		found, err = search.run()
 		require.NoError(t, err)
 		require.Nil(t, found)
@@ -766,37 +775,37 @@
 	require.NoError(t, other.Close())
 	elsewhere := cfg
 	elsewhere.Listen = "127.0.0.1:3"
-	ours := listenForSuccessor(dir, elsewhere, zap.NewNop())
-	require.NotNil(t, ours)
-	info, err := os.Stat(ours.Addr().String())
+	elsewhereListener := listenForSuccessor(dir, elsewhere, zap.NewNop())
+	require.NotNil(t, elsewhereListener)
+	info, err := os.Stat(elsewhereListener.Addr().String())
 	require.NoError(t, err)
-	require.Equal(t, os.FileMode(0o600), info.Mode().Perm(), "whoever may connect may take over")
+	require.Equal(t, os.FileMode(0o600), info.Mode().Perm(), "any process that can connect can take over")
 	found, err = search.run()
 	require.NoError(t, err)
 	require.Nil(t, found)
-	require.NoError(t, ours.Close())
-	require.Nil(t, listenForSuccessor(filepath.Join(dir, "none"), cfg, zap.NewNop()), "it serves without")
+	require.NoError(t, elsewhereListener.Close())
+	require.Nil(t, listenForSuccessor(filepath.Join(dir, "none"), cfg, zap.NewNop()), "no hot restarts without it")
 	search.dir = filepath.Join(dir, "none")
 	found, err = search.run()
 	search.dir = dir
-	require.NoError(t, err, "a folder that is not there is no reason not to start")
+	require.NoError(t, err, "a missing directory does not prevent the start")
 	require.Nil(t, found)
-	for says, want := range map[string]string{
+	for sent, want := range map[string]string{
 		"pwtu\x00\x02":                     "another version",
 		"pwtu\x00\x01\xff\xff\xff\xff":     "broken frame",
 		"pwtu\x00\x01\x00\x00\x00\x01\xa0": "broken frame",
 		"HTTP/1.1":                         "no preamble",
 	} {
-		ln, err := net.Listen("unix", at(3))
+		ln, err := net.Listen("unix", socketPath(3))
 		require.NoError(t, err)
 		go func() {
 			for {
-				c, err := ln.Accept()
+				conn, err := ln.Accept()
 				if err != nil {
 					return
 				}
-				_, _ = c.Write([]byte(says))
-				defer func() { _ = c.Close() }()
+				_, _ = conn.Write([]byte(sent))
+				defer func() { _ = conn.Close() }()
 			}
 		}()
 		_, err = search.run()
