--- a/cmd/pewterline/demo.go
+++ b/cmd/pewterline/demo.go
@@ -57,7 +57,7 @@
 		return err
 	}
 	fmt.Fprintln(out, "Three log servers, each with a toy worker pool, replicate idempotency keys for each other.")
-	fmt.Fprintf(out, "A run of class %s calls a toy vault, and goes on with its reply.\n\n", demoCallClass)
+	fmt.Fprintf(out, "A run of class %s calls a toy vault, and continues with its reply.\n\n", demoCallClass)
 	d := &demo{cluster: cluster, table: tabwriter.NewWriter(out, 0, 0, columnPadding, ' ', 0)}
 	if err := d.play(); err != nil {
 		return err
--- a/cmd/pewterline/logs.go
+++ b/cmd/pewterline/logs.go
@@ -122,8 +122,7 @@
 	return match[1], fields
 }
 
-// lineField returns a field that keeps the type of the value if it is one of those below, and else holds the value as
-// text.
+// lineField returns a field with the value in its own type if that is one of the cases below, and as text otherwise.
 func lineField(name, verb string, value any) zap.Field {
 	if verb == "%x" {
 		return zap.String(name, fmt.Sprintf(verb, value))
--- a/cmd/pewterline/process_host.go
+++ b/cmd/pewterline/process_host.go
@@ -68,7 +68,7 @@
 }
 
 // ShareLimits is part of server.ProcessHost. Two processes share the limits of one: each gets half of the connections,
-// and the new one less than that if the old one has more in use.
+// and the new one gets less if the old one has more than half in use.
 func (h *processHost) ShareLimits(others int) {
 	h.others = others
 	alone := others < 0
@@ -93,7 +93,7 @@
 // keys.
 func (h *processHost) Orphaned() { go h.checkPredecessor() }
 
-// checkPredecessor ends this process if the predecessor is still running. It runs once, on a goroutine of its own.
+// checkPredecessor ends this process if the predecessor is still running. It runs once, on its own goroutine.
 func (h *processHost) checkPredecessor() {
 	time.Sleep(predecessorRetryInterval) // a process that exits closes its sockets one after another
 	conn, err := net.DialTimeout("unix", h.predecessorPath, orphanCheckTimeout)
--- a/cmd/pewterline/signals_test.go
+++ b/cmd/pewterline/signals_test.go
@@ -45,7 +45,7 @@
 	}
 	require.NoError(t, process.Signal(syscall.SIGTERM))
 	require.NoError(t, process.Signal(syscall.SIGHUP))
-	for !strings.Contains(process.Log(), "configuration reloaded") { // both signals have been handled
+	for !strings.Contains(process.Log(), "configuration reloaded") { // both signals have been received
 		require.False(t, process.Ended())
 	}
 	process.Pool.Release()
--- a/cmd/pewterline/upgrade_test.go
+++ b/cmd/pewterline/upgrade_test.go
@@ -404,8 +404,8 @@
 	require.NoError(t, old.Wait())
 }
 
-// A reload during an upgrade must reach both processes: each applies the new settings, and a keyed request is still the
-// same request to both, although the reload changes the positions of the classes in the list.
+// A reload during an upgrade must work in both processes: each applies the new settings, and a keyed request is still
+// the same request to both, although the reload adds a class and drops another.
 func TestReloadDuringUpgrade(t *testing.T) {
 	t.Parallel()
 	srv := newTestServer(t)
@@ -484,6 +484,7 @@
 	measureFor   = flag.Duration("measure", time.Second, "duration of the load in TestOperatorsUnderLoad")
 )
 
+// upgradeUnderLoad upgrades a server several times while callers send requests, and logs durations and memory use.
 func upgradeUnderLoad(t *testing.T, upgrades int) {
 	t.Helper()
 	srv := newTestServer(t)
