--- a/cmd/pewterline/demo.go
+++ b/cmd/pewterline/demo.go
@@ -16,11 +16,11 @@
 
 // The cluster of the demonstration, and the classes of its requests, which the example's configuration defines.
 const (
-	demoServers     = 3
-	demoReplicas    = 3
-	demoReadClass   = "block-view"
-	demoCallClass   = "lot-update" // its runs call the vault
-	demoIntakeClass = "lot-intake" // its requests have idempotency keys
+	demoServers    = 3
+	demoReplicas   = 3
+	demoReadClass  = "block-view"
+	demoCallClass  = "lot-update" // its runs call the vault
+	demoKeyedClass = "lot-intake" // its requests have idempotency keys
 )
 
 // demoCommand demonstrates what the program does: it starts three log servers that replicate for each other, in a
@@ -57,23 +57,23 @@
 		return err
 	}
 	fmt.Fprintln(out, "Three log servers, each with a toy worker pool, replicate idempotency keys for each other.")
-	fmt.Fprintf(out, "A run of class %s calls a toy vault, and goes on with its reply.\n\n", demoCallClass)
+	fmt.Fprintf(out, "A run of class %s calls a toy vault, and continues with its reply.\n\n", demoCallClass)
 	d := &demo{cluster: cluster, table: tabwriter.NewWriter(out, 0, 0, columnPadding, ' ', 0)}
 	if err := d.play(); err != nil {
 		return err
 	}
-	fmt.Fprintln(out, "\nEach intake ran once; the server that was lost found both results at the others.")
+	fmt.Fprintln(out, "\nEach keyed request ran once; the lost server found both results at the other servers.")
 	if c.Log {
 		fmt.Fprint(out, "\n"+cluster.Log())
 	}
-	return d.wrong
+	return d.deviations
 }
 
 // demo is one demonstration.
 type demo struct {
-	cluster *processtest.Cluster
-	table   *tabwriter.Writer
-	wrong   error // the deviations from the expected results
+	cluster    *processtest.Cluster
+	table      *tabwriter.Writer
+	deviations error // from the expected results
 }
 
 // demoRequest is one request of a demonstration.
@@ -93,13 +93,13 @@
 	fmt.Fprintln(d.table, "SERVER\tCLASS\tREQUEST\tANSWER\tRESULT\tRUNS SO FAR")
 	d.send(demoRequest{server: 1, class: demoReadClass, key: "block-4"})
 	d.send(demoRequest{server: 2, class: demoCallClass, key: "lot-12"})
-	d.send(demoRequest{server: 1, class: demoIntakeClass, key: "basket-17", runOnce: true})
+	d.send(demoRequest{server: 1, class: demoKeyedClass, key: "basket-17", runOnce: true})
 	if err := errors.Join(d.cluster.Kill(1), d.cluster.Wipe(1)); err != nil {
 		return err
 	}
 	d.note("server 1 is killed, its folder is lost")
-	d.send(demoRequest{server: 2, class: demoIntakeClass, key: "basket-17", retry: true, runOnce: true})
-	d.send(demoRequest{server: 3, class: demoIntakeClass, key: "basket-18", runOnce: true})
+	d.send(demoRequest{server: 2, class: demoKeyedClass, key: "basket-17", retry: true, runOnce: true})
+	d.send(demoRequest{server: 3, class: demoKeyedClass, key: "basket-18", runOnce: true})
 	if err := d.cluster.Start(1); err != nil {
 		return err
 	}
@@ -110,13 +110,13 @@
 	if err != nil {
 		return err
 	}
-	d.note(fmt.Sprintf("server 1 is back, and holds %d intakes", state.Counters.Held))
-	d.send(demoRequest{server: 1, class: demoIntakeClass, key: "basket-17", retry: true, runOnce: true})
-	d.send(demoRequest{server: 1, class: demoIntakeClass, key: "basket-18", retry: true, runOnce: true})
+	d.note(fmt.Sprintf("server 1 is back, and holds %d idempotency keys", state.Counters.Held))
+	d.send(demoRequest{server: 1, class: demoKeyedClass, key: "basket-17", retry: true, runOnce: true})
+	d.send(demoRequest{server: 1, class: demoKeyedClass, key: "basket-18", retry: true, runOnce: true})
 	return d.table.Flush()
 }
 
-// send sends a request, prints the response, and records deviations in wrong.
+// send sends a request, prints the response and records deviations from the expected result.
 func (d *demo) send(request demoRequest) {
 	reply, err := d.cluster.Send(request.server, processtest.Request{
 		Class:     request.class,
@@ -134,7 +134,7 @@
 		request.server, request.class, request.key, answer, reply.Result, runs)
 	served := reply.Kind == thrift.ReplyAnswer && reply.Result == expectedResult(request.class, request.key)
 	if !served || request.runOnce && runs != 1 {
-		d.wrong = errors.Join(d.wrong,
+		d.deviations = errors.Join(d.deviations,
 			fmt.Errorf("demo: %s at server %d: %s %q after %d runs", request.key, request.server, answer, reply.Result, runs))
 	}
 }
