--- a/cmd/pewterline-sim/processes_cost.go
+++ b/cmd/pewterline-sim/processes_cost.go
@@ -70,7 +70,7 @@
 		}
 		fmt.Fprintf(table, "%d\t%.0f\t%v\t%v\t%.2f\t%.0f\t%.1f\t%d\n",
 			result.Replicas, result.PerSecond, result.P50, result.P99,
-			result.SyncsEach, result.BytesEach, float64(result.Memory)/1e6, result.NotServed)
+			result.SyncsPerRequest, result.BytesPerRequest, float64(result.MemoryBytes)/1e6, result.NotServed)
 	}
 	return table.Flush()
 }
@@ -81,29 +81,29 @@
 	}
 	for _, rate := range []int{2000, 20000} {
 		result, err := measure.Repair(measure.RepairConfig{
-			Program:       options.Program,
-			Settings:      options.Settings,
-			Keys:          c.Keys,
-			KeysPerSecond: rate,
-			KeysAtOnce:    rate / repairRequestShare,
+			Program:           options.Program,
+			Settings:          options.Settings,
+			Keys:              c.Keys,
+			KeysPerSecond:     rate,
+			MaxConcurrentKeys: rate / repairRequestShare,
 		})
 		if err != nil {
 			return err
 		}
 		fmt.Fprintf(out, "repair of %d keys at %d keys/s at most: %v, %.1f MB in the server that was lost\n",
-			result.Keys, rate, result.Took.Round(10*time.Millisecond), float64(result.Memory)/1e6)
+			result.Keys, rate, result.Duration.Round(10*time.Millisecond), float64(result.MemoryBytes)/1e6)
 	}
 	return nil
 }
 
 func (c *processesCostCommand) measureLoss(out io.Writer, options processtest.Options) error {
 	seconds, err := measure.Loss(measure.LossConfig{
-		Program:  options.Program,
-		Settings: options.Settings,
-		Length:   lossLength,
-		LostAt:   lossAt,
-		BackAt:   lossUntil,
-		Rate:     lossRequest,
+		Program:   options.Program,
+		Settings:  options.Settings,
+		Length:    lossLength,
+		LossAt:    lossAt,
+		RestartAt: lossUntil,
+		Rate:      lossRequest,
 	})
 	if err != nil {
 		return err
--- a/cmd/pewterline/calls_test.go
+++ b/cmd/pewterline/calls_test.go
@@ -83,6 +83,6 @@
 	conn.Close()
 	require.NoError(t, process.Wait(), process.Log())
 	require.Len(t, vault.Calls(), len(open))
-	require.Empty(t, process.Pool.UnexpectedCommands())
+	require.Empty(t, process.Pool.UnexpectedReplies())
 	srv.once()
 }
--- a/cmd/pewterline/upgrade_test.go
+++ b/cmd/pewterline/upgrade_test.go
@@ -406,7 +406,7 @@
 func awaitLog(t *testing.T, p *processtest.Process, text string) {
 	t.Helper()
 	logged := func() bool { return strings.Contains(p.Log(), text) }
-	require.Eventually(t, logged, processtest.Patience, time.Millisecond, "%q in %s", text, processLog{p})
+	require.Eventually(t, logged, processtest.WaitTimeout, time.Millisecond, "%q in %s", text, processLog{p})
 }
 
 // processLog is printed as what a process has logged by then.
@@ -453,7 +453,7 @@
 		require.NoError(t, current.Wait(), current.Log())
 		took = append(took, float64(time.Since(ready).Microseconds())/1000)
 		answered := func() bool { return load.answered.Load() > before }
-		require.Eventually(t, answered, processtest.Patience, time.Millisecond)
+		require.Eventually(t, answered, processtest.WaitTimeout, time.Millisecond)
 		current = next
 	}
 	load.end()
@@ -505,7 +505,7 @@
 		}
 		body := fmt.Sprintf("lot %d/%d", caller, n)
 		err := sendIntake(conn, body)
-		if err != nil && conn.SaidFarewell() { // it crossed the farewell: a proxy sends it once more
+		if err != nil && conn.FarewellReceived() { // it crossed the farewell: a proxy sends it once more
 			if conn, err = processtest.Dial(l.listen); err == nil {
 				err = sendIntake(conn, body)
 			}
@@ -539,7 +539,7 @@
 	require.NoError(t, err)
 	require.NoError(t, process.Ready())
 	const slots, runTook = 2, 4 * time.Millisecond
-	process.Pool.Slow(slots, runTook)
+	process.Pool.SetRunDuration(slots, runTook)
 	const every = runTook / slots * 2 / 3 // one and a half times what the slots can do
 	for i := range 1000 {
 		addr := srv.Listen
@@ -621,7 +621,7 @@
 		require.Eventually(t, func() bool {
 			good, err := processtest.CheckHealth(srv.Listen)
 			return err == nil && good == want
-		}, processtest.Patience, time.Millisecond)
+		}, processtest.WaitTimeout, time.Millisecond)
 	}
 	call(old, "out-of-service")
 	next := srv.start()
--- a/internal/server/call_fixture_test.go
+++ b/internal/server/call_fixture_test.go
@@ -75,7 +75,7 @@
 func (f *callFixture) dial() *clientConn {
 	f.t.Helper()
 	proxy := f.dialProxy()
-	require.NoError(f.t, proxy.conn.SetReadDeadline(time.Now().Add(processtest.Patience)))
+	require.NoError(f.t, proxy.conn.SetReadDeadline(time.Now().Add(processtest.WaitTimeout)))
 	return proxy
 }
 
@@ -150,7 +150,7 @@
 // requireAbandoned requires that the next call to be abandoned is that of a request.
 func (f *callFixture) requireAbandoned(id string) {
 	f.t.Helper()
-	got, err := f.vault.NextAbandoned()
+	got, err := f.vault.NextAbandonedCall()
 	require.NoError(f.t, err)
 	require.Equal(f.t, id, got)
 }
@@ -201,7 +201,7 @@
 func (f *callFixture) stop() {
 	f.t.Helper()
 	f.socketFixture.stop()
-	require.Empty(f.t, f.workers.UnexpectedCommands())
+	require.Empty(f.t, f.workers.UnexpectedReplies())
 }
 
 // sendProbe sends a health check on a connection of its own.
--- a/internal/server/calls_test.go
+++ b/internal/server/calls_test.go
@@ -105,7 +105,7 @@
 	require.NoError(t, fixture.proxy.conn.Close())
 	fixture.requireEnd()
 	require.Equal(t, 1, fixture.countCalls(waiting))
-	require.Empty(t, fixture.workers.UnexpectedCommands())
+	require.Empty(t, fixture.workers.UnexpectedReplies())
 }
 
 // No call is made for nobody. When a client cancels its request, a call in flight is abandoned, and its reply, which
@@ -223,7 +223,7 @@
 	fixture.requireAbandoned(id)
 	second := fixture.nextCall(id)
 	stop()
-	require.NotEqual(t, first.Conn, second.Conn)
+	require.NotEqual(t, first.ConnNumber, second.ConnNumber)
 	first.Reply(vault.Yes, "of the first")
 	require.NoError(t, first.CloseConn())
 	second.Reply(vault.Yes, "of the second")
--- a/internal/server/deep_check_test.go
+++ b/internal/server/deep_check_test.go
@@ -27,18 +27,18 @@
 		stop()
 	}
 	requireWorking()
-	checksBefore := fixture.workers.Checks()
+	checksBefore := fixture.workers.CheckCount()
 	require.True(t, nextReply(fixture.sendProbe(true)).Good)
-	require.Equal(t, checksBefore, fixture.workers.Checks(), "a run that has just ended well is answer enough")
+	require.Equal(t, checksBefore, fixture.workers.CheckCount(), "a run that has just ended well is answer enough")
 	requireChecked(true)
-	require.Greater(t, fixture.workers.Checks(), checksBefore)
-	fixture.workers.AnswerChecksWith(pool.Fail)
+	require.Greater(t, fixture.workers.CheckCount(), checksBefore)
+	fixture.workers.SetCheckOutcome(pool.Fail)
 	requireChecked(false)
 
-	fixture.workers.AnswerChecksWith(0)
+	fixture.workers.SetCheckOutcome(0)
 	fixture.advance(stale)
 	const checks = 40
-	checksBefore = fixture.workers.Checks()
+	checksBefore = fixture.workers.CheckCount()
 	var waiting []*clientConn
 	for range checks {
 		waiting = append(waiting, fixture.sendProbe(true))
@@ -54,7 +54,7 @@
 		require.False(t, nextReply(proxy).Good)
 		require.NoError(t, proxy.conn.Close())
 	}
-	require.Less(t, fixture.workers.Checks()-checksBefore, checks)
+	require.Less(t, fixture.workers.CheckCount()-checksBefore, checks)
 
 	fixture.workers.Release()
 	fixture.requireServed(meanwhile, "kept call 1 of lot")
@@ -72,7 +72,7 @@
 	require.True(t, nextReply(deep).Good)
 	stop()
 
-	fixture.workers.AnswerChecksWith(pool.Pass)
+	fixture.workers.SetCheckOutcome(pool.Pass)
 	requireChecked(true)
 	fixture.workers.Freeze()
 	requireChecked(false)
--- a/internal/testbed/processtest/address.go
+++ b/internal/testbed/processtest/address.go
@@ -8,28 +8,28 @@
 	"sync/atomic"
 )
 
-// The ports that are given out, in blocks. They lie below the range that the system gives to connections: this guards a
-// server that is to listen against a connection of another test that got its port meanwhile.
+// The ports that FreeAddress allocates, in blocks. They lie below the system's ephemeral port range. Otherwise an
+// outgoing connection of another test could take an allocated port before the server listens on it.
 const (
 	firstPort  = 10_000
 	blockSize  = 1_000 // ports
 	blockCount = 22
 )
 
-// portBlock is a block of ports of the loopback that one process holds. It gives out each of them, but the first, once
-// before any comes again.
+// portBlock is a block of loopback ports that is reserved for one process. It allocates each port except the first once
+// before it allocates any of them again.
 type portBlock struct {
-	first int
-	given atomic.Uint32
-	// reservation listens on the first port, without SO_REUSEPORT, as long as the process lives. The system closes it
-	// however the process ends, and the programs that the process starts do not inherit it.
+	first       int
+	allocations atomic.Uint32
+	// reservation listens on the first port, without SO_REUSEPORT, until the process exits. The system closes it even
+	// if the process is killed, and child processes do not inherit it.
 	reservation net.Listener
 }
 
-// processBlock returns the block of this process.
+// processBlock returns the block of this process. The first call reserves it.
 var processBlock = sync.OnceValues(func() (*portBlock, error) { return reservePortBlock(rand.IntN(blockCount)) })
 
-// reservePortBlock returns the first block from the given one on that no process holds.
+// reservePortBlock reserves the first block that no other process holds. The search begins at block number start.
 func reservePortBlock(start int) (*portBlock, error) {
 	var lastErr error
 	for i := range blockCount {
@@ -43,8 +43,8 @@
 	return nil, fmt.Errorf("%w: %w", ErrNoPortBlock, lastErr)
 }
 
-// FreeAddress returns an address of the loopback on which nothing listens now. As long as this process lives, no other
-// process gets it from FreeAddress.
+// FreeAddress returns a loopback address on which nothing listens at the moment. FreeAddress returns it to no other
+// process until this process exits.
 func FreeAddress() (string, error) {
 	block, err := processBlock()
 	if err != nil {
@@ -57,7 +57,7 @@
 func (b *portBlock) freeAddress() (string, error) {
 	const usable = blockSize - 1 // without the port of the reservation
 	for range usable {
-		address := loopbackAddress(b.first + 1 + int(b.given.Add(1)%usable))
+		address := loopbackAddress(b.first + 1 + int(b.allocations.Add(1)%usable))
 		if listener, err := net.Listen("tcp", address); err == nil {
 			return address, listener.Close()
 		}
--- a/internal/testbed/processtest/address_test.go
+++ b/internal/testbed/processtest/address_test.go
@@ -13,12 +13,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-// portHolderStart is the environment variable that makes the test binary a port holder. Its value is the block at which
-// the holder begins to look for a free one.
+// portHolderStart is the environment variable that makes the test binary run as a port holder. Its value is the number
+// of the block at which the holder begins its search for a free block.
 const portHolderStart = "PROCESSTEST_PORT_HOLDER_START"
 
-// runPortHolder reserves a block, starts a program that outlives the holder if that is killed, and prints as many
-// addresses as the block has ports. It returns the exit status once the standard input ends.
+// runPortHolder reserves a block, starts a child process that survives a kill of the holder, and prints as many
+// addresses as the block has ports. It returns the exit status at the end of the standard input.
 func runPortHolder(start string) int {
 	if err := holdPorts(start); err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -54,10 +54,11 @@
 // portHolder is a process that holds a block of ports.
 type portHolder struct {
 	command *exec.Cmd
-	ports   []int // that it has given out
+	ports   []int // allocated by the holder, in order
 }
 
-// startPortHolder starts a process that looks for a free block from the given one on, and reads what it gives out.
+// startPortHolder starts a process that searches for a free block from startBlock on, and reads the ports that it
+// allocates.
 func startPortHolder(t *testing.T, startBlock int) *portHolder {
 	t.Helper()
 	executable, err := os.Executable()
@@ -71,8 +72,8 @@
 	require.NoError(t, err)
 	require.NoError(t, holder.command.Start())
 	t.Cleanup(func() {
-		_ = input.Close()         // ends the holder and the program that it has started
-		_ = holder.command.Wait() // an error says that the test has killed it
+		_ = input.Close()         // ends the holder and its child process
+		_ = holder.command.Wait() // fails if the test has killed the holder
 	})
 	holder.readPorts(t, output)
 	return holder
@@ -91,7 +92,7 @@
 	}
 }
 
-// kill kills the holder and waits for its end. The program that it has started lives on.
+// kill kills the holder and waits for its exit. Its child process keeps running.
 func (h *portHolder) kill(t *testing.T) {
 	t.Helper()
 	require.NoError(t, h.command.Process.Kill())
@@ -99,7 +100,7 @@
 	require.NoError(t, err)
 }
 
-// block returns the number of the block from which all ports of the holder come.
+// block returns the number of the holder's block, and requires that all its ports belong to that block.
 func (h *portHolder) block(t *testing.T) int {
 	t.Helper()
 	block := (h.ports[0] - firstPort) / blockSize
@@ -109,8 +110,8 @@
 	return block
 }
 
-// Guards the servers of one test process against those of another: with SO_REUSEPORT, two servers on one port would
-// share its connections. Two processes that look for a block from the same one on never get the same.
+// Guards against two test processes using the same port: the servers listen with SO_REUSEPORT, so two of them on one
+// port would share its connections. Two processes that search from the same block on never get the same block.
 func TestProcessesHoldDifferentPortBlocks(t *testing.T) {
 	t.Parallel()
 	one := startPortHolder(t, 0)
@@ -118,9 +119,9 @@
 	require.NotEqual(t, one.block(t), other.block(t))
 }
 
-// Guards later test processes against running out of ports: the block of a killed process is free again, also while a
-// program that the process has started lives on.
-func TestPortBlockIsFreeAfterItsHolder(t *testing.T) {
+// Guards against running out of port blocks: the block of a killed process becomes free even while a child process of
+// it still runs.
+func TestPortBlockIsFreeAfterHolderIsKilled(t *testing.T) {
 	t.Parallel()
 	const attempts = 5 // another test process may get the block first
 	for range attempts {
@@ -134,8 +135,8 @@
 	require.Fail(t, "no block became free")
 }
 
-// Each port of a block is given out before any comes again, except one on which something listens.
-func TestPortsOfABlock(t *testing.T) {
+// A block allocates each of its ports once before it allocates any port again. It skips ports in use.
+func TestPortBlockAllocatesEachPortOnce(t *testing.T) {
 	t.Parallel()
 	block, err := reservePortBlock(0)
 	require.NoError(t, err)
@@ -153,7 +154,7 @@
 		require.NoError(t, err)
 		require.NotContains(t, given[1:], address)
 	}
-	require.Greater(t, len(given), blockSize/2) // other programs may listen on some
+	require.Greater(t, len(given), blockSize/2) // other programs may use some of the ports
 	require.NotContains(t, given, taken)
 	require.NotContains(t, given, block.reservation.Addr().String())
 }
--- a/internal/testbed/processtest/build.go
+++ b/internal/testbed/processtest/build.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// Build builds the program from the module's root into dir and returns its path.
+// Build builds the program into dir with the given build tags, and returns its path. root is the root of the module.
 func Build(root, dir string, tags ...string) (string, error) {
 	path := filepath.Join(dir, "pewterline")
 	command := exec.Command("go", "build", "-tags", strings.Join(tags, ","), "-o", path, "./cmd/pewterline")
--- a/internal/testbed/processtest/cluster.go
+++ b/internal/testbed/processtest/cluster.go
@@ -13,37 +13,37 @@
 	"pewterline/internal/protocol/thrift"
 )
 
-// What the configuration of each server of a cluster says.
+// Configuration values of each server of a cluster.
 const (
 	clusterStopMS   = 3200
 	clusterMemoryMB = 96
 )
 
-// eventuallyInterval is the pause between two attempts of Eventually.
-const eventuallyInterval = 10 * time.Millisecond
+// retryInterval is the pause between two attempts of Eventually.
+const retryInterval = 10 * time.Millisecond
 
-// Cluster is several servers that replicate to each other: real processes, with a relay on each path from one to
-// another.
+// Cluster is several servers that replicate to each other. Each is a real process, and reaches each other one through a
+// relay.
 type Cluster struct {
 	Servers []*Member
-	RunLog  *RunLog // of all worker pools
-	Vault   *Vault  // that requests call; nil: they do not
+	RunLog  *RunLog // shared by all worker pools
+	Vault   *Vault  // the vault that requests call; nil: they make no downstream calls
 
 	dir    string
 	config ClusterConfig
 }
 
-// Member is one server of a cluster. Its ID is its place among Servers, from 1.
+// Member is one server of a cluster. Its ID is its position in Cluster.Servers, from 1.
 type Member struct {
 	*Server
 	ID      int
-	DataDir string // of what it holds
+	DataDir string // of the write-ahead log and the snapshots
 
 	replicationAddress string
-	relays             map[int]*Relay // to the others, by their IDs
+	relays             map[int]*Relay // to the other servers, by server ID
 }
 
-// Process returns the newest process of the server; nil: none was started.
+// Process returns the newest process of the server, or nil if none was started.
 func (m *Member) Process() *Process {
 	processes := m.Processes()
 	if len(processes) == 0 {
@@ -52,19 +52,19 @@
 	return processes[len(processes)-1]
 }
 
-// ClusterConfig says what a cluster is made of.
+// ClusterConfig configures a cluster.
 type ClusterConfig struct {
 	Program    string // the path of the program, as Build returns it
 	Settings   json.RawMessage
 	Servers    int
 	Replicas   int      // of each idempotency key
-	ExtraLines []string // of the servers' replication files
+	ExtraLines []string // appended to the general part of the servers' replication files
 }
 
-// NewCluster prepares the servers of a cluster; StartAll starts them. Close has to be called also after an error, if a
-// cluster is returned with it.
+// NewCluster prepares the servers of a cluster; StartAll starts them. If it returns a cluster together with an error,
+// Close has to be called as well.
 func NewCluster(cfg ClusterConfig) (*Cluster, error) {
-	dir, err := os.MkdirTemp("", "pw") // Short: a socket's path has to fit.
+	dir, err := os.MkdirTemp("", "pw") // The name is short because the length of a socket path is limited.
 	if err != nil {
 		return nil, err
 	}
@@ -87,7 +87,7 @@
 	return cluster, nil
 }
 
-// newMember prepares a server with a folder of its own.
+// newMember prepares a server and creates its folder.
 func (c *Cluster) newMember(id int) (*Member, error) {
 	home := filepath.Join(c.dir, fmt.Sprintf("s%d", id))
 	if err := os.Mkdir(home, 0o700); err != nil {
@@ -124,7 +124,7 @@
 	}, nil
 }
 
-// connect opens the relays from a server to the others, and writes its replication file.
+// connect opens the relays from a server to the other servers, and writes its replication file.
 func (c *Cluster) connect(member *Member) (err error) {
 	for _, other := range c.Servers {
 		if other == member {
@@ -138,7 +138,8 @@
 	return os.WriteFile(member.ReplicationFile, []byte(c.replicationFile(member)), 0o600)
 }
 
-// replicationFile returns the text of a server's replication file, by which it reaches the others through the relays.
+// replicationFile returns the text of a server's replication file. The addresses of the other servers are those of the
+// relays.
 func (c *Cluster) replicationFile(member *Member) string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "id = %d\nlisten = %q\nfolder = %q\ncopies = %d\n",
@@ -168,7 +169,7 @@
 	return process.Ready()
 }
 
-// StartAll starts all servers, and has them bootstrap a group.
+// StartAll starts all servers, bootstraps their replication group, and waits until it is stable.
 func (c *Cluster) StartAll() error {
 	for _, member := range c.Servers {
 		if err := c.Start(member.ID); err != nil {
@@ -181,7 +182,7 @@
 	return c.AwaitStable()
 }
 
-// RequestOutcome is the reply that a caller got.
+// RequestOutcome is the reply that a caller received.
 type RequestOutcome struct {
 	Kind   thrift.ReplyKind
 	Result string
@@ -202,10 +203,10 @@
 	return RequestOutcome{Kind: reply.Kind, Result: string(reply.Body)}, err
 }
 
-// Eventually tries until there is no error, and returns the last one with ErrTimeout after Patience.
+// Eventually calls try until it returns no error. After WaitTimeout it returns ErrTimeout with the last error.
 func (c *Cluster) Eventually(try func() error) error {
 	var err error
-	for until := time.Now().Add(Patience); time.Now().Before(until); time.Sleep(eventuallyInterval) {
+	for until := time.Now().Add(WaitTimeout); time.Now().Before(until); time.Sleep(retryInterval) {
 		if err = try(); err == nil {
 			return nil
 		}
@@ -213,7 +214,7 @@
 	return fmt.Errorf("processtest: %w: %w", ErrTimeout, err)
 }
 
-// Log returns what all processes of all servers have logged.
+// Log returns the log output of all processes of all servers.
 func (c *Cluster) Log() string {
 	var text strings.Builder
 	for _, member := range c.Servers {
@@ -226,12 +227,12 @@
 	return text.String()
 }
 
-// Close ends all that was started, and removes its folders. It is an error if a process does not end.
+// Close ends everything that was started, and removes all folders. It returns an error if a process does not exit.
 func (c *Cluster) Close() error {
 	var errs []error
 	for _, member := range c.Servers {
 		if process := member.Process(); process != nil {
-			// It goes on if it is stopped; one that has ended cannot be signalled, which is no fault.
+			// Resumes a stopped process. Signal fails if the process has exited, which is not an error here.
 			_ = process.Signal(syscall.SIGCONT)
 		}
 		errs = append(errs, member.Close())
--- a/internal/testbed/processtest/cluster_faults.go
+++ b/internal/testbed/processtest/cluster_faults.go
@@ -10,19 +10,19 @@
 	"time"
 )
 
-// wallClockFile is the file in a server's folder that sets its wall clock off, where the program is built with the tag
-// faults.
+// wallClockFile is the file in a server's folder with the offset of its wall clock. Only a program built with the tag
+// faults reads it.
 const wallClockFile = "wall"
 
-// diskFaultSuffix makes of a data folder's path that of the file that has the disk fail.
+// diskFaultSuffix is appended to the path of a data folder to form the path of the file that makes its disk fail.
 const diskFaultSuffix = ".fault"
 
-// RelayBetween returns the relay by which one server reaches another.
+// RelayBetween returns the relay through which one server connects to another.
 func (c *Cluster) RelayBetween(from, to int) *Relay { return c.member(from).relays[to] }
 
-// RelaysOf does something to all relays of a server, both those of the connections that it opens and those of the
-// connections that are opened to it.
-func (c *Cluster) RelaysOf(id int, do func(*Relay)) {
+// ForEachRelayOf calls do for each relay of a server, both for the connections that the server opens and for those that
+// it accepts.
+func (c *Cluster) ForEachRelayOf(id int, do func(*Relay)) {
 	for _, member := range c.Servers {
 		if member.ID != id {
 			do(c.RelayBetween(id, member.ID))
@@ -31,7 +31,8 @@
 	}
 }
 
-// Isolate has nothing that a server sends reach the others, in whichever direction a connection was opened.
+// Isolate drops all data that a server sends to the others, both on connections that it opens and on those that it
+// accepts.
 func (c *Cluster) Isolate(id int) {
 	for _, member := range c.Servers {
 		if member.ID != id {
@@ -41,7 +42,7 @@
 	}
 }
 
-// Kill ends a server's process, as a lost machine does.
+// Kill kills a server's process with SIGKILL, as the loss of its machine would.
 func (c *Cluster) Kill(id int) error {
 	process := c.member(id).Process()
 	if process == nil || process.Ended() {
@@ -50,7 +51,7 @@
 	if err := process.Signal(syscall.SIGKILL); err != nil {
 		return err
 	}
-	// How it exited is known: it was killed. Whether it has ended is asked below.
+	// The exit status is that of a killed process and needs no check. Ended reports below whether Wait timed out.
 	_ = process.Wait()
 	if !process.Ended() {
 		return fmt.Errorf("processtest: kill server %d: %w", id, ErrTimeout)
@@ -58,10 +59,10 @@
 	return nil
 }
 
-// Wipe removes what a server holds on its disk. Its process has to have ended.
+// Wipe removes the data folder of a server. Its process must have exited.
 func (c *Cluster) Wipe(id int) error { return os.RemoveAll(c.member(id).DataDir) }
 
-// SetDiskFault has the disk of a server fail, where the program is built with the tag faults; "" heals it.
+// SetDiskFault injects a fault into the disk of a server; "" ends it. The program must be built with the tag faults.
 func (c *Cluster) SetDiskFault(id int, fault string) error {
 	path := c.member(id).DataDir + diskFaultSuffix
 	if fault != "" {
@@ -74,20 +75,19 @@
 	return err
 }
 
-// SetClockOffset has a server's wall clock off by so many milliseconds from now on, where the program is built with the
-// tag faults.
+// SetClockOffset sets the offset of a server's wall clock from now on. The program must be built with the tag faults.
 func (c *Cluster) SetClockOffset(id, milliseconds int) error {
 	path := filepath.Join(c.member(id).Dir, wallClockFile)
 	return os.WriteFile(path, []byte(strconv.Itoa(milliseconds)), 0o600)
 }
 
-// Stall stops a server's process; Resume has it go on.
+// Stall stops a server's process until Resume.
 func (c *Cluster) Stall(id int) error { return c.member(id).Process().Stall() }
 
-// Resume has a stalled process go on.
+// Resume continues a stalled process.
 func (c *Cluster) Resume(id int) error { return c.member(id).Process().Signal(syscall.SIGCONT) }
 
-// Pause stops a server's process for a while. It may end meanwhile: then there is nothing to stop.
+// Pause stops a server's process for a duration. It ignores errors: the process may have exited.
 func (c *Cluster) Pause(id int, duration time.Duration) {
 	pauseProcess(c.member(id).Process(), duration)
 }
--- a/internal/testbed/processtest/cluster_fixture_test.go
+++ b/internal/testbed/processtest/cluster_fixture_test.go
@@ -15,7 +15,7 @@
 	"pewterline/internal/protocol/thrift"
 )
 
-// fixtureSettings returns the settings of the configuration's fixture.
+// fixtureSettings returns the settings of the config package's test fixture.
 func fixtureSettings(t *testing.T) json.RawMessage {
 	t.Helper()
 	text, err := os.ReadFile("../../config/testdata/config.json")
@@ -40,19 +40,19 @@
 	}
 	code := m.Run()
 	if path, err := faultyProgram(); err == nil {
-		// A folder that stays behind below the system's temporary one harms nobody.
+		// A failure is harmless: the folder is below the system's temporary folder.
 		_ = os.RemoveAll(filepath.Dir(path))
 	}
 	os.Exit(code)
 }
 
-// testCluster is a cluster that ends with its test.
+// testCluster is a cluster that is closed at the end of its test.
 type testCluster struct {
 	*Cluster
 	t *testing.T
 }
 
-// startCluster starts servers, which bootstrap a group.
+// startCluster starts a cluster whose servers form a replication group.
 func startCluster(t *testing.T, servers, replicas int, extraLines ...string) *testCluster {
 	t.Helper()
 	program, err := faultyProgram()
@@ -75,7 +75,7 @@
 	return &testCluster{Cluster: cluster, t: t}
 }
 
-// servedResult is the outcome of a request that was served.
+// servedResult returns the expected outcome of a served request.
 func servedResult(key string) RequestOutcome {
 	return RequestOutcome{Kind: thrift.ReplyAnswer, Result: "did " + key}
 }
@@ -90,22 +90,22 @@
 	return outcome
 }
 
-// requireIndeterminate requires what a caller hears where nobody knows whether its request ran: it failed, with no
-// promise.
+// requireIndeterminate retries a request, and requires the reply for an unknown outcome: the request failed, and may
+// have run.
 func (c *testCluster) requireIndeterminate(id int, key string) {
 	c.t.Helper()
 	outcome := c.sendKeyed(id, key, true)
 	require.Equal(c.t, thrift.ReplyBroken, outcome.Kind, "%s at server %d", key, id)
 }
 
-// loseMachine has a machine lost with its disk.
+// loseMachine kills a server and removes its data, as the loss of its machine with the disk would.
 func (c *testCluster) loseMachine(id int) {
 	c.t.Helper()
 	require.NoError(c.t, c.Kill(id))
 	require.NoError(c.t, c.Wipe(id))
 }
 
-// restart has lost servers come back, and waits until the group is stable.
+// restart starts lost servers again, and waits until the group is stable.
 func (c *testCluster) restart(ids ...int) {
 	c.t.Helper()
 	for _, id := range ids {
@@ -114,7 +114,7 @@
 	require.NoError(c.t, c.AwaitStable())
 }
 
-// sendAsync sends a request to the first server, whose reply is waited for later, or never.
+// sendAsync sends a request to the first server without waiting for the reply.
 func (c *testCluster) sendAsync(key string) PendingRequest {
 	c.t.Helper()
 	conn, err := Dial(c.Servers[0].Listen)
@@ -125,17 +125,18 @@
 	return pending
 }
 
-// changeMembers gives an administrative command, and waits until the group has changed by it.
-func (c *testCluster) changeMembers(id int, command string) {
+// changeMembership sends an administrative command to a server, and waits until the membership change is complete.
+func (c *testCluster) changeMembership(id int, command string) {
 	c.t.Helper()
 	before, err := c.State(id)
 	require.NoError(c.t, err)
 	require.NoError(c.t, c.AdminCall(id, command))
-	c.awaitMembers(id, before.Epoch)
+	c.awaitMembershipChange(id, before.Epoch)
 }
 
-// awaitMembers waits until a change of members that began at an epoch has ended.
-func (c *testCluster) awaitMembers(id int, epoch uint64) {
+// awaitMembershipChange waits until a membership change that began at an epoch is complete. A change advances the epoch
+// twice: to the joint membership, and to the new one.
+func (c *testCluster) awaitMembershipChange(id int, epoch uint64) {
 	c.t.Helper()
 	require.NoError(c.t, c.Eventually(func() error {
 		state, err := c.State(id)
@@ -147,7 +148,7 @@
 	require.NoError(c.t, c.AwaitStable())
 }
 
-// awaitKey waits until a server holds a key, of a kind.
+// awaitKey waits until a server holds a key of a kind.
 func (c *testCluster) awaitKey(id int, key, kind string) {
 	c.t.Helper()
 	wanted := func(k ExportedKey) bool { return strings.HasSuffix(k.Key, "\x00"+key) && k.Kind == kind }
@@ -160,7 +161,7 @@
 	}))
 }
 
-// serveKeys has requests served, each at one server in turn, and returns their keys.
+// serveKeys sends requests to the given servers in turn, requires that each is served, and returns their keys.
 func (c *testCluster) serveKeys(count int, ids ...int) (keys []string) {
 	c.t.Helper()
 	for i := range count {
@@ -171,7 +172,7 @@
 	return keys
 }
 
-// requireServed requires that a server knows the results of all keys, and that none ran twice.
+// requireServed requires that retries at a server return the results of all keys, and that no request ran twice.
 func (c *testCluster) requireServed(id int, keys []string) {
 	c.t.Helper()
 	for _, key := range keys {
--- a/internal/testbed/processtest/cluster_loss_test.go
+++ b/internal/testbed/processtest/cluster_loss_test.go
@@ -11,9 +11,9 @@
 	"pewterline/internal/protocol/thrift"
 )
 
-// The result of a request that one server has served is found at any other by a retry, also once that server is lost
-// with its disk; and the request ran once.
-func TestLostAfterAnswer(t *testing.T) {
+// Guards against losing a result that was served: after the loss of the server with its disk, a retry at any other
+// server returns the result, and the request has run once.
+func TestServerLostAfterReply(t *testing.T) {
 	t.Parallel()
 	cluster := startCluster(t, 3, 3)
 	require.Equal(t, servedResult("lot"), cluster.sendKeyed(1, "lot", false))
@@ -25,18 +25,18 @@
 	require.NoError(t, cluster.AwaitStable())
 	state, err := cluster.State(1)
 	require.NoError(t, err)
-	require.Equal(t, 1, state.Counters.Held, "its copy is there again")
+	require.Equal(t, 1, state.Counters.Held, "the repair has restored the key")
 	require.Equal(t, servedResult("lot"), cluster.sendKeyed(1, "lot", true))
 	require.Empty(t, cluster.RunLog.DuplicateRuns())
 }
 
-// The machine is lost with its disk between the agreed intent and the run: the worker pool never receives the
-// request. Nobody can know that, and nobody else runs it.
-func TestLostBetweenIntentAndRun(t *testing.T) {
+// Guards against running a request after its owner is lost between the replication of the intent and the run. The other
+// servers cannot know that the worker pool never received the request, so they must not run it.
+func TestServerLostBetweenIntentAndRun(t *testing.T) {
 	t.Parallel()
 	cluster := startCluster(t, 3, 3)
 	pool := cluster.Servers[0].Process().Pool
-	pool.Freeze() // it reads nothing more: the command stays on its way
+	pool.Freeze() // the command to run the request is never executed
 	cluster.sendAsync("lot")
 	cluster.awaitKey(2, "lot", "intent")
 	cluster.loseMachine(1)
@@ -47,8 +47,8 @@
 	require.Empty(t, cluster.RunLog.Runs("lot"))
 }
 
-// The machine is lost between the run and the replication of its result: it ran, and nobody else runs it.
-func TestLostBetweenRunAndCopy(t *testing.T) {
+// Guards against a second run after the owner is lost between the run and the replication of the result.
+func TestServerLostBetweenRunAndReplication(t *testing.T) {
 	t.Parallel()
 	cluster := startCluster(t, 3, 3)
 	pool := cluster.Servers[0].Process().Pool
@@ -65,9 +65,9 @@
 	require.Len(t, cluster.RunLog.Runs("lot"), 1)
 }
 
-// The machine is lost between the replication and the reply: the caller has heard nothing, and a retry elsewhere
-// gets the result.
-func TestLostBetweenCopyAndAnswer(t *testing.T) {
+// Guards against losing a replicated result whose owner is lost before the caller receives the reply: a retry at
+// another server returns the result.
+func TestServerLostBetweenReplicationAndReply(t *testing.T) {
 	t.Parallel()
 	cluster := startCluster(t, 3, 3)
 	relay, err := NewRelay(cluster.Servers[0].Listen)
@@ -87,9 +87,9 @@
 	require.Len(t, cluster.RunLog.Runs("lot"), 1)
 }
 
-// With five replicas a second machine is lost before the first one is replaced: nothing that was promised is lost.
-// The repair is slow, so that the second loss falls into it.
-func TestSecondLostDuringRepair(t *testing.T) {
+// Guards against losing served results when, with five replicas, a second machine is lost during the repair of the
+// first. The repair rate is limited, so that the second loss occurs during the repair.
+func TestSecondServerLostDuringRepair(t *testing.T) {
 	t.Parallel()
 	cluster := startCluster(t, 5, 5, "repair_keys_per_s = 20", "repair_at_once = 2")
 	keys := cluster.serveKeys(40, 1, 2, 3, 4, 5)
@@ -105,14 +105,14 @@
 	cluster.loseMachine(1)
 	cluster.requireServed(2, keys)
 	cluster.restart(1)
-	cluster.loseMachine(2) // and after it the next
+	cluster.loseMachine(2) // a third loss, after the repair of the second
 	cluster.requireServed(5, keys)
 	cluster.requireServed(1, keys)
 }
 
-// The owner is stalled in the middle of a run while another server answers for it; it wakes with the result in hand,
-// which is the one that all find from then on.
-func TestOwnerStalledInItsRun(t *testing.T) {
+// Guards against two outcomes of one request: its owner is stalled during the run while another server answers that the
+// outcome is unknown. When the owner resumes, it replicates its result, which all servers return from then on.
+func TestOwnerStalledDuringRun(t *testing.T) {
 	t.Parallel()
 	cluster := startCluster(t, 3, 3)
 	pool := cluster.Servers[0].Process().Pool
@@ -121,11 +121,11 @@
 	require.NoError(t, pool.AwaitStart("lot"))
 	require.NoError(t, cluster.Stall(1))
 	pool.Release()
-	cluster.requireIndeterminate(2, "lot") // once its own time is over: over 4 s
+	cluster.requireIndeterminate(2, "lot") // after the request's own deadline: more than 4 s
 	time.Sleep(time.Second)
 	require.NoError(t, cluster.Resume(1))
 	_, err := pending.Await()
-	require.NoError(t, err, "the caller of the stalled one gets an answer, if a late one")
+	require.NoError(t, err, "the caller of the stalled server gets a late reply")
 	require.NoError(t, cluster.Eventually(func() error {
 		if outcome := cluster.sendKeyed(3, "lot", true); outcome != servedResult("lot") {
 			return fmt.Errorf("%v", outcome)
@@ -136,8 +136,9 @@
 	require.Len(t, cluster.RunLog.Runs("lot"), 1)
 }
 
-// All processes are killed at once, and started again; then the same with one disk lost.
-func TestAllKilled(t *testing.T) {
+// Guards against losing served results when all processes are killed at once and restarted, first with all disks intact
+// and then with one disk lost.
+func TestAllServersKilled(t *testing.T) {
 	t.Parallel()
 	cluster := startCluster(t, 3, 3)
 	keys := cluster.serveKeys(20, 1, 2, 3)
@@ -155,9 +156,10 @@
 	}
 }
 
-// A majority is lost for good: a known result is still answered by nobody, as no majority confirms it; nothing runs,
-// reads go on. An administrative command has the rest go on: the results that it holds are found, a request that it
-// does not know does not run before a retention window has passed, and the record names the loss.
+// Guards against running requests without a majority, and against losing results when an operator forces the group to
+// continue. Without a majority, the remaining server rejects keyed requests but serves others. After the command force
+// it returns the results that it holds, does not run a request that may have run on a lost server, and records the
+// loss.
 func TestMajorityLost(t *testing.T) {
 	t.Parallel()
 	cluster := startCluster(t, 3, 3)
@@ -173,27 +175,27 @@
 	require.NoError(t, err)
 	reply, err := pending.Await()
 	require.NoError(t, err)
-	require.Equal(t, thrift.ReplyAnswer, reply.Kind, "reads do not suffer")
-	require.Error(t, cluster.AdminCall(1, "force?keep=2"), "only with itself")
+	require.Equal(t, thrift.ReplyAnswer, reply.Kind, "requests without a key are served")
+	require.Error(t, cluster.AdminCall(1, "force?keep=2"), "the server has to keep itself")
 	require.NoError(t, cluster.AdminCall(1, "force?keep=1&why=two+burnt"))
 	cluster.requireServed(1, keys)
-	cluster.requireIndeterminate(1, "new") // it may have run on one that is lost
+	cluster.requireIndeterminate(1, "new") // it may have run on a lost server
 	state, err := cluster.State(1)
 	require.NoError(t, err)
 	require.Equal(t, "two burnt", state.Reason)
 	require.Positive(t, state.ForcedAtMS)
 	require.Contains(t, cluster.Log(), "LOSS")
-	// Those that come back empty are taken in again, one at a time.
+	// Servers that restart without data are added again, one at a time.
 	for _, id := range []int{2, 3} {
 		require.NoError(t, cluster.Start(id))
 		require.NoError(t, cluster.Eventually(func() error {
 			state, err := cluster.State(id)
 			if err == nil && state.Epoch == 0 {
-				err = errors.New("it has not heard of the group")
+				err = errors.New("the server does not know the group yet")
 			}
 			return err
 		}))
-		cluster.changeMembers(1, fmt.Sprint("add?id=", id))
+		cluster.changeMembership(1, fmt.Sprint("add?id=", id))
 	}
 	cluster.requireServed(3, keys)
 }
--- a/internal/testbed/processtest/cluster_state.go
+++ b/internal/testbed/processtest/cluster_state.go
@@ -14,14 +14,15 @@
 	Owner uint32 `json:"owner"`
 }
 
-// MemberState is a member of a group as a server sees it.
+// MemberState is a server's view of a member of its replication group.
 type MemberState struct {
 	ID          uint32 `json:"id"`
-	Incarnation string `json:"life"` // by the group
+	Incarnation string `json:"life"` // recorded by the group
 	Address     string `json:"address"`
 	Up          bool   `json:"up"`
-	InCurrent   bool   `json:"now"` // of the members in force
-	// CurrentIncarnation is what the member itself has last said; it differs from Incarnation where its disk was lost.
+	InCurrent   bool   `json:"now"` // whether it belongs to the membership in force
+	// CurrentIncarnation is the incarnation that the member itself has last reported. It differs from Incarnation if
+	// the member has lost its disk.
 	CurrentIncarnation string `json:"lives"`
 }
 
@@ -40,15 +41,15 @@
 	DiskBytes        int64  `json:"disk_bytes"`
 }
 
-// State is the group as a server sees it.
+// State is a server's view of its replication group.
 type State struct {
 	ID           uint32        `json:"id"`
 	Incarnation  string        `json:"life"`
-	Epoch        uint64        `json:"epoch"` // 0: the server knows of no group
+	Epoch        uint64        `json:"epoch"` // 0: the server knows no group
 	Changing     bool          `json:"changing"`
 	Acknowledged int           `json:"changing_marked"` // members that have transferred their keys
 	Reason       string        `json:"why"`             // of the last change
-	ForcedAtMS   int64         `json:"lost_ms"`         // Unix time at which a majority was given up for lost; 0: never
+	ForcedAtMS   int64         `json:"lost_ms"`         // Unix time of the last forced membership; 0: never
 	Voting       bool          `json:"voting"`
 	Members      []MemberState `json:"members"`
 	Counters     StateCounters `json:"counters"`
@@ -66,13 +67,13 @@
 	return body, nil
 }
 
-// AdminCall tells a server an administrative change of its group, such as "remove?id=3".
+// AdminCall requests an administrative change of a server's group, such as "remove?id=3".
 func (c *Cluster) AdminCall(id int, change string) error {
 	_, err := c.adminCall(id, http.MethodPut, "/control/copies/"+change)
 	return err
 }
 
-// State asks a server for its view of the group.
+// State returns a server's view of its group.
 func (c *Cluster) State(id int) (state State, err error) {
 	body, err := c.adminCall(id, http.MethodGet, "/control/copies")
 	if err != nil {
@@ -97,7 +98,7 @@
 	}
 }
 
-// exportPage returns keys that a server holds, from behind a key on.
+// exportPage returns a page of the keys that a server holds, beginning after the given key.
 func (c *Cluster) exportPage(id int, after string) (page []ExportedKey, err error) {
 	body, err := c.adminCall(id, http.MethodGet, "/control/copies/export?after="+url.QueryEscape(after))
 	if err != nil {
@@ -109,8 +110,9 @@
 	return page, nil
 }
 
-// AwaitStable waits until all servers that are alive go by one group in which no change is in progress, are members
-// with their current incarnation, vote, reach all that are alive, and have nothing to repair.
+// AwaitStable waits until all running servers agree on one epoch with no membership change in progress, vote, and have
+// nothing to repair. Each running member must also be reachable from all others, with its current incarnation recorded
+// in the group.
 func (c *Cluster) AwaitStable() error { return c.Eventually(c.checkStable) }
 
 func (c *Cluster) checkStable() error {
@@ -138,14 +140,14 @@
 	return nil
 }
 
-// checkStableState returns what is not yet stable in a server's view of its group.
+// checkStableState returns an error that describes what is not yet stable in a server's view of its group.
 func checkStableState(state State, epoch uint64, alive map[uint32]bool) error {
 	if state.Epoch == 0 || state.Epoch != epoch || state.Changing || !state.Voting || state.Counters.Repairing > 0 {
-		return fmt.Errorf("not stable at epoch %d: %+v", epoch, state)
+		return fmt.Errorf("group not stable at epoch %d: %+v", epoch, state)
 	}
 	for _, member := range state.Members {
 		if alive[member.ID] && (!member.Up || member.CurrentIncarnation != member.Incarnation) {
-			return fmt.Errorf("member %d is not taken up: %+v", member.ID, state)
+			return fmt.Errorf("member %d is unreachable or has a different incarnation: %+v", member.ID, state)
 		}
 	}
 	return nil
--- a/internal/testbed/processtest/cluster_test.go
+++ b/internal/testbed/processtest/cluster_test.go
@@ -13,36 +13,38 @@
 	"pewterline/internal/protocol/thrift"
 )
 
-// One direction is lost: a server hears the others, and they do not hear it. It rejects, before they run, the
-// requests that it cannot put on record; the others go on. Once the direction is back, so is the server.
-func TestOneWayLoss(t *testing.T) {
+// Guards against running requests that cannot be replicated: with a one-way partition a server receives from the
+// others, but they receive nothing from it. It rejects keyed requests before they run, and the others keep serving.
+// After the partition it serves again.
+func TestOneWayPartition(t *testing.T) {
 	t.Parallel()
 	cluster := startCluster(t, 3, 3)
 	cluster.Isolate(1)
 	outcome := cluster.sendKeyed(1, "lot", false)
-	require.Equal(t, thrift.ReplyThrottled, outcome.Kind, "before it runs")
+	require.Equal(t, thrift.ReplyThrottled, outcome.Kind, "the request is rejected before it runs")
 	require.Empty(t, cluster.RunLog.Runs("lot"))
 	keys := cluster.serveKeys(10, 2, 3)
-	cluster.RelaysOf(1, (*Relay).Heal)
-	cluster.RelaysOf(1, (*Relay).Break)
+	cluster.ForEachRelayOf(1, (*Relay).Heal)
+	cluster.ForEachRelayOf(1, (*Relay).Break)
 	require.NoError(t, cluster.AwaitStable())
 	cluster.requireServed(1, keys)
 	require.Equal(t, servedResult("lot"), cluster.sendKeyed(1, "lot", false))
 }
 
-// A connection hangs and then delivers all at once: what comes late changes nothing that was agreed on since.
-func TestHangThenBurst(t *testing.T) {
+// Guards against late messages overriding a later agreement: the connections of a server stall and then deliver
+// everything at once.
+func TestStalledConnectionDeliversLate(t *testing.T) {
 	t.Parallel()
 	cluster := startCluster(t, 3, 3)
-	cluster.RelaysOf(1, func(r *Relay) { r.Hold(Forward, Backward) })
+	cluster.ForEachRelayOf(1, func(r *Relay) { r.Hold(Forward, Backward) })
 	var late []PendingRequest
 	for i := range 5 {
 		pending := cluster.sendAsync(fmt.Sprint("lot ", i))
 		late = append(late, pending)
 	}
-	keys := cluster.serveKeys(10, 2, 3) // the same keys at others, and more
+	keys := cluster.serveKeys(10, 2, 3) // the same keys at other servers, and five more
 	time.Sleep(20 * time.Second)
-	cluster.RelaysOf(1, (*Relay).Heal)
+	cluster.ForEachRelayOf(1, (*Relay).Heal)
 	for _, pending := range late {
 		_, err := pending.Await()
 		require.NoError(t, err)
@@ -51,9 +53,9 @@
 	cluster.requireServed(1, keys)
 }
 
-// Members change while one is down and another is stalled; of two changes at once one wins, and the other gets the
-// reason why it does not.
-func TestMembersChange(t *testing.T) {
+// Guards membership changes while one server is down and another is stalled: of two concurrent changes the second is
+// rejected with status 409, and no served result is lost.
+func TestMembershipChange(t *testing.T) {
 	t.Parallel()
 	cluster := startCluster(t, 5, 3)
 	keys := cluster.serveKeys(20, 1, 2, 3, 4, 5)
@@ -61,17 +63,17 @@
 	require.NoError(t, cluster.Stall(4))
 	before, err := cluster.State(1)
 	require.NoError(t, err)
-	require.NoError(t, cluster.AdminCall(1, "remove?id=5")) // three of five agree
+	require.NoError(t, cluster.AdminCall(1, "remove?id=5")) // three of five servers form a quorum
 	require.ErrorContains(t, cluster.AdminCall(1, "remove?id=4"), "409")
 	require.NoError(t, cluster.Resume(4))
-	cluster.awaitMembers(1, before.Epoch)
+	cluster.awaitMembershipChange(1, before.Epoch)
 	state, err := cluster.State(2)
 	require.NoError(t, err)
 	require.Len(t, state.Members, 4)
-	require.NoError(t, cluster.Start(5)) // it has its disk, and is no member any more
+	require.NoError(t, cluster.Start(5)) // its disk is intact, but it is no longer a member
 	require.NoError(t, cluster.AwaitStable())
 	cluster.requireServed(5, keys)
-	cluster.changeMembers(5, "add?id=5&why=back")
+	cluster.changeMembership(5, "add?id=5&why=back")
 	state, err = cluster.State(3)
 	require.NoError(t, err)
 	require.Len(t, state.Members, 5)
@@ -81,9 +83,9 @@
 	}
 }
 
-// A sync that fails once, and a disk that is full for a while: the server does not vote until its log was opened
-// anew, the others go on, and nothing that was promised is lost.
-func TestDiskFails(t *testing.T) {
+// Guards against losing served results when a sync fails once or a disk is full for a while. The server does not vote
+// until it has reopened its log, and the others keep serving.
+func TestDiskFailure(t *testing.T) {
 	t.Parallel()
 	for _, fault := range []string{"sync", "full"} {
 		t.Run(fault, func(t *testing.T) {
@@ -99,11 +101,11 @@
 				keys = append(keys, key)
 				state, err := cluster.State(1)
 				if err == nil && state.Counters.DiskFailures == 0 {
-					err = errors.New("no failure is noticed")
+					err = errors.New("the server has not detected a disk failure")
 				}
 				return err
 			}))
-			cluster.requireServed(1, keys) // by the others' copies
+			cluster.requireServed(1, keys) // from the other servers' replicas
 			require.NoError(t, cluster.SetDiskFault(1, ""))
 			require.NoError(t, cluster.AwaitStable())
 			cluster.loseMachine(3)
@@ -113,16 +115,16 @@
 	}
 }
 
-// A bit of a snapshotshot is flipped: the server does not start, and names file and offset; without its folder it is a
-// new member.
-func TestFlippedBit(t *testing.T) {
+// Guards against serving from a corrupt snapshot: after a bit flip the server does not start, and logs the file and the
+// offset. Once its data folder is removed, it joins with a new incarnation.
+func TestCorruptSnapshot(t *testing.T) {
 	t.Parallel()
 	cluster := startCluster(t, 3, 3)
 	keys := cluster.serveKeys(60, 1, 2, 3)
 	var snapshots []string
 	require.NoError(t, cluster.Eventually(func() (err error) {
 		if snapshots, err = filepath.Glob(filepath.Join(cluster.Servers[0].DataDir, "*.snap")); len(snapshots) == 0 {
-			err = errors.New("no snapshotshot yet")
+			err = errors.New("no snapshot yet")
 		}
 		return err
 	}))
@@ -142,9 +144,9 @@
 	cluster.requireServed(1, keys)
 }
 
-// Wall clocks are a second apart, and one is stepped back while requests are in their retention window: only the
-// times that callers give count.
-func TestWallClocksApart(t *testing.T) {
+// Guards against depending on the servers' wall clocks: two are a second apart, and both are stepped during the
+// retention window of requests. Only the times that callers send count.
+func TestWallClockSkew(t *testing.T) {
 	t.Parallel()
 	cluster := startCluster(t, 3, 3)
 	require.NoError(t, cluster.SetClockOffset(1, 500))
--- a/internal/testbed/processtest/clusterplay/check.go
+++ b/internal/testbed/processtest/clusterplay/check.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	// checker is the client of the requests that are sent once all faults are over.
-	checker = -1
+	// checkerClientID is the client ID, in the history, of the requests that are sent after the last fault.
+	checkerClientID = -1
 	// linearizabilityTimeout bounds the search for an order of the history.
 	linearizabilityTimeout = time.Minute
 )
 
-// check looks for violations that show once all faults are over.
+// check checks the invariants that can be checked only after the last fault.
 func (p *play) check() {
 	if err := p.cluster.AwaitStable(); err != nil {
 		p.reportUnstable(err)
@@ -23,40 +23,40 @@
 		p.checkServed()
 	}
 	for _, duplicate := range p.cluster.RunLog.DuplicateRuns() {
-		p.recorder.Violatedf("duplicate: %s", duplicate)
+		p.recorder.Violationf("duplicate: %s", duplicate)
 	}
 	p.checkOrder()
 }
 
-// reportUnstable records that the cluster is not stable again, with the state of each server.
+// reportUnstable records that the cluster did not become stable, with the state of each server.
 func (p *play) reportUnstable(reason error) {
-	p.recorder.Violatedf("stable: %v", reason)
+	p.recorder.Violationf("stable: %v", reason)
 	for _, member := range p.cluster.Servers {
 		state, err := p.state(member.ID)
-		p.recorder.Violatedf("stable: server %d: epoch %d, changing %v, acknowledged %d, %+v, %v",
+		p.recorder.Violationf("stable: server %d: epoch %d, changing %v, acknowledged %d, %+v, %v",
 			member.ID, state.Epoch, state.Changing, state.Acknowledged, state.Counters, err)
 	}
 }
 
-// checkServed asks for all that was served, at each server in turn.
+// checkServed retries all served requests, at each server in turn, and checks that they are still served.
 func (p *play) checkServed() {
 	for i, key := range p.history.served() {
 		id := 1 + i%len(p.cluster.Servers)
-		if kind := p.attempt(checker, id, key, true); kind != thrift.ReplyAnswer {
-			p.recorder.Violatedf("lost: %s was served, and server %d answers %d", key, id, kind)
+		if kind := p.sendAttempt(checkerClientID, id, key, true); kind != thrift.ReplyAnswer {
+			p.recorder.Violationf("lost: %s was served before, but server %d replies with kind %d", key, id, kind)
 		}
 	}
 }
 
-// checkOrder looks for a history that fits no order of the requests.
+// checkOrder checks that the history is linearizable.
 func (p *play) checkOrder() {
 	operations := p.history.all()
 	result := porcupine.CheckOperationsTimeout(runOnceModel, operations, linearizabilityTimeout)
 	if result == porcupine.Ok {
 		return
 	}
-	p.recorder.Violatedf("order: the history is %v", result)
+	p.recorder.Violationf("order: linearizability check of the history: %v", result)
 	for _, operation := range operations {
-		p.recorder.Violatedf("    %v", operation)
+		p.recorder.Violationf("    %v", operation)
 	}
 }
--- a/internal/testbed/processtest/clusterplay/history.go
+++ b/internal/testbed/processtest/clusterplay/history.go
@@ -11,7 +11,7 @@
 	"pewterline/internal/testbed/processtest"
 )
 
-// history has the requests of callers with their replies. It may be used from any goroutine.
+// history records the requests of callers with their replies. It may be used from any goroutine.
 type history struct {
 	mu         sync.Mutex
 	operations []porcupine.Operation // inputs are keys, outputs are processtest.RequestOutcome
@@ -29,14 +29,14 @@
 	})
 }
 
-// all returns the operations in the order of their ends.
+// all returns the operations in the order in which they ended.
 func (h *history) all() []porcupine.Operation {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return slices.Clone(h.operations)
 }
 
-// served returns the keys of the requests that were served, each once.
+// served returns the keys of the served requests, each once.
 func (h *history) served() (keys []string) {
 	seen := map[string]bool{}
 	for _, operation := range h.all() {
@@ -49,21 +49,21 @@
 	return keys
 }
 
-// inputKey returns the key of an operation; porcupine holds inputs as any.
+// inputKey returns the key of an operation; porcupine stores inputs as any.
 func inputKey(input any) string {
 	key, _ := input.(string)
 	return key
 }
 
-// outputOf returns the reply of an operation; porcupine holds outputs as any.
+// outputOf returns the reply of an operation; porcupine stores outputs as any.
 func outputOf(output any) processtest.RequestOutcome {
 	outcome, _ := output.(processtest.RequestOutcome)
 	return outcome
 }
 
-// runOnceModel has the replies that a request may get, one after the other: once it is served, it is served with that
-// result, and it is not rejected. A request without a reply may have run or not. The state of the model is the result
-// that was served; "": none.
+// runOnceModel specifies the sequences of replies that a request may get: once the request is served, it is always
+// served with the same result and never rejected. An attempt without a reply may have run or not. The state of the
+// model is the result that was served; "": none.
 var runOnceModel = porcupine.Model{
 	Partition: partitionByKey,
 	Init:      func() any { return "" },
@@ -81,7 +81,7 @@
 	},
 }
 
-// partitionByKey splits a history into those of the single requests.
+// partitionByKey splits a history into one for each request.
 func partitionByKey(operations []porcupine.Operation) (partitions [][]porcupine.Operation) {
 	byKey := map[string][]porcupine.Operation{}
 	for _, operation := range operations {
--- a/internal/testbed/processtest/clusterplay/inject.go
+++ b/internal/testbed/processtest/clusterplay/inject.go
@@ -8,13 +8,13 @@
 	"pewterline/internal/testbed/processtest"
 )
 
-// The faults of a disk, as the program that is built with the tag faults reads them.
+// The names of disk faults, as a program built with the tag faults reads them.
 const (
 	diskFull = "full"
 	diskSlow = "slow"
 )
 
-// serverID returns the ID of a node, from 1; 0: the node is no server.
+// serverID returns the server ID of a node, from 1, or 0 if the node is not a server.
 func serverID(node string) int {
 	var index int
 	if _, err := fmt.Sscanf(node, "s%d", &index); err != nil {
@@ -23,65 +23,65 @@
 	return index + 1
 }
 
-// inject has a fault happen, and returns once it is over.
+// inject injects a fault, and returns once the fault is over.
 func (p *play) inject(fault faults.Fault) {
 	id := serverID(fault.Node)
 	switch {
 	case id == 0:
-		p.recorder.Violatedf("script: %s at %q, which is no server", fault.Kind, fault.Node)
+		p.recorder.Violationf("script: %s at %q, which is not a server", fault.Kind, fault.Node)
 	case fault.Kind == faults.Kill, fault.Kind == faults.MachineLost:
 		p.kill(id, fault)
 	case fault.Kind == faults.Pause:
 		p.pause(id, fault.For.Duration())
 	case fault.Kind == faults.StoreFail:
-		p.disturbDisk(id, diskFull, fault.For.Duration())
+		p.injectDiskFault(id, diskFull, fault.For.Duration())
 	case fault.Kind == faults.StoreSlow:
-		p.disturbDisk(id, diskSlow, fault.For.Duration())
+		p.injectDiskFault(id, diskSlow, fault.For.Duration())
 	case processtest.IsPathFault(fault.Kind):
-		p.disturbPath(id, serverID(fault.Peer), fault)
+		p.injectPathFault(id, serverID(fault.Peer), fault)
 	default:
-		p.recorder.Violatedf("script: %s is no fault of a cluster", fault.Kind)
+		p.recorder.Violationf("script: %s is not supported for a cluster", fault.Kind)
 	}
 }
 
-// kill ends a server's process, and starts another one after a while. The disk is lost with it where the fault says so
-// and the replicas bear it.
+// kill kills a server's process, and starts another one after the duration of the fault. It also removes the server's
+// data if the fault is the loss of a machine and the replicas tolerate that at present.
 func (p *play) kill(id int, fault faults.Fault) {
-	p.busy[id-1].Lock()
-	defer p.busy[id-1].Unlock()
-	diskLost := fault.Kind == faults.MachineLost && p.beginDiskLoss()
+	p.processFaultLocks[id-1].Lock()
+	defer p.processFaultLocks[id-1].Unlock()
+	diskLost := fault.Kind == faults.MachineLost && p.tryBeginDiskLoss()
 	if diskLost {
-		defer p.losing.Unlock()
+		defer p.diskLossLock.Unlock()
 	}
-	p.recorder.Eventf("server %d is killed, its disk lost: %v", id, diskLost)
+	p.recorder.Eventf("kill server %d, disk lost: %v", id, diskLost)
 	if err := p.cluster.Kill(id); err != nil {
-		p.recorder.Violatedf("kill: %v", err)
+		p.recorder.Violationf("kill: %v", err)
 		return
 	}
 	if diskLost {
 		if err := p.cluster.Wipe(id); err != nil {
-			p.recorder.Violatedf("wipe: %v", err)
+			p.recorder.Violationf("wipe: %v", err)
 			return
 		}
 		p.recorder.Update(func(o *processtest.Outcome) { o.DisksLost++ })
 	}
 	time.Sleep(fault.For.Duration())
-	// A server does not start while its disk is full.
+	// A server cannot start while its disk is full.
 	if err := p.cluster.Eventually(func() error { return p.cluster.Start(id) }); err != nil {
-		p.recorder.Violatedf("start: %v", err)
+		p.recorder.Violationf("start: %v", err)
 	}
 	p.recorder.Update(func(o *processtest.Outcome) { o.Starts++ })
 }
 
 func (p *play) pause(id int, duration time.Duration) {
-	p.busy[id-1].Lock()
-	defer p.busy[id-1].Unlock()
-	p.recorder.Eventf("server %d is stopped for %v", id, duration)
+	p.processFaultLocks[id-1].Lock()
+	defer p.processFaultLocks[id-1].Unlock()
+	p.recorder.Eventf("stop server %d for %v", id, duration)
 	p.cluster.Pause(id, duration)
 }
 
-func (p *play) disturbDisk(id int, disk string, duration time.Duration) {
-	p.recorder.Eventf("the disk of server %d is %s for %v", id, disk, duration)
+func (p *play) injectDiskFault(id int, disk string, duration time.Duration) {
+	p.recorder.Eventf("disk of server %d: %s for %v", id, disk, duration)
 	if err := p.cluster.SetDiskFault(id, disk); err != nil {
 		p.recorder.Eventf("disk of server %d: %v", id, err)
 	}
@@ -91,10 +91,10 @@
 	}
 }
 
-// disturbPath has a fault happen on the connections between two servers, whoever opened them.
-func (p *play) disturbPath(id, peer int, fault faults.Fault) {
+// injectPathFault injects a fault into the connections between two servers, whichever of them opened the connection.
+func (p *play) injectPathFault(id, peer int, fault faults.Fault) {
 	if peer == 0 || peer == id {
-		p.recorder.Violatedf("script: %s between servers %d and %d", fault.Kind, id, peer)
+		p.recorder.Violationf("script: %s between servers %d and %d", fault.Kind, id, peer)
 		return
 	}
 	p.recorder.Eventf("%s from %d to %d for %v, %v", fault.Kind, id, peer, fault.For.Duration(), fault.Amount)
@@ -102,9 +102,9 @@
 	accepted := p.cluster.RelayBetween(peer, id)
 	_, err := opened.Apply(fault)
 	switch fault.Kind {
-	case faults.CutConnection: // It ends by itself.
+	case faults.CutConnection: // The fault ends by itself.
 		return
-	case faults.Blackhole: // What the server sends goes backward on a connection that its peer has opened.
+	case faults.Blackhole: // On connections opened by the peer, the server sends backward.
 		accepted.Drop(processtest.Backward)
 	default:
 		if err == nil {
@@ -112,28 +112,29 @@
 		}
 	}
 	if err != nil {
-		p.recorder.Violatedf("script: %v", err)
+		p.recorder.Violationf("script: %v", err)
 	}
 	time.Sleep(fault.For.Duration())
 	opened.Heal()
 	accepted.Heal()
 }
 
-// beginDiskLoss reports whether the replicas bear the loss of a disk now: no other was lost whose replicas are not
-// restored. It holds losing then, which the caller has to unlock.
-func (p *play) beginDiskLoss() bool {
-	if !p.losing.TryLock() {
+// tryBeginDiskLoss reports whether the replicas tolerate the loss of a disk now, that is, whether the replicas of all
+// disks lost before are restored. If it returns true, it has locked diskLossLock, which the caller must unlock.
+func (p *play) tryBeginDiskLoss() bool {
+	if !p.diskLossLock.TryLock() {
 		return false
 	}
-	bears := p.bearsDiskLoss()
-	if !bears {
-		p.losing.Unlock()
+	tolerated := p.toleratesDiskLoss()
+	if !tolerated {
+		p.diskLossLock.Unlock()
 	}
-	return bears
+	return tolerated
 }
 
-// bearsDiskLoss judges by the newest view of the group that a server tells.
-func (p *play) bearsDiskLoss() bool {
+// toleratesDiskLoss reports whether the group can lose a disk, according to the view with the highest epoch that a
+// server reports.
+func (p *play) toleratesDiskLoss() bool {
 	var newest processtest.State
 	for _, member := range p.cluster.Servers {
 		if process := member.Process(); process == nil || process.Ended() {
@@ -148,7 +149,7 @@
 		return false
 	}
 	for _, member := range newest.Members {
-		// One that cannot be asked may have lost its disk, and may not be back yet.
+		// An unreachable member may have lost its disk and not be restored yet.
 		if member.CurrentIncarnation != member.Incarnation || !member.Up {
 			return false
 		}
--- a/internal/testbed/processtest/clusterplay/play.go
+++ b/internal/testbed/processtest/clusterplay/play.go
@@ -11,43 +11,43 @@
 	"pewterline/internal/testbed/processtest"
 )
 
-// The replicas of each key, by the size of the cluster.
+// The number of replicas of each key, by the size of the cluster.
 const (
-	fewReplicas      = 3
-	manyReplicas     = 5
-	manyReplicasFrom = 5 // servers
+	smallClusterReplicas = 3
+	largeClusterReplicas = 5
+	largeClusterServers  = 5 // minimum number of servers
 )
 
-// play is a cluster that is played.
+// play is a run of a fault script against a cluster.
 type play struct {
-	script   faults.Script
-	cluster  *processtest.Cluster
-	recorder *processtest.Recorder
-	history  history
-	callers  sync.WaitGroup
-	stopped  atomic.Bool  // callers are to end
-	busy     []sync.Mutex // of each server: one fault of its process at a time
-	losing   sync.Mutex   // one disk is lost at a time
+	script            faults.Script
+	cluster           *processtest.Cluster
+	recorder          *processtest.Recorder
+	history           history
+	callers           sync.WaitGroup
+	stopped           atomic.Bool  // tells the callers to end
+	processFaultLocks []sync.Mutex // by server: one fault of its process at a time
+	diskLossLock      sync.Mutex   // one disk is lost at a time
 }
 
-// Play plays a script against a cluster to its end, and checks what callers and worker pools saw. The program has to be
-// built with the tag faults where disks are to fail. The faults of a script are those of the servers s0 to sN-1, which
-// replicate to each other under load:
+// Play runs a fault script against a cluster, and checks what callers and worker pools observed. It returns at the end
+// of the script. The program must be built with the tag faults if disks are to fail. The servers s0 to sN-1 replicate
+// to each other under load. The faults of a script are:
 //
-//	kill node=s0 for=           SIGKILL, and another process after a while
-//	vanish node=s0 for=         the same, and its disk is lost; it is a kill where the replicas would not bear that now
-//	pause node=s0 for=          SIGSTOP, and SIGCONT after a while
-//	stall, lag, thin node=s0 peer=s1    on the connections between both, whoever opened them
-//	dark, cut node=s0 peer=s1           the same, from s0 to s1 alone
-//	store-fail node=s0 for=     its disk is full for a while
-//	store-slow node=s0 for=     its disk is slow for a while
+//	kill node=s0 for=           SIGKILL; another process starts afterwards
+//	vanish node=s0 for=         the same with loss of the disk; a kill if the replicas do not tolerate that at present
+//	pause node=s0 for=          SIGSTOP, then SIGCONT
+//	stall, lag, thin node=s0 peer=s1    on the connections between both, whichever opened them
+//	dark, cut node=s0 peer=s1           the same, for data from s0 to s1 only
+//	store-fail node=s0 for=     the disk is full
+//	store-slow node=s0 for=     the disk is slow
 func Play(script faults.Script, options processtest.Options) (outcome processtest.Outcome, err error) {
 	if err := script.Validate(); err != nil {
 		return outcome, err
 	}
-	replicas := fewReplicas
-	if script.Servers >= manyReplicasFrom {
-		replicas = manyReplicas
+	replicas := smallClusterReplicas
+	if script.Servers >= largeClusterServers {
+		replicas = largeClusterReplicas
 	}
 	cluster, err := processtest.NewCluster(processtest.ClusterConfig{
 		Program:  options.Program,
@@ -61,47 +61,48 @@
 	if err != nil {
 		return outcome, err
 	}
-	cluster.RunLog.NamedResults = true
+	cluster.RunLog.ResultsIncludeRunID = true
 	if err := cluster.StartAll(); err != nil {
 		return outcome, err
 	}
 	p := &play{
-		script:   script,
-		cluster:  cluster,
-		recorder: processtest.NewRecorder(options.Log),
-		busy:     make([]sync.Mutex, script.Servers),
+		script:            script,
+		cluster:           cluster,
+		recorder:          processtest.NewRecorder(options.Log),
+		processFaultLocks: make([]sync.Mutex, script.Servers),
 	}
 	p.run()
 	p.check()
 	return p.recorder.Finish(func() []string { return strings.Split(cluster.Log(), "\n") }), nil
 }
 
-// run has callers send requests while the faults of the script happen.
+// run injects the faults of the script while callers send requests.
 func (p *play) run() {
 	p.recorder.Update(func(o *processtest.Outcome) { o.Starts = p.script.Servers })
 	// run owns the goroutines of the callers and waits for them: they end once stopped is set.
 	for i := range p.script.Proxies {
-		p.callers.Go(func() { p.call(i) })
+		p.callers.Go(func() { p.runCaller(i) })
 	}
 	p.recorder.InjectFaults(p.script, p.inject)
 	p.stopped.Store(true)
 	p.callers.Wait()
 }
 
-// stateTimeout is how long a server may take to tell its state: it may be stopped.
+// stateTimeout bounds the wait for a server's state: the server may be stopped.
 const stateTimeout = 500 * time.Millisecond
 
-// errNoState says that a server did not tell its state in time.
-var errNoState = errors.New("clusterplay: the server does not tell its state")
+// errNoState reports that a server did not return its state within stateTimeout.
+var errNoState = errors.New("clusterplay: the server did not return its state in time")
 
-// state asks a server that may be stopped for its state.
+// state returns the state of a server that may be stopped.
 func (p *play) state(id int) (processtest.State, error) {
 	type answer struct {
 		state processtest.State
 		err   error
 	}
 	answers := make(chan answer, 1)
-	// The question outlives this call where the server is stopped; it ends with its own time limit at the latest.
+	// This goroutine may outlive the call if the server is stopped. It ends with the timeout of the request at the
+	// latest.
 	go func() {
 		state, err := p.cluster.State(id)
 		answers <- answer{state: state, err: err}
--- a/internal/testbed/processtest/clusterplay/script.go
+++ b/internal/testbed/processtest/clusterplay/script.go
@@ -12,14 +12,14 @@
 )
 
 const (
-	drawStream      = 2 // tells the random numbers of these scripts from others of the same seed
+	drawStream      = 2 // separates the random numbers of these scripts from others of the same seed
 	drawnCallers    = 6
 	faultsPerSecond = 3
 	slowDiskMS      = 100
 )
 
-// drawnKinds are the kinds of fault that may be drawn. Their order and their number give what a seed draws; the loss of
-// a machine comes most often, as it is what replication is for.
+// drawnKinds returns the kinds of fault that may be drawn. Their order and number determine which script a seed yields.
+// The loss of a machine is the most frequent kind, because replication exists to survive it.
 func drawnKinds() []faults.Kind {
 	return []faults.Kind{
 		faults.Kill,
@@ -35,7 +35,7 @@
 	}
 }
 
-// DrawScript draws a script for Play from a seed: at each moment some of the servers, disks and connections fail.
+// DrawScript draws a random script for Play from a seed: faults of servers, disks and connections at random times.
 func DrawScript(seed uint64, seconds float64) faults.Script {
 	rng := rand.New(rand.NewPCG(seed, drawStream))
 	script := faults.Script{
@@ -52,7 +52,7 @@
 	return script
 }
 
-// drawFault draws a fault. The order in which its fields are drawn is part of what a seed gives.
+// drawFault draws a fault. The order in which its fields are drawn determines which script a seed yields.
 func drawFault(rng *rand.Rand, script faults.Script) faults.Fault {
 	kinds := drawnKinds()
 	fault := faults.Fault{At: microtime.Time(rng.Int64N(int64(script.Length)))}
--- a/internal/testbed/processtest/conn.go
+++ b/internal/testbed/processtest/conn.go
@@ -13,24 +13,24 @@
 // connReadSize is the size of a read on a proxy's connection.
 const connReadSize = 16 << 10
 
-// Conn is a connection of a proxy to a server. Close, or the end of the connection, ends its reading goroutine.
+// Conn is a connection of a proxy to a server. Its reading goroutine ends when either side closes the connection.
 type Conn struct {
 	conn net.Conn
 
 	mu       sync.Mutex
 	sequence int32
-	waiting  map[int32]chan thrift.Reply // by sequence ID
-	farewell bool                        // the server wants no new request on this connection
+	pending  map[int32]chan thrift.Reply // reply channels by sequence ID
+	farewell bool                        // the server has sent a farewell: it accepts no new request on this connection
 	ended    bool
 }
 
-// Dial opens a connection.
+// Dial connects to a server.
 func Dial(address string) (*Conn, error) {
-	conn, err := net.DialTimeout("tcp", address, Patience)
+	conn, err := net.DialTimeout("tcp", address, WaitTimeout)
 	if err != nil {
 		return nil, err
 	}
-	c := &Conn{conn: conn, waiting: map[int32]chan thrift.Reply{}}
+	c := &Conn{conn: conn, pending: map[int32]chan thrift.Reply{}}
 	// The connection owns this goroutine, which ends with it.
 	go c.read()
 	return c, nil
@@ -38,11 +38,12 @@
 
 // Close ends the connection.
 func (c *Conn) Close() {
-	// A caller that leaves has nobody to tell of a failure; read sees the end either way.
+	// A failure to close needs no handling: read returns in either case.
 	_ = c.conn.Close()
 }
 
-// read hands replies to those that wait for them, until the connection ends or the server wants to be left.
+// read delivers replies to their pending requests until the connection ends, or until all requests are answered after a
+// farewell.
 func (c *Conn) read() {
 	defer c.end()
 	var buffer []byte
@@ -71,32 +72,32 @@
 	}
 }
 
-// deliver hands a reply to whoever waits for it, and reports whether the connection is to be closed: a proxy leaves
-// after a farewell once everything is answered.
-func (c *Conn) deliver(reply thrift.Reply) (leave bool) {
+// deliver passes a reply to its pending request, and reports whether to close the connection: a proxy closes it after a
+// farewell once all requests are answered.
+func (c *Conn) deliver(reply thrift.Reply) (closeConn bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	waiter := c.waiting[reply.SequenceID]
+	waiter := c.pending[reply.SequenceID]
 	switch {
 	case reply.Kind == thrift.ReplyFarewell:
 		c.farewell = true
 	case waiter != nil:
-		delete(c.waiting, reply.SequenceID)
+		delete(c.pending, reply.SequenceID)
 		waiter <- reply
 	}
-	return c.farewell && len(c.waiting) == 0
+	return c.farewell && len(c.pending) == 0
 }
 
-// end closes the connection, and tells all that wait on it.
+// end closes the connection, and ends the wait for all pending replies.
 func (c *Conn) end() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.ended = true
-	for _, waiter := range c.waiting {
+	for _, waiter := range c.pending {
 		close(waiter)
 	}
-	c.waiting = nil
-	// The connection is over; nobody sends on it any more.
+	c.pending = nil
+	// A failure to close needs no handling: nothing is sent on the connection any more.
 	_ = c.conn.Close()
 }
 
@@ -107,15 +108,15 @@
 	return !c.farewell && !c.ended
 }
 
-// SaidFarewell reports whether the server has announced that it answers no further request on the connection. A request
-// that crosses the farewell is to be sent once more, on a new connection.
-func (c *Conn) SaidFarewell() bool {
+// FarewellReceived reports whether the server has announced that it answers no further request on the connection. A
+// request sent before the farewell arrived but read by the server after it has to be sent again on a new connection.
+func (c *Conn) FarewellReceived() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.farewell
 }
 
-// PendingRequest is a request that was sent.
+// PendingRequest is a request that was sent and whose reply can be awaited.
 type PendingRequest struct {
 	ID    string
 	reply chan thrift.Reply
@@ -129,7 +130,7 @@
 			return reply, ErrConnectionEnded
 		}
 		return reply, nil
-	case <-time.After(Patience):
+	case <-time.After(WaitTimeout):
 		return thrift.Reply{}, fmt.Errorf("processtest: await the reply to request %s: %w", p.ID, ErrTimeout)
 	}
 }
@@ -145,22 +146,22 @@
 	}
 	c.sequence++
 	reply := make(chan thrift.Reply, 1)
-	c.waiting[c.sequence] = reply
+	c.pending[c.sequence] = reply
 	if _, err := c.conn.Write(thrift.AppendCall(nil, c.sequence, fields, []byte(request.Body))); err != nil {
-		delete(c.waiting, c.sequence)
+		delete(c.pending, c.sequence)
 		return PendingRequest{}, ErrConnectionEnded
 	}
 	return PendingRequest{ID: id, reply: reply}, nil
 }
 
-// CheckHealth sends a health check on a connection of its own, and reports whether the server is healthy.
+// CheckHealth sends a health check on a new connection, and reports whether the server is healthy.
 func CheckHealth(address string) (healthy bool, err error) {
 	c, err := Dial(address)
 	if err != nil {
 		return false, err
 	}
 	defer c.Close()
-	pending, err := c.sendProbe()
+	pending, err := c.sendHealthCheck()
 	if err != nil {
 		return false, err
 	}
@@ -168,8 +169,8 @@
 	return reply.Good, err
 }
 
-// sendProbe sends a health check as the first message of the connection.
-func (c *Conn) sendProbe() (PendingRequest, error) {
+// sendHealthCheck sends a health check as the first message of the connection.
+func (c *Conn) sendHealthCheck() (PendingRequest, error) {
 	const sequence = 1
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -177,7 +178,7 @@
 		return PendingRequest{}, ErrConnectionEnded
 	}
 	reply := make(chan thrift.Reply, 1)
-	c.waiting[sequence] = reply
+	c.pending[sequence] = reply
 	_, err := c.conn.Write(thrift.AppendProbe(nil, sequence, false))
 	return PendingRequest{ID: "health check", reply: reply}, err
 }
--- a/internal/testbed/processtest/doc.go
+++ b/internal/testbed/processtest/doc.go
@@ -1,11 +1,11 @@
-// Package processtest starts real processes of the program on the loopback, together with what surrounds them in a
-// deployment: worker pools, a vault, callers, and relays that spoil the connections between them.
+// Package processtest starts real processes of the program on the loopback interface, together with the rest of a
+// deployment: worker pools, a vault, callers, and relays that inject faults into the connections between them.
 //
-// Tests of the program, the command pewterline-sim and the demonstration of the program itself call it. It owns all
-// that it starts: Server.Close ends its processes, and Cluster.Close removes what they have left on disk as well. A
-// Server is one server with the processes that succeed one another; a Cluster is several servers that replicate to each
-// other; Play plays a script of faults against one server and checks what callers and worker pools saw.
+// It is used by the tests of the program, by the command pewterline-sim and by the demonstration built into the
+// program. It owns everything that it starts: Server.Close ends its processes, and Cluster.Close also removes their
+// files. A Server is one server with its successive processes; a Cluster is several servers that replicate to each
+// other; Play runs a fault script against one server and checks what callers and worker pools observed.
 //
-// It never signals a process that it did not start, never opens a connection beyond the loopback, and never judges by
-// the time that something took: Patience only ends a test that hangs.
+// It never signals a process that it did not start, never opens a connection beyond the loopback interface, and has no
+// performance criterion: WaitTimeout only ends a test that hangs.
 package processtest
--- a/internal/testbed/processtest/errors.go
+++ b/internal/testbed/processtest/errors.go
@@ -6,40 +6,39 @@
 	"time"
 )
 
-// Patience is how long this package waits for what has to come. It is no verdict on time: it only ends a test that
-// hangs.
-const Patience = 30 * time.Second
+// WaitTimeout bounds each wait of this package. It is not a performance criterion: it only ends a test that hangs.
+const WaitTimeout = 30 * time.Second
 
-// ErrTimeout says that something did not come within Patience.
+// ErrTimeout reports that an awaited event did not occur within WaitTimeout.
 var ErrTimeout = errors.New("not within the time limit")
 
-// ErrConnectionEnded says that a connection ended before a request on it had its reply.
-var ErrConnectionEnded = errors.New("processtest: the connection has ended without a reply")
+// ErrConnectionEnded reports that a connection ended before the reply to a request arrived.
+var ErrConnectionEnded = errors.New("processtest: connection ended without a reply")
 
-// ErrNoPortBlock says that other processes hold all blocks of ports of the loopback.
-var ErrNoPortBlock = errors.New("processtest: no block of ports of the loopback is free")
+// ErrNoPortBlock reports that other processes hold all blocks of loopback ports.
+var ErrNoPortBlock = errors.New("processtest: no free block of loopback ports")
 
-// ErrNoFreePort says that something listens on each port of the block that this process holds.
-var ErrNoFreePort = errors.New("processtest: no port of the block is free")
+// ErrNoFreePort reports that each port of this process's block is in use.
+var ErrNoFreePort = errors.New("processtest: no free port in the block of this process")
 
-// StatusError is an administrative request that a process answered with another status than 200.
+// StatusError reports an administrative request that a process answered with a status other than 200.
 type StatusError struct {
 	Operation string
 	Status    int
 	Body      string
 }
 
-// Error names the operation, the status and what the process said.
+// Error returns the operation, the status and the body of the response.
 func (e *StatusError) Error() string {
 	return fmt.Sprintf("processtest: %s: status %d: %s", e.Operation, e.Status, e.Body)
 }
 
-// receive returns the next value of a channel, and an ErrTimeout where none comes.
-func receive[T any](from <-chan T, what string) (value T, err error) {
+// receive returns the next value of a channel, or ErrTimeout if none arrives within WaitTimeout.
+func receive[T any](channel <-chan T, description string) (value T, err error) {
 	select {
-	case value = <-from:
+	case value = <-channel:
 		return value, nil
-	case <-time.After(Patience):
-		return value, fmt.Errorf("processtest: await %s: %w", what, ErrTimeout)
+	case <-time.After(WaitTimeout):
+		return value, fmt.Errorf("processtest: await %s: %w", description, ErrTimeout)
 	}
 }
--- a/internal/testbed/processtest/log_buffer.go
+++ b/internal/testbed/processtest/log_buffer.go
@@ -5,7 +5,7 @@
 	"sync"
 )
 
-// logBuffer is what a process writes to its standard error. It may be read while the process writes.
+// logBuffer collects the standard error output of a process. It may be read while the process writes.
 type logBuffer struct {
 	mu     sync.Mutex
 	buffer bytes.Buffer
--- a/internal/testbed/processtest/measure/cost.go
+++ b/internal/testbed/processtest/measure/cost.go
@@ -13,36 +13,37 @@
 	"pewterline/internal/testbed/processtest"
 )
 
-// The histogram of latencies, in microseconds.
+// The range and precision of the latency histogram, in microseconds.
 const (
 	minLatency        = 1
 	maxLatency        = 60_000_000
 	significantDigits = 3
 )
 
-// CostConfig says what is measured.
+// CostConfig configures a measurement of the cost of replication.
 type CostConfig struct {
 	Program  string // the path of the program, as processtest.Build returns it
 	Settings json.RawMessage
 	Replicas int // of each key; 0: the server does not replicate
-	Callers  int // at once
+	Callers  int // number of concurrent callers
 	Length   time.Duration
 }
 
-// CostResult is what a number of replicas costs.
+// CostResult is the measured cost of a number of replicas.
 type CostResult struct {
-	Replicas  int // 0: the server does not replicate
-	Served    int
-	NotServed int
-	PerSecond float64 // requests that were served
-	P50       time.Duration
-	P99       time.Duration
-	SyncsEach float64 // of all servers' disks, by request
-	BytesEach float64 // of records on all disks, by request
-	Memory    int     // bytes, of the server that was asked
+	Replicas        int // 0: the server does not replicate
+	Served          int
+	NotServed       int
+	PerSecond       float64 // served requests a second
+	P50             time.Duration
+	P99             time.Duration
+	SyncsPerRequest float64 // on all servers, by served request
+	BytesPerRequest float64 // written to all disks, by served request
+	MemoryBytes     int     // resident memory of the server that received the requests
 }
 
-// Cost has callers send requests with idempotency keys to one server, each after the reply to the one before.
+// Cost measures the cost of replication. Callers send requests with idempotency keys to one server, each caller the
+// next one after the reply to the previous one.
 func Cost(cfg CostConfig) (result CostResult, err error) {
 	servers := max(cfg.Replicas, 1)
 	cluster, err := processtest.NewCluster(processtest.ClusterConfig{
@@ -64,14 +65,15 @@
 	load.run(cfg.Callers)
 	result = load.result(cfg.Length)
 	result.Replicas = cfg.Replicas
-	result.Memory = cluster.Servers[0].Process().Memory()
+	result.MemoryBytes = cluster.Servers[0].Process().Memory()
 	if cfg.Replicas == 0 {
 		return result, nil
 	}
 	return result, addDiskCost(&result, cluster)
 }
 
-// startReplicating starts a cluster, or its first server alone as the program ships: it does not replicate.
+// startReplicating starts a cluster or, if replicating is false, its first server alone with the program's default: no
+// replication.
 func startReplicating(cluster *processtest.Cluster, replicating bool) error {
 	if replicating {
 		return cluster.StartAll()
@@ -86,42 +88,42 @@
 		if err != nil {
 			return err
 		}
-		result.SyncsEach += float64(state.Counters.DiskSyncs) / float64(result.Served)
-		result.BytesEach += float64(state.Counters.DiskBytes) / float64(result.Served)
+		result.SyncsPerRequest += float64(state.Counters.DiskSyncs) / float64(result.Served)
+		result.BytesPerRequest += float64(state.Counters.DiskBytes) / float64(result.Served)
 	}
 	return nil
 }
 
-// costLoad are callers of one server.
+// costLoad is the load that callers generate on one server.
 type costLoad struct {
-	address string
-	until   time.Time
+	address  string
+	deadline time.Time
 
 	mu        sync.Mutex
 	latencies *hdrhistogram.Histogram
 	notServed int
 }
 
-// newCostLoad returns a load that lasts from now on.
+// newCostLoad returns a load that ends at the given time from now.
 func newCostLoad(address string, length time.Duration) *costLoad {
 	return &costLoad{
 		address:   address,
-		until:     time.Now().Add(length),
+		deadline:  time.Now().Add(length),
 		latencies: hdrhistogram.New(minLatency, maxLatency, significantDigits),
 	}
 }
 
-// run returns once all callers are done.
+// run runs the given number of callers, and returns once all of them have ended.
 func (l *costLoad) run(callers int) {
 	var running sync.WaitGroup
 	for i := range callers {
-		// run owns the callers' goroutines and waits for them: they end with the load's time.
+		// run owns the callers' goroutines and waits for them: they end at the load's deadline.
 		running.Go(func() { l.call(i) })
 	}
 	running.Wait()
 }
 
-// call is a caller: it sends requests one after the other.
+// call sends the requests of a caller one after the other until the load's deadline.
 func (l *costLoad) call(caller int) {
 	conn, err := processtest.Dial(l.address)
 	if err != nil {
@@ -129,7 +131,7 @@
 		return
 	}
 	defer conn.Close()
-	for request := 0; time.Now().Before(l.until); request++ {
+	for request := 0; time.Now().Before(l.deadline); request++ {
 		began := time.Now()
 		if !serve(conn, fmt.Sprintf("lot %d/%d", caller, request)) {
 			l.countNotServed()
@@ -158,7 +160,7 @@
 func (l *costLoad) record(latency time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	// A latency beyond the histogram's range is left out: no reply takes as long as maxLatency.
+	// RecordValue fails for a latency above maxLatency, which no reply reaches.
 	_ = l.latencies.RecordValue(latency.Microseconds())
 }
 
--- a/internal/testbed/processtest/measure/doc.go
+++ b/internal/testbed/processtest/measure/doc.go
@@ -1,11 +1,11 @@
-// Package measure times clusters of real processes that replicate to each other: what replication costs, how long a
-// repair takes, and what callers see while a server is lost. Its figures are of the machine that it runs on.
+// Package measure measures clusters of real processes that replicate to each other: the cost of replication, the
+// duration of a repair, and the replies to callers during the loss of a server. The results depend on the machine.
 //
-// The command pewterline-sim calls it. It owns the cluster of a measurement from its start to its end, and the
-// goroutines of the callers, all of which end within the measurement. It judges nothing: the figures are for a person.
+// It is used by the command pewterline-sim. A measurement owns its cluster and the goroutines of its callers, all of
+// which end within the measurement. The package only reports results and has no pass criterion.
 package measure
 
 import "time"
 
-// pollInterval is the pause between two looks at the state of a server.
+// pollInterval is the pause between two queries of a server's state.
 const pollInterval = 20 * time.Millisecond
--- a/internal/testbed/processtest/measure/loss.go
+++ b/internal/testbed/processtest/measure/loss.go
@@ -13,25 +13,25 @@
 
 const lossServers = 3
 
-// LossConfig says what is measured. Times are in seconds from the start of the load.
+// LossConfig configures a measurement of the loss of a server. Times are in seconds from the start of the load.
 type LossConfig struct {
-	Program  string // the path of the program, as processtest.Build returns it
-	Settings json.RawMessage
-	Length   int // of the load
-	LostAt   int
-	BackAt   int
-	Rate     int // requests a second
+	Program   string // the path of the program, as processtest.Build returns it
+	Settings  json.RawMessage
+	Length    int // of the load
+	LossAt    int
+	RestartAt int
+	Rate      int // requests a second
 }
 
-// SecondCounts are the replies to the requests of a second.
+// SecondCounts counts the replies to the requests sent within one second.
 type SecondCounts struct {
 	Served        int
 	Rejected      int // before they ran
-	Indeterminate int // the reply tells nothing of the request's effect
-	Unanswered    int // the connection was refused or broken
+	Indeterminate int // the reply leaves open whether the request took effect
+	Unanswered    int // the connection was refused or lost
 }
 
-// lossLoad counts the replies to requests that come at a steady rate.
+// lossLoad sends requests at a constant rate and counts the replies.
 type lossLoad struct {
 	cluster *processtest.Cluster
 	rate    int // requests a second
@@ -41,8 +41,8 @@
 	seconds []SecondCounts
 }
 
-// Loss has callers send requests to all three servers at a steady rate, each once, while one is lost with its disk and
-// comes back.
+// Loss measures the replies to callers while one of three servers is lost with its disk and restarted. Requests are
+// sent to all servers at a constant rate, without retries.
 func Loss(cfg LossConfig) (seconds []SecondCounts, err error) {
 	cluster, err := processtest.NewCluster(processtest.ClusterConfig{
 		Program:  cfg.Program,
@@ -67,14 +67,14 @@
 	}
 	var loss sync.WaitGroup
 	var lossErr error
-	// Loss owns this goroutine and waits for it: it ends once the server is back.
-	loss.Go(func() { lossErr = load.loseServer(cfg.LostAt, cfg.BackAt) })
+	// Loss owns this goroutine and waits for it: it ends once the server has restarted.
+	loss.Go(func() { lossErr = load.loseServer(cfg.LossAt, cfg.RestartAt) })
 	load.run()
 	loss.Wait()
 	return load.seconds, lossErr
 }
 
-// loseServer loses the first server with its disk at a second, and starts it again at another.
+// loseServer kills the first server and removes its data after lostAt seconds, and restarts it after backAt seconds.
 func (l *lossLoad) loseServer(lostAt, backAt int) error {
 	l.sleepUntil(time.Duration(lostAt) * time.Second)
 	err := errors.Join(l.cluster.Kill(1), l.cluster.Wipe(1))
@@ -84,18 +84,18 @@
 
 func (l *lossLoad) sleepUntil(elapsed time.Duration) { time.Sleep(time.Until(l.began.Add(elapsed))) }
 
-// run returns once all requests are answered.
+// run sends all requests, and returns once all have their reply.
 func (l *lossLoad) run() {
 	var requests sync.WaitGroup
 	for n := range len(l.seconds) * l.rate {
 		l.sleepUntil(time.Duration(n) * time.Second / time.Duration(l.rate))
-		// run owns the requests' goroutines and waits for them: they end with the reply.
+		// run owns the requests' goroutines and waits for them: each ends with its reply.
 		requests.Go(func() { l.send(n) })
 	}
 	requests.Wait()
 }
 
-// send sends a request, counted from 0, and counts the reply in the second that it belongs to.
+// send sends the request with number n, from 0, and counts the reply in the second in which the request is sent.
 func (l *lossLoad) send(n int) {
 	outcome, err := l.cluster.Send(1+n%lossServers, processtest.NewKeyedRequest(fmt.Sprintf("lot %d", n)))
 	l.mu.Lock()
--- a/internal/testbed/processtest/measure/plot.go
+++ b/internal/testbed/processtest/measure/plot.go
@@ -22,7 +22,7 @@
 	count func(SecondCounts) int
 }
 
-// plotLines returns the lines of the plot of a loss.
+// plotLines returns the lines of the plot that Plot draws.
 func plotLines() []plotLine {
 	return []plotLine{
 		{
@@ -36,22 +36,22 @@
 			count: func(s SecondCounts) int { return s.Rejected },
 		},
 		{
-			name:  "not known",
+			name:  "unknown outcome",
 			color: color.RGBA{R: 190, G: 0, B: 0, A: 255},
 			count: func(s SecondCounts) int { return s.Indeterminate },
 		},
 		{
-			name:  "connection refused or broken",
+			name:  "connection refused or lost",
 			color: color.RGBA{R: 120, G: 120, B: 120, A: 255},
 			count: func(s SecondCounts) int { return s.Unanswered },
 		},
 	}
 }
 
-// Plot draws the seconds of a Loss into a file, whose extension gives the format.
+// Plot plots the result of Loss into a file. The extension of its name determines the format.
 func Plot(seconds []SecondCounts, path string) error {
 	drawing := plot.New()
-	drawing.Title.Text = "Requests by second while one of three servers is lost with its disk and comes back"
+	drawing.Title.Text = "Requests by second while one of three servers is lost with its disk and restarted"
 	drawing.X.Label.Text = "second"
 	drawing.Y.Label.Text = "requests"
 	drawing.Y.Min = 0
--- a/internal/testbed/processtest/measure/repair.go
+++ b/internal/testbed/processtest/measure/repair.go
@@ -16,29 +16,30 @@
 	repairCallers  = 48
 	repairMemoryMB = 1024
 	repairTimeout  = 10 * time.Minute
-	lostServer     = 3 // the ID of the server that is lost
+	lostServer     = 3 // server ID
 )
 
-// errRepairTimeout says that a repair took longer than repairTimeout.
-var errRepairTimeout = errors.New("measure: the repair does not come to an end")
+// errRepairTimeout reports that a repair took longer than repairTimeout.
+var errRepairTimeout = errors.New("measure: the repair did not complete in time")
 
-// RepairConfig says what is measured.
+// RepairConfig configures a measurement of a repair.
 type RepairConfig struct {
-	Program       string // the path of the program, as processtest.Build returns it
-	Settings      json.RawMessage
-	Keys          int
-	KeysPerSecond int // the repair's bound
-	KeysAtOnce    int // the repair's bound
+	Program           string // the path of the program, as processtest.Build returns it
+	Settings          json.RawMessage
+	Keys              int
+	KeysPerSecond     int // the repair's bound
+	MaxConcurrentKeys int // the repair's bound
 }
 
-// RepairResult is how long it took to restore the replicas of a server that was lost.
+// RepairResult is the measured repair of a lost server's replicas.
 type RepairResult struct {
-	Keys   int
-	Took   time.Duration
-	Memory int // bytes, of the server that was lost, once its replicas are restored
+	Keys        int
+	Duration    time.Duration
+	MemoryBytes int // resident memory of the restored server after the repair
 }
 
-// Repair fills a cluster of three, loses one server with its disk, and waits until it holds all keys again.
+// Repair measures a repair: it fills a cluster of three servers, loses one with its disk, restarts it, and waits until
+// it holds all keys again.
 func Repair(cfg RepairConfig) (result RepairResult, err error) {
 	cluster, err := processtest.NewCluster(processtest.ClusterConfig{
 		Program:  cfg.Program,
@@ -47,7 +48,7 @@
 		Replicas: repairServers,
 		ExtraLines: []string{
 			fmt.Sprintf("repair_keys_per_s = %d", cfg.KeysPerSecond),
-			fmt.Sprintf("repair_at_once = %d", cfg.KeysAtOnce),
+			fmt.Sprintf("repair_at_once = %d", cfg.MaxConcurrentKeys),
 		},
 	})
 	if cluster != nil {
@@ -78,17 +79,17 @@
 	if err := awaitRepair(cluster, result.Keys, began); err != nil {
 		return result, err
 	}
-	result.Took = time.Since(began)
-	result.Memory = cluster.Servers[lostServer-1].Process().Memory()
+	result.Duration = time.Since(began)
+	result.MemoryBytes = cluster.Servers[lostServer-1].Process().Memory()
 	return result, nil
 }
 
-// fill has callers send requests with so many keys to all servers. What is not served is left out.
+// fill sends requests with the given number of keys to all servers. It ignores requests that are not served.
 func fill(cluster *processtest.Cluster, keys int) {
 	var last atomic.Int64
 	var callers sync.WaitGroup
 	for i := range repairCallers {
-		// fill owns the callers' goroutines and waits for them: they end with the keys.
+		// fill owns the callers' goroutines and waits for them: they end after the last key.
 		callers.Go(func() {
 			conn, err := processtest.Dial(cluster.Servers[i%len(cluster.Servers)].Listen)
 			if err != nil {
@@ -103,7 +104,7 @@
 	callers.Wait()
 }
 
-// awaitRepair waits until the server that was lost holds so many keys, and the cluster is stable.
+// awaitRepair waits until the lost server holds the given number of keys and the cluster is stable.
 func awaitRepair(cluster *processtest.Cluster, keys int, began time.Time) error {
 	for ; time.Since(began) < repairTimeout; time.Sleep(pollInterval) {
 		state, err := cluster.State(lostServer)
--- a/internal/testbed/processtest/path_faults.go
+++ b/internal/testbed/processtest/path_faults.go
@@ -10,7 +10,7 @@
 	"pewterline/internal/testbed/faults"
 )
 
-// The bounds of drawn faults of a path.
+// The bounds of randomly drawn path faults.
 const (
 	maxDrawnLatencyMS  = 300
 	minDrawnBandwidth  = 1000 // bytes a second
@@ -18,10 +18,10 @@
 	maxDrawnCutAfter   = 5000 // bytes
 )
 
-// workerPoolPrefix begins the names of the worker pools in a script.
+// workerPoolPrefix is the prefix of the names of worker pools in a script.
 const workerPoolPrefix = "w"
 
-// pathFaultKinds are the faults of a path that may be drawn. Their order gives what a seed draws.
+// pathFaultKinds returns the kinds of path fault that may be drawn. Their order determines which faults a seed yields.
 func pathFaultKinds() []faults.Kind {
 	return []faults.Kind{
 		faults.StallPath,
@@ -32,7 +32,7 @@
 	}
 }
 
-// IsPathFault reports whether a fault is one of the path between two nodes.
+// IsPathFault reports whether a kind of fault affects the path between two nodes.
 func IsPathFault(kind faults.Kind) bool {
 	switch kind {
 	case faults.StallPath, faults.Blackhole, faults.AddLatency, faults.LimitBandwidth, faults.CutConnection:
@@ -42,8 +42,8 @@
 	}
 }
 
-// sendingDirection returns the direction that a fault's node sends in: a worker pool does not connect, it is connected
-// to.
+// sendingDirection returns the direction in which the node of a fault sends. Servers connect to worker pools, so a
+// worker pool sends backward.
 func sendingDirection(fault faults.Fault) RelayDirection {
 	if strings.HasPrefix(fault.Node, workerPoolPrefix) {
 		return Backward
@@ -51,13 +51,13 @@
 	return Forward
 }
 
-// Apply begins a fault of a script, and returns what ends it; nil where it ends by itself. For kinds that are no
-// relay's it returns a *faults.Error.
+// Apply begins a fault of a script. It returns a function that ends the fault, or nil if the fault ends by itself. For
+// a kind that a relay does not support it returns a *faults.Error.
 func (r *Relay) Apply(fault faults.Fault) (heal func(), err error) {
 	switch fault.Kind {
 	case faults.StallPath:
 		r.Hold(Forward, Backward)
-	case faults.Blackhole: // One way: what the node sends is lost.
+	case faults.Blackhole: // Only data that the node sends is lost.
 		r.Drop(sendingDirection(fault))
 	case faults.AddLatency:
 		r.AddLatency(time.Duration(fault.Amount*float64(time.Millisecond)), Forward, Backward)
@@ -67,21 +67,21 @@
 		r.Cut(int(fault.Amount), sendingDirection(fault))
 		return nil, nil
 	default:
-		return nil, &faults.Error{Field: "kind", Reason: fmt.Sprintf("%s is no fault of a relay", fault.Kind)}
+		return nil, &faults.Error{Field: "kind", Reason: fmt.Sprintf("%s is not a fault of a relay", fault.Kind)}
 	}
 	return r.Heal, nil
 }
 
-// pathFaultConfig says which faults of a path are drawn.
+// pathFaultConfig configures the path faults to draw.
 type pathFaultConfig struct {
 	Seed   uint64
 	Count  int
-	Within time.Duration // they begin within it
+	Within time.Duration // the faults begin within this time
 	Node   string
 	Peer   string
 }
 
-// drawPathFaults draws faults of the path between two nodes. The same configuration gives the same faults.
+// drawPathFaults draws faults of the path between two nodes. The same configuration yields the same faults.
 func drawPathFaults(cfg pathFaultConfig) (drawn []faults.Fault) {
 	rng := rand.New(rand.NewPCG(cfg.Seed, 0))
 	kinds := pathFaultKinds()
@@ -98,7 +98,7 @@
 	return drawn
 }
 
-// DrawPathAmount draws the amount of a fault of a path, where its kind has one. A cut has no length.
+// DrawPathAmount draws the amount of a path fault if its kind has one. It removes the duration of a cut.
 func DrawPathAmount(rng *rand.Rand, fault *faults.Fault) {
 	switch fault.Kind {
 	case faults.AddLatency:
@@ -108,6 +108,6 @@
 	case faults.CutConnection:
 		fault.Amount = float64(rng.IntN(maxDrawnCutAfter))
 		fault.For = 0
-	default: // The other kinds have no amount.
+	default: // No other kind of fault has an amount.
 	}
 }
--- a/internal/testbed/processtest/play.go
+++ b/internal/testbed/processtest/play.go
@@ -14,44 +14,44 @@
 	"pewterline/internal/testbed/faults"
 )
 
-// The server that Play plays.
+// The configuration of the server under test.
 const (
 	playStopMS   = 3200
 	playMemoryMB = 64
 )
 
-// serverPlay is one server that is played: real processes that are upgraded and killed under load.
+// serverPlay is a play of one server, whose processes are upgraded and killed under load.
 type serverPlay struct {
-	script   faults.Script
-	options  Options
-	settings map[string]any // of options, with memory for all keys; never changed
-	server   *Server
-	vault    *Vault // nil: nothing is called
-	recorder *Recorder
-	loads    sync.WaitGroup // the goroutines of callers and of the vault's faults
-	stopped  atomic.Bool    // they are to end
-	upgrade  sync.Mutex     // is held while processes are replaced: one upgrade at a time
+	script      faults.Script
+	options     Options
+	settings    map[string]any // from options, with memory for all keys; read-only
+	server      *Server
+	vault       *Vault // nil: requests make no downstream calls
+	recorder    *Recorder
+	goroutines  sync.WaitGroup // of the callers and of the vault's faults
+	stopped     atomic.Bool    // tells the goroutines to end
+	upgradeLock sync.Mutex     // held while processes are replaced: one upgrade at a time
 
 	mu         sync.Mutex
-	alive      []*Process // oldest first; some may have ended
+	processes  []*Process // oldest first; some may have exited
 	relays     map[*Process]*Relay
-	extraClass bool // a reload has added the class extraClassName
+	extraClass bool // whether a reload has added the class extraClassName
 }
 
-// Play plays a script against one server, s0, to the end, and checks what callers and worker pools saw. The faults of a
-// script are:
+// Play runs a fault script against one server, s0, and checks what callers and worker pools observed. It returns at the
+// end of the script. The faults of a script are:
 //
 //	term node=s0                        an upgrade: once a successor is ready, the old process gets SIGTERM
-//	kill node=s0|s1 for=                SIGKILL of the oldest or the youngest process; one starts later if none is left
-//	pause node=s0|s1 for=               SIGSTOP, and SIGCONT after a while
-//	hup node=s0                         the class grape-count comes or goes in the file, and all processes get SIGHUP
-//	stall, lag, thin node=s0 peer=w0    on the connections to the worker pool, of all processes
-//	dark, cut node=s0 peer=w0           the same, of what the node sends; or node=w0 peer=s0
+//	kill node=s0|s1 for=                SIGKILL of the oldest or the newest process; one starts later if none is left
+//	pause node=s0|s1 for=               SIGSTOP, then SIGCONT
+//	hup node=s0                         the class grape-count is added or removed, and all processes get SIGHUP
+//	stall, lag, thin node=s0 peer=w0    on the connections of all processes to their worker pools
+//	dark, cut node=s0 peer=w0           the same, for the data that the node sends; or node=w0 peer=s0
 func Play(script faults.Script, options Options) (outcome Outcome, err error) {
 	if err := script.Validate(); err != nil {
 		return outcome, err
 	}
-	dir, err := os.MkdirTemp("", "pw") // Short: a socket's path has to fit.
+	dir, err := os.MkdirTemp("", "pw") // The name is short because the length of a socket path is limited.
 	if err != nil {
 		return outcome, err
 	}
@@ -73,7 +73,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if options.Calls {
+	if options.CallVault {
 		if options.Settings, err = WithCalls(options.Settings, keyedClass); err != nil {
 			return nil, err
 		}
@@ -111,14 +111,14 @@
 	return play, nil
 }
 
-// parsePlaySettings reads settings and gives them memory for all keys of a play.
+// parsePlaySettings parses settings, and sets their memory to enough for all keys of a play.
 func parsePlaySettings(settings json.RawMessage) (map[string]any, error) {
 	var document map[string]any
 	if err := json.Unmarshal(settings, &document); err != nil {
 		return nil, fmt.Errorf("processtest: settings: %w", err)
 	}
 	if _, ok := document["classes"].([]any); !ok {
-		return nil, errors.New("processtest: settings: no classes")
+		return nil, errors.New("processtest: settings: classes are missing")
 	}
 	setAmpleMemory(document)
 	return document, nil
@@ -129,9 +129,9 @@
 	return os.WriteFile(path, []byte(text), 0o600)
 }
 
-// run starts the first process, and has callers send requests while the faults of the script happen.
+// run starts the first process, and injects the faults of the script while callers send requests.
 func (p *serverPlay) run() error {
-	first, err := p.start()
+	first, err := p.startProcess()
 	if err != nil {
 		return err
 	}
@@ -140,18 +140,18 @@
 	}
 	// run owns the goroutines of the load and waits for them: they end once stopped is set.
 	for i := range p.script.Proxies {
-		p.loads.Go(func() { newPlayCaller(p, i).run() })
+		p.goroutines.Go(func() { newPlayCaller(p, i).run() })
 	}
-	if p.options.Calls {
-		p.loads.Go(p.disturbVault)
+	if p.options.CallVault {
+		p.goroutines.Go(p.injectVaultFaults)
 	}
 	p.recorder.InjectFaults(p.script, p.inject)
 	p.stopped.Store(true)
-	p.loads.Wait()
+	p.goroutines.Wait()
 	return nil
 }
 
-// close ends all that the play has started.
+// close ends everything that the play has started.
 func (p *serverPlay) close() error {
 	err := p.server.Close()
 	for _, relay := range p.relays {
@@ -163,8 +163,8 @@
 	return err
 }
 
-// start starts a process behind a relay to its worker pool.
-func (p *serverPlay) start() (*Process, error) {
+// startProcess starts a process that connects to its worker pool through a relay.
+func (p *serverPlay) startProcess() (*Process, error) {
 	var relay *Relay
 	var relayErr error
 	process, err := p.server.Start(func(config map[string]any) {
@@ -181,17 +181,17 @@
 		return nil, err
 	}
 	p.mu.Lock()
-	p.alive = append(p.alive, process)
+	p.processes = append(p.processes, process)
 	p.relays[process] = relay
 	p.mu.Unlock()
 	p.recorder.Update(func(o *Outcome) { o.Starts++ })
 	return process, nil
 }
 
-// extraClassName is the class that comes and goes by reloads.
+// extraClassName is the class that reloads add and remove.
 const extraClassName = "grape-count"
 
-// currentSettings returns the settings, with the class that comes and goes.
+// currentSettings returns the settings, with the extra class if the last reload has added it.
 func (p *serverPlay) currentSettings() map[string]any {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -199,17 +199,17 @@
 		return p.settings
 	}
 	settings := maps.Clone(p.settings)
-	classes, _ := settings["classes"].([]any) // parsePlaySettings has checked it.
+	classes, _ := settings["classes"].([]any) // parsePlaySettings has checked the type.
 	settings["classes"] = append(slices.Clone(classes), map[string]any{
 		"name": extraClassName, "aim_ms": 900, "hard_limit_ms": 2000, "worth": 3, "effect": "free",
 	})
 	return settings
 }
 
-// living forgets the processes that have ended, and returns the others, oldest first.
-func (p *serverPlay) living() []*Process {
+// liveProcesses removes the processes that have exited from the list, and returns the others, oldest first.
+func (p *serverPlay) liveProcesses() []*Process {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.alive = slices.DeleteFunc(p.alive, (*Process).Ended)
-	return slices.Clone(p.alive)
+	p.processes = slices.DeleteFunc(p.processes, (*Process).Ended)
+	return slices.Clone(p.processes)
 }
--- a/internal/testbed/processtest/play_caller.go
+++ b/internal/testbed/processtest/play_caller.go
@@ -9,18 +9,18 @@
 )
 
 const (
-	// maxPlayAttempts is how often a request is sent at most.
+	// maxPlayAttempts bounds the number of attempts of a request.
 	maxPlayAttempts = 4
-	// redialInterval is the pause after a connection was refused.
+	// redialInterval is the pause after a refused connection.
 	redialInterval = 20 * time.Millisecond
 	// maxRetryPauseMS bounds the pause before a retry.
 	maxRetryPauseMS = 50
-	// redialOdds is the chance, one in so many, that a caller opens another connection before an attempt.
+	// redialOdds: a caller opens a new connection before one in redialOdds attempts, on average.
 	redialOdds = 4
 )
 
-// playCaller is a caller of a play: it sends requests one after the other, each again until it is served, to whatever
-// process it reaches.
+// playCaller is a caller of a play. It sends requests one after the other to whichever process accepts its connection,
+// and retries each until it is served.
 type playCaller struct {
 	play   *serverPlay
 	number int
@@ -42,21 +42,23 @@
 	}
 }
 
-// sendUntilServed sends a request until it is served, or has been sent often enough.
+// sendUntilServed sends a request until it is served or maxPlayAttempts is reached.
 func (c *playCaller) sendUntilServed(body string) {
 	for attempts := 0; attempts < maxPlayAttempts && !c.play.stopped.Load(); {
 		if !c.connect() {
-			// Nobody is there, so this is no attempt: what was open when the server died comes again once it is back.
+			// A refused connection does not count as an attempt: requests that were in flight when the server was
+			// killed are retried once it runs again.
 			continue
 		}
 		attempts++
-		if served := c.attempt(body); served {
+		if served := c.sendAttempt(body); served {
 			return
 		}
 	}
 }
 
-// connect opens a connection where none is usable, and now and then another one; false: it was refused.
+// connect opens a connection if none is usable, and at random also if one is. It returns false if the connection is
+// refused.
 func (c *playCaller) connect() bool {
 	if c.conn != nil && c.conn.Usable() && c.rng.IntN(redialOdds) != 0 {
 		return true
@@ -75,8 +77,8 @@
 	return true
 }
 
-// attempt sends a request once, and checks the reply; after a reply that is no result it waits a while.
-func (c *playCaller) attempt(body string) (served bool) {
+// sendAttempt sends a request once, and checks the reply. It pauses after a reply without a result.
+func (c *playCaller) sendAttempt(body string) (served bool) {
 	sent := time.Now()
 	pending, err := c.conn.Send(Request{Class: keyedClass, Key: body, Body: body, ArrivedAt: sent})
 	var reply thrift.Reply
@@ -97,7 +99,7 @@
 	case thrift.ReplyThrottled:
 		c.play.recorder.Update(func(o *Outcome) { o.Rejected++ })
 		c.play.checkRejection(body, sent)
-	default: // It failed, or is not known.
+	default: // The request failed, or its outcome is unknown.
 	}
 	time.Sleep(time.Duration(c.rng.IntN(maxRetryPauseMS)) * time.Millisecond)
 	return false
--- a/internal/testbed/processtest/play_faults.go
+++ b/internal/testbed/processtest/play_faults.go
@@ -9,18 +9,18 @@
 	"pewterline/internal/testbed/faults"
 )
 
-// maxDrain is how long an old process may take after SIGTERM before it is killed: more than its stop_ms.
+// maxDrain is how long an old process may take to exit after SIGTERM before it is killed. It exceeds stop_ms.
 const maxDrain = 5 * time.Second
 
-// oldestNode is the node of a script that names the oldest process; any other names the youngest.
+// oldestNode is the node name in a script for the oldest process. Any other name means the newest process.
 const oldestNode = "s0"
 
-// inject has a fault happen, and returns once it is over.
+// inject injects a fault, and returns once the fault is over.
 func (p *serverPlay) inject(fault faults.Fault) {
 	p.recorder.Eventf("%s %s %s for %v, %v", fault.Kind, fault.Node, fault.Peer, fault.For.Duration(), fault.Amount)
 	switch fault.Kind {
 	case faults.Terminate:
-		p.upgradeServer()
+		p.upgrade()
 	case faults.Kill:
 		p.kill(fault)
 	case faults.Pause:
@@ -28,13 +28,13 @@
 	case faults.ReloadConfig:
 		p.reload()
 	default:
-		p.disturbPaths(fault)
+		p.injectPathFault(fault)
 	}
 }
 
-// target returns the process that a fault is for; nil: none is alive.
+// target returns the process that a fault affects, or nil if none runs.
 func (p *serverPlay) target(node string) *Process {
-	living := p.living()
+	living := p.liveProcesses()
 	switch {
 	case len(living) == 0:
 		return nil
@@ -50,14 +50,14 @@
 		killProcess(process)
 	}
 	time.Sleep(fault.For.Duration())
-	p.upgrade.Lock()
-	defer p.upgrade.Unlock()
-	p.revive()
+	p.upgradeLock.Lock()
+	defer p.upgradeLock.Unlock()
+	p.ensureRunning()
 }
 
-// killProcess kills a process and waits for its end.
+// killProcess kills a process and waits for its exit.
 func killProcess(process *Process) {
-	// It may have ended by itself meanwhile; how it ended is of no interest.
+	// Both calls may fail if the process has exited by itself; the exit status does not matter.
 	_ = process.Signal(syscall.SIGKILL)
 	_ = process.Wait()
 }
@@ -70,19 +70,19 @@
 	pauseProcess(process, fault.For.Duration())
 }
 
-// pauseProcess stops a process for a while. It may end or have ended meanwhile: then there is nothing to stop.
+// pauseProcess stops a process for a duration. It ignores errors: the process may have exited.
 func pauseProcess(process *Process, duration time.Duration) {
 	_ = process.Signal(syscall.SIGSTOP)
 	time.Sleep(duration)
 	_ = process.Signal(syscall.SIGCONT)
 }
 
-// reload has a class come or go in the configuration of all processes.
+// reload adds the extra class to the configuration of all processes, or removes it.
 func (p *serverPlay) reload() {
 	p.mu.Lock()
 	p.extraClass = !p.extraClass
 	p.mu.Unlock()
-	for _, process := range p.living() {
+	for _, process := range p.liveProcesses() {
 		if err := p.reloadProcess(process); err != nil {
 			p.recorder.Eventf("reload: %v", err)
 		}
@@ -102,13 +102,13 @@
 	if err := process.WriteConfig(config); err != nil {
 		return err
 	}
-	// A process that has ended meanwhile reads nothing any more.
+	// Signal fails if the process has exited; then it needs no reload.
 	_ = process.Signal(syscall.SIGHUP)
 	return nil
 }
 
-// disturbPaths has a fault happen on the connections of all processes to their worker pools.
-func (p *serverPlay) disturbPaths(fault faults.Fault) {
+// injectPathFault injects a fault into the connections of all processes to their worker pools.
+func (p *serverPlay) injectPathFault(fault faults.Fault) {
 	p.mu.Lock()
 	relays := make([]*Relay, 0, len(p.relays))
 	for _, relay := range p.relays {
@@ -130,26 +130,26 @@
 	}
 }
 
-// upgradeServer is an upgrade as operators make it: once the successor is ready, the old process is told to end.
-func (p *serverPlay) upgradeServer() {
-	p.upgrade.Lock()
-	defer p.upgrade.Unlock()
+// upgrade performs an upgrade as operators do: once the successor is ready, it sends SIGTERM to the old process.
+func (p *serverPlay) upgrade() {
+	p.upgradeLock.Lock()
+	defer p.upgradeLock.Unlock()
 	old := p.target(oldestNode)
-	next, err := p.start()
+	next, err := p.startProcess()
 	if err != nil {
 		p.recorder.Eventf("start: %v", err)
 		return
 	}
 	if err := next.Ready(); err != nil {
 		p.recorder.Eventf("the successor is not ready")
-		p.revive()
+		p.ensureRunning()
 		return
 	}
 	if old == nil || old.Ended() {
 		return
 	}
 	p.recorder.Eventf("SIGTERM")
-	// It may have ended meanwhile, which the wait below sees.
+	// Signal fails if the process has exited; the wait below returns in this case.
 	_ = old.Signal(syscall.SIGTERM)
 	select {
 	case <-old.done:
@@ -157,15 +157,15 @@
 		killProcess(old)
 	}
 	p.recorder.Update(func(o *Outcome) { o.Upgrades++ })
-	p.revive()
+	p.ensureRunning()
 }
 
-// revive starts a process where none is left.
-func (p *serverPlay) revive() {
-	if len(p.living()) > 0 {
+// ensureRunning starts a process if none runs.
+func (p *serverPlay) ensureRunning() {
+	if len(p.liveProcesses()) > 0 {
 		return
 	}
-	process, err := p.start()
+	process, err := p.startProcess()
 	if err != nil {
 		p.recorder.Eventf("start: %v", err)
 		return
--- a/internal/testbed/processtest/play_script.go
+++ b/internal/testbed/processtest/play_script.go
@@ -10,16 +10,17 @@
 
 const (
 	playCallers       = 6
-	serverDrawStream  = 1 // tells the random numbers of these scripts from others of the same seed
+	serverDrawStream  = 1 // separates the random numbers of these scripts from others of the same seed
 	secondsPerUpgrade = 2
-	maxProcessFaults  = 4 // below it
-	maxPathFaults     = 4 // below it
+	maxProcessFaults  = 4 // exclusive
+	maxPathFaults     = 4 // exclusive
 )
 
-// scriptLength returns a length in seconds as scripts have it.
+// scriptLength converts a length in seconds to the time type of scripts.
 func scriptLength(seconds float64) microtime.Time { return microtime.Time(seconds * 1e6) }
 
-// DrawScript draws a script for Play from a seed: upgrades, one after the other, and faults at any moment of them.
+// DrawScript draws a random script for Play from a seed. It consists of upgrades, which run one after the other, and of
+// faults at random times.
 func DrawScript(seed uint64, seconds float64) faults.Script {
 	rng := rand.New(rand.NewPCG(seed, serverDrawStream))
 	script := faults.Script{
@@ -50,11 +51,11 @@
 	return script
 }
 
-// drawProcessFault draws a fault of the oldest or the youngest process. A reload is one of all processes.
+// drawProcessFault draws a fault of the oldest or the newest process. A reload affects all processes.
 func drawProcessFault(rng *rand.Rand, length microtime.Time) faults.Fault {
 	nodes := []string{oldestNode, "s1"}
 	kinds := []faults.Kind{faults.Kill, faults.Pause, faults.ReloadConfig}
-	// The fields are drawn in this order: it is part of what a seed gives.
+	// The order in which the fields are drawn determines which script a seed yields.
 	fault := faults.Fault{At: drawTime(rng, length)}
 	fault.Node = nodes[rng.IntN(len(nodes))]
 	fault.Kind = kinds[rng.IntN(len(kinds))]
@@ -66,7 +67,7 @@
 	return fault
 }
 
-// drawTime draws a time below a bound.
+// drawTime draws a time from 0 to a bound, exclusive.
 func drawTime(rng *rand.Rand, bound microtime.Time) microtime.Time {
 	return microtime.Time(rng.Int64N(int64(bound)))
 }
--- a/internal/testbed/processtest/play_test.go
+++ b/internal/testbed/processtest/play_test.go
@@ -9,9 +9,10 @@
 	"pewterline/internal/testbed/faults"
 )
 
-// Upgrades and kills at fixed moments, under load: no request with an idempotency key runs twice in an incarnation,
-// none is rejected once it has run, and what is served is what was run. Where requests call a vault that has faults of
-// its own, no call that may have run is made again. Longer searches are made with pewterline-sim.
+// Guards idempotency during upgrades and kills under load, with scripts from fixed seeds: no request with an
+// idempotency key runs twice in an incarnation, none is rejected after it has run, and each served result is that of
+// the run. In the scripts with downstream calls to a faulty vault, no call that may have run is made again. The command
+// pewterline-sim performs longer searches.
 func TestFixedScripts(t *testing.T) {
 	settings := fixtureSettings(t)
 	program, err := Build("../../..", t.TempDir())
@@ -22,9 +23,9 @@
 			script := DrawScript(seed, 4)
 			parsed, err := faults.Parse(script.String())
 			require.NoError(t, err)
-			require.Equal(t, script, parsed, "a script is its text")
+			require.Equal(t, script, parsed, "parsing the text of a script returns the script")
 			calls := seed > 4
-			outcome, err := Play(script, Options{Program: program, Settings: settings, Calls: calls})
+			outcome, err := Play(script, Options{Program: program, Settings: settings, CallVault: calls})
 			require.NoError(t, err)
 			require.Equal(t, calls, outcome.Calls > 0)
 			require.Empty(t, outcome.Violations)
--- a/internal/testbed/processtest/play_vault.go
+++ b/internal/testbed/processtest/play_vault.go
@@ -7,22 +7,22 @@
 	"pewterline/internal/protocol/vault"
 )
 
-// The faults of the vault during a play.
+// The parameters of the vault's faults during a play.
 const (
 	playCallDuration = 2 * time.Millisecond
-	vaultFaultOdds   = 10 // a call in so many ends otherwise than well
+	vaultFaultOdds   = 10 // one in so many calls does not succeed
 	maxVaultUpMS     = 500
 	maxVaultDownMS   = 100
-	vaultFaultStream = 2 // tells its random numbers from others of the same seed
+	vaultFaultStream = 2 // separates its random numbers from others of the same seed
 )
 
-// disturbVault has some calls be rejected, fail or run out of time, and the vault's connections break or be refused now
-// and then, until the play has stopped.
-func (p *serverPlay) disturbVault() {
+// injectVaultFaults makes the vault reject, fail or time out some calls, and repeatedly closes or refuses its
+// connections, until the play has stopped.
+func (p *serverPlay) injectVaultFaults() {
 	rng := rand.New(rand.NewPCG(p.script.Seed, vaultFaultStream))
 	failures := []vault.Status{vault.NotNow, vault.Failed, vault.Overdue, vault.Pointless}
-	p.vault.Slow(playCallDuration)
-	p.vault.AnswerWith(func(*Call) vault.Status {
+	p.vault.SetCallDuration(playCallDuration)
+	p.vault.SetReplyStatus(func(*Call) vault.Status {
 		if i := rand.IntN(vaultFaultOdds * len(failures)); i < len(failures) {
 			return failures[i]
 		}
@@ -41,7 +41,8 @@
 	}
 }
 
-// finishRun tells all worker pools, one of which knows it, that a request waits for no answer any more.
+// finishRun reports to all worker pools that the caller of a request no longer awaits its reply. At most one of them
+// has a run of the request.
 func (p *serverPlay) finishRun(id string) {
 	for _, process := range p.server.Processes() {
 		process.Pool.FinishRun(id)
--- a/internal/testbed/processtest/pool.go
+++ b/internal/testbed/processtest/pool.go
@@ -11,45 +11,46 @@
 )
 
 const (
-	// maxKeptNotices is how many notices a worker pool can send again to a connection that has missed them.
+	// maxKeptNotices bounds the number of notices that a worker pool sends again on a new connection.
 	maxKeptNotices = 4000
-	// startedBuffer and bindBuffer are far more than any test waits for; what comes beyond them is not told.
-	startedBuffer = 1 << 16
-	bindBuffer    = 1 << 10
+	// startedBufferSize and bindBufferSize exceed what any test awaits. Events beyond them are discarded.
+	startedBufferSize = 1 << 16
+	bindBufferSize    = 1 << 10
 )
 
-// Pool is a worker pool at an address of its own. The result of a run is "did " and its body, and for each call that
-// the run made " got " and the reply.
+// Pool is a worker pool that listens on an address of its own. The result of a run is "did " and its body, followed by
+// " got " and the reply for each downstream call of the run.
 type Pool struct {
 	listener net.Listener
 	runLog   *RunLog
-	started  chan string // bodies, as their runs begin
-	binds    chan uint64 // the last notices that connections were bound with
-
-	mu           sync.Mutex
-	bound        net.Conn     // the connection in use; nil: none
-	unbound      *bindRequest // waits for its answer while the pool is disconnected
-	disconnected bool
-	frozen       bool
-	notices      [][]byte
-	checkOutcome pool.Outcome // of deep health checks; 0: they get no answer
-	checks       int
-	runs         map[string]*poolRun // that have not ended, by ID
-	callsPerRun  map[string]int      // by class
-	finishEarly  map[string]bool     // IDs of requests that wait for no answer any more
-	unexpected   []string            // IDs of replies to calls that no run waited for
-	holdsRuns    bool
-	runDuration  time.Duration // of a run on a slot; 0: it ends at once
-	slots        chan struct{}
-}
-
-// bindRequest is a server's wish to use a connection.
+	started  chan string // request bodies, as their runs begin
+	binds    chan uint64 // the last notices that servers named in their bind commands
+
+	mu                sync.Mutex
+	boundConn         net.Conn     // the bound connection; nil: none
+	pendingBind       *bindRequest // held back while the pool is disconnected; nil: none
+	disconnected      bool
+	frozen            bool
+	notices           [][]byte
+	checkOutcome      pool.Outcome // of deep health checks; 0: they are not answered
+	checks            int
+	runs              map[string]*poolRun // in progress, by ID
+	callsPerRun       map[string]int      // by class
+	finishEarly       map[string]bool     // IDs of requests whose callers no longer await a reply
+	unexpectedReplies []string            // IDs of replies to calls that no run awaited
+	holdsRuns         bool
+	runDuration       time.Duration // of a run in a slot; 0: it ends at once
+	slots             chan struct{}
+}
+
+// bindRequest is a server's bind command on a connection.
 type bindRequest struct {
 	conn       net.Conn
-	lastNotice uint64 // that the server has seen
+	lastNotice uint64 // the last notice that the server has received
 }
 
-// NewPool opens a worker pool that ends each run at once. Its goroutines end with Close and with their connections.
+// NewPool opens a worker pool that ends each run at once. Close ends its accepting goroutine; the others end with their
+// connections.
 func NewPool(runLog *RunLog) (*Pool, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -58,8 +59,8 @@
 	workers := &Pool{
 		listener:     listener,
 		runLog:       runLog,
-		started:      make(chan string, startedBuffer),
-		binds:        make(chan uint64, bindBuffer),
+		started:      make(chan string, startedBufferSize),
+		binds:        make(chan uint64, bindBufferSize),
 		checkOutcome: pool.Pass,
 		runs:         map[string]*poolRun{},
 		callsPerRun:  map[string]int{},
@@ -84,20 +85,20 @@
 // Addr returns the address that the pool listens on.
 func (p *Pool) Addr() string { return p.listener.Addr().String() }
 
-// Close has the pool accept no more connections. Those that are open end with the server's process.
+// Close stops accepting connections. Open connections end with the server's process.
 func (p *Pool) Close() {
-	// Only a listener that is closed already fails to close.
+	// A failure needs no handling: it means that the listener is closed already.
 	_ = p.listener.Close()
 }
 
-// Hold has runs wait from now on as they begin, until Release.
+// Hold suspends each run that begins from now on, until Release.
 func (p *Pool) Hold() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.holdsRuns = true
 }
 
-// Release has all runs that are held go on, and those to come not wait.
+// Release resumes all held runs and ends the effect of Hold.
 func (p *Pool) Release() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -109,15 +110,15 @@
 	}
 }
 
-// SetCallsPerRun has each run of a class from now on make so many calls, one after the other.
+// SetCallsPerRun sets how many downstream calls each run of a class makes from now on, one after the other.
 func (p *Pool) SetCallsPerRun(class string, calls int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.callsPerRun[class] = calls
 }
 
-// FinishRun says that a request waits for no answer any more: its run ends at the call that it waits for, or at its
-// next one.
+// FinishRun reports that the caller of a request no longer awaits its reply. The run of the request is killed at its
+// current downstream call, or else at its next one.
 func (p *Pool) FinishRun(id string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -127,61 +128,61 @@
 	}
 }
 
-// Freeze has the pool read nothing more: commands stay on their way.
+// Freeze stops the pool from executing commands, as if they were still in transit.
 func (p *Pool) Freeze() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.frozen = true
 }
 
-// AnswerChecksWith sets how deep health checks end from now on; 0: they get no answer.
-func (p *Pool) AnswerChecksWith(outcome pool.Outcome) {
+// SetCheckOutcome sets the outcome of deep health checks from now on; 0: they are not answered.
+func (p *Pool) SetCheckOutcome(outcome pool.Outcome) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.checkOutcome = outcome
 }
 
-// Checks returns the number of deep health checks that were asked for.
-func (p *Pool) Checks() int {
+// CheckCount returns the number of deep health checks that servers have requested.
+func (p *Pool) CheckCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.checks
 }
 
-// Disconnect breaks the connection, and leaves those to come unbound until Reconnect.
+// Disconnect closes the bound connection. The pool binds no other one until Reconnect.
 func (p *Pool) Disconnect() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.disconnected = true
-	if p.bound != nil {
-		// The server sees the end of the connection however it ends.
-		_ = p.bound.Close()
-		p.bound = nil
+	if p.boundConn != nil {
+		// A failure to close needs no handling: the server detects the end of the connection.
+		_ = p.boundConn.Close()
+		p.boundConn = nil
 	}
 }
 
-// Reconnect binds the connection that has come meanwhile, and those to come.
+// Reconnect binds the latest connection that a server has requested since Disconnect, and binds later ones at once.
 func (p *Pool) Reconnect() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.disconnected = false
-	if p.unbound != nil {
-		p.bind(*p.unbound)
-		p.unbound = nil
+	if p.pendingBind != nil {
+		p.bind(*p.pendingBind)
+		p.pendingBind = nil
 	}
 }
 
-// Slow has each run from now on take a while on one of so many slots.
-func (p *Pool) Slow(slots int, runDuration time.Duration) {
+// SetRunDuration makes each run from now on occupy one of the given number of slots for a duration.
+func (p *Pool) SetRunDuration(slots int, runDuration time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.slots = make(chan struct{}, slots)
 	p.runDuration = runDuration
 }
 
-// AwaitStart returns once a run with a body has begun.
+// AwaitStart waits until the run of a request with a body has begun. It discards the starts of other runs.
 func (p *Pool) AwaitStart(body string) error {
-	timeout := time.After(Patience)
+	timeout := time.After(WaitTimeout)
 	for {
 		select {
 		case started := <-p.started:
@@ -189,19 +190,19 @@
 				return nil
 			}
 		case <-timeout:
-			return fmt.Errorf("processtest: await the run of %s: %w", body, ErrTimeout)
+			return fmt.Errorf("processtest: await the start of the run of %s: %w", body, ErrTimeout)
 		}
 	}
 }
 
-// AwaitBind waits for the next connection to be bound, and returns the last notice that it was bound with.
+// AwaitBind waits for the next bind command, and returns the last notice that the server has received according to it.
 func (p *Pool) AwaitBind() (lastNotice uint64, err error) {
-	return receive(p.binds, "a connection to the worker pool")
+	return receive(p.binds, "a bind command at the worker pool")
 }
 
-// UnexpectedCommands returns the IDs of replies that came for runs that waited for none.
-func (p *Pool) UnexpectedCommands() []string {
+// UnexpectedReplies returns the IDs of the runs that were sent a reply to a call although they awaited none.
+func (p *Pool) UnexpectedReplies() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return slices.Clone(p.unexpected)
+	return slices.Clone(p.unexpectedReplies)
 }
--- a/internal/testbed/processtest/pool_conn.go
+++ b/internal/testbed/processtest/pool_conn.go
@@ -8,17 +8,17 @@
 	"pewterline/internal/protocol/pool"
 )
 
-// poolReadSize is the size of a read on a connection to a worker pool.
+// poolReadSize is the buffer size of a read on a connection to a worker pool, in bytes.
 const poolReadSize = 64 << 10
 
-// serve carries out the commands of a connection until it ends, breaks the protocol, or the pool is frozen.
+// serve executes the commands of a connection until the connection ends, a command is invalid, or the pool is frozen.
 func (p *Pool) serve(conn net.Conn) {
 	var buffer []byte
 	chunk := make([]byte, poolReadSize)
 	for {
 		command, size, err := pool.ParseCommand(buffer)
 		if err != nil {
-			// The server sees the end of the connection however it ends.
+			// A failure to close needs no handling: the server detects the end of the connection.
 			_ = conn.Close()
 			return
 		}
@@ -37,7 +37,7 @@
 	}
 }
 
-// execute carries out a command that came on a connection; false: the pool is frozen.
+// execute executes a command received on a connection. It returns false if the pool is frozen.
 func (p *Pool) execute(conn net.Conn, command pool.Command) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -46,21 +46,21 @@
 		return false
 	case command.Verb == pool.Bind:
 		p.requestBind(bindRequest{conn: conn, lastNotice: command.Notice})
-	case conn == p.bound:
+	case conn == p.boundConn:
 		p.executeBound(command)
 	}
 	return true
 }
 
-// executeBound carries out a command that came on the bound connection.
+// executeBound executes a command received on the bound connection.
 func (p *Pool) executeBound(command pool.Command) {
 	switch command.Verb {
 	case pool.Poll:
-		sendTo(p.bound, fmt.Appendf(nil, "polled %s 0.1 0 0.1 1\r\n", command.Tag))
+		sendTo(p.boundConn, fmt.Appendf(nil, "polled %s 0.1 0 0.1 1\r\n", command.Tag))
 	case pool.Verify:
 		p.checks++
 		if p.checkOutcome != 0 {
-			sendTo(p.bound, pool.AppendVerified(nil, command.Tag, p.checkOutcome))
+			sendTo(p.boundConn, pool.AppendVerified(nil, command.Tag, p.checkOutcome))
 		}
 	case pool.Spawn:
 		p.spawn(command)
@@ -70,43 +70,43 @@
 		}
 	case pool.Supply:
 		p.supply(command)
-	default: // Bind is carried out on any connection.
+	default: // execute handles Bind, which is valid on any connection.
 	}
 }
 
-// requestBind binds a connection, now or once the pool is connected again.
+// requestBind binds a connection at once or, while the pool is disconnected, when Reconnect is called.
 func (p *Pool) requestBind(request bindRequest) {
 	select {
 	case p.binds <- request.lastNotice:
-	default: // No test waits for so many.
+	default: // The buffer is full: no test awaits so many events.
 	}
 	if p.disconnected {
-		p.unbound = &request
+		p.pendingBind = &request
 		return
 	}
 	p.bind(request)
 }
 
-// bind has the pool use a connection, and sends it the notices that the server has missed.
+// bind makes a connection the bound one, and sends the notices that the server has not received.
 func (p *Pool) bind(request bindRequest) {
-	if p.bound != nil && p.bound != request.conn {
-		// The server has given up this connection for the new one.
-		_ = p.bound.Close()
+	if p.boundConn != nil && p.boundConn != request.conn {
+		// A failure to close needs no handling: the server has replaced this connection by the new one.
+		_ = p.boundConn.Close()
 	}
-	p.bound = request.conn
-	sendTo(p.bound, []byte("bound LOADED 60000\r\n"))
+	p.boundConn = request.conn
+	sendTo(p.boundConn, []byte("bound LOADED 60000\r\n"))
 	total := uint64(len(p.notices))
 	first := min(request.lastNotice, total)
 	if total > maxKeptNotices {
 		first = max(first, total-maxKeptNotices)
 	}
 	for _, notice := range p.notices[first:] {
-		sendTo(p.bound, notice)
+		sendTo(p.boundConn, notice)
 	}
 }
 
-// sendTo writes to a server's connection. A failure is left to whoever reads from it, whose next read fails as well; a
-// notice that is lost with a connection to a worker pool is sent again on the next one.
+// sendTo writes to a server's connection. It ignores failures: the goroutine that reads from the connection fails as
+// well, and a notice lost with a connection to a worker pool is sent again on the next one.
 func sendTo(conn io.Writer, message []byte) {
 	_, _ = conn.Write(message)
 }
--- a/internal/testbed/processtest/pool_run.go
+++ b/internal/testbed/processtest/pool_run.go
@@ -7,38 +7,38 @@
 	"pewterline/internal/protocol/pool"
 )
 
-// reportedRunMS is how long each run is reported to have taken.
+// reportedRunMS is the run duration that the worker pool reports to the server, in milliseconds.
 const reportedRunMS = 1
 
-// poolRun is a run that has not ended.
+// poolRun is a run in progress.
 type poolRun struct {
 	id        string
 	body      string
 	result    string
 	callsMade int
 	callsLeft int
-	held      bool // waits for Release
-	blocked   bool // waits for the reply to a call
+	held      bool // suspended until Release
+	blocked   bool // awaits the reply to a call
 }
 
-// CallBody returns the body of a call that the run of a request makes, counted from 1.
+// CallBody returns the body of a downstream call that the run of a request makes. Calls are numbered from 1.
 func CallBody(call int, requestBody string) string {
 	return fmt.Sprintf("call %d of %s", call, requestBody)
 }
 
-// spawn begins a run, unless it is under way already.
+// spawn begins a run, unless it is in progress already.
 func (p *Pool) spawn(command pool.Command) {
 	body := string(command.Body)
 	p.runLog.record(body, command.ID, p)
 	select {
 	case p.started <- body:
-	default: // No test waits for so many.
+	default: // The buffer is full: no test awaits so many events.
 	}
 	if p.runs[command.ID] != nil {
 		return
 	}
 	run := &poolRun{id: command.ID, body: body, result: "did " + body, callsLeft: p.callsPerRun[command.Class]}
-	if p.runLog.NamedResults {
+	if p.runLog.ResultsIncludeRunID {
 		run.result += " as " + command.ID
 	}
 	p.runs[command.ID] = run
@@ -48,7 +48,7 @@
 	}
 }
 
-// advance takes a run to its next call, or to its end.
+// advance makes the next downstream call of a run, or ends the run if none is left.
 func (p *Pool) advance(run *poolRun) {
 	run.held = false
 	run.blocked = false
@@ -62,14 +62,14 @@
 		call := CallBody(run.callsMade, run.body)
 		p.notify(pool.AppendBlocked(nil, p.nextNotice(), run.id, []byte(call)))
 	case p.runDuration > 0:
-		// The run owns this goroutine, which ends after the run's time on a slot.
+		// The run owns this goroutine, which ends after the run's time in a slot.
 		go p.endLater(run, p.slots, p.runDuration)
 	default:
 		p.end(run, pool.Pass)
 	}
 }
 
-// endLater ends a run that takes its time on a slot.
+// endLater ends a run after it has occupied a slot for a duration.
 func (p *Pool) endLater(run *poolRun, slots chan struct{}, duration time.Duration) {
 	slots <- struct{}{}
 	time.Sleep(duration)
@@ -90,12 +90,12 @@
 	p.notify(pool.AppendFinished(nil, p.nextNotice(), run.id, outcome, reportedRunMS, []byte(result)))
 }
 
-// supply hands a run the reply to its call.
+// supply passes a run the reply to its call.
 func (p *Pool) supply(command pool.Command) {
 	run := p.runs[command.ID]
 	if run == nil || !run.blocked {
-		p.unexpected = append(p.unexpected, command.ID)
-		sendTo(p.bound, fmt.Appendf(nil, "unknown supply %s\r\n", command.ID))
+		p.unexpectedReplies = append(p.unexpectedReplies, command.ID)
+		sendTo(p.boundConn, fmt.Appendf(nil, "unknown supply %s\r\n", command.ID))
 		return
 	}
 	run.result += " got " + string(command.Body)
@@ -104,10 +104,10 @@
 
 func (p *Pool) nextNotice() uint64 { return uint64(len(p.notices)) + 1 }
 
-// notify sends a notice, and keeps it for the next connection.
+// notify sends a notice, and keeps it so that a later connection can receive it again.
 func (p *Pool) notify(notice []byte) {
 	p.notices = append(p.notices, notice)
-	if p.bound != nil {
-		sendTo(p.bound, notice)
+	if p.boundConn != nil {
+		sendTo(p.boundConn, notice)
 	}
 }
--- a/internal/testbed/processtest/process.go
+++ b/internal/testbed/processtest/process.go
@@ -15,8 +15,8 @@
 	"time"
 )
 
-// readyInterval is the pause between two questions whether a process is ready.
-const readyInterval = 2 * time.Millisecond
+// readyPollInterval is the pause between two readiness queries to a process.
+const readyPollInterval = 2 * time.Millisecond
 
 // Process is one process of a server, with a worker pool of its own.
 type Process struct {
@@ -26,11 +26,11 @@
 
 	command *exec.Cmd
 	log     logBuffer
-	done    chan struct{} // is closed once the process has ended
-	exitErr error         // how it exited; may be read once done is closed
+	done    chan struct{} // closed once the process has exited
+	exitErr error         // the result of exec.Cmd.Wait; may be read once done is closed
 }
 
-// reap waits for the end of the process, and closes its worker pool.
+// reap waits for the process to exit, and closes its worker pool.
 func (p *Process) reap() {
 	p.exitErr = p.command.Wait()
 	p.Pool.Close()
@@ -49,13 +49,13 @@
 // Signal sends a signal to the process.
 func (p *Process) Signal(signal syscall.Signal) error { return p.command.Process.Signal(signal) }
 
-// Stall stops the process and returns once each of its threads has stopped: right after the signal was sent, the
-// process might still read what comes next.
+// Stall stops the process with SIGSTOP and returns once all its threads have stopped: until then the process might
+// still read data that a test sends after the signal.
 func (p *Process) Stall() error {
 	if err := p.Signal(syscall.SIGSTOP); err != nil {
 		return err
 	}
-	for until := time.Now().Add(Patience); time.Now().Before(until); runtime.Gosched() {
+	for until := time.Now().Add(WaitTimeout); time.Now().Before(until); runtime.Gosched() {
 		stopped, err := p.stopped()
 		if err != nil || stopped {
 			return err
@@ -71,7 +71,7 @@
 		return false, err
 	}
 	for _, path := range paths {
-		// A thread may have ended since; then there is no text, and the next question decides.
+		// The file is missing if the thread has ended since; the process then counts as running until the next poll.
 		text, _ := os.ReadFile(path)
 		_, state, _ := strings.Cut(string(text), ") ")
 		if !strings.HasPrefix(state, "T") {
@@ -81,17 +81,17 @@
 	return true, nil
 }
 
-// Wait waits for the end of the process and returns how it exited.
+// Wait waits for the process to exit and returns the result of exec.Cmd.Wait.
 func (p *Process) Wait() error {
 	select {
 	case <-p.done:
 		return p.exitErr
-	case <-time.After(Patience):
-		return fmt.Errorf("processtest: await the end of process %d: %w", p.PID(), ErrTimeout)
+	case <-time.After(WaitTimeout):
+		return fmt.Errorf("processtest: await the exit of process %d: %w", p.PID(), ErrTimeout)
 	}
 }
 
-// Ended reports whether the process has ended.
+// Ended reports whether the process has exited.
 func (p *Process) Ended() bool {
 	select {
 	case <-p.done:
@@ -104,7 +104,7 @@
 // PID returns the process identifier.
 func (p *Process) PID() int { return p.command.Process.Pid }
 
-// Memory returns the resident memory of the process in bytes; 0 where the system does not tell.
+// Memory returns the resident memory of the process in bytes, or 0 if the system does not report it.
 func (p *Process) Memory() int {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.PID()))
 	if err != nil {
@@ -119,7 +119,7 @@
 	return 0
 }
 
-// Log returns what the process has logged so far.
+// Log returns the log output of the process so far.
 func (p *Process) Log() string { return p.log.String() }
 
 // AdminCall sends an administrative request; it returns the status and the body of the response.
@@ -128,7 +128,7 @@
 	if err != nil {
 		return 0, "", err
 	}
-	client := &http.Client{Timeout: Patience, Transport: &http.Transport{DisableKeepAlives: true}}
+	client := &http.Client{Timeout: WaitTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	response, err := client.Do(request)
 	if err != nil {
 		return 0, "", err
@@ -137,16 +137,16 @@
 	return response.StatusCode, string(text), errors.Join(err, response.Body.Close())
 }
 
-// Ready waits until the process says that it accepts callers.
+// Ready waits until the process reports that it accepts callers.
 func (p *Process) Ready() error {
-	for until := time.Now().Add(Patience); time.Now().Before(until); time.Sleep(readyInterval) {
+	for until := time.Now().Add(WaitTimeout); time.Now().Before(until); time.Sleep(readyPollInterval) {
 		if p.Ended() {
-			return fmt.Errorf("processtest: await ready: the process has ended: %w\n%s", p.exitErr, p.Log())
+			return fmt.Errorf("processtest: await readiness: the process has exited: %w\n%s", p.exitErr, p.Log())
 		}
 		status, _, err := p.AdminCall(http.MethodGet, "/control/ready")
 		if err == nil && status == http.StatusOK {
 			return nil
 		}
 	}
-	return fmt.Errorf("processtest: await ready: %w\n%s", ErrTimeout, p.Log())
+	return fmt.Errorf("processtest: await readiness: %w\n%s", ErrTimeout, p.Log())
 }
--- a/internal/testbed/processtest/recorder.go
+++ b/internal/testbed/processtest/recorder.go
@@ -9,45 +9,45 @@
 	"pewterline/internal/testbed/faults"
 )
 
-// Options say how a script is played.
+// Options configure a play.
 type Options struct {
-	Program  string // the path of the program, as Build returns it
-	Settings json.RawMessage
-	Calls    bool                             // the requests of one class call a vault, which has faults of its own
-	Log      func(format string, args ...any) // nil: events are not logged
+	Program   string // the path of the program, as Build returns it
+	Settings  json.RawMessage
+	CallVault bool                             // requests of one class call a vault with faults of its own
+	Log       func(format string, args ...any) // nil: events are not logged
 }
 
-// Outcome is what became of a play.
+// Outcome is the result of a play.
 type Outcome struct {
-	Violations    []string // of invariants, with all that is known of the request, events and the servers' logs
+	Violations    []string // of invariants, followed by the events and the servers' logs
 	Answered      int
 	Unanswered    int
 	Served        int
 	Rejected      int
-	Indeterminate int // answers that tell nothing of the request's effect
+	Indeterminate int // replies that leave open whether the request took effect
 	Upgrades      int
-	Starts        int // of processes
-	Calls         int // that the vault has read
+	Starts        int // processes started
+	Calls         int // received by the vault
 	DisksLost     int
 }
 
 // Recorder collects the events and the outcome of a play. It may be used from any goroutine.
 type Recorder struct {
-	began time.Time
-	log   func(format string, args ...any)
+	startedAt time.Time
+	log       func(format string, args ...any)
 
 	mu      sync.Mutex
 	outcome Outcome
 	events  []string
 }
 
-// NewRecorder returns a recorder of a play that begins now. log may be nil.
+// NewRecorder returns a recorder of a play that begins now. log is called with each event; it may be nil.
 func NewRecorder(log func(format string, args ...any)) *Recorder {
-	return &Recorder{began: time.Now(), log: log}
+	return &Recorder{startedAt: time.Now(), log: log}
 }
 
 // Elapsed returns the time since the play began.
-func (r *Recorder) Elapsed() time.Duration { return time.Since(r.began) }
+func (r *Recorder) Elapsed() time.Duration { return time.Since(r.startedAt) }
 
 // Eventf records an event with its time, and logs it.
 func (r *Recorder) Eventf(format string, args ...any) {
@@ -60,21 +60,21 @@
 	}
 }
 
-// Update changes the outcome.
+// Update applies a change to the outcome.
 func (r *Recorder) Update(change func(*Outcome)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	change(&r.outcome)
 }
 
-// Violatedf records the violation of an invariant, whose name begins the text.
-func (r *Recorder) Violatedf(format string, args ...any) {
+// Violationf records the violation of an invariant. The text begins with the name of the invariant.
+func (r *Recorder) Violationf(format string, args ...any) {
 	violation := fmt.Sprintf(format, args...)
 	r.Update(func(o *Outcome) { o.Violations = append(o.Violations, violation) })
 }
 
-// Finish returns the outcome. Where an invariant was violated, the events follow the violations, and then the lines
-// that serverLog returns.
+// Finish returns the outcome. If an invariant was violated, it appends the events and then the lines that serverLog
+// returns to the violations.
 func (r *Recorder) Finish(serverLog func() []string) Outcome {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -88,12 +88,12 @@
 	return r.outcome
 }
 
-// InjectFaults has each fault of a script happen at its time. It returns once the script's length has passed and all
-// faults are over.
+// InjectFaults calls inject for each fault of a script at the fault's time. It returns once the script's length has
+// passed and all calls have returned.
 func (r *Recorder) InjectFaults(script faults.Script, inject func(faults.Fault)) {
 	var injecting sync.WaitGroup
 	for _, fault := range script.Faults {
-		// InjectFaults owns these goroutines and waits for them: each ends with its fault.
+		// InjectFaults owns these goroutines and waits for them: each ends with its call of inject.
 		injecting.Go(func() {
 			r.sleepUntil(fault.At.Duration())
 			inject(fault)
@@ -103,4 +103,6 @@
 	injecting.Wait()
 }
 
-func (r *Recorder) sleepUntil(elapsed time.Duration) { time.Sleep(time.Until(r.began.Add(elapsed))) }
+func (r *Recorder) sleepUntil(elapsed time.Duration) {
+	time.Sleep(time.Until(r.startedAt.Add(elapsed)))
+}
--- a/internal/testbed/processtest/relay.go
+++ b/internal/testbed/processtest/relay.go
@@ -6,26 +6,25 @@
 	"time"
 )
 
-// Relay carries connections to an address and spoils them as it is told, each direction by itself: what goes wrong on a
-// network between two processes that both live.
+// Relay forwards connections to an address and injects network faults into each direction separately.
 type Relay struct {
 	listener net.Listener
 	target   string
 
 	mu         sync.Mutex
-	changed    *sync.Cond // of directions and closed
+	changed    *sync.Cond // signals a change of directions or closed
 	directions [2]directionFaults
-	open       map[net.Conn]net.Conn // accepted connections and those to the target
+	open       map[net.Conn]net.Conn // accepted connections, each with its connection to the target
 	closed     bool
 }
 
-// RelayDirection is a direction through a relay.
+// RelayDirection is a direction of data through a relay.
 type RelayDirection int
 
 // The directions.
 const (
-	Forward  RelayDirection = iota // from whoever connects
-	Backward                       // from the target
+	Forward  RelayDirection = iota // from the client to the target
+	Backward                       // from the target to the client
 )
 
 // String returns the name of the direction.
@@ -36,16 +35,16 @@
 	return "backward"
 }
 
-// neverCut is the cutAfter of a direction that is not to be cut.
+// neverCut is the value of cutAfter in a direction that is not cut.
 const neverCut = -1
 
-// directionFaults are what happens to the bytes of one direction.
+// directionFaults are the faults injected into one direction.
 type directionFaults struct {
-	hold      bool          // they wait, and go on in a burst
-	drop      bool          // they are lost, and the connection stays open
-	delay     time.Duration // each chunk comes so much later
-	bandwidth int           // bytes a second; 0: as fast as they come
-	cutAfter  int           // the connection breaks after so many more bytes; neverCut: it does not
+	hold      bool          // data is held back, and forwarded all at once later
+	drop      bool          // data is discarded, and the connection stays open
+	delay     time.Duration // added to each chunk
+	bandwidth int           // bytes a second; 0: unlimited
+	cutAfter  int           // bytes until the connection is closed; neverCut: it is not
 }
 
 // NewRelay opens a relay to an address. Close ends its goroutines.
@@ -66,9 +65,9 @@
 // Addr returns the address that the relay listens on.
 func (r *Relay) Addr() string { return r.listener.Addr().String() }
 
-// Close ends the relay and all connections that it carries.
+// Close closes the relay and all connections through it.
 func (r *Relay) Close() {
-	// Only a listener that is closed already fails to close.
+	// A failure needs no handling: it means that the listener is closed already.
 	_ = r.listener.Close()
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -77,7 +76,7 @@
 	r.changed.Broadcast()
 }
 
-// Break ends all connections that are open now.
+// Break closes all connections that are open now.
 func (r *Relay) Break() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -90,32 +89,33 @@
 	}
 }
 
-// Hold has nothing pass in the directions given; Heal lets it go on in a burst.
+// Hold holds back all data in the given directions. Heal forwards it all at once.
 func (r *Relay) Hold(directions ...RelayDirection) {
 	r.set(func(f *directionFaults) { f.hold = true }, directions...)
 }
 
-// Drop loses all that comes, as a black hole does.
+// Drop discards all data in the given directions while the connections stay open.
 func (r *Relay) Drop(directions ...RelayDirection) {
 	r.set(func(f *directionFaults) { f.drop = true }, directions...)
 }
 
-// AddLatency has all come later.
+// AddLatency delays all data in the given directions.
 func (r *Relay) AddLatency(delay time.Duration, directions ...RelayDirection) {
 	r.set(func(f *directionFaults) { f.delay = delay }, directions...)
 }
 
-// LimitBandwidth lets so many bytes a second pass.
+// LimitBandwidth limits the given directions to a bandwidth in bytes a second.
 func (r *Relay) LimitBandwidth(bandwidth int, directions ...RelayDirection) {
 	r.set(func(f *directionFaults) { f.bandwidth = bandwidth }, directions...)
 }
 
-// Cut breaks the next connection that sends so many more bytes: in the middle of a message, if need be.
+// Cut closes a connection once the given number of bytes has passed in a direction, even in the middle of a message. It
+// counts the bytes of all connections together, and takes effect once.
 func (r *Relay) Cut(after int, direction RelayDirection) {
 	r.set(func(f *directionFaults) { f.cutAfter = after }, direction)
 }
 
-// Heal ends all faults. What was dropped is lost.
+// Heal ends all faults. Data that was dropped stays lost.
 func (r *Relay) Heal() {
 	r.set(func(f *directionFaults) { *f = directionFaults{cutAfter: neverCut} }, Forward, Backward)
 }
@@ -129,7 +129,8 @@
 	r.changed.Broadcast()
 }
 
-// closeBoth closes both connections of a relayed one. Their peers see the end however they end.
+// closeBoth closes both connections of a relayed one. Failures need no handling: the peers detect the end of the
+// connections.
 func closeBoth(a, b net.Conn) {
 	_ = a.Close()
 	_ = b.Close()
--- a/internal/testbed/processtest/relay_conn.go
+++ b/internal/testbed/processtest/relay_conn.go
@@ -6,13 +6,14 @@
 )
 
 const (
-	// relayChunkSize is the most that a relay reads at once.
+	// relayChunkSize is the buffer size of a relay's read, in bytes.
 	relayChunkSize = 16 << 10
-	// maxQueuedChunks bounds what a direction holds; beyond it the sender has to wait, as at a full window.
+	// maxQueuedChunks bounds the queue of a direction. Beyond it the relay reads no more, so that the sender blocks as
+	// it does on a full TCP window.
 	maxQueuedChunks = 1024
 )
 
-// chunk is what was read at once, and when it is due.
+// chunk is the data of one read, and the time at which it is due to be forwarded.
 type chunk struct {
 	data []byte
 	due  time.Time
@@ -29,11 +30,11 @@
 	}
 }
 
-// relay carries an accepted connection to the target until it ends.
+// relay forwards an accepted connection to the target until it ends.
 func (r *Relay) relay(accepted net.Conn) {
-	dialed, err := net.DialTimeout("tcp", r.target, Patience)
+	dialed, err := net.DialTimeout("tcp", r.target, WaitTimeout)
 	if err != nil {
-		// The connection ends as a refused one does, only later.
+		// The target refuses connections. A failure to close needs no handling: the client detects the end.
 		_ = accepted.Close()
 		return
 	}
@@ -49,7 +50,7 @@
 	r.mu.Unlock()
 }
 
-// register keeps an open connection for Break and Close; false: the relay is closed.
+// register adds an open connection for Break and Close to close. It returns false if the relay is closed.
 func (r *Relay) register(accepted, dialed net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -60,14 +61,14 @@
 	return true
 }
 
-// carry carries the bytes of one direction until either connection ends or it is cut, and closes both.
+// carry forwards the data of one direction until either connection ends or the direction is cut, and closes both.
 func (r *Relay) carry(from, to net.Conn, direction RelayDirection) {
 	queue := make(chan chunk, maxQueuedChunks)
-	// carry owns this goroutine: closing from ends it.
+	// carry owns this goroutine; it ends when from is closed.
 	go r.readChunks(from, direction, queue)
 	defer func() {
 		closeBoth(from, to)
-		for range queue { // The reader may wait for room.
+		for range queue { // The reader may be blocked on a full queue.
 		}
 	}()
 	for next := range queue {
@@ -87,7 +88,7 @@
 	}
 }
 
-// readChunks reads a connection to its end, and closes the queue.
+// readChunks queues the data of a connection until the connection ends, and closes the queue.
 func (r *Relay) readChunks(from net.Conn, direction RelayDirection, queue chan<- chunk) {
 	defer close(queue)
 	for {
@@ -108,8 +109,8 @@
 	return r.directions[direction].delay
 }
 
-// pass waits while a direction is held. It returns what passes of the data, the faults of the direction, and whether
-// the connection ends after it.
+// pass waits while a direction is held. It returns the part of the data to forward, the faults of the direction, and
+// whether to close the connection afterwards.
 func (r *Relay) pass(data []byte, direction RelayDirection) (passed []byte, faults directionFaults, end bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/testbed/processtest/relay_test.go
+++ b/internal/testbed/processtest/relay_test.go
@@ -12,7 +12,7 @@
 	"pewterline/internal/testbed/faults"
 )
 
-// relayedPair returns a connection through a relay, both of its ends.
+// relayedPair returns both ends of a connection through a relay.
 func relayedPair(t *testing.T) (relay *Relay, client, server net.Conn) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -27,7 +27,7 @@
 	require.NoError(t, err)
 	t.Cleanup(func() { closeBoth(client, server) })
 	for _, conn := range []net.Conn{client, server} {
-		require.NoError(t, conn.SetReadDeadline(time.Now().Add(Patience)))
+		require.NoError(t, conn.SetReadDeadline(time.Now().Add(WaitTimeout)))
 	}
 	return relay, client, server
 }
@@ -46,17 +46,17 @@
 	require.Equal(t, want, string(got))
 }
 
-// requireNothing requires that nothing can be read for a moment.
+// requireNothing requires that no data arrives within 20 ms.
 func requireNothing(t *testing.T, conn net.Conn, reason string) {
 	t.Helper()
 	require.NoError(t, conn.SetReadDeadline(time.Now().Add(20*time.Millisecond)))
 	_, err := conn.Read(make([]byte, 1))
 	require.ErrorIs(t, err, os.ErrDeadlineExceeded, reason)
-	require.NoError(t, conn.SetReadDeadline(time.Now().Add(Patience)))
+	require.NoError(t, conn.SetReadDeadline(time.Now().Add(WaitTimeout)))
 }
 
-// Each fault does what its name says, in its direction alone.
-func TestRelay(t *testing.T) {
+// Guards against a fault of the relay having no effect, or affecting the other direction as well.
+func TestRelayFaults(t *testing.T) {
 	relay, client, server := relayedPair(t)
 	requireWrite(t, client, "one")
 	requireRead(t, server, "one")
@@ -85,5 +85,5 @@
 	_, err := server.Read(make([]byte, 1))
 	require.Error(t, err, "cut in the middle")
 	_, err = relay.Apply(faults.Fault{Kind: faults.TrafficSurge})
-	require.ErrorContains(t, err, "no fault of a relay")
+	require.ErrorContains(t, err, "not a fault of a relay")
 }
--- a/internal/testbed/processtest/request.go
+++ b/internal/testbed/processtest/request.go
@@ -9,24 +9,24 @@
 	"pewterline/internal/protocol/thrift"
 )
 
-// keyedClass is the class of the settings whose requests have an idempotency key.
+// keyedClass is the class whose requests carry an idempotency key.
 const keyedClass = "lot-intake"
 
-// lastRequestID numbers the requests of all connections: a server tells requests apart by their IDs, so that no two
-// connections of a test process may give out the same one.
+// lastRequestID is the number of the latest request on any connection. A server identifies requests by their IDs, so
+// they must be unique across all connections of a test process.
 var lastRequestID atomic.Uint64
 
 // Request is a request of a proxy.
 type Request struct {
 	Class     string
-	Key       string // its idempotency key; "": none
+	Key       string // the idempotency key; "": none
 	Body      string
 	ArrivedAt time.Time // at the proxy
-	Retry     bool      // it is not the first attempt
+	Retry     bool      // whether this is not the first attempt
 }
 
-// NewKeyedRequest returns the first attempt of a request with an idempotency key, which is its body too. It arrives
-// now.
+// NewKeyedRequest returns the first attempt of a request that arrives now. The key is both its idempotency key and its
+// body.
 func NewKeyedRequest(key string) Request {
 	return Request{Class: keyedClass, Key: key, Body: key, ArrivedAt: time.Now()}
 }
--- a/internal/testbed/processtest/runlog.go
+++ b/internal/testbed/processtest/runlog.go
@@ -10,18 +10,18 @@
 
 // RunRecord is one run at a worker pool.
 type RunRecord struct {
-	ID    string
-	Pool  *Pool
-	Began time.Time
+	ID        string
+	Pool      *Pool
+	StartedAt time.Time
 }
 
-// RunLog records what the worker pools of all processes of a server or a cluster have run.
+// RunLog records the runs at the worker pools of all processes of a server or a cluster.
 type RunLog struct {
-	// NamedResults has the results name the run that made them. It is set before any run.
-	NamedResults bool
+	// ResultsIncludeRunID makes each result include the ID of its run. It must be set before the first run.
+	ResultsIncludeRunID bool
 
 	mu   sync.Mutex
-	runs map[string][]RunRecord // by body
+	runs map[string][]RunRecord // by request body
 }
 
 // NewRunLog returns an empty run log.
@@ -30,19 +30,19 @@
 func (l *RunLog) record(body, id string, pool *Pool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.runs[body] = append(l.runs[body], RunRecord{ID: id, Pool: pool, Began: time.Now()})
+	l.runs[body] = append(l.runs[body], RunRecord{ID: id, Pool: pool, StartedAt: time.Now()})
 }
 
-// Runs returns the runs with a body.
+// Runs returns the runs of the requests with a body.
 func (l *RunLog) Runs(body string) []RunRecord {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return slices.Clone(l.runs[body])
 }
 
-// runsBefore returns the runs with a body that began before a time.
+// runsBefore returns the runs of the requests with a body that began before a time.
 func (l *RunLog) runsBefore(body string, at time.Time) []RunRecord {
-	return slices.DeleteFunc(l.Runs(body), func(r RunRecord) bool { return !r.Began.Before(at) })
+	return slices.DeleteFunc(l.Runs(body), func(r RunRecord) bool { return !r.StartedAt.Before(at) })
 }
 
 func (l *RunLog) all() map[string][]RunRecord {
@@ -51,7 +51,7 @@
 	return maps.Clone(l.runs)
 }
 
-// DuplicateRuns describes the bodies that ran more than once.
+// DuplicateRuns describes the request bodies that ran more than once, one entry for each.
 func (l *RunLog) DuplicateRuns() (duplicates []string) {
 	for body, runs := range l.all() {
 		if len(runs) > 1 {
--- a/internal/testbed/processtest/server.go
+++ b/internal/testbed/processtest/server.go
@@ -13,7 +13,7 @@
 	"syscall"
 )
 
-// What the configuration of each process says where a test does not change it.
+// Default configuration values of each process.
 const (
 	defaultName = "n0"
 	configSeed  = "8c1f30d27a5be964"
@@ -21,26 +21,26 @@
 	socketLimit = 512
 )
 
-// Server is one server, of which several processes may be alive at once: an upgrade starts a second one.
+// Server is one server. Several processes of it may run at once: an upgrade starts a second one.
 type Server struct {
 	Program         string // the path of the program, as Build returns it
-	Dir             string // the temporary folder of its processes
+	Dir             string // the working and temporary folder of its processes
 	Listen          string
 	Settings        json.RawMessage
 	StopMS          int
 	MemoryMB        int
 	Name            string // "": n0
-	StoreFile       string // the file that describes a store of record; "": none
-	ReplicationFile string // the file that describes a cluster; "": the server does not replicate
-	VaultAddress    string // for settings under which requests call a vault; "": none
+	StoreFile       string // the configuration file of the store of record; "": none
+	ReplicationFile string // the replication file; "": the server does not replicate
+	VaultAddress    string // of the vault that requests call; "": none
 	RunLog          *RunLog
 
 	mu        sync.Mutex
-	processes []*Process // all that were started, oldest first
+	processes []*Process // all processes started, oldest first
 }
 
-// Start starts a process with a worker pool of its own. change may alter the configuration before it is written; it may
-// also put in what the program has to reject. The process lives until it ends by itself or Close kills it.
+// Start starts a process with a worker pool of its own. change may alter the configuration before it is written, also
+// to one that the program has to reject. The process runs until it exits by itself or Close kills it.
 func (s *Server) Start(change func(config map[string]any)) (*Process, error) {
 	admin, err := FreeAddress()
 	if err != nil {
@@ -97,7 +97,8 @@
 	return config
 }
 
-// command returns the command of a process, with an environment in which no setting of the caller's own is left.
+// command returns the command of a process. Its environment overrides all settings of the program that the environment
+// of the test contains.
 func (s *Server) command(process *Process) *exec.Cmd {
 	command := exec.Command(s.Program)
 	command.Env = append(os.Environ(),
@@ -117,14 +118,14 @@
 	return command
 }
 
-// Processes returns all processes that were started, oldest first.
+// Processes returns all processes started so far, oldest first.
 func (s *Server) Processes() []*Process {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.processes)
 }
 
-// Close kills all processes that are left. It is an error if one does not end.
+// Close kills all processes that still run. It returns an error if one does not exit.
 func (s *Server) Close() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -133,7 +134,7 @@
 		if process.Ended() {
 			continue
 		}
-		// A process that has ended meanwhile cannot be signalled; Wait tells whether it has.
+		// Signal fails if the process has just exited; Wait reports whether it has.
 		_ = process.Signal(syscall.SIGKILL)
 		err := process.Wait()
 		var exit *exec.ExitError
--- a/internal/testbed/processtest/settings.go
+++ b/internal/testbed/processtest/settings.go
@@ -10,14 +10,14 @@
 const (
 	// callDownstream is the value of the setting "downstream" under which requests call a vault.
 	callDownstream = "tier"
-	// longRetentionMS outlasts any play, however slow the machine is.
+	// longRetentionMS is a retention window longer than any play, even on a slow machine.
 	longRetentionMS = 600_000
-	// amplePlayMemoryKB is enough for all keys of a play: with less, they fill the memory long before a play is over, and
-	// what is rejected never runs twice.
+	// amplePlayMemoryKB is enough memory for all keys of a play. With less, the keys would fill the memory long before
+	// the end of a play; the server would then reject requests, and a rejected request cannot reveal a duplicate run.
 	amplePlayMemoryKB = 16e6
 )
 
-// callSettings are the parts of the settings that tell which requests call a vault.
+// callSettings are the parts of the settings that determine which requests call a vault.
 type callSettings struct {
 	Classes []classSettings `json:"classes"`
 	Extra   extraSettings   `json:"extra"`
@@ -31,10 +31,10 @@
 // extraSettings are the parts of the extra settings that this package reads.
 type extraSettings struct {
 	Downstream string `json:"downstream"`
-	ClassCalls []bool `json:"class_calls"` // by the place of the class
+	ClassCalls []bool `json:"class_calls"` // by the index of the class
 }
 
-// callingClasses returns the classes whose requests call the vault; none for settings that cannot be read.
+// callingClasses returns the classes whose requests call the vault. It returns none for settings that it cannot parse.
 func callingClasses(settings json.RawMessage) (names []string) {
 	var parsed callSettings
 	if json.Unmarshal(settings, &parsed) != nil || parsed.Extra.Downstream != callDownstream {
@@ -48,7 +48,7 @@
 	return names
 }
 
-// vaultFor opens a vault where requests call one under the settings; else it returns nil.
+// vaultFor opens a vault if requests call one under the settings. Otherwise it returns nil.
 func vaultFor(settings json.RawMessage) (*Vault, error) {
 	if len(callingClasses(settings)) == 0 {
 		return nil, nil
@@ -56,7 +56,7 @@
 	return NewVault()
 }
 
-// WithCalls returns settings under which requests of some classes call the vault.
+// WithCalls returns a copy of the settings under which requests of the given classes call the vault.
 func WithCalls(settings json.RawMessage, classes ...string) (json.RawMessage, error) {
 	var document map[string]any
 	if err := json.Unmarshal(settings, &document); err != nil {
@@ -71,15 +71,15 @@
 	}
 	extra, _ := document["extra"].(map[string]any)
 	if extra == nil {
-		return nil, errors.New("processtest: settings: no extra")
+		return nil, errors.New("processtest: settings: extra is missing")
 	}
 	extra["downstream"] = callDownstream
 	extra["class_calls"] = calls
 	return json.Marshal(document)
 }
 
-// LongRetention returns settings whose retention windows outlast any play, with memory for all its keys. Settings that
-// cannot be read come back as they are: the program names what is wrong with them.
+// LongRetention returns a copy of the settings with retention windows longer than any play and memory for all its keys.
+// It returns settings that it cannot parse unchanged: the program reports the error.
 func LongRetention(settings json.RawMessage) json.RawMessage {
 	var document map[string]any
 	if err := json.Unmarshal(settings, &document); err != nil {
--- a/internal/testbed/processtest/vault.go
+++ b/internal/testbed/processtest/vault.go
@@ -9,40 +9,40 @@
 	"pewterline/internal/protocol/vault"
 )
 
-// callBuffer is far more than any test waits for; what comes beyond it is not told.
-const callBuffer = 1 << 16
+// callBufferSize exceeds the number of calls that any test awaits. Events beyond it are discarded.
+const callBufferSize = 1 << 16
 
-// Vault is a vault at an address of its own. The reply to a call is "kept " and the call's body.
+// Vault is a vault that listens on an address of its own. The reply to a call is "kept " and the call's body.
 type Vault struct {
 	address   string
-	asked     chan *Call
-	abandoned chan string // IDs of calls that the server has given up
-
-	mu         sync.Mutex
-	listener   net.Listener // nil: connections are refused
-	conns      map[*vaultConn]bool
-	lastConn   int
-	drawStatus func(*Call) vault.Status // of the replies
-	duration   time.Duration            // of a call; 0: it is answered at once
-	holdsCalls bool
-	calls      []*Call          // all of them, in their order
-	open       map[string]*Call // by ID
+	received  chan *Call
+	abandoned chan string // IDs of calls that the server has abandoned
+
+	mu           sync.Mutex
+	listener     net.Listener // nil: connections are refused
+	conns        map[*vaultConn]bool
+	lastConn     int
+	chooseStatus func(*Call) vault.Status // of the reply to a call
+	duration     time.Duration            // of a call; 0: calls are answered at once
+	holdsCalls   bool
+	calls        []*Call          // all calls received, in order
+	openCalls    map[string]*Call // not answered yet, by ID
 }
 
-// NewVault opens a vault that answers each call at once. Its goroutines end with Close and with their connections.
+// NewVault opens a vault that answers each call at once. Close ends its goroutines.
 func NewVault() (*Vault, error) {
-	// A port that no connection gets while connections are refused.
+	// A port from FreeAddress stays reserved for the vault while its listener is closed.
 	address, err := FreeAddress()
 	if err != nil {
 		return nil, err
 	}
 	v := &Vault{
-		address:    address,
-		asked:      make(chan *Call, callBuffer),
-		abandoned:  make(chan string, callBuffer),
-		conns:      map[*vaultConn]bool{},
-		drawStatus: func(*Call) vault.Status { return vault.Yes },
-		open:       map[string]*Call{},
+		address:      address,
+		received:     make(chan *Call, callBufferSize),
+		abandoned:    make(chan string, callBufferSize),
+		conns:        map[*vaultConn]bool{},
+		chooseStatus: func(*Call) vault.Status { return vault.Yes },
+		openCalls:    map[string]*Call{},
 	}
 	return v, v.AcceptConnections()
 }
@@ -50,24 +50,24 @@
 // Addr returns the address that the vault listens on.
 func (v *Vault) Addr() string { return v.address }
 
-// Close refuses connections and breaks those that are open.
+// Close refuses new connections and closes the open ones.
 func (v *Vault) Close() {
 	v.RejectConnections()
 	v.Break()
 }
 
-// RejectConnections has connections refused from now on; those that are open go on.
+// RejectConnections refuses new connections from now on. Open connections are not affected.
 func (v *Vault) RejectConnections() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if v.listener != nil {
-		// Only a listener that is closed already fails to close.
+		// A failure needs no handling: it means that the listener is closed already.
 		_ = v.listener.Close()
 		v.listener = nil
 	}
 }
 
-// Break breaks all connections, with the calls that are open on them.
+// Break closes all connections, which abandons the open calls on them.
 func (v *Vault) Break() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -76,7 +76,7 @@
 	}
 }
 
-// AcceptConnections has connections accepted again, at the same address, where they are refused.
+// AcceptConnections accepts connections again, at the same address, after RejectConnections.
 func (v *Vault) AcceptConnections() error {
 	v.mu.Lock()
 	accepting := v.listener != nil
@@ -96,46 +96,46 @@
 	return nil
 }
 
-// Hold has calls wait from now on for Reply, or for Release.
+// Hold leaves calls unanswered from now on, until Call.Reply or Release.
 func (v *Vault) Hold() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.holdsCalls = true
 }
 
-// Release answers all calls that wait, and those to come at once.
+// Release answers all open calls and ends the effect of Hold.
 func (v *Vault) Release() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.holdsCalls = false
-	for _, call := range v.open {
+	for _, call := range v.openCalls {
 		v.answer(call)
 	}
 }
 
-// Slow has each call from now on take a while.
-func (v *Vault) Slow(duration time.Duration) {
+// SetCallDuration sets the time from a call to its reply from now on.
+func (v *Vault) SetCallDuration(duration time.Duration) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.duration = duration
 }
 
-// AnswerWith sets how the statuses of the replies are drawn from now on.
-func (v *Vault) AnswerWith(drawStatus func(*Call) vault.Status) {
+// SetReplyStatus sets the function that chooses the status of each reply from now on.
+func (v *Vault) SetReplyStatus(drawStatus func(*Call) vault.Status) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.drawStatus = drawStatus
+	v.chooseStatus = drawStatus
 }
 
 // NextCall waits for the next call.
-func (v *Vault) NextCall() (*Call, error) { return receive(v.asked, "a call to the vault") }
+func (v *Vault) NextCall() (*Call, error) { return receive(v.received, "a call to the vault") }
 
-// NextAbandoned waits until the server gives up a call, and returns its ID.
-func (v *Vault) NextAbandoned() (id string, err error) {
-	return receive(v.abandoned, "the server to give up a call")
+// NextAbandonedCall waits until the server abandons a call, and returns its ID.
+func (v *Vault) NextAbandonedCall() (id string, err error) {
+	return receive(v.abandoned, "an abandoned call to the vault")
 }
 
-// Calls returns copies of all calls that have come, in their order.
+// Calls returns copies of all calls received, in order.
 func (v *Vault) Calls() (calls []Call) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -145,16 +145,16 @@
 	return calls
 }
 
-// answer ends a call that is open.
+// answer replies to a call if it is still open.
 func (v *Vault) answer(call *Call) {
-	if v.open[call.ID] == call {
-		v.reply(call, v.drawStatus(call), fmt.Sprintf("kept %s", call.Body))
+	if v.openCalls[call.ID] == call {
+		v.reply(call, v.chooseStatus(call), fmt.Sprintf("kept %s", call.Body))
 	}
 }
 
 func (v *Vault) reply(call *Call, status vault.Status, body string) {
-	if v.open[call.ID] == call {
-		delete(v.open, call.ID)
+	if v.openCalls[call.ID] == call {
+		delete(v.openCalls, call.ID)
 	}
 	call.Status = status
 	sendTo(call.conn.conn, vault.AppendReply(nil, call.ID, status, []byte(body)))
--- a/internal/testbed/processtest/vault_call.go
+++ b/internal/testbed/processtest/vault_call.go
@@ -9,31 +9,32 @@
 	"pewterline/internal/protocol/vault"
 )
 
-// closeInterval is the pause between two looks whether the server has closed a connection.
-const closeInterval = time.Millisecond
+// closePollInterval is the pause between two checks whether the server has closed a connection.
+const closePollInterval = time.Millisecond
 
-// Call is one call that the vault was asked for.
+// Call is one call that the vault has received.
 type Call struct {
-	ID        string
-	Body      string
-	TimeoutMS int          // how long the server waits
-	Conn      int          // the number of its connection
-	Status    vault.Status // of the reply; 0: none. To be read of copies that Vault.Calls returns
+	ID         string
+	Body       string
+	TimeoutMS  int          // how long the server waits for the reply
+	ConnNumber int          // the number of its connection, from 1
+	Status     vault.Status // of the reply; 0: none. Read it only from the copies that Vault.Calls returns
 
 	vault *Vault
 	conn  *vaultConn
 }
 
-// Reply answers a call on its connection, even one that was given up: such a reply has crossed the end of its call.
+// Reply answers a call on its connection, even after the server has abandoned the call. This simulates a reply that was
+// in transit when the server abandoned the call.
 func (c *Call) Reply(status vault.Status, body string) {
 	c.vault.mu.Lock()
 	defer c.vault.mu.Unlock()
 	c.vault.reply(c, status, body)
 }
 
-// BreakReply breaks the connection of a call in the middle of its reply.
+// BreakReply closes the connection of a call in the middle of its reply.
 func (c *Call) BreakReply() {
-	// The reply goes without the end of its body and its line end.
+	// The reply is cut before the last byte of its body and its line end.
 	const missing = 3
 	c.vault.mu.Lock()
 	defer c.vault.mu.Unlock()
@@ -42,25 +43,25 @@
 	c.conn.close()
 }
 
-// CloseConn closes the connection of a call, and returns once the server has closed it as well: all that was sent on it
-// has been read by then.
+// CloseConn closes the connection of a call, and returns once the server has closed it as well. By then the server has
+// read everything that was sent on the connection.
 func (c *Call) CloseConn() error {
 	tcp, ok := c.conn.conn.(*net.TCPConn)
 	if !ok {
-		return errors.New("processtest: close a connection to the vault: it is no TCP connection")
+		return errors.New("processtest: close a connection to the vault: not a TCP connection")
 	}
 	if err := tcp.CloseWrite(); err != nil {
 		return err
 	}
-	for until := time.Now().Add(Patience); time.Now().Before(until); time.Sleep(closeInterval) {
+	for until := time.Now().Add(WaitTimeout); time.Now().Before(until); time.Sleep(closePollInterval) {
 		if !c.vault.connected(c.conn) {
 			return nil
 		}
 	}
-	return fmt.Errorf("processtest: await the server to close a connection that the vault has closed: %w", ErrTimeout)
+	return fmt.Errorf("processtest: wait for the server to close a connection to the vault: %w", ErrTimeout)
 }
 
-// connected reports whether a connection has not ended.
+// connected reports whether a connection is still open.
 func (v *Vault) connected(c *vaultConn) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/internal/testbed/processtest/vault_conn.go
+++ b/internal/testbed/processtest/vault_conn.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	// vaultIdleTimeout is how long the vault keeps a connection on which no call is open.
+	// vaultIdleTimeout is how long the vault keeps a connection without open calls.
 	vaultIdleTimeout = 10 * time.Second
-	// vaultReadSize is the size of a read on a connection to the vault.
+	// vaultReadSize is the buffer size of a read on a connection to the vault, in bytes.
 	vaultReadSize = 64 << 10
 )
 
@@ -22,7 +22,7 @@
 	conn   net.Conn
 }
 
-// close closes the connection. The server sees its end however it ends.
+// close closes the connection. A failure needs no handling: the server detects the end of the connection.
 func (c *vaultConn) close() {
 	_ = c.conn.Close()
 }
@@ -38,7 +38,7 @@
 	}
 }
 
-// register numbers a connection.
+// register assigns a number to a connection and adds it to the open connections.
 func (v *Vault) register(conn net.Conn) *vaultConn {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -48,7 +48,7 @@
 	return registered
 }
 
-// serve reads a connection's commands to its end, which gives up every call on it.
+// serve executes the commands of a connection until the connection ends, which abandons every open call on it.
 func (v *Vault) serve(served *vaultConn) {
 	defer v.remove(served)
 	var buffer []byte
@@ -67,7 +67,7 @@
 			return
 		}
 		n, err := served.conn.Read(chunk)
-		if errors.Is(err, os.ErrDeadlineExceeded) && v.busy(served) {
+		if errors.Is(err, os.ErrDeadlineExceeded) && v.hasOpenCalls(served) {
 			continue
 		}
 		if err != nil {
@@ -81,19 +81,19 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	delete(v.conns, c)
-	for id, call := range v.open {
+	for id, call := range v.openCalls {
 		if call.conn == c {
-			delete(v.open, id)
+			delete(v.openCalls, id)
 		}
 	}
 	c.close()
 }
 
-// busy reports whether a call is open on a connection.
-func (v *Vault) busy(c *vaultConn) bool {
+// hasOpenCalls reports whether a call is open on a connection.
+func (v *Vault) hasOpenCalls(c *vaultConn) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	for _, call := range v.open {
+	for _, call := range v.openCalls {
 		if call.conn == c {
 			return true
 		}
@@ -109,18 +109,18 @@
 		return
 	}
 	call := &Call{
-		ID:        command.ID,
-		Body:      string(command.Body),
-		TimeoutMS: command.WaitMS,
-		Conn:      from.number,
-		vault:     v,
-		conn:      from,
+		ID:         command.ID,
+		Body:       string(command.Body),
+		TimeoutMS:  command.WaitMS,
+		ConnNumber: from.number,
+		vault:      v,
+		conn:       from,
 	}
 	v.calls = append(v.calls, call)
-	v.open[call.ID] = call // A second call of a request gives up the first.
+	v.openCalls[call.ID] = call // A second call with the same ID replaces the first.
 	select {
-	case v.asked <- call:
-	default: // No test waits for so many.
+	case v.received <- call:
+	default: // The buffer is full: no test awaits so many events.
 	}
 	switch {
 	case v.holdsCalls:
@@ -136,9 +136,9 @@
 }
 
 func (v *Vault) abandon(id string) {
-	delete(v.open, id)
+	delete(v.openCalls, id)
 	select {
 	case v.abandoned <- id:
-	default: // No test waits for so many.
+	default: // The buffer is full: no test awaits so many events.
 	}
 }
