--- a/cmd/pewterline/calls_test.go
+++ b/cmd/pewterline/calls_test.go
@@ -42,7 +42,7 @@
 	called(t, vault, "one")
 	old.Pool.Hold()
 	running := srv.ask(srv.dial(), "lot-intake", "k3", "three")
-	require.NoError(t, old.Pool.AwaitStart("three"))
+	require.NoError(t, old.Pool.AwaitRunStart("three"))
 	next := srv.start()
 	require.NoError(t, old.Signal(syscall.SIGTERM))
 	awaitLog(t, next, "has handed over")
--- a/cmd/pewterline/signals_test.go
+++ b/cmd/pewterline/signals_test.go
@@ -39,7 +39,7 @@
 	conn := srv.dial()
 	process.Pool.Hold()
 	running := srv.ask(conn, "lot-intake", "k1", "one")
-	require.NoError(t, process.Pool.AwaitStart("one"))
+	require.NoError(t, process.Pool.AwaitRunStart("one"))
 	require.NoError(t, process.Signal(syscall.SIGTERM))
 	for !strings.Contains(process.Log(), "server: draining") {
 		require.False(t, process.Ended())
--- a/cmd/pewterline/store_test.go
+++ b/cmd/pewterline/store_test.go
@@ -23,7 +23,7 @@
 	srv.served(srv.ask(c, "lot-intake", "k1", "one"), "one")
 	first.Pool.Hold()
 	srv.ask(c, "lot-intake", "k2", "two")
-	require.NoError(t, first.Pool.AwaitStart("two"))
+	require.NoError(t, first.Pool.AwaitRunStart("two"))
 	require.NoError(t, first.Signal(syscall.SIGKILL))
 	require.Error(t, first.Wait())
 	second := srv.start()
--- a/cmd/pewterline/upgrade_test.go
+++ b/cmd/pewterline/upgrade_test.go
@@ -78,7 +78,7 @@
 func (s *testServer) start() *processtest.Process {
 	p, err := s.Start(nil)
 	require.NoError(s.t, err)
-	require.NoError(s.t, p.Ready())
+	require.NoError(s.t, p.AwaitReady())
 	return p
 }
 
@@ -122,7 +122,7 @@
 	srv.served(srv.ask(c, "lot-intake", "k1", "one"), "one")
 	old.Pool.Hold()
 	running := srv.ask(c, "lot-intake", "k2", "two")
-	require.NoError(t, old.Pool.AwaitStart("two"))
+	require.NoError(t, old.Pool.AwaitRunStart("two"))
 	var fill []processtest.PendingRequest
 	for i := range 10 { // more than may run at once: the last are held
 		fill = append(fill, srv.ask(c, "lot-intake", fmt.Sprintf("f%d", i), fmt.Sprintf("fill%d", i)))
@@ -162,7 +162,7 @@
 			for _, k := range []string{"two", "three", "four"} { // the last is held: two may run at once
 				srv.ask(c, "lot-intake", k, k)
 			}
-			require.NoError(t, old.Pool.AwaitStart("two"))
+			require.NoError(t, old.Pool.AwaitRunStart("two"))
 			next := srv.start()
 			if handed {
 				require.NoError(t, old.Signal(syscall.SIGTERM))
@@ -284,7 +284,7 @@
 	old := srv.start()
 	old.Pool.Hold()
 	a := srv.ask(srv.dial(), "lot-intake", "k1", "one")
-	require.NoError(t, old.Pool.AwaitStart("one"))
+	require.NoError(t, old.Pool.AwaitRunStart("one"))
 	next := srv.start()
 	require.NoError(t, old.Signal(syscall.SIGTERM))
 	srv.failed(a)
@@ -329,7 +329,7 @@
 	start := func() *processtest.Process {
 		p, err := srv.Start(small)
 		require.NoError(t, err)
-		require.NoError(t, p.Ready())
+		require.NoError(t, p.AwaitReady())
 		return p
 	}
 	old := start()
@@ -365,7 +365,7 @@
 	old := srv.start()
 	old.Pool.Hold()
 	running := srv.ask(srv.dial(), "lot-intake", "k1", "one")
-	require.NoError(t, old.Pool.AwaitStart("one"))
+	require.NoError(t, old.Pool.AwaitRunStart("one"))
 	next := srv.start()
 	reload := func(process *processtest.Process, pool string) {
 		var set map[string]any
@@ -537,7 +537,7 @@
 		cfg["limits"] = map[string]any{"cores": 1.0, "memory_mb": 64, "sockets": 1200}
 	})
 	require.NoError(t, err)
-	require.NoError(t, process.Ready())
+	require.NoError(t, process.AwaitReady())
 	const slots, runTook = 2, 4 * time.Millisecond
 	process.Pool.SetRunDuration(slots, runTook)
 	const every = runTook / slots * 2 / 3 // one and a half times what the slots can do
@@ -591,7 +591,7 @@
 	old.Pool.Hold()
 	c := srv.dial()
 	running := srv.ask(c, "lot-intake", "k1", "one")
-	require.NoError(t, old.Pool.AwaitStart("one"))
+	require.NoError(t, old.Pool.AwaitRunStart("one"))
 	next := srv.start()
 	require.NoError(t, old.Signal(syscall.SIGTERM))
 	third, err := srv.Start(nil)
@@ -600,7 +600,7 @@
 	old.Pool.Release()
 	srv.served(running, "one")
 	require.NoError(t, old.Wait())
-	require.NoError(t, third.Ready())
+	require.NoError(t, third.AwaitReady())
 	require.NoError(t, next.Signal(syscall.SIGTERM))
 	require.NoError(t, next.Wait())
 	srv.served(srv.ask(srv.dial(), "lot-intake", "k1", "one"), "one") // known through two hand-overs
--- a/internal/server/calls_test.go
+++ b/internal/server/calls_test.go
@@ -41,7 +41,7 @@
 	safe := fixture.submitClass(safeClass)
 	fixture.nextCall(safe)
 	fixture.vault.RejectConnections()
-	fixture.vault.Break()
+	fixture.vault.CloseConnections()
 	fixture.requireFailed(once)
 	fixture.requireFailed(keyed)
 	fixture.vault.Release()
@@ -131,7 +131,7 @@
 
 	fixture.workers.Hold()
 	notYetCalling := fixture.submitClass(onceClass)
-	require.NoError(t, fixture.workers.AwaitStart("lot"))
+	require.NoError(t, fixture.workers.AwaitRunStart("lot"))
 	cancel(notYetCalling)
 	last := fixture.submitClass(keyedClass) // Read after the cancellation.
 	fixture.workers.Release()
@@ -151,8 +151,8 @@
 	for name, end := range map[string]func(*callFixture, *processtest.Call){
 		"failed":  func(_ *callFixture, call *processtest.Call) { call.Reply(vault.Failed, "") },
 		"overdue": func(_ *callFixture, call *processtest.Call) { call.Reply(vault.Overdue, "") },
-		"broken":  func(fixture *callFixture, _ *processtest.Call) { fixture.vault.Break() },
-		"halved":  func(_ *callFixture, call *processtest.Call) { call.BreakReply() },
+		"broken":  func(fixture *callFixture, _ *processtest.Call) { fixture.vault.CloseConnections() },
+		"halved":  func(_ *callFixture, call *processtest.Call) { call.TruncateReply() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			fixture := newCallFixture(t, nil)
@@ -193,7 +193,7 @@
 			fixture.nextCall(rejected)
 			fixture.requireServed(rejected, "kept call 1 of lot")
 			fixture.vault.RejectConnections()
-			fixture.vault.Break()
+			fixture.vault.CloseConnections()
 			refused := fixture.submitClass(class)
 			for reachable := true; reachable; {
 				fixture.onLoop(func() { reachable = fixture.srv.backends.vault.Status().Reachable })
@@ -238,10 +238,10 @@
 	fixture.vault.Hold()
 	blocked := fixture.submitClass(onceClass)
 	call := fixture.nextCall(blocked)
-	require.NoError(t, fixture.workers.AwaitStart("lot"))
+	require.NoError(t, fixture.workers.AwaitRunStart("lot"))
 	fixture.workers.Hold()
 	running := fixture.submitClass(keyedClass)
-	require.NoError(t, fixture.workers.AwaitStart("lot"))
+	require.NoError(t, fixture.workers.AwaitRunStart("lot"))
 
 	fixture.workers.Disconnect()
 	fixture.workers.Release() // The second run comes to its call.
--- a/internal/server/deep_check_test.go
+++ b/internal/server/deep_check_test.go
@@ -47,8 +47,8 @@
 	fixture.workers.Hold()
 	fixture.reconnect()
 	meanwhile := fixture.submitClass(safeClass)
-	require.NoError(t, fixture.workers.AwaitStart("lot")) // The run of the first request.
-	require.NoError(t, fixture.workers.AwaitStart("lot"))
+	require.NoError(t, fixture.workers.AwaitRunStart("lot")) // The run of the first request.
+	require.NoError(t, fixture.workers.AwaitRunStart("lot"))
 	stop := fixture.runClock()
 	for _, proxy := range waiting {
 		require.False(t, nextReply(proxy).Good)
--- a/internal/testbed/processtest/address_test.go
+++ b/internal/testbed/processtest/address_test.go
@@ -114,9 +114,9 @@
 // port would share its connections. Two processes that search from the same block on never get the same block.
 func TestProcessesHoldDifferentPortBlocks(t *testing.T) {
 	t.Parallel()
-	one := startPortHolder(t, 0)
-	other := startPortHolder(t, one.block(t))
-	require.NotEqual(t, one.block(t), other.block(t))
+	first := startPortHolder(t, 0)
+	second := startPortHolder(t, first.block(t))
+	require.NotEqual(t, first.block(t), second.block(t))
 }
 
 // Guards against running out of port blocks: the block of a killed process becomes free even while a child process of
@@ -141,20 +141,20 @@
 	block, err := reservePortBlock(0)
 	require.NoError(t, err)
 	t.Cleanup(func() { require.NoError(t, block.reservation.Close()) })
-	taken, err := block.freeAddress()
+	inUse, err := block.freeAddress()
 	require.NoError(t, err)
-	listener, err := net.Listen("tcp", taken)
+	listener, err := net.Listen("tcp", inUse)
 	require.NoError(t, err)
 	t.Cleanup(func() { require.NoError(t, listener.Close()) })
 	first, err := block.freeAddress()
 	require.NoError(t, err)
-	given := []string{first}
-	for address := ""; address != first; given = append(given, address) {
+	allocated := []string{first}
+	for address := ""; address != first; allocated = append(allocated, address) {
 		address, err = block.freeAddress()
 		require.NoError(t, err)
-		require.NotContains(t, given[1:], address)
+		require.NotContains(t, allocated[1:], address)
 	}
-	require.Greater(t, len(given), blockSize/2) // other programs may use some of the ports
-	require.NotContains(t, given, taken)
-	require.NotContains(t, given, block.reservation.Addr().String())
+	require.Greater(t, len(allocated), blockSize/2) // other programs may use some of the ports
+	require.NotContains(t, allocated, inUse)
+	require.NotContains(t, allocated, block.reservation.Addr().String())
 }
--- a/internal/testbed/processtest/cluster.go
+++ b/internal/testbed/processtest/cluster.go
@@ -166,7 +166,7 @@
 	if err != nil {
 		return err
 	}
-	return process.Ready()
+	return process.AwaitReady()
 }
 
 // StartAll starts all servers, bootstraps their replication group, and waits until it is stable.
--- a/internal/testbed/processtest/cluster_faults.go
+++ b/internal/testbed/processtest/cluster_faults.go
@@ -31,9 +31,9 @@
 	}
 }
 
-// Isolate drops all data that a server sends to the others, both on connections that it opens and on those that it
+// DropOutgoing drops all data that a server sends to the others, both on connections that it opens and on those that it
 // accepts.
-func (c *Cluster) Isolate(id int) {
+func (c *Cluster) DropOutgoing(id int) {
 	for _, member := range c.Servers {
 		if member.ID != id {
 			c.RelayBetween(id, member.ID).Drop(Forward)
--- a/internal/testbed/processtest/cluster_fixture_test.go
+++ b/internal/testbed/processtest/cluster_fixture_test.go
@@ -25,8 +25,8 @@
 	return file.Settings
 }
 
-// faultyProgram builds the program with the tag faults, once for all tests.
-var faultyProgram = sync.OnceValues(func() (string, error) {
+// programWithFaults builds the program with the tag faults, once for all tests.
+var programWithFaults = sync.OnceValues(func() (string, error) {
 	dir, err := os.MkdirTemp("", "pwbin")
 	if err != nil {
 		return "", err
@@ -39,7 +39,7 @@
 		os.Exit(runPortHolder(start))
 	}
 	code := m.Run()
-	if path, err := faultyProgram(); err == nil {
+	if path, err := programWithFaults(); err == nil {
 		// A failure is harmless: the folder is below the system's temporary folder.
 		_ = os.RemoveAll(filepath.Dir(path))
 	}
@@ -55,7 +55,7 @@
 // startCluster starts a cluster whose servers form a replication group.
 func startCluster(t *testing.T, servers, replicas int, extraLines ...string) *testCluster {
 	t.Helper()
-	program, err := faultyProgram()
+	program, err := programWithFaults()
 	require.NoError(t, err)
 	cluster, err := NewCluster(ClusterConfig{
 		Program:    program,
--- a/internal/testbed/processtest/cluster_loss_test.go
+++ b/internal/testbed/processtest/cluster_loss_test.go
@@ -54,7 +54,7 @@
 	pool := cluster.Servers[0].Process().Pool
 	pool.Hold()
 	cluster.sendAsync("lot")
-	require.NoError(t, pool.AwaitStart("lot"))
+	require.NoError(t, pool.AwaitRunStart("lot"))
 	cluster.loseMachine(1)
 	pool.Release()
 	cluster.requireIndeterminate(2, "lot")
@@ -118,7 +118,7 @@
 	pool := cluster.Servers[0].Process().Pool
 	pool.Hold()
 	pending := cluster.sendAsync("lot")
-	require.NoError(t, pool.AwaitStart("lot"))
+	require.NoError(t, pool.AwaitRunStart("lot"))
 	require.NoError(t, cluster.Stall(1))
 	pool.Release()
 	cluster.requireIndeterminate(2, "lot") // after the request's own deadline: more than 4 s
@@ -157,9 +157,10 @@
 }
 
 // Guards against running requests without a majority, and against losing results when an operator forces the group to
-// continue. Without a majority, the remaining server rejects keyed requests but serves others. After the command force
-// it returns the results that it holds, does not run a request that may have run on a lost server, and records the
-// loss.
+// continue. Without a majority the remaining server rejects new keyed requests and does not return known results, which
+// no majority can confirm; it serves requests without a key. After the command force it returns the results that it
+// holds, does not run an unknown request before a retention window has passed, as the request may have run on a lost
+// server, and records the loss.
 func TestMajorityLost(t *testing.T) {
 	t.Parallel()
 	cluster := startCluster(t, 3, 3)
--- a/internal/testbed/processtest/clusterplay/history.go
+++ b/internal/testbed/processtest/clusterplay/history.go
@@ -41,7 +41,7 @@
 	seen := map[string]bool{}
 	for _, operation := range h.all() {
 		key := inputKey(operation.Input)
-		if outputOf(operation.Output).Kind == thrift.ReplyAnswer && !seen[key] {
+		if outputReply(operation.Output).Kind == thrift.ReplyAnswer && !seen[key] {
 			seen[key] = true
 			keys = append(keys, key)
 		}
@@ -55,8 +55,8 @@
 	return key
 }
 
-// outputOf returns the reply of an operation; porcupine stores outputs as any.
-func outputOf(output any) processtest.RequestOutcome {
+// outputReply returns the reply of an operation; porcupine stores outputs as any.
+func outputReply(output any) processtest.RequestOutcome {
 	outcome, _ := output.(processtest.RequestOutcome)
 	return outcome
 }
@@ -69,7 +69,7 @@
 	Init:      func() any { return "" },
 	Step: func(state, _, output any) (possible bool, next any) {
 		result, _ := state.(string)
-		outcome := outputOf(output)
+		outcome := outputReply(output)
 		switch outcome.Kind {
 		case thrift.ReplyAnswer:
 			return result == "" || result == outcome.Result, outcome.Result
--- a/internal/testbed/processtest/conn.go
+++ b/internal/testbed/processtest/conn.go
@@ -10,7 +10,7 @@
 	"pewterline/internal/protocol/thrift"
 )
 
-// connReadSize is the size of a read on a proxy's connection.
+// connReadSize is the buffer size of a read on a proxy's connection, in bytes.
 const connReadSize = 16 << 10
 
 // Conn is a connection of a proxy to a server. Its reading goroutine ends when either side closes the connection.
--- a/internal/testbed/processtest/errors.go
+++ b/internal/testbed/processtest/errors.go
@@ -10,7 +10,7 @@
 const WaitTimeout = 30 * time.Second
 
 // ErrTimeout reports that an awaited event did not occur within WaitTimeout.
-var ErrTimeout = errors.New("not within the time limit")
+var ErrTimeout = errors.New("timed out")
 
 // ErrConnectionEnded reports that a connection ended before the reply to a request arrived.
 var ErrConnectionEnded = errors.New("processtest: connection ended without a reply")
--- a/internal/testbed/processtest/measure/cost.go
+++ b/internal/testbed/processtest/measure/cost.go
@@ -118,13 +118,13 @@
 	var running sync.WaitGroup
 	for i := range callers {
 		// run owns the callers' goroutines and waits for them: they end at the load's deadline.
-		running.Go(func() { l.call(i) })
+		running.Go(func() { l.runCaller(i) })
 	}
 	running.Wait()
 }
 
-// call sends the requests of a caller one after the other until the load's deadline.
-func (l *costLoad) call(caller int) {
+// runCaller sends the requests of a caller one after the other until the load's deadline.
+func (l *costLoad) runCaller(caller int) {
 	conn, err := processtest.Dial(l.address)
 	if err != nil {
 		l.countNotServed()
@@ -133,7 +133,7 @@
 	defer conn.Close()
 	for request := 0; time.Now().Before(l.deadline); request++ {
 		began := time.Now()
-		if !serve(conn, fmt.Sprintf("lot %d/%d", caller, request)) {
+		if !sendKeyed(conn, fmt.Sprintf("lot %d/%d", caller, request)) {
 			l.countNotServed()
 			continue
 		}
@@ -141,8 +141,8 @@
 	}
 }
 
-// serve sends a request, and reports whether it was served.
-func serve(conn *processtest.Conn, key string) bool {
+// sendKeyed sends a request with an idempotency key, and reports whether it was served.
+func sendKeyed(conn *processtest.Conn, key string) bool {
 	pending, err := conn.Send(processtest.NewKeyedRequest(key))
 	if err != nil {
 		return false
--- a/internal/testbed/processtest/measure/loss.go
+++ b/internal/testbed/processtest/measure/loss.go
@@ -74,11 +74,11 @@
 	return load.seconds, lossErr
 }
 
-// loseServer kills the first server and removes its data after lostAt seconds, and restarts it after backAt seconds.
-func (l *lossLoad) loseServer(lostAt, backAt int) error {
-	l.sleepUntil(time.Duration(lostAt) * time.Second)
+// loseServer kills the first server and removes its data after lossAt seconds, and restarts it after restartAt seconds.
+func (l *lossLoad) loseServer(lossAt, restartAt int) error {
+	l.sleepUntil(time.Duration(lossAt) * time.Second)
 	err := errors.Join(l.cluster.Kill(1), l.cluster.Wipe(1))
-	l.sleepUntil(time.Duration(backAt) * time.Second)
+	l.sleepUntil(time.Duration(restartAt) * time.Second)
 	return errors.Join(err, l.cluster.Start(1))
 }
 
--- a/internal/testbed/processtest/measure/repair.go
+++ b/internal/testbed/processtest/measure/repair.go
@@ -27,8 +27,8 @@
 	Program           string // the path of the program, as processtest.Build returns it
 	Settings          json.RawMessage
 	Keys              int
-	KeysPerSecond     int // the repair's bound
-	MaxConcurrentKeys int // the repair's bound
+	KeysPerSecond     int // limit of the repair rate
+	MaxConcurrentKeys int // limit of the keys in repair at once
 }
 
 // RepairResult is the measured repair of a lost server's replicas.
@@ -63,7 +63,7 @@
 	if err := cluster.StartAll(); err != nil {
 		return result, err
 	}
-	fill(cluster, cfg.Keys)
+	fillCluster(cluster, cfg.Keys)
 	state, err := cluster.State(1)
 	if err != nil {
 		return result, err
@@ -84,12 +84,12 @@
 	return result, nil
 }
 
-// fill sends requests with the given number of keys to all servers. It ignores requests that are not served.
-func fill(cluster *processtest.Cluster, keys int) {
+// fillCluster sends requests with the given number of keys to all servers. It ignores requests that are not served.
+func fillCluster(cluster *processtest.Cluster, keys int) {
 	var last atomic.Int64
 	var callers sync.WaitGroup
 	for i := range repairCallers {
-		// fill owns the callers' goroutines and waits for them: they end after the last key.
+		// fillCluster owns the callers' goroutines and waits for them: they end after the last key.
 		callers.Go(func() {
 			conn, err := processtest.Dial(cluster.Servers[i%len(cluster.Servers)].Listen)
 			if err != nil {
@@ -97,7 +97,7 @@
 			}
 			defer conn.Close()
 			for n := last.Add(1); n <= int64(keys); n = last.Add(1) {
-				serve(conn, fmt.Sprintf("lot %d", n))
+				sendKeyed(conn, fmt.Sprintf("lot %d", n))
 			}
 		})
 	}
--- a/internal/testbed/processtest/play.go
+++ b/internal/testbed/processtest/play.go
@@ -135,7 +135,7 @@
 	if err != nil {
 		return err
 	}
-	if err := first.Ready(); err != nil {
+	if err := first.AwaitReady(); err != nil {
 		return err
 	}
 	// run owns the goroutines of the load and waits for them: they end once stopped is set.
--- a/internal/testbed/processtest/play_faults.go
+++ b/internal/testbed/processtest/play_faults.go
@@ -34,14 +34,14 @@
 
 // target returns the process that a fault affects, or nil if none runs.
 func (p *serverPlay) target(node string) *Process {
-	living := p.liveProcesses()
+	live := p.liveProcesses()
 	switch {
-	case len(living) == 0:
+	case len(live) == 0:
 		return nil
 	case node == oldestNode:
-		return living[0]
+		return live[0]
 	default:
-		return living[len(living)-1]
+		return live[len(live)-1]
 	}
 }
 
@@ -140,7 +140,7 @@
 		p.recorder.Eventf("start: %v", err)
 		return
 	}
-	if err := next.Ready(); err != nil {
+	if err := next.AwaitReady(); err != nil {
 		p.recorder.Eventf("the successor is not ready")
 		p.ensureRunning()
 		return
@@ -170,7 +170,7 @@
 		p.recorder.Eventf("start: %v", err)
 		return
 	}
-	if err := process.Ready(); err != nil {
+	if err := process.AwaitReady(); err != nil {
 		p.recorder.Eventf("not ready: %v", err)
 	}
 }
--- a/internal/testbed/processtest/play_vault.go
+++ b/internal/testbed/processtest/play_vault.go
@@ -33,7 +33,7 @@
 		if rng.IntN(2) == 0 {
 			p.vault.RejectConnections()
 		}
-		p.vault.Break()
+		p.vault.CloseConnections()
 		time.Sleep(time.Duration(rng.IntN(maxVaultDownMS)) * time.Millisecond)
 		if err := p.vault.AcceptConnections(); err != nil {
 			p.recorder.Eventf("vault: %v", err)
--- a/internal/testbed/processtest/pool.go
+++ b/internal/testbed/processtest/pool.go
@@ -180,8 +180,8 @@
 	p.runDuration = runDuration
 }
 
-// AwaitStart waits until the run of a request with a body has begun. It discards the starts of other runs.
-func (p *Pool) AwaitStart(body string) error {
+// AwaitRunStart waits until the run of a request with a body has begun. It discards the starts of other runs.
+func (p *Pool) AwaitRunStart(body string) error {
 	timeout := time.After(WaitTimeout)
 	for {
 		select {
--- a/internal/testbed/processtest/process.go
+++ b/internal/testbed/processtest/process.go
@@ -137,8 +137,8 @@
 	return response.StatusCode, string(text), errors.Join(err, response.Body.Close())
 }
 
-// Ready waits until the process reports that it accepts callers.
-func (p *Process) Ready() error {
+// AwaitReady waits until the process reports that it accepts callers.
+func (p *Process) AwaitReady() error {
 	for until := time.Now().Add(WaitTimeout); time.Now().Before(until); time.Sleep(readyPollInterval) {
 		if p.Ended() {
 			return fmt.Errorf("processtest: await readiness: the process has exited: %w\n%s", p.exitErr, p.Log())
--- a/internal/testbed/processtest/relay.go
+++ b/internal/testbed/processtest/relay.go
@@ -72,18 +72,18 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.closed = true
-	r.breakOpen()
+	r.closeOpen()
 	r.changed.Broadcast()
 }
 
-// Break closes all connections that are open now.
-func (r *Relay) Break() {
+// CloseConnections closes all connections that are open now.
+func (r *Relay) CloseConnections() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.breakOpen()
+	r.closeOpen()
 }
 
-func (r *Relay) breakOpen() {
+func (r *Relay) closeOpen() {
 	for accepted, dialed := range r.open {
 		closeBoth(accepted, dialed)
 	}
--- a/internal/testbed/processtest/relay_conn.go
+++ b/internal/testbed/processtest/relay_conn.go
@@ -34,7 +34,7 @@
 func (r *Relay) relay(accepted net.Conn) {
 	dialed, err := net.DialTimeout("tcp", r.target, WaitTimeout)
 	if err != nil {
-		// The target refuses connections. A failure to close needs no handling: the client detects the end.
+		// The target cannot be reached. A failure to close needs no handling: the client detects the end.
 		_ = accepted.Close()
 		return
 	}
@@ -43,14 +43,14 @@
 		return
 	}
 	// The connection owns this goroutine, which ends with it.
-	go r.carry(accepted, dialed, Forward)
-	r.carry(dialed, accepted, Backward)
+	go r.forward(accepted, dialed, Forward)
+	r.forward(dialed, accepted, Backward)
 	r.mu.Lock()
 	delete(r.open, accepted)
 	r.mu.Unlock()
 }
 
-// register adds an open connection for Break and Close to close. It returns false if the relay is closed.
+// register adds an open connection for CloseConnections and Close. It returns false if the relay is closed.
 func (r *Relay) register(accepted, dialed net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -61,10 +61,10 @@
 	return true
 }
 
-// carry forwards the data of one direction until either connection ends or the direction is cut, and closes both.
-func (r *Relay) carry(from, to net.Conn, direction RelayDirection) {
+// forward forwards the data of one direction until either connection ends or the direction is cut, and closes both.
+func (r *Relay) forward(from, to net.Conn, direction RelayDirection) {
 	queue := make(chan chunk, maxQueuedChunks)
-	// carry owns this goroutine; it ends when from is closed.
+	// forward owns this goroutine; it ends when from is closed.
 	go r.readChunks(from, direction, queue)
 	defer func() {
 		closeBoth(from, to)
--- a/internal/testbed/processtest/vault.go
+++ b/internal/testbed/processtest/vault.go
@@ -53,7 +53,7 @@
 // Close refuses new connections and closes the open ones.
 func (v *Vault) Close() {
 	v.RejectConnections()
-	v.Break()
+	v.CloseConnections()
 }
 
 // RejectConnections refuses new connections from now on. Open connections are not affected.
@@ -67,8 +67,8 @@
 	}
 }
 
-// Break closes all connections, which abandons the open calls on them.
-func (v *Vault) Break() {
+// CloseConnections closes all connections. The open calls on them get no reply.
+func (v *Vault) CloseConnections() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	for conn := range v.conns {
@@ -121,10 +121,10 @@
 }
 
 // SetReplyStatus sets the function that chooses the status of each reply from now on.
-func (v *Vault) SetReplyStatus(drawStatus func(*Call) vault.Status) {
+func (v *Vault) SetReplyStatus(chooseStatus func(*Call) vault.Status) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.chooseStatus = drawStatus
+	v.chooseStatus = chooseStatus
 }
 
 // NextCall waits for the next call.
--- a/internal/testbed/processtest/vault_call.go
+++ b/internal/testbed/processtest/vault_call.go
@@ -32,8 +32,8 @@
 	c.vault.reply(c, status, body)
 }
 
-// BreakReply closes the connection of a call in the middle of its reply.
-func (c *Call) BreakReply() {
+// TruncateReply sends only a part of the reply to a call, and closes its connection.
+func (c *Call) TruncateReply() {
 	// The reply is cut before the last byte of its body and its line end.
 	const missing = 3
 	c.vault.mu.Lock()
--- a/internal/testbed/processtest/vault_conn.go
+++ b/internal/testbed/processtest/vault_conn.go
@@ -48,7 +48,7 @@
 	return registered
 }
 
-// serve executes the commands of a connection until the connection ends, which abandons every open call on it.
+// serve executes the commands of a connection until it ends. The open calls on it then get no reply.
 func (v *Vault) serve(served *vaultConn) {
 	defer v.remove(served)
 	var buffer []byte
