--- a/internal/testbed/processtest/cluster.go
+++ b/internal/testbed/processtest/cluster.go
@@ -22,8 +22,8 @@
 // retryInterval is the pause between two attempts of Eventually.
 const retryInterval = 10 * time.Millisecond
 
-// Cluster is several servers that replicate to each other. Each is a real process, and reaches each other one through a
-// relay.
+// Cluster is several servers that replicate to each other. Each server is a real process. A relay forwards the
+// connections from each server to each other server.
 type Cluster struct {
 	Servers []*Member
 	RunLog  *RunLog // shared by all worker pools
--- a/internal/testbed/processtest/measure/cost.go
+++ b/internal/testbed/processtest/measure/cost.go
@@ -104,7 +104,7 @@
 	notServed int
 }
 
-// newCostLoad returns a load that ends at the given time from now.
+// newCostLoad returns a load that begins now and lasts for the given length.
 func newCostLoad(address string, length time.Duration) *costLoad {
 	return &costLoad{
 		address:   address,
--- a/internal/testbed/processtest/recorder.go
+++ b/internal/testbed/processtest/recorder.go
@@ -13,7 +13,7 @@
 type Options struct {
 	Program   string // the path of the program, as Build returns it
 	Settings  json.RawMessage
-	CallVault bool                             // requests of one class call a vault with faults of its own
+	CallVault bool                             // requests of one class call a vault that has faults as well
 	Log       func(format string, args ...any) // nil: events are not logged
 }
 
--- a/internal/testbed/processtest/relay.go
+++ b/internal/testbed/processtest/relay.go
@@ -21,7 +21,7 @@
 // RelayDirection is a direction of data through a relay.
 type RelayDirection int
 
-// The directions.
+// The directions, as seen from the relay's clients.
 const (
 	Forward  RelayDirection = iota // from the client to the target
 	Backward                       // from the target to the client
--- a/internal/testbed/processtest/server.go
+++ b/internal/testbed/processtest/server.go
@@ -39,8 +39,8 @@
 	processes []*Process // all processes started, oldest first
 }
 
-// Start starts a process with a worker pool of its own. change may alter the configuration before it is written, also
-// to one that the program has to reject. The process runs until it exits by itself or Close kills it.
+// Start starts a process with a worker pool of its own. change may alter the configuration before it is written, and
+// may make it invalid to test that the program rejects it. The process runs until it exits by itself or Close kills it.
 func (s *Server) Start(change func(config map[string]any)) (*Process, error) {
 	admin, err := FreeAddress()
 	if err != nil {
