--- a/cmd/pewterline/calls_test.go
+++ b/cmd/pewterline/calls_test.go
@@ -42,7 +42,7 @@
 	awaitCall(t, vault, "one")
 	old.Pool.Hold()
 	running := srv.sendRequest(srv.dial(), "lot-intake", "k3", "three")
-	require.NoError(t, old.Pool.AwaitStart("three"))
+	require.NoError(t, old.Pool.AwaitRunStart("three"))
 	next := srv.start()
 	require.NoError(t, old.Signal(syscall.SIGTERM))
 	awaitLog(t, next, "has handed over")
@@ -83,6 +83,6 @@
 	conn.Close()
 	require.NoError(t, process.Wait(), process.Log())
 	require.Len(t, vault.Calls(), len(open))
-	require.Empty(t, process.Pool.UnexpectedCommands())
+	require.Empty(t, process.Pool.UnexpectedReplies())
 	srv.requireNoDuplicateRuns()
 }
--- a/cmd/pewterline/upgrade_test.go
+++ b/cmd/pewterline/upgrade_test.go
@@ -79,7 +79,7 @@
 func (s *testServer) start() *processtest.Process {
 	p, err := s.Start(nil)
 	require.NoError(s.t, err)
-	require.NoError(s.t, p.Ready())
+	require.NoError(s.t, p.AwaitReady())
 	return p
 }
 
@@ -131,12 +131,12 @@
 		require.GreaterOrEqual(s.t, time.Since(conn.lastUsedAt), minIdleTimeout, "farewell on a connection that was not idle")
 		*conn = s.dialIdle()
 	}
-	if conn.SaidFarewell() {
+	if conn.FarewellReceived() {
 		reopen()
 	}
 	sentAt := time.Now()
 	reply, err := exchangeKeyed(conn.Conn, key)
-	if err != nil && conn.SaidFarewell() {
+	if err != nil && conn.FarewellReceived() {
 		reopen()
 		sentAt = time.Now()
 		reply, err = exchangeKeyed(conn.Conn, key)
@@ -167,7 +167,7 @@
 	srv.requireServed(srv.sendRequest(oldConn, "lot-intake", "k1", "one"), "one")
 	old.Pool.Hold()
 	running := srv.sendRequest(oldConn, "lot-intake", "k2", "two")
-	require.NoError(t, old.Pool.AwaitStart("two"))
+	require.NoError(t, old.Pool.AwaitRunStart("two"))
 	var queued []processtest.PendingRequest
 	for i := range 10 { // more than the maximum concurrency: the last are queued
 		queued = append(queued, srv.sendRequest(oldConn, "lot-intake", fmt.Sprintf("f%d", i), fmt.Sprintf("fill%d", i)))
@@ -208,7 +208,7 @@
 			for _, key := range []string{"two", "three", "four"} { // the last is queued: two may run at once
 				srv.sendRequest(oldConn, "lot-intake", key, key)
 			}
-			require.NoError(t, old.Pool.AwaitStart("two"))
+			require.NoError(t, old.Pool.AwaitRunStart("two"))
 			next := srv.start()
 			if handedOver {
 				require.NoError(t, old.Signal(syscall.SIGTERM))
@@ -332,7 +332,7 @@
 	old := srv.start()
 	old.Pool.Hold()
 	unfinished := srv.sendRequest(srv.dial(), "lot-intake", "k1", "one")
-	require.NoError(t, old.Pool.AwaitStart("one"))
+	require.NoError(t, old.Pool.AwaitRunStart("one"))
 	next := srv.start()
 	require.NoError(t, old.Signal(syscall.SIGTERM))
 	srv.requireFailed(unfinished)
@@ -376,7 +376,7 @@
 	start := func() *processtest.Process {
 		p, err := srv.Start(withSocketLimit)
 		require.NoError(t, err)
-		require.NoError(t, p.Ready())
+		require.NoError(t, p.AwaitReady())
 		return p
 	}
 	old := start()
@@ -412,7 +412,7 @@
 	old := srv.start()
 	old.Pool.Hold()
 	running := srv.sendRequest(srv.dial(), "lot-intake", "k1", "one")
-	require.NoError(t, old.Pool.AwaitStart("one"))
+	require.NoError(t, old.Pool.AwaitRunStart("one"))
 	next := srv.start()
 	reload := func(process *processtest.Process, pool string) {
 		var settings map[string]any
@@ -453,7 +453,7 @@
 func awaitLog(t *testing.T, p *processtest.Process, text string) {
 	t.Helper()
 	logged := func() bool { return strings.Contains(p.Log(), text) }
-	require.Eventually(t, logged, processtest.Patience, time.Millisecond, "%q in %s", text, processLog{p})
+	require.Eventually(t, logged, processtest.WaitTimeout, time.Millisecond, "%q in %s", text, processLog{p})
 }
 
 // processLog formats as the log of a process at the time of formatting.
@@ -501,7 +501,7 @@
 		require.NoError(t, current.Wait(), current.Log())
 		took = append(took, float64(time.Since(ready).Microseconds())/1000)
 		answered := func() bool { return load.answered.Load() > before }
-		require.Eventually(t, answered, processtest.Patience, time.Millisecond)
+		require.Eventually(t, answered, processtest.WaitTimeout, time.Millisecond)
 		current = next
 	}
 	load.end()
@@ -554,7 +554,7 @@
 		}
 		body := fmt.Sprintf("lot %d/%d", caller, n)
 		err := sendKeyed(conn, body)
-		if err != nil && conn.SaidFarewell() { // the request crossed the farewell: a proxy sends it once more
+		if err != nil && conn.FarewellReceived() { // the request crossed the farewell: a proxy sends it once more
 			if conn, err = processtest.Dial(l.listen); err == nil {
 				err = sendKeyed(conn, body)
 			}
@@ -592,9 +592,9 @@
 		cfg["limits"] = map[string]any{"cores": 1.0, "memory_mb": 64, "sockets": 1200}
 	})
 	require.NoError(t, err)
-	require.NoError(t, process.Ready())
+	require.NoError(t, process.AwaitReady())
 	const slots, runTook = 2, 4 * time.Millisecond
-	process.Pool.Slow(slots, runTook)
+	process.Pool.SetRunDuration(slots, runTook)
 	const interval = runTook / slots * 2 / 3 // 150% of the capacity of the slots
 	for i := range 1000 {
 		addr := srv.Listen
@@ -647,7 +647,7 @@
 	old.Pool.Hold()
 	conn := srv.dial()
 	running := srv.sendRequest(conn, "lot-intake", "k1", "one")
-	require.NoError(t, old.Pool.AwaitStart("one"))
+	require.NoError(t, old.Pool.AwaitRunStart("one"))
 	next := srv.start()
 	require.NoError(t, old.Signal(syscall.SIGTERM))
 	third, err := srv.Start(nil)
@@ -656,7 +656,7 @@
 	old.Pool.Release()
 	srv.requireServed(running, "one")
 	require.NoError(t, old.Wait())
-	require.NoError(t, third.Ready())
+	require.NoError(t, third.AwaitReady())
 	require.NoError(t, next.Signal(syscall.SIGTERM))
 	require.NoError(t, next.Wait())
 	srv.requireServed(srv.sendRequest(srv.dial(), "lot-intake", "k1", "one"), "one") // the key has passed two handoffs
@@ -678,7 +678,7 @@
 		require.Eventually(t, func() bool {
 			healthy, err := processtest.CheckHealth(srv.Listen)
 			return err == nil && healthy == want
-		}, processtest.Patience, time.Millisecond)
+		}, processtest.WaitTimeout, time.Millisecond)
 	}
 	call(old, "out-of-service")
 	next := srv.start()
--- a/internal/server/calls_test.go
+++ b/internal/server/calls_test.go
@@ -41,7 +41,7 @@
 	safe := fixture.submitClass(safeClass)
 	fixture.nextCall(safe)
 	fixture.vault.RejectConnections()
-	fixture.vault.Break()
+	fixture.vault.CloseConnections()
 	fixture.requireFailed(nonIdempotent)
 	fixture.requireFailed(keyed)
 	fixture.vault.Release()
@@ -106,7 +106,7 @@
 	require.NoError(t, fixture.proxy.conn.Close())
 	fixture.requireEnd()
 	require.Equal(t, 1, fixture.countCalls(waiting))
-	require.Empty(t, fixture.workers.UnexpectedCommands())
+	require.Empty(t, fixture.workers.UnexpectedReplies())
 }
 
 // No call is made for a cancelled request. When a client cancels its request, a call in flight is abandoned and its
@@ -132,7 +132,7 @@
 
 	fixture.workers.Hold()
 	notYetCalling := fixture.submitClass(nonIdempotentClass)
-	require.NoError(t, fixture.workers.AwaitStart("lot"))
+	require.NoError(t, fixture.workers.AwaitRunStart("lot"))
 	cancel(notYetCalling)
 	last := fixture.submitClass(keyedClass) // Read after the cancellation.
 	fixture.workers.Release()
@@ -152,8 +152,8 @@
 	for name, end := range map[string]func(*callFixture, *processtest.Call){
 		"failed":            func(_ *callFixture, call *processtest.Call) { call.Reply(vault.Failed, "") },
 		"overdue":           func(_ *callFixture, call *processtest.Call) { call.Reply(vault.Overdue, "") },
-		"connection broken": func(fixture *callFixture, _ *processtest.Call) { fixture.vault.Break() },
-		"reply cut off":     func(_ *callFixture, call *processtest.Call) { call.BreakReply() },
+		"connection broken": func(fixture *callFixture, _ *processtest.Call) { fixture.vault.CloseConnections() },
+		"reply cut off":     func(_ *callFixture, call *processtest.Call) { call.TruncateReply() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			fixture := newCallFixture(t, nil)
@@ -194,7 +194,7 @@
 			fixture.nextCall(rejected)
 			fixture.requireServed(rejected, "kept call 1 of lot")
 			fixture.vault.RejectConnections()
-			fixture.vault.Break()
+			fixture.vault.CloseConnections()
 			refused := fixture.submitClass(class)
 			for reachable := true; reachable; {
 				fixture.onLoop(func() { reachable = fixture.srv.backends.vault.Status().Reachable })
@@ -224,7 +224,7 @@
 	fixture.requireAbandoned(id)
 	second := fixture.nextCall(id)
 	stop()
-	require.NotEqual(t, first.Conn, second.Conn)
+	require.NotEqual(t, first.ConnNumber, second.ConnNumber)
 	first.Reply(vault.Yes, "of the first")
 	require.NoError(t, first.CloseConn())
 	second.Reply(vault.Yes, "of the second")
@@ -240,10 +240,10 @@
 	fixture.vault.Hold()
 	blocked := fixture.submitClass(nonIdempotentClass)
 	call := fixture.nextCall(blocked)
-	require.NoError(t, fixture.workers.AwaitStart("lot"))
+	require.NoError(t, fixture.workers.AwaitRunStart("lot"))
 	fixture.workers.Hold()
 	running := fixture.submitClass(keyedClass)
-	require.NoError(t, fixture.workers.AwaitStart("lot"))
+	require.NoError(t, fixture.workers.AwaitRunStart("lot"))
 
 	fixture.workers.Disconnect()
 	fixture.workers.Release() // The second run requests its call.
--- a/internal/server/deep_check_test.go
+++ b/internal/server/deep_check_test.go
@@ -27,18 +27,18 @@
 		stop()
 	}
 	requireWorking()
-	checksBefore := fixture.workers.Checks()
+	checksBefore := fixture.workers.CheckCount()
 	require.True(t, nextReply(fixture.sendProbe(true)).Good)
-	require.Equal(t, checksBefore, fixture.workers.Checks(), "a run that has just succeeded answers the check")
+	require.Equal(t, checksBefore, fixture.workers.CheckCount(), "a run that has just succeeded answers the check")
 	requireChecked(true)
-	require.Greater(t, fixture.workers.Checks(), checksBefore)
-	fixture.workers.AnswerChecksWith(pool.Fail)
+	require.Greater(t, fixture.workers.CheckCount(), checksBefore)
+	fixture.workers.SetCheckOutcome(pool.Fail)
 	requireChecked(false)
 
-	fixture.workers.AnswerChecksWith(0)
+	fixture.workers.SetCheckOutcome(0)
 	fixture.advance(stale)
 	const checks = 40
-	checksBefore = fixture.workers.Checks()
+	checksBefore = fixture.workers.CheckCount()
 	var waiting []*clientConn
 	for range checks {
 		waiting = append(waiting, fixture.sendProbe(true))
@@ -47,14 +47,14 @@
 	fixture.workers.Hold()
 	fixture.reconnect()
 	meanwhile := fixture.submitClass(safeClass)
-	require.NoError(t, fixture.workers.AwaitStart("lot")) // The run of the first request.
-	require.NoError(t, fixture.workers.AwaitStart("lot"))
+	require.NoError(t, fixture.workers.AwaitRunStart("lot")) // The run of the first request.
+	require.NoError(t, fixture.workers.AwaitRunStart("lot"))
 	stop := fixture.runClock()
 	for _, proxy := range waiting {
 		require.False(t, nextReply(proxy).Good)
 		require.NoError(t, proxy.conn.Close())
 	}
-	require.Less(t, fixture.workers.Checks()-checksBefore, checks)
+	require.Less(t, fixture.workers.CheckCount()-checksBefore, checks)
 
 	fixture.workers.Release()
 	fixture.requireServed(meanwhile, "kept call 1 of lot")
@@ -72,7 +72,7 @@
 	require.True(t, nextReply(deep).Good)
 	stop()
 
-	fixture.workers.AnswerChecksWith(pool.Pass)
+	fixture.workers.SetCheckOutcome(pool.Pass)
 	requireChecked(true)
 	fixture.workers.Freeze()
 	requireChecked(false)
