--- a/internal/testbed/invariant/ajp.go
+++ b/internal/testbed/invariant/ajp.go
@@ -6,14 +6,13 @@
 	"pewterline/internal/protocol/ajp"
 )
 
-// headerPrefix begins the headers in which an AJP request states the fields of the envelope.
+// headerPrefix begins the names of the headers that carry the fields of the envelope in an AJP request.
 const headerPrefix = "X-Relay-"
 
-// parseAJP takes one packet off the bytes, to the server (up) or from it, and returns its size; 0 where it is not
-// whole.
-func (o *Observer) parseAJP(conn *connState, in []byte, up bool) int {
+// parseAJP parses one packet, to the server (toListener) or to its caller, and returns its size; 0 if it is incomplete.
+func (o *Observer) parseAJP(conn *connState, in []byte, toListener bool) int {
 	sender := ajp.FromContainer
-	if up {
+	if toListener {
 		sender = ajp.FromServer
 	}
 	payload, size, err := ajp.SplitPacket(in, sender)
@@ -21,17 +20,17 @@
 	if payload == nil {
 		return 0
 	}
-	if up {
-		o.ajpPacketRead(conn, payload)
+	if toListener {
+		o.ajpPacketReceived(conn, payload)
 	} else {
 		o.ajpPacketWritten(conn, payload)
 	}
 	return size
 }
 
-// ajpPacketRead takes a packet of the web server's as it reaches the server: the head of a request, or a part of its
-// body.
-func (o *Observer) ajpPacketRead(conn *connState, payload []byte) {
+// ajpPacketReceived handles a packet from the web server when it reaches the server: the head of a request, or a part
+// of its body.
+func (o *Observer) ajpPacketReceived(conn *connState, payload []byte) {
 	if conn.currentRequest == nil && conn.requestHead.URI == "" {
 		if len(payload) == 0 || ajp.Code(payload[0]) != ajp.CodeForwardRequest {
 			return
@@ -59,15 +58,15 @@
 	}
 	head := conn.requestHead
 	header := func(name string) string { return head.Header(headerPrefix + name) }
-	conn.currentRequest = o.requestRead(conn, header, conn.body)
+	conn.currentRequest = o.requestReceived(conn, header, conn.body)
 }
 
-// ajpPacketWritten takes a packet of the server's as the server writes it.
+// ajpPacketWritten handles a packet to the web server when the server writes it.
 func (o *Observer) ajpPacketWritten(conn *connState, payload []byte) {
 	response, err := ajp.ParseResponse(payload)
 	if err != nil {
 		conn.broken = true
-		o.report(ruleLost, conn.server, nil, "an answer that cannot be read: %v", err)
+		o.report(ruleLost, conn.server, nil, "unreadable answer: %v", err)
 		return
 	}
 	switch response.Code {
@@ -83,11 +82,11 @@
 		if answered != nil {
 			o.requestAnswered(answered, ajpAnswerKind(conn.status), conn.result)
 		}
-	default: // the others carry nothing of an answer
+	default: // other packets are not part of an answer
 	}
 }
 
-// ajpAnswerKind is the kind of a final answer by AJP.
+// ajpAnswerKind returns the kind of a final answer with an HTTP status.
 func ajpAnswerKind(status int) string {
 	switch status {
 	case http.StatusOK:
--- a/internal/testbed/invariant/call_rules.go
+++ b/internal/testbed/invariant/call_rules.go
@@ -10,27 +10,27 @@
 )
 
 const (
-	// callGrace is how long a server may take to act on what has reached its machine: a turn of its loop, and what is
-	// read before.
+	// callGrace is how long a server may take to act on bytes that have reached its machine: a turn of its event loop
+	// and the input that it reads before.
 	callGrace = 100 * microtime.Millisecond
-	// maxUnread is how long what has reached a server's machine may lie there unread.
-	maxUnread = 20 * microtime.Millisecond
+	// maxReadDelay is how long bytes that have reached a server's machine may stay unread.
+	maxReadDelay = 20 * microtime.Millisecond
 )
 
-// judgeCallAddress judges that calls go to the address of the configuration, soon after it has changed.
-func (o *Observer) judgeCallAddress(made *call) {
+// checkCallAddress checks that a call goes to the configured address, with a grace period after a change of it.
+func (o *Observer) checkCallAddress(made *call) {
 	server := made.conn.server
 	since := o.world.Now() - server.callAddressSetAt - o.pausedSince(server, server.callAddressSetAt)
-	if server.callAddress != "" && made.conn.address != server.callAddress && since > maxUnread+microtime.Millisecond {
+	if server.callAddress != "" && made.conn.address != server.callAddress && since > maxReadDelay+microtime.Millisecond {
 		o.report(ruleCall, server, made.request,
 			"to another address: %s, where %s is configured", made.conn.address, server.callAddress)
 	}
 }
 
-// judgeCalledOnce judges that no call of a request that is not idempotent is made twice, unless the one before is
-// proven not to have run: turned away, or pointless. Whatever else ended it proves nothing. A refused connection has
-// no call on it.
-func (o *Observer) judgeCalledOnce(made *call) {
+// checkCalledOnce checks that no call of a request that is not idempotent is repeated, unless every earlier attempt
+// provably did not run: the vault replied notnow or pointless. Any other end leaves open whether the call ran. A
+// refused connection never carried a call.
+func (o *Observer) checkCalledOnce(made *call) {
 	if made.request == nil || o.classOf(made.request).Idempotency == control.Idempotent {
 		return
 	}
@@ -43,8 +43,8 @@
 	}
 }
 
-// judgeSingleOpenCall judges that a request has one call open at most.
-func (o *Observer) judgeSingleOpenCall(made *call) {
+// checkSingleOpenCall checks that a request has at most one open call.
+func (o *Observer) checkSingleOpenCall(made *call) {
 	for _, other := range made.conn.server.calls {
 		if other.id == made.id && other.open() {
 			o.report(ruleCall, made.conn.server, made.request, "two open: of request %s", made.id)
@@ -53,26 +53,26 @@
 	}
 }
 
-// judgeCallNeeded judges that no call is made for a request that has ended, but for what crosses on the wire.
-func (o *Observer) judgeCallNeeded(made *call) {
+// checkCallNeeded checks that no call is made for a request that has ended, unless the end may still have been unread.
+func (o *Observer) checkCallNeeded(made *call) {
 	if made.request == nil {
 		return
 	}
 	endedAt, ended := made.request.endKnown()
 	since := o.world.Now() - endedAt - o.pausedSince(made.conn.server, endedAt)
-	if ended && since > maxUnread {
+	if ended && since > maxReadDelay {
 		o.report(ruleCall, made.conn.server, made.request,
-			"for what is over: request %s, for %v", made.id, since.Duration())
+			"after the request's end: request %s, ended %v before", made.id, since.Duration())
 	}
 }
 
-// judgeCallAbandoned judges that an open call is given up soon once its request or its run has ended, or the time
-// stated for it has passed. A call that is reported counts as given up from then on.
-func (o *Observer) judgeCallAbandoned(server *serverState, made *call, now microtime.Time) {
+// checkCallAbandoned checks that an open call is cancelled soon after its request or its run has ended or its timeout
+// has passed. A call that was reported counts as abandoned, so that it is reported once.
+func (o *Observer) checkCallAbandoned(server *serverState, made *call, now microtime.Time) {
 	late := func(from microtime.Time) bool { return now > from+callGrace+o.pausedSince(server, from) }
 	if made.request != nil {
 		if endedAt, ended := made.request.endKnown(); ended && late(max(endedAt, made.askedAt)) {
-			o.report(ruleCall, server, made.request, "not given up: of request %s, which is over", made.id)
+			o.report(ruleCall, server, made.request, "not given up: of request %s, which has ended", made.id)
 			made.abandoned = true
 			return
 		}
@@ -81,16 +81,16 @@
 	case made.run != nil && made.run.endReceivedAt > 0 && late(max(made.run.endReceivedAt, made.askedAt)):
 		o.report(ruleCall, server, made.request, "not given up: of request %s, whose run has ended", made.id)
 	case late(made.askedAt + made.timeout):
-		o.report(ruleCall, server, made.request, "not given up: of request %s, by the time stated for it", made.id)
+		o.report(ruleCall, server, made.request, "not given up: of request %s, at the end of its timeout", made.id)
 	default:
 		return
 	}
 	made.abandoned = true
 }
 
-// judgeSupply judges, as it arrives at the worker pool, that what a run gets is the reply to the call that it waits
-// for, unchanged. What comes for a run that has ended, or once more, reaches no run.
-func (o *Observer) judgeSupply(server *serverState, command pool.Command) {
+// checkSupply checks a supply command when it arrives at the worker pool: it must carry, unchanged, the reply to the
+// call that the run waits for. The pool ignores a supply for a run that has ended and a repetition of the last one.
+func (o *Observer) checkSupply(server *serverState, command pool.Command) {
 	waiter, request := server.runs[command.ID], server.requests[command.ID]
 	if waiter != nil && waiter.ended {
 		o.noteSituation(server, "supply for a run that has ended")
@@ -105,7 +105,7 @@
 		if bytes.Equal(point.suppliedReply, command.Body) {
 			o.noteSituation(server, "supply again")
 		} else {
-			o.report(ruleCall, server, request, "another's reply: supplied to %s, which waits for none", command.ID)
+			o.report(ruleCall, server, request, "unexpected reply: supplied to %s, which waits for none", command.ID)
 		}
 		return
 	}
--- a/internal/testbed/invariant/calls.go
+++ b/internal/testbed/invariant/calls.go
@@ -13,15 +13,15 @@
 	"pewterline/internal/testbed/simnet"
 )
 
-// callPoint is where a run waits for a call.
+// callPoint is a point in a run at which it waits for a downstream call.
 type callPoint struct {
-	bodyHash      uint64  // of the call that the run asks for
+	bodyHash      uint64  // of the call that the run requests
 	waiting       bool    // no reply has been supplied yet
-	calls         []*call // made for it, oldest first
+	calls         []*call // attempts to make the call, oldest first
 	suppliedReply []byte
 }
 
-// lastCallPoint is the latest call that a run waits or waited for; nil: it has made none.
+// lastCallPoint returns the latest point at which a run waits or waited for a call; nil if it has requested none.
 func (r *run) lastCallPoint() *callPoint {
 	if len(r.callPoints) == 0 {
 		return nil
@@ -29,27 +29,27 @@
 	return r.callPoints[len(r.callPoints)-1]
 }
 
-// call is one call that a server has made, as seen at its machine.
+// call is one downstream call of a server, as observed at the server's machine.
 type call struct {
 	run       *run
 	point     *callPoint
-	request   *requestState // nil: of nothing that came to the server
-	id        string        // the request's
+	request   *requestState // nil if no request with that ID reached the server
+	id        string        // request ID
 	conn      *connState
 	askedAt   microtime.Time
-	timeout   microtime.Time // that the server has stated
-	status    vault.Status   // of the reply; 0: none
+	timeout   microtime.Time // stated in the call
+	status    vault.Status   // of the reply; 0 before it
 	reply     []byte
-	abandoned bool // given up, or its connection has ended
+	abandoned bool // cancelled by the server, or its connection has ended
 }
 
 // open reports whether the call still waits for its reply.
 func (c *call) open() bool { return c.status == 0 && !c.abandoned }
 
-// neverRan reports whether the call's end proves that it had no effect.
+// neverRan reports whether the reply proves that the call had no effect.
 func (c *call) neverRan() bool { return c.status == vault.NotNow || c.status == vault.Pointless }
 
-// attempts counts the calls for the same point so far.
+// attempts returns the number of calls made so far for the same call point.
 func (c *call) attempts() int {
 	if c.point == nil {
 		return 0
@@ -57,8 +57,8 @@
 	return len(c.point.calls)
 }
 
-// vaultBytes takes what passes on a server's connection to the vault, as the server writes it and as it reaches the
-// server.
+// vaultBytes parses the bytes on a server's connection to the vault, at the server's end: those that the server
+// writes and those that reach it.
 func (o *Observer) vaultBytes(conn *connState, event simnet.Event) {
 	switch {
 	case event.Kind == simnet.Written && event.Dialer:
@@ -68,12 +68,12 @@
 	}
 }
 
-// parseVaultCommand takes one command of a server off the bytes and returns its size; 0 where it is not whole.
+// parseVaultCommand parses one command from a server to the vault and returns its size; 0 if it is incomplete.
 func (o *Observer) parseVaultCommand(conn *connState, in []byte) int {
 	command, size, err := vault.ParseCommand(in)
 	conn.broken = err != nil
 	if conn.broken {
-		o.report(ruleCall, conn.server, nil, "a command that cannot be read: %v", err)
+		o.report(ruleCall, conn.server, nil, "unreadable command: %v", err)
 	}
 	if size > 0 && command.Verb == vault.Ask {
 		o.callWritten(conn, command)
@@ -83,7 +83,7 @@
 	return size
 }
 
-// parseVaultReply takes one reply of the vault off the bytes and returns its size; 0 where it is not whole.
+// parseVaultReply parses one reply of the vault and returns its size; 0 if it is incomplete.
 func (o *Observer) parseVaultReply(conn *connState, in []byte) int {
 	reply, size, err := vault.ParseReply(in)
 	conn.broken = err != nil
@@ -93,7 +93,7 @@
 	return size
 }
 
-// callWritten takes a call as the server writes it.
+// callWritten checks and records a call when the server writes it.
 func (o *Observer) callWritten(conn *connState, command vault.Command) {
 	server := conn.server
 	made := &call{
@@ -105,9 +105,9 @@
 		timeout: microtime.Time(command.WaitMS) * microtime.Millisecond,
 	}
 	o.noteCall(made, "call, for %v", made.timeout.Duration())
-	o.judgeSingleOpenCall(made)
-	o.judgeCallNeeded(made)
-	o.judgeCallAddress(made)
+	o.checkSingleOpenCall(made)
+	o.checkCallNeeded(made)
+	o.checkCallAddress(made)
 	if made.run == nil || len(made.run.callPoints) == 0 {
 		o.report(ruleCall, server, made.request, "for no run: %s", command.ID)
 	} else {
@@ -115,15 +115,15 @@
 		if made.point.bodyHash != xxhash.Sum64(command.Body) {
 			o.report(ruleCall, server, made.request, "body changed: of the call of %s", command.ID)
 		}
-		o.judgeCalledOnce(made)
+		o.checkCalledOnce(made)
 		made.point.calls = append(made.point.calls, made)
 	}
 	server.calls = append(server.calls, made)
 	o.noteSituation(server, fmt.Sprintf("call open%d drain%d tries%d",
-		orderOfMagnitude(len(server.calls)), o.drainPhase(server), made.attempts()))
+		countGroup(len(server.calls)), o.drainPhase(server), made.attempts()))
 }
 
-// callCancelled takes the command to give a call up, as the server writes it.
+// callCancelled records the cancellation of a call when the server writes it.
 func (o *Observer) callCancelled(conn *connState, id string) {
 	for _, made := range conn.server.calls {
 		if made.id == id && made.conn == conn && made.open() {
@@ -134,8 +134,8 @@
 	}
 }
 
-// callReplied takes a reply as it reaches the server. One for a call that the server has given up proves what it
-// says all the same.
+// callReplied records a reply when it reaches the server. The status of a reply to a call that the server has already
+// cancelled still counts, as it may prove that the call did not run.
 func (o *Observer) callReplied(conn *connState, reply vault.Reply) {
 	server := conn.server
 	index := slices.IndexFunc(server.calls, func(made *call) bool {
@@ -156,14 +156,14 @@
 	o.noteSituation(server, fmt.Sprintf("reply %s drain%d", reply.Status, o.drainPhase(server)))
 }
 
-// noteCall adds an event to the history of a call's request, where it has one.
+// noteCall adds an event to the history of a call's request, if the request is known.
 func (o *Observer) noteCall(made *call, format string, args ...any) {
 	if made.request != nil {
 		o.note(made.request, format, args...)
 	}
 }
 
-// vaultConnEnded says that a connection to the vault has ended at the server: that gives up what was open on it.
+// vaultConnEnded handles the end of a connection to the vault at the server: the calls open on it are abandoned.
 func (o *Observer) vaultConnEnded(conn *connState, event simnet.Event) {
 	if !event.Dialer {
 		return
@@ -176,14 +176,14 @@
 			abandoned++
 		}
 	}
-	o.noteSituation(conn.server, fmt.Sprintf("vault link down open%d why%d", orderOfMagnitude(abandoned), event.Cause))
+	o.noteSituation(conn.server, fmt.Sprintf("vault link down open%d why%d", countGroup(abandoned), event.Cause))
 }
 
-// runBlocked takes a run's notice that it waits for a call, as its worker pool sends it.
+// runBlocked handles the notice that a run waits for a call, when its worker pool sends it.
 func (o *Observer) runBlocked(server *serverState, message pool.Message) {
 	blocked := server.runs[message.ID]
 	if blocked == nil || blocked.ended || message.Notice <= server.lastBlockedNotice {
-		return // the same notice again
+		return // a repetition of the notice
 	}
 	server.lastBlockedNotice = message.Notice
 	blocked.callPoints = append(blocked.callPoints, &callPoint{bodyHash: xxhash.Sum64(message.Call), waiting: true})
@@ -193,7 +193,7 @@
 	}
 }
 
-// runUnblocked counts the run back in where it waited for a call.
+// runUnblocked counts a run as running again if it waited for a call.
 func (o *Observer) runUnblocked(server *serverState, blocked *run) {
 	if point := blocked.lastCallPoint(); point != nil && point.waiting {
 		point.waiting = false
@@ -201,7 +201,7 @@
 	}
 }
 
-// auditCalls looks at the calls that are open, and forgets those that are not.
+// auditCalls checks the open calls of a server and removes those that ended a while ago.
 func (o *Observer) auditCalls(server *serverState, now microtime.Time) {
 	server.calls = slices.DeleteFunc(server.calls, func(made *call) bool {
 		return !made.open() && now > made.askedAt+microtime.Second
@@ -211,7 +211,7 @@
 	}
 	for _, made := range server.calls {
 		if made.open() {
-			o.judgeCallAbandoned(server, made, now)
+			o.checkCallAbandoned(server, made, now)
 		}
 	}
 }
--- a/internal/testbed/invariant/connections.go
+++ b/internal/testbed/invariant/connections.go
@@ -8,39 +8,39 @@
 )
 
 const (
-	// poolPrefix begins the names of worker pools' nodes; the rest is the rest of the server's name.
+	// poolPrefix begins the name of a worker pool's node; the rest of the name is that of its server after serverPrefix.
 	poolPrefix = 'w'
 	// vaultPrefix begins the name of the vault's node.
 	vaultPrefix = 'v'
-	// strangerPrefix begins the names of nodes that are no part of the deployment.
-	strangerPrefix = 'x'
+	// externalPrefix begins the names of nodes that are not part of the deployment.
+	externalPrefix = 'x'
 	serverPrefix   = "s"
 )
 
-// Tap takes what happens on the network.
+// Tap processes a network event.
 func (o *Observer) Tap(event simnet.Event) {
 	switch event.Kind {
 	case simnet.Opened:
 		o.connOpened(event)
 	case simnet.ConnectAttempted:
 		o.connectAttempted(event)
-	case simnet.DatagramArrived: // no rule is about load reports and gossip
+	case simnet.DatagramArrived: // no rule covers load reports and gossip
 	case simnet.Written, simnet.Arrived, simnet.Closed, simnet.HalfClosed:
 		o.connEvent(event)
 	}
 }
 
-// connectAttempted notes that a server tries to reach its worker pool.
+// connectAttempted records a server's attempt to connect to its worker pool.
 func (o *Observer) connectAttempted(event simnet.Event) {
 	if server := o.servers[event.Node]; server != nil && event.Peer[0] == poolPrefix {
 		server.lastDialAt = event.At
 	}
-	if o.servers[event.Peer] == nil && event.Peer[0] == strangerPrefix {
+	if o.servers[event.Peer] == nil && event.Peer[0] == externalPrefix {
 		o.SituationCounts["tried nobody"]++
 	}
 }
 
-// connOpened takes a connection that has reached its peer.
+// connOpened starts to track a connection that has reached its peer.
 func (o *Observer) connOpened(event simnet.Event) {
 	host, port, _ := strings.Cut(event.Addr, "/")
 	conn := &connState{
@@ -66,13 +66,13 @@
 		conn.kind = ignoredConn
 	}
 	if conn.kind == poolConn {
-		conn.server.openLinks++
+		conn.server.openPoolConns++
 		o.noteSituation(conn.server, "link up")
 	}
 	o.conns[event.Conn] = conn
 }
 
-// connEvent takes what happens on a connection that was opened before.
+// connEvent dispatches an event on a tracked connection by the kind of the connection.
 func (o *Observer) connEvent(event simnet.Event) {
 	conn := o.conns[event.Conn]
 	if conn == nil {
@@ -93,8 +93,8 @@
 	}
 }
 
-// poolConnEvent takes what happens on a server's connection to its worker pool. The pool's end counts: what it
-// writes is what it has done, and what reaches it is what it has been told.
+// poolConnEvent handles an event on a server's connection to its worker pool. Commands and messages are parsed at the
+// pool's end, as the pool acts on the commands that reach it and reports what it has done when it writes.
 func (o *Observer) poolConnEvent(conn *connState, event simnet.Event) {
 	switch {
 	case event.Kind == simnet.Closed:
@@ -110,15 +110,15 @@
 	}
 }
 
-// callerConnEvent takes what happens on a caller's connection. The server's end counts.
+// callerConnEvent handles an event on a caller's connection. Its bytes are parsed at the server's end.
 func (o *Observer) callerConnEvent(conn *connState, event simnet.Event) {
 	switch {
 	case event.Kind == simnet.Closed:
 		o.callerConnEnded(conn, event)
 	case event.Kind == simnet.HalfClosed && (event.Dialer || event.Cause == simnet.CauseCut):
-		conn.callerLeft = true // who sends no more has left, as far as the server can tell
+		conn.callerLeft = true // a caller that has closed its sending side has left, as far as the server can tell
 	case event.Kind == simnet.HalfClosed:
-		// A server that sends no more answers nothing, and takes nothing that comes later.
+		// After closing its sending side, a server can answer nothing and processes no later request.
 		o.callerConnEnded(conn, event)
 		conn.broken = true
 	case event.Kind == simnet.Arrived && !event.Dialer:
@@ -128,7 +128,7 @@
 	}
 }
 
-// poolConnEnded takes the end of a connection to a worker pool.
+// poolConnEnded handles the end of a server's connection to its worker pool.
 func (o *Observer) poolConnEnded(conn *connState, event simnet.Event) {
 	if !event.Dialer {
 		return
@@ -137,13 +137,13 @@
 	if event.Cause == simnet.CauseCut && len(conn.fromPool) > 0 {
 		o.noteSituation(server, "link broke inside a notice")
 	}
-	if server.openLinks > 0 {
-		server.openLinks--
-		o.noteSituation(server, fmt.Sprintf("link down run%d", orderOfMagnitude(server.running)))
+	if server.openPoolConns > 0 {
+		server.openPoolConns--
+		o.noteSituation(server, fmt.Sprintf("link down run%d", countGroup(server.running)))
 	}
 }
 
-// callerConnEnded takes the end of a caller's connection.
+// callerConnEnded handles the end of a caller's connection.
 func (o *Observer) callerConnEnded(conn *connState, event simnet.Event) {
 	if !event.Dialer {
 		for _, request := range conn.server.open {
@@ -156,13 +156,13 @@
 		o.callerLeft(conn)
 		return
 	}
-	if event.Cause == simnet.CauseKilled { // ServerStopped judges what is owed then
+	if event.Cause == simnet.CauseKilled { // ServerStopped handles the unanswered requests then
 		return
 	}
-	o.judgeConnClosed(conn)
+	o.checkConnClosed(conn)
 }
 
-// callerLeft notes that a caller has left, or the network has cut it off.
+// callerLeft records that a caller has disconnected, or that the network has cut its connection.
 func (o *Observer) callerLeft(conn *connState) {
 	conn.callerLeft = true
 	owed := 0
@@ -172,17 +172,18 @@
 		}
 	}
 	o.noteSituation(conn.server,
-		fmt.Sprintf("caller left open%d drain%d", orderOfMagnitude(owed), o.drainPhase(conn.server)))
+		fmt.Sprintf("caller left open%d drain%d", countGroup(owed), o.drainPhase(conn.server)))
 }
 
-// parseStream takes bytes to the server's side of the protocol (up), or from it.
-func (o *Observer) parseStream(conn *connState, received []byte, up bool) {
+// parseStream parses bytes of a connection, to its listening side (toListener) or to its dialling side, and keeps an
+// incomplete message for the next call.
+func (o *Observer) parseStream(conn *connState, received []byte, toListener bool) {
 	if conn.broken {
 		return
 	}
-	pending := &conn.pendingOut
-	if up {
-		pending = &conn.pendingIn
+	pending := &conn.pendingToDialer
+	if toListener {
+		pending = &conn.pendingToListener
 	}
 	in := received
 	if len(*pending) > 0 {
@@ -191,7 +192,7 @@
 	}
 	parsed := 0
 	for !conn.broken {
-		size := o.parseMessage(conn, in[parsed:], up)
+		size := o.parseMessage(conn, in[parsed:], toListener)
 		if size == 0 {
 			break
 		}
@@ -205,22 +206,22 @@
 	}
 }
 
-// parseMessage takes one message off the bytes and returns its size; 0 where it is not whole.
-func (o *Observer) parseMessage(conn *connState, in []byte, up bool) int {
+// parseMessage parses one message and returns its size; 0 if it is incomplete.
+func (o *Observer) parseMessage(conn *connState, in []byte, toListener bool) int {
 	switch {
-	case conn.kind == poolConn && up:
+	case conn.kind == poolConn && toListener:
 		return o.parsePoolCommand(conn, in)
 	case conn.kind == poolConn:
 		return o.parsePoolMessage(conn, in)
-	case conn.kind == vaultConn && up:
+	case conn.kind == vaultConn && toListener:
 		return o.parseVaultCommand(conn, in)
 	case conn.kind == vaultConn:
 		return o.parseVaultReply(conn, in)
-	case conn.kind == thriftConn && up:
+	case conn.kind == thriftConn && toListener:
 		return o.parseThriftCall(conn, in)
 	case conn.kind == thriftConn:
 		return o.parseThriftReply(conn, in)
 	default:
-		return o.parseAJP(conn, in, up)
+		return o.parseAJP(conn, in, toListener)
 	}
 }
--- a/internal/testbed/invariant/counts.go
+++ b/internal/testbed/invariant/counts.go
@@ -1,18 +1,18 @@
 package invariant
 
-// Counts is what became of the requests of a class that an incarnation of a server has read, as its callers and its
-// worker pool saw it.
+// Counts holds the outcomes of the requests of one class at one incarnation of a server, as seen by its callers and
+// its worker pool.
 type Counts struct {
 	Served   int
 	Rejected int
 	Failed   int
-	Runs     int // that reached the worker pool
-	// Ambiguous are requests whose callers cancelled them or left: their answers may have crossed that, and been
-	// counted or not.
+	Runs     int // requests whose run command reached the worker pool
+	// Ambiguous counts requests whose callers cancelled them or disconnected. The server may or may not have counted
+	// their answers, which may have crossed the cancellation.
 	Ambiguous int
 }
 
-// add counts one request.
+// add counts one request by its outcome.
 func (c *Counts) add(request *requestState) {
 	switch {
 	case request.cancelled || request.conn.callerLeft || request.settled:
@@ -29,8 +29,8 @@
 	}
 }
 
-// CountsOf counts by class for the incarnation that a server is in. strayErrors are errors that answered what is no
-// request.
+// CountsOf returns the counts of a server's current incarnation by class. strayErrors is the number of errors in reply
+// to messages that were no requests.
 func (o *Observer) CountsOf(name string) (byClass map[string]Counts, strayErrors int) {
 	byClass = map[string]Counts{}
 	server := o.servers[name]
--- a/internal/testbed/invariant/drain_rules.go
+++ b/internal/testbed/invariant/drain_rules.go
@@ -4,12 +4,13 @@
 	"pewterline/internal/microtime"
 )
 
-// judgeStopped judges that a process that ends of itself, or is stopped after the drain notice, has answered all it
-// has read.
-func (o *Observer) judgeStopped(server *serverState, itself bool) {
+// checkStopped checks, if a process exited by itself, that it has answered every request that it had read. After its
+// end, no answer is required any more.
+func (o *Observer) checkStopped(server *serverState, exited bool) {
 	now := o.world.Now()
 	for _, request := range server.open {
-		if itself && request.isOwed() && now-request.arrivedAt > crossingGrace+o.pausedSince(server, request.arrivedAt) {
+		if exited && request.awaitsAnswer() &&
+			now-request.arrivedAt > crossingGrace+o.pausedSince(server, request.arrivedAt) {
 			o.report(ruleDrain, server, request,
 				"unanswered at the end: request %s was read %v before", request.id, (now - request.arrivedAt).Duration())
 		}
@@ -17,10 +18,10 @@
 	}
 }
 
-// judgeRunInDrain judges that nothing is run that came too long after the drain notice.
-func (o *Observer) judgeRunInDrain(server *serverState, request *requestState) {
+// checkRunInDrain checks that no request runs that arrived too long after the drain notice.
+func (o *Observer) checkRunInDrain(server *serverState, request *requestState) {
 	if server.drainSentAt != microtime.Never && request.arrivedAt > server.drainSentAt+o.Limits.DrainGrace+socketGrace {
-		o.report(ruleDrain, server, request, "run past the limit: request %s came %v after the notice",
+		o.report(ruleDrain, server, request, "run past the limit: request %s arrived %v after the notice",
 			request.id, (request.arrivedAt - server.drainSentAt).Duration())
 	}
 }
--- a/internal/testbed/invariant/health_checks.go
+++ b/internal/testbed/invariant/health_checks.go
@@ -7,24 +7,24 @@
 	"pewterline/internal/protocol/thrift"
 )
 
-// maxHealthCheckTime is how long a deep health check may be without an answer.
+// maxHealthCheckTime is the time within which a deep health check must be answered.
 const maxHealthCheckTime = 1500 * microtime.Millisecond
 
-// healthCheck is a deep health check that has reached a server and has no answer yet.
+// healthCheck is an unanswered deep health check that has reached a server.
 type healthCheck struct {
 	conn       *connState
 	sequenceID int32
 	arrivedAt  microtime.Time
 }
 
-// healthCheckRead takes a health check as it reaches the server.
-func (o *Observer) healthCheckRead(conn *connState, message thrift.Call) {
+// healthCheckReceived records a deep health check when it reaches the server.
+func (o *Observer) healthCheckReceived(conn *connState, message thrift.Call) {
 	if message.Deep && !conn.server.stopped {
 		conn.server.healthChecks = append(conn.server.healthChecks, healthCheck{conn, message.SequenceID, o.world.Now()})
 	}
 }
 
-// healthCheckAnswered takes the answer to a health check, as the server writes it.
+// healthCheckAnswered records the answer to a health check when the server writes it.
 func (o *Observer) healthCheckAnswered(conn *connState, reply thrift.Reply) {
 	server := conn.server
 	index := slices.IndexFunc(server.healthChecks, func(pending healthCheck) bool {
@@ -41,7 +41,7 @@
 	}
 }
 
-// auditHealthChecks judges that deep health checks are answered in time, whatever becomes of the worker pool.
+// auditHealthChecks checks that deep health checks are answered in time, in whatever state the worker pool is.
 func (o *Observer) auditHealthChecks(server *serverState, now microtime.Time) {
 	pending := server.healthChecks[:0]
 	for _, check := range server.healthChecks {
--- a/internal/testbed/invariant/observer.go
+++ b/internal/testbed/invariant/observer.go
@@ -11,51 +11,51 @@
 )
 
 const (
-	// socketGrace is how much longer every limit is than the settings say, for the way through the sockets.
+	// socketGrace extends every limit of the settings by the time that bytes spend in the sockets.
 	socketGrace = 50 * microtime.Millisecond
-	// crossingGrace is how long before a close a request may have arrived without the server having seen it.
+	// crossingGrace is how long before a close a request may have arrived without the server having read it.
 	crossingGrace = 50 * microtime.Millisecond
-	// reservedAfter is how long after its arrival a request counts as one that the server has reserved memory for.
-	reservedAfter = 100 * microtime.Millisecond
-	// auditInterval is the pause between two audits of what is tied to no single message.
+	// reservationDelay is how long after a request's arrival its server is assumed to have reserved memory for it.
+	reservationDelay = 100 * microtime.Millisecond
+	// auditInterval is the pause between two audits: checks that are not triggered by a message.
 	auditInterval = 50 * microtime.Millisecond
-	// defaultMaxViolations is how many violations are recorded unless the user of the observer says otherwise.
+	// defaultMaxViolations is the initial value of Observer.MaxViolations.
 	defaultMaxViolations = 5
 )
 
-// Limits are the figures of the settings that the rules need.
+// Limits are the settings and bounds that the rules check against.
 type Limits struct {
 	Settings              control.Settings
-	AnswerGrace           microtime.Time // past the time by which an answer is due
+	AnswerGrace           microtime.Time // after the time at which an answer is due
 	DrainGrace            microtime.Time // after the drain notice
 	Cores                 int
 	MaxConcurrencyPerCore float64        // multiple of the cores
-	MaxConcurrencyWindow  microtime.Time // over which concurrency is averaged
+	MaxConcurrencyWindow  microtime.Time // period over which concurrency is averaged
 	MemoryKB              float64
 	RunningMemoryFactor   float64 // memory of a running request, as a multiple of its size
-	WarmUpMinSpeed        float64 // share of the full speed at a cold start
+	WarmUpMinSpeed        float64 // fraction of full speed at a cold start
 	WarmUpTime            microtime.Time
-	Store                 bool // a store of record is on: what was answered outlives the server
+	Store                 bool // a store of record is in use: results outlive the server's process
 }
 
-// Observer checks one world. It is used on the world's goroutine alone.
+// Observer checks one simulated world. It must be used only on the goroutine that runs the world.
 type Observer struct {
 	Limits     Limits
 	Violations []Violation
-	// OnRequest, where it is set, is called for each request that an edge has got to a server: what a worker pool of the
-	// platform knows by itself.
+	// OnRequest, if set, is called for each request from an edge that has reached a server. The simulated worker pools
+	// learn of these requests by it, as real ones know requests from the platform.
 	OnRequest func(id, server, class string, body []byte)
-	// OnRequestEnded, where it is set, is called at the end of each such request.
+	// OnRequestEnded, if set, is called at the end of each request that was passed to OnRequest.
 	OnRequestEnded func(id string)
-	// MaxViolations is how many violations are recorded; further ones are dropped.
+	// MaxViolations is the maximum number of recorded violations; further ones are dropped.
 	MaxViolations int
 	// Answers counts final answers by kind: "served", "refused", "failed".
 	Answers map[string]int
-	// SituationCounts is how often each situation came about, faults aside.
+	// SituationCounts counts the occurrences of each situation, regardless of the faults in effect.
 	SituationCounts map[string]int
-	// Replies counts the vault's replies to calls by status.
+	// Replies counts the vault's replies by status.
 	Replies map[string]int
-	// Example is the history of the first request that was served after its run had made a call.
+	// Example is the history of the first served request whose run made a call.
 	Example []string
 
 	world          *simnet.World
@@ -64,17 +64,17 @@
 	servers        map[string]*serverState
 	serversInOrder []*serverState // in the order of their first start
 	conns          map[uint64]*connState
-	dueAnswers     []dueAnswer // sorted by time, as the deadlines of a class come in order
+	dueAnswers     []dueAnswer // sorted by time
 	nextAudit      microtime.Time
 	situations     map[faultsearch.Situation]struct{}
 	activeFaults   []activeFault
-	resultsMade    map[string]bool        // the results of all runs anywhere
-	runsByKey      map[string][]globalRun // by idempotency key, at any server
-	recordedRuns   map[string]*run        // by server and idempotency key: answered as served, in any incarnation
-	begunRuns      map[string]*run        // by server and idempotency key: reached the worker pool, in any incarnation
+	resultsMade    map[string]bool        // the results of all runs on all servers
+	runsByKey      map[string][]placedRun // by idempotency key, on all servers
+	recordedRuns   map[string]*run        // by server and idempotency key: runs of served requests, in any incarnation
+	startedRuns    map[string]*run        // by server and idempotency key: last runs started, in any incarnation
 }
 
-// New returns an observer of a world. Its Tap is for the network.
+// New returns an observer of a world. Its Tap must receive the events of the world's network.
 func New(world *simnet.World, limits Limits) *Observer {
 	observer := &Observer{
 		Limits:          limits,
@@ -88,9 +88,9 @@
 		conns:           map[uint64]*connState{},
 		situations:      map[faultsearch.Situation]struct{}{},
 		resultsMade:     map[string]bool{},
-		runsByKey:       map[string][]globalRun{},
+		runsByKey:       map[string][]placedRun{},
 		recordedRuns:    map[string]*run{},
-		begunRuns:       map[string]*run{},
+		startedRuns:     map[string]*run{},
 	}
 	for i, class := range limits.Settings.Classes {
 		observer.classIndex[class.Name] = i
@@ -98,7 +98,7 @@
 	return observer
 }
 
-// ServerStarted says that a server starts its incarnation of that number, with a worker pool of its own.
+// ServerStarted reports that a server starts an incarnation, with a worker pool of its own.
 func (o *Observer) ServerStarted(name string, incarnation int) {
 	started := &serverState{
 		name:        name,
@@ -119,41 +119,41 @@
 	o.noteSituation(started, fmt.Sprintf("boot life%d", min(incarnation, maxCountedIncarnation)))
 }
 
-// DrainSent says that the drain notice has been sent to a server.
+// DrainSent reports that the drain notice has been sent to a server.
 func (o *Observer) DrainSent(name string) {
 	if server := o.servers[name]; server.drainSentAt == microtime.Never {
 		server.drainSentAt = o.world.Now()
 	}
 }
 
-// ServerPaused says that a server's process stands still until a time, which is not counted against it.
+// ServerPaused reports that a server's process is paused until a time. Time limits are extended by the pause.
 func (o *Observer) ServerPaused(name string, until microtime.Time) {
 	server := o.servers[name]
-	server.pauses = append(server.pauses, span{o.world.Now(), until})
+	server.pauses = append(server.pauses, pauseInterval{o.world.Now(), until})
 }
 
-// ServerStopped says that a server's process is no more: it was killed, or it ended of itself.
-func (o *Observer) ServerStopped(name string, itself bool) {
+// ServerStopped reports that a server's process has exited by itself or was killed.
+func (o *Observer) ServerStopped(name string, exited bool) {
 	server := o.servers[name]
 	if server.stopped {
 		return
 	}
 	server.stopped = true
-	o.judgeStopped(server, itself)
+	o.checkStopped(server, exited)
 	server.open = nil
 }
 
-// CallsRoutedTo says that from now on a server's configuration has its calls go to an address of the vault.
+// CallsRoutedTo reports that a server's configuration now names this address of the vault for its calls.
 func (o *Observer) CallsRoutedTo(name, address string) {
 	server := o.servers[name]
 	server.callAddress = address
 	server.callAddressSetAt = o.world.Now()
 }
 
-// Check judges what is due by the clock; it is called after every step of the world.
+// Check applies the rules that depend on the time. It must be called after every step of the world.
 func (o *Observer) Check() {
 	now := o.world.Now()
-	o.judgeOverdue(now)
+	o.checkOverdue(now)
 	if now < o.nextAudit {
 		return
 	}
@@ -165,21 +165,21 @@
 	}
 }
 
-// auditServer judges what is not tied to one message.
+// auditServer applies the rules that no single message triggers.
 func (o *Observer) auditServer(server *serverState, now microtime.Time) {
-	o.judgeReconnect(server, now)
+	o.checkReconnect(server, now)
 	o.auditCalls(server, now)
 	o.auditHealthChecks(server, now)
-	o.judgeMemory(server, now)
-	o.judgeConcurrency(server, now)
+	o.checkMemory(server, now)
+	o.checkConcurrency(server, now)
 }
 
-// Unanswered counts the requests that are owed an answer anywhere.
+// Unanswered returns the number of requests on all servers that must still be answered.
 func (o *Observer) Unanswered() int {
 	count := 0
 	for _, server := range o.serversInOrder {
 		for _, request := range server.open {
-			if request.isOwed() {
+			if request.awaitsAnswer() {
 				count++
 			}
 		}
--- a/internal/testbed/invariant/observer_test.go
+++ b/internal/testbed/invariant/observer_test.go
@@ -13,150 +13,152 @@
 	"pewterline/internal/testbed/simnet"
 )
 
-// TestEachRule shows that each broken rule is seen, and that its like that breaks none is not.
+// TestEachRule checks that each rule reports its violation, and reports none in a similar case that is allowed.
 func TestEachRule(t *testing.T) {
-	playEach(t, 2000, []ruleCase{
-		{"served by its run", "", func(s *scene) {
-			n := s.ask("a", safeClass, "")
-			s.served(n, s.run("a", safeClass))
-		}},
-		{"never answered", "lost/unanswered", func(s *scene) { s.ask("a", safeClass, "") }},
-		{"given up and not answered", "", func(s *scene) { s.giveUp(s.ask("a", safeClass, "")) }},
-		{"given up and answered once", "", func(s *scene) {
-			n := s.ask("a", safeClass, "")
-			s.giveUp(n)
-			s.answer(thrift.AppendBroken(nil, n, nil))
-		}},
-		{"answered late", "lost/answered late", func(s *scene) {
-			n := s.askAgo("a", safeClass, "", 4*microtime.Second)
-			s.advance(140 * microtime.Millisecond)
-			s.world.Run(s.world.Now() + 100*microtime.Millisecond) // no step, so that nothing is judged meanwhile
-			s.answer(thrift.AppendBroken(nil, n, nil))
-		}},
-		{"stood still meanwhile", "", func(s *scene) {
-			n := s.ask("a", safeClass, "")
-			s.observer.ServerPaused("s0", s.world.Now()+6*microtime.Second)
-			s.advance(6100 * microtime.Millisecond)
-			s.answer(thrift.AppendBroken(nil, n, nil))
-		}},
-		{"answered twice", "duplicate/answered twice", func(s *scene) {
-			n := s.ask("a", safeClass, "")
-			s.served(n, s.run("a", safeClass))
-			s.answer(thrift.AppendBroken(nil, n, nil))
-		}},
-		{"answer to nothing", "duplicate/answer to nothing", func(s *scene) { s.served(9, nil) }},
-		{"unreadable", "lost/an answer that cannot be read", func(s *scene) { s.answer([]byte{0, 0, 0, 2, 1, 2}) }},
-		{"another's result", "result/served what no run made for it", func(s *scene) {
-			s.ask("a", safeClass, "")
-			n := s.ask("b", safeClass, "")
-			s.spawn("b", safeClass, "body")
-			s.served(n, s.run("a", safeClass))
-		}},
-		{"result before its run has ended", "result/served what no run made for it", func(s *scene) {
-			n := s.ask("a", safeClass, "")
-			s.spawn("a", safeClass, "body")
-			s.served(n, Result([]byte("body"), 1))
-		}},
-		{"another body", "result/body changed", func(s *scene) {
-			s.giveUp(s.ask("a", safeClass, ""))
-			s.spawn("a", safeClass, "bodi")
-		}},
-		{"another class", "result/class changed", func(s *scene) {
-			s.giveUp(s.ask("a", safeClass, ""))
-			s.spawn("a", keyedClass, "body")
-		}},
-		{"a repeat gets the result", "", func(s *scene) {
-			n, r := s.ask("a", keyedClass, "k"), s.run("a", keyedClass)
-			s.served(n, r)
-			s.served(s.ask("b", keyedClass, "k"), r)
-		}},
-		{"run twice", "duplicate/run twice within its window", func(s *scene) {
-			s.served(s.ask("a", keyedClass, "k"), s.run("a", keyedClass))
-			s.advance(9 * microtime.Second)
-			s.served(s.ask("b", keyedClass, "k"), s.run("b", keyedClass))
-		}},
-		{"run again after its window", "", func(s *scene) {
-			s.served(s.ask("a", keyedClass, "k"), s.run("a", keyedClass))
-			s.advance(11 * microtime.Second)
-			s.served(s.ask("b", keyedClass, "k"), s.run("b", keyedClass))
-		}},
-		{"the window counts from the try that ran", "duplicate/run twice within its window", func(s *scene) {
-			s.giveUp(s.ask("a", keyedClass, "k"))
-			s.advance(8 * microtime.Second)
-			s.served(s.ask("b", keyedClass, "k"), s.run("b", keyedClass))
-			s.advance(8 * microtime.Second)
-			s.served(s.ask("c", keyedClass, "k"), s.run("c", keyedClass))
-		}},
-		{"not started, so it may run", "", func(s *scene) {
-			s.giveUp(s.ask("a", keyedClass, "k"))
-			s.spawn("a", keyedClass, "body")
-			s.finish("a", pool.Noop)
-			s.served(s.ask("b", keyedClass, "k"), s.run("b", keyedClass))
-		}},
-		{"sent again after its end", "duplicate/run twice", func(s *scene) {
-			s.served(s.ask("a", keyedClass, "k"), s.run("a", keyedClass))
-			s.spawn("a", keyedClass, "body")
-		}},
-		{"sent again while it runs", "", func(s *scene) {
-			n := s.ask("a", keyedClass, "k")
-			s.spawn("a", keyedClass, "body")
-			s.served(n, s.run("a", keyedClass))
-		}},
-		{"on record, and run in a later life", "duplicate/run again though it is on record", func(s *scene) {
-			s.served(s.ask("a", keyedClass, "k"), s.run("a", keyedClass))
-			s.observer.ServerStopped("s0", false)
-			s.observer.ServerStarted("s0", 2)
-			s.open(laterWorkerConn, "w0/a", "s0")
-			s.open(callerConn, "s0/thrift", "p0")
-			s.sequenceID = 0
-			s.ask("b", keyedClass, "k")
-			s.event(laterWorkerConn, simnet.Arrived, "w0", "s0", false, pool.AppendSpawn(nil, "b", keyedClass, []byte("body")))
-		}},
-		{"refused after a run", "duplicate/refused after a run", func(s *scene) {
-			n := s.ask("a", safeClass, "")
-			s.run("a", safeClass)
-			s.answer(thrift.AppendThrottled(nil, n, nil))
-		}},
-		{"a repeat refused", "duplicate/refused though the intake ran", func(s *scene) {
-			s.served(s.ask("a", keyedClass, "k"), s.run("a", keyedClass))
-			s.answer(thrift.AppendThrottled(nil, s.ask("b", keyedClass, "k"), nil))
-		}},
-		{"refused", "", func(s *scene) { s.answer(thrift.AppendThrottled(nil, s.ask("a", keyedClass, "k"), nil)) }},
-		{"run past the drain's limit", "drain/run past the limit", func(s *scene) {
-			s.observer.DrainSent("s0")
-			s.advance(2600 * microtime.Millisecond)
-			s.served(s.ask("a", safeClass, ""), s.run("a", safeClass))
-		}},
-		{"run within the drain's limit", "", func(s *scene) {
-			s.observer.DrainSent("s0")
-			s.advance(2400 * microtime.Millisecond)
-			s.served(s.ask("a", safeClass, ""), s.run("a", safeClass))
-		}},
-		{"ended with a request open", "drain/unanswered at the end", func(s *scene) {
-			s.ask("a", safeClass, "")
-			s.advance(60 * microtime.Millisecond)
-			s.observer.ServerStopped("s0", true)
-		}},
-		{"killed with a request open", "", func(s *scene) {
-			s.ask("a", safeClass, "")
-			s.advance(60 * microtime.Millisecond)
-			s.observer.ServerStopped("s0", false)
-		}},
-		{"closed with a request open", "lost/closed by the server", func(s *scene) {
-			s.ask("a", safeClass, "")
-			s.advance(60 * microtime.Millisecond)
-			s.event(callerConn, simnet.Closed, "s0", "p0", false, nil)
-		}},
-		{"shut with a request open", "lost/closed by the server", func(s *scene) {
-			s.ask("a", safeClass, "")
-			s.advance(60 * microtime.Millisecond)
-			s.event(callerConn, simnet.HalfClosed, "s0", "p0", false, nil)
-		}},
-		{"cut by the network with a request open", "", func(s *scene) {
-			s.ask("a", safeClass, "")
-			s.advance(60 * microtime.Millisecond)
-			s.observer.Tap(simnet.Event{
-				At:    s.world.Now(),
+	runCases(t, 2000, []ruleCase{
+		{"served by its run", "", func(f *fixture) {
+			n := f.sendRequest("a", idempotentClass, "")
+			f.writeResult(n, f.completeRun("a", idempotentClass))
+		}},
+		{"never answered", "lost/unanswered", func(f *fixture) { f.sendRequest("a", idempotentClass, "") }},
+		{"cancelled and not answered", "", func(f *fixture) { f.cancelRequest(f.sendRequest("a", idempotentClass, "")) }},
+		{"cancelled and answered once", "", func(f *fixture) {
+			n := f.sendRequest("a", idempotentClass, "")
+			f.cancelRequest(n)
+			f.writeReply(thrift.AppendBroken(nil, n, nil))
+		}},
+		{"answered late", "lost/answered late", func(f *fixture) {
+			n := f.sendAgedRequest("a", idempotentClass, "", 4*microtime.Second)
+			f.advance(140 * microtime.Millisecond)
+			f.world.Run(f.world.Now() + 100*microtime.Millisecond) // no steps, so that nothing is checked meanwhile
+			f.writeReply(thrift.AppendBroken(nil, n, nil))
+		}},
+		{"answered late after a pause of the process", "", func(f *fixture) {
+			n := f.sendRequest("a", idempotentClass, "")
+			f.observer.ServerPaused("s0", f.world.Now()+6*microtime.Second)
+			f.advance(6100 * microtime.Millisecond)
+			f.writeReply(thrift.AppendBroken(nil, n, nil))
+		}},
+		{"answered twice", "duplicate/answered twice", func(f *fixture) {
+			n := f.sendRequest("a", idempotentClass, "")
+			f.writeResult(n, f.completeRun("a", idempotentClass))
+			f.writeReply(thrift.AppendBroken(nil, n, nil))
+		}},
+		{"answer to no request", "duplicate/answer to no request", func(f *fixture) { f.writeResult(9, nil) }},
+		{"unreadable answer", "lost/unreadable answer", func(f *fixture) { f.writeReply([]byte{0, 0, 0, 2, 1, 2}) }},
+		{"result of another request", "result/served what no run made for it", func(f *fixture) {
+			f.sendRequest("a", idempotentClass, "")
+			n := f.sendRequest("b", idempotentClass, "")
+			f.spawnRun("b", idempotentClass, "body")
+			f.writeResult(n, f.completeRun("a", idempotentClass))
+		}},
+		{"result before its run has ended", "result/served what no run made for it", func(f *fixture) {
+			n := f.sendRequest("a", idempotentClass, "")
+			f.spawnRun("a", idempotentClass, "body")
+			f.writeResult(n, Result([]byte("body"), 1))
+		}},
+		{"another body", "result/body changed", func(f *fixture) {
+			f.cancelRequest(f.sendRequest("a", idempotentClass, ""))
+			f.spawnRun("a", idempotentClass, "bodi")
+		}},
+		{"another class", "result/class changed", func(f *fixture) {
+			f.cancelRequest(f.sendRequest("a", idempotentClass, ""))
+			f.spawnRun("a", keyedClass, "body")
+		}},
+		{"retry gets the result", "", func(f *fixture) {
+			n, r := f.sendRequest("a", keyedClass, "k"), f.completeRun("a", keyedClass)
+			f.writeResult(n, r)
+			f.writeResult(f.sendRequest("b", keyedClass, "k"), r)
+		}},
+		{"run twice", "duplicate/run twice within its window", func(f *fixture) {
+			f.writeResult(f.sendRequest("a", keyedClass, "k"), f.completeRun("a", keyedClass))
+			f.advance(9 * microtime.Second)
+			f.writeResult(f.sendRequest("b", keyedClass, "k"), f.completeRun("b", keyedClass))
+		}},
+		{"run again after its window", "", func(f *fixture) {
+			f.writeResult(f.sendRequest("a", keyedClass, "k"), f.completeRun("a", keyedClass))
+			f.advance(11 * microtime.Second)
+			f.writeResult(f.sendRequest("b", keyedClass, "k"), f.completeRun("b", keyedClass))
+		}},
+		{"retention window starts at the attempt that ran", "duplicate/run twice within its window", func(f *fixture) {
+			f.cancelRequest(f.sendRequest("a", keyedClass, "k"))
+			f.advance(8 * microtime.Second)
+			f.writeResult(f.sendRequest("b", keyedClass, "k"), f.completeRun("b", keyedClass))
+			f.advance(8 * microtime.Second)
+			f.writeResult(f.sendRequest("c", keyedClass, "k"), f.completeRun("c", keyedClass))
+		}},
+		{"run after an attempt that was not started", "", func(f *fixture) {
+			f.cancelRequest(f.sendRequest("a", keyedClass, "k"))
+			f.spawnRun("a", keyedClass, "body")
+			f.finishRun("a", pool.Noop)
+			f.writeResult(f.sendRequest("b", keyedClass, "k"), f.completeRun("b", keyedClass))
+		}},
+		{"spawned again after its end", "duplicate/run twice", func(f *fixture) {
+			f.writeResult(f.sendRequest("a", keyedClass, "k"), f.completeRun("a", keyedClass))
+			f.spawnRun("a", keyedClass, "body")
+		}},
+		{"spawned again while it runs", "", func(f *fixture) {
+			n := f.sendRequest("a", keyedClass, "k")
+			f.spawnRun("a", keyedClass, "body")
+			f.writeResult(n, f.completeRun("a", keyedClass))
+		}},
+		{"recorded and run in a later incarnation", "duplicate/run again although recorded", func(f *fixture) {
+			f.writeResult(f.sendRequest("a", keyedClass, "k"), f.completeRun("a", keyedClass))
+			f.observer.ServerStopped("s0", false)
+			f.observer.ServerStarted("s0", 2)
+			f.openConn(laterWorkerConn, "w0/a", "s0")
+			f.openConn(callerConn, "s0/thrift", "p0")
+			f.sequenceID = 0
+			f.sendRequest("b", keyedClass, "k")
+			f.observe(laterWorkerConn, simnet.Arrived, "w0", "s0", false, pool.AppendSpawn(nil, "b", keyedClass, []byte("body")))
+		}},
+		{"refused after a run", "duplicate/refused after a run", func(f *fixture) {
+			n := f.sendRequest("a", idempotentClass, "")
+			f.completeRun("a", idempotentClass)
+			f.writeReply(thrift.AppendThrottled(nil, n, nil))
+		}},
+		{"retry refused after a run", "duplicate/refused after a run of its key", func(f *fixture) {
+			f.writeResult(f.sendRequest("a", keyedClass, "k"), f.completeRun("a", keyedClass))
+			f.writeReply(thrift.AppendThrottled(nil, f.sendRequest("b", keyedClass, "k"), nil))
+		}},
+		{"refused", "", func(f *fixture) {
+			f.writeReply(thrift.AppendThrottled(nil, f.sendRequest("a", keyedClass, "k"), nil))
+		}},
+		{"run past the drain's limit", "drain/run past the limit", func(f *fixture) {
+			f.observer.DrainSent("s0")
+			f.advance(2600 * microtime.Millisecond)
+			f.writeResult(f.sendRequest("a", idempotentClass, ""), f.completeRun("a", idempotentClass))
+		}},
+		{"run within the drain's limit", "", func(f *fixture) {
+			f.observer.DrainSent("s0")
+			f.advance(2400 * microtime.Millisecond)
+			f.writeResult(f.sendRequest("a", idempotentClass, ""), f.completeRun("a", idempotentClass))
+		}},
+		{"exited with a request open", "drain/unanswered at the end", func(f *fixture) {
+			f.sendRequest("a", idempotentClass, "")
+			f.advance(60 * microtime.Millisecond)
+			f.observer.ServerStopped("s0", true)
+		}},
+		{"killed with a request open", "", func(f *fixture) {
+			f.sendRequest("a", idempotentClass, "")
+			f.advance(60 * microtime.Millisecond)
+			f.observer.ServerStopped("s0", false)
+		}},
+		{"closed with a request open", "lost/closed by the server", func(f *fixture) {
+			f.sendRequest("a", idempotentClass, "")
+			f.advance(60 * microtime.Millisecond)
+			f.observe(callerConn, simnet.Closed, "s0", "p0", false, nil)
+		}},
+		{"half-closed with a request open", "lost/closed by the server", func(f *fixture) {
+			f.sendRequest("a", idempotentClass, "")
+			f.advance(60 * microtime.Millisecond)
+			f.observe(callerConn, simnet.HalfClosed, "s0", "p0", false, nil)
+		}},
+		{"cut by the network with a request open", "", func(f *fixture) {
+			f.sendRequest("a", idempotentClass, "")
+			f.advance(60 * microtime.Millisecond)
+			f.observer.Tap(simnet.Event{
+				At:    f.world.Now(),
 				Kind:  simnet.HalfClosed,
 				Cause: simnet.CauseCut,
 				Conn:  callerConn,
@@ -164,67 +166,67 @@
 				Peer:  "p0",
 			})
 		}},
-		{"shut as a request comes", "", func(s *scene) {
-			s.ask("a", safeClass, "")
-			s.event(callerConn, simnet.HalfClosed, "s0", "p0", false, nil)
-			s.ask("b", safeClass, "")
-			s.advance(60 * microtime.Millisecond)
-			s.event(callerConn, simnet.Closed, "s0", "p0", false, nil)
-			s.observer.ServerStopped("s0", true)
+		{"half-closed as a request arrives", "", func(f *fixture) {
+			f.sendRequest("a", idempotentClass, "")
+			f.observe(callerConn, simnet.HalfClosed, "s0", "p0", false, nil)
+			f.sendRequest("b", idempotentClass, "")
+			f.advance(60 * microtime.Millisecond)
+			f.observe(callerConn, simnet.Closed, "s0", "p0", false, nil)
+			f.observer.ServerStopped("s0", true)
 		}},
-		{"the caller left", "", func(s *scene) {
-			s.ask("a", safeClass, "")
-			s.event(callerConn, simnet.Closed, "p0", "s0", true, nil)
+		{"disconnected by the caller", "", func(f *fixture) {
+			f.sendRequest("a", idempotentClass, "")
+			f.observe(callerConn, simnet.Closed, "p0", "s0", true, nil)
 		}},
-		{"notices passed over", "result/notices passed over", func(s *scene) {
-			s.served(s.ask("a", safeClass, ""), s.run("a", safeClass))
-			s.event(workerConn, simnet.Arrived, "w0", "s0", false, pool.AppendBind(nil, 2))
+		{"bound after a notice not received", "result/notices passed over", func(f *fixture) {
+			f.writeResult(f.sendRequest("a", idempotentClass, ""), f.completeRun("a", idempotentClass))
+			f.observe(workerConn, simnet.Arrived, "w0", "s0", false, pool.AppendBind(nil, 2))
 		}},
-		{"bound with the last notice", "", func(s *scene) {
-			s.served(s.ask("a", safeClass, ""), s.run("a", safeClass))
-			s.event(workerConn, simnet.Arrived, "w0", "s0", false, pool.AppendBind(nil, 1))
+		{"bound after the last notice", "", func(f *fixture) {
+			f.writeResult(f.sendRequest("a", idempotentClass, ""), f.completeRun("a", idempotentClass))
+			f.observe(workerConn, simnet.Arrived, "w0", "s0", false, pool.AppendBind(nil, 1))
 		}},
-		{"no try to reach the pool", "recovery/no try to reach the worker pool", func(s *scene) {
-			s.event(workerConn, simnet.Closed, "s0", "w0", true, nil)
+		{"no dial of the worker pool", "recovery/no try to reach the worker pool", func(f *fixture) {
+			f.observe(workerConn, simnet.Closed, "s0", "w0", true, nil)
 		}},
-		{"too many run", "fall-over/crowd", func(s *scene) {
+		{"too many runs", "fall-over/concurrency", func(f *fixture) {
 			for i := range 9 {
-				s.giveUp(s.ask(fmt.Sprint(i), safeClass, ""))
-				s.spawn(fmt.Sprint(i), safeClass, "body")
+				f.cancelRequest(f.sendRequest(fmt.Sprint(i), idempotentClass, ""))
+				f.spawnRun(fmt.Sprint(i), idempotentClass, "body")
 			}
 		}},
-		{"as many as may run", "", func(s *scene) {
+		{"as many runs as allowed", "", func(f *fixture) {
 			for i := range 6 {
-				s.giveUp(s.ask(fmt.Sprint(i), safeClass, ""))
-				s.spawn(fmt.Sprint(i), safeClass, "body")
+				f.cancelRequest(f.sendRequest(fmt.Sprint(i), idempotentClass, ""))
+				f.spawnRun(fmt.Sprint(i), idempotentClass, "body")
 			}
 		}},
-		{"too much memory", "fall-over/memory", func(s *scene) {
+		{"too much memory", "fall-over/memory", func(f *fixture) {
 			for i := range 13 { // 160 kB each
-				s.ask(fmt.Sprint(i), safeClass, "")
-				s.spawn(fmt.Sprint(i), safeClass, "body")
+				f.sendRequest(fmt.Sprint(i), idempotentClass, "")
+				f.spawnRun(fmt.Sprint(i), idempotentClass, "body")
 			}
-			s.advance(200 * microtime.Millisecond)
+			f.advance(200 * microtime.Millisecond)
 			for i := range 13 {
-				s.served(int32(i+1), s.finish(fmt.Sprint(i), pool.Pass))
+				f.writeResult(int32(i+1), f.finishRun(fmt.Sprint(i), pool.Pass))
 			}
 		}},
-		{"AJP", "", func(s *scene) { s.askByAJP("b", http.StatusOK, s.askByAJP("a", http.StatusOK, nil)) }},
-		{"AJP, refused though it ran", "duplicate/refused though the intake ran", func(s *scene) {
-			s.askByAJP("a", http.StatusOK, nil)
-			s.askByAJP("b", http.StatusServiceUnavailable, nil)
+		{"AJP", "", func(f *fixture) { f.exchangeByAJP("b", http.StatusOK, f.exchangeByAJP("a", http.StatusOK, nil)) }},
+		{"AJP, refused after a run", "duplicate/refused after a run of its key", func(f *fixture) {
+			f.exchangeByAJP("a", http.StatusOK, nil)
+			f.exchangeByAJP("b", http.StatusServiceUnavailable, nil)
 		}},
 	})
 }
 
-// TestHistoryHasAllTries shows that a violation tells the history of the request with all attempts under its key.
-func TestHistoryHasAllTries(t *testing.T) {
-	played := newScene(t, 2000)
-	played.served(played.ask("a", keyedClass, "k"), played.run("a", keyedClass))
-	played.advance(microtime.Second)
-	played.ask("b", keyedClass, "k")
-	played.spawn("b", keyedClass, "body")
-	require.Len(t, played.observer.Violations, 1)
+// TestHistoryHasAllAttempts checks that a violation has the history of all attempts with the request's idempotency key.
+func TestHistoryHasAllAttempts(t *testing.T) {
+	setup := newFixture(t, 2000)
+	setup.writeResult(setup.sendRequest("a", keyedClass, "k"), setup.completeRun("a", keyedClass))
+	setup.advance(microtime.Second)
+	setup.sendRequest("b", keyedClass, "k")
+	setup.spawnRun("b", keyedClass, "body")
+	require.Len(t, setup.observer.Violations, 1)
 	require.Equal(t, []string{
 		"0s a lot-intake read, asked at 0s, due at 4s",
 		"0s a run",
@@ -232,5 +234,5 @@
 		"0s a served",
 		"1s b lot-intake read, asked at 1s, due at 5s",
 		"1s b run",
-	}, played.observer.Violations[0].History)
+	}, setup.observer.Violations[0].History)
 }
--- a/internal/testbed/invariant/overload_rules.go
+++ b/internal/testbed/invariant/overload_rules.go
@@ -6,33 +6,33 @@
 	"pewterline/internal/microtime"
 )
 
-// runningChanged notes that the number of runs on a server's cores has changed.
+// runningChanged records a change of the number of runs on a server's cores.
 func (o *Observer) runningChanged(server *serverState, by int) {
 	server.running += by
 	server.runningSamples = append(server.runningSamples, runningSample{o.world.Now(), server.running})
 }
 
-// judgeMemory judges that the memory reserved stays within its bound. It also forgets the requests that hold none.
-func (o *Observer) judgeMemory(server *serverState, now microtime.Time) {
+// checkMemory checks that reserved memory stays within its bound. It also removes the requests that hold no memory.
+func (o *Observer) checkMemory(server *serverState, now microtime.Time) {
 	server.open = slices.DeleteFunc(server.open, func(request *requestState) bool {
-		return !request.isOwed() && !request.running
+		return !request.awaitsAnswer() && !request.running
 	})
 	reserved := 0.0
 	for _, request := range server.open {
 		if request.running {
 			reserved += request.sizeKB * o.Limits.RunningMemoryFactor
-		} else if now > request.arrivedAt+reservedAfter && request.isOwed() {
+		} else if now > request.arrivedAt+reservationDelay && request.awaitsAnswer() {
 			reserved += request.sizeKB
 		}
 	}
 	if reserved > o.Limits.MemoryKB {
-		o.report(ruleFallOver, server, nil, "memory: %.0f kB are booked of %.0f", reserved, o.Limits.MemoryKB)
+		o.report(ruleFallOver, server, nil, "memory: %.0f kB are reserved of %.0f", reserved, o.Limits.MemoryKB)
 		server.stopped = true
 	}
 }
 
-// judgeConcurrency judges that the number of runs on the cores stays within its bound, on average.
-func (o *Observer) judgeConcurrency(server *serverState, now microtime.Time) {
+// checkConcurrency checks that the average number of runs on the cores stays within its bound.
+func (o *Observer) checkConcurrency(server *serverState, now microtime.Time) {
 	from := now - o.Limits.MaxConcurrencyWindow
 	if server.startedAt > from {
 		return
@@ -40,13 +40,13 @@
 	mean := server.runningSince(from, now) / float64(o.Limits.MaxConcurrencyWindow)
 	limit := float64(o.Limits.Cores) * (1 + (o.Limits.MaxConcurrencyPerCore-1)*o.warmUpShare(server, now))
 	if mean > limit {
-		o.report(ruleFallOver, server, nil, "crowd: %.1f run on average, over %.1f", mean, limit)
+		o.report(ruleFallOver, server, nil, "concurrency: %.1f runs on average, over the limit of %.1f", mean, limit)
 		server.stopped = true
 	}
 }
 
-// runningSince is the integral of the number of runs over a time that ends now. Samples before that time are
-// forgotten.
+// runningSince returns the integral of the number of runs on the cores from a time until now, and discards the samples
+// that are no longer needed.
 func (s *serverState) runningSince(from, now microtime.Time) float64 {
 	sum := 0.0
 	running := 0
@@ -67,8 +67,8 @@
 	return sum
 }
 
-// warmUpShare is the share of the concurrency above one run a core that a server may use: all of it in its first
-// incarnation, which starts warm, and a share that grows with time in a later one.
+// warmUpShare returns the fraction of the concurrency above one run per core that a server may use: all of it in its
+// first incarnation, which starts warm, and a fraction that grows during the warm-up of a later one.
 func (o *Observer) warmUpShare(server *serverState, now microtime.Time) float64 {
 	if server.incarnation == 1 {
 		return 1
--- a/internal/testbed/invariant/pool.go
+++ b/internal/testbed/invariant/pool.go
@@ -10,20 +10,20 @@
 	"pewterline/internal/protocol/pool"
 )
 
-// spawnVerb is the command that a worker pool's notice of unknown work names where it has declined a run.
+// spawnVerb is the command that a worker pool's unknown message names when the pool has declined a run.
 const spawnVerb = "spawn"
 
-// parsePoolCommand takes one command of a server off the bytes and returns its size; 0 where it is not whole.
+// parsePoolCommand parses one command to a worker pool and returns its size; 0 if it is incomplete.
 func (o *Observer) parsePoolCommand(conn *connState, in []byte) int {
 	command, size, err := pool.ParseCommand(in)
 	conn.broken = err != nil
 	if size > 0 {
-		o.poolCommandRead(conn.server, command)
+		o.poolCommandReceived(conn.server, command)
 	}
 	return size
 }
 
-// parsePoolMessage takes one message of a worker pool off the bytes and returns its size; 0 where it is not whole.
+// parsePoolMessage parses one message of a worker pool and returns its size; 0 if it is incomplete.
 func (o *Observer) parsePoolMessage(conn *connState, in []byte) int {
 	message, size, err := pool.ParseMessage(in)
 	conn.broken = err != nil
@@ -33,27 +33,27 @@
 	return size
 }
 
-// poolCommandRead takes a server's command to its worker pool, as it arrives there.
-func (o *Observer) poolCommandRead(server *serverState, command pool.Command) {
+// poolCommandReceived handles a server's command when it arrives at the worker pool.
+func (o *Observer) poolCommandReceived(server *serverState, command pool.Command) {
 	switch command.Verb {
 	case pool.Bind:
-		o.judgeBind(server, command)
+		o.checkBind(server, command)
 		if command.Notice > 0 {
-			o.noteSituation(server, fmt.Sprintf("bound anew run%d", orderOfMagnitude(server.running)))
+			o.noteSituation(server, fmt.Sprintf("bound anew run%d", countGroup(server.running)))
 		}
 	case pool.Spawn:
 		o.runSpawned(server, command)
 	case pool.Supply:
-		o.judgeSupply(server, command)
+		o.checkSupply(server, command)
 	case pool.Suspend:
 		if suspended := server.runs[command.ID]; suspended != nil {
 			o.noteSituation(server, fmt.Sprintf("suspend ended%v", suspended.ended))
 		}
-	case pool.Poll, pool.Verify: // no rule is about the pool's health
+	case pool.Poll, pool.Verify: // no rule covers the pool's health
 	}
 }
 
-// runSpawned takes the command to start a run, as it reaches the worker pool.
+// runSpawned handles the command to start a run when it arrives at the worker pool.
 func (o *Observer) runSpawned(server *serverState, command pool.Command) {
 	request := server.requests[command.ID]
 	if request == nil {
@@ -62,24 +62,24 @@
 	previous := server.runs[command.ID]
 	if previous != nil && !previous.ended {
 		o.noteSituation(server, "command again for a run under way")
-		return // it runs already
+		return // the pool ignores the repeated command
 	}
-	o.judgeSpawn(server, request, command)
+	o.checkSpawn(server, request, command)
 	started := &run{id: command.ID, requestedAt: request.requestedAt, executed: true, previous: previous}
 	o.note(request, "run")
 	request.running = true
 	if request.idempotencyKey != "" {
-		o.judgeRunOnce(server, request, started)
+		o.checkRunOnce(server, request, started)
 	}
-	o.judgeRunInDrain(server, request)
+	o.checkRunInDrain(server, request)
 	server.runs[command.ID] = started
 	o.runningChanged(server, +1)
 	o.noteSituation(server,
-		fmt.Sprintf("run class%d drain%d open%v", request.class, o.drainPhase(server), request.isOwed()))
+		fmt.Sprintf("run class%d drain%d open%v", request.class, o.drainPhase(server), request.awaitsAnswer()))
 }
 
-// judgeSpawn judges that a command starts what its request asked for, and that only an idempotent request runs again.
-func (o *Observer) judgeSpawn(server *serverState, request *requestState, command pool.Command) {
+// checkSpawn checks that a command has its request's body and class, and that only an idempotent request runs again.
+func (o *Observer) checkSpawn(server *serverState, request *requestState, command pool.Command) {
 	class := o.classOf(request)
 	previous := server.runs[command.ID]
 	switch {
@@ -92,14 +92,14 @@
 	}
 }
 
-// poolMessageSent takes a worker pool's message to its server, as it is sent.
+// poolMessageSent handles a worker pool's message when the pool sends it.
 func (o *Observer) poolMessageSent(server *serverState, message pool.Message) {
 	current := server.runs[message.ID]
 	switch message.Kind {
 	case pool.Blocked:
 		o.runBlocked(server, message)
 	case pool.Finished:
-		if current != nil && !current.ended { // else it is the same notice again
+		if current != nil && !current.ended { // a repeated notice is ignored
 			o.runFinished(server, current, message)
 		}
 	case pool.Unknown:
@@ -108,11 +108,11 @@
 			current.executed = false
 			o.runningChanged(server, -1)
 		}
-	case pool.Bound, pool.Polled, pool.Chatter, pool.Verified: // they tell of no run
+	case pool.Bound, pool.Polled, pool.Chatter, pool.Verified: // they concern no run
 	}
 }
 
-// runFinished takes the notice of a run's end, as it is sent.
+// runFinished handles the notice of a run's end when the pool sends it.
 func (o *Observer) runFinished(server *serverState, finished *run, message pool.Message) {
 	o.runUnblocked(server, finished)
 	finished.ended = true
@@ -133,8 +133,8 @@
 		message.Outcome, request.answers > 0, request.cancelled, request.conn.callerLeft))
 }
 
-// noticesReceived looks at what reaches a server from its worker pool: which notices it knows, and which runs have
-// ended as far as it can tell.
+// noticesReceived parses the bytes that reach a server from its worker pool, and records the highest notice and the
+// ends of runs that the server knows of.
 func (o *Observer) noticesReceived(conn *connState, received []byte) {
 	conn.fromPool = append(conn.fromPool, received...)
 	parsed := 0
--- a/internal/testbed/invariant/reconnect_rule.go
+++ b/internal/testbed/invariant/reconnect_rule.go
@@ -4,14 +4,14 @@
 	"pewterline/internal/microtime"
 )
 
-// maxReconnectPause is how long a server without a connection to its worker pool may go without dialling it: an
-// attempt that times out, and a backoff.
+// maxReconnectPause is the longest time between two dials of a server that has no connection to its worker pool: a
+// dial that times out, and the backoff after it.
 const maxReconnectPause = 1700 * microtime.Millisecond
 
-// judgeReconnect judges that a server without a connection to its worker pool goes on trying to reach it.
-func (o *Observer) judgeReconnect(server *serverState, now microtime.Time) {
+// checkReconnect checks that a server without a connection to its worker pool keeps dialling it.
+func (o *Observer) checkReconnect(server *serverState, now microtime.Time) {
 	paused := server.pausedAt(now) || server.pausedAt(now-maxReconnectPause)
-	if server.openLinks > 0 || server.isEdge() || paused || server.drainSentAt != microtime.Never {
+	if server.openPoolConns > 0 || server.isEdge() || paused || server.drainSentAt != microtime.Never {
 		server.lastDialAt = now
 		return
 	}
--- a/internal/testbed/invariant/requests.go
+++ b/internal/testbed/invariant/requests.go
@@ -10,9 +10,9 @@
 	"pewterline/internal/testbed/simnet"
 )
 
-// requestRead takes an attempt that has reached the server's machine whole; the header function gives the fields of
-// its envelope by name. It returns nil for what no caller sends.
-func (o *Observer) requestRead(conn *connState, header func(string) string, body []byte) *requestState {
+// requestReceived records an attempt that has completely reached the server's machine; header returns the fields of its
+// envelope by name. It returns nil for an invalid or repeated request, and once the server is no longer checked.
+func (o *Observer) requestReceived(conn *connState, header func(string) string, body []byte) *requestState {
 	server := conn.server
 	class, known := o.classIndex[header("class")]
 	atMilli, atErr := strconv.ParseInt(header("at"), 10, 64)
@@ -42,11 +42,11 @@
 	server.open = append(server.open, request)
 	o.note(request, "%s read, asked at %v, due at %v", settings.Name,
 		(request.requestedAt - simnet.Start).Duration(), (o.dueAt(request) - simnet.Start).Duration())
-	o.expectAnswer(request)
+	o.scheduleAnswerCheck(request)
 	return request
 }
 
-// noteAttempt enters a request under its idempotency key.
+// noteAttempt records a request under its idempotency key.
 func (o *Observer) noteAttempt(request *requestState) {
 	server := request.server
 	state := server.keys[request.idempotencyKey]
@@ -60,12 +60,12 @@
 			o.noteSituation(server, "repeat by the other front")
 		}
 		o.noteSituation(server, fmt.Sprintf("repeat running%v runs%d answered%v gaveup%v left%v", last.running,
-			orderOfMagnitude(len(state.runs)), last.answers > 0, last.cancelled, last.conn.callerLeft))
+			countGroup(len(state.runs)), last.answers > 0, last.cancelled, last.conn.callerLeft))
 	}
 	state.attempts = append(state.attempts, request)
 }
 
-// requestCancelled takes a caller's cancellation of an unanswered request, as it reaches the server.
+// requestCancelled records that a caller's cancellation of an unanswered request has reached the server.
 func (o *Observer) requestCancelled(request *requestState) {
 	if request.cancelled {
 		return
@@ -81,7 +81,7 @@
 	}
 }
 
-// requestAnswered judges one final answer.
+// requestAnswered checks and records a final answer.
 func (o *Observer) requestAnswered(request *requestState, kind string, result []byte) {
 	server := request.server
 	request.answers++
@@ -97,36 +97,36 @@
 	if request.cancelled {
 		o.noteSituation(server, "answer after give-up "+kind)
 	}
-	o.judgeAnsweredInTime(server, request, o.world.Now())
+	o.checkAnsweredInTime(server, request, o.world.Now())
 	o.noteSituation(server, fmt.Sprintf("%s running%v class%d drain%d",
 		kind, request.running, request.class, o.drainPhase(server)))
 	switch kind {
 	case answerRejected:
-		o.judgeRejection(server, request)
+		o.checkRejection(server, request)
 	case answerServed:
 		o.requestServed(server, request, result)
 	}
 }
 
-// requestServed judges a result, and notes that it is on record where there is a store.
+// requestServed checks a result and, with a store of record, remembers that its run is recorded.
 func (o *Observer) requestServed(server *serverState, request *requestState, result []byte) {
-	o.judgeResult(server, request, result)
+	o.checkResult(server, request, result)
 	if own := server.runs[request.id]; o.Example == nil && own != nil && len(own.callPoints) > 0 {
 		o.Example = o.history(server, request)
 	}
 	if state := server.keys[request.idempotencyKey]; o.Limits.Store && state != nil && len(state.runs) > 0 {
-		o.recordedRuns[recordName(server, request)] = state.runs[len(state.runs)-1]
+		o.recordedRuns[recordKey(server, request)] = state.runs[len(state.runs)-1]
 	}
 }
 
-// noteEndKnown notes that the server knows now that a request has ended.
+// noteEndKnown records that the server has learned that a request has ended.
 func (o *Observer) noteEndKnown(request *requestState) {
 	if request.endKnownAt == 0 {
 		request.endKnownAt = o.world.Now()
 	}
 }
 
-// notifyRequestEnded tells the worker pools behind an edge that its request has ended.
+// notifyRequestEnded reports the end of a request that an edge forwarded, for the worker pools behind the edge.
 func (o *Observer) notifyRequestEnded(request *requestState) {
 	if o.OnRequestEnded != nil && request.conn.fromEdge() {
 		o.OnRequestEnded(request.id)
--- a/internal/testbed/invariant/result_rules.go
+++ b/internal/testbed/invariant/result_rules.go
@@ -9,22 +9,22 @@
 	"pewterline/internal/protocol/pool"
 )
 
-// maxQuotedResult is how many bytes of a wrong result a violation quotes.
+// maxQuotedResult is the maximum number of bytes of a wrong result that a violation quotes.
 const maxQuotedResult = 60
 
-// judgeResult judges that what is served is what a run made for the request, or for another attempt with the same
+// checkResult checks that a served result was produced by a run of the request, or of another attempt with the same
 // idempotency key.
-func (o *Observer) judgeResult(server *serverState, request *requestState, result []byte) {
+func (o *Observer) checkResult(server *serverState, request *requestState, result []byte) {
 	for _, candidate := range runsFor(server, request) {
 		if candidate.ended && candidate.outcome == pool.Pass && string(candidate.result) == string(result) {
 			return
 		}
 	}
-	madeForBody := strings.HasPrefix(string(result), resultOf(request.bodyHash))
+	madeForBody := strings.HasPrefix(string(result), resultPrefix(request.bodyHash))
 	if server.isEdge() && o.resultsMade[string(result)] && madeForBody {
-		return // the servers behind an edge made it
+		return // produced by a server behind the edge
 	}
-	// A record of an earlier incarnation may answer a retry: its result tells what it was made for.
+	// A retry may get the recorded result of an earlier incarnation; its prefix identifies the body that it belongs to.
 	if request.idempotencyKey != "" && server.incarnation > 1 && madeForBody {
 		return
 	}
@@ -32,7 +32,7 @@
 		request.id, result[:min(len(result), maxQuotedResult)])
 }
 
-// runsFor lists the runs on a server whose result a request may get.
+// runsFor returns the runs on a server whose results may answer a request.
 func runsFor(server *serverState, request *requestState) []*run {
 	if request.idempotencyKey != "" {
 		return server.keys[request.idempotencyKey].runs
@@ -44,19 +44,19 @@
 	return runs
 }
 
-// Result is what a worker pool of these worlds makes of a body: other bodies have other results, and so has each run.
+// Result returns the result of a simulated worker pool for a body. It differs for each body and for each run.
 func Result(body []byte, run uint64) []byte {
-	return fmt.Appendf(nil, "%s run %d", resultOf(xxhash.Sum64(body)), run)
+	return fmt.Appendf(nil, "%s run %d", resultPrefix(xxhash.Sum64(body)), run)
 }
 
-// resultOf begins every result that is made of a body with that hash.
-func resultOf(bodyHash uint64) string { return fmt.Sprintf("made of %016x in", bodyHash) }
+// resultPrefix returns the prefix of every result for a body with that hash.
+func resultPrefix(bodyHash uint64) string { return fmt.Sprintf("made of %016x in", bodyHash) }
 
-// judgeBind judges that a server binds a connection behind the last notice that has reached it, so that none is
-// passed over.
-func (o *Observer) judgeBind(server *serverState, command pool.Command) {
+// checkBind checks that a bind command does not claim notices that have not reached the server, as the worker pool
+// would never send them again.
+func (o *Observer) checkBind(server *serverState, command pool.Command) {
 	if command.Notice > server.lastNotice {
-		o.report(ruleResult, server, nil, "notices passed over: bound after number %d, and %d is the last that came",
+		o.report(ruleResult, server, nil, "notices passed over: bound after notice %d, but the last one received is %d",
 			command.Notice, server.lastNotice)
 	}
 }
--- a/internal/testbed/invariant/scene_test.go
+++ b/internal/testbed/invariant/scene_test.go
@@ -18,24 +18,25 @@
 )
 
 const (
-	keyedClass = "lot-intake" // its requests have an idempotency key
-	safeClass  = "block-view" // its requests are idempotent
-	firstID    = "00000000000000a1"
-	secondID   = "00000000000000b2"
+	keyedClass      = "lot-intake" // its requests have an idempotency key
+	idempotentClass = "block-view" // its requests are idempotent
+	firstID         = "00000000000000a1"
+	secondID        = "00000000000000b2"
 )
 
-// The connections of a scene.
+// Connection IDs.
 const (
 	callerConn = iota + 1
 	workerConn
 	webConn
 	firstVaultConn
 	secondVaultConn
-	laterWorkerConn // of a later incarnation of the server
+	laterWorkerConn // of the server's second incarnation
 )
 
-// scene is a world in which a test plays the server: what the observer sees are bytes that the test makes up.
-type scene struct {
+// fixture is a simulated world without a server: the test feeds the observer the bytes that a server, its callers, its
+// worker pool and the vault would exchange.
+type fixture struct {
 	t          *testing.T
 	world      *simnet.World
 	observer   *Observer
@@ -43,13 +44,14 @@
 	notices    uint64
 }
 
-// newScene has one server with its worker pool, a caller by Thrift and one by AJP, and two connections to the vault.
-func newScene(t *testing.T, memoryKB float64) *scene {
+// newFixture returns a fixture with one server, which is connected to its worker pool, a Thrift caller and an AJP
+// caller.
+func newFixture(t *testing.T, memoryKB float64) *fixture {
 	t.Helper()
 	world := simnet.NewWorld(1)
-	created := &scene{t: t, world: world, observer: New(world, Limits{
+	created := &fixture{t: t, world: world, observer: New(world, Limits{
 		Settings: control.Settings{Classes: []control.Class{
-			{Name: safeClass, Deadline: 4 * time.Second},
+			{Name: idempotentClass, Deadline: 4 * time.Second},
 			{
 				Name:            keyedClass,
 				Deadline:        4 * time.Second,
@@ -70,29 +72,29 @@
 	})}
 	world.After = created.observer.Check
 	created.observer.ServerStarted("s0", 1)
-	created.open(callerConn, "s0/thrift", "p0")
-	created.open(workerConn, "w0/a", "s0")
-	created.open(webConn, "s0/ajp", "o0")
+	created.openConn(callerConn, "s0/thrift", "p0")
+	created.openConn(workerConn, "w0/a", "s0")
+	created.openConn(webConn, "s0/ajp", "o0")
 	return created
 }
 
-// event has the observer see what happens on a connection.
-func (s *scene) event(conn uint64, kind simnet.EventKind, node, peer string, dialer bool, p []byte) {
-	s.observer.Tap(simnet.Event{
-		At:     s.world.Now(),
+// observe passes an event on a connection to the observer.
+func (f *fixture) observe(conn uint64, kind simnet.EventKind, node, peer string, dialer bool, payload []byte) {
+	f.observer.Tap(simnet.Event{
+		At:     f.world.Now(),
 		Kind:   kind,
 		Conn:   conn,
 		Node:   node,
 		Peer:   peer,
 		Dialer: dialer,
-		Bytes:  p,
+		Bytes:  payload,
 	})
 }
 
-// open has the observer see a new connection.
-func (s *scene) open(conn uint64, addr, from string) {
-	s.observer.Tap(simnet.Event{
-		At:     s.world.Now(),
+// openConn passes the opening of a connection to the observer.
+func (f *fixture) openConn(conn uint64, addr, from string) {
+	f.observer.Tap(simnet.Event{
+		At:     f.world.Now(),
 		Kind:   simnet.Opened,
 		Conn:   conn,
 		Node:   from,
@@ -101,41 +103,45 @@
 	})
 }
 
-// fields are those of a request asked some time ago.
-func (s *scene) fields(id, class, once string, ago microtime.Time) []thrift.Field {
-	at := strconv.FormatInt((&simnet.WallClock{}).UnixMilli(s.world.Now()-ago), 10)
+// fields returns the envelope of a request that was sent some time ago.
+func (f *fixture) fields(id, class, idempotencyKey string, age microtime.Time) []thrift.Field {
+	at := strconv.FormatInt((&simnet.WallClock{}).UnixMilli(f.world.Now()-age), 10)
 	return []thrift.Field{
 		{Name: "class", Value: class},
 		{Name: "id", Value: id},
 		{Name: "at", Value: at},
 		{Name: "kb", Value: "20"},
 		{Name: "tenant", Value: "t"},
-		{Name: "once", Value: once},
+		{Name: "once", Value: idempotencyKey},
 	}
 }
 
-// ask has a request reach the server; it returns its number.
-func (s *scene) ask(id, class, once string) int32 { return s.askAgo(id, class, once, 0) }
+// sendRequest makes a request reach the server, and returns its sequence ID.
+func (f *fixture) sendRequest(id, class, idempotencyKey string) int32 {
+	return f.sendAgedRequest(id, class, idempotencyKey, 0)
+}
 
-// askAgo is ask for a request that its caller sent some time ago.
-func (s *scene) askAgo(id, class, once string, ago microtime.Time) int32 {
-	s.sequenceID++
-	message := thrift.AppendCall(nil, s.sequenceID, s.fields(id, class, once, ago), []byte("body"))
-	s.event(callerConn, simnet.Arrived, "s0", "p0", false, message)
-	return s.sequenceID
+// sendAgedRequest is sendRequest for a request that its caller sent some time ago.
+func (f *fixture) sendAgedRequest(id, class, idempotencyKey string, age microtime.Time) int32 {
+	f.sequenceID++
+	message := thrift.AppendCall(nil, f.sequenceID, f.fields(id, class, idempotencyKey, age), []byte("body"))
+	f.observe(callerConn, simnet.Arrived, "s0", "p0", false, message)
+	return f.sequenceID
 }
 
-// giveUp has the caller cancel a request.
-func (s *scene) giveUp(sequenceID int32) {
-	s.event(callerConn, simnet.Arrived, "s0", "p0", false, thrift.AppendGiveUp(nil, sequenceID))
+// cancelRequest makes the cancellation of a request reach the server.
+func (f *fixture) cancelRequest(sequenceID int32) {
+	f.observe(callerConn, simnet.Arrived, "s0", "p0", false, thrift.AppendGiveUp(nil, sequenceID))
 }
 
-// answer has the server write bytes to the caller.
-func (s *scene) answer(p []byte) { s.event(callerConn, simnet.Written, "s0", "p0", false, p) }
+// writeReply makes the server write bytes to the Thrift caller.
+func (f *fixture) writeReply(payload []byte) {
+	f.observe(callerConn, simnet.Written, "s0", "p0", false, payload)
+}
 
-// served has the server answer a request with a result.
-func (s *scene) served(sequenceID int32, result []byte) {
-	s.answer(thrift.AppendAnswer(nil, thrift.Answer{
+// writeResult makes the server answer a request with a result.
+func (f *fixture) writeResult(sequenceID int32, result []byte) {
+	f.writeReply(thrift.AppendAnswer(nil, thrift.Answer{
 		MethodName: thrift.ProcessName,
 		SequenceID: sequenceID,
 		Body:       result,
@@ -143,122 +149,126 @@
 	}))
 }
 
-// spawn has the command to start a run reach the worker pool.
-func (s *scene) spawn(id, class, body string) {
-	s.event(workerConn, simnet.Arrived, "w0", "s0", false, pool.AppendSpawn(nil, id, class, []byte(body)))
+// spawnRun makes the command to start a run reach the worker pool.
+func (f *fixture) spawnRun(id, class, body string) {
+	f.observe(workerConn, simnet.Arrived, "w0", "s0", false, pool.AppendSpawn(nil, id, class, []byte(body)))
 }
 
-// finish has the run of id end, and its notice reach the server; it returns the result.
-func (s *scene) finish(id string, end pool.Outcome) []byte {
-	s.notices++
+// finishRun ends the run of a request, makes the notice of it reach the server, and returns the result.
+func (f *fixture) finishRun(id string, outcome pool.Outcome) []byte {
+	f.notices++
 	var result []byte
-	if end == pool.Pass {
-		result = Result([]byte("body"), s.notices)
+	if outcome == pool.Pass {
+		result = Result([]byte("body"), f.notices)
 	}
-	s.notify(pool.AppendFinished(nil, s.notices, id, end, 5, result))
+	f.sendNotice(pool.AppendFinished(nil, f.notices, id, outcome, 5, result))
 	return result
 }
 
-// notify has a notice of the worker pool be sent and reach the server.
-func (s *scene) notify(notice []byte) {
-	s.event(workerConn, simnet.Written, "w0", "s0", false, notice)
-	s.event(workerConn, simnet.Arrived, "s0", "w0", true, notice)
+// sendNotice makes the worker pool send a notice, which reaches the server.
+func (f *fixture) sendNotice(notice []byte) {
+	f.observe(workerConn, simnet.Written, "w0", "s0", false, notice)
+	f.observe(workerConn, simnet.Arrived, "s0", "w0", true, notice)
 }
 
-// run has the run of id start and end; it returns the result.
-func (s *scene) run(id, class string) []byte {
-	s.spawn(id, class, "body")
-	return s.finish(id, pool.Pass)
+// completeRun starts and ends the run of a request, and returns the result.
+func (f *fixture) completeRun(id, class string) []byte {
+	f.spawnRun(id, class, "body")
+	return f.finishRun(id, pool.Pass)
 }
 
-// advance has time pass in small steps.
-func (s *scene) advance(by microtime.Time) {
-	for end := s.world.Now() + by; s.world.Now() < end; {
-		s.world.At(min(s.world.Now()+20*microtime.Millisecond, end), func() {})
-		s.world.Step(end)
+// advance advances the simulated time in small steps.
+func (f *fixture) advance(by microtime.Time) {
+	for end := f.world.Now() + by; f.world.Now() < end; {
+		f.world.At(min(f.world.Now()+20*microtime.Millisecond, end), func() {})
+		f.world.Step(end)
 	}
 }
 
-// block has the run of id wait for a call.
-func (s *scene) block(id string) {
-	s.notices++
-	s.notify(pool.AppendBlocked(nil, s.notices, id, []byte("call")))
+// blockRun makes the run of a request wait for a call.
+func (f *fixture) blockRun(id string) {
+	f.notices++
+	f.sendNotice(pool.AppendBlocked(nil, f.notices, id, []byte("call")))
 }
 
-// runToCall has a request come and run to its call.
-func (s *scene) runToCall(id, class string) int32 {
-	n := s.ask(id, class, id)
-	s.spawn(id, class, "body")
-	s.block(id)
+// runToCall makes a request reach the server and run until it waits for a call; it returns the sequence ID.
+func (f *fixture) runToCall(id, class string) int32 {
+	n := f.sendRequest(id, class, id)
+	f.spawnRun(id, class, "body")
+	f.blockRun(id)
 	return n
 }
 
-// call has the server write the call of id.
-func (s *scene) call(conn uint64, id string) {
-	s.event(conn, simnet.Written, "s0", "v0", true, vault.AppendAsk(nil, id, 1000, []byte("call")))
+// writeCall makes the server write the call of a request to the vault.
+func (f *fixture) writeCall(conn uint64, id string) {
+	f.observe(conn, simnet.Written, "s0", "v0", true, vault.AppendAsk(nil, id, 1000, []byte("call")))
 }
 
-// cancelCall has the server give the first call up.
-func (s *scene) cancelCall(conn uint64) {
-	s.event(conn, simnet.Written, "s0", "v0", true, vault.AppendUnask(nil, firstID))
+// cancelCall makes the server cancel the call of the request firstID.
+func (f *fixture) cancelCall(conn uint64) {
+	f.observe(conn, simnet.Written, "s0", "v0", true, vault.AppendUnask(nil, firstID))
 }
 
-// reply has the vault reply to the first call, on the first connection.
-func (s *scene) reply(status vault.Status) {
+// replyToFirstCall makes the vault reply to the call of the request firstID, on the first connection.
+func (f *fixture) replyToFirstCall(status vault.Status) {
 	reply := vault.AppendReply(nil, firstID, status, []byte("reply "+firstID))
-	s.event(firstVaultConn, simnet.Arrived, "s0", "v0", true, reply)
+	f.observe(firstVaultConn, simnet.Arrived, "s0", "v0", true, reply)
 }
 
-// supply has a reply reach the worker pool.
-func (s *scene) supply(id, body string) {
-	s.event(workerConn, simnet.Arrived, "w0", "s0", false, pool.AppendSupply(nil, id, []byte(body)))
+// supplyReply makes the reply to a call reach the worker pool.
+func (f *fixture) supplyReply(id, body string) {
+	f.observe(workerConn, simnet.Arrived, "w0", "s0", false, pool.AppendSupply(nil, id, []byte(body)))
 }
 
-// ends has the run of id end and be answered.
-func (s *scene) ends(seq int32, id string) { s.served(seq, s.finish(id, pool.Pass)) }
+// finishAndAnswer ends the run of a request and makes the server answer with its result.
+func (f *fixture) finishAndAnswer(sequenceID int32, id string) {
+	f.writeResult(sequenceID, f.finishRun(id, pool.Pass))
+}
 
-// askByAJP sends a request with an idempotency key by AJP and has it answered: by its run, or by a result.
-func (s *scene) askByAJP(id string, status int, result []byte) []byte {
+// exchangeByAJP sends a keyed request by AJP and makes the server answer it with a status: with the given result, or
+// with that of a run if there is none and the status is OK. It returns the result.
+func (f *fixture) exchangeByAJP(id string, status int, result []byte) []byte {
 	request := ajp.Request{
 		Method:     "POST",
 		URI:        "/" + keyedClass,
 		RemoteAddr: "127.0.0.1",
 		Headers:    []ajp.Header{{Name: "content-length", Value: "4"}},
 	}
-	for _, field := range s.fields(id, keyedClass, "k", 0) {
+	for _, field := range f.fields(id, keyedClass, "k", 0) {
 		request.Headers = append(request.Headers, ajp.Header{Name: headerPrefix + field.Name, Value: field.Value})
 	}
 	packets, _ := ajp.AppendBodyChunk(ajp.AppendForwardRequest(nil, request), []byte("body"))
 	for i := range packets { // byte by byte
-		s.event(webConn, simnet.Arrived, "s0", "o0", false, packets[i:i+1])
+		f.observe(webConn, simnet.Arrived, "s0", "o0", false, packets[i:i+1])
 	}
 	if result == nil && status == http.StatusOK {
-		result = s.run(id, keyedClass)
+		result = f.completeRun(id, keyedClass)
 	}
 	head := ajp.AppendSendHeaders(nil, status, "x", nil)
-	s.event(webConn, simnet.Written, "s0", "o0", false, ajp.AppendEndResponse(ajp.AppendResponseBody(head, result), true))
+	f.observe(webConn, simnet.Written, "s0", "o0", false,
+		ajp.AppendEndResponse(ajp.AppendResponseBody(head, result), true))
 	return result
 }
 
-// ruleCase is what a server and its callers do, and the violation that it is.
+// ruleCase is a sequence of events, and the violation that it must cause.
 type ruleCase struct {
 	name string
-	want string // the violation's key; empty: none
-	play func(s *scene)
+	want string // key of the expected violation; empty if there must be none
+	run  func(f *fixture)
 }
 
-// playEach plays each case in a scene of its own, and requires that its violation is the first one, or that there is
-// none.
-func playEach(t *testing.T, memoryKB float64, cases []ruleCase) {
+// runCases runs each case in a fixture of its own, and requires that the expected violation is the first one, or that
+// there is none.
+func runCases(t *testing.T, memoryKB float64, cases []ruleCase) {
 	t.Helper()
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			played := newScene(t, memoryKB)
-			played.open(firstVaultConn, "v0/a", "s0")
-			played.open(secondVaultConn, "v0/b", "s0")
-			tc.play(played)
-			played.advance(5 * microtime.Second)
-			violations := played.observer.Violations
+			f := newFixture(t, memoryKB)
+			f.openConn(firstVaultConn, "v0/a", "s0")
+			f.openConn(secondVaultConn, "v0/b", "s0")
+			tc.run(f)
+			f.advance(5 * microtime.Second)
+			violations := f.observer.Violations
 			if tc.want == "" {
 				require.Empty(t, violations)
 				return
--- a/internal/testbed/invariant/situations.go
+++ b/internal/testbed/invariant/situations.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	// faultAftermath is how long after its end a fault still counts as at work.
-	faultAftermath = 2 * microtime.Second
-	// maxCountedIncarnation is from which incarnation on situations are no longer told apart by it.
+	// faultEffectTime is how long a fault still counts as active after its end.
+	faultEffectTime = 2 * microtime.Second
+	// maxCountedIncarnation caps the incarnation number in situation names; later incarnations share one name.
 	maxCountedIncarnation = 3
 )
 
-// FaultInjected says that a fault is at work on a server until a time. It matters for what Situations lists alone.
+// FaultInjected reports that a fault affects a server until a time. It influences only the result of Situations.
 func (o *Observer) FaultInjected(kind, name string, until microtime.Time) {
 	o.activeFaults = append(o.activeFaults, activeFault{kind, name, until})
 	server := o.servers[name]
@@ -26,7 +26,7 @@
 	}
 	owed, joined := 0, 0
 	for _, request := range server.open {
-		if !request.isOwed() {
+		if !request.awaitsAnswer() {
 			continue
 		}
 		owed++
@@ -35,12 +35,12 @@
 		}
 	}
 	o.noteSituation(server, fmt.Sprintf("at %s open%d run%d joined%d link%v drain%d life%d", kind,
-		orderOfMagnitude(owed), orderOfMagnitude(server.running), orderOfMagnitude(joined), server.openLinks > 0,
+		countGroup(owed), countGroup(server.running), countGroup(joined), server.openPoolConns > 0,
 		o.drainPhase(server), min(server.incarnation, maxCountedIncarnation)))
 }
 
-// orderOfMagnitude sorts counts into five groups: none, one, a few, some, many.
-func orderOfMagnitude(count int) int {
+// countGroup maps a count to one of five groups: 0, 1, 2 to 7, 8 to 39, and 40 or more.
+func countGroup(count int) int {
 	switch {
 	case count < 2:
 		return count
@@ -52,7 +52,7 @@
 	return 4
 }
 
-// drainPhase is 0 before the drain notice, 1 while requests may still start after it, and 2 later.
+// drainPhase returns 0 before the drain notice, 1 while requests may still start after it, and 2 later.
 func (o *Observer) drainPhase(server *serverState) int {
 	switch {
 	case server.drainSentAt == microtime.Never:
@@ -63,30 +63,30 @@
 	return 2
 }
 
-// noteSituation notes a situation, alone and with each fault that is at work on the server.
-func (o *Observer) noteSituation(server *serverState, what string) {
-	o.SituationCounts[what]++
+// noteSituation records a situation, alone and in combination with each fault active on the server.
+func (o *Observer) noteSituation(server *serverState, situation string) {
+	o.SituationCounts[situation]++
 	now := o.world.Now()
-	o.activeFaults = slices.DeleteFunc(o.activeFaults, func(f activeFault) bool { return f.until+faultAftermath < now })
-	o.situations[situationOf(what)] = struct{}{}
+	o.activeFaults = slices.DeleteFunc(o.activeFaults, func(f activeFault) bool { return f.until+faultEffectTime < now })
+	o.situations[situationOf(situation)] = struct{}{}
 	for _, fault := range o.activeFaults {
 		if fault.server == server.name {
-			o.situations[situationOf(what, fault.kind)] = struct{}{}
+			o.situations[situationOf(situation, fault.kind)] = struct{}{}
 		}
 	}
 }
 
-// situationOf is the fingerprint of a situation.
+// situationOf returns the fingerprint of a situation.
 func situationOf(parts ...string) faultsearch.Situation {
 	hash := xxhash.New()
 	for _, part := range parts {
-		_, _ = hash.WriteString(part) // a hash takes everything
+		_, _ = hash.WriteString(part) // writing to a hash never fails
 		_, _ = hash.WriteString("|")
 	}
 	return faultsearch.Situation(hash.Sum64())
 }
 
-// Situations lists the situations so far, in order.
+// Situations returns the fingerprints of all situations so far, sorted.
 func (o *Observer) Situations() []faultsearch.Situation {
 	list := make([]faultsearch.Situation, 0, len(o.situations))
 	for situation := range o.situations {
--- a/internal/testbed/invariant/state.go
+++ b/internal/testbed/invariant/state.go
@@ -10,66 +10,66 @@
 // edgePrefix begins the names of edges: servers without a worker pool that forward to the others.
 const edgePrefix = 'e'
 
-// The kinds of a final answer, as Observer.Answers and the histories name them.
+// Kinds of final answers, as named in Observer.Answers and in request histories.
 const (
 	answerServed   = "served"
 	answerRejected = "refused"
 	answerFailed   = "failed"
 )
 
-// activeFault is a fault that is at work on a server until a time.
+// activeFault is a fault that affects a server until a given time.
 type activeFault struct {
 	kind   string
 	server string
 	until  microtime.Time
 }
 
-// globalRun is a run under an idempotency key at some server.
-type globalRun struct {
+// placedRun is a run of a keyed request, together with the server that ran it and the caller that sent it there.
+type placedRun struct {
 	run               *run
 	server            string
-	caller            string // an edge, where there are edges
+	caller            string // an edge if the deployment has edges
 	callerIncarnation int
 }
 
-// dueAnswer is when a request must have been answered.
+// dueAnswer is the time by which a request must have been answered.
 type dueAnswer struct {
 	at      microtime.Time
 	request *requestState
 }
 
-// serverState is one incarnation of a server, with its worker pool.
+// serverState is the observed state of one incarnation of a server and of its worker pool.
 type serverState struct {
 	name           string
 	incarnation    int
 	startedAt      microtime.Time
-	drainSentAt    microtime.Time // Never: no drain notice was sent
-	pauses         []span
+	drainSentAt    microtime.Time // Never if no drain notice was sent
+	pauses         []pauseInterval
 	requests       map[string]*requestState // by ID
 	keys           map[string]*keyState
-	runs           map[string]*run // by the request's ID, the last one of each
-	open           []*requestState // in order; answered ones are taken out at the audit
-	running        int             // runs that are on the cores
+	runs           map[string]*run // the last run of each request, by request ID
+	open           []*requestState // in order of arrival; the audit removes answered requests
+	running        int             // number of runs on the cores
 	runningSamples []runningSample
-	stopped        bool           // the process is gone, or what it does is no longer judged
-	openLinks      int            // connections to its worker pool
-	lastNotice     uint64         // the highest number of a notice that has reached it
-	strayErrors    int            // errors answered to what is no request
-	lastDialAt     microtime.Time // when it last tried to reach its worker pool
-	calls          []*call        // open, or made a short while ago
+	stopped        bool           // the process has ended, or is no longer checked
+	openPoolConns  int            // connections to its worker pool
+	lastNotice     uint64         // highest number of a notice that has reached the server
+	strayErrors    int            // errors in reply to messages that were no requests
+	lastDialAt     microtime.Time // last attempt to connect to its worker pool
+	calls          []*call        // open calls, and closed ones for a second after they were made
 	healthChecks   []healthCheck
-	// callAddress is the address of the vault in its configuration; empty: not known.
+	// callAddress is the vault's address in the server's configuration; empty if not known.
 	callAddress string
 	// callAddressSetAt is when callAddress took effect.
 	callAddressSetAt microtime.Time
-	// lastBlockedNotice is the number of the last notice that a run waits for a call which its worker pool has sent.
+	// lastBlockedNotice is the number of the last blocked notice (a run waits for a call) that the worker pool sent.
 	lastBlockedNotice uint64
 }
 
 // isEdge reports whether the server is an edge, which has no worker pool.
 func (s *serverState) isEdge() bool { return s.name[0] == edgePrefix }
 
-// pausedAt reports whether the server's process stands still at a time.
+// pausedAt reports whether the server's process is paused at a time.
 func (s *serverState) pausedAt(now microtime.Time) bool {
 	for _, pause := range s.pauses {
 		if now >= pause.from && now <= pause.to {
@@ -79,32 +79,32 @@
 	return false
 }
 
-// span is a time in which a process stands still.
-type span struct{ from, to microtime.Time }
+// pauseInterval is an interval during which a process is paused.
+type pauseInterval struct{ from, to microtime.Time }
 
-// runningSample is a change of the number of runs on the cores, for the average.
+// runningSample is the number of runs on the cores after a change; the samples give the average concurrency.
 type runningSample struct {
 	at      microtime.Time
 	running int
 }
 
-// keyState is what a server has seen under one idempotency key.
+// keyState lists the runs and attempts with one idempotency key at a server.
 type keyState struct {
 	runs     []*run
 	attempts []*requestState
 }
 
-// run is what a worker pool did for one request ID.
+// run is one execution of a request at a worker pool.
 type run struct {
 	id          string
-	requestedAt microtime.Time // by the clock of the caller of the attempt
+	requestedAt microtime.Time // start of the attempt by its caller's clock
 	ended       bool
-	executed    bool // it is a run: not declined, nor found needless
+	executed    bool // false if the worker pool declined it or had nothing to do
 	outcome     pool.Outcome
 	result      []byte
-	previous    *run // of the same ID, which an idempotent class may have
+	previous    *run // earlier run of the same request ID; only idempotent classes have one
 	callPoints  []*callPoint
-	// endReceivedAt is when the notice of its end reached the server; 0: not yet.
+	// endReceivedAt is when the notice of its end reached the server; 0 if it has not.
 	endReceivedAt microtime.Time
 }
 
@@ -114,42 +114,42 @@
 	text string
 }
 
-// requestState is one attempt of a caller.
+// requestState is one attempt of a request, as received by a server.
 type requestState struct {
 	server         *serverState
 	conn           *connState
 	id             string
 	class          int    // index into the settings' classes
-	idempotencyKey string // with the tenant; empty: it has none
+	idempotencyKey string // prefixed with the tenant; empty if the request has none
 	requestedAt    microtime.Time
 	arrivedAt      microtime.Time
 	sizeKB         float64
 	bodyHash       uint64
 	answers        int
 	cancelled      bool // by its caller
-	settled        bool // no answer is owed any more
+	settled        bool // the rules no longer require an answer
 	notes          []note
 	running        bool
-	answerKind     string // of the first answer; empty: none yet
-	// endKnownAt is when the server knew that the request has ended: it has answered, the caller's cancellation has
-	// come, or the caller's connection has ended; 0: not yet.
+	answerKind     string // kind of the first answer; empty before it
+	// endKnownAt is when the server learned that the request has ended: the server answered it, the caller's
+	// cancellation arrived, or the caller's connection ended; 0 before that.
 	endKnownAt microtime.Time
 }
 
-// isOwed reports whether the request is still to be answered.
-func (r *requestState) isOwed() bool {
+// awaitsAnswer reports whether the server must still answer the request.
+func (r *requestState) awaitsAnswer() bool {
 	return !r.settled && r.answers == 0 && !r.cancelled && !r.conn.callerLeft
 }
 
-// endKnown is when the server knew that the request has ended, and whether it knows.
+// endKnown returns when the server learned that the request has ended; ok is false before that.
 func (r *requestState) endKnown() (at microtime.Time, ok bool) { return r.endKnownAt, r.endKnownAt > 0 }
 
-// classOf is the class of a request in the settings.
+// classOf returns the settings of a request's class.
 func (o *Observer) classOf(request *requestState) control.Class {
 	return o.Limits.Settings.Classes[request.class]
 }
 
-// pausedSince is for how long a server's process has stood still since a time.
+// pausedSince returns for how long in total a server's process has been paused since a time.
 func (o *Observer) pausedSince(server *serverState, from microtime.Time) microtime.Time {
 	now := o.world.Now()
 	sum := microtime.Time(0)
@@ -159,7 +159,7 @@
 	return sum
 }
 
-// connKind is the protocol of a connection.
+// connKind tells connections apart by protocol.
 type connKind uint8
 
 const (
@@ -170,26 +170,26 @@
 	vaultConn            // of a server to the vault
 )
 
-// connState is one connection, as seen at both machines.
+// connState is one connection, as observed at both ends.
 type connState struct {
 	kind              connKind
 	server            *serverState
-	fromPool          []byte // of a worker pool's connection: what has reached the server and is not parsed yet
-	pendingIn         []byte // to the server's side of the protocol, not whole yet
-	pendingOut        []byte // from the server's side of the protocol, not whole yet
+	fromPool          []byte // poolConn: bytes that have reached the server and are not parsed yet
+	pendingToListener []byte // incomplete message to the listening side
+	pendingToDialer   []byte // incomplete message from the listening side
 	openRequests      map[int32]*requestState
-	currentRequest    *requestState // AJP: the request that is being answered
+	currentRequest    *requestState // AJP: the request whose answer is pending
 	requestHead       ajp.Request
 	body              []byte
 	status            int
 	result            []byte
-	broken            bool   // no message can be told from the next any more
-	callerLeft        bool   // the caller closed its end, or the network did
-	address           string // that was dialled
+	broken            bool   // message boundaries are lost; nothing more is parsed
+	callerLeft        bool   // the caller closed its end, or the network cut the connection
+	address           string // dialled address
 	caller            string
 	callerIncarnation int
 	lastSequenceID    int32
 }
 
-// fromEdge reports whether an edge is the caller.
+// fromEdge reports whether the caller is an edge.
 func (c *connState) fromEdge() bool { return c.caller[0] == edgePrefix }
--- a/internal/testbed/invariant/thrift.go
+++ b/internal/testbed/invariant/thrift.go
@@ -4,10 +4,10 @@
 	"pewterline/internal/protocol/thrift"
 )
 
-// probeMethod is the method name of the answer to a health check.
+// probeMethod is the method name in the answer to a health check.
 const probeMethod = "probe"
 
-// parseThriftCall takes one message of a caller off the bytes and returns its size; 0 where it is not whole.
+// parseThriftCall parses one message of a caller and returns its size; 0 if it is incomplete.
 func (o *Observer) parseThriftCall(conn *connState, in []byte) int {
 	payload, size, err := thrift.SplitFrame(in)
 	conn.broken = err != nil
@@ -17,12 +17,12 @@
 	message, _, err := thrift.DecodeCall(payload)
 	conn.broken = err != nil
 	if !conn.broken {
-		o.thriftCallRead(conn, message)
+		o.thriftCallReceived(conn, message)
 	}
 	return size
 }
 
-// parseThriftReply takes one message of a server off the bytes and returns its size; 0 where it is not whole.
+// parseThriftReply parses one message of a server and returns its size; 0 if it is incomplete.
 func (o *Observer) parseThriftReply(conn *connState, in []byte) int {
 	payload, size, err := thrift.SplitFrame(in)
 	conn.broken = err != nil
@@ -32,28 +32,28 @@
 	reply, err := thrift.DecodeReply(payload)
 	if err != nil {
 		conn.broken = true
-		o.report(ruleLost, conn.server, nil, "an answer that cannot be read: %v", err)
+		o.report(ruleLost, conn.server, nil, "unreadable answer: %v", err)
 		return size
 	}
 	o.thriftReplyWritten(conn, reply)
 	return size
 }
 
-// thriftCallRead takes a caller's message as it reaches the server.
-func (o *Observer) thriftCallRead(conn *connState, message thrift.Call) {
+// thriftCallReceived handles a caller's message when it reaches the server.
+func (o *Observer) thriftCallReceived(conn *connState, message thrift.Call) {
 	switch message.Method {
 	case thrift.MethodProbe:
-		o.healthCheckRead(conn, message)
+		o.healthCheckReceived(conn, message)
 	case thrift.MethodGiveUp:
-		o.cancellationRead(conn, message.CancelledID)
+		o.cancellationReceived(conn, message.CancelledID)
 	case thrift.MethodProcess:
-		o.processRead(conn, message)
-	case thrift.MethodUnknown: // it is answered with an error, which CountsOf counts
+		o.processReceived(conn, message)
+	case thrift.MethodUnknown: // answered with an error, which CountsOf counts
 	}
 }
 
-// cancellationRead takes a cancellation of the request with a sequence ID.
-func (o *Observer) cancellationRead(conn *connState, sequenceID int32) {
+// cancellationReceived handles the cancellation of the request with a sequence ID.
+func (o *Observer) cancellationReceived(conn *connState, sequenceID int32) {
 	request := conn.openRequests[sequenceID]
 	switch {
 	case request != nil && request.answers > 0:
@@ -67,9 +67,9 @@
 	}
 }
 
-// processRead takes a request. A sequence ID that was used before makes the connection one that is not judged, as no
-// proxy sends that.
-func (o *Observer) processRead(conn *connState, message thrift.Call) {
+// processReceived handles a request. After a repeated sequence ID, which no proxy sends, the connection and its open
+// requests are no longer checked.
+func (o *Observer) processReceived(conn *connState, message thrift.Call) {
 	if conn.openRequests[message.SequenceID] != nil || message.SequenceID <= conn.lastSequenceID {
 		conn.broken = true
 		for _, request := range conn.openRequests {
@@ -79,12 +79,12 @@
 	}
 	conn.lastSequenceID = message.SequenceID
 	header := func(name string) string { return message.Fields[name] }
-	if request := o.requestRead(conn, header, message.Body); request != nil {
+	if request := o.requestReceived(conn, header, message.Body); request != nil {
 		conn.openRequests[message.SequenceID] = request
 	}
 }
 
-// thriftReplyWritten takes a server's message as the server writes it.
+// thriftReplyWritten handles a server's message when the server writes it.
 func (o *Observer) thriftReplyWritten(conn *connState, reply thrift.Reply) {
 	if reply.Kind == thrift.ReplyFarewell {
 		o.noteSituation(conn.server, "farewell")
@@ -97,7 +97,7 @@
 	request := conn.openRequests[reply.SequenceID]
 	if request == nil {
 		if reply.Kind != thrift.ReplyException {
-			o.report(ruleDuplicate, conn.server, nil, "answer to nothing: number %d", reply.SequenceID)
+			o.report(ruleDuplicate, conn.server, nil, "answer to no request: sequence ID %d", reply.SequenceID)
 		}
 		conn.server.strayErrors++
 		return
@@ -105,7 +105,7 @@
 	o.requestAnswered(request, thriftAnswerKind(reply.Kind), reply.Body)
 }
 
-// thriftAnswerKind is the kind of a final answer by Thrift.
+// thriftAnswerKind returns the kind of a final answer by Thrift.
 func thriftAnswerKind(kind thrift.ReplyKind) string {
 	switch kind {
 	case thrift.ReplyAnswer:
--- a/internal/testbed/invariant/violation.go
+++ b/internal/testbed/invariant/violation.go
@@ -9,7 +9,7 @@
 	"pewterline/internal/microtime"
 )
 
-// The rules that a violation can name.
+// Names of the rules, as described in the package documentation.
 const (
 	ruleLost      = "lost"
 	ruleDuplicate = "duplicate"
@@ -21,16 +21,16 @@
 	ruleCheck     = "check"
 )
 
-// Violation is a broken rule, with all that was seen of the request.
+// Violation is a violated rule, with the observed history of the request.
 type Violation struct {
 	Rule    string
 	Server  string
-	At      microtime.Time // since the world's start
+	At      microtime.Time // since the start of the world
 	Message string
-	History []string // one event a line, in the order of time
+	History []string // one event per line, in order of time
 }
 
-// String is the violation with its history, one line an event.
+// String formats the violation with its history, one event per line.
 func (v Violation) String() string {
 	text := fmt.Sprintf("%s on %s at %v: %s", v.Rule, v.Server, v.At.Duration(), v.Message)
 	for _, line := range v.History {
@@ -39,14 +39,14 @@
 	return text
 }
 
-// Key tells violations of one sort from others: what the shrinker must preserve.
+// Key identifies the kind of the violation; a shrunk script must produce a violation with the same key.
 func (v Violation) Key() string {
 	head, _, _ := strings.Cut(v.Message, ":")
 	return v.Rule + "/" + head
 }
 
-// report records a violation. The part of the message before its first colon is the violation's key. The request may
-// be nil where the violation is of none.
+// report records a violation. The part of the message before its first colon becomes part of the violation's key. The
+// request is nil if the violation concerns no single request.
 func (o *Observer) report(rule string, server *serverState, request *requestState, format string, args ...any) {
 	violation := Violation{Rule: rule, Server: server.name, At: o.world.Since(), Message: fmt.Sprintf(format, args...)}
 	if request != nil {
@@ -62,7 +62,7 @@
 	request.notes = append(request.notes, note{o.world.Since(), fmt.Sprintf(format, args...)})
 }
 
-// history is what was seen of a request, with all attempts under its idempotency key, in the order of time.
+// history returns the events of a request and of all attempts with its idempotency key on the server, in time order.
 func (o *Observer) history(server *serverState, request *requestState) []string {
 	attempts := []*requestState{request}
 	if state := server.keys[request.idempotencyKey]; request.idempotencyKey != "" && state != nil {
