--- a/internal/testbed/fakes/allowance.go
+++ b/internal/testbed/fakes/allowance.go
@@ -8,27 +8,27 @@
 	"pewterline/internal/microtime"
 )
 
-// deafCallers is how many callers there are for each that heeds no allowance.
-const deafCallers = 5
+// ignoreAllowanceEvery selects the callers that ignore allowances: those whose number is a multiple of it.
+const ignoreAllowanceEvery = 5
 
-// allowance is how many requests a server said that the caller may have outstanding there.
+// allowance is the number of outstanding requests that a server allows the caller.
 type allowance struct {
 	requests float64
 	until    microtime.Time
 }
 
-// allowanceReceived takes the load signal on an answer of a server.
+// allowanceReceived handles the load signal in a server's answer.
 func (c *Caller) allowanceReceived(server, signal string) {
 	requests, err := strconv.ParseFloat(signal, 64)
-	if err != nil || c.env.Settings.LoadSignal != control.LoadSignalAllowance || c.number%deafCallers == 0 {
+	if err != nil || c.env.Settings.LoadSignal != control.LoadSignalAllowance || c.number%ignoreAllowanceEvery == 0 {
 		return
 	}
 	until := c.env.World.Now() + microtime.FromDuration(c.env.Settings.LoadSignalTTL)
 	c.allowances[server] = allowance{requests, until}
 }
 
-// allowedServer is the preferred server, or else another of the list, where the caller may have one more request;
-// empty where there is none.
+// allowedServer returns a server that allows the caller one more request: the preferred one, or the first such server
+// on the endpoint list, or an empty string if there is none.
 func (c *Caller) allowedServer(preferred string) string {
 	if c.allowed(preferred) {
 		return preferred
@@ -41,7 +41,8 @@
 	return ""
 }
 
-// allowed reports whether the caller may have one more request at a server; a fraction is allowed by chance.
+// allowed reports whether a server allows the caller one more request. The fraction of an allowance is the probability
+// of a further request.
 func (c *Caller) allowed(server string) bool {
 	granted, known := c.allowances[server]
 	if !known || c.env.World.Now() > granted.until {
--- a/internal/testbed/fakes/caller.go
+++ b/internal/testbed/fakes/caller.go
@@ -9,17 +9,16 @@
 )
 
 const (
-	// staleAfterCrash is how long a caller that is back after a crash misses each change of the list.
-	staleAfterCrash = 3 * microtime.Second
-	// nobodyNode is a server on the list of such a caller that does not exist.
-	nobodyNode = "x9"
+	// staleEndpointsAfterCrash is how long a caller ignores updates of the endpoint list after its restart from a crash.
+	staleEndpointsAfterCrash = 3 * microtime.Second
+	// nonexistentServer is a server that does not exist, on the endpoint list of a restarted caller.
+	nonexistentServer = "x9"
 )
 
-// Caller is a proxy that speaks Thrift, or a web front end that speaks AJP. It has a list of servers that may be out
-// of date, sends jobs, retries them after rejections and errors, and cancels them at their deadline.
+// Caller is a proxy that speaks Thrift, or a web frontend that speaks AJP. It sends jobs to the servers of its endpoint
+// list, which may be out of date, retries them after rejections and errors, and cancels them at their deadline.
 type Caller struct {
-	// OtherProtocol is a caller of the other protocol that sends some retries of jobs with an idempotency key; nil:
-	// none.
+	// OtherProtocol is a caller with the other protocol that takes over some retries of keyed jobs; may be nil.
 	OtherProtocol *Caller
 
 	env         *Environment
@@ -28,36 +27,36 @@
 	number      int
 	ajp         bool
 	incarnation int
-	rate        float64        // jobs a second
+	rate        float64        // jobs per second
 	until       microtime.Time // when it stops sending new jobs
 	endpoints   []string
-	frozenUntil microtime.Time // it misses each change of the list before
+	frozenUntil microtime.Time // ignores updates of the endpoint list until then
 	conns       []*callerConn
 	allowances  map[string]allowance // by server
 	faults      callerFaults
 }
 
-// callerFaults are until when a caller goes wrong in some way.
+// callerFaults are the injected faults of a caller, each with the time at which it ends.
 type callerFaults struct {
-	cancelAfter      microtime.Time // how long it waits while it cancels early
+	cancelAfter      microtime.Time // how long it waits for an answer before it cancels early
 	cancelEarlyUntil microtime.Time
 	cancelLateUntil  microtime.Time
 	notReadingUntil  microtime.Time
 	retryAtOnceUntil microtime.Time
 }
 
-// CallerConfig is what tells one caller from another.
+// CallerConfig are the parameters of a caller.
 type CallerConfig struct {
-	Name      string         // of its node
-	Number    int            // that it states to the servers
-	AJP       bool           // it is a web front end that speaks AJP, and else a proxy that speaks Thrift
-	Rate      float64        // jobs a second
+	Name      string         // name of its node
+	Number    int            // caller number in its requests
+	AJP       bool           // a web frontend that speaks AJP, instead of a proxy that speaks Thrift
+	Rate      float64        // jobs per second
 	Until     microtime.Time // when it stops sending new jobs
-	Endpoints []string       // the servers that it knows at the start
+	Endpoints []string       // initial endpoint list
 	Seed      uint64
 }
 
-// NewCaller returns a caller that begins at once.
+// NewCaller returns a caller that starts at once.
 func NewCaller(env *Environment, config CallerConfig) *Caller {
 	caller := &Caller{
 		env:        env,
@@ -86,41 +85,41 @@
 	}
 }
 
-// Crash ends the caller's process. It is back at a time with the list that it had, and a server that does not exist
-// in it.
+// Crash ends the caller's process. The caller restarts at a time, with its previous endpoint list and a server on it
+// that does not exist.
 func (c *Caller) Crash(back microtime.Time) {
 	for _, conn := range c.conns {
 		conn.abandon()
 	}
 	c.conns = nil
 	c.node.Kill(false)
-	c.frozenUntil = max(c.frozenUntil, back+staleAfterCrash)
+	c.frozenUntil = max(c.frozenUntil, back+staleEndpointsAfterCrash)
 	c.env.World.At(back, func() {
 		if c.node.Up() {
 			return
 		}
-		c.endpoints = slices.DeleteFunc(c.endpoints, func(server string) bool { return server == nobodyNode })
-		c.endpoints = append(c.endpoints, nobodyNode)
+		c.endpoints = slices.DeleteFunc(c.endpoints, func(server string) bool { return server == nonexistentServer })
+		c.endpoints = append(c.endpoints, nonexistentServer)
 		c.boot()
 	})
 }
 
-// FreezeEndpoints has it miss each change of the list until a time.
+// FreezeEndpoints makes the caller ignore updates of the endpoint list until a time.
 func (c *Caller) FreezeEndpoints(until microtime.Time) { c.frozenUntil = max(c.frozenUntil, until) }
 
-// CancelAfter has it cancel each request after a while, until a time.
+// CancelAfter makes the caller cancel each request after a duration, until a time.
 func (c *Caller) CancelAfter(after, until microtime.Time) {
 	c.faults.cancelAfter = after
 	c.faults.cancelEarlyUntil = until
 }
 
-// CancelLate has it cancel requests that were answered, until a time.
+// CancelLate makes the caller cancel requests that have been answered, until a time.
 func (c *Caller) CancelLate(until microtime.Time) { c.faults.cancelLateUntil = until }
 
-// RetryAtOnce has it retry the instant that it is rejected, until a time.
+// RetryAtOnce makes the caller retry without a pause after a rejection, until a time.
 func (c *Caller) RetryAtOnce(until microtime.Time) { c.faults.retryAtOnceUntil = until }
 
-// StopReading has it read nothing until a time.
+// StopReading pauses reading on all connections of the caller until a time.
 func (c *Caller) StopReading(until microtime.Time) {
 	c.faults.notReadingUntil = max(c.faults.notReadingUntil, until)
 	for _, conn := range slices.Clone(c.conns) {
@@ -137,15 +136,15 @@
 	})
 }
 
-// endpointsReceived takes the list of the servers.
+// endpointsReceived handles an update of the endpoint list.
 func (c *Caller) endpointsReceived(endpoints []string) {
 	if c.env.World.Now() >= c.frozenUntil {
 		c.endpoints = endpoints
 	}
 }
 
-// alive reports whether the process of an incarnation still runs.
+// alive reports whether an incarnation of the caller's process is still running.
 func (c *Caller) alive(incarnation int) bool { return c.node.Up() && c.node.Incarnation == incarnation }
 
-// randomEndpoint draws a server of the list, which must not be empty.
+// randomEndpoint returns a random server of the endpoint list, which must not be empty.
 func (c *Caller) randomEndpoint() string { return c.endpoints[c.rng.IntN(len(c.endpoints))] }
--- a/internal/testbed/fakes/caller_ajp.go
+++ b/internal/testbed/fakes/caller_ajp.go
@@ -7,10 +7,10 @@
 	"pewterline/internal/protocol/ajp"
 )
 
-// ajpHeaderPrefix begins the headers in which an AJP message states the fields of the envelope.
+// ajpHeaderPrefix begins the names of the headers that carry the fields of the envelope in an AJP message.
 const ajpHeaderPrefix = "X-Relay-"
 
-// writeAJP writes an attempt by AJP. The bodies of callers fit into one packet.
+// writeAJP writes an attempt as an AJP request. Callers' bodies fit into one packet.
 func (c *callerConn) writeAJP(sent *attempt) {
 	request := ajp.Request{
 		Method:     "POST",
@@ -25,7 +25,7 @@
 	c.stream.Write(packets)
 }
 
-// parseAJP takes one packet off the bytes read, and returns its size; 0 where it is not whole.
+// parseAJP handles the first packet of the bytes read, and returns its size; 0 if it is incomplete.
 func (c *callerConn) parseAJP() (int, error) {
 	payload, size, err := ajp.SplitPacket(c.in, ajp.FromContainer)
 	if err != nil || payload == nil {
@@ -40,12 +40,12 @@
 		c.head = ajpAnswer(response)
 	case ajp.CodeEndResponse:
 		c.ajpResponseEnded(response)
-	default: // bodies and pings are not looked at
+	default: // bodies and pings are ignored
 	}
 	return size, nil
 }
 
-// ajpResponseEnded takes the end of the answer to the one request on the connection.
+// ajpResponseEnded handles the end of the answer to the only request on the connection.
 func (c *callerConn) ajpResponseEnded(response ajp.Response) {
 	if len(c.open) == 0 {
 		return
@@ -53,14 +53,14 @@
 	finished := c.open[0]
 	c.finish(finished)
 	if response.Reuse {
-		c.rest()
+		c.closeWhenIdle()
 	} else {
 		c.close()
 	}
 	c.answered(finished, c.head)
 }
 
-// ajpAnswer is what the headers of a response say became of an attempt.
+// ajpAnswer decodes the answer to an attempt from the headers of a response.
 func ajpAnswer(response ajp.Response) answer {
 	var head answer
 	switch response.Status {
--- a/internal/testbed/fakes/caller_conn.go
+++ b/internal/testbed/fakes/caller_conn.go
@@ -9,25 +9,25 @@
 )
 
 const (
-	// maxOpenPerConn is how many requests a Thrift connection carries at once; an AJP connection carries one.
+	// maxOpenPerConn is the maximum number of open requests on a Thrift connection; an AJP connection carries one.
 	maxOpenPerConn = 32
-	// maxConnsPerServer is how many connections a caller by Thrift has to a server.
+	// maxConnsPerServer is the maximum number of connections of a Thrift caller to a server.
 	maxConnsPerServer = 4
-	// maxAJPConnsPerServer is the same by AJP.
+	// maxAJPConnsPerServer is the maximum number of connections of an AJP caller to a server.
 	maxAJPConnsPerServer = 8 * maxConnsPerServer
-	// idleTimeout is how long a connection stays open without a request.
+	// idleTimeout is how long a connection stays open without requests.
 	idleTimeout = 6 * microtime.Second
-	// deadlineGrace is how long after the deadline of a request its caller still waits.
+	// deadlineGrace is how long a caller still waits for an answer after the deadline.
 	deadlineGrace = 200 * microtime.Millisecond
 	// dialFailedPause is the pause before a job whose connection failed is retried.
 	dialFailedPause = 50 * microtime.Millisecond
-	// hastyOneIn is how many requests to a server with a vault there are for each that is cancelled early.
-	hastyOneIn = 20
-	// hastyTimeout is how long the caller waits at most for such a request.
-	hastyTimeout = 400 * microtime.Millisecond
+	// requestsPerEarlyCancel is the number of requests per early cancellation in a deployment with a vault.
+	requestsPerEarlyCancel = 20
+	// maxEarlyCancelDelay is the longest wait before such an early cancellation.
+	maxEarlyCancelDelay = 400 * microtime.Millisecond
 )
 
-// attempt is one sending of a job.
+// attempt is one request that a caller sends for a job.
 type attempt struct {
 	job        *job
 	id         string
@@ -35,42 +35,42 @@
 	timer      *simnet.Timer // cancels it
 }
 
-// outcome is what a final answer says became of an attempt.
+// outcome is the outcome of an attempt according to its final answer.
 type outcome uint8
 
 const (
-	outcomeFailed   outcome = iota // it may have run
-	outcomeServed                  // its result came
-	outcomeRejected                // it never ran
+	outcomeFailed   outcome = iota // the request may have run
+	outcomeServed                  // the result was received
+	outcomeRejected                // the request did not run
 )
 
-// String is the outcome's name.
+// String returns the outcome's name.
 func (o outcome) String() string { return [...]string{"failed", "served", "rejected"}[o] }
 
 // answer is a final answer to an attempt.
 type answer struct {
 	outcome    outcome
-	retryAfter microtime.Time // for a rejection: how long to wait before the next attempt
-	noRetry    bool           // for a rejection: no attempt elsewhere will do better
+	retryAfter microtime.Time // after a rejection: pause before the next attempt
+	noRetry    bool           // after a rejection: other servers would reject the job too
 }
 
-// callerConn is a connection to a server, or one that is being opened.
+// callerConn is a caller's connection to a server, open or being dialled.
 type callerConn struct {
 	caller       *Caller
 	server       string
-	stream       *simnet.Stream // nil while it is being opened
-	waiting      []*job         // until it is open
+	stream       *simnet.Stream // nil while being dialled
+	waiting      []*job         // jobs that wait until the connection is open
 	open         []*attempt
 	lastSequence int32
-	in           []byte // read and not yet whole
-	draining     bool   // the server has said that it takes no more
+	in           []byte // incomplete message
+	draining     bool   // the server has announced that it accepts no more requests
 	ended        bool
-	idle         *simnet.Timer
-	head         answer // AJP: what the headers of the answer said
+	idleTimer    *simnet.Timer
+	head         answer // AJP: answer decoded from the headers of the response
 }
 
-// connTo is the fullest connection to a server that has room, so that the others may become idle. It dials a new one
-// where none has room, and returns nil where there are too many.
+// connTo returns the connection to a server with the most open requests that can carry another one, so that the others
+// may become idle. If all are full it dials a new one; it returns nil if the caller has too many connections.
 func (c *Caller) connTo(server string) *callerConn {
 	maxOpen, maxConns := maxOpenPerConn, maxConnsPerServer
 	if c.ajp {
@@ -97,7 +97,7 @@
 	return c.dial(server)
 }
 
-// dial opens a connection to a server. It is of the caller's at once, and jobs wait on it until it is open.
+// dial starts to open a connection to a server. It counts as the caller's at once, and jobs wait until it is open.
 func (c *Caller) dial(server string) *callerConn {
 	conn := &callerConn{caller: c, server: server}
 	c.conns = append(c.conns, conn)
@@ -118,18 +118,18 @@
 	return conn
 }
 
-// dialFailed retries what waited for the connection elsewhere: none of it has run.
+// dialFailed retries the jobs that waited for the connection; none of them has been sent.
 func (c *callerConn) dialFailed() {
 	waiting := c.waiting
 	c.waiting = nil
-	c.drop()
+	c.remove()
 	for _, sent := range waiting {
-		sent.avoid = c.server
+		sent.avoidServer = c.server
 		c.caller.retry(sent, dialFailedPause)
 	}
 }
 
-// opened sends what waited for the connection.
+// opened sends the jobs that waited for the connection.
 func (c *callerConn) opened(stream *simnet.Stream) {
 	waiting := c.waiting
 	c.waiting = nil
@@ -147,33 +147,33 @@
 	}
 }
 
-// load is how many requests are on the connection or wait for it.
+// load returns the number of requests that are on the connection or wait for it.
 func (c *callerConn) load() int { return len(c.open) + len(c.waiting) }
 
-// drop takes the connection off the caller's.
-func (c *callerConn) drop() {
+// remove removes the connection from the caller's connections.
+func (c *callerConn) remove() {
 	c.ended = true
-	c.idle.Stop()
+	c.idleTimer.Stop()
 	c.caller.conns = slices.DeleteFunc(c.caller.conns, func(other *callerConn) bool { return other == c })
 }
 
-// close ends the connection from the caller's side.
+// close closes the connection from the caller's side.
 func (c *callerConn) close() {
 	c.stream.Close()
-	c.drop()
+	c.remove()
 }
 
-// abandon ends the connection with the caller's process.
+// abandon ends the connection when the caller's process crashes.
 func (c *callerConn) abandon() {
 	c.ended = true
 	for _, sent := range c.open {
 		sent.timer.Stop()
 		c.caller.env.Requests.MarkEnded(sent.id)
 	}
-	c.idle.Stop()
+	c.idleTimer.Stop()
 }
 
-// send writes an attempt, and waits for its answer.
+// send writes an attempt for a job and starts the timer that cancels it.
 func (c *callerConn) send(sent *job) {
 	caller := c.caller
 	env := caller.env
@@ -184,7 +184,7 @@
 		sequenceID: c.lastSequence,
 	}
 	c.open = append(c.open, started)
-	c.idle.Stop()
+	c.idleTimer.Stop()
 	env.Requests.Add(started.id, c.server, caller.classOf(sent).Name, sent.body)
 	env.Requests.attempts[started.id].size = sent.size
 	if caller.ajp {
@@ -195,20 +195,20 @@
 	started.timer = env.World.In(caller.timeout(sent), func() { c.cancel(started) })
 }
 
-// timeout draws how long the caller waits for an answer: as long as the deadline is and a little longer, or less
-// where a fault has it cancel early, or where it cancels while a run waits for a call.
+// timeout returns how long the caller waits for an answer: until shortly after the deadline, or a shorter time during a
+// fault that cancels early or, at random in a deployment with a vault, to cancel while a run waits for a call.
 func (c *Caller) timeout(sent *job) microtime.Time {
 	wait := c.deadline(sent) + deadlineGrace
 	if c.faults.cancelEarlyUntil > c.env.World.Now() {
 		wait = min(wait, c.faults.cancelAfter)
 	}
-	if c.env.Deployment.Vault && c.rng.IntN(hastyOneIn) == 0 {
-		wait = min(wait, randomUpTo(c.rng, hastyTimeout))
+	if c.env.Deployment.Vault && c.rng.IntN(requestsPerEarlyCancel) == 0 {
+		wait = min(wait, randomUpTo(c.rng, maxEarlyCancelDelay))
 	}
 	return wait
 }
 
-// finish takes an attempt off the connection; it reports whether it was on it.
+// finish removes an attempt from the connection, and reports whether the connection had it.
 func (c *callerConn) finish(finished *attempt) bool {
 	index := slices.Index(c.open, finished)
 	if index < 0 {
@@ -220,7 +220,7 @@
 	return true
 }
 
-// cancel stops waiting for an attempt. AJP has no message for it but the end of the connection.
+// cancel cancels an attempt. AJP has no message for this, so an AJP connection is closed instead.
 func (c *callerConn) cancel(cancelled *attempt) {
 	if c.ended || !c.finish(cancelled) {
 		return
@@ -229,13 +229,13 @@
 		c.close()
 	} else {
 		c.writeCancel(cancelled.sequenceID)
-		c.rest()
+		c.closeWhenIdle()
 	}
 	c.caller.attemptFailed(cancelled.job, c.server)
 }
 
-// rest closes a connection without requests: at once where the server is draining, and else once it has been idle.
-func (c *callerConn) rest() {
+// closeWhenIdle closes a connection without requests: at once if the server is draining, otherwise after idleTimeout.
+func (c *callerConn) closeWhenIdle() {
 	if c.load() > 0 || c.ended || c.stream == nil {
 		return
 	}
@@ -243,15 +243,15 @@
 		c.close()
 		return
 	}
-	c.idle.Stop()
-	c.idle = c.caller.env.World.In(idleTimeout, func() {
+	c.idleTimer.Stop()
+	c.idleTimer = c.caller.env.World.In(idleTimeout, func() {
 		if len(c.open) == 0 && !c.ended {
 			c.close()
 		}
 	})
 }
 
-// answered goes on after the final answer to an attempt.
+// answered continues a job after the final answer to an attempt.
 func (c *callerConn) answered(finished *attempt, final answer) {
 	switch final.outcome {
 	case outcomeServed:
@@ -263,18 +263,18 @@
 	}
 }
 
-// EOF is part of simnet.Handler.
+// EOF implements simnet.Handler.
 func (c *callerConn) EOF(stream *simnet.Stream) {
 	stream.Close()
 	c.Reset(stream)
 }
 
-// Reset is part of simnet.Handler: what was open may have run.
+// Reset implements simnet.Handler: the open requests fail, as they may have run.
 func (c *callerConn) Reset(*simnet.Stream) {
 	if c.ended {
 		return
 	}
-	c.drop()
+	c.remove()
 	open := c.open
 	c.open = nil
 	for _, lost := range open {
@@ -284,12 +284,12 @@
 	}
 }
 
-// Received is part of simnet.Handler.
+// Received implements simnet.Handler.
 func (c *callerConn) Received(stream *simnet.Stream, in []byte) {
 	c.in = append(c.in, in...)
 	for !c.ended {
 		size, err := c.parse()
-		if err != nil { // the invariant checker sees it too
+		if err != nil { // the invariant checker reports it
 			stream.Close()
 			c.Reset(stream)
 			return
@@ -301,7 +301,7 @@
 	}
 }
 
-// parse takes one message off the bytes read, and returns its size; 0 where it is not whole.
+// parse handles the first message of the bytes read, and returns its size; 0 if it is incomplete.
 func (c *callerConn) parse() (int, error) {
 	if c.caller.ajp {
 		return c.parseAJP()
--- a/internal/testbed/fakes/caller_health.go
+++ b/internal/testbed/fakes/caller_health.go
@@ -9,11 +9,11 @@
 const (
 	// healthCheckInterval is the mean pause between two health checks of a caller.
 	healthCheckInterval = 2 * microtime.Second
-	// healthCheckTimeout is how long the connection of a health check stays open without an answer.
+	// healthCheckTimeout is how long an unanswered health check keeps its connection open.
 	healthCheckTimeout = 3 * microtime.Second
 )
 
-// scheduleHealthCheck plans the next health check, and the ones after it.
+// scheduleHealthCheck schedules the next health check, which schedules the one after it.
 func (c *Caller) scheduleHealthCheck() {
 	incarnation := c.incarnation
 	c.env.World.In(healthCheckInterval/2+randomUpTo(c.rng, healthCheckInterval), func() {
@@ -27,7 +27,7 @@
 	})
 }
 
-// checkHealth asks a server of the list for its health, on a connection of its own.
+// checkHealth sends a health check to a random server of the endpoint list, on a connection of its own.
 func (c *Caller) checkHealth() {
 	deep := c.env.Deployment.Vault && c.rng.IntN(2) == 0
 	c.node.Dial(c.randomEndpoint()+"/thrift", func(stream *simnet.Stream, err error) {
@@ -40,8 +40,8 @@
 	})
 }
 
-// healthChecker closes the connection of a health check once it is answered.
-type healthChecker struct{ silent }
+// healthChecker closes the connection of a health check when the answer arrives.
+type healthChecker struct{ discardHandler }
 
-// Received is part of simnet.Handler.
+// Received implements simnet.Handler.
 func (healthChecker) Received(stream *simnet.Stream, _ []byte) { stream.Close() }
--- a/internal/testbed/fakes/caller_jobs.go
+++ b/internal/testbed/fakes/caller_jobs.go
@@ -10,39 +10,39 @@
 
 const (
 	maxAttempts = 4
-	// jobLifetime is how long after its start a job is still sent.
+	// jobLifetime is how long after its start a job may be sent.
 	jobLifetime = 13 * microtime.Second
-	// emptyListPause is the pause before a caller that knows no server looks again.
-	emptyListPause = 200 * microtime.Millisecond
-	// minRejectedPause is the least pause before a rejected attempt is retried.
+	// emptyEndpointsPause is the pause before a caller with an empty endpoint list tries again.
+	emptyEndpointsPause = 200 * microtime.Millisecond
+	// minRejectedPause is the minimum pause before a rejected attempt is retried, without jitter.
 	minRejectedPause = 10 * microtime.Millisecond
-	// rejectedJitter is up to how much longer that pause is.
+	// rejectedJitter is the maximum random addition to that pause.
 	rejectedJitter = 50 * microtime.Millisecond
 	// failedJitter is the longest pause before a failed attempt is retried.
 	failedJitter = 400 * microtime.Millisecond
-	// handoverJitter is the longest pause before the caller of the other protocol retries it.
-	handoverJitter = 300 * microtime.Millisecond
-	// anyClass has newJob draw a class.
+	// otherProtocolJitter is the longest pause before the caller with the other protocol retries a failed attempt.
+	otherProtocolJitter = 300 * microtime.Millisecond
+	// anyClass makes newJob choose a random class.
 	anyClass = -1
 )
 
-// job is a request over all its attempts.
+// job is a piece of work that a caller requests, in one or more attempts.
 type job struct {
 	class          int
 	tenant         string
 	idempotencyKey string
 	body           []byte
 	sizeKB         float64
-	rank           float64
-	size           float64 // of its work, times its class's average; 0: nobody says
-	sizeHint       float64 // the size that the caller states
+	priority       float64
+	size           float64 // work as a multiple of the class's average; 0 if the worker pool is to choose it
+	sizeHint       float64 // the size according to the caller
 	startedAt      microtime.Time
 	attempts       int
-	sticky         string // a server that may have run it
-	avoid          string // a server that has rejected or failed it
+	stickyServer   string // server that may have run the job and gets all retries
+	avoidServer    string // server at which the last attempt was rejected or failed
 }
 
-// scheduleJob plans the next job, and the ones after it.
+// scheduleJob schedules the next job, which schedules the one after it.
 func (c *Caller) scheduleJob() {
 	incarnation := c.incarnation
 	if c.rate <= 0 {
@@ -57,32 +57,32 @@
 	})
 }
 
-// startJobs sends one job, or more where a flood has a tenant, or a class where there are no tenants, send more at
-// once.
+// startJobs sends one job, or several while a fault multiplies the traffic of its tenant (or of its class, in a
+// deployment without tenants).
 func (c *Caller) startJobs() {
 	if c.env.Deployment.Vault {
 		class := c.newJob("", anyClass)
-		for range c.floodSize(c.env.Settings.Classes[class].Name) - 1 {
+		for range c.trafficMultiple(c.env.Settings.Classes[class].Name) - 1 {
 			c.newJob("", class)
 		}
 		return
 	}
 	tenants := c.env.Settings.Tenants
 	tenant := tenants[c.rng.IntN(len(tenants))].Name
-	for range c.floodSize(tenant) {
+	for range c.trafficMultiple(tenant) {
 		c.newJob(tenant, anyClass)
 	}
 }
 
-// floodSize is how many jobs of a tenant or class come in place of one.
-func (c *Caller) floodSize(source string) int {
+// trafficMultiple returns the number of jobs to send in place of one for a tenant or class.
+func (c *Caller) trafficMultiple(source string) int {
 	if factor := c.env.TrafficFactor[source]; factor > 1 {
 		return int(factor + c.rng.Float64())
 	}
 	return 1
 }
 
-// newJob draws a job of a class, or of any, and sends it off. It returns the class.
+// newJob creates a random job of a class, or of a random class for anyClass, sends it, and returns the class.
 func (c *Caller) newJob(tenant string, class int) int {
 	started := &job{
 		tenant:    tenant,
@@ -94,8 +94,8 @@
 		started.class = c.env.Deployment.drawClass(c.rng)
 	}
 	started.body = c.drawBody()
-	lowestRank := []float64{0, 0.333, 0.667}[started.class]
-	started.rank = lowestRank + 0.333*c.rng.Float64()
+	lowestPriority := []float64{0, 0.333, 0.667}[started.class]
+	started.priority = lowestPriority + 0.333*c.rng.Float64()
 	if c.hasKey(started) {
 		started.idempotencyKey = fmt.Sprintf("%016x%016x", c.rng.Uint64(), c.rng.Uint64())
 	}
@@ -109,7 +109,7 @@
 	return started.class
 }
 
-// drawBody draws the body of a job.
+// drawBody returns a random body for a job.
 func (c *Caller) drawBody() []byte {
 	body := make([]byte, 16+c.rng.IntN(180))
 	for i := range body {
@@ -118,10 +118,10 @@
 	return body
 }
 
-// classOf is the class of a job in the settings.
+// classOf returns the settings of a job's class.
 func (c *Caller) classOf(sent *job) control.Class { return c.env.Settings.Classes[sent.class] }
 
-// weight is what a job counts if it is served within its objective.
+// weight returns the weight of a job that is served within its latency objective.
 func (c *Caller) weight(sent *job) float64 {
 	weight := c.classOf(sent).Weight
 	if c.env.Settings.WeightPerWork {
@@ -135,18 +135,18 @@
 	return c.classOf(sent).Idempotency == control.IdempotentByKey
 }
 
-// deadline is how long an attempt of a job may take.
+// deadline returns the time that an attempt of a job may take.
 func (c *Caller) deadline(sent *job) microtime.Time {
 	return microtime.FromDuration(c.classOf(sent).Deadline)
 }
 
-// dispatch sends a job to the server that may have run it, or to one of the list. A job is dropped where no server
-// allows it, where it is too old or was sent too often, or where all connections are full.
+// dispatch sends a job to the server that may already have run it, or else to one of the endpoint list. The job is
+// dropped if no server allows it, if it is too old or was sent too often, or if all connections are full.
 func (c *Caller) dispatch(sent *job) {
-	server := sent.sticky
+	server := sent.stickyServer
 	if server == "" {
 		if len(c.endpoints) == 0 {
-			c.retry(sent, emptyListPause)
+			c.retry(sent, emptyEndpointsPause)
 			return
 		}
 		server = c.chooseServer(sent)
@@ -168,11 +168,11 @@
 	}
 }
 
-// chooseServer draws a server of the list, with a second draw where the first is one to avoid; empty where none
-// allows the job.
+// chooseServer returns a random server of the endpoint list. It draws once more if the first one is to be avoided, and
+// returns an empty string if no server allows the job.
 func (c *Caller) chooseServer(sent *job) string {
 	server := c.randomEndpoint()
-	if server == sent.avoid {
+	if server == sent.avoidServer {
 		server = c.randomEndpoint()
 	}
 	if c.env.Deployment.Vault {
@@ -191,7 +191,7 @@
 	})
 }
 
-// attemptServed counts a job that got its result.
+// attemptServed counts a job whose result was received.
 func (c *Caller) attemptServed(sent *job) {
 	now := c.env.World.Now()
 	class := c.classOf(sent)
@@ -203,33 +203,33 @@
 	}
 }
 
-// attemptRejected goes on after an attempt that never ran.
+// attemptRejected retries or drops a job after a rejected attempt, which did not run.
 func (c *Caller) attemptRejected(sent *job, server string, final answer) {
-	sent.avoid = server
+	sent.avoidServer = server
 	switch {
 	case c.faults.retryAtOnceUntil > c.env.World.Now():
 		c.retry(sent, 0)
-	case final.noRetry && sent.sticky == "": // the job is dropped
+	case final.noRetry && sent.stickyServer == "": // the job is dropped
 	default:
 		c.retry(sent, max(final.retryAfter, minRejectedPause)+randomUpTo(c.rng, rejectedJitter))
 	}
 }
 
-// attemptFailed goes on after an attempt that may have run: a job that must not run twice is dropped, and so are
-// half of those that may.
+// attemptFailed retries or drops a job after an attempt that may have run. A job that must not run twice is dropped, as
+// are half of the idempotent ones. A keyed job is retried at the same server, by either protocol.
 func (c *Caller) attemptFailed(sent *job, server string) {
 	if c.classOf(sent).Idempotency == control.NonIdempotent {
 		return
 	}
 	if c.hasKey(sent) {
-		sent.sticky = server
+		sent.stickyServer = server
 		if c.OtherProtocol != nil && c.rng.IntN(3) == 0 && c.OtherProtocol.node.Up() {
-			c.OtherProtocol.retry(sent, randomUpTo(c.rng, handoverJitter))
+			c.OtherProtocol.retry(sent, randomUpTo(c.rng, otherProtocolJitter))
 			return
 		}
 	} else if c.rng.IntN(2) == 0 {
 		return
 	}
-	sent.avoid = server
+	sent.avoidServer = server
 	c.retry(sent, randomUpTo(c.rng, failedJitter))
 }
--- a/internal/testbed/fakes/caller_thrift.go
+++ b/internal/testbed/fakes/caller_thrift.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	// tenantPosition is where the tenant stands among the fields of a request.
+	// tenantPosition is the index of the tenant among the fields of a request.
 	tenantPosition = 4
-	// unusedSequences is how far past the last one a sequence ID is that no request has.
-	unusedSequences = 1000
+	// unusedSequenceOffset is added to a sequence ID to get one that no request has used.
+	unusedSequenceOffset = 1000
 )
 
-// envelope lists the fields of an attempt, in the order in which they are sent by either protocol.
+// envelope returns the fields of an attempt in the order in which both protocols send them.
 func (c *Caller) envelope(sent *attempt) []thrift.Field {
 	request := sent.job
 	fields := []thrift.Field{
@@ -24,7 +24,7 @@
 		{Name: "at", Value: strconv.FormatInt(c.env.wall.UnixMilli(c.env.World.Now()), 10)},
 		{Name: "from", Value: strconv.Itoa(c.number)},
 		{Name: "kb", Value: strconv.FormatFloat(request.sizeKB, 'f', 1, 64)},
-		{Name: "rank", Value: strconv.FormatFloat(request.rank, 'f', 4, 64)},
+		{Name: "rank", Value: strconv.FormatFloat(request.priority, 'f', 4, 64)},
 	}
 	if request.tenant != "" {
 		fields = slices.Insert(fields, tenantPosition, thrift.Field{Name: "tenant", Value: request.tenant})
@@ -42,17 +42,17 @@
 	return fields
 }
 
-// writeThrift writes an attempt by Thrift.
+// writeThrift writes an attempt as a Thrift call.
 func (c *callerConn) writeThrift(sent *attempt) {
 	c.stream.Write(thrift.AppendCall(nil, sent.sequenceID, c.caller.envelope(sent), sent.job.body))
 }
 
-// writeCancel writes the cancellation of a request by Thrift.
+// writeCancel writes the cancellation of a Thrift call.
 func (c *callerConn) writeCancel(sequenceID int32) {
 	c.stream.Write(thrift.AppendGiveUp(nil, sequenceID))
 }
 
-// parseThrift takes one message off the bytes read, and returns its size; 0 where it is not whole.
+// parseThrift handles the first message of the bytes read, and returns its size; 0 if it is incomplete.
 func (c *callerConn) parseThrift() (int, error) {
 	payload, size, err := thrift.SplitFrame(c.in)
 	if err != nil || payload == nil {
@@ -66,33 +66,33 @@
 	return size, nil
 }
 
-// thriftReplyReceived takes a message of the server's.
+// thriftReplyReceived handles a message from the server.
 func (c *callerConn) thriftReplyReceived(reply thrift.Reply) {
 	if reply.Kind == thrift.ReplyFarewell {
 		c.draining = true
-		c.rest()
+		c.closeWhenIdle()
 		return
 	}
 	index := slices.IndexFunc(c.open, func(sent *attempt) bool { return sent.sequenceID == reply.SequenceID })
 	if index < 0 {
-		return // it crossed a cancellation
+		return // the answer crossed a cancellation
 	}
 	finished := c.open[index]
 	c.finish(finished)
 	c.caller.allowanceReceived(c.server, reply.Fields["say"])
 	if c.caller.faults.cancelLateUntil > c.caller.env.World.Now() {
 		c.writeCancel(finished.sequenceID)
-		c.writeCancel(finished.sequenceID + unusedSequences)
+		c.writeCancel(finished.sequenceID + unusedSequenceOffset)
 	}
 	c.answered(finished, answer{
 		outcome:    thriftOutcome(reply.Kind),
 		retryAfter: parseMillis(reply.Fields["after"]),
 		noRetry:    reply.Fields["last"] == "1",
 	})
-	c.rest()
+	c.closeWhenIdle()
 }
 
-// thriftOutcome is what a reply by Thrift says became of an attempt.
+// thriftOutcome returns the outcome of an attempt for a kind of Thrift reply.
 func thriftOutcome(kind thrift.ReplyKind) outcome {
 	switch kind {
 	case thrift.ReplyAnswer:
@@ -104,7 +104,7 @@
 	}
 }
 
-// parseMillis reads a duration in milliseconds; what is no number counts as none.
+// parseMillis parses a duration in milliseconds, and returns 0 for a text that is no number.
 func parseMillis(text string) microtime.Time {
 	millis, err := strconv.ParseInt(text, 10, 64)
 	if err != nil {
--- a/internal/testbed/fakes/deployment.go
+++ b/internal/testbed/fakes/deployment.go
@@ -6,19 +6,19 @@
 	"pewterline/internal/microtime"
 )
 
-// Deployment is what the callers ask for and what its runs do, by class in the order of the settings.
+// Deployment describes the traffic of the callers and the work of the runs, by class in the order of the settings.
 type Deployment struct {
-	TrafficShares []float64        // of the jobs
-	MeanWork      []microtime.Time // that a run takes of a core
-	Calls         []CallRange      // that a run makes; empty: none
-	// Vault says that there is a vault: callers send hints of the cost, heed an allowance, and check health deeply.
+	TrafficShares []float64        // share of the jobs
+	MeanWork      []microtime.Time // average core time of a run
+	Calls         []CallRange      // calls of a run to the vault; empty if no class makes calls
+	// Vault adds a vault; callers then send cost hints, respect allowances and send deep health checks.
 	Vault bool
 }
 
-// CallRange is how many calls a run makes, from the fewest to the most.
+// CallRange is the range of the number of calls that a run makes.
 type CallRange struct{ Min, Max int }
 
-// The deployments, which nothing changes. Work is a fifth of the real one's, for servers of two cores.
+// The simulated deployments; read-only. Work is scaled to a fifth of the real deployments', for servers with two cores.
 var (
 	// FirstDeployment has tenants, and runs that make no calls.
 	FirstDeployment = Deployment{
@@ -34,7 +34,7 @@
 	}
 )
 
-// drawClass draws the class of a job.
+// drawClass returns a random class for a job, by traffic share.
 func (d Deployment) drawClass(rng *rand.Rand) int {
 	rest := rng.Float64()
 	class := 0
@@ -45,7 +45,7 @@
 	return class
 }
 
-// drawCalls draws how many calls a run of a class makes.
+// drawCalls returns a random number of calls for a run of a class.
 func (d Deployment) drawCalls(class int, rng *rand.Rand) int {
 	if class >= len(d.Calls) || d.Calls[class].Max == 0 {
 		return 0
@@ -54,5 +54,5 @@
 	return calls.Min + rng.IntN(calls.Max-calls.Min+1)
 }
 
-// drawSize draws how many times the average work of its class a request needs.
+// drawSize returns a random size of a request, as a multiple of its class's average work.
 func drawSize(rng *rand.Rand) float64 { return 0.3 + 0.7*rng.ExpFloat64() }
--- a/internal/testbed/fakes/environment.go
+++ b/internal/testbed/fakes/environment.go
@@ -7,7 +7,7 @@
 	"pewterline/internal/testbed/simnet"
 )
 
-// Environment is what all fakes of a world share.
+// Environment holds the data that all fakes of a simulated world share.
 type Environment struct {
 	Net           *simnet.Net
 	World         *simnet.World
@@ -15,15 +15,15 @@
 	Deployment    Deployment
 	Requests      *RequestRegistry
 	Registry      *Registry
-	TrafficFactor map[string]float64 // of each tenant, or each class where there are no tenants; 1 where absent
-	Served        map[string]int     // jobs that got their result, by class
-	Asked         map[string]int     // jobs that were begun, by class
-	WeightServed  float64            // of jobs served within their objective, and a share of those served late
+	TrafficFactor map[string]float64 // by tenant, or by class in a deployment without tenants; 1 if absent
+	Served        map[string]int     // jobs whose result was received, by class
+	Asked         map[string]int     // jobs started, by class
+	WeightServed  float64            // of jobs served within their latency objective, and a share of it if late
 	WeightAsked   float64
 	wall          simnet.WallClock
 }
 
-// EnvironmentConfig is what the fakes of a world are built from.
+// EnvironmentConfig are the parameters of an Environment.
 type EnvironmentConfig struct {
 	Net        *simnet.Net
 	Settings   control.Settings
@@ -31,7 +31,7 @@
 	Seed       uint64
 }
 
-// NewEnvironment returns an environment with a control plane.
+// NewEnvironment returns an environment with a running control plane.
 func NewEnvironment(config EnvironmentConfig) *Environment {
 	env := &Environment{
 		Net:           config.Net,
@@ -47,8 +47,8 @@
 	return env
 }
 
-// mustListen has a node listen at an address. It fails only where the address is taken, and each fake has addresses
-// of its own: that would be a fault of the package.
+// mustListen makes a node listen at an address. Listening fails only if the address is in use; as each fake has its own
+// addresses, that would be a bug in this package, hence the panic.
 func mustListen(node *simnet.Node, address string, listener simnet.Listener) *simnet.Listener {
 	listening, err := node.Listen(address, listener)
 	if err != nil {
--- a/internal/testbed/fakes/pool.go
+++ b/internal/testbed/fakes/pool.go
@@ -17,62 +17,61 @@
 const (
 	// warmUpTime is how long a cold worker pool takes to reach its full speed.
 	warmUpTime = 17 * microtime.Second
-	// coldSpeed is the share of the full speed at which it starts.
+	// coldSpeed is the fraction of full speed at which a cold worker pool starts.
 	coldSpeed = 0.24
-	// warmUpStep is how often the speed is counted anew meanwhile.
+	// warmUpStep is the interval at which the speed is updated during the warm-up.
 	warmUpStep = 250 * microtime.Millisecond
-	// oldAddressGrace is how long connections to the address before stay open.
+	// oldAddressGrace is how long connections to the previous address stay open after a change of address.
 	oldAddressGrace = 1500 * microtime.Millisecond
-	// addressCount is how many addresses a worker pool goes through before it uses the first again.
+	// addressCount is the number of addresses that a worker pool cycles through.
 	addressCount = 26
-	// serviceTolerance is by how much the service of a run that ends may differ from its work, in microseconds.
+	// serviceTolerance is the rounding error, in microseconds, up to which a run counts as having had its service.
 	serviceTolerance = 0.5
 )
 
-// Pool is a worker pool. It owns the cores of a server, which its runs share evenly, and starts cold if it is told
-// to.
+// Pool is a simulated worker pool. It owns the cores of a server, which its runs share evenly (processor sharing).
 type Pool struct {
 	env            *Environment
 	rng            *rand.Rand
 	node           *simnet.Node
 	server         string
-	address        int // how often it has moved
+	address        int // number of address changes
 	listener       *simnet.Listener
 	cores          float64
 	cold           bool
 	startedAt      microtime.Time
-	slowdown       float64            // how many times as long all work takes
-	classSlowdown  map[string]float64 // the same of one class
-	duplicateUntil microtime.Time     // notices come twice until then
-	running        []*poolRun         // on the cores, by when they end
+	slowdown       float64            // factor on the duration of all work
+	classSlowdown  map[string]float64 // factor on the work of one class, by class name
+	duplicateUntil microtime.Time     // notices are sent twice until then
+	running        []*poolRun         // on the cores, sorted by endService
 	runs           map[string]*poolRun
-	service        float64        // that a run which was there all the time has had, in microseconds
-	serviceAt      microtime.Time // when service was that
+	service        float64        // service that a run present since the start would have had, in microseconds
+	serviceAt      microtime.Time // time for which service was computed
 	nextEnd        *simnet.Timer
-	results        uint64   // made so far
-	notices        [][]byte // the last ones
-	firstNotice    uint64   // the number of the first of them
-	link           *poolLink
+	results        uint64   // number of results so far
+	notices        [][]byte // the most recent notices
+	firstNotice    uint64   // number of notices[0]
+	conn           *poolConn
 	killed         bool
 }
 
-// poolRun is one run.
+// poolRun is a run at the worker pool.
 type poolRun struct {
-	id         string
-	endService float64 // the pool's service at which it ends or makes its next call
-	startedAt  microtime.Time
-	body       []byte
-	ended      bool
-	part       float64 // service before each of its calls, and after the last, in microseconds
-	callsLeft  int
-	callsMade  int
-	blocked    bool // it waits, off the cores, for the reply to a call
+	id             string
+	endService     float64 // value of Pool.service at which it ends or makes its next call
+	startedAt      microtime.Time
+	body           []byte
+	ended          bool
+	segmentService float64 // service before each of its calls and after the last one, in microseconds
+	callsLeft      int
+	callsMade      int
+	blocked        bool // waits for the reply to a call, off the cores
 }
 
-// PoolConfig is what tells one worker pool from another.
+// PoolConfig are the parameters of a worker pool.
 type PoolConfig struct {
-	Server string // that it belongs to
-	Cold   bool   // it warms up over its first seconds
+	Server string // server that the pool belongs to
+	Cold   bool   // starts slow and warms up over warmUpTime
 	Seed   uint64
 }
 
@@ -101,17 +100,17 @@
 	return started
 }
 
-// Addr is where the server reaches it now.
+// Addr returns the pool's current address.
 func (p *Pool) Addr() string { return fmt.Sprintf("%s/%c", p.node.Name, 'a'+p.address%addressCount) }
 
 func (p *Pool) listen() {
 	p.listener = mustListen(p.node, p.Addr(), simnet.Listener{
-		Accept: func(stream *simnet.Stream) simnet.Handler { return &poolLink{pool: p, stream: stream} },
+		Accept: func(stream *simnet.Stream) simnet.Handler { return &poolConn{pool: p, stream: stream} },
 	})
 }
 
-// ChangeAddress has the worker pool listen at another address. The old one takes nothing new, and closes what it has
-// later.
+// ChangeAddress makes the worker pool listen at another address. The old address accepts no new connections, and the
+// connections to it are closed after a grace period.
 func (p *Pool) ChangeAddress() {
 	old := slices.Clone(p.node.Streams())
 	p.listener.Close()
@@ -124,23 +123,23 @@
 	})
 }
 
-// Kill ends it with its server.
+// Kill ends the worker pool with its server, or with the whole machine.
 func (p *Pool) Kill(machine bool) {
 	p.killed = true
 	p.nextEnd.Stop()
 	p.node.Kill(machine)
 }
 
-// Slow has all work take so many times as long.
+// Slow sets the slowdown factor of all work.
 func (p *Pool) Slow(factor float64) { p.change(func() { p.slowdown = factor }) }
 
-// SlowClass has the work of a class that starts from now on take so many times as long.
+// SlowClass sets the slowdown factor of the runs of a class that start from now on.
 func (p *Pool) SlowClass(class string, factor float64) { p.classSlowdown[class] = factor }
 
-// DuplicateNotices has each notice come twice until a time.
+// DuplicateNotices makes the pool send each notice twice until a time.
 func (p *Pool) DuplicateNotices(until microtime.Time) { p.duplicateUntil = until }
 
-// rate is the service that each run gets in a microsecond.
+// rate returns the service that each run on the cores gets per microsecond.
 func (p *Pool) rate() float64 {
 	speed := 1.0
 	if p.cold {
@@ -150,7 +149,7 @@
 	return speed / p.slowdown * min(1, p.cores/float64(max(len(p.running), 1)))
 }
 
-// change brings the service up to now, applies a change of the runs or the speed, and plans the next end.
+// change updates the service to now, applies a change of the runs or the speed, and schedules the next endRuns.
 func (p *Pool) change(apply func()) {
 	if p.killed {
 		return
@@ -166,7 +165,7 @@
 	}
 }
 
-// warmUp counts the speed anew while it rises.
+// warmUp updates the speed at intervals until the pool is warm.
 func (p *Pool) warmUp() {
 	p.change(func() {})
 	if !p.killed && p.env.World.Now() < p.startedAt+warmUpTime {
@@ -174,7 +173,7 @@
 	}
 }
 
-// endRuns takes the runs off the cores that have had their service: they have come to a call, or to their end.
+// endRuns takes the runs that have had their service off the cores: each makes a call next, or ends.
 func (p *Pool) endRuns() {
 	p.change(func() {
 		for len(p.running) > 0 && p.running[0].endService <= p.service+serviceTolerance {
@@ -190,7 +189,7 @@
 	})
 }
 
-// block has a run wait for a call. A run whose request has ended ends there.
+// block makes a run wait for a call. If its request has ended, the run ends instead.
 func (p *Pool) block(blocked *poolRun) {
 	if p.env.Requests.attempts[blocked.id].ended {
 		p.finish(blocked, pool.Killed, nil)
@@ -203,17 +202,17 @@
 	p.notify(func(number uint64) []byte { return pool.AppendBlocked(nil, number, blocked.id, body) })
 }
 
-// requestEnded ends a run that waits for a call, as its request has ended.
+// requestEnded ends a run whose request has ended, if the run waits for a call.
 func (p *Pool) requestEnded(run *poolRun) {
 	if run.blocked && !p.killed {
 		p.finish(run, pool.Killed, nil)
 	}
 }
 
-// start puts a run on the cores, until its next call or its end; one that ends at the same service as others comes
-// after them.
+// start puts a run on the cores, until its next call or its end. Runs with an equal endService keep the order of their
+// starts.
 func (p *Pool) start(started *poolRun) {
-	started.endService = p.service + started.part
+	started.endService = p.service + started.segmentService
 	index, _ := slices.BinarySearchFunc(p.running, started.endService, func(other *poolRun, end float64) int {
 		if other.endService <= end {
 			return -1
@@ -223,7 +222,7 @@
 	p.running = slices.Insert(p.running, index, started)
 }
 
-// suspend ends a run wherever it is.
+// suspend ends a run, on or off the cores.
 func (p *Pool) suspend(id string) {
 	p.change(func() {
 		suspended := p.runs[id]
--- a/internal/testbed/fakes/pool_link.go
+++ b/internal/testbed/fakes/pool_link.go
@@ -13,28 +13,28 @@
 )
 
 const (
-	// maxNotices is how many of its last notices a worker pool can send again.
+	// maxNotices is the number of recent notices that a worker pool keeps to send them again.
 	maxNotices = 4000
-	// chatterOneIn is how many ends of runs there are for each notice that tells of none.
-	chatterOneIn = 50
-	// verifyTime is what a deep health check takes.
-	verifyTime = 10 * microtime.Millisecond
+	// runsPerChatter is the number of finished runs per chatter notice, which concerns no run.
+	runsPerChatter = 50
+	// verifyDuration is the duration of a deep health check.
+	verifyDuration = 10 * microtime.Millisecond
 )
 
-// finish ends a run and tells the server so.
+// finish ends a run and notifies the server.
 func (p *Pool) finish(finished *poolRun, outcome pool.Outcome, result []byte) {
 	finished.ended = true
 	finished.blocked = false
-	if p.rng.IntN(chatterOneIn) == 0 { // it takes a number of its own, and is sent again like the others
+	if p.rng.IntN(runsPerChatter) == 0 { // it has a notice number of its own, and is sent again like other notices
 		p.notify(func(number uint64) []byte { return fmt.Appendf(nil, "chatter %d all is well\r\n", number) })
 	}
-	tookMS := int((p.env.World.Now() - finished.startedAt) / microtime.Millisecond)
+	durationMS := int((p.env.World.Now() - finished.startedAt) / microtime.Millisecond)
 	p.notify(func(number uint64) []byte {
-		return pool.AppendFinished(nil, number, finished.id, outcome, tookMS, result)
+		return pool.AppendFinished(nil, number, finished.id, outcome, durationMS, result)
 	})
 }
 
-// notify keeps a notice under the next number, and sends it where the server is connected.
+// notify stores a notice under the next number, and sends it if the server is connected.
 func (p *Pool) notify(encode func(number uint64) []byte) {
 	line := encode(p.nextNotice())
 	p.notices = append(p.notices, line)
@@ -42,128 +42,128 @@
 		p.notices = p.notices[1:]
 		p.firstNotice++
 	}
-	if p.link == nil || !p.link.bound {
+	if p.conn == nil || !p.conn.bound {
 		return
 	}
 	if p.duplicateUntil > p.env.World.Now() {
 		line = append(slices.Clone(line), line...)
 	}
-	p.link.stream.Write(line)
+	p.conn.stream.Write(line)
 }
 
-// nextNotice is the number of the next notice.
+// nextNotice returns the number of the next notice.
 func (p *Pool) nextNotice() uint64 { return p.firstNotice + uint64(len(p.notices)) }
 
-// poolLink is one connection of the server's.
-type poolLink struct {
+// poolConn is one connection from the server.
+type poolConn struct {
 	pool   *Pool
 	stream *simnet.Stream
-	in     []byte // read and not yet whole
+	in     []byte // incomplete command
 	bound  bool
 }
 
-// EOF is part of simnet.Handler.
-func (l *poolLink) EOF(stream *simnet.Stream) {
+// EOF implements simnet.Handler.
+func (c *poolConn) EOF(stream *simnet.Stream) {
 	stream.Close()
-	l.Reset(stream)
+	c.Reset(stream)
 }
 
-// Reset is part of simnet.Handler.
-func (l *poolLink) Reset(*simnet.Stream) {
-	if l.pool.link == l {
-		l.pool.link = nil
+// Reset implements simnet.Handler.
+func (c *poolConn) Reset(*simnet.Stream) {
+	if c.pool.conn == c {
+		c.pool.conn = nil
 	}
 }
 
-// Received is part of simnet.Handler.
-func (l *poolLink) Received(stream *simnet.Stream, in []byte) {
-	l.in = append(l.in, in...)
+// Received implements simnet.Handler.
+func (c *poolConn) Received(stream *simnet.Stream, in []byte) {
+	c.in = append(c.in, in...)
 	for stream.IsOpen() {
-		command, size, err := pool.ParseCommand(l.in)
-		if err != nil { // what is not a command ends the connection
+		command, size, err := pool.ParseCommand(c.in)
+		if err != nil { // an invalid command ends the connection
 			stream.Close()
-			l.Reset(stream)
+			c.Reset(stream)
 		}
 		if size == 0 {
 			return
 		}
-		l.handle(command)
-		l.in = l.in[:copy(l.in, l.in[size:])]
+		c.handle(command)
+		c.in = c.in[:copy(c.in, c.in[size:])]
 	}
 }
 
-// handle does what a command says. Until it is bound, a connection takes no other command than to bind.
-func (l *poolLink) handle(command pool.Command) {
-	if command.Verb != pool.Bind && l.pool.link != l {
+// handle executes a command. On a connection that is not the bound one, only bind is accepted.
+func (c *poolConn) handle(command pool.Command) {
+	if command.Verb != pool.Bind && c.pool.conn != c {
 		return
 	}
 	switch command.Verb {
 	case pool.Bind:
-		l.bind(command)
+		c.bind(command)
 	case pool.Spawn:
-		l.spawn(command)
+		c.spawn(command)
 	case pool.Suspend:
-		l.pool.suspend(command.ID)
+		c.pool.suspend(command.ID)
 	case pool.Supply:
-		l.supply(command)
+		c.supply(command)
 	case pool.Verify:
-		l.verify(command)
+		c.verify(command)
 	case pool.Poll:
-		l.poll(command)
+		c.poll(command)
 	}
 }
 
-// bind makes the connection the one that notices go to, in place of the one before it, and sends the notices again
-// that the server has not got.
-func (l *poolLink) bind(command pool.Command) {
-	workers := l.pool
-	if workers.link != nil && workers.link != l {
-		workers.link.stream.Close()
+// bind makes this connection, in place of the previous one, the one that notices are sent on, and sends the notices
+// again that the server has not received.
+func (c *poolConn) bind(command pool.Command) {
+	owner := c.pool
+	if owner.conn != nil && owner.conn != c {
+		owner.conn.stream.Close()
 	}
-	workers.link = l
-	l.bound = true
+	owner.conn = c
+	c.bound = true
 	state := "LOADED"
-	if workers.cold {
+	if owner.cold {
 		state = "EMPTY"
 	}
-	uptimeMS := (workers.env.World.Now() - workers.startedAt) / microtime.Millisecond
-	l.stream.Write(fmt.Appendf(nil, "bound %s %d\r\n", state, uptimeMS))
-	for number := max(command.Notice+1, workers.firstNotice); number < workers.nextNotice(); number++ {
-		l.stream.Write(workers.notices[number-workers.firstNotice])
+	uptimeMS := (owner.env.World.Now() - owner.startedAt) / microtime.Millisecond
+	c.stream.Write(fmt.Appendf(nil, "bound %s %d\r\n", state, uptimeMS))
+	for number := max(command.Notice+1, owner.firstNotice); number < owner.nextNotice(); number++ {
+		c.stream.Write(owner.notices[number-owner.firstNotice])
 	}
 }
 
-// spawn starts a run, unless it runs already.
-func (l *poolLink) spawn(command pool.Command) {
-	workers := l.pool
-	attempt := workers.env.Requests.attempts[command.ID]
-	if attempt == nil || !attempt.matches(workers.server, command) {
-		l.stream.Write([]byte("unknown spawn " + command.ID + "\r\n"))
+// spawn starts a run, unless it is already running.
+func (c *poolConn) spawn(command pool.Command) {
+	owner := c.pool
+	attempt := owner.env.Requests.attempts[command.ID]
+	if attempt == nil || !attempt.matches(owner.server, command) {
+		c.stream.Write([]byte("unknown spawn " + command.ID + "\r\n"))
 		return
 	}
-	if earlier := workers.runs[command.ID]; earlier != nil && !earlier.ended {
+	if earlier := owner.runs[command.ID]; earlier != nil && !earlier.ended {
 		return
 	}
-	started := &poolRun{id: command.ID, startedAt: workers.env.World.Now(), body: slices.Clone(command.Body)}
-	workers.runs[command.ID] = started
-	if attempt.ended { // nothing is started for a request that has ended
-		workers.finish(started, pool.Noop, nil)
+	started := &poolRun{id: command.ID, startedAt: owner.env.World.Now(), body: slices.Clone(command.Body)}
+	owner.runs[command.ID] = started
+	if attempt.ended { // a request that has ended is not run
+		owner.finish(started, pool.Noop, nil)
 		return
 	}
-	attempt.pool = workers
+	attempt.pool = owner
 	attempt.run = started
-	workers.change(func() {
-		workers.drawWork(started, command.Class, attempt.size)
-		workers.start(started)
+	owner.change(func() {
+		owner.drawWork(started, command.Class, attempt.size)
+		owner.start(started)
 	})
 }
 
-// matches reports whether a command is to run an attempt as it was sent.
+// matches reports whether a command has the server, class and body of the attempt.
 func (a *sentAttempt) matches(server string, command pool.Command) bool {
 	return a.server == server && a.class == command.Class && a.bodyHash == xxhash.Sum64(command.Body)
 }
 
-// drawWork draws the calls and the work of a run of a class; a size of 0 is drawn too.
+// drawWork chooses the number of calls and the work of a run at random. A size of 0 is replaced by a random one.
 func (p *Pool) drawWork(started *poolRun, className string, size float64) {
 	class := slices.IndexFunc(p.env.Settings.Classes, func(class control.Class) bool { return class.Name == className })
 	factor := p.classSlowdown[className]
@@ -175,34 +175,35 @@
 	}
 	started.callsLeft = p.env.Deployment.drawCalls(class, p.rng)
 	work := float64(p.env.Deployment.MeanWork[class]) * factor * size
-	started.part = work / float64(started.callsLeft+1)
+	started.segmentService = work / float64(started.callsLeft+1)
 }
 
-// supply gives a run the reply that it waits for.
-func (l *poolLink) supply(command pool.Command) {
-	waiter := l.pool.runs[command.ID]
+// supply passes a reply to the run that waits for it, which continues on the cores.
+func (c *poolConn) supply(command pool.Command) {
+	waiter := c.pool.runs[command.ID]
 	if waiter == nil || !waiter.blocked {
-		l.stream.Write([]byte("unknown supply " + command.ID + "\r\n"))
+		c.stream.Write([]byte("unknown supply " + command.ID + "\r\n"))
 		return
 	}
 	waiter.blocked = false
-	l.pool.change(func() { l.pool.start(waiter) })
+	c.pool.change(func() { c.pool.start(waiter) })
 }
 
-// verify answers a deep health check, after a while.
-func (l *poolLink) verify(command pool.Command) {
-	p := l.pool
-	p.env.World.In(microtime.Time(float64(verifyTime)*p.slowdown), func() {
-		if p.link == l {
-			l.stream.Write(pool.AppendVerified(nil, command.Tag, pool.Pass))
+// verify answers a deep health check after verifyDuration, scaled by the slowdown.
+func (c *poolConn) verify(command pool.Command) {
+	owner := c.pool
+	owner.env.World.In(microtime.Time(float64(verifyDuration)*owner.slowdown), func() {
+		if owner.conn == c {
+			c.stream.Write(pool.AppendVerified(nil, command.Tag, pool.Pass))
 		}
 	})
 }
 
-// poll answers how busy the pool is.
-func (l *poolLink) poll(command pool.Command) {
-	p := l.pool
-	busy := min(1, float64(len(p.running))/p.cores)
-	queued := max(0, len(p.running)-int(p.cores))
-	l.stream.Write(fmt.Appendf(nil, "polled %s %.2f %d 0.2 %d\r\n", command.Tag, busy, queued, p.node.OpenConnections()))
+// poll answers with the load of the pool.
+func (c *poolConn) poll(command pool.Command) {
+	owner := c.pool
+	busy := min(1, float64(len(owner.running))/owner.cores)
+	queued := max(0, len(owner.running)-int(owner.cores))
+	c.stream.Write(fmt.Appendf(nil, "polled %s %.2f %d 0.2 %d\r\n",
+		command.Tag, busy, queued, owner.node.OpenConnections()))
 }
--- a/internal/testbed/fakes/registry.go
+++ b/internal/testbed/fakes/registry.go
@@ -10,27 +10,27 @@
 
 const (
 	controlNode = "control"
-	// endpointLapse is how long after its last report a server stays on the list.
-	endpointLapse = 3 * microtime.Second
-	// pushInterval is the pause between two pushes of the list.
+	// endpointTTL is how long a server stays on the endpoint list after its last report.
+	endpointTTL = 3 * microtime.Second
+	// pushInterval is the interval between pushes of the endpoint list.
 	pushInterval = 500 * microtime.Millisecond
-	// minPushDelay is how long a push is on its way to a caller at least; it may take as long again.
+	// minPushDelay is the minimum delay of a push to a caller; the maximum is twice as long.
 	minPushDelay = microtime.Second
-	// readyState is the state in a report of a server that takes requests.
+	// readyState is the reported state of a server that accepts requests.
 	readyState = "Ready"
 )
 
-// Registry is the control plane: it lists the servers that report, and sends the list to the callers late.
+// Registry is the control plane: it lists the servers that report, and pushes the endpoint list to the callers.
 type Registry struct {
 	env       *Environment
 	rng       *rand.Rand
 	endpoints []*endpoint
 	callers   []*Caller
 	downUntil microtime.Time
-	hidden    map[string]bool // servers that callers are not to use, as edges stand before them
+	hidden    map[string]bool // servers never listed, as callers reach them only through edges
 }
 
-// endpoint is a server on the list.
+// endpoint is the entry of a server that has reported.
 type endpoint struct {
 	server     string
 	reportedAt microtime.Time
@@ -50,7 +50,7 @@
 	return registry
 }
 
-// endpoint is the entry of a server, which is added where there is none.
+// endpoint returns the entry of a server, and adds one if there is none.
 func (r *Registry) endpoint(server string) *endpoint {
 	for _, known := range r.endpoints {
 		if known.server == server {
@@ -62,35 +62,35 @@
 	return added
 }
 
-// List enters a server whose worker pool has come up.
+// List adds a server whose worker pool has started.
 func (r *Registry) List(server string) { r.refresh(server, true) }
 
-// Hide keeps a server off the list for good.
+// Hide keeps a server off the list permanently.
 func (r *Registry) Hide(server string) { r.hidden[server] = true }
 
-// Unlist drops a server at once, as where its machine is known to be gone.
+// Unlist removes a server at once, as when its machine is known to have failed.
 func (r *Registry) Unlist(server string) { r.endpoint(server).ready = false }
 
-// SetDown has the control plane be down until a time: callers get no list, and no entry lapses.
+// SetDown makes the control plane unavailable until a time: no list is pushed and no entry expires.
 func (r *Registry) SetDown(until microtime.Time) { r.downUntil = max(r.downUntil, until) }
 
-// refresh notes that a server has reported now.
+// refresh records a report of a server.
 func (r *Registry) refresh(server string, ready bool) {
 	reported := r.endpoint(server)
 	reported.reportedAt = r.env.World.Now()
 	reported.ready = ready
 }
 
-// reportReceived takes a load report.
+// reportReceived handles a load report.
 func (r *Registry) reportReceived(text string) {
 	var server, state string
-	fields, _ := fmt.Sscanf(text, "lease %s %s", &server, &state) // the count reports whether it could be read
+	fields, _ := fmt.Sscanf(text, "lease %s %s", &server, &state) // the count tells whether the report could be parsed
 	if fields == 2 && r.downUntil <= r.env.World.Now() {
 		r.refresh(server, state == readyState)
 	}
 }
 
-// push sends every caller the list as it is now, which arrives a second or two later.
+// push sends the current list to every caller, each with a random delay, and schedules the next push.
 func (r *Registry) push() {
 	if r.env.World.Now() >= r.downUntil {
 		list := r.listed()
@@ -102,21 +102,21 @@
 	r.env.World.In(pushInterval, r.push)
 }
 
-// listed is the list as it is now.
+// listed returns the current endpoint list.
 func (r *Registry) listed() []string {
 	var list []string
 	for _, known := range r.endpoints {
 		if r.downUntil > 0 && known.reportedAt < r.downUntil && known.reportedAt > 0 {
-			known.reportedAt = r.downUntil // nothing lapses in a time for which the control plane was down
+			known.reportedAt = r.downUntil // entries do not expire while the control plane is down
 		}
-		if known.ready && !r.hidden[known.server] && r.env.World.Now() < known.reportedAt+endpointLapse {
+		if known.ready && !r.hidden[known.server] && r.env.World.Now() < known.reportedAt+endpointTTL {
 			list = append(list, known.server)
 		}
 	}
 	return list
 }
 
-// randomUpTo draws a duration below a limit.
+// randomUpTo returns a random duration below a limit.
 func randomUpTo(rng *rand.Rand, limit microtime.Time) microtime.Time {
 	return microtime.Time(rng.Int64N(int64(limit)))
 }
--- a/internal/testbed/fakes/store.go
+++ b/internal/testbed/fakes/store.go
@@ -10,17 +10,17 @@
 	"pewterline/internal/testbed/simnet"
 )
 
-// ErrStore is what a failing store says.
+// ErrStore is the error of a write during an injected failure.
 var ErrStore = errors.New("fakes: the store failed")
 
-// writeTime is what a write takes.
-const writeTime = 2 * microtime.Millisecond
+// writeDuration is the duration of a write.
+const writeDuration = 2 * microtime.Millisecond
 
-// Store is a store of record on the simulated clock. It outlives the servers that use it.
+// Store is a store of record on the simulated clock. Its records outlive the servers that use it.
 type Store struct {
 	world     *simnet.World
 	records   []store.Record
-	idleAt    microtime.Time // when it has written all before
+	idleAt    microtime.Time // when the last queued write completes
 	slowBy    microtime.Time // added to each write
 	slowUntil microtime.Time
 	failUntil microtime.Time
@@ -29,17 +29,18 @@
 // NewStore returns an empty store.
 func NewStore(world *simnet.World) *Store { return &Store{world: world} }
 
-// Slow has each write take longer until a time.
+// Slow adds a duration to each write until a time.
 func (s *Store) Slow(by, until microtime.Time) {
 	s.slowBy = by
 	s.slowUntil = until
 }
 
-// Fail has writes fail until a time. Every other one is on record all the same, as where the answer is lost.
+// Fail makes writes fail until a time. They are stored all the same while the number of records is even, as when only
+// the store's answer is lost.
 func (s *Store) Fail(until microtime.Time) { s.failUntil = until }
 
-// Load lists the records since a time by the caller's clock, in its order; an intent is left out once its result is
-// on record. It is part of server.Records.
+// Load implements server.Records: it returns the records since a time by the caller's clock, sorted by that clock. An
+// intent is left out once its result is recorded.
 func (s *Store) Load(sinceMilli int64) ([]store.Record, error) {
 	var loaded []store.Record
 	for _, record := range s.records {
@@ -51,21 +52,21 @@
 	return loaded, nil
 }
 
-// settled reports whether a record is an intent whose result is on record.
+// settled reports whether a record is an intent whose result is recorded.
 func (s *Store) settled(intent store.Record) bool {
 	return intent.Intent && slices.ContainsFunc(s.records, func(other store.Record) bool {
 		return !other.Intent && sameKey(intent, other) && other.ArrivedAtMilli >= intent.ArrivedAtMilli
 	})
 }
 
-// Record writes a record, after those before it. It is part of server.Records.
+// Record implements server.Records: it writes a record after the earlier ones.
 func (s *Store) Record(record store.Record, done func(error)) {
 	now := s.world.Now()
-	took := writeTime
+	duration := writeDuration
 	if now < s.slowUntil {
-		took += s.slowBy
+		duration += s.slowBy
 	}
-	s.idleAt = max(s.idleAt, now) + took
+	s.idleAt = max(s.idleAt, now) + duration
 	record.Result = slices.Clone(record.Result)
 	s.world.At(s.idleAt, func() {
 		failing := s.world.Now() < s.failUntil
@@ -80,7 +81,7 @@
 	})
 }
 
-// put enters a record in place of the one of its kind under the same key.
+// put adds a record, or replaces the one of the same kind and idempotency key.
 func (s *Store) put(record store.Record) {
 	index := slices.IndexFunc(s.records, func(other store.Record) bool {
 		return other.Intent == record.Intent && sameKey(other, record)
@@ -92,7 +93,7 @@
 	s.records[index] = record
 }
 
-// sameKey reports whether two records are under the same idempotency key.
+// sameKey reports whether two records have the same class, tenant and idempotency key.
 func sameKey(a, b store.Record) bool {
 	return a.Class == b.Class && a.Tenant == b.Tenant && a.IdempotencyKey == b.IdempotencyKey
 }
--- a/internal/testbed/fakes/unidentified.go
+++ b/internal/testbed/fakes/unidentified.go
@@ -8,48 +8,48 @@
 )
 
 const (
-	strangerNode = "x0"
-	// strangerInterval is the pause between two unidentified connections.
-	strangerInterval = 5 * microtime.Millisecond
-	// strangerLifetime is how long an unidentified connection stays open.
-	strangerLifetime = 5 * microtime.Second
+	unidentifiedNode = "x0"
+	// unidentifiedInterval is the interval between unidentified connections.
+	unidentifiedInterval = 5 * microtime.Millisecond
+	// unidentifiedLifetime is how long an unidentified connection stays open.
+	unidentifiedLifetime = 5 * microtime.Second
 )
 
-// ConnectUnidentified connects a number of times to a server: some connections carry nothing, some half of a
-// message, some what is no message.
+// ConnectUnidentified opens connections to the Thrift and AJP ports of a server. Each sends nothing, an incomplete
+// message or an invalid one.
 func (e *Environment) ConnectUnidentified(server string, count int, rng *rand.Rand) {
-	node := e.Net.Node(strangerNode)
+	node := e.Net.Node(unidentifiedNode)
 	if !node.Up() {
 		node.Boot()
 	}
 	for i := range count {
 		address := server + "/" + []string{"thrift", "ajp"}[rng.IntN(2)]
-		e.World.In(microtime.Time(i)*strangerInterval, func() {
+		e.World.In(microtime.Time(i)*unidentifiedInterval, func() {
 			node.Dial(address, func(stream *simnet.Stream, err error) {
 				if err != nil {
 					return
 				}
-				stream.SetHandler(silent{})
+				stream.SetHandler(discardHandler{})
 				switch rng.IntN(3) {
-				case 0: // the head of a Thrift frame whose rest never comes
+				case 0: // the start of a Thrift frame that is never completed
 					stream.Write([]byte{0, 0, 0, 60, 0x80, 1, 0, 1, 0, 0})
 				case 1:
 					stream.Write([]byte("GET / HTTP/1.1\r\n\r\n"))
 				}
-				e.World.In(strangerLifetime, stream.Close)
+				e.World.In(unidentifiedLifetime, stream.Close)
 			})
 		})
 	}
 }
 
-// silent reads and does nothing.
-type silent struct{}
+// discardHandler is a handler that discards what it receives.
+type discardHandler struct{}
 
-// Received is part of simnet.Handler.
-func (silent) Received(*simnet.Stream, []byte) {}
+// Received implements simnet.Handler.
+func (discardHandler) Received(*simnet.Stream, []byte) {}
 
-// EOF is part of simnet.Handler.
-func (silent) EOF(stream *simnet.Stream) { stream.Close() }
+// EOF implements simnet.Handler.
+func (discardHandler) EOF(stream *simnet.Stream) { stream.Close() }
 
-// Reset is part of simnet.Handler.
-func (silent) Reset(*simnet.Stream) {}
+// Reset implements simnet.Handler.
+func (discardHandler) Reset(*simnet.Stream) {}
--- a/internal/testbed/fakes/vault.go
+++ b/internal/testbed/fakes/vault.go
@@ -14,30 +14,30 @@
 
 const (
 	vaultNode = "v0"
-	// meanCallTime is what a call takes on average.
+	// meanCallTime is the average duration of a call.
 	meanCallTime = 30 * microtime.Millisecond
-	// vaultIdleTimeout is how long a connection stays open without a call.
+	// vaultIdleTimeout is how long a connection stays open without calls.
 	vaultIdleTimeout = 10 * microtime.Second
-	// maxShuffleDelay is for how long a reply is held back that is to come in another order.
+	// maxShuffleDelay is the longest delay of a reply that VaultShuffles holds back.
 	maxShuffleDelay = 80 * microtime.Millisecond
 )
 
-// VaultFault is something that a vault can be told to do wrong for a while.
+// VaultFault is a kind of misbehaviour that can be injected into the vault.
 type VaultFault uint8
 
-// The faults of a vault.
+// The kinds of misbehaviour.
 const (
-	VaultRefuses  VaultFault = iota // calls are turned away
-	VaultFails                      // calls end in failed
-	VaultOverruns                   // calls end in overdue
+	VaultRefuses  VaultFault = iota // calls are rejected with notnow
+	VaultFails                      // calls end with failed
+	VaultOverruns                   // calls end with overdue
 	VaultBreaks                     // the connection breaks in the middle of a reply
-	VaultShuffles                   // replies are held back, so that they come in another order
-	VaultStrays                     // replies come twice, or with one for nobody's call
-	VaultSilent                     // calls are taken and never replied to
+	VaultShuffles                   // replies are delayed, so that their order changes
+	VaultStrays                     // replies are sent twice, or after a reply to an unknown call
+	VaultSilent                     // calls are accepted and never answered
 	vaultFaults
 )
 
-// String is the fault's name.
+// String returns the fault's name.
 func (f VaultFault) String() string {
 	names := [vaultFaults]string{"refuses", "fails", "overruns", "breaks", "shuffles", "strays", "silent"}
 	if f >= vaultFaults {
@@ -46,33 +46,33 @@
 	return names[f]
 }
 
-// Vault is the store that all servers of a world call, on a node of its own. It does each call in a while of its
-// own, and replies as the calls end.
+// Vault is the simulated vault that all servers of a world call, on a node of its own. Each call takes a random time,
+// and replies are sent in the order in which calls complete.
 type Vault struct {
 	env       *Environment
 	rng       *rand.Rand
 	node      *simnet.Node
-	listeners []*simnet.Listener // none while it is down
+	listeners []*simnet.Listener // empty while the vault is down
 	slowdown  float64
 	until     [vaultFaults]microtime.Time
 	chance    [vaultFaults]float64
-	replies   uint64                // made so far
+	replies   uint64                // number of replies so far
 	calls     map[string]*vaultCall // in flight, by request ID
 }
 
-// vaultLink is one connection of a server's.
-type vaultLink struct {
-	vault  *Vault
-	stream *simnet.Stream
-	in     []byte // read and not yet whole
-	open   int    // calls in flight
-	idle   *simnet.Timer
+// vaultConn is one connection from a server.
+type vaultConn struct {
+	vault     *Vault
+	stream    *simnet.Stream
+	in        []byte // incomplete command
+	open      int    // calls in flight
+	idleTimer *simnet.Timer
 }
 
 // vaultCall is one call in flight.
 type vaultCall struct {
 	id    string
-	link  *vaultLink
+	conn  *vaultConn
 	body  []byte
 	timer *simnet.Timer
 }
@@ -97,14 +97,14 @@
 	}
 }
 
-// accept takes a new connection.
+// accept returns the handler of a new connection.
 func (v *Vault) accept(stream *simnet.Stream) simnet.Handler {
-	link := &vaultLink{vault: v, stream: stream}
-	link.rest()
-	return link
+	conn := &vaultConn{vault: v, stream: stream}
+	conn.closeWhenIdle()
+	return conn
 }
 
-// Down has it refuse connections until a time; those that it has break at once.
+// Down makes the vault refuse connections until a time, and resets those that are open.
 func (v *Vault) Down(until microtime.Time) {
 	for _, listener := range v.listeners {
 		listener.Close()
@@ -114,130 +114,130 @@
 	for _, stream := range slices.Clone(v.node.Streams()) {
 		stream.Reset()
 	}
-	if !alreadyDown { // else the first fault's end brings it back
+	if !alreadyDown { // otherwise the end of the earlier outage restarts it
 		v.env.World.At(until, v.listen)
 	}
 }
 
-// Slow has calls that start from now on take so many times as long.
+// Slow sets the slowdown factor of calls that start from now on.
 func (v *Vault) Slow(factor float64) { v.slowdown = factor }
 
-// Fault has something go wrong with a chance until a time.
+// Fault injects a fault until a time; it occurs with a probability per call or reply.
 func (v *Vault) Fault(fault VaultFault, chance float64, until microtime.Time) {
 	v.until[fault] = until
 	v.chance[fault] = chance
 }
 
-// faulty draws whether a fault is at work now.
-func (v *Vault) faulty(fault VaultFault) bool {
+// faultOccurs reports whether a fault occurs now, at random with its probability.
+func (v *Vault) faultOccurs(fault VaultFault) bool {
 	return v.env.World.Now() < v.until[fault] && v.rng.Float64() < v.chance[fault]
 }
 
-// end takes a call out of flight.
+// end removes a call from those in flight.
 func (v *Vault) end(ended *vaultCall) {
 	ended.timer.Stop()
-	ended.link.open--
+	ended.conn.open--
 	delete(v.calls, ended.id)
 }
 
-// rest closes the connection once it has been idle for a while.
-func (l *vaultLink) rest() {
-	l.idle.Stop()
-	l.idle = nil
-	if l.open == 0 && l.stream.IsOpen() {
-		l.idle = l.vault.env.World.In(vaultIdleTimeout, l.stream.Close)
+// closeWhenIdle closes the connection after vaultIdleTimeout if no call is in flight.
+func (c *vaultConn) closeWhenIdle() {
+	c.idleTimer.Stop()
+	c.idleTimer = nil
+	if c.open == 0 && c.stream.IsOpen() {
+		c.idleTimer = c.vault.env.World.In(vaultIdleTimeout, c.stream.Close)
 	}
 }
 
-// EOF is part of simnet.Handler.
-func (l *vaultLink) EOF(stream *simnet.Stream) {
+// EOF implements simnet.Handler.
+func (c *vaultConn) EOF(stream *simnet.Stream) {
 	stream.Close()
-	l.Reset(stream)
+	c.Reset(stream)
 }
 
-// Reset is part of simnet.Handler: the end of a connection gives up every call on it.
-func (l *vaultLink) Reset(*simnet.Stream) {
-	l.idle.Stop()
-	for _, call := range l.vault.calls {
-		if call.link == l {
-			l.vault.end(call) // the order of the map does not matter, as each ends by itself
+// Reset implements simnet.Handler: the end of a connection cancels every call on it.
+func (c *vaultConn) Reset(*simnet.Stream) {
+	c.idleTimer.Stop()
+	for _, call := range c.vault.calls {
+		if call.conn == c {
+			c.vault.end(call) // map order does not matter, as the calls end independently
 		}
 	}
 }
 
-// Received is part of simnet.Handler.
-func (l *vaultLink) Received(stream *simnet.Stream, in []byte) {
-	l.in = append(l.in, in...)
+// Received implements simnet.Handler.
+func (c *vaultConn) Received(stream *simnet.Stream, in []byte) {
+	c.in = append(c.in, in...)
 	for stream.IsOpen() {
-		command, size, err := vault.ParseCommand(l.in)
-		if err != nil { // the invariant checker sees it too
+		command, size, err := vault.ParseCommand(c.in)
+		if err != nil { // the invariant checker reports it
 			stream.Close()
-			l.Reset(stream)
+			c.Reset(stream)
 		}
 		if size == 0 {
 			break
 		}
 		if command.Verb == vault.Ask {
-			l.ask(command)
-		} else if call := l.vault.calls[command.ID]; call != nil && call.link == l {
-			l.vault.end(call)
+			c.ask(command)
+		} else if call := c.vault.calls[command.ID]; call != nil && call.conn == c {
+			c.vault.end(call)
 		}
-		l.in = l.in[:copy(l.in, l.in[size:])]
+		c.in = c.in[:copy(c.in, c.in[size:])]
 	}
-	l.rest()
+	c.closeWhenIdle()
 }
 
-// ask takes a call. A second one for the same request gives up the first.
-func (l *vaultLink) ask(command vault.Command) {
-	owner := l.vault
+// ask starts a call. A second call of the same request cancels the first.
+func (c *vaultConn) ask(command vault.Command) {
+	owner := c.vault
 	if first := owner.calls[command.ID]; first != nil {
 		owner.end(first)
-		first.link.rest()
+		first.conn.closeWhenIdle()
 	}
-	call := &vaultCall{id: command.ID, link: l, body: slices.Clone(command.Body)}
+	call := &vaultCall{id: command.ID, conn: c, body: slices.Clone(command.Body)}
 	owner.calls[call.id] = call
-	l.open++
-	took := microtime.Time(float64(meanCallTime) * owner.slowdown * (0.2 + 0.8*owner.rng.ExpFloat64()))
+	c.open++
+	duration := microtime.Time(float64(meanCallTime) * owner.slowdown * (0.2 + 0.8*owner.rng.ExpFloat64()))
 	status := vault.Yes
 	switch {
 	case !owner.env.Requests.awaitsCall(call.id):
 		status = vault.Pointless
-		took = 0
-	case owner.faulty(VaultRefuses):
+		duration = 0
+	case owner.faultOccurs(VaultRefuses):
 		status = vault.NotNow
-		took = 0
-	case owner.faulty(VaultFails):
+		duration = 0
+	case owner.faultOccurs(VaultFails):
 		status = vault.Failed
-	case owner.faulty(VaultOverruns):
+	case owner.faultOccurs(VaultOverruns):
 		status = vault.Overdue
-	case owner.faulty(VaultSilent):
+	case owner.faultOccurs(VaultSilent):
 		return
 	}
-	if owner.faulty(VaultShuffles) {
-		took += randomUpTo(owner.rng, maxShuffleDelay)
+	if owner.faultOccurs(VaultShuffles) {
+		duration += randomUpTo(owner.rng, maxShuffleDelay)
 	}
-	call.timer = owner.env.World.In(took, func() { l.reply(call, status) })
+	call.timer = owner.env.World.In(duration, func() { c.reply(call, status) })
 }
 
-// reply ends a call.
-func (l *vaultLink) reply(call *vaultCall, status vault.Status) {
-	owner := l.vault
+// reply ends a call and sends its reply.
+func (c *vaultConn) reply(call *vaultCall, status vault.Status) {
+	owner := c.vault
 	owner.end(call)
 	if status == vault.Yes && !owner.env.Requests.awaitsCall(call.id) {
-		status = vault.Overdue // its run has ended meanwhile
+		status = vault.Overdue // the run has ended while the call was in flight
 	}
 	owner.replies++
 	body := fmt.Appendf(nil, "reply %d to %016x\r\n", owner.replies, xxhash.Sum64(call.body))
 	reply := vault.AppendReply(nil, call.id, status, body)
 	switch {
-	case owner.faulty(VaultBreaks):
-		l.stream.CutAfter(1 + owner.rng.IntN(len(reply)-1))
-	case owner.faulty(VaultStrays) && owner.rng.IntN(2) == 0:
+	case owner.faultOccurs(VaultBreaks):
+		c.stream.CutAfter(1 + owner.rng.IntN(len(reply)-1))
+	case owner.faultOccurs(VaultStrays) && owner.rng.IntN(2) == 0:
 		reply = append(reply, reply...)
-	case owner.faulty(VaultStrays):
+	case owner.faultOccurs(VaultStrays):
 		stray := vault.AppendReply(nil, fmt.Sprintf("%016x", owner.rng.Uint64()), vault.Yes, []byte("for nobody"))
 		reply = append(stray, reply...)
 	}
-	l.stream.Write(reply)
-	l.rest()
+	c.stream.Write(reply)
+	c.closeWhenIdle()
 }
