--- a/internal/testbed/fakes/caller_conn.go
+++ b/internal/testbed/fakes/caller_conn.go
@@ -202,7 +202,7 @@
 	if c.faults.cancelEarlyUntil > c.env.World.Now() {
 		wait = min(wait, c.faults.cancelAfter)
 	}
-	if c.env.Deployment.Vault && c.rng.IntN(requestsPerEarlyCancel) == 0 {
+	if c.env.Deployment.HasVault && c.rng.IntN(requestsPerEarlyCancel) == 0 {
 		wait = min(wait, randomUpTo(c.rng, maxEarlyCancelDelay))
 	}
 	return wait
--- a/internal/testbed/fakes/caller_health.go
+++ b/internal/testbed/fakes/caller_health.go
@@ -29,7 +29,7 @@
 
 // checkHealth sends a health check to a random server of the endpoint list, on a connection of its own.
 func (c *Caller) checkHealth() {
-	deep := c.env.Deployment.Vault && c.rng.IntN(2) == 0
+	deep := c.env.Deployment.HasVault && c.rng.IntN(2) == 0
 	c.node.Dial(c.randomEndpoint()+"/thrift", func(stream *simnet.Stream, err error) {
 		if err != nil {
 			return
--- a/internal/testbed/fakes/caller_jobs.go
+++ b/internal/testbed/fakes/caller_jobs.go
@@ -60,7 +60,7 @@
 // startJobs sends one job, or several while a fault multiplies the traffic of its tenant (or of its class, in a
 // deployment without tenants).
 func (c *Caller) startJobs() {
-	if c.env.Deployment.Vault {
+	if c.env.Deployment.HasVault {
 		class := c.newJob("", anyClass)
 		for range c.trafficMultiple(c.env.Settings.Classes[class].Name) - 1 {
 			c.newJob("", class)
@@ -99,12 +99,12 @@
 	if c.hasKey(started) {
 		started.idempotencyKey = fmt.Sprintf("%016x%016x", c.rng.Uint64(), c.rng.Uint64())
 	}
-	if c.env.Deployment.Vault {
+	if c.env.Deployment.HasVault {
 		started.size = drawSize(c.rng)
 		started.sizeHint = started.size * math.Exp(0.4*c.rng.NormFloat64())
 	}
-	c.env.Asked[c.classOf(started).Name]++
-	c.env.WeightAsked += c.weight(started)
+	c.env.Started[c.classOf(started).Name]++
+	c.env.WeightStarted += c.weight(started)
 	c.dispatch(started)
 	return started.class
 }
@@ -175,7 +175,7 @@
 	if server == sent.avoidServer {
 		server = c.randomEndpoint()
 	}
-	if c.env.Deployment.Vault {
+	if c.env.Deployment.HasVault {
 		return c.allowedServer(server)
 	}
 	return server
--- a/internal/testbed/fakes/deployment.go
+++ b/internal/testbed/fakes/deployment.go
@@ -11,8 +11,8 @@
 	TrafficShares []float64        // share of the jobs
 	MeanWork      []microtime.Time // average core time of a run
 	Calls         []CallRange      // calls of a run to the vault; empty if no class makes calls
-	// Vault adds a vault; callers then send cost hints, respect allowances and send deep health checks.
-	Vault bool
+	// HasVault adds a vault; callers then send cost hints, respect allowances and send deep health checks.
+	HasVault bool
 }
 
 // CallRange is the range of the number of calls that a run makes.
@@ -30,7 +30,7 @@
 		TrafficShares: []float64{0.35, 0.34, 0.31},
 		MeanWork:      []microtime.Time{45 * microtime.Millisecond, 65 * microtime.Millisecond, 65 * microtime.Millisecond},
 		Calls:         []CallRange{{Min: 1, Max: 1}, {}, {Min: 0, Max: 2}},
-		Vault:         true,
+		HasVault:      true,
 	}
 )
 
--- a/internal/testbed/fakes/environment.go
+++ b/internal/testbed/fakes/environment.go
@@ -17,9 +17,9 @@
 	Registry      *Registry
 	TrafficFactor map[string]float64 // by tenant, or by class in a deployment without tenants; 1 if absent
 	Served        map[string]int     // jobs whose result was received, by class
-	Asked         map[string]int     // jobs started, by class
+	Started       map[string]int     // jobs started, by class
 	WeightServed  float64            // of jobs served within their latency objective, and a share of it if late
-	WeightAsked   float64
+	WeightStarted float64
 	wall          simnet.WallClock
 }
 
@@ -41,7 +41,7 @@
 		Requests:      &RequestRegistry{attempts: map[string]*sentAttempt{}},
 		TrafficFactor: map[string]float64{},
 		Served:        map[string]int{},
-		Asked:         map[string]int{},
+		Started:       map[string]int{},
 	}
 	env.Registry = newRegistry(env, env.World.Fork(config.Seed, controlNode))
 	return env
--- a/internal/testbed/fakes/vault.go
+++ b/internal/testbed/fakes/vault.go
@@ -49,15 +49,15 @@
 // Vault is the simulated vault that all servers of a world call, on a node of its own. Each call takes a random time,
 // and replies are sent in the order in which calls complete.
 type Vault struct {
-	env       *Environment
-	rng       *rand.Rand
-	node      *simnet.Node
-	listeners []*simnet.Listener // empty while the vault is down
-	slowdown  float64
-	until     [vaultFaults]microtime.Time
-	chance    [vaultFaults]float64
-	replies   uint64                // number of replies so far
-	calls     map[string]*vaultCall // in flight, by request ID
+	env         *Environment
+	rng         *rand.Rand
+	node        *simnet.Node
+	listeners   []*simnet.Listener // empty while the vault is down
+	slowdown    float64
+	until       [vaultFaults]microtime.Time
+	probability [vaultFaults]float64
+	replies     uint64                // number of replies so far
+	calls       map[string]*vaultCall // in flight, by request ID
 }
 
 // vaultConn is one connection from a server.
@@ -122,15 +122,15 @@
 // Slow sets the slowdown factor of calls that start from now on.
 func (v *Vault) Slow(factor float64) { v.slowdown = factor }
 
-// Fault injects a fault until a time; it occurs with a probability per call or reply.
-func (v *Vault) Fault(fault VaultFault, chance float64, until microtime.Time) {
+// InjectFault injects a fault until a time; it occurs with a probability per call or reply.
+func (v *Vault) InjectFault(fault VaultFault, probability float64, until microtime.Time) {
 	v.until[fault] = until
-	v.chance[fault] = chance
+	v.probability[fault] = probability
 }
 
 // faultOccurs reports whether a fault occurs now, at random with its probability.
 func (v *Vault) faultOccurs(fault VaultFault) bool {
-	return v.env.World.Now() < v.until[fault] && v.rng.Float64() < v.chance[fault]
+	return v.env.World.Now() < v.until[fault] && v.rng.Float64() < v.probability[fault]
 }
 
 // end removes a call from those in flight.
--- a/internal/testbed/sim/gossip.go
+++ b/internal/testbed/sim/gossip.go
@@ -123,7 +123,7 @@
 		m.observe(sim, event)
 	}
 	totals := func() weightTotals {
-		return weightTotals{served: sim.environment.WeightServed, asked: sim.environment.WeightAsked}
+		return weightTotals{served: sim.environment.WeightServed, asked: sim.environment.WeightStarted}
 	}
 	edge := sim.edges[0]
 	sim.clock.At(restarted, func() { m.start = totals() })
--- a/internal/testbed/sim/injection_vault.go
+++ b/internal/testbed/sim/injection_vault.go
@@ -15,7 +15,7 @@
 // impairVault has something go wrong at the vault with a chance until the fault's end.
 func (s *simulation) impairVault(fault fakes.VaultFault, chance float64, f injection) {
 	s.noteVaultFault(f)
-	s.vault.Fault(fault, chance, f.until)
+	s.vault.InjectFault(fault, chance, f.until)
 }
 
 // noteVaultFault tells the observer that all servers are affected.
--- a/internal/testbed/sim/play.go
+++ b/internal/testbed/sim/play.go
@@ -135,7 +135,7 @@
 		Answers:         s.observer.Answers,
 		Replies:         s.observer.Replies,
 		Example:         s.observer.Example,
-		Asked:           s.environment.Asked,
+		Asked:           s.environment.Started,
 		Served:          s.environment.Served,
 	}
 	for _, instance := range s.instances() {
@@ -144,8 +144,8 @@
 	for _, count := range outcome.Answers {
 		outcome.Requests += count
 	}
-	if s.environment.WeightAsked > 0 {
-		outcome.WeightedGoodput = s.environment.WeightServed / s.environment.WeightAsked
+	if s.environment.WeightStarted > 0 {
+		outcome.WeightedGoodput = s.environment.WeightServed / s.environment.WeightStarted
 	}
 	return outcome
 }
