--- a/internal/testbed/faults/draw.go
+++ b/internal/testbed/faults/draw.go
@@ -11,25 +11,25 @@
 	"pewterline/internal/microtime"
 )
 
-// World is the size and shape of the world that a script is drawn for.
+// World is the topology, duration and load of the simulation that a script is drawn for.
 type World struct {
 	Servers int
 	Proxies int
-	Edges   int // instances before the servers
+	Edges   int // edges in front of the servers; 0: callers connect to the servers
 	Length  microtime.Time
-	Rate    float64 // 0 takes the profile's load
+	Rate    float64 // first attempts a second in all; 0: derived from the profile's load
 	Vault   bool
 }
 
-// drawStream tells the random numbers of scripts from others of the same seed.
+// drawStream selects the random stream of scripts, so that it differs from other streams of the same seed.
 const drawStream = 0x6661756c
 
-// Draw draws a script from a seed by a profile. The same arguments give the same script. With a vault, every third seed
-// has idempotent orders.
+// Draw generates a random script from a seed and the profile of that name. The same arguments give the same script.
+// With a vault, every third seed has idempotent orders.
 func (w World) Draw(seed uint64, name string) (Script, error) {
-	mix, ok := profiles[name]
+	chosen, ok := profiles[name]
 	if !ok {
-		return Script{}, wrong("profile", "unknown %q; there are %s", name, strings.Join(Profiles(), ", "))
+		return Script{}, fieldErrorf("profile", "unknown %q; want one of %s", name, strings.Join(Profiles(), ", "))
 	}
 	rng := rand.New(rand.NewPCG(seed, drawStream))
 	script := Script{
@@ -47,12 +47,12 @@
 		IdempotentOrders: w.Vault && seed%3 == 0,
 	}
 	if w.Rate == 0 {
-		script.Rate = math.Round(mix.load * ratePerServer * float64(w.Servers) * (0.7 + 0.6*rng.Float64()))
+		script.Rate = math.Round(chosen.load * ratePerServer * float64(w.Servers) * (0.7 + 0.6*rng.Float64()))
 	}
 	if err := script.checkWorld(); err != nil {
 		return script, err
 	}
-	mean := w.Length.Duration().Seconds() * math.Sqrt(float64(w.Servers)) / mix.every * (0.5 + rng.Float64())
+	mean := w.Length.Duration().Seconds() * math.Sqrt(float64(w.Servers)) / chosen.interval * (0.5 + rng.Float64())
 	for range min(max(int(mean+rng.Float64()), 1), MaxFaults) {
 		script.Faults = append(script.Faults, script.RandomFault(rng))
 	}
@@ -60,7 +60,7 @@
 	return script, nil
 }
 
-// RandomFault draws one fault by the script's profile, or by the default one where it has none.
+// RandomFault draws one fault by the weights of the script's profile, or of the default one if the script has none.
 func (s *Script) RandomFault(rng *rand.Rand) Fault {
 	weights := s.kindWeights()
 	all := slices.Sorted(maps.Keys(weights))
@@ -74,28 +74,28 @@
 			return s.RandomFaultOf(rng, kind)
 		}
 	}
-	panic("faults: weights") // the sum above is of the same weights
+	panic("faults: weights") // unreachable: pick is below the total of the weights
 }
 
-// kindWeights are how often each kind that fits the script's world is drawn.
+// kindWeights returns the relative frequency of each kind that can occur in the script's simulation.
 func (s *Script) kindWeights() map[Kind]int {
-	mix, ok := profiles[s.Profile]
+	chosen, ok := profiles[s.Profile]
 	if !ok {
-		mix = profiles[defaultProfile]
+		chosen = profiles[defaultProfile]
 	}
-	weights := maps.Clone(mix.weight)
+	weights := maps.Clone(chosen.weights)
 	if s.Vault {
-		maps.Copy(weights, mix.vault)
+		maps.Copy(weights, chosen.vaultWeights)
 	}
 	maps.DeleteFunc(weights, func(kind Kind, _ int) bool {
-		return !s.Store && (kind == StoreSlow || kind == StoreFail) || s.Proxies == 0 && kinds[kind].node == "p"
+		return !s.Store && (kind == StoreSlow || kind == StoreFail) || s.Proxies == 0 && rules[kind].node == "p"
 	})
 	return weights
 }
 
 // RandomFaultOf draws one fault of a kind.
 func (s *Script) RandomFaultOf(rng *rand.Rand, kind Kind) Fault {
-	rule := kinds[kind]
+	rule := rules[kind]
 	fault := Fault{Kind: kind, At: microtime.Time(rng.Int64N(int64(s.Length)+1)) / 1000 * 1000}
 	if rule.peer {
 		fault.Node, fault.Peer = s.randomPair(rng, kind)
@@ -105,20 +105,20 @@
 			fault.Node = s.randomNode(rng, 'e')
 		}
 	}
-	if rule.length { // mostly short, at times longer than any deadline
+	if rule.length { // 50 ms to 20 s, short ones more often, the longest beyond any deadline
 		fault.For = microtime.Time(math.Exp(rng.Float64()*math.Log(400))*50) * microtime.Millisecond
 	}
-	if words := s.words(kind); words != nil {
-		fault.What = words[rng.IntN(len(words))]
+	if values := s.allowedWhat(kind); values != nil {
+		fault.What = values[rng.IntN(len(values))]
 	}
-	if draw, ok := amounts[kind]; ok {
+	if draw, ok := amountDrawers[kind]; ok {
 		fault.Amount = draw(rng)
 	}
 	return fault
 }
 
-// amounts draw the Amount of the kinds that have one.
-var amounts = map[Kind]func(*rand.Rand) float64{
+// amountDrawers maps each kind that uses Amount to the function that draws it.
+var amountDrawers = map[Kind]func(*rand.Rand) float64{
 	Kill:                    uniform(0, 12),
 	SlowPool:                slowdown,
 	CostlyClass:             slowdown,
@@ -127,19 +127,19 @@
 	CutConnection:           bytesUntilCut,
 	AddLatency:              uniform(1, 800),
 	LimitBandwidth:          bandwidth,
-	DropDatagrams:           chance,
-	DuplicateDatagrams:      chance,
-	VaultRefusing:           chance,
-	VaultFailing:            chance,
-	VaultBreakReply:         chance,
-	VaultStrayReply:         chance,
+	DropDatagrams:           probability,
+	DuplicateDatagrams:      probability,
+	VaultRefusing:           probability,
+	VaultFailing:            probability,
+	VaultBreakReply:         probability,
+	VaultStrayReply:         probability,
 	ImpatientCaller:         uniform(1, 2500),
 	ConnectionLimit:         uniform(0, 8),
 	UnidentifiedConnections: uniform(1, 60),
 	StoreSlow:               uniform(1, 3000),
 }
 
-// uniform draws one of n whole numbers, from the first on.
+// uniform returns a function that draws one of n consecutive integers, starting at first.
 func uniform(first, n int) func(*rand.Rand) float64 {
 	return func(rng *rand.Rand) float64 { return float64(first + rng.IntN(n)) }
 }
@@ -159,14 +159,14 @@
 	return math.Floor(2000 * math.Exp(rng.Float64()*math.Log(50)))
 }
 
-// chance draws a whole number of hundredths.
-func chance(rng *rand.Rand) float64 { return math.Round(100*rng.Float64()) / 100 }
+// probability draws a multiple of 0.01 from 0 to 1.
+func probability(rng *rand.Rand) float64 { return math.Round(100*rng.Float64()) / 100 }
 
 func (s *Script) randomNode(rng *rand.Rand, letter byte) string {
 	return fmt.Sprintf("%c%d", letter, rng.IntN(max(s.count(letter), 1)))
 }
 
-// randomPair draws two nodes that talk with each other.
+// randomPair draws two nodes that have connections or datagrams between them.
 func (s *Script) randomPair(rng *rand.Rand, kind Kind) (node, peer string) {
 	number := rng.IntN(s.Servers)
 	server := fmt.Sprintf("s%d", number)
@@ -180,17 +180,17 @@
 	if s.Edges > 0 {
 		return s.randomEdgePair(rng, server, pool)
 	}
-	other := pool
+	counterpart := pool
 	switch n := rng.IntN(10); {
 	case n < 5 && s.Proxies > 0:
-		other = s.randomNode(rng, 'p')
+		counterpart = s.randomNode(rng, 'p')
 	case n < 6 && s.WebFrontends > 0:
-		other = s.randomNode(rng, 'o')
+		counterpart = s.randomNode(rng, 'o')
 	}
-	return inEitherOrder(rng, other, server)
+	return inEitherOrder(rng, counterpart, server)
 }
 
-// randomEdgePair draws a pair in a world in which callers talk with edges alone.
+// randomEdgePair draws two connected nodes of a simulation with edges, in which callers connect to the edges only.
 func (s *Script) randomEdgePair(rng *rand.Rand, server, pool string) (node, peer string) {
 	edge := s.randomNode(rng, 'e')
 	switch rng.IntN(4) {
--- a/internal/testbed/faults/faults_test.go
+++ b/internal/testbed/faults/faults_test.go
@@ -11,43 +11,43 @@
 	"pewterline/internal/microtime"
 )
 
-// Every drawn script passes its own checks, and its text reads back as the same script.
-func TestDrawnScriptsReadBack(t *testing.T) {
+// Every drawn script is valid, its text parses to the same script, and drawing it again gives the same script.
+func TestDrawnScriptsRoundTrip(t *testing.T) {
 	for _, profile := range Profiles() {
 		for seed := range uint64(300) {
-			w := World{Servers: 1 + int(seed%5), Proxies: int(seed % 4), Length: 12 * microtime.Second, Vault: seed%2 == 1}
-			s, err := w.Draw(seed, profile)
+			world := World{Servers: 1 + int(seed%5), Proxies: int(seed % 4), Length: 12 * microtime.Second, Vault: seed%2 == 1}
+			script, err := world.Draw(seed, profile)
 			require.NoError(t, err)
-			require.NoError(t, s.Validate())
-			back, err := Parse(s.String())
-			require.NoError(t, err, s.String())
-			require.Equal(t, s, back)
-			again, err := w.Draw(seed, profile)
+			require.NoError(t, script.Validate())
+			parsed, err := Parse(script.String())
+			require.NoError(t, err, script.String())
+			require.Equal(t, script, parsed)
+			again, err := world.Draw(seed, profile)
 			require.NoError(t, err)
-			require.Equal(t, s, again)
+			require.Equal(t, script, again)
 		}
 	}
 }
 
-// Each kind can be drawn, passes, and reads back.
-func TestEveryKindOfFault(t *testing.T) {
+// Each kind of fault can be drawn, is valid, and keeps its fields when its text is parsed.
+func TestEveryKindOfFaultRoundTrips(t *testing.T) {
 	script := Script{Servers: 2, Proxies: 2, WebFrontends: 1, Store: true, Vault: true, Length: 10 * microtime.Second}
 	rng := rand.New(rand.NewPCG(1, 2))
 	require.Len(t, Kinds(), 37)
-	for _, k := range Kinds() {
+	for _, kind := range Kinds() {
 		for range 20 {
-			f := script.RandomFaultOf(rng, k)
-			require.True(t, script.Allows(f), f)
-			script.Faults = append(script.Faults, f)
+			fault := script.RandomFaultOf(rng, kind)
+			require.True(t, script.Allows(fault), fault)
+			script.Faults = append(script.Faults, fault)
 		}
 	}
 	script.SortFaults()
-	back, err := Parse(script.String())
+	parsed, err := Parse(script.String())
 	require.NoError(t, err)
-	require.Equal(t, script, back)
+	require.Equal(t, script, parsed)
 }
 
-// An error names the line and the field that is wrong.
+// A parse error names the line and the invalid field.
 func TestErrorsNameTheLineAndTheField(t *testing.T) {
 	world := "# a comment\nworld seed=1 servers=2 proxies=1 offices=1 seconds=10 rate=5\n\n"
 	for _, test := range []struct {
@@ -90,17 +90,18 @@
 		{world + "fault at=1s kind=kill node", "node", 4},
 	} {
 		_, err := Parse(test.text)
-		var e *Error
-		require.True(t, errors.As(err, &e), "%q gives %v", test.text, err)
-		require.Equal(t, test.field, e.Field, test.text)
-		require.Equal(t, test.line, e.Line, test.text)
+		var parseErr *Error
+		require.True(t, errors.As(err, &parseErr), "%q gives %v", test.text, err)
+		require.Equal(t, test.field, parseErr.Field, test.text)
+		require.Equal(t, test.line, parseErr.Line, test.text)
 	}
 	_, err := World{Servers: 1, Proxies: 1, Length: microtime.Second}.Draw(1, "tea-time")
 	require.ErrorContains(t, err, "profile")
 }
 
-// What was drawn before worlds had a vault is drawn the same today: kept seeds and the digests of their runs stay good.
-func TestDrawsWithoutVaultStay(t *testing.T) {
+// Scripts without a vault are drawn as they were before the vault was added: otherwise kept seeds and the digests of
+// their runs would become invalid.
+func TestDrawWithoutVaultIsUnchanged(t *testing.T) {
 	sum := xxhash.New()
 	for _, profile := range Profiles() {
 		for seed := range uint64(50) {
@@ -112,17 +113,17 @@
 	require.Equal(t, uint64(0x38124b22cbad012c), sum.Sum64())
 }
 
-// Guards against whatever a file holds: nothing panics, and what passes reads back.
+// Parse must not panic on any input, and the text of a script that it accepts must parse to the same faults.
 func FuzzParse(f *testing.F) {
 	f.Add("world seed=1 servers=2 proxies=1 offices=1 seconds=10 rate=5\nfault at=1s kind=cut node=w0 peer=s0 amount=3\n")
 	f.Add("world seed=1 servers=1 seconds=1e300\n")
 	f.Fuzz(func(t *testing.T, text string) {
-		s, err := Parse(text)
+		script, err := Parse(text)
 		if err != nil {
 			return
 		}
-		back, err := Parse(s.String())
-		require.NoError(t, err, s.String())
-		require.Equal(t, s.Faults, back.Faults)
+		again, err := Parse(script.String())
+		require.NoError(t, err, script.String())
+		require.Equal(t, script.Faults, again.Faults)
 	})
 }
--- a/internal/testbed/faults/kind.go
+++ b/internal/testbed/faults/kind.go
@@ -4,120 +4,120 @@
 	"slices"
 )
 
-// Kind is what goes wrong.
+// Kind is the type of a fault. Its value is the name that scripts use.
 type Kind string
 
-// The kinds of fault. For, Peer, Amount and What are used where the kind's rule says so. The strings are those of
-// scripts.
+// The kinds of fault. Node, Peer, For, What and Amount are the fields of Fault; the kind's rule says which of them it
+// takes.
 const (
-	// Kill ends the server's process together with its worker pool; For later it is back, cold. Amount is the number of
-	// calls into the program until it is killed, in the middle of a turn.
+	// Kill kills the server's process and its worker pool, and restarts both after For with a cold start. Amount is the
+	// number of calls into the program before the kill, which may fall in the middle of a turn.
 	Kill Kind = "kill"
-	// MachineLost is a Kill of the whole machine: its peers hear nothing.
+	// MachineLost is a Kill of the whole machine: its peers get neither an end of stream nor a reset.
 	MachineLost Kind = "vanish"
-	// Terminate sends the notice to drain; For after its end the server is back, cold.
+	// Terminate sends the server the notice to drain, and restarts it For after its exit with a cold start.
 	Terminate Kind = "term"
-	// ReloadConfig moves the pool's connection and the health reports to other addresses.
+	// ReloadConfig reloads the settings, with other addresses for the worker pool and the health reports.
 	ReloadConfig Kind = "hup"
-	// Pause has the process stand still.
+	// Pause stops the process from running.
 	Pause Kind = "pause"
-	// SlowPool has the worker pool take Amount times as long.
+	// SlowPool multiplies the worker pool's processing times by Amount.
 	SlowPool Kind = "slow"
-	// CostlyClass has the class What take Amount times as long at the worker pool.
+	// CostlyClass multiplies the worker pool's processing times for the class What by Amount.
 	CostlyClass Kind = "costly"
-	// StallPath has nothing pass between Node and Peer; nothing is lost.
+	// StallPath delays all traffic between Node and Peer until the fault ends; nothing is lost.
 	StallPath Kind = "stall"
 	// CutConnection breaks connections of Node to Peer after Amount more bytes from Node.
 	CutConnection Kind = "cut"
-	// HalfClose closes connections of Node to Peer in the direction from Node.
+	// HalfClose closes the direction from Node of connections between Node and Peer.
 	HalfClose Kind = "half"
-	// AddLatency adds Amount milliseconds from Node to Peer and back.
+	// AddLatency adds Amount milliseconds of latency between Node and Peer, in each direction.
 	AddLatency Kind = "lag"
-	// LimitBandwidth lets Amount bytes a second pass between Node and Peer.
+	// LimitBandwidth limits each connection between Node and Peer to Amount bytes a second in each direction.
 	LimitBandwidth Kind = "thin"
-	// Blackhole leaves connects and datagrams between Node and Peer without an answer.
+	// Blackhole makes connects between Node and Peer time out, and drops datagrams between them.
 	Blackhole Kind = "dark"
-	// DropDatagrams drops datagrams between Node and Peer with the chance Amount.
+	// DropDatagrams drops datagrams between Node and Peer with probability Amount.
 	DropDatagrams Kind = "lose"
-	// DuplicateDatagrams delivers datagrams between Node and Peer twice with the chance Amount.
+	// DuplicateDatagrams delivers datagrams between Node and Peer twice with probability Amount.
 	DuplicateDatagrams Kind = "double"
-	// TrafficSurge has the tenant (or the class) What send Amount times as much.
+	// TrafficSurge multiplies the request rate of the tenant (with a vault: the class) What by Amount.
 	TrafficSurge Kind = "flood"
-	// CallerCrash ends the proxy; For later it is back, with the endpoint list it had and an address of nobody's.
+	// CallerCrash kills the proxy and restarts it after For, with its old endpoint list and one unused address in it.
 	CallerCrash Kind = "die"
-	// StaleEndpoints has the proxy hear of no change of the endpoint list.
+	// StaleEndpoints withholds changes of the endpoint list from the proxy.
 	StaleEndpoints Kind = "stale"
-	// ImpatientCaller has the proxy cancel requests after Amount milliseconds.
+	// ImpatientCaller makes the proxy cancel requests after Amount milliseconds.
 	ImpatientCaller Kind = "hasty"
-	// LateCancel has the proxy cancel what it has been answered, and numbers that it never used.
+	// LateCancel makes the proxy cancel requests that were already answered, and request numbers that it never used.
 	LateCancel Kind = "give-late"
-	// CallerStopsReading has the proxy read nothing.
+	// CallerStopsReading makes the proxy stop reading from its connections.
 	CallerStopsReading Kind = "deaf"
-	// ImmediateRetry has the proxy retry the instant that it is rejected.
+	// ImmediateRetry makes the proxy retry rejected requests without a delay.
 	ImmediateRetry Kind = "insist"
-	// ConnectionLimit has the server's machine hold Amount connections at most.
+	// ConnectionLimit limits the open connections of the server's machine to Amount.
 	ConnectionLimit Kind = "table"
-	// UnidentifiedConnections opens Amount connections to the server that send nothing, or half of something.
+	// UnidentifiedConnections opens Amount connections to the server that send nothing, or an incomplete message.
 	UnidentifiedConnections Kind = "strangers"
-	// DuplicateNotices has the worker pool send its notices twice.
+	// DuplicateNotices makes the worker pool send each of its notices twice.
 	DuplicateNotices Kind = "doubled"
-	// RegistryDown takes the control plane down.
+	// RegistryDown stops the control plane.
 	RegistryDown Kind = "mute"
-	// StoreSlow has each write of the store of record take Amount milliseconds longer.
+	// StoreSlow adds Amount milliseconds to each write to the store of record.
 	StoreSlow Kind = "store-slow"
-	// StoreFail has writes of the store of record fail.
+	// StoreFail makes writes to the store of record fail.
 	StoreFail Kind = "store-fail"
 )
 
 // The kinds of fault of the vault.
 const (
-	// VaultDown has it refuse connections; those that it had break.
+	// VaultDown makes the vault refuse connections, and resets those that are open.
 	VaultDown Kind = "vault-down"
-	// VaultSlow has it take Amount times as long.
+	// VaultSlow multiplies the vault's processing times by Amount.
 	VaultSlow Kind = "vault-slow"
-	// VaultRefusing has it reject calls with the chance Amount.
+	// VaultRefusing makes the vault reject calls with probability Amount.
 	VaultRefusing Kind = "vault-refusing"
-	// VaultFailing has calls end as What says with the chance Amount, half of them after their effect.
+	// VaultFailing ends calls with the outcome What with probability Amount; half of them have taken effect by then.
 	VaultFailing Kind = "vault-failing"
-	// VaultBreakReply breaks a connection in the middle of a reply with the chance Amount.
+	// VaultBreakReply cuts the connection in the middle of a reply with probability Amount.
 	VaultBreakReply Kind = "vault-break"
-	// VaultReorder holds replies back, so that they come in another order.
+	// VaultReorder delays replies so that they arrive out of order.
 	VaultReorder Kind = "vault-shuffle"
-	// VaultStrayReply has replies come twice, or beside others for nobody's call, with the chance Amount.
+	// VaultStrayReply, with probability Amount, sends a reply twice or adds a reply to a call that was never made.
 	VaultStrayReply Kind = "vault-stray"
-	// VaultSilent has it take calls and reply to none.
+	// VaultSilent makes the vault accept calls without replying.
 	VaultSilent Kind = "vault-silent"
-	// VaultHang has it not answer connects.
+	// VaultHang makes connects to the vault time out.
 	VaultHang Kind = "vault-hang"
 )
 
-// rule says which fields a kind has.
+// rule defines which fields of Fault a kind uses, and their allowed values.
 type rule struct {
-	node   string   // the first letters of the names that Node may have; "": no Node
-	peer   bool     // there is a Peer
-	length bool     // there is a For
-	what   []string // What is one of these; nil: no What
-	lo, hi float64  // the bounds of Amount; both 0: no Amount
+	node   string   // allowed first letters of Node; "": Node is unused
+	peer   bool     // Peer is used
+	length bool     // For is used
+	what   []string // allowed values of What; nil: What is unused
+	lo, hi float64  // the bounds of Amount; both 0: Amount is unused
 }
 
-// Tenants and Classes are the names that What may have.
+// Tenants and Classes are the values that What may have in a simulation without a vault.
 var (
 	Tenants = []string{"hill-estate", "lake-vines", "valley-rows"}
 	Classes = []string{"block-view", "lot-update", "lot-intake"}
 )
 
-// VaultClasses are the classes of a world with a vault, which has no tenants.
+// VaultClasses are the classes of a simulation with a vault, which has no tenants.
 var VaultClasses = []string{"page-view", "page-save", "print-order"}
 
-// IndeterminateCallOutcomes are outcomes of a call that prove nothing of its effect.
+// IndeterminateCallOutcomes are outcomes after which the caller cannot know whether the call took effect.
 var IndeterminateCallOutcomes = []string{"failed", "overdue"}
 
-// anyNode has the first letters of the names of all nodes: servers, proxies, web frontends, worker pools, the control
+// anyNode holds the first letters of the names of all nodes: servers, proxies, web frontends, worker pools, the control
 // plane, edges and the vault.
 const anyNode = "spowcev"
 
-// kinds are the rules of all kinds.
-var kinds = map[Kind]rule{
+// rules maps each kind of fault to its rule.
+var rules = map[Kind]rule{
 	Kill:                    {node: "se", length: true, hi: 1000},
 	MachineLost:             {node: "se", length: true},
 	Terminate:               {node: "se", length: true},
@@ -157,12 +157,12 @@
 	VaultHang:               {node: "v", length: true},
 }
 
-// Kinds are all kinds of fault, in a fixed order.
+// Kinds returns all kinds of fault, sorted by name.
 func Kinds() []Kind {
-	out := make([]Kind, 0, len(kinds))
-	for k := range kinds {
-		out = append(out, k)
+	all := make([]Kind, 0, len(rules))
+	for kind := range rules {
+		all = append(all, kind)
 	}
-	slices.Sort(out)
-	return out
+	slices.Sort(all)
+	return all
 }
--- a/internal/testbed/faults/parse.go
+++ b/internal/testbed/faults/parse.go
@@ -8,7 +8,8 @@
 	"pewterline/internal/microtime"
 )
 
-// Parse reads the text form and validates it. The error is an *Error that names the line.
+// Parse reads a script's text form and validates it. An error is an *Error; it names the line, except where the world
+// line is missing.
 func Parse(text string) (Script, error) {
 	var parsing parser
 	for i, line := range strings.Split(text, "\n") {
@@ -19,13 +20,13 @@
 		}
 	}
 	if !parsing.hasWorld {
-		return parsing.script, wrong("world", "missing")
+		return parsing.script, fieldErrorf("world", "missing")
 	}
 	parsing.script.SortFaults()
 	return parsing.script, nil
 }
 
-// parser holds the script as far as it has been read.
+// parser holds the part of a script that has been read.
 type parser struct {
 	script   Script
 	hasWorld bool
@@ -47,11 +48,11 @@
 		}
 		return p.script.checkWorld()
 	case words[0] == "world":
-		return wrong("world", "there is one already")
+		return fieldErrorf("world", "duplicate world line")
 	case words[0] != "fault":
-		return wrong(words[0], "a line begins with world or fault")
+		return fieldErrorf(words[0], "unknown keyword, want world or fault")
 	case !p.hasWorld:
-		return wrong("fault", "comes before the world")
+		return fieldErrorf("fault", "precedes the world line")
 	}
 	return p.addFault(fields)
 }
@@ -63,32 +64,32 @@
 	}
 	p.script.Faults = append(p.script.Faults, fault)
 	if len(p.script.Faults) > MaxFaults {
-		return wrong("fault", "over %d", MaxFaults)
+		return fieldErrorf("fault", "more than %d faults", MaxFaults)
 	}
 	return p.script.check(fault)
 }
 
-// field is a part of a line of the form name=value.
+// field is one name=value pair of a line.
 type field struct{ name, value string }
 
 func splitFields(words []string) ([]field, *Error) {
-	var out []field
-	for _, w := range words {
-		name, value, ok := strings.Cut(w, "=")
+	var fields []field
+	for _, word := range words {
+		name, value, ok := strings.Cut(word, "=")
 		if !ok || name == "" || value == "" {
-			return nil, wrong(w, "is not of the form name=value")
+			return nil, fieldErrorf(word, "is not of the form name=value")
 		}
-		for _, f := range out {
+		for _, f := range fields {
 			if f.name == name {
-				return nil, wrong(name, "stands twice")
+				return nil, fieldErrorf(name, "given twice")
 			}
 		}
-		out = append(out, field{name, value})
+		fields = append(fields, field{name, value})
 	}
-	return out, nil
+	return fields, nil
 }
 
-// readWorld reads the fields of a world. Their names are those of kept scripts.
+// readWorld reads the fields of the world line. Kept scripts use these names.
 func (s *Script) readWorld(fields []field) *Error {
 	readers := map[string]func(value string) error{
 		"seed":    readInto(&s.Seed, parseUint),
@@ -121,21 +122,21 @@
 	return fault, err
 }
 
-// readFields reads each field by the reader of its name.
+// readFields passes each field's value to the reader of that name.
 func readFields(fields []field, readers map[string]func(value string) error) *Error {
 	for _, f := range fields {
 		read, ok := readers[f.name]
 		if !ok {
-			return wrong(f.name, "unknown")
+			return fieldErrorf(f.name, "unknown")
 		}
 		if err := read(f.value); err != nil {
-			return wrong(f.name, "%q cannot be read", f.value)
+			return fieldErrorf(f.name, "invalid value %q", f.value)
 		}
 	}
 	return nil
 }
 
-// readInto returns a reader that parses a value into a variable.
+// readInto returns a reader that parses a value and assigns the result to a variable.
 func readInto[T any](variable *T, parse func(string) (T, error)) func(string) error {
 	return func(value string) (err error) {
 		*variable, err = parse(value)
@@ -153,7 +154,7 @@
 	return microtime.Time(seconds * 1e6), err
 }
 
-// parseDuration reads a duration in Go's form.
+// parseDuration reads a duration in the syntax of time.ParseDuration.
 func parseDuration(text string) (microtime.Time, error) {
 	d, err := time.ParseDuration(text)
 	return microtime.FromDuration(d), err
--- a/internal/testbed/faults/profiles.go
+++ b/internal/testbed/faults/profiles.go
@@ -5,39 +5,39 @@
 	"slices"
 )
 
-// profile says how much goes wrong, and what.
+// profile defines the frequency and the mix of the faults of a drawn script, and its load.
 type profile struct {
-	every  float64 // seconds between faults, for each server
-	load   float64 // of what the servers can do, roughly
-	weight map[Kind]int
-	vault  map[Kind]int // besides, in a world with a vault
+	interval     float64      // mean seconds between faults with one server
+	load         float64      // approximate request rate as a fraction of the servers' capacity
+	weights      map[Kind]int // relative frequency of each kind
+	vaultWeights map[Kind]int // of additional kinds in a simulation with a vault
 }
 
-// ratePerServer is what a server with two warm cores serves a second, roughly.
+// ratePerServer is the approximate capacity, in requests a second, of a server with two warmed-up cores.
 const ratePerServer = 24
 
-// profiles are the mixes of faults that a script can be drawn by.
+// profiles maps the names that Draw accepts to the profiles.
 var profiles = map[string]profile{
 	"calm": {
-		every: 20,
-		load:  0.5,
-		weight: map[Kind]int{
+		interval: 20,
+		load:     0.5,
+		weights: map[Kind]int{
 			CutConnection:    2,
 			DropDatagrams:    2,
 			AddLatency:       2,
 			ImpatientCaller:  1,
 			DuplicateNotices: 1,
 		},
-		vault: map[Kind]int{
+		vaultWeights: map[Kind]int{
 			VaultSlow:     1,
 			VaultRefusing: 1,
 			VaultReorder:  1,
 		},
 	},
 	"dawn": {
-		every: 6,
-		load:  0.9,
-		weight: map[Kind]int{
+		interval: 6,
+		load:     0.9,
+		weights: map[Kind]int{
 			TrafficSurge:            5,
 			ImmediateRetry:          3,
 			UnidentifiedConnections: 2,
@@ -47,7 +47,7 @@
 			ImpatientCaller:         2,
 			CutConnection:           2,
 		},
-		vault: map[Kind]int{
+		vaultWeights: map[Kind]int{
 			VaultSlow:     3,
 			VaultRefusing: 3,
 			VaultFailing:  1,
@@ -55,9 +55,9 @@
 		},
 	},
 	"noon": {
-		every: 5,
-		load:  1.1,
-		weight: map[Kind]int{
+		interval: 5,
+		load:     1.1,
+		weights: map[Kind]int{
 			SlowPool:           4,
 			CostlyClass:        4,
 			Pause:              3,
@@ -70,7 +70,7 @@
 			TrafficSurge:       2,
 			ImmediateRetry:     1,
 		},
-		vault: map[Kind]int{
+		vaultWeights: map[Kind]int{
 			VaultSlow:       4,
 			VaultRefusing:   3,
 			VaultFailing:    3,
@@ -80,9 +80,9 @@
 		},
 	},
 	"release": {
-		every: 5,
-		load:  0.9,
-		weight: map[Kind]int{
+		interval: 5,
+		load:     0.9,
+		weights: map[Kind]int{
 			Terminate:      6,
 			ReloadConfig:   4,
 			Kill:           2,
@@ -94,7 +94,7 @@
 			CutConnection:  2,
 			Blackhole:      1,
 		},
-		vault: map[Kind]int{
+		vaultWeights: map[Kind]int{
 			VaultDown:       4,
 			VaultHang:       2,
 			VaultBreakReply: 2,
@@ -102,9 +102,9 @@
 		},
 	},
 	"worst": {
-		every: 3,
-		load:  1,
-		weight: map[Kind]int{
+		interval: 3,
+		load:     1,
+		weights: map[Kind]int{
 			Kill:                    3,
 			MachineLost:             1,
 			Terminate:               3,
@@ -134,7 +134,7 @@
 			StoreSlow:               1,
 			StoreFail:               1,
 		},
-		vault: map[Kind]int{
+		vaultWeights: map[Kind]int{
 			VaultDown:       3,
 			VaultSlow:       3,
 			VaultRefusing:   3,
@@ -148,8 +148,8 @@
 	},
 }
 
-// defaultProfile is for scripts that were not drawn by one.
+// defaultProfile is the profile for random faults of a script that was not drawn from a profile.
 const defaultProfile = "worst"
 
-// Profiles are the names that Draw takes, in a fixed order.
+// Profiles returns the names of the profiles that Draw accepts, sorted.
 func Profiles() []string { return slices.Sorted(maps.Keys(profiles)) }
--- a/internal/testbed/faults/script.go
+++ b/internal/testbed/faults/script.go
@@ -1,7 +1,7 @@
-// Package faults has scripts of what goes wrong in a run, and when: typed records with a text form that a person can
-// read and change. A script together with its seed gives the whole run.
+// Package faults defines fault scripts: typed records of the faults of a test run and of their times, with a text form
+// that can be read and edited by hand. A script, which includes its seed, determines a simulated run completely.
 //
-// A line of the text is a word and fields of the form name=value; what follows a # is left out:
+// A line of the text is a keyword followed by fields of the form name=value; a # starts a comment:
 //
 //	world seed=7 profile=worst servers=3 proxies=4 offices=1 seconds=12 rate=120
 //	fault at=1.25s kind=stall node=s0 peer=w0 for=2s
@@ -16,35 +16,35 @@
 	"pewterline/internal/microtime"
 )
 
-// Fault is one thing that goes wrong.
+// Fault is one injected fault. Its kind determines which of the other fields are used.
 type Fault struct {
 	At     microtime.Time // since the run's start
 	Kind   Kind
-	Node   string
-	Peer   string
-	For    microtime.Time
-	What   string
-	Amount float64
+	Node   string         // the node that the fault affects
+	Peer   string         // the other node of an affected path or connection
+	For    microtime.Time // duration
+	What   string         // the affected tenant or class, or the outcome of affected calls
+	Amount float64        // a factor, number, probability or time, by kind
 }
 
-// Script is a run: its world and its faults, by time.
+// Script describes a run: its topology and load, and its faults in order of time.
 type Script struct {
 	Seed             uint64
-	Profile          string // that it was drawn by; "" for none
+	Profile          string // the profile that it was drawn from; "": none
 	Servers          int
 	Proxies          int
 	WebFrontends     int            // AJP front ends
-	Edges            int            // instances before the servers, to which all callers go; 0: they go to the servers
-	Gossip           bool           // the edges tell each other what they know of the servers
+	Edges            int            // edges in front of the servers; 0: callers connect to the servers
+	Gossip           bool           // the edges exchange gossip about the servers
 	Store            bool           // the servers have a store of record
 	Vault            bool           // requests call the vault v0 while they run, as on the second deployment
-	IdempotentOrders bool           // with a vault: print-order may come again within its window, in place of running once
-	Length           microtime.Time // that requests come; the run goes on until all is answered
-	Rate             float64        // first tries a second in all
+	IdempotentOrders bool           // with a vault: print-order is keyed, with a retention window, not single_shot
+	Length           microtime.Time // how long callers send requests; the run lasts until all are answered
+	Rate             float64        // first attempts a second in all
 	Faults           []Fault
 }
 
-// The bounds of a world.
+// The bounds of a script's fields.
 const (
 	MaxServers = 1000
 	MaxProxies = 1000
@@ -53,19 +53,19 @@
 	MaxRate    = 1e6
 )
 
-// SortFaults puts the faults in order of time.
+// SortFaults sorts the faults by time.
 func (s *Script) SortFaults() {
 	slices.SortStableFunc(s.Faults, func(a, b Fault) int { return int(a.At - b.At) })
 }
 
-// Clone returns a script that shares nothing with s.
+// Clone returns a copy of s that shares no memory with it.
 func (s *Script) Clone() Script {
-	c := *s
-	c.Faults = slices.Clone(s.Faults)
-	return c
+	clone := *s
+	clone.Faults = slices.Clone(s.Faults)
+	return clone
 }
 
-// String is the text form; Parse reads it back.
+// String returns the text form, which Parse reads.
 func (s *Script) String() string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "world seed=%d", s.Seed)
@@ -95,13 +95,13 @@
 	return text.String()
 }
 
-// String is the fault's line.
+// String returns the fault's line of the text form.
 func (f Fault) String() string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "fault at=%v kind=%s", f.At.Duration(), f.Kind)
-	for _, x := range []field{{"node", f.Node}, {"peer", f.Peer}, {"what", f.What}} {
-		if x.value != "" {
-			fmt.Fprintf(&text, " %s=%s", x.name, x.value)
+	for _, named := range []field{{"node", f.Node}, {"peer", f.Peer}, {"what", f.What}} {
+		if named.value != "" {
+			fmt.Fprintf(&text, " %s=%s", named.name, named.value)
 		}
 	}
 	if f.For > 0 {
--- a/internal/testbed/faults/validate.go
+++ b/internal/testbed/faults/validate.go
@@ -7,15 +7,15 @@
 	"strings"
 )
 
-// words are what What may be for a kind in the script's world.
-func (s *Script) words(k Kind) []string {
-	if s.Vault && (k == CostlyClass || k == TrafficSurge) {
+// allowedWhat returns the values that What may have for a kind in this script; nil: What is unused.
+func (s *Script) allowedWhat(kind Kind) []string {
+	if s.Vault && (kind == CostlyClass || kind == TrafficSurge) {
 		return VaultClasses
 	}
-	return kinds[k].what
+	return rules[kind].what
 }
 
-// count is how many nodes the world has whose names begin with a letter.
+// count returns the number of nodes whose names begin with a letter.
 func (s *Script) count(letter byte) int {
 	switch letter {
 	case 's', 'w':
@@ -34,12 +34,12 @@
 	return 0
 }
 
-// minSeconds is the length of the shortest script.
+// minSeconds is the shortest allowed length of a script.
 const minSeconds = 0.001
 
-// Error is a fault of the text or of a record: it names the line and the field.
+// Error reports an invalid text or record; it names the line and the field.
 type Error struct {
-	Line   int // from 1 on; 0: of the record
+	Line   int // from 1; 0: the error is in a record, or concerns no line
 	Field  string
 	Reason string
 }
@@ -51,11 +51,11 @@
 	return fmt.Sprintf("faults: line %d: %s: %s", e.Line, e.Field, e.Reason)
 }
 
-func wrong(field, format string, args ...any) *Error {
+func fieldErrorf(field, format string, args ...any) *Error {
 	return &Error{Field: field, Reason: fmt.Sprintf(format, args...)}
 }
 
-// Validate tells the first thing that is wrong with the script, as an *Error.
+// Validate returns an *Error for the first invalid field of the script, or nil.
 func (s *Script) Validate() error {
 	if err := s.checkWorld(); err != nil {
 		return err
@@ -68,24 +68,24 @@
 	return nil
 }
 
-// Allows tells whether a fault may stand in the script.
+// Allows reports whether a fault is valid in the script.
 func (s *Script) Allows(f Fault) bool { return s.check(f) == nil }
 
 func (s *Script) checkWorld() *Error {
-	within := func(field string, v, lo, hi float64) *Error {
-		if !(v >= lo && v <= hi) {
-			return wrong(field, "%v is not within %v to %v", v, lo, hi)
+	checkRange := func(field string, value, lo, hi float64) *Error {
+		if !(value >= lo && value <= hi) {
+			return fieldErrorf(field, "%v is not within %v to %v", value, lo, hi)
 		}
 		return nil
 	}
 	for _, err := range []*Error{
-		within("servers", float64(s.Servers), 1, MaxServers),
-		within("proxies", float64(s.Proxies), 0, MaxProxies),
-		within("offices", float64(s.WebFrontends), 0, MaxProxies),
-		within("seconds", s.Length.Duration().Seconds(), minSeconds, MaxLength.Duration().Seconds()),
-		within("edges", float64(s.Edges), 0, MaxServers),
-		within("rate", s.Rate, 0, MaxRate),
-		within("faults", float64(len(s.Faults)), 0, MaxFaults),
+		checkRange("servers", float64(s.Servers), 1, MaxServers),
+		checkRange("proxies", float64(s.Proxies), 0, MaxProxies),
+		checkRange("offices", float64(s.WebFrontends), 0, MaxProxies),
+		checkRange("seconds", s.Length.Duration().Seconds(), minSeconds, MaxLength.Duration().Seconds()),
+		checkRange("edges", float64(s.Edges), 0, MaxServers),
+		checkRange("rate", s.Rate, 0, MaxRate),
+		checkRange("faults", float64(len(s.Faults)), 0, MaxFaults),
 	} {
 		if err != nil {
 			return err
@@ -93,34 +93,34 @@
 	}
 	switch {
 	case s.Vault && s.Edges > 0:
-		return wrong("vault", "edges pass work on to servers and make no calls")
+		return fieldErrorf("vault", "edges pass work on to servers and make no calls")
 	case s.IdempotentOrders && !s.Vault:
-		return wrong("guarded", "needs vault=true")
+		return fieldErrorf("guarded", "needs vault=true")
 	}
 	return nil
 }
 
-// check returns what is wrong with a fault, nil for nothing.
+// check returns an error for the first invalid field of a fault, or nil.
 func (s *Script) check(fault Fault) *Error {
-	rule, ok := kinds[fault.Kind]
+	rule, ok := rules[fault.Kind]
 	if !ok {
-		return wrong("kind", "unknown %q", fault.Kind)
+		return fieldErrorf("kind", "unknown %q", fault.Kind)
 	}
 	if fault.At < 0 || fault.At > s.Length {
-		return wrong("at", "%v is not within the run's %v", fault.At.Duration(), s.Length.Duration())
+		return fieldErrorf("at", "%v is not within the run's %v", fault.At.Duration(), s.Length.Duration())
 	}
 	if err := s.checkNodes(fault, rule); err != nil {
 		return err
 	}
 	if fault.For < 0 || fault.For > MaxLength || fault.For > 0 && !rule.length {
-		return wrong("for", "%v is not fit for a %s", fault.For.Duration(), fault.Kind)
+		return fieldErrorf("for", "%v is not valid for kind %s", fault.For.Duration(), fault.Kind)
 	}
-	words := s.words(fault.Kind)
-	if words == nil && fault.What != "" || words != nil && !slices.Contains(words, fault.What) {
-		return wrong("what", "%q is none of %q", fault.What, words)
+	allowed := s.allowedWhat(fault.Kind)
+	if allowed == nil && fault.What != "" || allowed != nil && !slices.Contains(allowed, fault.What) {
+		return fieldErrorf("what", "%q is not one of %q", fault.What, allowed)
 	}
 	if !(fault.Amount >= rule.lo && fault.Amount <= rule.hi) { // also false for NaN
-		return wrong("amount", "%v is not within %v to %v", fault.Amount, rule.lo, rule.hi)
+		return fieldErrorf("amount", "%v is not within %v to %v", fault.Amount, rule.lo, rule.hi)
 	}
 	return nil
 }
@@ -136,31 +136,31 @@
 	return s.checkNode("peer", f.Peer, f.Kind, peers)
 }
 
-// checkNode checks a field with a node's name, which is missing exactly where the kind takes none.
+// checkNode checks a field that holds a node's name. The field must be set if and only if the kind uses it.
 func (s *Script) checkNode(field, name string, kind Kind, letters string) *Error {
 	switch {
 	case name == "" && letters == "":
 		return nil
 	case name == "":
-		return wrong(field, "missing")
+		return fieldErrorf(field, "missing")
 	case letters == "":
-		return wrong(field, "a %s has none", kind)
+		return fieldErrorf(field, "not used by kind %s", kind)
 	}
 	return s.checkName(field, name, letters)
 }
 
-// checkName checks a name: s, w, p, o, e or v with a number, or control.
+// checkName checks a node's name: one of the letters s, w, p, o, e and v followed by a number, or control.
 func (s *Script) checkName(field, name, letters string) *Error {
 	if name == "control" && strings.Contains(letters, "c") {
 		return nil
 	}
-	most := s.count(name[0])
-	n, err := strconv.Atoi(name[1:])
-	if err != nil || name[0] == 'c' || !strings.Contains(letters, name[:1]) || strconv.Itoa(n) != name[1:] {
-		return wrong(field, "%q is no name that may stand here", name)
+	count := s.count(name[0])
+	number, err := strconv.Atoi(name[1:])
+	if err != nil || name[0] == 'c' || !strings.Contains(letters, name[:1]) || strconv.Itoa(number) != name[1:] {
+		return fieldErrorf(field, "%q is not a valid node name for this field", name)
 	}
-	if n < 0 || n >= most {
-		return wrong(field, "%q: there are %d", name, most)
+	if number < 0 || number >= count {
+		return fieldErrorf(field, "%q is out of range: there are %d such nodes", name, count)
 	}
 	return nil
 }
