--- a/internal/testbed/simnet/host.go
+++ b/internal/testbed/simnet/host.go
@@ -8,51 +8,52 @@
 	"pewterline/internal/transport"
 )
 
-// maxTasksPerTurn is how many queued tasks a turn runs before it looks at connections again.
+// maxTasksPerTurn is the number of queued tasks that a turn runs before the next turn reads from connections again.
 const maxTasksPerTurn = 256
 
-var errEnded = errors.New("simnet: the loop has ended")
+var errEnded = errors.New("simnet: host has stopped")
 
-// Cost is what a turn takes of a host's processor. Whatever becomes ready meanwhile waits for the next turn.
+// Cost is the processor time that a host's turns take. Connections and tasks that become ready meanwhile wait for the
+// next turn.
 type Cost struct {
-	Turn microtime.Time
-	KB   microtime.Time // for each 1024 bytes read or written
+	Turn microtime.Time // of each turn
+	KB   microtime.Time // of each 1024 bytes read or written
 }
 
-// Host is a transport.Driver on a node: it runs one program until Stop or Kill.
+// Host is a transport.Driver on a node. It runs one program until Stop or Kill.
 type Host struct {
 	node           *Node
 	incarnation    int
 	loop           *transport.Loop
 	rng            *rand.Rand
 	cost           Cost
-	ready          []*hostConn
+	ready          []*hostConn // connections with unread bytes or an end to process
 	tasks          []func()
-	wakeTimer      *Timer
-	turnTimer      *Timer // the turn to come
-	busyUntil      microtime.Time
+	wakeTimer      *Timer         // set by SetTimer
+	turnTimer      *Timer         // of the next turn; nil: none is scheduled
+	busyUntil      microtime.Time // no turn starts before
 	pausedUntil    microtime.Time
-	bytes          int
+	bytes          int // read and written in this turn
 	inTurn         bool
-	callsUntilKill int // calls into the program, and writes of it, until it is killed; 0: never
+	callsUntilKill int // calls into the program and its writes before it is killed; 0: no kill is scheduled
 	onKill         func()
-	datagramPeer   string // of datagrams
+	datagramPeer   string // the address that datagrams go to
 	Ended          bool
-	OnStop         func() // the program has ended of itself
+	OnStop         func() // called when the program has stopped by itself
 	listeners      map[int]*Listener
 	turns          uint64
 }
 
-// HostConfig is what a host runs.
+// HostConfig holds the program that a host runs, and the host's parameters.
 type HostConfig struct {
 	Options transport.Options
 	Handler transport.Handler
-	Begin   func(*transport.Loop) // is called first, on the loop
+	Begin   func(*transport.Loop) // called on the loop before any other event
 	Rand    *rand.Rand
 	Cost    Cost
 }
 
-// NewHost returns a host on a node that has been booted; the program is Loop's to begin.
+// NewHost returns a host on a node whose process has been started by Boot. The program begins in the first turn.
 func NewHost(node *Node, config HostConfig) *Host {
 	host := &Host{
 		node:        node,
@@ -67,33 +68,33 @@
 	return host
 }
 
-// Loop is the program's loop.
+// Loop returns the program's event loop.
 func (h *Host) Loop() *transport.Loop { return h.loop }
 
-// Turns counts the turns so far.
+// Turns returns the number of turns so far.
 func (h *Host) Turns() uint64 { return h.turns }
 
-// Listen opens an address as the listener of that index.
+// Listen opens an address for the program's listener of that index.
 func (h *Host) Listen(addr string, index int) error {
-	l, err := h.node.Listen(addr, Listener{host: h, index: index})
-	h.listeners[index] = l
+	listener, err := h.node.Listen(addr, Listener{host: h, index: index})
+	h.listeners[index] = listener
 	return err
 }
 
-// Pause has the program stand still until a time; its machine goes on taking what arrives.
+// Pause stops the program from running until a time. Its machine continues to receive.
 func (h *Host) Pause(until microtime.Time) {
 	h.busyUntil, h.pausedUntil = max(h.busyUntil, until), max(h.pausedUntil, until)
 }
 
-// PausedUntil is when it goes on; a past time where it does not stand still.
+// PausedUntil returns the time when the program resumes; if it is not paused, a time in the past.
 func (h *Host) PausedUntil() microtime.Time { return h.pausedUntil }
 
-// KillIn has the process killed after so many further calls into the program or writes of it, in the middle of
-// whatever it does then; done is called at that moment.
+// KillIn kills the process, possibly in the middle of a turn, at the last of the given number of further calls into the
+// program and writes by it. It then calls done.
 func (h *Host) KillIn(calls int, done func()) { h.callsUntilKill, h.onKill = max(calls, 1), done }
 
-// Kill ends the process at once, or with its machine.
-func (h *Host) Kill(machine bool) {
+// Kill kills the process at once, and with withMachine its machine too.
+func (h *Host) Kill(withMachine bool) {
 	if h.Ended {
 		return
 	}
@@ -101,10 +102,11 @@
 	h.wakeTimer.Stop()
 	h.turnTimer.Stop()
 	h.tasks, h.ready = nil, nil
-	h.node.Kill(machine)
+	h.node.Kill(withMachine)
 }
 
-// countCall counts one call; false: the process is gone, and what the program does from here on has no effect.
+// countCall counts a call into the program or a write towards KillIn. It returns false if the process has ended, in
+// which case the call or write must have no effect.
 func (h *Host) countCall() bool {
 	if h.Ended {
 		return false
@@ -123,15 +125,15 @@
 	if h.Ended || h.turnTimer != nil || h.inTurn {
 		return
 	}
-	w := h.node.net.world
-	h.turnTimer = w.At(max(w.now, h.busyUntil), h.turn)
+	world := h.node.net.world
+	h.turnTimer = world.At(max(world.now, h.busyUntil), h.turn)
 }
 
-// turn is one round of the poller: first what is ready, then the tasks that were queued.
+// turn is one iteration of the event loop: first the ready connections, then the queued tasks.
 func (h *Host) turn() {
 	world := h.node.net.world
 	h.turnTimer = nil
-	if h.busyUntil > world.now { // paused since this turn was planned
+	if h.busyUntil > world.now { // paused since this turn was scheduled
 		h.scheduleTurn()
 		return
 	}
@@ -139,17 +141,17 @@
 	h.turns++
 	ready := h.ready
 	h.ready = nil
-	for _, c := range ready {
-		c.queued = false
-		c.process()
+	for _, conn := range ready {
+		conn.queued = false
+		conn.process()
 	}
 	for n := 0; n < maxTasksPerTurn && len(h.tasks) > 0; n++ {
-		f := h.tasks[0]
+		task := h.tasks[0]
 		h.tasks = h.tasks[1:]
 		if !h.countCall() {
 			break
 		}
-		f()
+		task()
 	}
 	h.inTurn = false
 	h.busyUntil = max(h.busyUntil, world.now+h.cost.Turn+h.cost.KB*microtime.Time(h.bytes)/1024)
@@ -158,16 +160,16 @@
 	}
 }
 
-// accept takes up a connection to one of the listeners, in a turn.
-func (h *Host) accept(l *Listener, e *Stream) {
-	c := &hostConn{host: h, stream: e}
-	e.host = c
+// accept queues the acceptance of a connection to one of the listeners.
+func (h *Host) accept(listener *Listener, stream *Stream) {
+	raw := &hostConn{host: h, stream: stream}
+	stream.host = raw
 	_ = h.Queue(func() {
-		if !e.open {
+		if !stream.open {
 			return
 		}
-		c.conn = h.loop.Accept(c, l.index)
-		c.opened()
+		raw.conn = h.loop.Accept(raw, listener.index)
+		raw.opened()
 	})
 }
 
@@ -175,11 +177,11 @@
 func (h *Host) Now() microtime.Time { return h.node.net.world.now }
 
 // Queue is part of transport.Driver.
-func (h *Host) Queue(f func()) error {
+func (h *Host) Queue(task func()) error {
 	if h.Ended {
 		return errEnded
 	}
-	h.tasks = append(h.tasks, f)
+	h.tasks = append(h.tasks, task)
 	h.scheduleTurn()
 	return nil
 }
@@ -198,16 +200,16 @@
 	if h.Ended {
 		return
 	}
-	h.node.Dial(dial.Addr(), func(e *Stream, err error) {
+	h.node.Dial(dial.Addr(), func(stream *Stream, err error) {
 		if err != nil {
 			_ = h.Queue(func() { h.loop.DialFailed(dial) })
 			return
 		}
-		c := &hostConn{host: h, stream: e}
-		e.host = c
+		raw := &hostConn{host: h, stream: stream}
+		stream.host = raw
 		_ = h.Queue(func() {
-			c.conn = h.loop.Connected(dial, c)
-			c.opened()
+			raw.conn = h.loop.Connected(dial, raw)
+			raw.opened()
 		})
 	})
 }
@@ -228,15 +230,15 @@
 // Rand is part of transport.Driver.
 func (h *Host) Rand() uint64 { return h.rng.Uint64() }
 
-// CloseListener is part of transport.Driver. Who waits is a task ahead of done.
+// CloseListener is part of transport.Driver. Connections that wait for acceptance are tasks queued ahead of done.
 func (h *Host) CloseListener(listener int, done func()) {
-	if l := h.listeners[listener]; l != nil {
-		l.Close()
+	if open := h.listeners[listener]; open != nil {
+		open.Close()
 	}
 	_ = h.Queue(done)
 }
 
-// Stop is part of transport.Driver: the process ends of itself. Its sockets are closed as a process's are.
+// Stop is part of transport.Driver. The process exits by itself, which closes its sockets as Kill does.
 func (h *Host) Stop() {
 	if h.Ended {
 		return
--- a/internal/testbed/simnet/host_conn.go
+++ b/internal/testbed/simnet/host_conn.go
@@ -6,14 +6,15 @@
 	"pewterline/internal/transport"
 )
 
-// hostConn is one connection of a host's program.
+// hostConn is a transport.RawConn for one connection of a host's program.
 type hostConn struct {
 	host   *Host
 	stream *Stream
-	conn   *transport.Connection
-	queued bool
+	conn   *transport.Connection // nil: not yet accepted or connected, or refused by the loop
+	queued bool                  // in host.ready
 }
 
+// markReady schedules a turn that processes the connection.
 func (c *hostConn) markReady() {
 	if c.queued || c.host.Ended || c.conn == nil {
 		return
@@ -23,9 +24,9 @@
 	c.host.scheduleTurn()
 }
 
-const maxRead = 64 << 10
+const maxRead = 64 << 10 // bytes read from a connection in one turn
 
-// process hands what has arrived to the program, and its end after it.
+// process passes a reset, or the bytes that have arrived and then the end of the stream, to the program.
 func (c *hostConn) process() {
 	host, stream := c.host, c.stream
 	if !stream.open || !host.countCall() {
@@ -36,10 +37,10 @@
 		return
 	}
 	if n := min(len(stream.unread), maxRead); n > 0 {
-		in := stream.unread[:n:n]
+		received := stream.unread[:n:n]
 		stream.unread = stream.unread[n:]
 		host.bytes += n
-		ok := c.conn.Received(in)
+		ok := c.conn.Received(received)
 		if len(stream.unread) == 0 {
 			stream.unread = nil
 		}
@@ -56,11 +57,12 @@
 			return
 		}
 	}
-	if stream.eofArrived { // gnet closes what its peer has half closed
+	if stream.eofArrived { // like gnet, which closes a connection that its peer has half closed
 		c.Close()
 	}
 }
 
+// opened closes a connection that the loop refused, and processes what arrived before it was accepted.
 func (c *hostConn) opened() {
 	if c.conn == nil {
 		c.stream.Close()
@@ -71,7 +73,7 @@
 	}
 }
 
-// Write is part of transport.Wire.
+// Write is part of transport.RawConn.
 func (c *hostConn) Write(p []byte) error {
 	if !c.host.countCall() || !c.stream.open || c.stream.wasReset {
 		if !c.host.Ended {
@@ -84,17 +86,17 @@
 	return nil
 }
 
-// Unsent is part of transport.Wire.
+// Unsent is part of transport.RawConn.
 func (c *hostConn) Unsent() int { return c.stream.Unsent() }
 
-// CloseWrite is part of transport.Wire.
+// CloseWrite is part of transport.RawConn.
 func (c *hostConn) CloseWrite() {
 	if !c.host.Ended && c.stream.Unsent() == 0 {
 		c.stream.CloseWrite()
 	}
 }
 
-// Close is part of transport.Wire.
+// Close is part of transport.RawConn.
 func (c *hostConn) Close() {
 	if c.host.Ended {
 		return
@@ -103,5 +105,5 @@
 	c.conn.Ended()
 }
 
-// Remote is part of transport.Wire.
+// Remote is part of transport.RawConn.
 func (c *hostConn) Remote() string { return fmt.Sprintf("%s#%d", c.stream.Peer(), c.stream.connID) }
--- a/internal/testbed/simnet/host_test.go
+++ b/internal/testbed/simnet/host_test.go
@@ -12,213 +12,226 @@
 	"pewterline/internal/transport"
 )
 
-// program answers every byte; 'v' vouches, 'i' says that nothing is owed, 'h' waits for the rest of a message.
+// program is a transport.Handler that replies to every byte it receives. Four bytes do more: 'v' identifies the
+// connection, 'i' makes the session idle, 'h' starts a message that stays incomplete, and '!' is an error.
 type program struct {
-	answer []byte
-	closed []string
+	reply  []byte
+	closed []string // addresses of the peers whose sessions were closed
 	turn   func(now microtime.Time)
 }
 
 type session struct {
-	p    *program
-	link transport.Conn
-	idle bool
+	program *program
+	conn    transport.Conn
+	idle    bool
+}
+
+func (p *program) Accept(_ int, conn transport.Conn) transport.Session {
+	return &session{program: p, conn: conn}
 }
 
-func (p *program) Accept(_ int, l transport.Conn) transport.Session { return &session{p: p, link: l} }
 func (p *program) Turn(now microtime.Time) microtime.Time {
 	if p.turn != nil {
 		p.turn(now)
 	}
 	return microtime.Never
 }
-func (s *session) Closed()    { s.p.closed = append(s.p.closed, s.link.Remote()) }
+func (s *session) Closed()    { s.program.closed = append(s.program.closed, s.conn.Remote()) }
 func (s *session) Idle() bool { return s.idle }
 func (s *session) Receive(in []byte) (int, error) {
 	for i, b := range in {
 		switch b {
 		case 'v':
-			s.link.MarkIdentified()
+			s.conn.MarkIdentified()
 		case 'i':
 			s.idle = true
 		case 'h':
 			return i, nil
 		case '!':
-			return i, fmt.Errorf("no such thing")
+			return i, fmt.Errorf("invalid byte")
 		}
-		s.link.Write(s.p.answer)
+		s.conn.Write(s.program.reply)
 	}
 	return len(in), nil
 }
 
-// peer is a client on the virtual network.
-type peer struct {
-	e     *simnet.Stream
-	got   bytes.Buffer
-	ended bool
-}
-
-func (p *peer) Received(_ *simnet.Stream, in []byte) { p.got.Write(in) }
-func (p *peer) EOF(e *simnet.Stream)                 { p.ended = true; e.Close() }
-func (p *peer) Reset(*simnet.Stream)                 { p.ended = true }
-
-// rig is a program on a host, with the guards of transport on the virtual clock.
-type rig struct {
-	t    *testing.T
-	w    *simnet.World
-	net  *simnet.Net
-	p    *program
-	host *simnet.Host
-	n    int
-}
-
-func newRig(t *testing.T, o transport.Options) *rig {
-	env := &rig{t: t, w: simnet.NewWorld(3), p: &program{answer: []byte("r")}}
-	env.net = simnet.NewNet(env.w, simnet.Quality{Latency: microtime.Millisecond})
-	n := env.net.Node("s0")
-	n.Boot()
-	o.Logf = t.Logf
-	env.host = simnet.NewHost(n, simnet.HostConfig{
-		Options: o,
-		Handler: env.p,
+// client is a connection to the program over the simulated network.
+type client struct {
+	stream   *simnet.Stream
+	received bytes.Buffer
+	ended    bool
+}
+
+func (c *client) Received(_ *simnet.Stream, in []byte) { c.received.Write(in) }
+func (c *client) EOF(stream *simnet.Stream)            { c.ended = true; stream.Close() }
+func (c *client) Reset(*simnet.Stream)                 { c.ended = true }
+
+// environment is a program on a host of a simulated network. Its transport loop runs on the simulated clock.
+type environment struct {
+	t          *testing.T
+	simulation *simnet.World
+	net        *simnet.Net
+	program    *program
+	host       *simnet.Host
+	clients    int // connected so far
+}
+
+func newEnvironment(t *testing.T, options transport.Options) *environment {
+	env := &environment{t: t, simulation: simnet.NewWorld(3), program: &program{reply: []byte("r")}}
+	env.net = simnet.NewNet(env.simulation, simnet.Quality{Latency: microtime.Millisecond})
+	server := env.net.Node("s0")
+	server.Boot()
+	options.Logf = t.Logf
+	env.host = simnet.NewHost(server, simnet.HostConfig{
+		Options: options,
+		Handler: env.program,
 		Begin:   func(*transport.Loop) {},
-		Rand:    env.w.Fork(3, "s0"),
+		Rand:    env.simulation.Fork(3, "s0"),
 		Cost:    simnet.Cost{Turn: 20, KB: 10},
 	})
 	require.NoError(t, env.host.Listen("s0/x", 0))
 	return env
 }
 
-func (r *rig) connect() *peer {
-	n := r.net.Node(fmt.Sprintf("c%d", r.n))
-	r.n++
-	n.Boot()
-	p := &peer{}
-	n.Dial("s0/x", func(e *simnet.Stream, err error) {
-		require.NoError(r.t, err)
-		p.e = e
-		e.SetHandler(p)
+func (e *environment) connect() *client {
+	node := e.net.Node(fmt.Sprintf("c%d", e.clients))
+	e.clients++
+	node.Boot()
+	connected := &client{}
+	node.Dial("s0/x", func(stream *simnet.Stream, err error) {
+		require.NoError(e.t, err)
+		connected.stream = stream
+		stream.SetHandler(connected)
 	})
-	r.after(10 * microtime.Millisecond)
-	require.NotNil(r.t, p.e)
-	return p
+	e.advance(10 * microtime.Millisecond)
+	require.NotNil(e.t, connected.stream)
+	return connected
 }
 
-func (r *rig) after(d microtime.Time) { r.w.Run(r.w.Now() + d) }
+// advance runs the simulation for a duration.
+func (e *environment) advance(duration microtime.Time) {
+	e.simulation.Run(e.simulation.Now() + duration)
+}
 
-func (r *rig) says(p *peer, what string) {
-	p.got.Reset()
-	p.e.Write([]byte(what))
-	r.after(10 * microtime.Millisecond)
+// send sends bytes from a client and collects the replies to them.
+func (e *environment) send(from *client, text string) {
+	from.received.Reset()
+	from.stream.Write([]byte(text))
+	e.advance(10 * microtime.Millisecond)
 }
 
-// The same lines guard here as on sockets: strangers go when their time is up, and who has sent something valid stays.
-func TestStrangersGoOnTheVirtualClock(t *testing.T) {
-	r := newRig(t, transport.Options{MaxConns: 9})
-	known, silent, half := r.connect(), r.connect(), r.connect()
-	r.says(known, "v")
-	r.says(half, "h")
-	r.after(transport.IdentificationTimeout)
+// As on real sockets, connections that send nothing valid within the identification timeout are closed; identified
+// connections stay open.
+func TestUnidentifiedConnectionsTimeOut(t *testing.T) {
+	env := newEnvironment(t, transport.Options{MaxConns: 9})
+	identified, silent, incomplete := env.connect(), env.connect(), env.connect()
+	env.send(identified, "v")
+	env.send(incomplete, "h")
+	env.advance(transport.IdentificationTimeout)
 	require.True(t, silent.ended)
-	require.True(t, half.ended)
-	r.after(100 * transport.IdentificationTimeout)
-	require.False(t, known.ended)
-}
-
-func TestRoomIsMadeOnTheVirtualClock(t *testing.T) {
-	r := newRig(t, transport.Options{MaxConns: 3})
-	busy, idle, stranger := r.connect(), r.connect(), r.connect()
-	r.says(busy, "v")
-	r.says(idle, "vi")
-	r.after(transport.EvictionGrace)
-	for _, next := range []*peer{stranger, idle} {
-		r.says(r.connect(), "v")
-		require.True(t, next.ended)
+	require.True(t, incomplete.ended)
+	env.advance(100 * transport.IdentificationTimeout)
+	require.False(t, identified.ended)
+}
+
+// At the connection limit, a new connection evicts an unidentified one first and then an idle one. If all are in use,
+// the new one is closed.
+func TestEvictionAtTheConnectionLimit(t *testing.T) {
+	env := newEnvironment(t, transport.Options{MaxConns: 3})
+	busy, idle, unidentified := env.connect(), env.connect(), env.connect()
+	env.send(busy, "v")
+	env.send(idle, "vi")
+	env.advance(transport.EvictionGrace)
+	for _, evicted := range []*client{unidentified, idle} {
+		env.send(env.connect(), "v")
+		require.True(t, evicted.ended)
 	}
-	late := r.connect()
-	r.after(10 * microtime.Millisecond)
+	late := env.connect()
+	env.advance(10 * microtime.Millisecond)
 	require.True(t, late.ended, "all are in use")
 	require.False(t, busy.ended)
 }
 
-// Guards the memory: a peer that asks and does not read is cut off by what it leaves unread, and harms no other.
-func TestSlowReaderIsCutOnTheVirtualClock(t *testing.T) {
-	r := newRig(t, transport.Options{MaxConns: 9})
-	r.p.answer = make([]byte, 32<<10)
-	slow, other := r.connect(), r.connect()
-	slow.e.PauseReading(true)
+// A peer that sends requests and does not read the replies must not fill the memory: its connection is closed once too
+// many bytes are unread. Other connections are not affected.
+func TestSlowReaderIsDisconnected(t *testing.T) {
+	env := newEnvironment(t, transport.Options{MaxConns: 9})
+	env.program.reply = make([]byte, 32<<10)
+	slow, other := env.connect(), env.connect()
+	slow.stream.PauseReading(true)
 	for range 12 {
-		r.says(slow, "v")
+		env.send(slow, "v")
 	}
-	require.Len(t, r.p.closed, 1)
-	r.says(other, "v")
-	require.Equal(t, 32<<10, other.got.Len())
-}
-
-// A link that is refused is tried again after waits that grow, until its peer listens; one that was dropped is not.
-func TestRedialOnTheVirtualClock(t *testing.T) {
-	env := newRig(t, transport.Options{MaxConns: 9})
-	w0 := env.net.Node("w0")
-	w0.Boot()
-	var tries []microtime.Time
-	env.net.Tap = func(v simnet.Event) {
-		if v.Kind == simnet.ConnectAttempted && v.Addr == "w0/x" {
-			tries = append(tries, v.At)
+	require.Len(t, env.program.closed, 1)
+	env.send(other, "v")
+	require.Equal(t, 32<<10, other.received.Len())
+}
+
+// A refused dial is retried with increasing delays until the peer listens. After the dial is cancelled there
+// are no further attempts.
+func TestRedialBackoff(t *testing.T) {
+	env := newEnvironment(t, transport.Options{MaxConns: 9})
+	pool := env.net.Node("w0")
+	pool.Boot()
+	var attempts []microtime.Time
+	env.net.Tap = func(event simnet.Event) {
+		if event.Kind == simnet.ConnectAttempted && event.Addr == "w0/x" {
+			attempts = append(attempts, event.At)
 		}
 	}
 	opened := 0
-	var drop func()
+	var cancel func()
 	require.NoError(t, env.host.Loop().Execute(func() {
-		drop = env.host.Loop().Dial("w0/x", func(l transport.Conn) transport.Session {
+		cancel = env.host.Loop().Dial("w0/x", func(conn transport.Conn) transport.Session {
 			opened++
-			return &session{p: env.p, link: l}
+			return &session{program: env.program, conn: conn}
 		})
 	}))
-	env.after(5 * microtime.Second)
-	require.Greater(t, len(tries), 10)
-	for i := 2; i < len(tries); i++ {
-		require.LessOrEqual(t, tries[i]-tries[i-1], 510*microtime.Millisecond)
-		require.GreaterOrEqual(t, tries[i]-tries[i-1]+10, tries[i-1]-tries[i-2])
+	env.advance(5 * microtime.Second)
+	require.Greater(t, len(attempts), 10)
+	for i := 2; i < len(attempts); i++ {
+		require.LessOrEqual(t, attempts[i]-attempts[i-1], 510*microtime.Millisecond)
+		require.GreaterOrEqual(t, attempts[i]-attempts[i-1]+10, attempts[i-1]-attempts[i-2])
 	}
-	_, err := w0.Listen("w0/x", simnet.Listener{Accept: func(*simnet.Stream) simnet.Handler { return &peer{} }})
+	_, err := pool.Listen("w0/x", simnet.Listener{Accept: func(*simnet.Stream) simnet.Handler { return &client{} }})
 	require.NoError(t, err)
-	env.after(microtime.Second)
+	env.advance(microtime.Second)
 	require.Equal(t, 1, opened)
-	drop()
-	n := len(tries)
-	env.after(5 * microtime.Second)
-	require.Len(t, tries, n)
+	cancel()
+	before := len(attempts)
+	env.advance(5 * microtime.Second)
+	require.Len(t, attempts, before)
 }
 
-// A process that is killed in the middle of a turn has sent nothing of what it wrote in it, as that goes out at the
-// turn's end; one that is killed while it flushes has sent what went before.
-func TestKilledInTheMiddleOfATurn(t *testing.T) {
+// A turn's writes are sent at its end: a process that is killed earlier in the turn has sent none of them, and one that
+// is killed while it sends them has sent those before the kill.
+func TestKillInTheMiddleOfATurn(t *testing.T) {
 	for calls, want := range map[int]int{1: 0, 2: 0, 3: 0, 4: 0, 5: 0, 6: 1, 7: 2} {
-		r := newRig(t, transport.Options{MaxConns: 9})
-		a, b, c := r.connect(), r.connect(), r.connect()
-		gone := false
-		r.host.KillIn(calls, func() { gone = true })
-		for _, p := range []*peer{a, b, c} { // all are read in one turn, then the turn's end, then three writes
-			p.e.Write([]byte("v"))
+		env := newEnvironment(t, transport.Options{MaxConns: 9})
+		a, b, c := env.connect(), env.connect(), env.connect()
+		killed := false
+		env.host.KillIn(calls, func() { killed = true })
+		for _, from := range []*client{a, b, c} { // all are read in one turn, then the turn's end, then three writes
+			from.stream.Write([]byte("v"))
 		}
-		r.after(microtime.Second)
-		require.True(t, gone, calls)
-		require.Equal(t, want, a.got.Len()+b.got.Len()+c.got.Len(), "killed at call %d", calls)
+		env.advance(microtime.Second)
+		require.True(t, killed, calls)
+		require.Equal(t, want, a.received.Len()+b.received.Len()+c.received.Len(), "killed at call %d", calls)
 		require.True(t, a.ended && b.ended && c.ended)
 	}
 }
 
-// A program that stands still goes on with all that came meanwhile, in one turn.
-func TestPause(t *testing.T) {
-	r := newRig(t, transport.Options{MaxConns: 9})
-	p := r.connect()
-	r.host.Pause(r.w.Now() + 2*microtime.Second)
+// A paused program processes all bytes that arrived during the pause in one turn after it.
+func TestPausedProgramCatchesUpInOneTurn(t *testing.T) {
+	env := newEnvironment(t, transport.Options{MaxConns: 9})
+	from := env.connect()
+	env.host.Pause(env.simulation.Now() + 2*microtime.Second)
 	for range 5 {
-		r.says(p, "v")
+		env.send(from, "v")
 	}
-	require.Zero(t, p.got.Len())
-	turns := r.host.Turns()
-	r.after(2 * microtime.Second)
-	require.Equal(t, 5, p.got.Len())
-	require.Equal(t, turns+1, r.host.Turns())
+	require.Zero(t, from.received.Len())
+	turns := env.host.Turns()
+	env.advance(2 * microtime.Second)
+	require.Equal(t, 5, from.received.Len())
+	require.Equal(t, turns+1, env.host.Turns())
 }
--- a/internal/testbed/simnet/net.go
+++ b/internal/testbed/simnet/net.go
@@ -7,25 +7,25 @@
 )
 
 const (
-	maxSegment  = 16 << 10 // bytes that arrive at once
-	sendWindow  = 64 << 10 // bytes under way or unread in one direction, before a sender has to keep the rest
+	maxSegment  = 16 << 10 // bytes in one segment
+	sendWindow  = 64 << 10 // bytes in flight or unread in one direction; the sender buffers the rest
 	dialTimeout = microtime.Second
 )
 
-// What may become of a connect.
+// The errors of a connect.
 var (
 	ErrRefused = errors.New("connection refused")
 	ErrTimeout = errors.New("connect timed out")
 )
 
-// Net joins nodes.
+// Net is the simulated network: its nodes, the paths between them, and their listeners.
 type Net struct {
 	world   *World
-	Default Quality
-	Tap     func(Event) // nil: none
-	// Intercept, where a test sets it, changes what a stream writes before anything sees it: a bug between a program
-	// and the network.
-	Intercept  func(e *Stream, p []byte) []byte
+	Default Quality     // of new paths
+	Tap     func(Event) // observes all events; nil: none
+	// Intercept, if set, replaces the bytes of each write before they are recorded and sent. Tests use it to plant a bug
+	// between a program and the network.
+	Intercept  func(stream *Stream, p []byte) []byte
 	nodes      map[string]*Node
 	paths      map[[2]string]*Path
 	listeners  map[string]*Listener
@@ -43,5 +43,5 @@
 	}
 }
 
-// World is the clock below.
+// World returns the simulation that the network runs in.
 func (n *Net) World() *World { return n.world }
--- a/internal/testbed/simnet/node.go
+++ b/internal/testbed/simnet/node.go
@@ -8,18 +8,18 @@
 	"pewterline/internal/microtime"
 )
 
-// Node is a machine with one process at a time.
+// Node is a machine that runs at most one process at a time.
 type Node struct {
 	Name           string
-	Incarnation    int // of its process, from 1 on
-	MaxConnections int // connections that it can hold; one more waits to be accepted
+	Incarnation    int // of its process, from 1
+	MaxConnections int // limit of open connections; further ones wait in the backlog
 	net            *Net
-	up             bool
-	streams        []*Stream // open, in no order that a map gives
-	backlog        []*Stream // for room
+	up             bool      // its process runs
+	streams        []*Stream // open ends; a slice, as the order of a map would not be deterministic
+	backlog        []*Stream // connections that wait to be accepted
 }
 
-// Node returns the node of a name, which is made at first.
+// Node returns the node of a name, and creates it if there is none.
 func (n *Net) Node(name string) *Node {
 	if n.nodes[name] == nil {
 		n.nodes[name] = &Node{Name: name, net: n, MaxConnections: math.MaxInt}
@@ -27,84 +27,84 @@
 	return n.nodes[name]
 }
 
-// Boot starts the node's process anew.
+// Boot starts a new process on the node.
 func (n *Node) Boot() {
 	n.up = true
 	n.Incarnation++
 }
 
-// Up tells whether its process runs.
+// Up reports whether the node's process runs.
 func (n *Node) Up() bool { return n.up }
 
-// OpenConnections counts its connections.
+// OpenConnections returns the number of the node's open connections.
 func (n *Node) OpenConnections() int { return len(n.streams) }
 
-// Kill ends the process. What was handed to the network still arrives, unless the machine goes with it: then peers
-// hear nothing.
-func (n *Node) Kill(machine bool) {
+// Kill kills the process. Bytes that the network already carries still arrive, and peers see an end of stream or a
+// reset. With withMachine the machine is lost too: bytes in flight are lost, and peers are not notified.
+func (n *Node) Kill(withMachine bool) {
 	if !n.up {
 		return
 	}
 	n.up = false
-	for a, l := range n.net.listeners {
-		if l.node == n {
-			delete(n.net.listeners, a) // in any order: each by itself
+	for addr, listener := range n.net.listeners {
+		if listener.node == n {
+			delete(n.net.listeners, addr) // the order of the map has no effect on the result
 		}
 	}
 	for len(n.streams) > 0 {
-		e := n.streams[len(n.streams)-1]
-		e.unsent = nil // it lay in the process
-		if machine {
-			e.segments = nil
-			e.timer.Stop()
-			e.remove(CauseKilled)
+		stream := n.streams[len(n.streams)-1]
+		stream.unsent = nil // it was buffered in the process
+		if withMachine {
+			stream.segments = nil
+			stream.timer.Stop()
+			stream.remove(CauseKilled)
 			continue
 		}
-		e.finish(CauseKilled)
+		stream.finish(CauseKilled)
 	}
 	n.backlog = nil
 }
 
-// Listener is where connections and datagrams come to.
+// Listener receives the connections and datagrams that are sent to an address.
 type Listener struct {
 	node     *Node
 	addr     string
 	Accept   func(*Stream) Handler // nil Handler: the connection is closed
 	Datagram func(from string, p []byte)
-	host     *Host
-	index    int
+	host     *Host // accepts connections in place of Accept; nil: none
+	index    int   // the listener's index in the host's program
 }
 
-// Listen opens an address of the node's. One that is taken is an error.
-func (n *Node) Listen(addr string, l Listener) (*Listener, error) {
+// Listen opens an address on the node. It fails if the address is in use.
+func (n *Node) Listen(addr string, listener Listener) (*Listener, error) {
 	if n.net.listeners[addr] != nil {
 		return nil, fmt.Errorf("simnet: %s: address in use", addr)
 	}
-	l.node, l.addr = n, addr
-	n.net.listeners[addr] = &l
-	return &l, nil
+	listener.node, listener.addr = n, addr
+	n.net.listeners[addr] = &listener
+	return &listener, nil
 }
 
-// Close closes the address; open connections go on.
+// Close closes the address. Open connections stay open.
 func (l *Listener) Close() {
 	if l.node.net.listeners[l.addr] == l {
 		delete(l.node.net.listeners, l.addr)
 	}
 }
 
-// Dial connects to an address; done is called once, with an end or an error. Where the handler is nil, done gives
-// it by SetHandler.
+// Dial connects to an address. Unless the node's process ends before the result is known, done is called once, with the
+// new stream or an error; it sets the stream's handler with SetHandler.
 func (n *Node) Dial(addr string, done func(*Stream, error)) {
 	world, incarnation := n.net.world, n.Incarnation
-	answer := func(d microtime.Time, e *Stream, err error) {
-		world.In(d, func() {
+	finish := func(delay microtime.Time, stream *Stream, err error) {
+		world.In(delay, func() {
 			if !n.up || n.Incarnation != incarnation {
-				if e != nil {
-					e.finish(CauseKilled)
+				if stream != nil {
+					stream.finish(CauseKilled)
 				}
 				return
 			}
-			done(e, err)
+			done(stream, err)
 		})
 	}
 	host, _, _ := strings.Cut(addr, "/")
@@ -120,46 +120,46 @@
 		})
 	}
 	to := n.net.nodes[host]
-	if to == nil { // nobody holds this address
-		answer(dialTimeout, nil, ErrTimeout)
+	if to == nil { // no machine has this address
+		finish(dialTimeout, nil, ErrTimeout)
 		return
 	}
 	path := n.net.Path(n.Name, host)
 	if path.LostUntil > world.now || path.StalledUntil > world.now+dialTimeout {
-		answer(dialTimeout, nil, ErrTimeout)
+		finish(dialTimeout, nil, ErrTimeout)
 		return
 	}
 	world.At(max(world.now, path.StalledUntil)+n.net.delay(path), func() {
 		listener := n.net.listeners[addr]
 		if listener == nil || !to.up {
-			answer(path.Latency, nil, ErrRefused)
+			finish(path.Latency, nil, ErrRefused)
 			return
 		}
 		if !n.up || n.Incarnation != incarnation {
 			return
 		}
-		ours, theirs := n.connect(to, addr, path)
-		n.addStream(ours)
-		n.net.tap(ours, Event{Kind: Opened})
-		if len(to.streams) >= to.MaxConnections { // it is held in the backlog, as a full table of descriptors does
-			theirs.inBacklog = true
-			to.backlog = append(to.backlog, theirs)
+		near, far := n.connect(to, addr, path)
+		n.addStream(near)
+		n.net.tap(near, Event{Kind: Opened})
+		if len(to.streams) >= to.MaxConnections { // the kernel keeps it in the backlog when descriptors run out
+			far.inBacklog = true
+			to.backlog = append(to.backlog, far)
 		} else {
-			to.accept(listener, theirs)
+			to.accept(listener, far)
 		}
-		answer(path.Latency, ours, nil)
+		finish(path.Latency, near, nil)
 	})
 }
 
-func (n *Node) addStream(e *Stream) {
-	e.index = len(n.streams)
-	n.streams = append(n.streams, e)
+func (n *Node) addStream(stream *Stream) {
+	stream.index = len(n.streams)
+	n.streams = append(n.streams, stream)
 }
 
-// accept accepts a connection.
+// accept passes a new connection to the listener's host or handler.
 func (n *Node) accept(listener *Listener, stream *Stream) {
 	n.addStream(stream)
-	if stream.inBacklog { // only now it is accepted, with what has come before
+	if stream.inBacklog { // bytes that arrived before are reported now that the connection is accepted
 		stream.inBacklog = false
 		if len(stream.unread) > 0 {
 			n.net.tap(stream, Event{Kind: Arrived, Bytes: stream.unread})
@@ -174,55 +174,55 @@
 	}
 }
 
-// acceptBacklog accepts what waits, as far as there is room now.
+// acceptBacklog accepts connections from the backlog while the limit of open connections allows.
 func (n *Node) acceptBacklog() {
 	for len(n.backlog) > 0 && len(n.streams) < n.MaxConnections && n.up {
-		e := n.backlog[0]
+		stream := n.backlog[0]
 		n.backlog = n.backlog[1:]
-		l := n.net.listeners[e.addr]
-		if !e.open || l == nil {
-			e.Reset()
+		listener := n.net.listeners[stream.addr]
+		if !stream.open || listener == nil {
+			stream.Reset()
 			continue
 		}
-		n.accept(l, e)
-		if e.host == nil {
-			e.read()
+		n.accept(listener, stream)
+		if stream.host == nil {
+			stream.read()
 		}
 	}
 }
 
-// SetMaxConnections bounds the node's connections from now on.
-func (n *Node) SetMaxConnections(most int) {
-	n.MaxConnections = most
+// SetMaxConnections changes the limit of open connections. Connections above the new limit stay open.
+func (n *Node) SetMaxConnections(limit int) {
+	n.MaxConnections = limit
 	n.acceptBacklog()
 }
 
-// Streams are the node's open connections, those that it dialled or that came to it.
+// Streams returns the node's ends of its open connections, both dialled and accepted ones.
 func (n *Node) Streams() []*Stream { return n.streams }
 
-// connect makes both ends of a connection to another node.
-func (n *Node) connect(to *Node, addr string, path *Path) (ours, theirs *Stream) {
+// connect creates both ends of a connection to another node.
+func (n *Node) connect(to *Node, addr string, path *Path) (near, far *Stream) {
 	n.net.lastConnID++
-	stream := Stream{connID: n.net.lastConnID, addr: addr, path: path, bytesUntilCut: never, open: true}
-	near, far := stream, stream
-	near.node, near.incarnation, near.dialer = n, n.Incarnation, true
-	far.node, far.incarnation = to, to.Incarnation
-	near.peer, far.peer = &far, &near
-	return &near, &far
+	stream := Stream{connID: n.net.lastConnID, addr: addr, path: path, bytesUntilCut: noCut, open: true}
+	dialled, accepted := stream, stream
+	dialled.node, dialled.incarnation, dialled.dialer = n, n.Incarnation, true
+	accepted.node, accepted.incarnation = to, to.Incarnation
+	dialled.peer, accepted.peer = &accepted, &dialled
+	return &dialled, &accepted
 }
 
 // SendDatagram sends a datagram to an address.
 func (n *Node) SendDatagram(addr string, payload []byte) {
 	host, _, _ := strings.Cut(addr, "/")
 	net, path := n.net, n.net.Path(n.Name, host)
-	times := 1
+	copies := 1
 	if path.Duplicate > 0 && net.world.rng.Float64() < path.Duplicate {
-		times = 2
+		copies = 2
 	}
 	if path.Loss > 0 && net.world.rng.Float64() < path.Loss || path.LostUntil > net.world.now {
-		times = 0
+		copies = 0
 	}
-	for range times {
+	for range copies {
 		data := append([]byte(nil), payload...)
 		net.world.At(max(net.world.now, path.StalledUntil)+net.delay(path), func() {
 			listener := net.listeners[addr]
--- a/internal/testbed/simnet/path.go
+++ b/internal/testbed/simnet/path.go
@@ -4,39 +4,40 @@
 	"pewterline/internal/microtime"
 )
 
-// Quality is how good a path between two nodes is.
+// Quality holds the latency, bandwidth and reliability of a path between two nodes.
 type Quality struct {
 	Latency   microtime.Time // one way
-	Jitter    microtime.Time // added at random, up to this
-	Bandwidth int            // bytes a second in each direction; 0: no bound
-	Loss      float64        // chance of a datagram
-	Duplicate float64        // chance of a datagram
+	Jitter    microtime.Time // the most that is added to the latency at random
+	Bandwidth int            // bytes a second of each connection in each direction; 0: unlimited
+	Loss      float64        // probability that a datagram is lost
+	Duplicate float64        // probability that a datagram is delivered twice
 }
 
-// Path is the way between two nodes. Faults change it.
+// Path is the network path between two nodes. Faults change its fields.
 type Path struct {
 	Quality
-	StalledUntil microtime.Time // nothing passes before, and nothing is lost
-	LostUntil    microtime.Time // connects and datagrams get no answer before
+	StalledUntil microtime.Time // until then traffic is delayed, but not lost
+	LostUntil    microtime.Time // until then connects time out and datagrams are lost
 }
 
-// Path is the way between two nodes, in either direction.
+// Path returns the path between two nodes, in either order, and creates it if there is none.
 func (n *Net) Path(a, b string) *Path {
 	if a > b {
 		a, b = b, a
 	}
-	p := n.paths[[2]string{a, b}]
-	if p == nil {
-		p = &Path{Quality: n.Default}
-		n.paths[[2]string{a, b}] = p
+	path := n.paths[[2]string{a, b}]
+	if path == nil {
+		path = &Path{Quality: n.Default}
+		n.paths[[2]string{a, b}] = path
 	}
-	return p
+	return path
 }
 
-func (n *Net) delay(p *Path) microtime.Time {
-	d := p.Latency
-	if p.Jitter > 0 {
-		d += microtime.Time(n.world.rng.Int64N(int64(p.Jitter)))
+// delay returns the one-way latency of a path with random jitter.
+func (n *Net) delay(path *Path) microtime.Time {
+	delay := path.Latency
+	if path.Jitter > 0 {
+		delay += microtime.Time(n.world.rng.Int64N(int64(path.Jitter)))
 	}
-	return d
+	return delay
 }
--- a/internal/testbed/simnet/simnet_test.go
+++ b/internal/testbed/simnet/simnet_test.go
@@ -9,191 +9,194 @@
 	"pewterline/internal/microtime"
 )
 
-// diary notes what an end hears, with the time since the start in milliseconds.
-type diary struct {
-	w     *World
-	text  string
-	lines []string
-	keep  bool // does not close when its peer does
-}
-
-func (d *diary) note(s string) {
-	d.lines = append(d.lines, s)
-}
-func (d *diary) Received(_ *Stream, p []byte) { d.text += string(p) }
-func (d *diary) EOF(e *Stream) {
-	d.note("eof")
-	if !d.keep {
-		e.Close()
+// recorder is a Handler that records the bytes that arrive at one end of a stream, and how the stream ends.
+type recorder struct {
+	simulation *World
+	text       string
+	ends       []string
+	staysOpen  bool // does not close when its peer does
+}
+
+func (h *recorder) record(end string) {
+	h.ends = append(h.ends, end)
+}
+func (h *recorder) Received(_ *Stream, p []byte) { h.text += string(p) }
+func (h *recorder) EOF(stream *Stream) {
+	h.record("eof")
+	if !h.staysOpen {
+		stream.Close()
 	}
 }
-func (d *diary) Reset(*Stream) { d.note("gone") }
-
-// pair is a connection from a to b, both with a diary.
-type pair struct {
-	w          *World
-	net        *Net
-	a, b       *Node
-	ours       *Stream
-	theirs     *Stream
-	near, far  *diary
-	opened     microtime.Time
-	dialledErr error
-}
-
-func connected(t *testing.T, q Quality) *pair {
-	env := &pair{w: NewWorld(1)}
-	env.net = NewNet(env.w, q)
-	env.a, env.b = env.net.Node("a"), env.net.Node("b")
-	env.a.Boot()
-	env.b.Boot()
-	env.near, env.far = &diary{w: env.w}, &diary{w: env.w}
-	_, err := env.b.Listen("b/x", Listener{Accept: func(e *Stream) Handler { env.theirs = e; return env.far }})
+func (h *recorder) Reset(*Stream) { h.record("gone") }
+
+// nodePair is a pair of nodes with one connection from the client to the server.
+type nodePair struct {
+	simulation     *World
+	net            *Net
+	client, server *Node
+	near           *Stream // the client's end of the connection
+	far            *Stream // the server's end
+
+	nearHandler, farHandler *recorder
+	openedAt                microtime.Time // since Start
+	dialErr                 error
+}
+
+func newNodePair(t *testing.T, quality Quality) *nodePair {
+	pair := &nodePair{simulation: NewWorld(1)}
+	pair.net = NewNet(pair.simulation, quality)
+	pair.client, pair.server = pair.net.Node("a"), pair.net.Node("b")
+	pair.client.Boot()
+	pair.server.Boot()
+	pair.nearHandler, pair.farHandler = &recorder{simulation: pair.simulation}, &recorder{simulation: pair.simulation}
+	_, err := pair.server.Listen("b/x", Listener{Accept: func(s *Stream) Handler { pair.far = s; return pair.farHandler }})
 	require.NoError(t, err)
-	env.a.Dial("b/x", func(e *Stream, err error) {
-		env.ours, env.opened = e, env.w.Since()
-		env.dialledErr = err
-		e.SetHandler(env.near)
+	pair.client.Dial("b/x", func(stream *Stream, err error) {
+		pair.near, pair.openedAt = stream, pair.simulation.Since()
+		pair.dialErr = err
+		stream.SetHandler(pair.nearHandler)
 	})
-	env.w.Run(Start + microtime.Second)
-	require.NoError(t, env.dialledErr)
-	return env
+	pair.simulation.Run(Start + microtime.Second)
+	require.NoError(t, pair.dialErr)
+	return pair
 }
 
-func (p *pair) after(d microtime.Time) { p.w.Run(p.w.Now() + d) }
+// advance runs the simulation for a duration.
+func (p *nodePair) advance(duration microtime.Time) { p.simulation.Run(p.simulation.Now() + duration) }
 
-func TestStreamsTakeLatencyAndBandwidth(t *testing.T) {
-	p := connected(t, Quality{Latency: 10 * microtime.Millisecond, Bandwidth: 1000})
-	require.Equal(t, 20*microtime.Millisecond, p.opened, "there and back")
-	p.ours.Write([]byte(strings.Repeat("x", 100)))
-	p.after(109 * microtime.Millisecond)
-	require.Empty(t, p.far.text)
-	p.after(microtime.Millisecond)
-	require.Len(t, p.far.text, 100)
+func TestStreamLatencyAndBandwidth(t *testing.T) {
+	pair := newNodePair(t, Quality{Latency: 10 * microtime.Millisecond, Bandwidth: 1000})
+	require.Equal(t, 20*microtime.Millisecond, pair.openedAt, "round trip")
+	pair.near.Write([]byte(strings.Repeat("x", 100)))
+	pair.advance(109 * microtime.Millisecond)
+	require.Empty(t, pair.farHandler.text)
+	pair.advance(microtime.Millisecond)
+	require.Len(t, pair.farHandler.text, 100)
 }
 
-func TestStallLosesNothingAndKeepsOrder(t *testing.T) {
-	p := connected(t, Quality{Latency: microtime.Millisecond})
-	p.net.Path("b", "a").StalledUntil = p.w.Now() + 20*microtime.Second
-	p.ours.Write([]byte("one "))
-	p.after(5 * microtime.Second)
-	p.ours.Write([]byte("two"))
-	p.after(14 * microtime.Second)
-	require.Empty(t, p.far.text)
-	p.after(2 * microtime.Second)
-	require.Equal(t, "one two", p.far.text)
+func TestStalledPathLosesNothingAndKeepsOrder(t *testing.T) {
+	pair := newNodePair(t, Quality{Latency: microtime.Millisecond})
+	pair.net.Path("b", "a").StalledUntil = pair.simulation.Now() + 20*microtime.Second
+	pair.near.Write([]byte("one "))
+	pair.advance(5 * microtime.Second)
+	pair.near.Write([]byte("two"))
+	pair.advance(14 * microtime.Second)
+	require.Empty(t, pair.farHandler.text)
+	pair.advance(2 * microtime.Second)
+	require.Equal(t, "one two", pair.farHandler.text)
 }
 
 func TestCutAtAnyByte(t *testing.T) {
 	for cut := range 8 {
-		p := connected(t, Quality{Latency: microtime.Millisecond})
-		p.ours.CutAfter(cut)
-		p.ours.Write([]byte("abcdefghij"))
-		p.after(microtime.Second)
-		require.Equal(t, "abcdefghij"[:cut], p.far.text)
-		require.Equal(t, []string{"gone"}, p.far.lines)
-		require.Equal(t, []string{"gone"}, p.near.lines)
-		require.Zero(t, p.a.OpenConnections()+p.b.OpenConnections())
+		pair := newNodePair(t, Quality{Latency: microtime.Millisecond})
+		pair.near.CutAfter(cut)
+		pair.near.Write([]byte("abcdefghij"))
+		pair.advance(microtime.Second)
+		require.Equal(t, "abcdefghij"[:cut], pair.farHandler.text)
+		require.Equal(t, []string{"gone"}, pair.farHandler.ends)
+		require.Equal(t, []string{"gone"}, pair.nearHandler.ends)
+		require.Zero(t, pair.client.OpenConnections()+pair.server.OpenConnections())
 	}
 }
 
-func TestHalfClosedEndStillReads(t *testing.T) {
-	p := connected(t, Quality{Latency: microtime.Millisecond})
-	p.far.keep = true
-	p.ours.Write([]byte("ask"))
-	p.ours.CloseWrite()
-	p.after(10 * microtime.Millisecond)
-	require.Equal(t, []string{"eof"}, p.far.lines)
-	p.theirs.Write([]byte("answer"))
-	p.after(10 * microtime.Millisecond)
-	require.Equal(t, "answer", p.near.text)
-}
-
-func TestCloseWithInputUnreadIsAReset(t *testing.T) {
-	p := connected(t, Quality{Latency: microtime.Millisecond})
-	p.theirs.PauseReading(true)
-	p.ours.Write([]byte("unread"))
-	p.after(10 * microtime.Millisecond)
-	p.theirs.Close()
-	p.after(10 * microtime.Millisecond)
-	require.Equal(t, []string{"gone"}, p.near.lines)
-}
-
-// A reader that takes nothing leaves the rest with the sender, and gets all of it in the end.
-func TestSlowReaderHoldsTheSenderBack(t *testing.T) {
-	p := connected(t, Quality{Latency: microtime.Millisecond})
-	p.theirs.PauseReading(true)
-	p.ours.Write(make([]byte, 3*sendWindow))
-	p.after(microtime.Second)
-	require.Equal(t, 2*sendWindow, p.ours.Unsent())
-	p.theirs.PauseReading(false)
-	p.ours.Close()
-	p.after(microtime.Second)
-	require.Len(t, p.far.text, 3*sendWindow)
-	require.Equal(t, []string{"eof"}, p.far.lines)
+func TestHalfClosedStreamStillReads(t *testing.T) {
+	pair := newNodePair(t, Quality{Latency: microtime.Millisecond})
+	pair.farHandler.staysOpen = true
+	pair.near.Write([]byte("ask"))
+	pair.near.CloseWrite()
+	pair.advance(10 * microtime.Millisecond)
+	require.Equal(t, []string{"eof"}, pair.farHandler.ends)
+	pair.far.Write([]byte("answer"))
+	pair.advance(10 * microtime.Millisecond)
+	require.Equal(t, "answer", pair.nearHandler.text)
+}
+
+func TestCloseWithUnreadBytesResets(t *testing.T) {
+	pair := newNodePair(t, Quality{Latency: microtime.Millisecond})
+	pair.far.PauseReading(true)
+	pair.near.Write([]byte("unread"))
+	pair.advance(10 * microtime.Millisecond)
+	pair.far.Close()
+	pair.advance(10 * microtime.Millisecond)
+	require.Equal(t, []string{"gone"}, pair.nearHandler.ends)
+}
+
+// While the reader is paused the sender buffers what exceeds the send window; when reading resumes, all bytes arrive.
+func TestPausedReaderBlocksTheSender(t *testing.T) {
+	pair := newNodePair(t, Quality{Latency: microtime.Millisecond})
+	pair.far.PauseReading(true)
+	pair.near.Write(make([]byte, 3*sendWindow))
+	pair.advance(microtime.Second)
+	require.Equal(t, 2*sendWindow, pair.near.Unsent())
+	pair.far.PauseReading(false)
+	pair.near.Close()
+	pair.advance(microtime.Second)
+	require.Len(t, pair.farHandler.text, 3*sendWindow)
+	require.Equal(t, []string{"eof"}, pair.farHandler.ends)
 }
 
 func TestConnectsAreRefusedOrTimeOut(t *testing.T) {
-	p := connected(t, Quality{Latency: microtime.Millisecond})
+	pair := newNodePair(t, Quality{Latency: microtime.Millisecond})
 	results := map[string]error{}
-	try := func(addr string) {
-		p.a.Dial(addr, func(_ *Stream, err error) { results[addr] = err })
-		p.after(1100 * microtime.Millisecond)
+	dial := func(addr string) {
+		pair.client.Dial(addr, func(_ *Stream, err error) { results[addr] = err })
+		pair.advance(1100 * microtime.Millisecond)
 	}
-	try("b/nobody")
-	try("nowhere/x")
-	p.net.Path("a", "b").LostUntil = p.w.Now() + microtime.Second
-	try("b/x")
+	dial("b/nobody")
+	dial("nowhere/x")
+	pair.net.Path("a", "b").LostUntil = pair.simulation.Now() + microtime.Second
+	dial("b/x")
 	require.Equal(t, map[string]error{"b/nobody": ErrRefused, "nowhere/x": ErrTimeout, "b/x": ErrTimeout}, results)
 }
 
-// A machine whose table is full takes a connection once there is room; what was sent on it counts from then on.
-func TestFullTableWaits(t *testing.T) {
-	env := connected(t, Quality{Latency: microtime.Millisecond})
+// A connection above the node's limit waits in the backlog. Bytes that were sent on it are reported as arrived once it
+// is accepted.
+func TestConnectionAboveTheLimitWaitsInTheBacklog(t *testing.T) {
+	pair := newNodePair(t, Quality{Latency: microtime.Millisecond})
 	arrived := 0
-	env.net.Tap = func(v Event) {
-		if v.Kind == Arrived && v.Node == "b" {
+	pair.net.Tap = func(event Event) {
+		if event.Kind == Arrived && event.Node == "b" {
 			arrived++
 		}
 	}
-	env.b.SetMaxConnections(1)
-	first := env.ours
-	env.a.Dial("b/x", func(e *Stream, _ error) { e.Write([]byte("patience")) })
-	env.after(microtime.Second)
+	pair.server.SetMaxConnections(1)
+	first := pair.near
+	pair.client.Dial("b/x", func(stream *Stream, _ error) { stream.Write([]byte("patience")) })
+	pair.advance(microtime.Second)
 	require.Zero(t, arrived)
 	first.Close()
-	env.after(microtime.Second)
+	pair.advance(microtime.Second)
 	require.Equal(t, 1, arrived)
-	require.Contains(t, env.far.text, "patience")
+	require.Contains(t, pair.farHandler.text, "patience")
 }
 
-func TestKilledProcessAndLostMachine(t *testing.T) {
-	p := connected(t, Quality{Latency: microtime.Millisecond})
-	p.b.Kill(false)
-	p.after(10 * microtime.Millisecond)
-	require.Equal(t, []string{"eof"}, p.near.lines)
+func TestKilledProcessEndsStreamsAndLostMachineDoesNot(t *testing.T) {
+	pair := newNodePair(t, Quality{Latency: microtime.Millisecond})
+	pair.server.Kill(false)
+	pair.advance(10 * microtime.Millisecond)
+	require.Equal(t, []string{"eof"}, pair.nearHandler.ends)
 
-	p = connected(t, Quality{Latency: microtime.Millisecond})
-	p.b.Kill(true)
-	p.ours.Write([]byte("anybody?"))
-	p.after(10 * microtime.Second)
-	require.Empty(t, p.near.lines, "a machine that is gone says nothing")
+	pair = newNodePair(t, Quality{Latency: microtime.Millisecond})
+	pair.server.Kill(true)
+	pair.near.Write([]byte("anybody?"))
+	pair.advance(10 * microtime.Second)
+	require.Empty(t, pair.nearHandler.ends, "a lost machine sends nothing")
 }
 
-func TestDatagramsAreLostAndDoubled(t *testing.T) {
-	env := connected(t, Quality{Latency: microtime.Millisecond})
-	got := 0
-	_, err := env.b.Listen("b/d", Listener{Datagram: func(string, []byte) { got++ }})
+func TestDatagramsAreLostAndDuplicated(t *testing.T) {
+	pair := newNodePair(t, Quality{Latency: microtime.Millisecond})
+	received := 0
+	_, err := pair.server.Listen("b/d", Listener{Datagram: func(string, []byte) { received++ }})
 	require.NoError(t, err)
-	count := func(loss, double float64) int {
-		got = 0
-		path := env.net.Path("a", "b")
-		path.Loss, path.Duplicate = loss, double
+	count := func(loss, duplicate float64) int {
+		received = 0
+		path := pair.net.Path("a", "b")
+		path.Loss, path.Duplicate = loss, duplicate
 		for range 1000 {
-			env.a.SendDatagram("b/d", []byte("x"))
+			pair.client.SendDatagram("b/d", []byte("x"))
 		}
-		env.after(microtime.Second)
-		return got
+		pair.advance(microtime.Second)
+		return received
 	}
 	require.Equal(t, 1000, count(0, 0))
 	require.Equal(t, 2000, count(0, 1))
@@ -201,28 +204,28 @@
 	require.InDelta(t, 700, count(0.3, 0), 60)
 }
 
-// Events of one instant come in the order they were asked for, and a stopped one never.
+// Events of the same time run in the order in which they were scheduled, and a stopped event does not run.
 func TestOrderOfEvents(t *testing.T) {
-	w := NewWorld(1)
-	var got []int
+	simulation := NewWorld(1)
+	var order []int
 	for i := range 100 {
-		timer := w.At(Start+microtime.Time(i%3)*microtime.Second, func() { got = append(got, i) })
+		timer := simulation.At(Start+microtime.Time(i%3)*microtime.Second, func() { order = append(order, i) })
 		if i%10 == 9 {
 			timer.Stop()
 		}
 	}
-	w.Run(Start + microtime.Time(10)*microtime.Second)
-	require.Len(t, got, 90)
-	for i := 1; i < len(got); i++ {
-		require.True(t, got[i-1]%3 < got[i]%3 || got[i-1]%3 == got[i]%3 && got[i-1] < got[i])
+	simulation.Run(Start + microtime.Time(10)*microtime.Second)
+	require.Len(t, order, 90)
+	for i := 1; i < len(order); i++ {
+		require.True(t, order[i-1]%3 < order[i]%3 || order[i-1]%3 == order[i]%3 && order[i-1] < order[i])
 	}
 }
 
-func TestWallClocks(t *testing.T) {
-	for _, off := range []microtime.Time{0, microtime.Second, -3 * microtime.Second} {
-		c := WallClock{Offset: off}
+func TestWallClockWithOffset(t *testing.T) {
+	for _, offset := range []microtime.Time{0, microtime.Second, -3 * microtime.Second} {
+		clock := WallClock{Offset: offset}
 		at := Start + 1234*microtime.Millisecond
-		require.Equal(t, at, c.FromUnixMilli(c.UnixMilli(at)))
-		require.Equal(t, int64(unixStart)+1234+int64(off/microtime.Millisecond), c.UnixMilli(at))
+		require.Equal(t, at, clock.FromUnixMilli(clock.UnixMilli(at)))
+		require.Equal(t, int64(unixStart)+1234+int64(offset/microtime.Millisecond), clock.UnixMilli(at))
 	}
 }
--- a/internal/testbed/simnet/stream.go
+++ b/internal/testbed/simnet/stream.go
@@ -4,72 +4,72 @@
 	"pewterline/internal/microtime"
 )
 
-// never is the number of bytes until a cut that does not come.
-const never = -1
+// noCut is the value of bytesUntilCut when no cut is scheduled.
+const noCut = -1
 
-// Handler is what an end of a stream is for.
+// Handler receives the events of one end of a stream.
 type Handler interface {
-	Received(e *Stream, p []byte) // p is lent
-	EOF(e *Stream)                // the peer sends no more
-	Reset(e *Stream)              // the connection was reset
+	Received(stream *Stream, p []byte) // p is valid during the call only
+	EOF(stream *Stream)                // the peer sends no more
+	Reset(stream *Stream)              // the connection was reset
 }
 
-// segment is bytes under way; fin marks the end of the stream, reset its breaking.
+// segment is a part of a stream in flight: bytes, the end of the stream (fin), or a reset of the connection.
 type segment struct {
-	at         microtime.Time
+	at         microtime.Time // of arrival
 	data       []byte
 	fin, reset bool
 }
 
-// Stream is one of the two ends of a stream.
+// Stream is one end of a connection.
 type Stream struct {
 	node          *Node
 	incarnation   int
 	peer          *Stream
 	connID        uint64
-	addr          string // that was dialled
-	dialer        bool
+	addr          string // the address that was dialled
+	dialer        bool   // this end dialled
 	handler       Handler
-	host          *hostConn // in place of a handler
-	index         int       // among the node's
+	host          *hostConn // receives the events instead of handler; nil: the node runs no Host
+	index         int       // in node.streams
 	path          *Path
-	unsent        []byte
-	inFlight      int // bytes under way or unread at the peer
+	unsent        []byte // written, but beyond the send window
+	inFlight      int    // bytes in flight or unread at the peer
 	segments      []segment
-	timer         *Timer
-	lastArrival   microtime.Time // when the last segment arrives
-	bytesUntilCut int            // bytes until the connection is reset in flight, or never
-	writeClosed   bool           // no more is sent
+	timer         *Timer         // of the first segment's arrival
+	lastArrival   microtime.Time // of the last segment
+	bytesUntilCut int            // bytes still to be sent before the network cuts the connection, or noCut
+	writeClosed   bool           // this end sends no more
 	open          bool
-	unread        []byte // by a host
-	eofArrived    bool   // and nothing follows
+	unread        []byte // arrived, but not read
+	eofArrived    bool   // the end of the stream follows the unread bytes
 	wasReset      bool
-	readPaused    bool // a reader that takes nothing for now; see Hold
-	inBacklog     bool // its node has no room for it yet
+	readPaused    bool // see PauseReading
+	inBacklog     bool // waits in its node's backlog
 }
 
-// ConnID numbers the connection; both ends have the same.
+// ConnID returns the connection's number, which is the same at both ends.
 func (s *Stream) ConnID() uint64 { return s.connID }
 
-// Node names its own node.
+// Node returns the name of the node of this end.
 func (s *Stream) Node() string { return s.node.Name }
 
-// Peer names the other node.
+// Peer returns the name of the node of the other end.
 func (s *Stream) Peer() string { return s.peer.node.Name }
 
-// Addr is what was dialled.
+// Addr returns the address that was dialled.
 func (s *Stream) Addr() string { return s.addr }
 
-// IsOpen tells whether this end is still of use.
+// IsOpen reports whether this end is open.
 func (s *Stream) IsOpen() bool { return s.open }
 
-// SetHandler says what the end is for.
-func (s *Stream) SetHandler(h Handler) {
-	s.handler = h
+// SetHandler sets the handler of this end and delivers the bytes that have already arrived.
+func (s *Stream) SetHandler(handler Handler) {
+	s.handler = handler
 	s.read()
 }
 
-// Write hands p to the network. What the peer does not take yet is kept.
+// Write sends p. Bytes beyond the send window are buffered until the peer has read earlier ones.
 func (s *Stream) Write(p []byte) {
 	if s.node.net.Intercept != nil {
 		p = s.node.net.Intercept(s, p)
@@ -79,13 +79,14 @@
 	}
 	s.node.net.tap(s, Event{Kind: Written, Bytes: p})
 	s.unsent = append(s.unsent, p...)
-	s.pump()
+	s.sendBuffered()
 }
 
-// Unsent counts the bytes that are kept.
+// Unsent returns the number of buffered bytes that have not been sent.
 func (s *Stream) Unsent() int { return len(s.unsent) }
 
-func (s *Stream) pump() {
+// sendBuffered sends as many buffered bytes as the send window allows, and the end of the stream after the last one.
+func (s *Stream) sendBuffered() {
 	for len(s.unsent) > 0 && s.inFlight < sendWindow {
 		n := min(maxSegment, sendWindow-s.inFlight, len(s.unsent))
 		if s.bytesUntilCut >= 0 {
@@ -95,8 +96,8 @@
 		s.send(segment{data: append([]byte(nil), s.unsent[:n]...)})
 		s.unsent = s.unsent[:copy(s.unsent, s.unsent[n:])]
 		if s.bytesUntilCut >= 0 {
-			if s.bytesUntilCut -= n; s.bytesUntilCut == 0 { // what goes before the cut arrives, then both ends break
-				s.bytesUntilCut, s.unsent = never, nil
+			if s.bytesUntilCut -= n; s.bytesUntilCut == 0 { // the bytes before the cut arrive, then both ends are reset
+				s.bytesUntilCut, s.unsent = noCut, nil
 				s.send(segment{reset: true})
 				return
 			}
@@ -107,11 +108,12 @@
 	}
 }
 
+// send schedules a segment's arrival after all earlier ones.
 func (s *Stream) send(seg segment) {
 	net := s.node.net
 	seg.at = max(net.world.now+net.delay(s.path), s.lastArrival)
-	if bw := s.path.Bandwidth; bw > 0 {
-		seg.at += microtime.Time(len(seg.data)) * microtime.Second / microtime.Time(bw)
+	if bandwidth := s.path.Bandwidth; bandwidth > 0 {
+		seg.at += microtime.Time(len(seg.data)) * microtime.Second / microtime.Time(bandwidth)
 	}
 	s.lastArrival = seg.at
 	s.segments = append(s.segments, seg)
@@ -125,10 +127,10 @@
 	s.timer = s.node.net.world.At(max(s.segments[0].at, s.path.StalledUntil), s.arrive)
 }
 
-// arrive has what is due reach the peer's machine.
+// arrive delivers the segments that are due to the peer.
 func (s *Stream) arrive() {
-	w := s.node.net.world
-	for len(s.segments) > 0 && max(s.segments[0].at, s.path.StalledUntil) <= w.now {
+	world := s.node.net.world
+	for len(s.segments) > 0 && max(s.segments[0].at, s.path.StalledUntil) <= world.now {
 		seg := s.segments[0]
 		s.segments = s.segments[1:]
 		s.peer.receive(seg)
@@ -147,7 +149,7 @@
 		s.peer.abort(CauseCut)
 		return
 	case !s.open:
-		if len(seg.data) > 0 && s.node.up { // nobody is there to read it; a machine that is gone says nothing
+		if len(seg.data) > 0 && s.node.up { // nothing reads the data; a machine that is down sends no reset
 			s.peer.Reset()
 		}
 		return
@@ -162,13 +164,13 @@
 	s.read()
 }
 
-// PauseReading has the end take nothing for a while, or go on: a reader that is slow.
-func (s *Stream) PauseReading(on bool) {
-	s.readPaused = on
+// PauseReading stops or resumes reading at this end, to simulate a slow reader.
+func (s *Stream) PauseReading(paused bool) {
+	s.readPaused = paused
 	s.read()
 }
 
-// read hands on what has arrived.
+// read passes the bytes that have arrived, and then the end of the stream, to the host or the handler.
 func (s *Stream) read() {
 	if s.host != nil {
 		s.host.markReady()
@@ -192,22 +194,22 @@
 	}
 }
 
-// consumed makes room in the window for what was read.
+// consumed frees n bytes of the peer's send window after they were read.
 func (s *Stream) consumed(n int) {
 	s.peer.inFlight -= n
 	if s.peer.open || s.peer.writeClosed {
-		s.peer.pumpRest()
+		s.peer.resumeSending()
 	}
 }
 
-// pumpRest goes on with what was kept, and does not send the end of the stream twice.
-func (s *Stream) pumpRest() {
+// resumeSending sends buffered bytes, if any. Without any, sendBuffered would send the end of the stream a second time.
+func (s *Stream) resumeSending() {
 	if len(s.unsent) > 0 {
-		s.pump()
+		s.sendBuffered()
 	}
 }
 
-// CutAfter has the connection break once so many more bytes have been sent from this end; 0: now.
+// CutAfter makes the network reset the connection after n more bytes from this end; 0: at once.
 func (s *Stream) CutAfter(n int) {
 	if n <= 0 {
 		s.abort(CauseCut)
@@ -217,88 +219,89 @@
 	s.bytesUntilCut = n
 }
 
-// Close ends the stream from this side. Where something has arrived unread, that is a reset, as with TCP.
+// Close closes this end. As in TCP, it resets the connection if this end has unread bytes.
 func (s *Stream) Close() { s.finish(CauseClosed) }
 
-// CloseWrite sends the end of the stream, and goes on reading. CutWrite is the same as a fault of the network.
+// CloseWrite ends the stream in the direction from this end, which can still read.
 func (s *Stream) CloseWrite() { s.halfClose(CauseClosed) }
 
-// CutWrite has the network end the stream from this end, which goes on reading and knows nothing of it.
+// CutWrite is CloseWrite as a network fault, of which this end's program is not notified.
 func (s *Stream) CutWrite() { s.halfClose(CauseCut) }
 
-func (s *Stream) halfClose(why Cause) {
+func (s *Stream) halfClose(cause Cause) {
 	if s.open && !s.writeClosed {
 		s.writeClosed = true
-		s.node.net.tap(s, Event{Kind: HalfClosed, Cause: why})
+		s.node.net.tap(s, Event{Kind: HalfClosed, Cause: cause})
 		if len(s.unsent) == 0 {
 			s.send(segment{fin: true})
 		}
 	}
 }
 
-func (s *Stream) finish(why Cause) {
+// finish closes this end, with a reset if it has unread bytes.
+func (s *Stream) finish(cause Cause) {
 	if !s.open {
 		return
 	}
 	if len(s.unread) > 0 {
-		s.resetAs(why)
+		s.resetWithCause(cause)
 		return
 	}
-	fin := s.writeClosed
+	finSent := s.writeClosed
 	s.writeClosed = true
-	s.remove(why)
-	if !fin && len(s.unsent) == 0 {
+	s.remove(cause)
+	if !finSent && len(s.unsent) == 0 {
 		s.send(segment{fin: true})
 	}
 }
 
-// Reset breaks the connection: the peer hears of it, and what is under way to it is lost.
-func (s *Stream) Reset() { s.resetAs(CauseReset) }
+// Reset resets the connection: bytes in flight to the peer are lost, and the peer is notified.
+func (s *Stream) Reset() { s.resetWithCause(CauseReset) }
 
-func (s *Stream) resetAs(why Cause) {
+func (s *Stream) resetWithCause(cause Cause) {
 	if !s.open {
 		return
 	}
-	s.remove(why)
+	s.remove(cause)
 	s.segments, s.unsent = nil, nil
 	s.timer.Stop()
 	peer := s.peer
 	s.node.net.world.At(max(s.node.net.world.now, s.path.StalledUntil)+s.path.Latency, func() { peer.abort(CauseReset) })
 }
 
-// abort says that the connection was reset from elsewhere.
-func (s *Stream) abort(why Cause) {
+// abort handles a reset by the peer or by the network.
+func (s *Stream) abort(cause Cause) {
 	if !s.open {
 		return
 	}
 	s.wasReset, s.segments, s.unsent, s.unread = true, nil, nil, nil
 	s.timer.Stop()
 	if s.host != nil {
-		s.node.net.tap(s, Event{Kind: Closed, Cause: why})
-		s.host.markReady() // it hears in a turn of its own
+		s.node.net.tap(s, Event{Kind: Closed, Cause: cause})
+		s.host.markReady() // the program is notified in its next turn
 		return
 	}
-	s.remove(why)
+	s.remove(cause)
 	if s.handler != nil {
 		s.handler.Reset(s)
 	}
 }
 
-// remove takes the end out of its node.
-func (s *Stream) remove(why Cause) {
+// remove marks this end as closed and removes it from its node.
+func (s *Stream) remove(cause Cause) {
 	if !s.open {
 		return
 	}
 	s.open = false
 	if !s.wasReset || s.host == nil {
-		s.node.net.tap(s, Event{Kind: Closed, Cause: why})
+		s.node.net.tap(s, Event{Kind: Closed, Cause: cause})
 	}
-	n := s.node
-	if s.index < len(n.streams) && n.streams[s.index] == s {
-		last := n.streams[len(n.streams)-1]
-		n.streams[s.index], last.index = last, s.index
-		n.streams[len(n.streams)-1] = nil
-		n.streams = n.streams[:len(n.streams)-1]
+	node := s.node
+	if s.index < len(node.streams) && node.streams[s.index] == s {
+		last := node.streams[len(node.streams)-1]
+		node.streams[s.index], last.index = last, s.index
+		node.streams[len(node.streams)-1] = nil
+		node.streams = node.streams[:len(node.streams)-1]
 	}
-	n.acceptBacklog()
+	node.acceptBacklog()
 }
--- a/internal/testbed/simnet/tap.go
+++ b/internal/testbed/simnet/tap.go
@@ -4,46 +4,46 @@
 	"pewterline/internal/microtime"
 )
 
-// EventKind is what a tap sees.
+// EventKind is the type of an event that Net.Tap observes.
 type EventKind uint8
 
 // The kinds of event.
 const (
 	Opened           EventKind = iota // a connection that Node dialled has reached Peer at Addr
-	Written                           // Node has handed Bytes to the network
+	Written                           // Node wrote Bytes to the connection
 	Arrived                           // Bytes have reached Node's machine
-	Closed                            // Node has no more of the connection; Why tells
+	Closed                            // Node's end of the connection is closed, for the reason in Cause
 	DatagramArrived                   // a datagram with Bytes has reached Node
-	HalfClosed                        // Node sends no more, and still reads; Why tells
+	HalfClosed                        // Node's end sends no more but still reads, for the reason in Cause
 	ConnectAttempted                  // Node tries to connect to Addr
 )
 
-// Cause tells how an end of a connection came about.
+// Cause is the reason why an end of a connection was closed or half closed.
 type Cause uint8
 
-// The ways to end.
+// The causes.
 const (
 	CauseClosed Cause = iota // Node closed it
-	CauseReset               // a reset came, or Node sent one
-	CauseKilled              // Node's process is gone
-	CauseCut                 // a fault of the network
+	CauseReset               // Node received or sent a reset
+	CauseKilled              // Node's process was killed
+	CauseCut                 // an injected network fault
 )
 
-// Event is one thing that a tap sees: bytes and times, and nothing else.
+// Event is an observation on the network: a time, a connection and its bytes.
 type Event struct {
 	At          microtime.Time
 	Kind        EventKind
-	Conn        uint64 // the same for both ends
+	Conn        uint64 // the connection's number, the same at both ends
 	Node        string
-	Incarnation int // of Node
+	Incarnation int // of Node's process
 	Peer        string
 	Addr        string
-	Dialer      bool // Node is the one that dialled
+	Dialer      bool // Node dialled the connection
 	Cause       Cause
-	Bytes       []byte // lent
+	Bytes       []byte // valid during the call of Tap only
 }
 
-// tap records what happened at an end of a connection, and shows it to the observer.
+// tap adds an event at one end of a connection to the digest and passes it to Tap.
 func (n *Net) tap(s *Stream, event Event) {
 	event.At = n.world.now
 	event.Conn = s.connID
--- a/internal/testbed/simnet/world.go
+++ b/internal/testbed/simnet/world.go
@@ -1,9 +1,10 @@
-// Package simnet is a clock and a network in one process and one goroutine, from one seed: what happens, and when,
-// depends on the seed and on nothing else. Nodes have streams with latency, bandwidth, stalls, cuts and resets, and
-// datagrams that are lost, late or doubled. A Host runs the program's own event loop on a node; stand-ins use the
-// streams directly.
+// Package simnet simulates a clock and a network in one goroutine, as a deterministic discrete-event simulation: all
+// events and their times depend on the seed only. Nodes are connected by streams, with latency, limited bandwidth,
+// stalls, cuts and resets, and by datagrams, which may be lost, delayed or duplicated. A Host runs the program's own
+// event loop on a node; test doubles of other processes use the streams directly.
 //
-// Nothing sleeps: the clock jumps to the next event. Events of one instant run in the order they were asked for.
+// Nothing sleeps: the clock jumps to the time of the next event. Events of the same time run in the order in which they
+// were scheduled.
 package simnet
 
 import (
@@ -15,25 +16,25 @@
 	"pewterline/internal/microtime"
 )
 
-// Start is the first instant of every world: an hour in, so that what came before has an instant as well.
+// Start is the time at which every simulation begins. It is above zero so that earlier times can be represented too.
 const Start = 3600 * microtime.Second
 
-// unixStart is the wall clock at Start, in Unix milliseconds.
+// unixStart is the wall clock time at Start, in Unix milliseconds.
 const unixStart = 1_764_576_000_000
 
-// World is the clock, the events to come and the digest of what has happened.
+// World is a simulation: the clock, the pending events, the random numbers and the digest of the events so far.
 type World struct {
 	now          microtime.Time
-	timers       []*Timer
+	timers       []*Timer // a 4-ary heap ordered by before
 	lastSequence uint64
-	events       uint64
+	events       uint64 // events that have run
 	rng          *rand.Rand
 	digest       *xxhash.Digest
-	// Step's observer, called after every event.
+	// After, if set, is called after every event.
 	After func()
 }
 
-// Timer is an event to come.
+// Timer is a scheduled event.
 type Timer struct {
 	at       microtime.Time
 	sequence uint64
@@ -41,59 +42,59 @@
 	stopped  bool
 }
 
-// Stop has the event not happen, if it has not yet.
+// Stop cancels the event if it has not run yet.
 func (t *Timer) Stop() {
 	if t != nil {
 		t.stopped, t.run = true, nil
 	}
 }
 
-// NewWorld returns a world at Start.
+// NewWorld returns a simulation whose clock is at Start.
 func NewWorld(seed uint64) *World {
 	return &World{now: Start, rng: rand.New(rand.NewPCG(seed, 0x76697274)), digest: xxhash.New()}
 }
 
-// Now is the virtual time.
+// Now returns the simulated time.
 func (w *World) Now() microtime.Time { return w.now }
 
-// Since is the time since Start.
+// Since returns the simulated time since Start.
 func (w *World) Since() microtime.Time { return w.now - Start }
 
-// Events counts what has happened so far.
+// Events returns the number of events that have run.
 func (w *World) Events() uint64 { return w.events }
 
-// Rand draws from the world's own random numbers; Fork gives a part of the world numbers of its own, so that what
-// one part draws does not move another's.
+// Rand returns the simulation's shared random number generator. Components with one of their own, from Fork, draw from
+// it without changing the draws of other components.
 func (w *World) Rand() *rand.Rand { return w.rng }
 
-// Fork returns random numbers for the part of that name.
+// Fork returns a new random number generator for the component of that name.
 func (w *World) Fork(seed uint64, name string) *rand.Rand {
 	return rand.New(rand.NewPCG(seed, xxhash.Sum64String(name)))
 }
 
-// At has f happen at a time, at once if that is past.
+// At schedules f for a time, or for the current time if that has passed.
 func (w *World) At(at microtime.Time, f func()) *Timer {
 	w.lastSequence++
-	t := &Timer{at: max(at, w.now), sequence: w.lastSequence, run: f}
-	w.push(t)
-	return t
+	timer := &Timer{at: max(at, w.now), sequence: w.lastSequence, run: f}
+	w.push(timer)
+	return timer
 }
 
-// In has f happen after a while.
-func (w *World) In(d microtime.Time, f func()) *Timer { return w.At(w.now+max(d, 0), f) }
+// In schedules f after a delay.
+func (w *World) In(delay microtime.Time, f func()) *Timer { return w.At(w.now+max(delay, 0), f) }
 
-// Step lets the next event happen; false if there is none up to the time until, to which the clock then moves.
+// Step runs the next event. If none is due by the time until, it sets the clock to that time and returns false.
 func (w *World) Step(until microtime.Time) bool {
 	for len(w.timers) > 0 && w.timers[0].at <= until {
-		t := w.pop()
-		if t.stopped {
+		timer := w.pop()
+		if timer.stopped {
 			continue
 		}
-		w.now = t.at
+		w.now = timer.at
 		w.events++
-		f := t.run
-		t.stopped, t.run = true, nil
-		f()
+		run := timer.run
+		timer.stopped, timer.run = true, nil
+		run()
 		if w.After != nil {
 			w.After()
 		}
@@ -103,23 +104,23 @@
 	return false
 }
 
-// Run lets all happen up to a time.
+// Run runs all events up to a time.
 func (w *World) Run(until microtime.Time) {
 	for w.Step(until) {
 	}
 }
 
-// Record puts a fact, with the time, into the digest.
-func (w *World) Record(what string, p []byte) {
-	var head [16]byte
-	binary.LittleEndian.PutUint64(head[:], uint64(w.now))
-	binary.LittleEndian.PutUint64(head[8:], uint64(len(p)))
-	_, _ = w.digest.Write(head[:])
-	_, _ = w.digest.WriteString(what)
-	_, _ = w.digest.Write(p)
+// Record adds a label and a payload, with the current time, to the digest.
+func (w *World) Record(label string, payload []byte) {
+	var header [16]byte
+	binary.LittleEndian.PutUint64(header[:], uint64(w.now))
+	binary.LittleEndian.PutUint64(header[8:], uint64(len(payload)))
+	_, _ = w.digest.Write(header[:])
+	_, _ = w.digest.WriteString(label)
+	_, _ = w.digest.Write(payload)
 }
 
-// Digest is the sum over every byte and time so far.
+// Digest returns the hash of all bytes and times recorded so far.
 func (w *World) Digest() uint64 { return w.digest.Sum64() }
 
 func before(a, b *Timer) bool { return a.at < b.at || a.at == b.at && a.sequence < b.sequence }
@@ -127,49 +128,49 @@
 func (w *World) push(t *Timer) {
 	w.timers = append(w.timers, t)
 	for i := len(w.timers) - 1; i > 0; {
-		up := (i - 1) / 4
-		if !before(w.timers[i], w.timers[up]) {
+		parent := (i - 1) / 4
+		if !before(w.timers[i], w.timers[parent]) {
 			break
 		}
-		w.timers[i], w.timers[up] = w.timers[up], w.timers[i]
-		i = up
+		w.timers[i], w.timers[parent] = w.timers[parent], w.timers[i]
+		i = parent
 	}
 }
 
 func (w *World) pop() *Timer {
-	top, end := w.timers[0], len(w.timers)-1
-	w.timers[0] = w.timers[end]
-	w.timers[end] = nil
-	w.timers = w.timers[:end]
+	first, last := w.timers[0], len(w.timers)-1
+	w.timers[0] = w.timers[last]
+	w.timers[last] = nil
+	w.timers = w.timers[:last]
 	for i := 0; ; {
 		least := i
-		for c := 4*i + 1; c <= 4*i+4 && c < end; c++ {
-			if before(w.timers[c], w.timers[least]) {
-				least = c
+		for child := 4*i + 1; child <= 4*i+4 && child < last; child++ {
+			if before(w.timers[child], w.timers[least]) {
+				least = child
 			}
 		}
 		if least == i {
-			return top
+			return first
 		}
 		w.timers[i], w.timers[least] = w.timers[least], w.timers[i]
 		i = least
 	}
 }
 
-// WallClock is a node's wall clock, which may be off.
+// WallClock is a node's wall clock, which may be ahead of or behind the simulated time.
 type WallClock struct {
-	Offset microtime.Time // ahead of the true time
+	Offset microtime.Time // how far the clock is ahead; negative: behind
 }
 
-// FromUnixMilli is the instant of a wall clock time.
+// FromUnixMilli converts a wall clock time to simulated time.
 func (c *WallClock) FromUnixMilli(ms int64) microtime.Time {
 	return Start + microtime.Time(ms-unixStart)*microtime.Millisecond - c.Offset
 }
 
-// UnixMilli is the wall clock time of an instant, to the nearest millisecond.
+// UnixMilli converts a simulated time to wall clock time, rounded to the nearest millisecond.
 func (c *WallClock) UnixMilli(t microtime.Time) int64 {
 	since := t - Start + c.Offset + microtime.Millisecond/2
-	if since < 0 { // round down there too
+	if since < 0 { // integer division truncates towards zero, so negative times need a correction to round down
 		since -= microtime.Millisecond - 1
 	}
 	return unixStart + int64(since/microtime.Millisecond)
