--- a/cmd/pewterline-sim/balancers.go
+++ b/cmd/pewterline-sim/balancers.go
@@ -9,7 +9,7 @@
 	"pewterline/internal/testbed/sim"
 )
 
-// overloadFactor is the load of the impairment "overload", of what all servers can do.
+// overloadFactor is the load under the impairment "overload", as a multiple of the servers' total capacity.
 const overloadFactor = 1.6
 
 type balancersCommand struct {
@@ -21,7 +21,7 @@
 	Warm       bool    `aliases:"advised" help:"The instance starts with what a running one knows."`
 }
 
-// Run plays each policy under each impairment and prints a table of medians.
+// Run simulates each policy under each impairment and prints a table of medians over all seeds.
 func (c *balancersCommand) Run(out io.Writer) (int, error) {
 	impairments := sim.Impairments
 	if c.Impairment != "" {
@@ -41,7 +41,7 @@
 	return exitClean, nil
 }
 
-// play returns the results of all seeds by policy.
+// play runs all seeds under one impairment and returns the results by policy.
 func (c *balancersCommand) play(impairment string) (map[string][]sim.PolicyResult, error) {
 	results := map[string][]sim.PolicyResult{}
 	for seed := range c.Seeds {
--- a/cmd/pewterline-sim/gossip.go
+++ b/cmd/pewterline-sim/gossip.go
@@ -23,17 +23,17 @@
 	Worst   bool    `help:"Draw faults of the profile worst from each seed as well."`
 }
 
-// Run plays the experiment without gossip and with it, and prints a table of quantiles over all seeds.
+// Run runs the experiment without and with gossip, and prints a table of quantiles over all seeds.
 func (c *gossipCommand) Run(out io.Writer) (int, error) {
 	code := exitClean
 	fmt.Fprintf(out, "%-8s %28s %28s %24s %10s\n",
 		"gossip", "tries wasted (50% 90%)", "in the first 2 s (50% 90%)", "worth (10% 50%)", "bytes/s")
-	for _, isOn := range []bool{false, true} {
-		results, err := c.play(isOn)
+	for _, withGossip := range []bool{false, true} {
+		results, err := c.play(withGossip)
 		if err != nil {
 			return exitUsage, err
 		}
-		c.print(out, isOn, results)
+		c.print(out, withGossip, results)
 		for _, result := range results {
 			if result.Violations > 0 {
 				code = exitBroken
@@ -43,8 +43,8 @@
 	return code, nil
 }
 
-// play runs all seeds, as many at once as there are cores.
-func (c *gossipCommand) play(isOn bool) ([]sim.GossipResult, error) {
+// play runs all seeds, GOMAXPROCS of them at once.
+func (c *gossipCommand) play(withGossip bool) ([]sim.GossipResult, error) {
 	results := make([]sim.GossipResult, c.Seeds)
 	errs := make([]error, c.Seeds)
 	slots := make(chan struct{}, runtime.GOMAXPROCS(0))
@@ -60,7 +60,7 @@
 				Dead:       c.Dead,
 				Slow:       c.Slow,
 				Rate:       c.Rate,
-				Gossip:     isOn,
+				Gossip:     withGossip,
 				DrawFaults: c.Worst,
 			}
 			results[i], errs[i] = experiment.Run()
@@ -70,8 +70,8 @@
 	return results, errors.Join(errs...)
 }
 
-func (c *gossipCommand) print(out io.Writer, isOn bool, results []sim.GossipResult) {
-	at := func(q float64, figure func(sim.GossipResult) float64) float64 {
+func (c *gossipCommand) print(out io.Writer, withGossip bool, results []sim.GossipResult) {
+	quantileOf := func(q float64, figure func(sim.GossipResult) float64) float64 {
 		var values []float64
 		for _, result := range results {
 			values = append(values, figure(result))
@@ -79,12 +79,12 @@
 		return quantile(values, q)
 	}
 	wasted := func(r sim.GossipResult) float64 { return float64(r.Wasted) }
-	early := func(r sim.GossipResult) float64 { return float64(r.EarlyWasted) }
-	served := func(r sim.GossipResult) float64 { return r.WeightedGoodput }
+	earlyWasted := func(r sim.GossipResult) float64 { return float64(r.EarlyWasted) }
+	weightedGoodput := func(r sim.GossipResult) float64 { return r.WeightedGoodput }
 	bytesPerSecond := func(r sim.GossipResult) float64 {
 		return float64(r.GossipBytes) / exchangeSeconds / float64(c.Edges)
 	}
-	fmt.Fprintf(out, "%-8v %20.0f %7.0f %22.0f %7.0f %17.3f %6.3f %10.0f\n", isOn,
-		at(0.5, wasted), at(0.9, wasted), at(0.5, early), at(0.9, early),
-		at(0.1, served), at(0.5, served), at(0.5, bytesPerSecond))
+	fmt.Fprintf(out, "%-8v %20.0f %7.0f %22.0f %7.0f %17.3f %6.3f %10.0f\n", withGossip,
+		quantileOf(0.5, wasted), quantileOf(0.9, wasted), quantileOf(0.5, earlyWasted), quantileOf(0.9, earlyWasted),
+		quantileOf(0.1, weightedGoodput), quantileOf(0.5, weightedGoodput), quantileOf(0.5, bytesPerSecond))
 }
--- a/cmd/pewterline-sim/main.go
+++ b/cmd/pewterline-sim/main.go
@@ -1,8 +1,8 @@
-// Command pewterline-sim plays the log server on a simulated clock against scripted faults, searches for scripts that
-// break an invariant, and makes failing scripts smaller. It exits with 0 where all invariants hold, 1 where one is
-// broken, and 2 on bad arguments or a bad script.
+// Command pewterline-sim runs the log server on a simulated clock with scripted faults, searches for scripts that
+// violate an invariant, and shrinks such scripts. It exits with status 0 if all invariants hold, 1 if one is violated,
+// and 2 if the arguments or the script are invalid.
 //
-// It belongs to the test side: it is no part of the server and nothing of the server imports it.
+// It is a test tool: the server neither contains nor imports it.
 package main
 
 import (
@@ -23,11 +23,11 @@
 // The exit codes.
 const (
 	exitClean  = 0
-	exitBroken = 1 // an invariant is broken
-	exitUsage  = 2 // bad arguments, a bad script, or a failure of the simulation itself
+	exitBroken = 1 // an invariant was violated
+	exitUsage  = 2 // invalid arguments, an invalid script, or a failure of the simulation itself
 )
 
-// filePermissions are those of files that the program writes.
+// filePermissions are the permissions of the files that the program writes.
 const filePermissions = 0o644
 
 type command struct {
@@ -38,7 +38,7 @@
 	Gossip    gossipCommand    `cmd:"" help:"Measure what gossip is worth to an instance that has just started."`
 	Processes processesCommand `cmd:"" help:"Play real processes of the program, which upgrade and die under load."`
 
-	// The names that these commands had before.
+	// Former names of the commands, which existing scripts may still use.
 	OldSearch    searchCommand    `cmd:"" name:"hunt" hidden:""`
 	OldBalancers balancersCommand `cmd:"" name:"routes" hidden:""`
 	OldGossip    gossipCommand    `cmd:"" name:"learn" hidden:""`
@@ -46,19 +46,19 @@
 	OldPlanted   plantedCommand   `cmd:"" name:"planted" hidden:""`
 }
 
-// runner is what every command implements; Run returns the exit code.
+// runner is implemented by every command. Run returns the exit code.
 type runner interface {
 	Run(out io.Writer) (int, error)
 }
 
-// errHelpShown says that kong has printed its help and nothing else is to be done.
+// errHelpShown is returned when kong has printed the help text and no command is to run.
 var errHelpShown = errors.New("help shown")
 
 func main() {
 	os.Exit(run(os.Args[1:], os.Stdout, os.Stderr))
 }
 
-// run is the program less the process; it returns the exit code.
+// run runs the program with the given arguments and output streams, and returns the exit code.
 func run(args []string, out, errs io.Writer) int {
 	code, err := parseAndRun(args, out, errs)
 	if err != nil && !errors.Is(err, errHelpShown) {
@@ -91,7 +91,7 @@
 	}
 	selected, ok := ctx.Selected().Target.Addr().Interface().(runner)
 	if !ok {
-		return exitUsage, fmt.Errorf("%s has no command of its own", ctx.Command())
+		return exitUsage, fmt.Errorf("%s requires a subcommand", ctx.Command())
 	}
 	return selected.Run(out)
 }
--- a/cmd/pewterline-sim/main_test.go
+++ b/cmd/pewterline-sim/main_test.go
@@ -9,14 +9,15 @@
 	"github.com/stretchr/testify/require"
 )
 
-func call(t *testing.T, args ...string) (code int, out, errs string) {
+func runProgram(t *testing.T, args ...string) (code int, out, errs string) {
 	t.Helper()
-	var o, e bytes.Buffer
-	code = run(args, &o, &e)
-	return code, o.String(), e.String()
+	var stdout, stderr bytes.Buffer
+	code = run(args, &stdout, &stderr)
+	return code, stdout.String(), stderr.String()
 }
 
-// The exit code tells a clean run, a broken rule and bad arguments apart; an error names what is wrong.
+// The exit code distinguishes clean runs, violated invariants and invalid arguments. Error messages name the invalid
+// argument or line.
 func TestExitCodes(t *testing.T) {
 	dir := t.TempDir()
 	bad, good := filepath.Join(dir, "bad.txt"), filepath.Join(dir, "good.txt")
@@ -26,7 +27,7 @@
 	for _, test := range []struct {
 		args []string
 		code int
-		says string
+		want string // part of the output
 	}{
 		{[]string{"run", "--script", good}, exitClean, "simulated"},
 		{[]string{"run", "--seed", "3", "--profile", "calm", "--seconds", "1", "--print"},
@@ -51,22 +52,23 @@
 		{[]string{"planted"}, exitUsage, "go test -run Planted"},
 		{[]string{"--help"}, exitClean, "Plays the log server"},
 	} {
-		code, out, errs := call(t, test.args...)
+		code, out, errs := runProgram(t, test.args...)
 		require.Equal(t, test.code, code, "%v: %s%s", test.args, out, errs)
-		require.Contains(t, out+errs, test.says, "%v", test.args)
+		require.Contains(t, out+errs, test.want, "%v", test.args)
 	}
 }
 
-// The digest is one line and nothing else, and the same for the same script from a file as from its seed.
-func TestDigest(t *testing.T) {
+// With --digest, run prints the digest as its only line. A script that is read from a file has the same digest as one
+// drawn from the seed.
+func TestDigestOfFileAndSeedAgree(t *testing.T) {
 	args := []string{"--seed", "7", "--seconds", "2", "--servers", "2"}
-	code, one, _ := call(t, append([]string{"run", "--digest"}, args...)...)
+	code, fromSeed, _ := runProgram(t, append([]string{"run", "--digest"}, args...)...)
 	require.Equal(t, exitClean, code)
-	require.Regexp(t, `^digest: [0-9a-f]{16}\n$`, one)
-	_, text, _ := call(t, append([]string{"run", "--print", "--digest"}, args...)...)
+	require.Regexp(t, `^digest: [0-9a-f]{16}\n$`, fromSeed)
+	_, text, _ := runProgram(t, append([]string{"run", "--print", "--digest"}, args...)...)
 	file := filepath.Join(t.TempDir(), "s.txt")
-	script := text[:len(text)-len(one)]
+	script := text[:len(text)-len(fromSeed)]
 	require.NoError(t, os.WriteFile(file, []byte(script), 0o600))
-	_, two, _ := call(t, "run", "--digest", "--script", file)
-	require.Equal(t, one, two)
+	_, fromFile, _ := runProgram(t, "run", "--digest", "--script", file)
+	require.Equal(t, fromSeed, fromFile)
 }
--- a/cmd/pewterline-sim/planted.go
+++ b/cmd/pewterline-sim/planted.go
@@ -5,10 +5,10 @@
 	"io"
 )
 
-// errPlantedMoved says where the planted bugs are now.
-var errPlantedMoved = errors.New("planted: the tests plant the bugs now: go test -run Planted ./internal/testbed/sim")
+// errPlantedMoved tells users of the former command where the planted bugs are.
+var errPlantedMoved = errors.New("planted: moved to the tests, now run by: go test -run Planted ./internal/testbed/sim")
 
-// plantedCommand was the search for bugs that a build with a tag had; the program has none any more.
+// plantedCommand stands in for a former command, which searched for planted bugs in a build with a tag.
 type plantedCommand struct{}
 
 // Run returns errPlantedMoved.
--- a/cmd/pewterline-sim/processes.go
+++ b/cmd/pewterline-sim/processes.go
@@ -13,12 +13,12 @@
 	"pewterline/internal/testbed/processtest/clusterplay"
 )
 
-// playsPerScript is how often a smaller script is played before it counts as harmless: real processes do not do the
-// same each time.
+// playsPerScript is the number of runs without a violation after which a smaller script counts as passing. One run is
+// not enough, as real processes are not deterministic.
 const playsPerScript = 3
 
-// processesCommand plays real processes on the loopback. What they do depends on the machine as well: a seed gives the
-// faults and when they come, and no more.
+// processesCommand runs real processes on the loopback interface. A seed determines the faults and their times; the
+// outcome also depends on the machine.
 type processesCommand struct {
 	Run    processesRunCommand    `cmd:"" help:"Play one script, drawn from a seed or read from a file."`
 	Search processesSearchCommand `cmd:"" help:"Play seed after seed until one breaks an invariant."`
@@ -41,7 +41,7 @@
 	return processtest.DrawScript(seed, f.Seconds)
 }
 
-// build builds the program into a folder of its own, which cleanUp removes.
+// build builds the program into a temporary folder, which cleanUp removes.
 func (f processesFlags) build() (options processtest.Options, cleanUp func(), err error) {
 	cleanUp = func() {}
 	text, err := os.ReadFile(f.Config)
@@ -57,7 +57,7 @@
 		return options, cleanUp, err
 	}
 	cleanUp = func() {
-		// A folder that stays behind below the system's temporary one harms nobody.
+		// The error is ignored: the folder is below the system's temporary folder and may stay behind.
 		_ = os.RemoveAll(dir)
 	}
 	var tags []string
@@ -70,7 +70,7 @@
 	return options, cleanUp, err
 }
 
-// play plays a script and prints a line of what became of it; false: it breaks an invariant.
+// play runs a script and prints a summary and the violations. It returns false if the run violated an invariant.
 func (f processesFlags) play(out io.Writer, script faults.Script, options processtest.Options) (bool, error) {
 	play := processtest.Play
 	if f.Group {
@@ -101,7 +101,7 @@
 	Print  bool   `help:"Print the script itself."`
 }
 
-// Run plays one script.
+// Run runs one script.
 func (c *processesRunCommand) Run(out io.Writer) (int, error) {
 	script := c.draw(c.Seed)
 	if c.Script != "" {
@@ -137,7 +137,7 @@
 	MaxPlays int           `default:"30" aliases:"plays" help:"How often a found script may be played to make it smaller; 0: not at all."`
 }
 
-// Run plays seeds until one breaks an invariant, whose script it shrinks and prints.
+// Run runs the scripts of successive seeds until one violates an invariant, and shrinks and prints that script.
 func (c *processesSearchCommand) Run(out io.Writer) (int, error) {
 	first, last, err := parseSeeds(c.Seeds)
 	if err != nil {
@@ -162,7 +162,7 @@
 	return exitClean, nil
 }
 
-// report shrinks a script that breaks an invariant, prints it and writes it to the file asked for.
+// report shrinks and prints a script that violates an invariant, and writes it to the file in Out, if set.
 func (c *processesSearchCommand) report(out io.Writer, script faults.Script, options processtest.Options) error {
 	if c.MaxPlays > 0 {
 		var err error
@@ -177,7 +177,7 @@
 	return os.WriteFile(c.Out, []byte(script.String()), filePermissions)
 }
 
-// shrink makes a found script smaller. A smaller one counts if one of a few plays of it breaks an invariant.
+// shrink makes a failing script smaller. A smaller script is kept if one of playsPerScript runs violates an invariant.
 func (c *processesSearchCommand) shrink(
 	out io.Writer, script faults.Script, options processtest.Options,
 ) (faults.Script, error) {
--- a/cmd/pewterline-sim/processes_cost.go
+++ b/cmd/pewterline-sim/processes_cost.go
@@ -11,16 +11,16 @@
 	"pewterline/internal/testbed/processtest/measure"
 )
 
-// The measurement of a server that is lost under load: times in seconds from its start.
+// The measurement of a server that is lost under load, with times in seconds from the start of the measurement.
 const (
-	lossLength  = 20
-	lossAt      = 5
-	lossUntil   = 12
-	lossRequest = 300 // requests a second
+	lossLength = 20
+	lossAt     = 5
+	lossUntil  = 12
+	lossRate   = 300 // requests a second
 )
 
-// repairRequestShare is the part of the repair rate that callers ask for meanwhile.
-const repairRequestShare = 60
+// repairRateDivisor is the ratio of the repair rate, in keys a second, to the number of keys repaired at once.
+const repairRateDivisor = 60
 
 type processesCostCommand struct {
 	processesFlags
@@ -29,7 +29,7 @@
 	Plot    string `type:"path" help:"File to draw what callers are told into, such as kill.svg."`
 }
 
-// Run measures replication: its cost by the number of replicas, a repair, and the loss of a server.
+// Run measures the cost of replication by number of replicas, the time of a repair, and the loss of a server.
 func (c *processesCostCommand) Run(out io.Writer) (int, error) {
 	c.Group = true
 	options, cleanUp, err := c.build()
@@ -37,7 +37,7 @@
 	if err != nil {
 		return exitUsage, err
 	}
-	// The program is measured as it ships, without the build tag for faults.
+	// The program is measured as it is released, without the build tag faults.
 	if options.Program, err = processtest.Build(c.Root, filepath.Dir(options.Program)); err != nil {
 		return exitUsage, err
 	}
@@ -85,7 +85,7 @@
 			Settings:      options.Settings,
 			Keys:          c.Keys,
 			KeysPerSecond: rate,
-			KeysAtOnce:    rate / repairRequestShare,
+			KeysAtOnce:    rate / repairRateDivisor,
 		})
 		if err != nil {
 			return err
@@ -103,7 +103,7 @@
 		Length:   lossLength,
 		LostAt:   lossAt,
 		BackAt:   lossUntil,
-		Rate:     lossRequest,
+		Rate:     lossRate,
 	})
 	if err != nil {
 		return err
--- a/cmd/pewterline-sim/run.go
+++ b/cmd/pewterline-sim/run.go
@@ -15,7 +15,7 @@
 	Print  bool `help:"Print the script itself."`
 }
 
-// Run plays the script and prints a summary, or its digest.
+// Run runs the script and prints a summary or the digest, and the violations of invariants.
 func (c *runCommand) Run(out io.Writer) (int, error) {
 	script, err := c.script()
 	if err != nil {
@@ -58,7 +58,7 @@
 		outcome.Requests, outcome.Answers, outcome.WeightedGoodput)
 }
 
-// printCalls prints what became of the downstream calls, and the history of one request that made one.
+// printCalls prints the vault's replies by outcome, and the history of one request that made a downstream call.
 func printCalls(out io.Writer, outcome sim.Outcome) {
 	fmt.Fprintf(out, "replies of the vault %v; a request with a call:\n", outcome.Replies)
 	for _, line := range outcome.Example {
--- a/cmd/pewterline-sim/search.go
+++ b/cmd/pewterline-sim/search.go
@@ -14,8 +14,8 @@
 	"pewterline/internal/testbed/sim"
 )
 
-// errEndless says that nothing would end a search.
-var errEndless = errors.New("--seeds: without an end, --duration or --max-findings is needed")
+// errUnboundedSearch is returned for a search that would never end.
+var errUnboundedSearch = errors.New("--seeds: a range without an end requires --duration or --max-findings")
 
 type searchCommand struct {
 	worldFlags
@@ -27,14 +27,14 @@
 	Out         string        `type:"path" help:"Folder to write the scripts to that break an invariant."`
 }
 
-// Run plays script after script and prints those that break an invariant.
+// Run runs the scripts of a range of seeds and prints those that violate an invariant.
 func (c *searchCommand) Run(out io.Writer) (int, error) {
 	first, last, err := parseSeeds(c.Seeds)
 	if err != nil {
 		return exitUsage, err
 	}
 	if last == 0 && c.Duration == 0 && c.MaxFindings == 0 {
-		return exitUsage, errEndless
+		return exitUsage, errUnboundedSearch
 	}
 	report := &searchReport{out: out, dir: c.Out, isTerminal: isatty.IsTerminal(os.Stderr.Fd())}
 	search := sim.Search{
@@ -70,12 +70,12 @@
 	return exitClean, nil
 }
 
-// searchReport prints the progress of a search: a line on a terminal, and each finding once.
+// searchReport prints the progress of a search, on a line that is updated on a terminal, and each finding once.
 type searchReport struct {
 	out        io.Writer
-	dir        string // for the scripts found; "": they are not written
-	isTerminal bool
-	printed    int // findings
+	dir        string // where the scripts of findings are written; "": nowhere
+	isTerminal bool   // stderr is a terminal
+	printed    int    // number of findings printed so far
 }
 
 func (r *searchReport) update(progress sim.Progress) {
@@ -101,7 +101,7 @@
 	return os.WriteFile(filepath.Join(r.dir, name), []byte(finding.Script.String()), filePermissions)
 }
 
-// finish ends the line of progress.
+// finish ends the progress line.
 func (r *searchReport) finish() {
 	if r.isTerminal {
 		fmt.Fprintln(os.Stderr)
--- a/cmd/pewterline-sim/shrink.go
+++ b/cmd/pewterline-sim/shrink.go
@@ -17,7 +17,7 @@
 	MaxPlays int    `default:"3000" aliases:"plays" help:"Scripts to try at most."`
 }
 
-// Run shrinks a failing script as long as it breaks the same invariant.
+// Run shrinks a failing script for as long as it violates the same invariant.
 func (c *shrinkCommand) Run(out io.Writer) (int, error) {
 	script, err := c.script()
 	if err != nil {
--- a/cmd/pewterline-sim/world.go
+++ b/cmd/pewterline-sim/world.go
@@ -10,7 +10,7 @@
 	"pewterline/internal/testbed/faults"
 )
 
-// worldFlags say which world a seed is drawn for.
+// worldFlags are the parameters of a simulation whose script is drawn from a seed.
 type worldFlags struct {
 	Profile string  `default:"worst" help:"How much goes wrong, and what: ${profiles}."`
 	Servers int     `default:"3" help:"Log servers, each with a worker pool."`
@@ -35,7 +35,7 @@
 	return world.Draw(seed, f.Profile)
 }
 
-// scriptSource is a script from a file or a seed.
+// scriptSource specifies a script, either by a file or by a seed.
 type scriptSource struct {
 	Seed   uint64 `help:"Seed to draw the script from."`
 	Script string `type:"path" help:"File to read the script from, in place of a seed."`
@@ -61,7 +61,7 @@
 	return script, nil
 }
 
-// parseSeeds reads A..B, or A.. without an end, for which last is 0.
+// parseSeeds parses a range of seeds: A..B, or A.. without an end, in which case last is 0.
 func parseSeeds(text string) (first, last uint64, err error) {
 	from, to, ok := strings.Cut(text, "..")
 	if first, err = strconv.ParseUint(from, 10, 63); err != nil || !ok {
