--- a/cmd/pewterline-sim/main_test.go
+++ b/cmd/pewterline-sim/main_test.go
@@ -33,7 +33,7 @@
 		{[]string{"run", "--seed", "3", "--profile", "calm", "--seconds", "1", "--print"},
 			exitClean, "world seed=3 profile=calm"},
 		{[]string{"run", "--seed", "3", "--profile", "calm", "--seconds", "1", "--vault"}, exitClean, "call's reply: yes"},
-		{[]string{"run", "--vault", "--edges", "2"}, exitUsage, "vault: edges pass work on"},
+		{[]string{"run", "--vault", "--edges", "2"}, exitUsage, "vault: not supported with edges, which forward"},
 		{[]string{"run", "--script", bad}, exitUsage, "line 2: kind: unknown \"quake\""},
 		{[]string{"run", "--script", filepath.Join(dir, "none")}, exitUsage, "none"},
 		{[]string{"run", "--profile", "tea"}, exitUsage, "profile: unknown"},
--- a/internal/testbed/faults/validate.go
+++ b/internal/testbed/faults/validate.go
@@ -93,7 +93,7 @@
 	}
 	switch {
 	case s.Vault && s.Edges > 0:
-		return fieldErrorf("vault", "edges pass work on to servers and make no calls")
+		return fieldErrorf("vault", "not supported with edges, which forward requests to servers and make no calls")
 	case s.IdempotentOrders && !s.Vault:
 		return fieldErrorf("guarded", "needs vault=true")
 	}
