--- a/internal/wal/errors.go
+++ b/internal/wal/errors.go
@@ -31,7 +31,7 @@
 
 // Error implements error.
 func (e *CorruptError) Error() string {
-	return fmt.Sprintf("wal: %s is corrupt at offset %d: %s", e.File, e.Offset, e.Reason)
+	return fmt.Sprintf("wal: %s is spoilt at offset %d: %s", e.File, e.Offset, e.Reason)
 }
 
 func corruptErrorf(file string, offset int, format string, args ...any) error {
