--- a/cmd/pewterline-sim/run.go
+++ b/cmd/pewterline-sim/run.go
@@ -61,7 +61,7 @@
 // printCalls prints what became of the downstream calls, and the history of one request that made one.
 func printCalls(out io.Writer, outcome sim.Outcome) {
 	fmt.Fprintf(out, "replies of the vault %v; a request with a call:\n", outcome.Replies)
-	for _, line := range outcome.Example {
+	for _, line := range outcome.ExampleTrace {
 		fmt.Fprintln(out, "   ", line)
 	}
 }
--- a/cmd/pewterline-sim/search.go
+++ b/cmd/pewterline-sim/search.go
@@ -62,7 +62,7 @@
 		return exitUsage, err
 	}
 	fmt.Fprintf(out, "%d runs, %v simulated in %v, %d situations reached, %d broke a rule\n",
-		progress.Runs, progress.Simulated.Duration().Round(time.Second), progress.Took.Round(time.Millisecond),
+		progress.Runs, progress.Simulated.Duration().Round(time.Second), progress.Elapsed.Round(time.Millisecond),
 		progress.Situations, len(progress.Findings))
 	if len(progress.Findings) > 0 {
 		return exitBroken, nil
@@ -81,7 +81,7 @@
 func (r *searchReport) update(progress sim.Progress) {
 	if r.isTerminal {
 		fmt.Fprintf(os.Stderr, "\r\x1b[K%d runs, %d situations, %d scripts kept, %d findings, %v",
-			progress.Runs, progress.Situations, progress.CorpusSize, len(progress.Findings), progress.Took.Round(time.Second))
+			progress.Runs, progress.Situations, progress.CorpusSize, len(progress.Findings), progress.Elapsed.Round(time.Second))
 	}
 	for ; r.printed < len(progress.Findings); r.printed++ {
 		finding := progress.Findings[r.printed]
--- a/internal/testbed/sim/balancer.go
+++ b/internal/testbed/sim/balancer.go
@@ -7,18 +7,18 @@
 	"pewterline/internal/microtime"
 )
 
-// BalancerComparison compares load balancing policies. All have the same traffic, servers, impairment and retry
-// budget. The servers are queues before a few cores, not whole programs.
+// BalancerComparison compares load balancing policies under the same traffic, servers, impairment and retry budget. The
+// servers are models that consist of a queue and a few cores, not the server program.
 type BalancerComparison struct {
 	Servers    int
-	Load       float64 // as a share of what all servers can do
+	Load       float64 // as a share of the capacity of all servers
 	Length     microtime.Time
 	Impairment string // one of Impairments
 	Seed       uint64
-	Warm       bool // the balancer starts with the gossip of an instance that has been running
+	Warm       bool // the balancer starts with gossip from an instance that has been running
 }
 
-// Impairments are what may go wrong with the first server of a comparison.
+// Impairments are the possible impairments of a comparison.
 var Impairments = []string{
 	impairmentNone, impairmentSlow, impairmentCold, impairmentDying, impairmentDead, impairmentOverload,
 }
@@ -27,39 +27,39 @@
 	impairmentNone = "none"
 	impairmentSlow = "slow"
 	impairmentCold = "cold"
-	// impairmentDying is a server that stops answering, and then refuses connections.
+	// impairmentDying is a server that first stops responding and later refuses connections.
 	impairmentDying = "dying"
 	impairmentDead  = "dead"
-	// impairmentOverload leaves the servers alone: it goes with a Load above 1.
+	// impairmentOverload changes no server. It labels comparisons with a Load above 1.
 	impairmentOverload = "overload"
 )
 
-// Policies are the policies that are compared, in the order of the results.
-var Policies = []string{policyBalancer, policyLeastOpen, policyRoundRobin, policyRandom}
+// Policies are the compared policies, in the order of the results.
+var Policies = []string{policyBalancer, policyLeastInFlight, policyRoundRobin, policyRandom}
 
 const (
-	// policyBalancer is the server's own: package loadbalancer.
+	// policyBalancer is the policy of the server, package loadbalancer.
 	policyBalancer = "fleet"
-	// policyLeastOpen chooses the server with the fewest requests in flight from here.
-	policyLeastOpen  = "least open"
-	policyRoundRobin = "round robin"
-	policyRandom     = "random"
+	// policyLeastInFlight chooses the server with the fewest requests in flight from this balancer.
+	policyLeastInFlight = "least open"
+	policyRoundRobin    = "round robin"
+	policyRandom        = "random"
 )
 
-// errUnknownImpairment is returned for an impairment that is not one of Impairments.
+// errUnknownImpairment is returned for an impairment that is not in Impairments.
 var errUnknownImpairment = errors.New("unknown impairment")
 
-// PolicyResult is how a policy did.
+// PolicyResult is the result of one policy.
 type PolicyResult struct {
 	Policy        string
-	P50, P99      microtime.Time // latencies of what was served
-	OnTime        float64        // served within the latency objective, as a share of all requests
-	EarlyOnTime   float64        // the same, of the requests of the first ten seconds
-	Amplification float64        // attempts for each request
-	Wasted        int            // attempts at a server that was down
+	P50, P99      microtime.Time // latencies of succeeded requests
+	OnTime        float64        // share of all requests that succeeded within the latency objective
+	EarlyOnTime   float64        // the same share of the requests of the first ten seconds
+	Amplification float64        // attempts per request
+	Wasted        int            // attempts sent to a server that was down
 }
 
-// Run plays every policy. An error says that the comparison is not valid.
+// Run simulates every policy. It returns an error if the comparison is not valid.
 func (c BalancerComparison) Run() ([]PolicyResult, error) {
 	results := make([]PolicyResult, 0, len(Policies))
 	for _, policy := range Policies {
@@ -72,7 +72,7 @@
 	return results, nil
 }
 
-// play plays one policy.
+// play simulates one policy.
 func (c BalancerComparison) play(policy string) (PolicyResult, error) {
 	run, err := newBalancerRun(c, policy)
 	if err != nil {
--- a/internal/testbed/sim/balancer_request.go
+++ b/internal/testbed/sim/balancer_request.go
@@ -8,35 +8,35 @@
 	"pewterline/internal/testbed/simnet"
 )
 
-// balancedRequest is one request over all its attempts.
+// balancedRequest is one request with all its attempts.
 type balancedRequest struct {
 	work      microtime.Time
 	arrivedAt microtime.Time
 	attempts  int
-	tried     []string // servers
-	isOver    bool
+	tried     []string // servers to which attempts were sent
+	isDone    bool
 }
 
-func (q *balancedRequest) isEarly() bool { return q.arrivedAt < simnet.Start+balancerEarlyTime }
+func (q *balancedRequest) isEarly() bool { return q.arrivedAt < simnet.Start+balancerEarlyPeriod }
 
 func (q *balancedRequest) deadline() microtime.Time { return q.arrivedAt + balancerDeadline }
 
-// balancedAttempt is one attempt at a server.
+// balancedAttempt is one attempt, sent to one server.
 type balancedAttempt struct {
 	run     *balancerRun
 	request *balancedRequest
 	server  *balancedServer
 	choice  loadbalancer.Choice
 	sentAt  microtime.Time
-	isOver  bool
+	isDone  bool
 }
 
-// end records the result of the attempt. Only the first one counts.
+// end records the result of the attempt. Later calls have no effect.
 func (a *balancedAttempt) end(result loadbalancer.Result) {
-	if a.isOver {
+	if a.isDone {
 		return
 	}
-	a.isOver = true
+	a.isDone = true
 	now := a.run.clock.Now()
 	a.run.inFlight[a.server.name]--
 	result.Latency = now - a.sentAt
@@ -44,7 +44,7 @@
 	a.run.attemptEnded(a.request, result)
 }
 
-// arrive takes a request.
+// arrive sends the first attempt of a new request.
 func (r *balancerRun) arrive(work microtime.Time) {
 	request := &balancedRequest{work: work, arrivedAt: r.clock.Now()}
 	r.requests++
@@ -55,7 +55,7 @@
 	r.send(request)
 }
 
-// send sends an attempt of a request. A request for which there is no server is over.
+// send sends an attempt of a request. It does nothing if the policy finds no server: the request has then failed.
 func (r *balancerRun) send(request *balancedRequest) {
 	choice, ok := r.pick(request)
 	if !ok {
@@ -71,7 +71,7 @@
 	if server.isDown() {
 		r.wasted++
 	}
-	if server.isRefused {
+	if server.isRefusing {
 		r.clock.In(rejectionTime, func() { attempt.end(loadbalancer.Result{Outcome: loadbalancer.ConnectFailed}) })
 		return
 	}
@@ -81,7 +81,8 @@
 	}
 }
 
-// scheduleTimeout has the attempt time out where the server has not answered its connect, or at the deadline.
+// scheduleTimeout schedules the timeout of an attempt: the connect timeout, at which only an attempt at a silent server
+// ends, or the deadline if that is earlier.
 func (r *balancerRun) scheduleTimeout(attempt *balancedAttempt) {
 	deadline := attempt.request.deadline()
 	at := max(min(deadline, attempt.sentAt+balancerConnectTimeout), attempt.sentAt)
@@ -97,7 +98,7 @@
 	return r.servers[index]
 }
 
-// pick chooses a server by the policy; false: there is none.
+// pick chooses a server by the policy. It returns false if there is none.
 func (r *balancerRun) pick(request *balancedRequest) (loadbalancer.Choice, bool) {
 	count := len(r.servers)
 	switch r.policy {
@@ -106,31 +107,32 @@
 			Idempotent: true, Cheap: true, Exclude: request.tried,
 		})
 	case policyRoundRobin:
-		r.turn++
-		return loadbalancer.Choice{Endpoint: r.servers[r.turn%count].name}, true
+		r.nextServer++
+		return loadbalancer.Choice{Endpoint: r.servers[r.nextServer%count].name}, true
 	case policyRandom:
 		return loadbalancer.Choice{Endpoint: r.servers[r.clock.Rand().IntN(count)].name}, true
 	default:
-		return loadbalancer.Choice{Endpoint: r.leastOpen()}, true
+		return loadbalancer.Choice{Endpoint: r.leastInFlight()}, true
 	}
 }
 
-// leastOpen returns the server with the fewest requests in flight; of equals, the first one from the turn on.
-func (r *balancerRun) leastOpen() string {
+// leastInFlight returns the server with the fewest requests in flight. Ties go to the first server from nextServer on,
+// which rotates.
+func (r *balancerRun) leastInFlight() string {
 	best := ""
 	for offset := range r.servers {
-		name := r.servers[(r.turn+offset)%len(r.servers)].name
+		name := r.servers[(r.nextServer+offset)%len(r.servers)].name
 		if best == "" || r.inFlight[name] < r.inFlight[best] {
 			best = name
 		}
 	}
-	r.turn++
+	r.nextServer++
 	return best
 }
 
-// attemptEnded records a success, or retries a failed request where the retry policy lets it.
+// attemptEnded records a success, or retries the request if the retry policy allows it.
 func (r *balancerRun) attemptEnded(request *balancedRequest, result loadbalancer.Result) {
-	if request.isOver {
+	if request.isDone {
 		return
 	}
 	now := r.clock.Now()
@@ -149,16 +151,16 @@
 	if decision == loadbalancer.RetryElsewhere {
 		r.send(request)
 	} else {
-		request.isOver = true
+		request.isDone = true
 	}
 }
 
-// succeeded records that a request was served now.
+// succeeded records that a request succeeded now.
 func (r *balancerRun) succeeded(request *balancedRequest) {
 	now := r.clock.Now()
-	request.isOver = true
+	request.isDone = true
 	r.retryPolicy.RecordSuccess(now, balancerCaller)
-	// It does not fail: the run ends before a latency is beyond the histogram's range.
+	// RecordValue cannot fail: the run ends before a latency exceeds the range of the histogram.
 	_ = r.latencies.RecordValue(int64(now - request.arrivedAt))
 	if now > request.arrivedAt+balancerObjective {
 		return
--- a/internal/testbed/sim/balancer_run.go
+++ b/internal/testbed/sim/balancer_run.go
@@ -15,35 +15,35 @@
 	balancerObjective      = 1800 * microtime.Millisecond // latency objective of a request
 	balancerDeadline       = 4500 * microtime.Millisecond // from its arrival
 	balancerConnectTimeout = microtime.Second
-	// balancerEarlyTime is the time of the early requests.
-	balancerEarlyTime = 10 * microtime.Second
-	// balancerRunOut is how long a run goes on after its last request; all are over by then.
-	balancerRunOut = 10 * microtime.Second
-	// balancerCaller is the one caller of all requests.
+	// balancerEarlyPeriod is the period from the start in which requests count as early.
+	balancerEarlyPeriod = 10 * microtime.Second
+	// balancerSettlingTime is how long a run continues after its last request. All requests have ended by then.
+	balancerSettlingTime = 10 * microtime.Second
+	// balancerCaller is the caller ID of all requests.
 	balancerCaller = 1
 )
 
-// The latencies of the histogram, in microseconds.
+// Range and precision of the latency histogram, in microseconds.
 const (
 	minLatency       = 1
 	maxLatency       = 10_000_000
 	latencyPrecision = 2 // significant digits
 )
 
-// uptimeAtStart is how long the servers have been up when a run starts.
+// uptimeAtStart is the uptime of the servers at the start of a run.
 const uptimeAtStart = 60 * microtime.Second
 
-// balancerRun plays one policy.
+// balancerRun is the simulation of one policy.
 type balancerRun struct {
 	comparison  BalancerComparison
 	policy      string
 	clock       *simnet.World
-	rng         *rand.Rand // of the traffic, which is the same for each policy
+	rng         *rand.Rand // for the traffic, which is the same for each policy
 	servers     []*balancedServer
 	balancer    *loadbalancer.Balancer
 	retryPolicy *loadbalancer.RetryPolicy
 	inFlight    map[string]int // by server
-	turn        int            // of the policies that go round
+	nextServer  int            // index for policyRoundRobin and the ties of policyLeastInFlight
 	latencies   *hdrhistogram.Histogram
 
 	requests, earlyRequests int
@@ -65,7 +65,7 @@
 		comparison:  comparison,
 		policy:      policy,
 		clock:       clock,
-		rng:         clock.Fork(comparison.Seed, "routes"), // The name is part of the seed.
+		rng:         clock.Fork(comparison.Seed, "routes"), // The name enters the seed.
 		balancer:    balancer,
 		retryPolicy: retryPolicy,
 		inFlight:    map[string]int{},
@@ -73,10 +73,10 @@
 	}
 	for index := range comparison.Servers {
 		server := &balancedServer{
-			clock:     clock,
-			name:      nodeName('s', index),
-			factor:    1,
-			startedAt: simnet.Start - uptimeAtStart,
+			clock:          clock,
+			name:           nodeName('s', index),
+			slowdownFactor: 1,
+			startedAt:      simnet.Start - uptimeAtStart,
 		}
 		run.servers = append(run.servers, server)
 		balancer.Add(clock.Now(), server.name)
@@ -84,17 +84,17 @@
 	return run, nil
 }
 
-// impair schedules what goes wrong with the first server, at the start or after a third of the run.
+// impair impairs the first server, at the start or after a third of the run.
 func (r *balancerRun) impair() error {
 	server, third := r.servers[0], r.comparison.Length/3
 	switch r.comparison.Impairment {
 	case impairmentNone, impairmentOverload:
 	case impairmentSlow:
-		r.clock.In(third, func() { server.factor = slowFactor })
+		r.clock.In(third, func() { server.slowdownFactor = slowFactor })
 	case impairmentCold:
-		server.isRefused = true
+		server.isRefusing = true
 		r.clock.In(third, func() {
-			server.isRefused = false
+			server.isRefusing = false
 			server.isCold = true
 			server.startedAt = r.clock.Now()
 		})
@@ -102,7 +102,7 @@
 		r.clock.In(third, func() { server.isSilent = true })
 		r.clock.In(third+3*microtime.Second, func() {
 			server.isSilent = false
-			server.isRefused = true
+			server.isRefusing = true
 			server.queue = nil
 			server.busyCores = 0
 		})
@@ -117,7 +117,7 @@
 	return nil
 }
 
-// applyGossip gives the balancer what an older instance knows of a server that is down.
+// applyGossip gives the balancer the observation of a long-running instance that a server is down.
 func (r *balancerRun) applyGossip(server *balancedServer) {
 	sender := loadbalancer.GossipSender{Name: "old", Uptime: 600 * microtime.Second}
 	r.balancer.ApplyGossip(r.clock.Now(), "new", sender, []loadbalancer.Observation{{
@@ -130,7 +130,7 @@
 	}})
 }
 
-// scheduleRequests draws the arrivals and the work of all requests.
+// scheduleRequests schedules all requests, with random arrival times and processor times.
 func (r *balancerRun) scheduleRequests() {
 	rate := r.comparison.Load * float64(r.comparison.Servers*balancedServerCores) / meanWork.Duration().Seconds()
 	length := r.comparison.Length.Duration().Seconds()
@@ -140,8 +140,10 @@
 	}
 }
 
-// finish lets the run go on to its end.
-func (r *balancerRun) finish() { r.clock.Run(simnet.Start + r.comparison.Length + balancerRunOut) }
+// finish runs the simulation to its end.
+func (r *balancerRun) finish() {
+	r.clock.Run(simnet.Start + r.comparison.Length + balancerSettlingTime)
+}
 
 func (r *balancerRun) result() PolicyResult {
 	requests := float64(max(r.requests, 1))
--- a/internal/testbed/sim/balancer_server.go
+++ b/internal/testbed/sim/balancer_server.go
@@ -8,39 +8,39 @@
 
 const (
 	balancedServerCores = 2
-	balancedServerQueue = 60 // beyond which requests are rejected
-	// meanWork is the processor time of a request, on average.
+	balancedServerQueue = 60 // queue length at which requests are rejected
+	// meanWork is the mean processor time of a request.
 	meanWork = 60 * microtime.Millisecond
-	// retryAfter is what a full server sends with a rejection.
+	// retryAfter is the RetryAfter of a rejection.
 	retryAfter = 200 * microtime.Millisecond
-	// rejectionTime is how long a rejection or a refused connect takes.
+	// rejectionTime is the time until a rejection or a refused connect reaches the balancer.
 	rejectionTime = microtime.Millisecond
 	slowFactor    = 5
 )
 
-// The warm-up of a server that has started cold: its speed rises evenly to its full speed.
+// Warm-up of a cold server: its speed rises linearly from warmUpMinSpeed to full speed.
 const (
 	warmUpMinSpeed = 0.24
 	warmUpTime     = 17 * microtime.Second
 )
 
-// balancedServer is a queue before a few cores.
+// balancedServer models a server as a queue and a few cores.
 type balancedServer struct {
-	clock     *simnet.World
-	name      string
-	factor    float64 // its work takes so many times as long
-	startedAt microtime.Time
-	isCold    bool // it warms up from startedAt on
-	isSilent  bool // it takes what is sent, and answers nothing
-	isRefused bool // connects to it are refused
-	busyCores int
-	queue     []*balancedAttempt
+	clock          *simnet.World
+	name           string
+	slowdownFactor float64 // multiplies the processor time of requests
+	startedAt      microtime.Time
+	isCold         bool // warms up from startedAt on
+	isSilent       bool // accepts requests but never responds
+	isRefusing     bool // refuses connections
+	busyCores      int
+	queue          []*balancedAttempt
 }
 
-// isDown reports that it answers nothing.
-func (s *balancedServer) isDown() bool { return s.isSilent || s.isRefused }
+// isDown reports whether the server is silent or refuses connections.
+func (s *balancedServer) isDown() bool { return s.isSilent || s.isRefusing }
 
-// receive takes an attempt, or rejects it where the queue is full.
+// receive queues an attempt, or rejects it if the queue is full.
 func (s *balancedServer) receive(attempt *balancedAttempt) {
 	if len(s.queue) >= balancedServerQueue {
 		s.clock.In(rejectionTime, func() {
@@ -52,7 +52,7 @@
 	s.startQueued()
 }
 
-// startQueued starts attempts while a core is free.
+// startQueued starts queued attempts while a core is free.
 func (s *balancedServer) startQueued() {
 	for s.busyCores < balancedServerCores && len(s.queue) > 0 {
 		attempt := s.queue[0]
@@ -61,7 +61,8 @@
 	}
 }
 
-// start has a core work on an attempt until it has succeeded, unless the server goes down before.
+// start occupies a core with an attempt until the attempt succeeds. The attempt does not succeed if the server is down
+// by then.
 func (s *balancedServer) start(attempt *balancedAttempt) {
 	s.busyCores++
 	workTime := microtime.Time(float64(attempt.request.work) * s.slowdown())
@@ -75,11 +76,11 @@
 	})
 }
 
-// slowdown is how many times as long as its processor time a request takes now.
+// slowdown returns the current ratio of the duration of a request to its processor time.
 func (s *balancedServer) slowdown() float64 {
 	if !s.isCold {
-		return s.factor
+		return s.slowdownFactor
 	}
 	age := s.clock.Now() - s.startedAt
-	return s.factor / min(1, warmUpMinSpeed+(1-warmUpMinSpeed)*float64(age)/float64(warmUpTime))
+	return s.slowdownFactor / min(1, warmUpMinSpeed+(1-warmUpMinSpeed)*float64(age)/float64(warmUpTime))
 }
--- a/internal/testbed/sim/bench_test.go
+++ b/internal/testbed/sim/bench_test.go
@@ -8,10 +8,10 @@
 	"pewterline/internal/testbed/faults"
 )
 
-// BenchmarkWorst plays 12 servers, 4 proxies and 280 requests a second for ten simulated seconds.
+// BenchmarkWorst plays 12 servers, 4 proxies and 280 requests per second for ten simulated seconds.
 func BenchmarkWorst(b *testing.B) { benchmark(b, faults.World{Servers: 12, Proxies: 4, Rate: 280}) }
 
-// BenchmarkLarge plays 200 servers, 24 proxies and 4,000 requests a second.
+// BenchmarkLarge plays 200 servers, 24 proxies and 4,000 requests per second for ten simulated seconds.
 func BenchmarkLarge(b *testing.B) { benchmark(b, faults.World{Servers: 200, Proxies: 24, Rate: 4000}) }
 
 func benchmark(b *testing.B, world faults.World) {
--- a/internal/testbed/sim/build.go
+++ b/internal/testbed/sim/build.go
@@ -8,16 +8,16 @@
 	"pewterline/internal/testbed/simnet"
 )
 
-// The shares of the requests that proxies and web frontends send where a script has both.
+// Shares of the request rate that proxies and web frontends send if a script has both.
 const (
 	proxyTrafficShare       = 0.75
 	webFrontendTrafficShare = 0.25
 )
 
-// edgeCallerID is the caller ID of the first edge; the IDs of callers are far below it.
+// edgeCallerID is the caller ID of the first edge. It is far above the IDs of the fake callers.
 const edgeCallerID = 1000
 
-// build starts the servers, the edges and the callers, and schedules the faults. The order is part of a run's digest.
+// build starts the servers, the edges and the callers, and schedules the faults. The order affects the digest of a run.
 func (s *simulation) build() {
 	targets := s.startServers()
 	if s.script.Edges > 0 {
@@ -44,7 +44,7 @@
 	return names
 }
 
-// startEdges starts the edges, which send requests to the servers, and returns their names.
+// startEdges starts the edges, which forward requests to the servers, and returns their names.
 func (s *simulation) startEdges(servers []string) (names []string) {
 	for index := range s.script.Edges {
 		edge := s.newInstance('e', index)
@@ -65,7 +65,7 @@
 	return names
 }
 
-// gossipPeers returns the addresses of all edges but one.
+// gossipPeers returns the gossip addresses of all edges except the one with index self.
 func (s *simulation) gossipPeers(self int) (peers []string) {
 	for index := range s.script.Edges {
 		if index != self {
@@ -75,7 +75,7 @@
 	return peers
 }
 
-// newInstance returns an instance that has not been started.
+// newInstance returns an instance that is not started yet.
 func (s *simulation) newInstance(letter byte, index int) *instance {
 	created := &instance{sim: s, name: nodeName(letter, index), config: s.baseConfig}
 	created.config.Name = created.name
@@ -108,7 +108,7 @@
 	}
 }
 
-// callerRates returns the requests a second of one proxy and of one web frontend.
+// callerRates returns the requests per second of one proxy and of one web frontend.
 func (s *simulation) callerRates() (proxy, webFrontend float64) {
 	proxies, webFrontends := s.script.Proxies, s.script.WebFrontends
 	if proxies > 0 && webFrontends > 0 {
@@ -120,7 +120,8 @@
 	return rate, rate
 }
 
-// pairCallers gives each proxy a web frontend, and the other way round, for retries over the other protocol.
+// pairCallers assigns a web frontend to each proxy, and a proxy to each web frontend, for retries over the other
+// protocol.
 func (s *simulation) pairCallers() {
 	if s.script.WebFrontends == 0 {
 		return
@@ -133,5 +134,5 @@
 	}
 }
 
-// nodeName returns the name of a node: the letter of its kind and its index.
+// nodeName returns the name of a node: the letter of its kind followed by its index.
 func nodeName(letter byte, index int) string { return fmt.Sprintf("%c%d", letter, index) }
--- a/internal/testbed/sim/calls_test.go
+++ b/internal/testbed/sim/calls_test.go
@@ -9,8 +9,8 @@
 	"pewterline/internal/testbed/faults"
 )
 
-// A fixed set of seeds of worlds with a vault keeps all invariants, and what the invariants on calls are about has
-// come about in them.
+// A fixed set of seeds of deployments with a vault violates no invariant, and reaches the situations that the
+// invariants on downstream calls check.
 func TestVaultSeeds(t *testing.T) {
 	t.Parallel()
 	world := faults.World{Servers: 3, Proxies: 4, Length: 8 * microtime.Second, Vault: true}
--- a/internal/testbed/sim/deployment.go
+++ b/internal/testbed/sim/deployment.go
@@ -13,23 +13,24 @@
 	"pewterline/internal/testbed/invariant"
 )
 
-// The times from the notice to drain until the process is killed.
+// Times from the notice to drain until the process is killed.
 const (
 	firstShutdownTimeout  = 3200 * microtime.Millisecond
 	secondShutdownTimeout = 2400 * microtime.Millisecond
 )
 
-// deployment is how the servers of a simulation are set up, and what they are asked.
+// deployment is the configuration of the servers of a simulation, and their traffic.
 type deployment struct {
-	settings        control.Settings // for servers of two cores
+	settings        control.Settings // for servers with two cores
 	gauges          []string
 	limits          invariant.Limits
 	traffic         fakes.Deployment
 	shutdownTimeout microtime.Time // from the notice to drain until the process is killed
 }
 
-// settingsFigures is what the invariants need of a settings file and the server's own parser does not return.
-type settingsFigures struct {
+// invariantSettings holds the values of a settings file that the invariants need and the server's own parser does not
+// return.
+type invariantSettings struct {
 	Rules struct {
 		WarmUpMinSpeed       float64 `json:"cold_from"`
 		WarmUpTimeMS         float64 `json:"ramp_time_ms"`
@@ -54,11 +55,11 @@
 	if err != nil {
 		return deployment{}, fmt.Errorf("sim: parse the settings: %w", err)
 	}
-	var figures settingsFigures
-	if err := json.Unmarshal([]byte(text), &figures); err != nil {
-		return deployment{}, fmt.Errorf("sim: parse the figures of the settings: %w", err)
+	var forInvariants invariantSettings
+	if err := json.Unmarshal([]byte(text), &forInvariants); err != nil {
+		return deployment{}, fmt.Errorf("sim: parse the settings for the invariants: %w", err)
 	}
-	limits := figures.limits(parsed)
+	limits := forInvariants.limits(parsed)
 	limits.Store = script.Store
 	return deployment{
 		settings:        parsed,
@@ -69,25 +70,25 @@
 	}, nil
 }
 
-// limits returns the figures by which the invariants are checked.
-func (f settingsFigures) limits(parsed control.Settings) invariant.Limits {
+// limits returns the limits for the invariant checks.
+func (s invariantSettings) limits(parsed control.Settings) invariant.Limits {
 	milliseconds := func(value float64) microtime.Time { return microtime.Time(value * 1000) }
 	return invariant.Limits{
 		Settings:              parsed,
-		AnswerGrace:           milliseconds(f.Rules.AnswerGraceMS),
-		DrainGrace:            milliseconds(f.Rules.DrainGraceMS),
+		AnswerGrace:           milliseconds(s.Rules.AnswerGraceMS),
+		DrainGrace:            milliseconds(s.Rules.DrainGraceMS),
 		Cores:                 parsed.Cores,
-		MaxConcurrencyPerCore: f.Rules.MaxConcurrencyFactor,
-		MaxConcurrencyWindow:  milliseconds(f.Rules.ConcurrencyWindowMS),
-		MemoryKB:              f.Extra.MemoryKB,
-		RunningMemoryFactor:   f.Extra.RunningMemoryFactor,
-		WarmUpMinSpeed:        f.Rules.WarmUpMinSpeed,
-		WarmUpTime:            milliseconds(f.Rules.WarmUpTimeMS),
+		MaxConcurrencyPerCore: s.Rules.MaxConcurrencyFactor,
+		MaxConcurrencyWindow:  milliseconds(s.Rules.ConcurrencyWindowMS),
+		MemoryKB:              s.Extra.MemoryKB,
+		RunningMemoryFactor:   s.Extra.RunningMemoryFactor,
+		WarmUpMinSpeed:        s.Rules.WarmUpMinSpeed,
+		WarmUpTime:            milliseconds(s.Rules.WarmUpTimeMS),
 	}
 }
 
-// vaultSettings returns the settings of the second deployment. Its orders run once at most, or are idempotent where
-// the script says so.
+// vaultSettings returns the settings of the second deployment. Its requests of class print-order are single_shot, or
+// idempotent if the script says so.
 func vaultSettings(script faults.Script) string {
 	effect := `"effect": "single_shot"`
 	if script.IdempotentOrders {
@@ -96,7 +97,7 @@
 	return strings.Replace(secondSettings, `"effect": ORDER`, effect, 1)
 }
 
-// firstSettings is the settings file of the first deployment, whose classes call nothing.
+// firstSettings is the settings file of the first deployment, which makes no downstream calls.
 const firstSettings = `{"classes": [
  {"name": "block-view", "aim_ms": 1800, "hard_limit_ms": 4500, "worth": 1, "effect": "free"},
  {"name": "lot-update", "aim_ms": 1800, "hard_limit_ms": 4500, "worth": 1, "effect": "free"},
@@ -108,8 +109,8 @@
  "tip_after_ms": 3000, "grace_to_answer_ms": 100}, "tenants": [{"name": "hill-estate", "quota_rps": 69},
  {"name": "lake-vines", "quota_rps": 43}, {"name": "valley-rows", "quota_rps": 32}]}`
 
-// secondSettings is the settings file of the second deployment, whose classes call the vault. ORDER stands for the
-// effect of the class print-order.
+// secondSettings is the settings file of the second deployment, of which the classes page-view and print-order call the
+// vault. ORDER is a placeholder for the effect of the class print-order.
 const secondSettings = `{"classes": [
  {"name": "page-view", "aim_ms": 1400, "hard_limit_ms": 3600, "worth": 1, "effect": "free"},
  {"name": "page-save", "aim_ms": 1900, "hard_limit_ms": 4900, "worth": 2, "effect": "free"},
--- a/internal/testbed/sim/determinism_test.go
+++ b/internal/testbed/sim/determinism_test.go
@@ -14,13 +14,13 @@
 	"pewterline/internal/testbed/faults"
 )
 
-// digestsVariable is set in the environment of a test process that is to print the digests alone.
-const digestsVariable = "SIM_DIGESTS"
+// digestsEnvVariable is set in the environment of a test process that only prints the digests.
+const digestsEnvVariable = "SIM_DIGESTS"
 
-// digestWorld is the world of all runs whose digests are compared.
+// digestWorld is the deployment of all runs whose digests are compared.
 var digestWorld = faults.World{Servers: 3, Proxies: 3, Length: 4 * microtime.Second}
 
-// digests plays fifty seeds one after another.
+// digests plays fifty seeds and returns a line with the digest of each.
 func digests(t *testing.T) string {
 	t.Helper()
 	var lines strings.Builder
@@ -31,28 +31,28 @@
 	return lines.String()
 }
 
-// The same seed is the same run, to every byte and time: in another process, with other numbers of threads, and
-// whatever was played before.
+// The same seed gives the same run, with the same network events at the same times: in another process, with another
+// number of threads, and regardless of the runs before it.
 func TestSameSeedSameRun(t *testing.T) {
-	if os.Getenv(digestsVariable) != "" {
+	if os.Getenv(digestsEnvVariable) != "" {
 		fmt.Print("DIGESTS\n" + digests(t) + "END\n")
 		return
 	}
-	here := digests(t)
+	expected := digests(t)
 	before := runtime.GOMAXPROCS(1)
 	onOneThread := digests(t)
 	runtime.GOMAXPROCS(before)
-	require.Equal(t, here, onOneThread)
+	require.Equal(t, expected, onOneThread)
 
 	command := exec.CommandContext(t.Context(), os.Args[0], "-test.run=TestSameSeedSameRun")
-	command.Env = append(os.Environ(), digestsVariable+"=1", "GOMAXPROCS=8")
+	command.Env = append(os.Environ(), digestsEnvVariable+"=1", "GOMAXPROCS=8")
 	output, err := command.Output()
 	require.NoError(t, err)
-	_, elsewhere, _ := strings.Cut(string(output), "DIGESTS\n")
-	elsewhere, _, _ = strings.Cut(elsewhere, "END\n")
-	require.Equal(t, here, elsewhere)
+	_, fromProcess, _ := strings.Cut(string(output), "DIGESTS\n")
+	fromProcess, _, _ = strings.Cut(fromProcess, "END\n")
+	require.Equal(t, expected, fromProcess)
 
 	alone := mustPlay(t, drawScript(t, digestWorld, 50, "worst"), Options{})
-	require.Contains(t, here, fmt.Sprintf("50 %016x", alone.Digest), "without the seeds before it")
-	require.Equal(t, 50, strings.Count(here, "\n"))
+	require.Contains(t, expected, fmt.Sprintf("50 %016x", alone.Digest), "the digest must not depend on earlier runs")
+	require.Equal(t, 50, strings.Count(expected, "\n"))
 }
--- a/internal/testbed/sim/figures_test.go
+++ b/internal/testbed/sim/figures_test.go
@@ -11,11 +11,11 @@
 	"pewterline/internal/testbed/faults"
 )
 
-// Guards the counters that operators read: whatever happens in a run, each server's equal what its callers and its
-// worker pool saw in that incarnation. Requests whose callers left may be counted or not, and a run may be lost with
-// the pool's link.
-func TestCountersEqualWhatWasSeen(t *testing.T) {
-	require.NoError(t, flag.Set("rapid.seed", "18")) // The same verdict every time.
+// Guards the counters that operators read: in every run, the counters of a server equal the results that its callers
+// and its worker pool observed in that incarnation. Requests whose callers have disconnected may or may not be counted,
+// and the server may have attempted a run that the pool never received, because their connection broke.
+func TestCountersMatchObservations(t *testing.T) {
+	require.NoError(t, flag.Set("rapid.seed", "18")) // Makes the test deterministic.
 	checked, answers := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
 		profile := rapid.SampledFrom(faults.Profiles()).Draw(t, "profile")
@@ -24,16 +24,16 @@
 		}
 		script, err := world.Draw(rapid.Uint64().Draw(t, "seed"), profile)
 		require.NoError(t, err)
-		judge := func(sim *simulation) {
+		compareCounters := func(sim *simulation) {
 			for _, server := range sim.servers {
 				if !server.host.Ended && !server.draining {
-					answers += requireCounters(t, sim, server)
+					answers += requireCountersMatch(t, sim, server)
 					checked++
 				}
 			}
 		}
-		formatOnly := func(string) {} // The log lines are formatted in this test, and dropped.
-		_, err = Play(script, Options{Log: formatOnly, afterRun: judge})
+		discardLine := func(string) {} // Log lines are formatted, to test that too, and discarded.
+		_, err = Play(script, Options{Log: discardLine, afterRun: compareCounters})
 		require.NoError(t, err)
 	})
 	require.Greater(t, checked, 100)
@@ -41,32 +41,33 @@
 	t.Logf("%d servers, %d answers", checked, answers)
 }
 
-// requireCounters requires that a server's counters are what was seen of it, and returns the answers.
-func requireCounters(t *rapid.T, sim *simulation, server *instance) (answers int) {
-	seenByClass, strays := sim.observer.CountsOf(server.name)
+// requireCountersMatch requires that a server's counters match what was observed of it, and returns the number of
+// answers.
+func requireCountersMatch(t *rapid.T, sim *simulation, server *instance) (answers int) {
+	observedByClass, strays := sim.observer.CountsOf(server.name)
 	counters := server.program.Counters()
 	runs := 0
-	for class, seen := range seenByClass {
+	for class, observed := range observedByClass {
 		succeeded, rejected, failed := counters.Succeeded[class], counters.Rejected[class], counters.Failed[class]
-		seenInAll := seen.Served + seen.Rejected + seen.Failed
+		observedInAll := observed.Served + observed.Rejected + observed.Failed
 		for _, count := range []struct {
-			name                 string
-			counted, seen, slack int // slack is how many may be counted or not
+			name                     string
+			counted, observed, slack int // slack is the number of requests that may or may not be counted
 		}{
-			{"passed", succeeded, seen.Served, seen.Ambiguous},
-			{"dropped", rejected, seen.Rejected, seen.Ambiguous},
-			{"bad_gateway", failed, seen.Failed, seen.Ambiguous + strays},
-			{"all", succeeded + rejected + failed, seenInAll, seen.Ambiguous + strays},
+			{"passed", succeeded, observed.Served, observed.Ambiguous},
+			{"dropped", rejected, observed.Rejected, observed.Ambiguous},
+			{"bad_gateway", failed, observed.Failed, observed.Ambiguous + strays},
+			{"all", succeeded + rejected + failed, observedInAll, observed.Ambiguous + strays},
 		} {
-			if count.counted < count.seen || count.counted > count.seen+count.slack {
-				t.Fatalf("%s: %s of %s: %d counted, %d seen, %d may be either\n%s", server.name, count.name, class,
-					count.counted, count.seen, count.slack, sim.script.String())
+			if count.counted < count.observed || count.counted > count.observed+count.slack {
+				t.Fatalf("%s: %s of %s: %d counted, %d observed, %d may or may not be counted\n%s", server.name, count.name, class,
+					count.counted, count.observed, count.slack, sim.script.String())
 			}
 		}
-		runs += seen.Runs
-		answers += seenInAll
+		runs += observed.Runs
+		answers += observedInAll
 	}
-	require.Zero(t, counters.InProgress, "all is answered by then")
+	require.Zero(t, counters.InProgress, "all requests are answered at the end of the run")
 	require.GreaterOrEqual(t, counters.Attempts, runs)
 	return answers
 }
--- a/internal/testbed/sim/gossip.go
+++ b/internal/testbed/sim/gossip.go
@@ -8,37 +8,37 @@
 	"pewterline/internal/testbed/simnet"
 )
 
-// GossipExperiment measures what gossip is worth to an instance that has just started: some servers are down and some
-// are slow when one of the edges dies and comes back with nothing learned.
+// GossipExperiment measures the benefit of gossip for an edge that has just started. One edge is killed and restarts
+// without state while some servers are down and others are slow.
 type GossipExperiment struct {
 	Seed       uint64
 	Edges      int
 	Servers    int
-	Dead       int // servers whose machine is lost: a connect there takes its whole timeout
-	Slow       int // servers whose work takes slowPoolFactor times as long
+	Dead       int // servers whose machine is lost, so that connects to them time out
+	Slow       int // servers whose requests take slowPoolFactor times as long
 	Rate       float64
-	Gossip     bool // the edges exchange gossip
-	DrawFaults bool // faults of the profile "worst" are drawn from the seed as well
+	Gossip     bool // whether the edges exchange gossip
+	DrawFaults bool // adds random faults of the profile "worst"
 }
 
-// GossipResult is how the restarted edge did while it was young.
+// GossipResult is the result for the restarted edge in the measurement period after its restart.
 type GossipResult struct {
-	Wasted       int // attempts that came to nothing for want of a server
-	EarlyWasted  int // of them, those of the first two seconds
+	Wasted       int // attempts that failed for lack of a working server
+	EarlyWasted  int // of them, those in the first two seconds
 	DeadConnects int // connects to servers that were down
-	// WeightedGoodput is the priority weight that was served in time, as a share of the weight that was asked for.
+	// WeightedGoodput is the priority weight of requests served in time, as a share of the weight of all requests.
 	WeightedGoodput float64
-	GossipBytes     int // that all edges sent each other in the whole run
+	GossipBytes     int // sent by all edges in the whole run
 	Violations      int
 }
 
-// The course of the experiment, in time since the start.
+// Timeline of the experiment, since the start.
 const (
-	impairedAt  = 4 * microtime.Second // servers go down or become slow
-	restartAt   = 9 * microtime.Second // the edge dies
-	youngTime   = 10 * microtime.Second
-	earlyTime   = 2 * microtime.Second
-	restartTime = 50 * microtime.Millisecond
+	impairedAt           = 4 * microtime.Second // servers go down or become slow
+	restartAt            = 9 * microtime.Second // the edge is killed
+	measurementTime      = 10 * microtime.Second
+	earlyMeasurementTime = 2 * microtime.Second
+	restartTime          = 50 * microtime.Millisecond
 	// impairedTime is longer than the experiment.
 	impairedTime = 300 * microtime.Second
 )
@@ -49,32 +49,31 @@
 	worstProfile   = "worst"
 )
 
-// Run plays the experiment. An error says that its settings are not valid.
+// Run plays the experiment. It returns an error if the experiment is not valid.
 func (e GossipExperiment) Run() (GossipResult, error) {
 	script, err := e.script()
 	if err != nil {
 		return GossipResult{}, err
 	}
 	measurement := gossipMeasurement{}
-	outcome, err := Play(script, Options{beforeRun: measurement.schedule})
+	outcome, err := Play(script, Options{beforeRun: measurement.scheduleSamples})
 	if err != nil {
 		return GossipResult{}, err
 	}
 	result := measurement.result
 	served := measurement.end.served - measurement.start.served
-	result.WeightedGoodput = served / max(measurement.end.asked-measurement.start.asked, 1)
+	result.WeightedGoodput = served / max(measurement.end.requested-measurement.start.requested, 1)
 	result.Violations = len(outcome.Violations)
 	return result, nil
 }
 
-// script returns the script of the experiment.
 func (e GossipExperiment) script() (faults.Script, error) {
 	script := faults.Script{
 		Seed:    e.Seed,
 		Servers: e.Servers,
 		Proxies: proxiesPerEdge * e.Edges,
 		Edges:   e.Edges,
-		Length:  restartAt + youngTime,
+		Length:  restartAt + measurementTime,
 		Rate:    e.Rate,
 	}
 	if e.DrawFaults {
@@ -105,43 +104,43 @@
 	return script, nil
 }
 
-// gossipMeasurement measures one run.
+// gossipMeasurement collects the result of one run.
 type gossipMeasurement struct {
 	result     GossipResult
-	start, end weightTotals // of the time in which the restarted edge is young
+	start, end weightTotals // at the start and the end of the measurement period
 }
 
-// weightTotals is the priority weight that was served in time and asked for until an instant.
-type weightTotals struct{ served, asked float64 }
+// weightTotals is the total priority weight of requests served in time, and of all requests, up to some time.
+type weightTotals struct{ served, requested float64 }
 
-// schedule has the figures taken at their times.
-func (m *gossipMeasurement) schedule(sim *simulation) {
+// scheduleSamples observes network events and schedules the reading of the counters.
+func (m *gossipMeasurement) scheduleSamples(sim *simulation) {
 	restarted := simnet.Start + restartAt
-	judge := sim.net.Tap
+	checkInvariants := sim.net.Tap
 	sim.net.Tap = func(event simnet.Event) {
-		judge(event)
+		checkInvariants(event)
 		m.observe(sim, event)
 	}
 	totals := func() weightTotals {
-		return weightTotals{served: sim.environment.WeightServed, asked: sim.environment.WeightAsked}
+		return weightTotals{served: sim.environment.WeightServed, requested: sim.environment.WeightAsked}
 	}
 	edge := sim.edges[0]
 	sim.clock.At(restarted, func() { m.start = totals() })
-	sim.clock.At(restarted+earlyTime, func() { m.result.EarlyWasted = edge.program.WastedAttempts() })
-	sim.clock.At(restarted+youngTime, func() {
+	sim.clock.At(restarted+earlyMeasurementTime, func() { m.result.EarlyWasted = edge.program.WastedAttempts() })
+	sim.clock.At(restarted+measurementTime, func() {
 		m.result.Wasted = edge.program.WastedAttempts()
 		m.end = totals()
 	})
 }
 
-// observe counts the bytes of gossip, and the young edge's connects to servers that are down.
+// observe counts the bytes of gossip, and the connects of the restarted edge to servers that are down.
 func (m *gossipMeasurement) observe(sim *simulation, event simnet.Event) {
 	if event.Kind == simnet.Written && strings.HasSuffix(event.Addr, gossipSuffix) {
 		m.result.GossipBytes += len(event.Bytes)
 	}
 	restarted := simnet.Start + restartAt
-	isYoung := event.At >= restarted && event.At <= restarted+youngTime
-	if event.Kind != simnet.ConnectAttempted || event.Node != sim.edges[0].name || !isYoung {
+	isMeasured := event.At >= restarted && event.At <= restarted+measurementTime
+	if event.Kind != simnet.ConnectAttempted || event.Node != sim.edges[0].name || !isMeasured {
 		return
 	}
 	if server := sim.instance(event.Peer); server != nil && server.host.Ended {
--- a/internal/testbed/sim/hard_cases_test.go
+++ b/internal/testbed/sim/hard_cases_test.go
@@ -13,15 +13,15 @@
 	"pewterline/internal/testbed/simnet"
 )
 
-// hardCase is a script of a situation that is easy to get wrong.
+// hardCase is a script for a situation that is hard to handle correctly.
 type hardCase struct {
 	script     string // file name in testdata/hard
 	beforeRun  func(*simulation)
-	situations []string // parts of names, each of a situation that must come about
+	situations []string // parts of the names of situations that must be reached
 }
 
-// requireClean plays the script for several traffics: no invariant may be broken, and each situation must come about
-// in one of them.
+// requireClean plays the script with several seeds, and so with different traffic. No run may violate an invariant, and
+// each situation must be reached in at least one run.
 func (c hardCase) requireClean(t *testing.T) {
 	t.Helper()
 	seen := map[string]int{}
@@ -34,45 +34,45 @@
 	requireSituations(t, seen, c.situations)
 }
 
-// addCounts adds counts to others.
-func addCounts(counts, more map[string]int) {
-	for what, times := range more {
-		counts[what] += times
+// addCounts adds the counts of added to totals.
+func addCounts(totals, added map[string]int) {
+	for name, count := range added {
+		totals[name] += count
 	}
 }
 
-// requireSituations requires that for each wanted part of a name a situation has come about.
+// requireSituations requires that, for each wanted part of a name, a situation with such a name was reached.
 func requireSituations(t *testing.T, seen map[string]int, wanted []string) {
 	t.Helper()
 	for _, want := range wanted {
 		total := 0
-		for name, times := range seen {
+		for name, count := range seen {
 			if strings.Contains(name, want) {
-				total += times
+				total += count
 			}
 		}
-		require.Positive(t, total, "%q did not come about", want)
+		require.Positive(t, total, "no situation matching %q was reached", want)
 	}
 }
 
-// A proxy dies and returns with a stale list: it sends to a server that drains, to one that died and is back cold
-// under the same name, and to an address that nobody holds.
-func TestHardStaleList(t *testing.T) {
+// Proxies restart with stale endpoint lists. They send requests to a draining server, to a server that restarted cold
+// under the same name, and to an address at which no server listens.
+func TestHardStaleEndpointList(t *testing.T) {
 	hardCase{script: "stale-list", situations: []string{
 		"tried nobody", "served runningfalse class0 drain1", "boot life2", "farewell",
 	}}.requireClean(t)
 }
 
-// A cancellation that arrives after the answer, one between the run's end and the answer, and one for a sequence ID
-// that was never used.
-func TestHardCancellationCrossesTheAnswer(t *testing.T) {
+// Cancellations arrive after the answer, between the end of the run and the answer, and for a sequence ID that was
+// never used.
+func TestHardCancellationRacesWithResponse(t *testing.T) {
 	hardCase{script: "give-up", situations: []string{
 		"give-up after the answer", "give-up between the run's end and the answer", "give-up for a number never used",
 	}}.requireClean(t)
 }
 
-// A sequence ID that is used again while a cancellation of it is on its way: neither request is answered twice, and
-// whoever else is on the server is served.
+// A client reuses a sequence ID while a cancellation of that ID is in transit. Neither request may be answered twice,
+// and the other clients of the server must be served.
 func TestHardSequenceIDReused(t *testing.T) {
 	var reader replyCounter
 	reuse := func(sim *simulation) {
@@ -90,10 +90,10 @@
 		})
 	}
 	hardCase{script: "calm", beforeRun: reuse}.requireClean(t)
-	require.Equal(t, []int{1, 1}, []int{reader.errors, reader.ended}, "one error under that ID, then the end")
+	require.Equal(t, []int{1, 1}, []int{reader.errors, reader.closed}, "one error, then the end of the connection")
 }
 
-// blockView returns the frame of a request that arrives now. The digit is the last one of its ID.
+// blockView returns the frame of a request that arrives now. The digit is the last digit of its request ID.
 func blockView(sim *simulation, sequenceID int32, digit string) []byte {
 	now := fmt.Sprint((&simnet.WallClock{}).UnixMilli(sim.clock.Now()))
 	return thrift.AppendCall(nil, sequenceID, []thrift.Field{
@@ -107,10 +107,10 @@
 	}, nil)
 }
 
-// replyCounter counts the errors and the end of its connection.
+// replyCounter counts the error replies on its connection, and how often the connection ended.
 type replyCounter struct {
-	received      []byte
-	errors, ended int
+	received       []byte
+	errors, closed int
 }
 
 func (c *replyCounter) Received(_ *simnet.Stream, in []byte) {
@@ -128,49 +128,50 @@
 }
 
 func (c *replyCounter) EOF(stream *simnet.Stream) {
-	c.ended++
+	c.closed++
 	stream.Close()
 }
 
-func (c *replyCounter) Reset(*simnet.Stream) { c.ended++ }
+func (c *replyCounter) Reset(*simnet.Stream) { c.closed++ }
 
-// The worker pool's link breaks inside a notice while SIGHUP moves it to another address and a drain begins.
-func TestHardLinkBreaksInANoticeInTheMove(t *testing.T) {
+// The worker pool's connection breaks in the middle of a notice while a SIGHUP reload moves it to another address and
+// a drain begins.
+func TestHardPoolLinkBreaksInsideNoticeDuringReload(t *testing.T) {
 	hardCase{script: "link-move-drain", situations: []string{
 		"link broke inside a notice", "bound anew", "at hup", "drain1",
 	}}.requireClean(t)
 }
 
-// The attempts of a request come by Thrift and by AJP, over two links that stall in turn.
-func TestHardTwoFrontendsStallInTurn(t *testing.T) {
+// The attempts of a request arrive by Thrift and by AJP, over two connections that stall alternately.
+func TestHardRetriesOverTwoStallingFrontends(t *testing.T) {
 	hardCase{script: "two-fronts", situations: []string{
 		"repeat by the other front", "repeat runningtrue", "at stall",
 	}}.requireClean(t)
 }
 
-// A server is killed in the middle of a turn: what it wrote and had not flushed is lost, and its name returns cold.
-func TestHardKilledInTheMiddleOfATurn(t *testing.T) {
+// A server is killed in the middle of a turn. Its unflushed output is lost, and it restarts cold under the same name.
+func TestHardKilledDuringTurn(t *testing.T) {
 	hardCase{script: "killed-mid-turn", situations: []string{"at kill", "boot life2", "boot life3"}}.requireClean(t)
 }
 
-// SIGHUP moves the pools' links and the reports while the proxies restart in waves, runs go on and a server leaves: no
-// idempotent request runs twice, and no answer is lost.
-func TestHardMoveWhileProxiesRestart(t *testing.T) {
+// SIGHUP reloads move the worker pool connections and the health reports to other addresses while the proxies restart
+// in waves, runs are in progress and a server drains. No idempotent request may run twice, and no answer may be lost.
+func TestHardReloadWhileProxiesRestart(t *testing.T) {
 	hardCase{script: "move-restart", situations: []string{
 		"at hup open2", "at hup open1", "bound anew", "caller left open", "drain1",
 	}}.requireClean(t)
 }
 
-// The control plane is gone, then back, and lists come late: what reaches a server that drains, or none, is answered
-// or never read.
+// The control plane fails and recovers, so that endpoint lists are outdated. Requests that reach a draining server, or
+// an address without a server, must be answered or never be read.
 func TestHardSilentRegistry(t *testing.T) {
 	hardCase{script: "silent-registry", situations: []string{
 		"tried nobody", "boot life2", "drain1", "farewell",
 	}}.requireClean(t)
 }
 
-// The hard cases of calls, each with the situations that make it hard.
-func TestHardCalls(t *testing.T) {
+// The hard cases of downstream calls, each with the situations that it must reach.
+func TestHardVaultCalls(t *testing.T) {
 	for script, situations := range map[string][]string{
 		"vault-dies": {
 			"vault link down open2 why1", "vault link down open2 why3", "ended 3 answeredfalse gaveuptrue",
@@ -189,8 +190,8 @@
 	}
 }
 
-// A release: half of 120 servers leave in steps and come back cold, with new incarnations, while seven in ten proxies
-// restart at once with the lists that they had and the control plane is silent for a part of it.
+// A release: half of 120 servers restart in steps and return cold, as new incarnations. Meanwhile 70% of the proxies
+// restart at the same time with their old endpoint lists, and the control plane is down for a part of the release.
 func TestHardReleaseOfHalfTheFleet(t *testing.T) {
 	t.Parallel()
 	for seed := uint64(1); seed <= 2; seed++ {
@@ -216,7 +217,7 @@
 			Node: nodeName('s', 2*i),
 			For:  300 * microtime.Millisecond,
 		}
-		if i%10 == 9 { // Some die in place of leaving, in the middle of a turn.
+		if i%10 == 9 { // Some crash in the middle of a turn instead of draining.
 			fault.Kind = faults.Kill
 			fault.Amount = 5
 		}
--- a/internal/testbed/sim/injection.go
+++ b/internal/testbed/sim/injection.go
@@ -6,15 +6,15 @@
 	"pewterline/internal/testbed/faults"
 )
 
-// injection is a fault that is injected now, with what it acts on.
+// injection is a fault at the time of its injection, with the nodes that it affects.
 type injection struct {
 	faults.Fault
 	until  microtime.Time // the end of the fault
-	server *instance      // of Node; nil where Node is neither an instance nor a worker pool
-	caller *fakes.Caller  // of Node; nil where Node is no caller
+	server *instance      // the instance of Node; nil if Node is neither an instance nor a worker pool
+	caller *fakes.Caller  // the caller of Node; nil if Node is no caller
 }
 
-// injectors has the method that injects each kind of fault. A valid script has no other kinds.
+// injectors maps each kind of fault to the method that injects it. A valid script has no other kinds.
 var injectors = map[faults.Kind]func(*simulation, injection){
 	faults.Kill:             (*simulation).killServer,
 	faults.MachineLost:      (*simulation).loseMachine,
@@ -40,7 +40,7 @@
 
 	faults.TrafficSurge:       (*simulation).surgeTraffic,
 	faults.CallerCrash:        (*simulation).crashCaller,
-	faults.StaleEndpoints:     (*simulation).freezeEndpoints,
+	faults.StaleEndpoints:     (*simulation).freezeEndpointList,
 	faults.ImpatientCaller:    (*simulation).cancelEarly,
 	faults.LateCancel:         (*simulation).cancelLate,
 	faults.CallerStopsReading: (*simulation).stopReading,
@@ -49,16 +49,16 @@
 
 	faults.VaultDown:       (*simulation).stopVault,
 	faults.VaultSlow:       (*simulation).slowVault,
-	faults.VaultRefusing:   vaultFault(fakes.VaultRefuses),
+	faults.VaultRefusing:   vaultInjector(fakes.VaultRefuses),
 	faults.VaultFailing:    (*simulation).failCalls,
-	faults.VaultBreakReply: vaultFault(fakes.VaultBreaks),
+	faults.VaultBreakReply: vaultInjector(fakes.VaultBreaks),
 	faults.VaultReorder:    (*simulation).reorderReplies,
-	faults.VaultStrayReply: vaultFault(fakes.VaultStrays),
+	faults.VaultStrayReply: vaultInjector(fakes.VaultStrays),
 	faults.VaultSilent:     (*simulation).silenceVault,
 	faults.VaultHang:       (*simulation).hangVault,
 }
 
-// inject injects one fault. It has no effect on a process that has ended.
+// inject injects one fault. Faults of a process have no effect if that process has ended.
 func (s *simulation) inject(fault faults.Fault) {
 	s.logf("%s", fault)
 	until := s.clock.Now() + fault.For
@@ -76,5 +76,5 @@
 	})
 }
 
-// milliseconds is the fault's amount as a time.
+// milliseconds returns the amount of the fault, in milliseconds, as a time.
 func (f injection) milliseconds() microtime.Time { return microtime.Time(f.Amount * 1000) }
--- a/internal/testbed/sim/injection_caller.go
+++ b/internal/testbed/sim/injection_caller.go
@@ -1,6 +1,6 @@
 package sim
 
-// This file has the faults of callers and of the registry that gives them their endpoint lists.
+// This file injects the faults of callers and of the registry, which provides their endpoint lists.
 
 func (s *simulation) surgeTraffic(f injection) {
 	s.environment.TrafficFactor[f.What] = f.Amount
@@ -9,7 +9,7 @@
 
 func (s *simulation) crashCaller(f injection) { f.caller.Crash(f.until) }
 
-func (s *simulation) freezeEndpoints(f injection) { f.caller.FreezeEndpoints(f.until) }
+func (s *simulation) freezeEndpointList(f injection) { f.caller.FreezeEndpoints(f.until) }
 
 func (s *simulation) cancelEarly(f injection) { f.caller.CancelAfter(f.milliseconds(), f.until) }
 
--- a/internal/testbed/sim/injection_network.go
+++ b/internal/testbed/sim/injection_network.go
@@ -6,10 +6,10 @@
 	"pewterline/internal/testbed/simnet"
 )
 
-// unlimitedConnections is far above what any node opens.
+// unlimitedConnections is more connections than any node opens.
 const unlimitedConnections = 1 << 30
 
-// This file has the faults of the network: of paths, which lie between two nodes, and of connections.
+// This file injects the faults of the network: faults of the path between two nodes, and of connections.
 
 func (s *simulation) path(f injection) *simnet.Path { return s.net.Path(f.Node, f.Peer) }
 
@@ -55,7 +55,8 @@
 	s.eachOpenStream(f, (*simnet.Stream).CutWrite)
 }
 
-// eachOpenStream has something done to each connection of Node to Peer that is open when its turn comes.
+// eachOpenStream calls impair with each open connection from Node to Peer. It iterates over a copy, and skips
+// connections that an earlier call of impair has closed.
 func (s *simulation) eachOpenStream(f injection, impair func(*simnet.Stream)) {
 	for _, stream := range slices.Clone(s.net.Node(f.Node).Streams()) {
 		if stream.IsOpen() && stream.Peer() == f.Peer {
--- a/internal/testbed/sim/injection_server.go
+++ b/internal/testbed/sim/injection_server.go
@@ -1,6 +1,6 @@
 package sim
 
-// This file has the faults of servers, of their worker pools and of their stores.
+// This file injects the faults of servers, of their worker pools and of their stores of record.
 
 func (s *simulation) killServer(f injection) {
 	if f.Amount < 1 {
@@ -19,7 +19,7 @@
 
 func (s *simulation) reloadServer(f injection) { f.server.reload() }
 
-// pauseServer leaves a draining server alone: a pause does not stretch its shutdown timeout.
+// pauseServer does not pause a draining server, as a pause would not extend its shutdown timeout.
 func (s *simulation) pauseServer(f injection) {
 	if f.server.host.Ended || f.server.draining {
 		return
--- a/internal/testbed/sim/injection_vault.go
+++ b/internal/testbed/sim/injection_vault.go
@@ -2,36 +2,37 @@
 
 import "pewterline/internal/testbed/fakes"
 
-// This file has the faults of the vault. All servers call the one vault, and each is told to the observer.
+// This file injects the faults of the vault. All servers call the same vault, so that the observer records each fault
+// for every server.
 
-// vaultNode is the node of the vault.
+// vaultNode is the name of the vault's node.
 const vaultNode = "v0"
 
-// vaultFault returns an injector that has something go wrong with the chance that the fault's amount gives.
-func vaultFault(fault fakes.VaultFault) func(*simulation, injection) {
+// vaultInjector returns an injector of a vault fault that occurs with the probability given by the fault's amount.
+func vaultInjector(fault fakes.VaultFault) func(*simulation, injection) {
 	return func(s *simulation, f injection) { s.impairVault(fault, f.Amount, f) }
 }
 
-// impairVault has something go wrong at the vault with a chance until the fault's end.
-func (s *simulation) impairVault(fault fakes.VaultFault, chance float64, f injection) {
-	s.noteVaultFault(f)
-	s.vault.Fault(fault, chance, f.until)
+// impairVault injects a vault fault that occurs with a probability until the end of the injection.
+func (s *simulation) impairVault(fault fakes.VaultFault, probability float64, f injection) {
+	s.recordVaultFault(f)
+	s.vault.Fault(fault, probability, f.until)
 }
 
-// noteVaultFault tells the observer that all servers are affected.
-func (s *simulation) noteVaultFault(f injection) {
+// recordVaultFault informs the observer that the fault affects all servers.
+func (s *simulation) recordVaultFault(f injection) {
 	for _, server := range s.servers {
 		s.observer.FaultInjected(string(f.Kind), server.name, f.until)
 	}
 }
 
 func (s *simulation) stopVault(f injection) {
-	s.noteVaultFault(f)
+	s.recordVaultFault(f)
 	s.vault.Down(f.until)
 }
 
 func (s *simulation) slowVault(f injection) {
-	s.noteVaultFault(f)
+	s.recordVaultFault(f)
 	s.vault.Slow(f.Amount)
 	s.clock.At(f.until, func() { s.vault.Slow(1) })
 }
@@ -49,7 +50,7 @@
 func (s *simulation) silenceVault(f injection) { s.impairVault(fakes.VaultSilent, 1, f) }
 
 func (s *simulation) hangVault(f injection) {
-	s.noteVaultFault(f)
+	s.recordVaultFault(f)
 	for _, server := range s.servers {
 		path := s.net.Path(server.name, vaultNode)
 		path.LostUntil = max(path.LostUntil, f.until)
--- a/internal/testbed/sim/instance.go
+++ b/internal/testbed/sim/instance.go
@@ -13,35 +13,35 @@
 	"pewterline/internal/transport"
 )
 
-// gossipSuffix ends the address at which an edge exchanges gossip.
+// gossipSuffix is the suffix of the address at which an edge exchanges gossip.
 const gossipSuffix = "/exchange"
 
-// listenSuffixes end the addresses of an instance, by the index of the listener.
+// listenSuffixes are the suffixes of the addresses of an instance, by the index of the listener.
 var listenSuffixes = []string{
 	server.ThriftListener:   "/thrift",
 	server.AJPListener:      "/ajp",
 	server.ExchangeListener: gossipSuffix,
 }
 
-// turnCost is the processor time of an instance's event loop.
+// turnCost is the simulated processor time of an instance's event loop, per turn and per KB.
 var turnCost = simnet.Cost{Turn: 40, KB: 15}
 
-// instance is one server, or one edge, over all its incarnations: processes of the same name, one after another.
+// instance is one server or one edge over all its incarnations, which are successive processes with the same name.
 type instance struct {
 	sim      *simulation
 	name     string
 	host     *simnet.Host   // of the current process
-	program  *server.Server // likewise
-	pool     *fakes.Pool    // nil: it is an edge
-	store    *fakes.Store   // nil: the script has none
+	program  *server.Server // of the current process
+	pool     *fakes.Pool    // nil for an edge
+	store    *fakes.Store   // nil if the script has no store
 	config   config.Config
-	reloads  int  // so far; each moves the addresses that it connects to
-	isEdge   bool // it has no worker pool: the servers do its work
+	reloads  int  // so far; each changes the addresses that the instance connects to
+	isEdge   bool // has no worker pool; forwards requests to the servers
 	draining bool
-	downtime microtime.Time // from the end of its process to the next one
+	downtime microtime.Time // from the end of the process to the start of the next one
 }
 
-// boot starts a process of the instance, with a worker pool of its own.
+// boot starts a process of the instance, and for a server its worker pool.
 func (i *instance) boot(cold bool) {
 	sim := i.sim
 	node := sim.net.Node(i.name)
@@ -55,7 +55,7 @@
 	i.config.Settings.Seed = rng.Uint64()
 	program, err := server.New(i.config, &simnet.WallClock{}, i.logf)
 	if err != nil {
-		panic(err) // The configuration is this package's own.
+		panic(err) // The configuration comes from this package.
 	}
 	i.program = program
 	sim.observer.ServerStarted(i.name, node.Incarnation)
@@ -68,11 +68,11 @@
 	}
 }
 
-// startHost has the program run on the node.
+// startHost runs the program on the node.
 func (i *instance) startHost(node *simnet.Node, rng *rand.Rand) {
 	program := i.program
-	between := i.sim.options.interposer()
-	if controllers, ok := between.(controllerInterposer); ok {
+	processInterposer := i.sim.options.interposer()
+	if controllers, ok := processInterposer.(controllerInterposer); ok {
 		program.UseController(controllers.newController)
 	}
 	i.host = simnet.NewHost(node, simnet.HostConfig{
@@ -81,26 +81,26 @@
 			MaxBuffered: memoryLimit / 8,
 			Logf:        i.logf,
 		},
-		Handler: between.handler(program),
+		Handler: processInterposer.handler(program),
 		Rand:    rng,
 		Cost:    turnCost,
 		Begin: func(loop *transport.Loop) {
 			i.useStore(program, node)
 			if err := loop.SetDatagramPeer(i.config.ControlAddress); err != nil {
-				panic(err) // A simulated host takes any address.
+				panic(err) // A simulated host accepts any address.
 			}
-			program.Attach(between.eventLoop(loop))
+			program.Attach(processInterposer.eventLoop(loop))
 		},
 	})
 	for index, suffix := range listenSuffixes {
 		if err := i.host.Listen(i.name+suffix, index); err != nil {
-			panic(err) // The process before has closed them.
+			panic(err) // The previous process has closed its listeners.
 		}
 	}
 	i.host.OnStop = func() { i.processEnded(true, false) }
 }
 
-// useStore connects the program to the store of record, where there is one.
+// useStore connects the program to the store of record, if there is one.
 func (i *instance) useStore(program *server.Server, node *simnet.Node) {
 	if i.store == nil {
 		return
@@ -117,44 +117,44 @@
 	}
 }
 
-// incarnationStore is the store of record as one process sees it: once that has ended, it writes nothing.
+// incarnationStore is the store of record as used by one process. It ignores records after that process has ended.
 type incarnationStore struct {
 	*fakes.Store
 	node        *simnet.Node
 	incarnation int
 }
 
-// Record writes a record, while the process lives.
+// Record writes a record if the process is still running.
 func (s incarnationStore) Record(record store.Record, done func(error)) {
 	if s.node.Up() && s.node.Incarnation == s.incarnation {
 		s.Store.Record(record, done)
 	}
 }
 
-// processEnded takes down what goes with the process, and schedules the next one. byItself: the process ended as it
-// should; withMachine: its machine is lost as well.
-func (i *instance) processEnded(byItself, withMachine bool) {
+// processEnded ends the worker pool of the process, and schedules the next process. graceful says that the process was
+// shut down rather than crashed, and machineLost that its machine is lost as well.
+func (i *instance) processEnded(graceful, machineLost bool) {
 	sim := i.sim
 	sim.endedTurns += i.host.Turns()
-	sim.observer.ServerStopped(i.name, byItself)
+	sim.observer.ServerStopped(i.name, graceful)
 	if i.pool != nil {
-		i.pool.Kill(withMachine)
+		i.pool.Kill(machineLost)
 	}
-	i.logf("process ended, by itself %v", byItself)
+	i.logf("process ended, graceful %v", graceful)
 	sim.clock.In(max(i.downtime, microtime.Millisecond), func() { i.boot(true) })
 }
 
-// kill ends the process at once.
-func (i *instance) kill(withMachine bool, downtime microtime.Time) {
+// kill ends the process immediately.
+func (i *instance) kill(machineLost bool, downtime microtime.Time) {
 	if i.host.Ended {
 		return
 	}
 	i.downtime = downtime
-	i.host.Kill(withMachine)
-	i.processEnded(false, withMachine)
+	i.host.Kill(machineLost)
+	i.processEnded(false, machineLost)
 }
 
-// terminate sends the notice to drain. The process is killed when its shutdown timeout is over.
+// terminate sends the notice to drain. The process is killed after its shutdown timeout.
 func (i *instance) terminate(downtime microtime.Time) {
 	if i.host.Ended || i.draining {
 		return
@@ -162,7 +162,7 @@
 	i.draining = true
 	i.downtime = downtime
 	host, clock := i.host, i.sim.clock
-	if host.PausedUntil() > clock.Now() { // A paused process gets a signal when it goes on.
+	if host.PausedUntil() > clock.Now() { // A paused process receives signals when it resumes.
 		clock.At(host.PausedUntil(), func() {
 			if !host.Ended {
 				i.draining = false
@@ -173,7 +173,7 @@
 	}
 	i.sim.observer.DrainSent(i.name)
 	program := i.program
-	// Neither fails: the host has not ended. The empty task is the signal that wakes the process.
+	// Neither call fails, as the host has not ended. The empty task models the signal, which wakes the process.
 	_ = host.Queue(func() {})
 	_ = host.Loop().Execute(func() { program.Drain(clock.Now()) })
 	clock.In(i.sim.shutdownTimeout, func() {
@@ -184,7 +184,8 @@
 	})
 }
 
-// reload moves the worker pool, the health reports and the calls to other addresses, and tells the process.
+// reload moves the worker pool, the health reports and the downstream calls to other addresses, and makes the process
+// reload its configuration.
 func (i *instance) reload() {
 	if i.host.Ended {
 		return
@@ -200,7 +201,7 @@
 	}
 	i.config = next
 	program := i.program
-	// It does not fail: the host has not ended.
+	// Execute does not fail, as the host has not ended.
 	_ = i.host.Loop().Execute(func() {
 		if err := program.Reload(next); err != nil {
 			i.logf("reload: %v", err)
--- a/internal/testbed/sim/interposer.go
+++ b/internal/testbed/sim/interposer.go
@@ -7,22 +7,22 @@
 	"pewterline/internal/transport"
 )
 
-// interposer stands between one process of a server and its event loop. A test plants a bug there: what passes is
-// changed on its way, and the server itself has no part in it.
+// interposer is placed between one process of a server and its event loop. Tests plant bugs with it by changing the
+// calls and data that pass, without changing the server.
 type interposer interface {
-	// handler returns what the event loop calls in place of the server.
+	// handler returns the handler that the event loop calls in place of the server.
 	handler(transport.Handler) transport.Handler
-	// eventLoop returns what the server calls in place of the event loop.
+	// eventLoop returns the event loop that the server calls in place of the real one.
 	eventLoop(server.EventLoop) server.EventLoop
 }
 
-// controllerInterposer is an interposer that stands between the server and its decision module as well.
+// controllerInterposer is an interposer that also replaces the decision module of the server.
 type controllerInterposer interface {
-	// newController returns the module that the server is to decide by.
+	// newController returns the decision module for the server to use.
 	newController(control.Settings) (dispatch.Controller, error)
 }
 
-// passThrough is an interposer that changes nothing; others embed it.
+// passThrough is an interposer that changes nothing. Other interposers embed it.
 type passThrough struct{}
 
 func (passThrough) handler(handler transport.Handler) transport.Handler { return handler }
--- a/internal/testbed/sim/messages_test.go
+++ b/internal/testbed/sim/messages_test.go
@@ -2,18 +2,18 @@
 
 import "pewterline/internal/protocol/pool"
 
-// message is a parsed command with its bytes.
+// message is a parsed command and its encoding.
 type message[T any] struct {
 	command T
 	raw     []byte
 }
 
-// commands parses what the program writes at once: whole commands.
+// commands parses the output of one write of the program, which always consists of whole commands.
 func commands[T any](out []byte, parse func([]byte) (T, int, error)) (parsed []message[T]) {
 	for len(out) > 0 {
 		command, size, err := parse(out)
 		if err != nil || size == 0 {
-			panic("sim: the program wrote half a command")
+			panic("sim: the program wrote an incomplete command")
 		}
 		parsed = append(parsed, message[T]{command, out[:size]})
 		out = out[size:]
@@ -21,14 +21,14 @@
 	return parsed
 }
 
-// poolMessages parses the whole messages in what was received. Their bodies share its memory.
+// poolMessages parses the complete messages in received bytes. The bodies of the messages share the memory of in.
 func poolMessages(in []byte) (messages []pool.Message) {
 	for {
-		m, n, err := pool.ParseMessage(in)
-		if err != nil || n == 0 {
+		parsed, size, err := pool.ParseMessage(in)
+		if err != nil || size == 0 {
 			return messages
 		}
-		messages = append(messages, m)
-		in = in[n:]
+		messages = append(messages, parsed)
+		in = in[size:]
 	}
 }
--- a/internal/testbed/sim/observed_core_test.go
+++ b/internal/testbed/sim/observed_core_test.go
@@ -11,25 +11,25 @@
 	"pewterline/internal/transport"
 )
 
-// coreBug is a bug of the request core, as its callers and its backend would see it.
+// coreBug is a bug of the request core, reproduced on its connections to callers and to the worker pool.
 type coreBug interface {
-	// received is called for each request of a proxy that is read first; it returns the bytes that the core reads in its
-	// place, which are as many.
+	// received is called for each new request of a proxy, before the core reads it. It returns the bytes that the core
+	// reads instead, which have the same length.
 	received(core *observedCore, request *observedRequest, raw []byte) []byte
-	// failed is called for each response that fails a request; it returns the bytes that the caller gets in its place.
+	// failed is called for each response that fails a request. It returns the bytes that the caller receives instead.
 	failed(request *observedRequest, response failure) []byte
-	// finished is called after the core has heard that a run ended.
+	// finished is called after the core has received the end of a run.
 	finished(core *observedCore, request *observedRequest)
 }
 
 // failure is a response that fails a request.
 type failure struct {
 	raw []byte
-	// rejection is the bytes of a response that rejects the request.
+	// rejection is the encoding of a response that rejects the request.
 	rejection []byte
 }
 
-// noCoreBug changes nothing; others embed it.
+// noCoreBug changes nothing. Bugs embed it.
 type noCoreBug struct{}
 
 func (noCoreBug) received(_ *observedCore, _ *observedRequest, raw []byte) []byte { return raw }
@@ -38,49 +38,49 @@
 
 func (noCoreBug) finished(*observedCore, *observedRequest) {}
 
-// observedRequest is a request as the connections of a server's process show it.
+// observedRequest is a request as observed on the connections of a server process.
 type observedRequest struct {
-	id, key, class string
-	body           []byte
-	late           bool   // it was read past the limit of a drain
-	forged         []byte // what the core reads in its place
-	started        bool   // its run was sent to the worker pool
-	ended          bool   // and the core has heard of its end
-	outcome        pool.Outcome
-	// answerAgain has the proxy get the response once more that failed the request; nil where none did.
-	answerAgain func()
+	id, key, class  string
+	body            []byte
+	afterDrainLimit bool   // was read after the limit of a drain
+	replacement     []byte // bytes that the core reads instead
+	started         bool   // its run was sent to the worker pool
+	ended           bool   // the core has received the end of the run
+	outcome         pool.Outcome
+	// resendFailure sends the response that failed the request to the proxy once more; nil if no response failed it.
+	resendFailure func()
 }
 
-// running says that the run of the request was started and has not ended.
+// running reports whether the run of the request was started and has not ended.
 func (r *observedRequest) running() bool { return r.started && !r.ended }
 
-// observedCore is the request core of one process of a server, with a bug.
+// observedCore is an interposer that observes the request core of one process of a server and applies a bug to it.
 type observedCore struct {
-	bug      coreBug
-	requests []*observedRequest // in the order in which they were read
-	byID     map[string]*observedRequest
-	poolConn transport.Conn
-	draining bool // past the limit
+	bug              coreBug
+	requests         []*observedRequest // in the order in which they were read
+	byID             map[string]*observedRequest
+	poolConn         transport.Conn
+	drainLimitPassed bool // the limit of the drain has passed
 }
 
-// plantCoreBug returns what makes the interposers for a bug, one for each process.
+// plantCoreBug returns a function that returns a new interposer with the bug for each process.
 func plantCoreBug(bug coreBug) func() interposer {
 	return func() interposer { return &observedCore{bug: bug, byID: map[string]*observedRequest{}} }
 }
 
-// add notes a request once, however often its bytes are read.
+// add records a request. It does so only once, even if the bytes of the request are read repeatedly.
 func (c *observedCore) add(request *observedRequest, raw []byte) *observedRequest {
 	if known := c.byID[request.id]; known != nil {
 		return known
 	}
-	request.late = c.draining
-	request.forged = slices.Clone(c.bug.received(c, request, raw))
+	request.afterDrainLimit = c.drainLimitPassed
+	request.replacement = slices.Clone(c.bug.received(c, request, raw))
 	c.requests = append(c.requests, request)
 	c.byID[request.id] = request
 	return request
 }
 
-// anyRunning says that a request with the key runs.
+// anyRunning reports whether a request with the key is running.
 func (c *observedCore) anyRunning(key string) bool {
 	return slices.ContainsFunc(c.requests, func(r *observedRequest) bool { return r.key == key && r.running() })
 }
@@ -93,7 +93,7 @@
 	return &observedLoop{loop, c}
 }
 
-// observedHandler shows the requests of clients to a bug.
+// observedHandler passes the requests of clients to a bug.
 type observedHandler struct {
 	transport.Handler
 	core *observedCore
@@ -111,7 +111,7 @@
 	return h.Handler.Accept(listener, conn)
 }
 
-// observedSession shows what a client sends before the server reads it.
+// observedSession passes the input of a client to read before the server reads it.
 type observedSession struct {
 	transport.Session
 	read func(in []byte) []byte
@@ -123,10 +123,10 @@
 type observedProxy struct {
 	transport.Conn
 	core *observedCore
-	open map[int32]*observedRequest // by the sequence ID
+	open map[int32]*observedRequest // by sequence ID
 }
 
-// read shows each whole request to the bug, and returns what the core reads.
+// read passes each complete request to the bug, and returns the bytes that the core reads.
 func (p *observedProxy) read(in []byte) []byte {
 	changed := slices.Clone(in)
 	for rest := changed; ; {
@@ -140,18 +140,18 @@
 				id: call.Fields["id"], key: call.Fields["once"], class: call.Fields["class"], body: slices.Clone(call.Body),
 			}, rest[:size])
 			p.open[call.SequenceID] = request
-			copy(rest[:size], request.forged)
+			copy(rest[:size], request.replacement)
 		}
 		rest = rest[size:]
 	}
 }
 
-// Write shows each response to the bug before the proxy gets it.
+// Write passes each response to the bug before the proxy receives it.
 func (p *observedProxy) Write(out []byte) {
 	for len(out) > 0 {
 		payload, size, err := thrift.SplitFrame(out)
 		if err != nil || payload == nil {
-			panic("sim: the server wrote half a message")
+			panic("sim: the server wrote an incomplete message")
 		}
 		p.Conn.Write(p.response(payload, out[:size]))
 		out = out[size:]
@@ -165,7 +165,7 @@
 		return raw
 	}
 	again := slices.Clone(raw)
-	request.answerAgain = func() { p.Conn.Write(again) }
+	request.resendFailure = func() { p.Conn.Write(again) }
 	rejection := thrift.AppendThrottled(nil, reply.SequenceID, nil)
 	return p.core.bug.failed(request, failure{raw, rejection})
 }
@@ -177,7 +177,7 @@
 	open *observedRequest
 }
 
-// read notes each request whose head has come whole.
+// read records each request whose head is complete.
 func (w *observedWebServer) read(in []byte) []byte {
 	for rest := in; ; {
 		payload, size, err := ajp.SplitPacket(rest, ajp.FromServer)
@@ -192,12 +192,12 @@
 	}
 }
 
-// Write shows the head of each response that fails a request to the bug before the web server gets it.
+// Write passes the head of each response that fails a request to the bug before the web server receives it.
 func (w *observedWebServer) Write(out []byte) {
 	for len(out) > 0 {
 		payload, size, err := ajp.SplitPacket(out, ajp.FromContainer)
 		if err != nil || payload == nil {
-			panic("sim: the server wrote half a packet")
+			panic("sim: the server wrote an incomplete packet")
 		}
 		w.Conn.Write(w.response(payload, out[:size]))
 		out = out[size:]
@@ -219,15 +219,15 @@
 	return w.core.bug.failed(w.open, failure{raw, rejection})
 }
 
-// observedLoop shows the runs of the worker pool to a bug.
+// observedLoop passes the runs of the worker pool to a bug.
 type observedLoop struct {
 	server.EventLoop
 	core *observedCore
 }
 
-// CloseListener is called once the limit of a drain has passed.
+// CloseListener records that the limit of a drain has passed, as the server calls it at that time.
 func (l *observedLoop) CloseListener(listener int, done func()) {
-	l.core.draining = true
+	l.core.drainLimitPassed = true
 	l.EventLoop.CloseListener(listener, done)
 }
 
@@ -242,7 +242,7 @@
 	})
 }
 
-// writeToPool notes the runs that the core starts.
+// writeToPool records the runs that the core starts.
 func (c *observedCore) writeToPool(conn transport.Conn, p []byte) {
 	for _, m := range commands(p, pool.ParseCommand) {
 		if request := c.byID[m.command.ID]; request != nil && m.command.Verb == pool.Spawn {
@@ -252,7 +252,7 @@
 	conn.Write(p)
 }
 
-// receiveFromPool shows the runs that have ended to the bug, once the core has heard of them.
+// receiveFromPool passes ended runs to the bug after the core has received their ends.
 func (c *observedCore) receiveFromPool(session transport.Session, in []byte) (int, error) {
 	messages := poolMessages(slices.Clone(in))
 	n, err := session.Receive(in)
--- a/internal/testbed/sim/planted_bug_test.go
+++ b/internal/testbed/sim/planted_bug_test.go
@@ -10,16 +10,16 @@
 	"pewterline/internal/microtime"
 )
 
-// plantedBug is a bug that a test plants around the server, which itself has no part in it: between the server and its
-// event loop, or between the event loop and the network.
+// plantedBug is a bug that a test plants without changing the server: between the server and its event loop, or between
+// the event loop and the network.
 type plantedBug struct {
-	name      string            // of its kept script in testdata/planted
-	want      string            // key of the violation that it leads to
-	interpose func() interposer // nil: nothing stands between the server and its event loop
-	beforeRun func(*simulation) // nil: nothing is changed in the simulation
+	name          string            // name of the bug and of its kept script in testdata/planted
+	wantViolation string            // key of the violation that the bug causes
+	interpose     func() interposer // nil if the bug needs no interposer
+	beforeRun     func(*simulation) // nil if the bug does not change the simulation
 }
 
-// wideSearch and narrowSearch are the searches by which bugs are found.
+// wideSearch and narrowSearch are the searches that must find the bugs.
 var (
 	wideSearch = Search{
 		FirstSeed: 1, LastSeed: 500, Profile: "worst", Servers: 3, Proxies: 4, Length: 12 * microtime.Second,
@@ -31,24 +31,24 @@
 	}
 )
 
-// options plays a script with the bug to its first violation.
+// options returns the options to play a script with the bug up to the first violation.
 func (b plantedBug) options() Options {
 	return Options{StopAtFirst: true, interpose: b.interpose, beforeRun: b.beforeRun}
 }
 
-// requireSeen requires that the invariants show the bug on its kept script, and that the server without it keeps them
-// there.
-func (b plantedBug) requireSeen(t *testing.T) {
+// requireDetected requires that the invariants detect the bug on its kept script, and that the server without the bug
+// violates no invariant on that script.
+func (b plantedBug) requireDetected(t *testing.T) {
 	t.Helper()
 	script := readScript(t, filepath.Join("testdata", "planted", b.name+".txt"))
 	playClean(t, script, Options{})
 	outcome := mustPlay(t, script, b.options())
 	require.NotEmpty(t, outcome.Violations, b.name)
-	require.Equal(t, b.want, outcome.Violations[0].Key(), outcome.Violations[0].String())
+	require.Equal(t, b.wantViolation, outcome.Violations[0].Key(), outcome.Violations[0].String())
 }
 
-// requireFound requires that a search finds the bug within a few hundred scripts. With SIM_PLANTED it writes the kept
-// script anew to the folder of that name.
+// requireFound requires that a search finds the bug within a few hundred scripts. If the environment variable
+// SIM_PLANTED names a folder, it writes a new kept script there.
 func (b plantedBug) requireFound(t *testing.T, search Search) {
 	t.Helper()
 	search.interpose = b.interpose
@@ -57,13 +57,13 @@
 	require.NoError(t, err)
 	require.NotEmpty(t, progress.Findings, b.name)
 	finding := progress.Findings[0]
-	require.Equal(t, b.want, finding.Violation.Key(), "%s: %s", b.name, finding.Violation)
+	require.Equal(t, b.wantViolation, finding.Violation.Key(), "%s: %s", b.name, finding.Violation)
 	t.Logf("script %d, after %v: %s", finding.Run, finding.After, finding.Violation.Key())
 	folder := os.Getenv("SIM_PLANTED")
 	if folder == "" {
 		return
 	}
-	smallest, violation, err := shrinking{maxPlays: 1000, options: b.options()}.run(finding.Script)
+	smallest, violation, err := shrinkRun{maxPlays: 1000, options: b.options()}.run(finding.Script)
 	require.NoError(t, err)
 	text := "# " + b.name + ": " + violation.Key() + "\n" + smallest.String()
 	require.NoError(t, os.WriteFile(filepath.Join(folder, b.name+".txt"), []byte(text), 0o600))
--- a/internal/testbed/sim/planted_calls_test.go
+++ b/internal/testbed/sim/planted_calls_test.go
@@ -10,23 +10,23 @@
 	"pewterline/internal/testbed/simnet"
 )
 
-// plantedCallBugs are bugs of the calls to the vault. They are planted between the event loop and the network: what
-// the server writes is changed on its way.
+// plantedCallBugs are bugs of the calls to the vault. They are planted between the event loop and the network, by
+// changing the output of the server.
 var plantedCallBugs = []plantedBug{
-	{name: "again-after-overdue", want: "call/made twice", beforeRun: plantAgainAfterOverdue},
-	{name: "reply-to-next-run", want: "call/reply changed, or another's", beforeRun: plantReplyToNextRun},
-	{name: "open-at-drain", want: "call/not given up", beforeRun: plantOpenAtDrain},
+	{name: "again-after-overdue", wantViolation: "call/made twice", beforeRun: plantAgainAfterOverdue},
+	{name: "reply-to-next-run", wantViolation: "call/reply changed, or another's", beforeRun: plantReplyToNextRun},
+	{name: "open-at-drain", wantViolation: "call/not given up", beforeRun: plantOpenAtDrain},
 }
 
-// isServer reports that a node is a server, and no edge.
+// isServer reports whether a node is a server, not an edge.
 func isServer(node string) bool { return strings.HasPrefix(node, "s") }
 
-// isVaultEvent reports that an event is one of a server's connection to the vault.
+// isVaultEvent reports whether an event belongs to a server's connection to the vault.
 func isVaultEvent(event simnet.Event) bool {
 	return event.Dialer && isServer(event.Node) && strings.HasPrefix(event.Addr, vaultNode+"/")
 }
 
-// eachCall calls a function with each call that an event shows a server make.
+// eachCall passes each call that a server sends with an event to see.
 func eachCall(event simnet.Event, see func(call vault.Command)) {
 	if event.Kind != simnet.Written || !isVaultEvent(event) {
 		return
@@ -38,15 +38,15 @@
 	}
 }
 
-// plantAgainAfterOverdue makes each call again, on the same connection, once "overdue" has come for it.
+// plantAgainAfterOverdue repeats each call on the same connection after its "overdue" reply.
 func plantAgainAfterOverdue(sim *simulation) {
 	const repeatDelay = microtime.Millisecond
 	const callTimeoutMS = 1000
 	bodies := map[string][]byte{}   // of calls, by request ID
 	received := map[uint64][]byte{} // not yet parsed, by connection
-	judge := sim.net.Tap
+	checkInvariants := sim.net.Tap
 	sim.net.Tap = func(event simnet.Event) {
-		judge(event)
+		checkInvariants(event)
 		eachCall(event, func(call vault.Command) { bodies[call.ID] = append([]byte(nil), call.Body...) })
 		if event.Kind != simnet.Arrived || !isVaultEvent(event) {
 			return
@@ -59,14 +59,15 @@
 			}
 			received[event.Conn] = received[event.Conn][size:]
 			if reply.Status == vault.Overdue {
-				again := func() { sim.write(event, vault.AppendAsk(nil, reply.ID, callTimeoutMS, bodies[reply.ID])) }
-				sim.clock.In(repeatDelay, again)
+				repeatCall := func() { sim.write(event, vault.AppendAsk(nil, reply.ID, callTimeoutMS, bodies[reply.ID])) }
+				sim.clock.In(repeatDelay, repeatCall)
 			}
 		}
 	}
 }
 
-// write has a node's end of a connection, where it is still open, send what the program did not.
+// write sends bytes that the program did not write, from the event's node over the event's connection, if that is still
+// open.
 func (s *simulation) write(event simnet.Event, out []byte) {
 	for _, stream := range s.net.Node(event.Node).Streams() {
 		if stream.ConnID() == event.Conn {
@@ -75,12 +76,12 @@
 	}
 }
 
-// plantReplyToNextRun supplies a reply to another run of the server's that waits, where there is one.
+// plantReplyToNextRun supplies each reply to another waiting run of the same server, if there is one.
 func plantReplyToNextRun(sim *simulation) {
-	waiting := map[string][]string{} // by server, in the order in which they came to wait
-	judge := sim.net.Tap
+	waiting := map[string][]string{} // request IDs by server, in the order of their calls
+	checkInvariants := sim.net.Tap
 	sim.net.Tap = func(event simnet.Event) {
-		judge(event)
+		checkInvariants(event)
 		eachCall(event, func(call vault.Command) { waiting[event.Node] = append(waiting[event.Node], call.ID) })
 	}
 	sim.net.Intercept = func(stream *simnet.Stream, out []byte) []byte {
@@ -101,7 +102,8 @@
 	}
 }
 
-// takeOther returns the first ID that is not the given one, or that where there is no other, and the IDs without both.
+// takeOther returns the first ID that differs from the given one, or the given one if there is no other, and the IDs
+// without both.
 func takeOther(ids []string, id string) (other string, rest []string) {
 	other, rest = id, ids[:0]
 	for _, candidate := range ids {
@@ -116,7 +118,7 @@
 	return other, rest
 }
 
-// plantOpenAtDrain keeps back what gives a call up, once the server has had the notice to drain.
+// plantOpenAtDrain drops cancellations of calls once the server has received the notice to drain.
 func plantOpenAtDrain(sim *simulation) {
 	sim.net.Intercept = func(stream *simnet.Stream, out []byte) []byte {
 		server := sim.instance(stream.Node())
@@ -133,7 +135,7 @@
 	}
 }
 
-// The search finds each planted bug within a few hundred scripts, which is well under two minutes.
+// The search finds each planted bug within a few hundred scripts, in well under two minutes.
 func TestSearchFindsPlantedCallBugs(t *testing.T) {
 	search := narrowSearch
 	search.Vault = true
@@ -142,9 +144,9 @@
 	}
 }
 
-// On its kept script each planted bug is seen, and the server without it breaks no invariant there.
-func TestPlantedCallBugsAreSeen(t *testing.T) {
+// The invariants detect each planted bug on its kept script, where the server without the bug violates none.
+func TestPlantedCallBugsAreDetected(t *testing.T) {
 	for _, bug := range plantedCallBugs {
-		t.Run(bug.name, bug.requireSeen)
+		t.Run(bug.name, bug.requireDetected)
 	}
 }
--- a/internal/testbed/sim/planted_dispatch_test.go
+++ b/internal/testbed/sim/planted_dispatch_test.go
@@ -11,53 +11,55 @@
 	"pewterline/internal/protocol/pool"
 )
 
-// Bugs of the request core that break one rule.
+// Bugs of the request core that each violate one rule.
 var (
 	plantedKeyTwice = plantedBug{
-		name: "key-twice", want: "duplicate/run twice within its window", interpose: plantCoreBug(forgetRunningKey{}),
+		name: "key-twice", wantViolation: "duplicate/run twice within its window",
+		interpose: plantCoreBug(forgetRunningKey{}),
 	}
 	plantedAnswerTwice = plantedBug{
-		name: "answer-twice", want: "duplicate/answered twice", interpose: plantCoreBug(answerFailedAgain{}),
+		name: "answer-twice", wantViolation: "duplicate/answered twice", interpose: plantCoreBug(answerFailedAgain{}),
 	}
 	plantedRefuseRun = plantedBug{
-		name: "refuse-run", want: "duplicate/refused after a run", interpose: plantCoreBug(rejectRunning{}),
+		name: "refuse-run", wantViolation: "duplicate/refused after a run", interpose: plantCoreBug(rejectRunning{}),
 	}
 	plantedPassLate = plantedBug{
-		name: "pass-late", want: "drain/run past the limit", interpose: plantCoreBug(startLateWaiter{}),
+		name: "pass-late", wantViolation: "drain/run past the limit", interpose: plantCoreBug(startLateWaiter{}),
 	}
 )
 
-// plantLateStart keeps the notice to drain from the decision module. What it leads to is a matter of the script:
-// requests run that come too late, or are unanswered when the server ends.
-func plantLateStart() interposer { return drainUnheard{} }
+// plantDroppedDrainNotice drops the notice to drain before the decision module. The resulting violation depends on the
+// script: requests that arrive too late are run, or requests are unanswered when the server ends.
+func plantDroppedDrainNotice() interposer { return drainNoticeDropper{} }
 
-var plantedLateStart = []plantedBug{
-	{name: "late-start", want: "lost/closed by the server", interpose: plantLateStart},
-	{name: "late-start-run", want: "drain/run past the limit", interpose: plantLateStart},
+var plantedDroppedDrainNotice = []plantedBug{
+	{name: "late-start", wantViolation: "lost/closed by the server", interpose: plantDroppedDrainNotice},
+	{name: "late-start-run", wantViolation: "drain/run past the limit", interpose: plantDroppedDrainNotice},
 }
 
-// forgetRunningKey forgets a key while its run goes on: the core reads a repeat as another request.
+// forgetRunningKey changes the key of a retry that arrives while a request with that key is running, so that the core
+// takes the retry for another request.
 type forgetRunningKey struct{ noCoreBug }
 
 func (forgetRunningKey) received(core *observedCore, request *observedRequest, raw []byte) []byte {
 	if request.key == "" || !core.anyRunning(request.key) {
 		return raw
 	}
-	forgotten := []byte(request.key)
-	forgotten[len(forgotten)-1] = '~' // No proxy's key ends so.
-	return bytes.Replace(raw, []byte(request.key), forgotten, 1)
+	changedKey := []byte(request.key)
+	changedKey[len(changedKey)-1] = '~' // No key of a proxy ends with this character.
+	return bytes.Replace(raw, []byte(request.key), changedKey, 1)
 }
 
-// answerFailedAgain answers a request with the end of its run that was failed before.
+// answerFailedAgain answers a request a second time when its run ends after the request has failed.
 type answerFailedAgain struct{ noCoreBug }
 
 func (answerFailedAgain) finished(_ *observedCore, request *observedRequest) {
-	if request.answerAgain != nil {
-		request.answerAgain()
+	if request.resendFailure != nil {
+		request.resendFailure()
 	}
 }
 
-// failed answers twice at once where the run has ended already, and its result is on its way to the store of record.
+// failed answers twice immediately if the run has already ended and its result is being written to the store of record.
 func (answerFailedAgain) failed(request *observedRequest, response failure) []byte {
 	if request.ended && request.outcome == pool.Pass {
 		return slices.Concat(response.raw, response.raw)
@@ -65,7 +67,7 @@
 	return response.raw
 }
 
-// rejectRunning rejects a request that is given up while it runs, rather than failing it.
+// rejectRunning rejects, rather than fails, a request that the server gives up while it is running.
 type rejectRunning struct{ noCoreBug }
 
 func (rejectRunning) failed(request *observedRequest, response failure) []byte {
@@ -75,8 +77,8 @@
 	return response.raw
 }
 
-// startLateWaiter runs a repeat in the place of an attempt that was not started, though it came past the limit of a
-// drain.
+// startLateWaiter starts a retry in place of an attempt that the pool did not run, although the retry arrived after the
+// limit of a drain.
 type startLateWaiter struct{ noCoreBug }
 
 func (startLateWaiter) finished(core *observedCore, request *observedRequest) {
@@ -84,7 +86,7 @@
 		return
 	}
 	late := slices.IndexFunc(core.requests, func(waiter *observedRequest) bool {
-		return waiter.key == request.key && waiter.late && !waiter.started
+		return waiter.key == request.key && waiter.afterDrainLimit && !waiter.started
 	})
 	if late >= 0 {
 		waiter := core.requests[late]
@@ -92,37 +94,37 @@
 	}
 }
 
-// drainUnheard keeps the notice to drain from the decision module.
-type drainUnheard struct{ passThrough }
+// drainNoticeDropper drops the notice to drain before the decision module.
+type drainNoticeDropper struct{ passThrough }
 
-func (drainUnheard) newController(settings control.Settings) (dispatch.Controller, error) {
+func (drainNoticeDropper) newController(settings control.Settings) (dispatch.Controller, error) {
 	controller, err := control.New(settings)
-	return drainlessController{controller}, err
+	return noDrainController{controller}, err
 }
 
-type drainlessController struct{ *control.Controller }
+type noDrainController struct{ *control.Controller }
 
-func (c drainlessController) Step(now time.Duration, events []control.Event) []control.Action {
-	heard := slices.DeleteFunc(slices.Clone(events), func(event control.Event) bool {
+func (c noDrainController) Step(now time.Duration, events []control.Event) []control.Action {
+	remaining := slices.DeleteFunc(slices.Clone(events), func(event control.Event) bool {
 		_, drain := event.(control.DrainRequested)
 		return drain
 	})
-	return c.Controller.Step(now, heard)
+	return c.Controller.Step(now, remaining)
 }
 
-// The invariants show each planted bug on its kept script, and the server without it keeps them there.
-func TestPlantedDispatchBugsAreSeen(t *testing.T) {
+// The invariants detect each planted bug on its kept script, where the server without the bug violates none.
+func TestPlantedDispatchBugsAreDetected(t *testing.T) {
 	bugs := []plantedBug{plantedKeyTwice, plantedAnswerTwice, plantedRefuseRun, plantedPassLate}
-	for _, bug := range append(bugs, plantedLateStart...) {
-		t.Run(bug.name, bug.requireSeen)
+	for _, bug := range append(bugs, plantedDroppedDrainNotice...) {
+		t.Run(bug.name, bug.requireDetected)
 	}
 }
 
-// The search finds the planted bugs. It has nothing to say of pass-late: neither it nor the guided search found that
-// one within 1,400 scripts in earlier measurements (docs/design/faults.md), and its kept script stands in for a find.
+// The search finds the planted bugs. pass-late is left out: neither the random nor the guided search found it within
+// 1,400 scripts in earlier measurements (docs/design/faults.md), so that only its kept script tests its detection.
 func TestSearchFindsPlantedDispatchBugs(t *testing.T) {
 	t.Parallel()
-	for _, bug := range []plantedBug{plantedKeyTwice, plantedAnswerTwice, plantedRefuseRun, plantedLateStart[1]} {
+	for _, bug := range []plantedBug{plantedKeyTwice, plantedAnswerTwice, plantedRefuseRun, plantedDroppedDrainNotice[1]} {
 		t.Run(bug.name, func(t *testing.T) { bug.requireFound(t, wideSearch) })
 	}
 }
--- a/internal/testbed/sim/planted_frontend_test.go
+++ b/internal/testbed/sim/planted_frontend_test.go
@@ -10,9 +10,9 @@
 	"pewterline/internal/transport"
 )
 
-// plantedFrontendBug has a cancellation of a request that is not in flight cancel another one.
+// plantedFrontendBug turns the cancellation of a request that is not in flight into that of another request.
 var plantedFrontendBug = plantedBug{
-	name: "give-up-other", want: "lost/unanswered", interpose: func() interposer { return cancelsOthers{} },
+	name: "give-up-other", wantViolation: "lost/unanswered", interpose: func() interposer { return cancelsOthers{} },
 }
 
 type cancelsOthers struct{ passThrough }
@@ -31,7 +31,7 @@
 	return &misdirectedSession{Session: h.Handler.Accept(listener, tracked), conn: tracked}
 }
 
-// trackedConn knows which requests of a proxy are in flight.
+// trackedConn tracks which requests of a proxy are in flight.
 type trackedConn struct {
 	transport.Conn
 	inFlight map[int32]bool // by sequence ID
@@ -41,7 +41,7 @@
 	for rest := out; len(rest) > 0; {
 		payload, size, err := thrift.SplitFrame(rest)
 		if err != nil || payload == nil {
-			panic("sim: the server wrote half a message")
+			panic("sim: the server wrote an incomplete message")
 		}
 		if reply, err := thrift.DecodeReply(payload); err == nil && reply.Kind != thrift.ReplyFarewell {
 			delete(c.inFlight, reply.SequenceID)
@@ -51,7 +51,7 @@
 	c.Conn.Write(out)
 }
 
-// misdirectedSession hands the server's session one message at a time, some of them changed.
+// misdirectedSession passes messages to the server's session one at a time, and changes some cancellations.
 type misdirectedSession struct {
 	transport.Session
 	conn *trackedConn
@@ -71,7 +71,8 @@
 	}
 }
 
-// misdirect returns a message as it is, but for the cancellation of a request that is not in flight where others are.
+// misdirect returns the message unchanged, unless it cancels a request that is not in flight while others are: then it
+// returns the cancellation of one of those.
 func (s *misdirectedSession) misdirect(message, payload []byte) []byte {
 	call, _, err := thrift.DecodeCall(payload)
 	switch {
@@ -88,8 +89,8 @@
 	return message
 }
 
-// The invariants show the planted bug on its kept script, and the server without it keeps them there.
-func TestPlantedFrontendBugIsSeen(t *testing.T) { plantedFrontendBug.requireSeen(t) }
+// The invariants detect the planted bug on its kept script, where the server without the bug violates none.
+func TestPlantedFrontendBugIsDetected(t *testing.T) { plantedFrontendBug.requireDetected(t) }
 
 // The search finds the planted bug.
 func TestSearchFindsPlantedFrontendBug(t *testing.T) {
--- a/internal/testbed/sim/planted_server_test.go
+++ b/internal/testbed/sim/planted_server_test.go
@@ -7,11 +7,11 @@
 	"pewterline/internal/testbed/simnet"
 )
 
-// plantEarlyStop ends each draining server once its grace is over, whatever is unanswered. The server itself would
-// wait: its event loop is stopped without it.
+// plantEarlyStop stops the event loop of each draining server at the end of its drain grace, even if requests are
+// unanswered, for which the server itself would wait.
 func plantEarlyStop(sim *simulation) {
-	const farewellTime = 10 * microtime.Millisecond // The server has told its clients to close by then.
-	const closeTime = 500 * microtime.Millisecond   // They get this long, as from the server.
+	const farewellTime = 10 * microtime.Millisecond // By then the server has sent the farewells.
+	const closeTime = 500 * microtime.Millisecond   // Time for clients to close, as the server allows.
 	planted := map[*simnet.Host]bool{}
 	check := sim.clock.After
 	sim.clock.After = func() {
@@ -24,18 +24,20 @@
 			planted[host] = true
 			drainGrace := microtime.FromDuration(server.config.Settings.DrainGrace)
 			sim.clock.In(drainGrace+farewellTime, func() {
-				// An error says that the server has ended by itself.
+				// An error means that the server has already ended.
 				_ = host.Loop().Execute(func() { host.Loop().Shutdown(sim.clock.Now() + closeTime) })
 			})
 		}
 	}
 }
 
-// plantedEarlyStop is a server that ends its drain with requests unanswered.
-var plantedEarlyStop = plantedBug{name: "leave-open", want: "lost/closed by the server", beforeRun: plantEarlyStop}
+// plantedEarlyStop is a server that ends its drain while requests are unanswered.
+var plantedEarlyStop = plantedBug{
+	name: "leave-open", wantViolation: "lost/closed by the server", beforeRun: plantEarlyStop,
+}
 
-// The invariants show the planted bug on its kept script, and the server without it keeps them there.
-func TestEarlyStopIsSeen(t *testing.T) { plantedEarlyStop.requireSeen(t) }
+// The invariants detect the planted bug on its kept script, where the server without the bug violates none.
+func TestEarlyStopIsDetected(t *testing.T) { plantedEarlyStop.requireDetected(t) }
 
 // The search finds the planted bug.
 func TestSearchFindsEarlyStop(t *testing.T) { plantedEarlyStop.requireFound(t, narrowSearch) }
--- a/internal/testbed/sim/planted_transport_test.go
+++ b/internal/testbed/sim/planted_transport_test.go
@@ -9,36 +9,36 @@
 	"pewterline/internal/transport"
 )
 
-// plantedTransportBugs are bugs of the event loop and of the worker pool's client, as the server and its peers would
-// see them.
+// plantedTransportBugs are bugs of the event loop and of the worker pool's client, reproduced at their interfaces to
+// the server and its peers.
 var plantedTransportBugs = []plantedBug{
 	{
-		name: "room-open", want: "lost/closed by the server",
+		name: "room-open", wantViolation: "lost/closed by the server",
 		interpose: func() interposer { return evictsBusyConnections{} },
 	},
 	{
-		name: "stranger-vouched", want: "lost/closed by the server",
+		name: "stranger-vouched", wantViolation: "lost/closed by the server",
 		interpose: func() interposer { return neverIdentifies{} },
 	},
 	{
-		name: "no-redial", want: "recovery/no try to reach the worker pool",
+		name: "no-redial", wantViolation: "recovery/no try to reach the worker pool",
 		interpose: func() interposer { return redialsOnce{} },
 	},
 	{
-		name: "notices-past", want: "result/notices passed over",
+		name: "notices-past", wantViolation: "result/notices passed over",
 		interpose: func() interposer { return poolBug(skipNotice) },
 	},
 	{
-		name: "sent-before", want: "duplicate/run twice",
+		name: "sent-before", wantViolation: "duplicate/run twice",
 		interpose: func() interposer { return poolBug(spawnBeforeNotices) },
 	},
 	{
-		name: "wrong-try", want: "result/served what no run made for it",
+		name: "wrong-try", wantViolation: "result/served what no run made for it",
 		interpose: func() interposer { return poolBug(overwriteResults) },
 	},
 }
 
-// evictsBusyConnections has connections evicted that have open requests.
+// evictsBusyConnections lets the event loop evict connections that have open requests.
 type evictsBusyConnections struct{ passThrough }
 
 func (evictsBusyConnections) handler(handler transport.Handler) transport.Handler {
@@ -55,7 +55,7 @@
 
 func (alwaysIdle) Idle() bool { return true }
 
-// neverIdentifies has connections closed as unidentified that have sent something valid.
+// neverIdentifies lets the event loop close connections as unidentified although they have sent valid input.
 type neverIdentifies struct{ passThrough }
 
 func (neverIdentifies) handler(handler transport.Handler) transport.Handler {
@@ -72,14 +72,14 @@
 
 func (unidentifiable) MarkIdentified() {}
 
-// redialsOnce never dials a connection again that was refused twice.
+// redialsOnce stops dialing after an address has refused a connection twice.
 type redialsOnce struct{ passThrough }
 
-func (redialsOnce) eventLoop(loop server.EventLoop) server.EventLoop { return secondDialIsLast{loop} }
+func (redialsOnce) eventLoop(loop server.EventLoop) server.EventLoop { return singleRedialLoop{loop} }
 
-type secondDialIsLast struct{ server.EventLoop }
+type singleRedialLoop struct{ server.EventLoop }
 
-func (l secondDialIsLast) Dial(addr string, open func(transport.Conn) transport.Session) (drop func()) {
+func (l singleRedialLoop) Dial(addr string, open func(transport.Conn) transport.Session) (drop func()) {
 	dropped := false
 	dropAttempt := l.DialOnce(addr, open, func() {
 		if !dropped {
@@ -94,20 +94,22 @@
 	}
 }
 
-// poolBug is a bug of the worker pool's client: it returns a connection and a session that misbehave.
-type poolBug func(sent *spawns, conn transport.Conn, open func(transport.Conn) transport.Session) transport.Session
+// poolBug is a bug of the worker pool's client. It opens a session that misbehaves, or whose connection does.
+type poolBug func(
+	sent *unfinishedRuns, conn transport.Conn, open func(transport.Conn) transport.Session,
+) transport.Session
 
 func (poolBug) handler(handler transport.Handler) transport.Handler { return handler }
 
 func (b poolBug) eventLoop(loop server.EventLoop) server.EventLoop {
-	return &poolDialer{EventLoop: loop, bug: b, sent: &spawns{commands: map[string][]byte{}}}
+	return &poolDialer{EventLoop: loop, bug: b, sent: &unfinishedRuns{commands: map[string][]byte{}}}
 }
 
 // poolDialer plants a bug in the connections to the worker pool.
 type poolDialer struct {
 	server.EventLoop
 	bug  poolBug
-	sent *spawns
+	sent *unfinishedRuns
 }
 
 func (d *poolDialer) Dial(addr string, open func(transport.Conn) transport.Session) (drop func()) {
@@ -133,8 +135,8 @@
 
 func (s *poolSession) Receive(in []byte) (int, error) { return s.receive(s.Session, in) }
 
-// skipNotice binds a new connection one notice too far.
-func skipNotice(_ *spawns, conn transport.Conn, open func(transport.Conn) transport.Session) transport.Session {
+// skipNotice binds each new connection one notice too late, which skips a notice.
+func skipNotice(_ *unfinishedRuns, conn transport.Conn, open func(transport.Conn) transport.Session) transport.Session {
 	return open(&poolConn{conn, func(conn transport.Conn, p []byte) {
 		for _, m := range commands(p, pool.ParseCommand) {
 			if m.command.Verb == pool.Bind && m.command.Notice > 0 {
@@ -146,13 +148,13 @@
 	}})
 }
 
-// spawns is the runs that the client has sent, and whose end it has not received.
-type spawns struct {
-	ids      []string // in the order in which they were sent first
+// unfinishedRuns are the runs that the client has sent and whose end it has not received.
+type unfinishedRuns struct {
+	ids      []string // in the order in which they were first sent
 	commands map[string][]byte
 }
 
-func (s *spawns) written(p []byte) {
+func (s *unfinishedRuns) recordSpawns(p []byte) {
 	for _, m := range commands(p, pool.ParseCommand) {
 		if m.command.Verb != pool.Spawn {
 			continue
@@ -164,45 +166,46 @@
 	}
 }
 
-func (s *spawns) finished(id string) { delete(s.commands, id) }
+func (s *unfinishedRuns) remove(id string) { delete(s.commands, id) }
 
-// sendAgain sends all of them.
-func (s *spawns) sendAgain(conn transport.Conn) {
-	left := s.ids[:0]
+// resendAll sends all unfinished runs again.
+func (s *unfinishedRuns) resendAll(conn transport.Conn) {
+	unfinished := s.ids[:0]
 	for _, id := range s.ids {
 		if command := s.commands[id]; command != nil {
 			conn.Write(command)
-			left = append(left, id)
+			unfinished = append(unfinished, id)
 		}
 	}
-	s.ids = left
+	s.ids = unfinished
 }
 
-// spawnBeforeNotices sends all runs again as a new connection is bound, before the missed notices are read.
+// spawnBeforeNotices sends all unfinished runs again when a new connection is bound, before it reads the notices that
+// it missed.
 func spawnBeforeNotices(
-	sent *spawns, conn transport.Conn, open func(transport.Conn) transport.Session,
+	sent *unfinishedRuns, conn transport.Conn, open func(transport.Conn) transport.Session,
 ) transport.Session {
 	session := open(&poolConn{conn, func(conn transport.Conn, p []byte) {
-		sent.written(p)
+		sent.recordSpawns(p)
 		conn.Write(p)
 	}})
 	return &poolSession{session, func(session transport.Session, in []byte) (int, error) {
 		for _, m := range poolMessages(in) {
 			switch m.Kind {
 			case pool.Bound:
-				sent.sendAgain(conn)
+				sent.resendAll(conn)
 			case pool.Finished:
-				sent.finished(m.ID)
-			default: // The others tell nothing of what has ended.
+				sent.remove(m.ID)
+			default: // Other messages do not end runs.
 			}
 		}
 		return session.Receive(in)
 	}}
 }
 
-// overwriteResults has each result overwritten with the one before it on its connection, as if both shared memory.
+// overwriteResults overwrites each result with the previous one on its connection, as if both shared memory.
 func overwriteResults(
-	_ *spawns, conn transport.Conn, open func(transport.Conn) transport.Session,
+	_ *unfinishedRuns, conn transport.Conn, open func(transport.Conn) transport.Session,
 ) transport.Session {
 	var memory []byte
 	return &poolSession{open(conn), func(session transport.Session, in []byte) (int, error) {
@@ -218,11 +221,11 @@
 	}}
 }
 
-// On its kept script each planted bug leads to its violation, and the server without it breaks no invariant there. An
-// invariant that saw nothing would pass everything.
-func TestPlantedTransportBugsAreSeen(t *testing.T) {
+// The invariants detect each planted bug on its kept script, where the server without the bug violates none. This
+// guards against invariants that never detect anything.
+func TestPlantedTransportBugsAreDetected(t *testing.T) {
 	for _, bug := range plantedTransportBugs {
-		t.Run(bug.name, bug.requireSeen)
+		t.Run(bug.name, bug.requireDetected)
 	}
 }
 
--- a/internal/testbed/sim/play.go
+++ b/internal/testbed/sim/play.go
@@ -12,35 +12,37 @@
 )
 
 const (
-	// settlingTime is how long a run goes on for at most after the last request, so that all is answered.
+	// settlingTime is the longest time that a run continues after the last request, to let the servers answer all
+	// requests.
 	settlingTime = 20 * microtime.Second
-	// minSettlingTime is how long it goes on for at least, so that what comes late is seen.
+	// minSettlingTime is the shortest time that a run continues after the last request, to observe late messages.
 	minSettlingTime = 2 * microtime.Second
-	// sliceLength is how much simulated time passes between two looks at whether the run is over.
-	sliceLength = 100 * microtime.Millisecond
+	// endCheckInterval is the simulated time between two checks whether the run can end.
+	endCheckInterval = 100 * microtime.Millisecond
 )
 
-// Options say how a script is played, beside what it says itself.
+// Options are the settings of a run that are not part of the script.
 type Options struct {
-	// Log receives the servers' log lines and the injected faults; nil: nothing is logged.
+	// Log receives the servers' log lines and the injected faults. If it is nil, nothing is logged.
 	Log func(line string)
-	// Every is called once a simulated second with the time since the start; nil: never.
-	Every func(at microtime.Time)
-	// StopAtFirst ends the run at the first violation. Without it the run goes on, and all violations are counted.
+	// EverySecond is called once per simulated second with the time since the start, unless it is nil.
+	EverySecond func(at microtime.Time)
+	// StopAtFirst ends the run at the first violation. Otherwise the run continues and collects all violations.
 	StopAtFirst bool
 
-	// beforeRun and afterRun are a test's: the first may add to the simulation, the second sees what became of it.
+	// beforeRun and afterRun are for tests and experiments. The first may change the simulation, the second may examine
+	// its result.
 	beforeRun, afterRun func(*simulation)
-	// interpose is a test's: it returns what stands between one process of a server and its event loop; nil: nothing.
+	// interpose is for tests. It returns the interposer of a new process; if it is nil, there is none.
 	interpose func() interposer
 }
 
-// Outcome is what became of a run.
+// Outcome is the result of a run.
 type Outcome struct {
 	Violations []invariant.Violation
-	Digest     uint64 // of all that the network carried, and when
+	Digest     uint64 // of all network traffic and its timing
 	Situations []faultsearch.Situation
-	// SituationCounts is how often each situation came about, by name.
+	// SituationCounts counts how often each situation was reached, by name.
 	SituationCounts map[string]int
 	Simulated       microtime.Time
 	Events          uint64
@@ -48,16 +50,17 @@
 	Requests        int            // attempts that the servers have answered
 	Answers         map[string]int // the same, by kind
 	Replies         map[string]int // of the vault to calls, by status
-	// Example is what was seen of a request that was served after its run had made a call.
-	Example []string
-	Asked   map[string]int // requests, by class; retries are not counted
-	Served  map[string]int // of them
-	// WeightedGoodput is the priority weight that was served in time, as a share of the weight that was asked for.
+	// ExampleTrace is the history of a request that was served after its run had made a downstream call.
+	ExampleTrace    []string
+	RequestsByClass map[string]int // sent requests by class, without retries
+	ServedByClass   map[string]int // served requests by class
+	// WeightedGoodput is the priority weight of requests served in time, as a share of the weight of all requests.
 	WeightedGoodput float64
-	Panic           string // the program's, which is a violation as well; "": none
+	Panic           string // message of a panic of the program, which is also a violation; empty if there was none
 }
 
-// Play plays a script to its end. The same script gives the same outcome. An error says that the script is not valid.
+// Play plays a script to its end. The same script gives the same outcome. Play returns an error if the script is not
+// valid.
 func Play(script faults.Script, options Options) (Outcome, error) {
 	if err := script.Validate(); err != nil {
 		return Outcome{}, err
@@ -79,7 +82,7 @@
 	return outcome, nil
 }
 
-// run lets the simulation go on to its end. A panic of the program is a violation like any other; run returns its text.
+// run runs the simulation to its end. A panic of the program is recorded as a violation; run returns its message.
 func (s *simulation) run() (panicked string) {
 	defer func() {
 		cause := recover()
@@ -97,13 +100,13 @@
 	requestsEnd := simnet.Start + s.script.Length
 	end := requestsEnd + settlingTime
 	nextSecond := simnet.Start
-	for at := simnet.Start; at < end; at = min(at+sliceLength, end) {
+	for at := simnet.Start; at < end; at = min(at+endCheckInterval, end) {
 		if violated := s.stepUntil(at); violated {
 			return ""
 		}
-		if s.options.Every != nil && at >= nextSecond {
+		if s.options.EverySecond != nil && at >= nextSecond {
 			nextSecond += microtime.Second
-			s.options.Every(at - simnet.Start)
+			s.options.EverySecond(at - simnet.Start)
 		}
 		if at > requestsEnd+minSettlingTime && s.observer.Unanswered() == 0 && s.allServing() {
 			return ""
@@ -112,7 +115,7 @@
 	return ""
 }
 
-// stepUntil runs all events until a time, and reports whether a violation ends the run before.
+// stepUntil runs all events up to a time, and reports whether a violation ended the run before.
 func (s *simulation) stepUntil(at microtime.Time) (violated bool) {
 	for s.clock.Step(at) {
 		if s.options.StopAtFirst && len(s.observer.Violations) > 0 {
@@ -122,7 +125,7 @@
 	return false
 }
 
-// outcome collects what has become of the run.
+// outcome collects the result of the run.
 func (s *simulation) outcome() Outcome {
 	outcome := Outcome{
 		Violations:      s.observer.Violations,
@@ -134,9 +137,9 @@
 		Turns:           s.endedTurns,
 		Answers:         s.observer.Answers,
 		Replies:         s.observer.Replies,
-		Example:         s.observer.Example,
-		Asked:           s.environment.Asked,
-		Served:          s.environment.Served,
+		ExampleTrace:    s.observer.Example,
+		RequestsByClass: s.environment.Asked,
+		ServedByClass:   s.environment.Served,
 	}
 	for _, instance := range s.instances() {
 		outcome.Turns += instance.host.Turns()
--- a/internal/testbed/sim/play_test.go
+++ b/internal/testbed/sim/play_test.go
@@ -21,7 +21,7 @@
 	return script
 }
 
-// drawScript draws the faults of a world.
+// drawScript draws a script with random faults for a world.
 func drawScript(t testing.TB, world faults.World, seed uint64, profile string) faults.Script {
 	t.Helper()
 	script, err := world.Draw(seed, profile)
@@ -37,7 +37,7 @@
 	return outcome
 }
 
-// assertClean fails the test with each violation of a run.
+// assertClean reports each violation of a run as a test failure.
 func assertClean(t *testing.T, script faults.Script, outcome Outcome) {
 	t.Helper()
 	for _, violation := range outcome.Violations {
@@ -45,7 +45,7 @@
 	}
 }
 
-// playClean plays a script on which no invariant may be broken.
+// playClean plays a script that must not violate any invariant.
 func playClean(t *testing.T, script faults.Script, options Options) Outcome {
 	t.Helper()
 	outcome := mustPlay(t, script, options)
@@ -53,8 +53,8 @@
 	return outcome
 }
 
-// Scripts that once broke an invariant, made small, and kept, and those on which a planted bug does: each says what
-// went wrong. The program keeps its invariants on them.
+// The server violates no invariant on the kept scripts: the minimized scripts on which it once did, the hard cases, and
+// those on which a planted bug does.
 func TestKeptScripts(t *testing.T) {
 	paths, err := filepath.Glob("testdata/*/*.txt")
 	require.NoError(t, err)
@@ -64,7 +64,7 @@
 	}
 }
 
-// A fixed set of seeds of every profile keeps all invariants. Longer searches are the command's.
+// A fixed set of seeds of every profile violates no invariant. The command pewterline-sim runs longer searches.
 func TestSeeds(t *testing.T) {
 	world := faults.World{Servers: 3, Proxies: 4, Length: 8 * microtime.Second}
 	for _, profile := range faults.Profiles() {
@@ -74,16 +74,16 @@
 			for seed := uint64(1); seed <= 60; seed++ {
 				answers += playClean(t, drawScript(t, world, seed, profile), Options{}).Requests
 			}
-			require.Greater(t, answers, 60*100, "the worlds were at work")
+			require.Greater(t, answers, 60*100, "the servers must have answered requests")
 		})
 	}
 }
 
-// mixedProfile returns the profiles in turn by which worlds with edges or a vault are drawn.
+// mixedProfile returns the profile for a seed of a world with edges or a vault. The profiles alternate.
 func mixedProfile(seed uint64) string { return []string{"worst", "release", "noon"}[seed%3] }
 
-// Two edges before three servers keep all invariants, among them that no request of an idempotency key runs on two
-// servers within its retention window.
+// Two edges before three servers violate no invariant. One invariant is that no two servers run requests with the same
+// idempotency key within its retention window.
 func TestEdgeSeeds(t *testing.T) {
 	t.Parallel()
 	world := faults.World{Servers: 3, Proxies: 3, Edges: 2, Length: 6 * microtime.Second}
@@ -94,7 +94,7 @@
 	require.Greater(t, answers, 60*100)
 }
 
-// A crash of the program is a violation with the simulated time of the crash.
+// A panic of the program is recorded as a violation with the simulated time of the panic.
 func TestCrashIsAViolation(t *testing.T) {
 	script := faults.Script{Seed: 1, Servers: 1, Proxies: 1, Length: 2 * microtime.Second, Rate: 5}
 	crash := func(sim *simulation) {
@@ -107,8 +107,8 @@
 	require.Equal(t, microtime.Second, violation.At/microtime.Second*microtime.Second)
 }
 
-// A script that is not valid is an error, and nothing is played.
-func TestInvalidScriptIsAnError(t *testing.T) {
+// Play returns an error for an invalid script.
+func TestPlayRejectsInvalidScript(t *testing.T) {
 	script := faults.Script{Servers: 1, Length: microtime.Second, Faults: []faults.Fault{{Kind: "quake"}}}
 	_, err := Play(script, Options{})
 	require.ErrorContains(t, err, "fault 1: kind")
--- a/internal/testbed/sim/search.go
+++ b/internal/testbed/sim/search.go
@@ -11,50 +11,50 @@
 	"pewterline/internal/testbed/invariant"
 )
 
-// Search looks for scripts that break an invariant.
+// Search looks for scripts that violate an invariant.
 type Search struct {
 	FirstSeed   uint64
-	LastSeed    uint64        // 0: without end
-	Duration    time.Duration // after which it ends; 0: no limit
-	Profile     string        // by which the faults are drawn; see package faults
+	LastSeed    uint64        // 0: no limit
+	Duration    time.Duration // after which the search ends; 0: no limit
+	Profile     string        // profile of the faults; see package faults
 	Servers     int
 	Proxies     int
-	Length      microtime.Time // of a script
-	Rate        float64        // first attempts a second in all; 0: as the faults package chooses
+	Length      microtime.Time // simulated time of each script
+	Rate        float64        // first attempts per second of all callers; 0: chosen by package faults
 	Edges       int
 	Vault       bool
-	Guided      bool // scripts that reach new situations are mutated, in place of drawing all
-	Jobs        int  // scripts that are played at once
-	MaxFindings int  // after which it ends; 0: no limit
-	// Progress is called after each batch of scripts; nil: never.
+	Guided      bool // mutates scripts that reached new situations, rather than drawing all scripts at random
+	Jobs        int  // scripts played concurrently
+	MaxFindings int  // after which the search ends; 0: no limit
+	// Progress is called after each batch of scripts, unless it is nil.
 	Progress func(Progress)
 
-	// beforeRun and interpose are a test's: as in Options, for each script.
+	// beforeRun and interpose are for tests, and apply to each script as in Options.
 	beforeRun func(*simulation)
 	interpose func() interposer
 }
 
-// Progress is how far a search has come.
+// Progress is the progress of a search.
 type Progress struct {
 	Runs       int
-	Situations int // that any script has reached
-	CorpusSize int // scripts that reached a new one
+	Situations int // reached by any script
+	CorpusSize int // scripts kept for mutation
 	Findings   []Finding
 	Simulated  microtime.Time
-	Took       time.Duration
+	Elapsed    time.Duration
 }
 
-// Finding is a script that breaks an invariant.
+// Finding is a script that violates an invariant.
 type Finding struct {
 	Script    faults.Script
 	Violation invariant.Violation
-	Run       int           // its number, from 1 on
+	Run       int           // number of the run, from 1
 	After     time.Duration // since the start of the search
 }
 
-// Run searches until something ends it. Scripts are drawn, and their outcomes recorded, in a fixed order: a search
-// without a Duration has the same result each time with the same number of Jobs. An error says that the settings of
-// the search are not valid.
+// Run searches until a limit is reached. Scripts are drawn and their outcomes recorded in a fixed order, so that a
+// search without a Duration is deterministic for a given number of Jobs. Run returns an error if the settings of the
+// search are not valid.
 func (s Search) Run() (Progress, error) {
 	world := faults.World{
 		Servers: s.Servers,
@@ -68,7 +68,7 @@
 		return Progress{}, err
 	}
 	draw := func(seed uint64) faults.Script {
-		script, _ := world.Draw(seed, s.Profile) // It fails for no seed, as it has not failed for the first.
+		script, _ := world.Draw(seed, s.Profile) // Its error does not depend on the seed; the first seed gave none.
 		return script
 	}
 	run := searchRun{
@@ -94,7 +94,7 @@
 	}
 }
 
-// searchRun is a search that is going on.
+// searchRun is the state of a running search.
 type searchRun struct {
 	search   Search
 	draw     func(seed uint64) faults.Script
@@ -104,9 +104,9 @@
 	progress Progress
 }
 
-// nextBatch returns the scripts that are played next, one for each job; none where all seeds are used.
+// nextBatch returns the scripts to play next, one for each job. It returns none if all seeds have been used.
 func (r *searchRun) nextBatch() (batch []faults.Script) {
-	for len(batch) < max(r.search.Jobs, 1) && r.seedLeft(len(batch)) {
+	for len(batch) < max(r.search.Jobs, 1) && r.hasSeedLeft(len(batch)) {
 		if r.search.Guided {
 			batch = append(batch, r.guide.Next())
 			continue
@@ -117,16 +117,16 @@
 	return batch
 }
 
-// seedLeft reports whether a further script may be played, beside the pending ones. A guided search plays as many
-// scripts as there are seeds.
-func (r *searchRun) seedLeft(pending int) bool {
+// hasSeedLeft reports whether another script may be played in addition to the pending ones. A guided search plays as
+// many scripts as there are seeds.
+func (r *searchRun) hasSeedLeft(pending int) bool {
 	if r.search.LastSeed == 0 {
 		return true
 	}
 	return r.progress.Runs+pending <= int(r.search.LastSeed-r.search.FirstSeed)
 }
 
-// play plays the scripts of a batch at once, each in a goroutine that ends with its run.
+// play plays the scripts of a batch concurrently, each in a goroutine that ends with its run.
 func (r *searchRun) play(batch []faults.Script) ([]Outcome, error) {
 	options := Options{StopAtFirst: true, beforeRun: r.search.beforeRun, interpose: r.search.interpose}
 	outcomes := make([]Outcome, len(batch))
@@ -155,14 +155,14 @@
 			})
 		}
 	}
-	progress.Took = time.Since(r.start)
+	progress.Elapsed = time.Since(r.start)
 	progress.Situations = r.guide.SituationCount()
 	progress.CorpusSize = r.guide.CorpusSize()
 }
 
-// limitReached reports that the search has lasted or found enough.
+// limitReached reports whether the search has reached its duration or its number of findings.
 func (r *searchRun) limitReached() bool {
-	timeUp := r.search.Duration > 0 && r.progress.Took >= r.search.Duration
-	enough := r.search.MaxFindings > 0 && len(r.progress.Findings) >= r.search.MaxFindings
-	return timeUp || enough
+	durationReached := r.search.Duration > 0 && r.progress.Elapsed >= r.search.Duration
+	findingsReached := r.search.MaxFindings > 0 && len(r.progress.Findings) >= r.search.MaxFindings
+	return durationReached || findingsReached
 }
--- a/internal/testbed/sim/search_test.go
+++ b/internal/testbed/sim/search_test.go
@@ -10,7 +10,8 @@
 	"pewterline/internal/testbed/invariant"
 )
 
-// The search draws, plays and learns in a fixed order: with the same seeds it is the same, however it is spread.
+// The search draws scripts and records outcomes in a fixed order: the same seeds and number of jobs give the same
+// result, regardless of the scheduling of the goroutines.
 func TestSearchIsRepeatable(t *testing.T) {
 	search := Search{
 		FirstSeed: 1, LastSeed: 40, Profile: "worst", Servers: 2, Proxies: 2, Length: 2 * microtime.Second,
@@ -27,11 +28,11 @@
 	require.Empty(t, first.Findings)
 }
 
-// A script that breaks no invariant stays as it is.
-func TestShrinkKeepsACleanScript(t *testing.T) {
+// Shrink returns a script that violates no invariant unchanged.
+func TestShrinkKeepsScriptWithoutViolation(t *testing.T) {
 	script := drawScript(t, faults.World{Servers: 2, Proxies: 2, Length: 3 * microtime.Second}, 1, "worst")
 	smallest, violation, err := Shrink(script, 50, nil)
 	require.NoError(t, err)
 	require.Equal(t, invariant.Violation{}, violation)
-	require.Equal(t, script, smallest, "what breaks no invariant stays as it is")
+	require.Equal(t, script, smallest, "a script without a violation must stay unchanged")
 }
--- a/internal/testbed/sim/shrink.go
+++ b/internal/testbed/sim/shrink.go
@@ -6,24 +6,24 @@
 	"pewterline/internal/testbed/invariant"
 )
 
-// Shrink makes a failing script smaller as long as it breaks the same invariant in the same way. It plays maxPlays
-// scripts at most, and calls onShrunk with each smaller script that still fails, where that is not nil. A script that
-// breaks no invariant is returned as it is, with the zero Violation.
+// Shrink minimizes a failing script while it still violates the same invariant in the same way. It plays at most
+// maxPlays scripts, and calls onShrunk, unless it is nil, with each smaller script that still fails. A script that
+// violates no invariant is returned unchanged, with the zero Violation.
 func Shrink(
 	script faults.Script, maxPlays int, onShrunk func(faults.Script),
 ) (faults.Script, invariant.Violation, error) {
-	return shrinking{maxPlays: maxPlays, onShrunk: onShrunk, options: Options{StopAtFirst: true}}.run(script)
+	return shrinkRun{maxPlays: maxPlays, onShrunk: onShrunk, options: Options{StopAtFirst: true}}.run(script)
 }
 
-// shrinking is how a script is made smaller.
-type shrinking struct {
+// shrinkRun holds the settings of a minimization.
+type shrinkRun struct {
 	maxPlays int
-	onShrunk func(faults.Script) // nil: nobody is told
+	onShrunk func(faults.Script) // called for each smaller script that still fails; may be nil
 	options  Options
 }
 
-// run returns the smallest script that was found, and its violation.
-func (s shrinking) run(script faults.Script) (faults.Script, invariant.Violation, error) {
+// run returns the smallest failing script that was found, and its violation.
+func (s shrinkRun) run(script faults.Script) (faults.Script, invariant.Violation, error) {
 	first, err := Play(script, s.options)
 	if err != nil || len(first.Violations) == 0 {
 		return script, invariant.Violation{}, err
--- a/internal/testbed/sim/simulation.go
+++ b/internal/testbed/sim/simulation.go
@@ -14,41 +14,41 @@
 )
 
 const (
-	// socketLimit is the fewest descriptors that a configuration may have, so that connection tables fill.
+	// socketLimit is the lowest limit of descriptors that a configuration may have, so that connection tables fill up.
 	socketLimit = 64
-	// reservedSockets are those of them that accepted connections do not get.
+	// reservedSockets is the part of socketLimit that is not available to accepted connections.
 	reservedSockets = 40
-	// memoryLimit is a server's, in bytes.
+	// memoryLimit is the memory limit of a server, in bytes.
 	memoryLimit       = 32 << 20
 	maxAJPConnections = 48
 	maxAJPBody        = 2 << 10
 	ajpBodyTimeout    = 2 * microtime.Second
 )
 
-// vaultAddress is where the vault listens at first; a reload moves the calls to another address of the same node.
+// vaultAddress is the initial address of the vault. A reload moves the calls to another address of the same node.
 const vaultAddress = "v0/a"
 
-// defaultPath is the quality of every path of the network while no fault impairs it.
+// defaultPath is the quality of every network path that is not impaired by a fault.
 var defaultPath = simnet.Quality{Latency: 500, Jitter: 300, Bandwidth: 50 << 20}
 
-// simulation is one run: servers with everything that they talk to, on one simulated clock.
+// simulation is one run: the servers and all their peers on one simulated clock.
 type simulation struct {
 	script          faults.Script
 	options         Options
 	clock           *simnet.World
 	net             *simnet.Net
 	environment     *fakes.Environment
-	vault           *fakes.Vault   // nil: requests call nothing
+	vault           *fakes.Vault   // nil if the script has no vault
 	shutdownTimeout microtime.Time // from the notice to drain until the process is killed
 	observer        *invariant.Observer
-	baseConfig      config.Config // what the configurations of all instances share
+	baseConfig      config.Config // common configuration of all instances
 	servers         []*instance
 	edges           []*instance
 	callers         map[string]*fakes.Caller
-	endedTurns      uint64 // of event loops that have ended
+	endedTurns      uint64 // turns of event loops that have ended
 }
 
-// newSimulation returns a simulation without servers and callers; build adds them.
+// newSimulation returns a simulation without servers and callers, which build adds.
 func newSimulation(script faults.Script, options Options) (*simulation, error) {
 	deployment, err := parseDeployment(script)
 	if err != nil {
@@ -100,13 +100,13 @@
 // instances returns the servers, then the edges.
 func (s *simulation) instances() []*instance { return append(slices.Clone(s.servers), s.edges...) }
 
-// allServing reports that no instance is draining or down.
+// allServing reports whether no instance is draining or down.
 func (s *simulation) allServing() bool {
 	return !slices.ContainsFunc(s.instances(), func(i *instance) bool { return i.host.Ended || i.draining })
 }
 
-// instance returns the instance of a node: that of the name, or the one whose worker pool has the name; nil where the
-// node is neither.
+// instance returns the instance with the name of the node, or the one whose worker pool has that name. It returns nil
+// if the node is neither an instance nor a worker pool.
 func (s *simulation) instance(node string) *instance {
 	if node == "" {
 		return nil
--- a/internal/testbed/sim/tables_test.go
+++ b/internal/testbed/sim/tables_test.go
@@ -32,17 +32,17 @@
 	"internal/vaultclient",
 }
 
-// tableSizes is the entries, or for a buffer the bytes, of each map and slice by type and field.
+// tableSizes is the number of entries of each map and the capacity of each slice, by type and field.
 type tableSizes map[string]int
 
-// tableCounter counts the tables that the server's own types hold, however deep: a table that is added later is
-// counted too. What is the simulation's is left out.
+// tableCounter counts the tables in the server's own types at any depth, so that tables added later are counted too. It
+// does not count the tables of the simulation.
 type tableCounter struct {
 	sizes tableSizes
 	seen  map[uintptr]bool // pointers, each of which is followed once
 }
 
-// count adds the tables that a value holds. The name is that of the field that has the value.
+// count adds the tables that a value contains. The name is that of the field with the value.
 func (c *tableCounter) count(value reflect.Value, name string) {
 	switch value.Kind() {
 	case reflect.Pointer:
@@ -76,27 +76,28 @@
 	}
 }
 
-// tables counts the tables that a value holds.
-func tables(of any) tableSizes {
+// countTables returns the sizes of the tables that a value contains.
+func countTables(of any) tableSizes {
 	counter := tableCounter{sizes: tableSizes{}, seen: map[uintptr]bool{}}
 	counter.count(reflect.ValueOf(of), "")
 	return counter.sizes
 }
 
-// isOwn reports that a type is one of the server's own.
+// isOwn reports whether a type belongs to the server's own packages.
 func isOwn(t reflect.Type) bool {
 	path, isLocal := strings.CutPrefix(t.PkgPath(), "pewterline/")
 	return isLocal && slices.Contains(ownPackages, path)
 }
 
-// raise raises each size to that of the other, where it is larger.
+// raise raises each size to that of other if that is larger.
 func (s tableSizes) raise(other tableSizes) {
 	for name, size := range other {
 		s[name] = max(s[name], size)
 	}
 }
 
-// repeatedFaults returns the same faults for each minute of a script but its last: at is the time of the first of them.
+// repeatedFaults returns the same faults for each minute of a script except its last. faultsOfMinute gets the time of
+// the first fault of the minute.
 func repeatedFaults(length microtime.Time, faultsOfMinute func(at microtime.Time) []faults.Fault) (all []faults.Fault) {
 	const minute = 60 * microtime.Second
 	for at := 20 * microtime.Second; at < length-minute; at += minute {
@@ -105,16 +106,16 @@
 	return all
 }
 
-// flatCase is a long run in which no table may grow.
-type flatCase struct {
+// flatTablesCase is a long run in which no table may grow.
+type flatTablesCase struct {
 	script      faults.Script
 	minRequests int
-	tables      []string // that must be among those counted
+	tables      []string // parts of the names of tables that must be counted
 }
 
-// requireFlat plays the script and requires that no table's peak of the last third is above that of the first, but for
-// a little: peaks differ by chance.
-func (c flatCase) requireFlat(t *testing.T) {
+// requireFlat plays the script and requires that the peak size of each table in the last third of the run does not
+// exceed its peak in the first third. Peaks vary at random, so that it allows 50% and 32 entries more.
+func (c flatTablesCase) requireFlat(t *testing.T) {
 	t.Helper()
 	peaks := [3]tableSizes{{}, {}, {}}
 	samples := 0
@@ -127,8 +128,8 @@
 				return
 			}
 			samples++
-			peaks[third].raise(tables(sim.servers[0].program))
-			peaks[third].raise(tables(sim.servers[0].host.Loop()))
+			peaks[third].raise(countTables(sim.servers[0].program))
+			peaks[third].raise(countTables(sim.servers[0].host.Loop()))
 			sim.clock.In(microtime.Second, sample)
 		}
 		sample()
@@ -150,9 +151,9 @@
 	}
 }
 
-// Guards the memory of a server that runs for weeks: over 45 minutes of floods, broken links, moves and callers that
-// come back under new addresses, no table, buffer or sample window of the program holds more in the last fifteen
-// minutes than it once did in the first fifteen, but for a little.
+// Guards against memory leaks in a server that runs for weeks. In 45 minutes of traffic surges, broken connections,
+// reloads and callers that return under new addresses, no table, buffer or sample window may grow: its peak in the last
+// fifteen minutes must be about that of the first fifteen.
 func TestTablesStayFlatFor45Minutes(t *testing.T) {
 	t.Parallel()
 	script := faults.Script{
@@ -171,7 +172,7 @@
 			{At: at + 36*second, Kind: faults.SlowPool, Node: "w0", For: 5 * second, Amount: 4},
 		}
 	})
-	flatCase{script: script, minRequests: 30_000, tables: []string{
+	flatTablesCase{script: script, minRequests: 30_000, tables: []string{
 		"control.retainedKeys.keys", "control.requestTable.byID", "control.idleConnections.lastSeen",
 		"control.classState.latencies", "dispatch.keyTable.byKey", "dispatch.keyTable.byOriginal",
 		"dispatch.tickSchedule.ticks", "workerpool.Backend.runs", "transport.connGroup.conns",
@@ -179,7 +180,8 @@
 	}}.requireFlat(t)
 }
 
-// The same over 30 minutes of calls that are cancelled, cut off, left without a reply, and moved.
+// The same over 30 minutes of downstream calls that are cancelled, cut off, left without a reply, or moved to another
+// address.
 func TestTablesStayFlatWithAVault(t *testing.T) {
 	t.Parallel()
 	script := faults.Script{
@@ -200,7 +202,7 @@
 			{At: at + 42*second, Kind: faults.StallPath, Node: "s0", Peer: "w0", For: 2 * second},
 		}
 	})
-	flatCase{script: script, minRequests: 20_000, tables: []string{
+	flatTablesCase{script: script, minRequests: 20_000, tables: []string{
 		"calls.Pool.inFlight", "calls.conn.abandoned", "vaultclient.Client.conns", "workerpool.Backend.runs",
 	}}.requireFlat(t)
 }
