--- a/internal/testbed/faultsearch/mutate.go
+++ b/internal/testbed/faultsearch/mutate.go
@@ -8,27 +8,27 @@
 )
 
 const (
-	// maxMutations bounds the changes to a script at once.
+	// maxMutations is the maximum number of changes to a script in one mutation.
 	maxMutations = 5
-	// maxAddedFaults is how many faults more a changed script may have than the one it comes from.
+	// maxAddedFaults is how many more faults a mutated script may have than its original.
 	maxAddedFaults = 12
-	// maxFaults bounds the faults of a changed script.
+	// maxFaults is the maximum number of faults of a mutated script.
 	maxFaults = 60
 )
 
-// mutation is a script that is being changed.
+// mutation is a script while it is being mutated.
 type mutation struct {
 	*CoverageGuided
 	script    faults.Script
 	maxFaults int
 }
 
-// mutate returns a script near another. It is valid if that one is.
-func (g *CoverageGuided) mutate(from faults.Script) faults.Script {
+// mutate returns a mutated copy of a script. The copy is valid if the original is.
+func (g *CoverageGuided) mutate(original faults.Script) faults.Script {
 	m := mutation{
 		CoverageGuided: g,
-		script:         from.Clone(),
-		maxFaults:      min(len(from.Faults)+maxAddedFaults, maxFaults),
+		script:         original.Clone(),
+		maxFaults:      min(len(original.Faults)+maxAddedFaults, maxFaults),
 	}
 	for range 1 + g.rng.IntN(maxMutations) {
 		m.step()
@@ -37,34 +37,34 @@
 	return m.script
 }
 
-// step makes one random change.
+// step applies one random change.
 func (m *mutation) step() {
 	count := len(m.script.Faults)
-	pick := 0
+	index := 0
 	if count > 0 {
-		pick = m.rng.IntN(count)
+		index = m.rng.IntN(count)
 	}
-	hasRoom := count < m.maxFaults
+	canAdd := count < m.maxFaults
 	switch choice := m.rng.IntN(10); {
-	case choice == 0: // other traffic
+	case choice == 0: // different traffic
 		m.script.Seed = m.rng.Uint64()
-	case count == 0 || choice <= 2 && hasRoom:
+	case count == 0 || choice <= 2 && canAdd:
 		m.script.Faults = append(m.script.Faults, m.script.RandomFault(m.rng))
-	case choice == 3 && hasRoom: // one more of a kind that is there, at another node
-		m.script.Faults = append(m.script.Faults, m.script.RandomFaultOf(m.rng, m.script.Faults[pick].Kind))
+	case choice == 3 && canAdd: // another fault of an existing kind, with new random nodes and values
+		m.script.Faults = append(m.script.Faults, m.script.RandomFaultOf(m.rng, m.script.Faults[index].Kind))
 	case choice == 4:
-		m.script.Faults = slices.Delete(m.script.Faults, pick, pick+1)
+		m.script.Faults = slices.Delete(m.script.Faults, index, index+1)
 	case choice == 5:
-		m.moveNextTo(pick)
+		m.moveToSameTime(index)
 	case choice == 6:
-		m.moveToSamePlace(pick)
+		m.moveToSameNodes(index)
 	case choice == 7:
-		m.shift(pick)
-	case choice == 8: // longer, shorter, more, less
-		fresh := m.script.RandomFaultOf(m.rng, m.script.Faults[pick].Kind)
-		m.script.Faults[pick].For, m.script.Faults[pick].Amount = fresh.For, fresh.Amount
+		m.shift(index)
+	case choice == 8: // another duration and amount
+		redrawn := m.script.RandomFaultOf(m.rng, m.script.Faults[index].Kind)
+		m.script.Faults[index].For, m.script.Faults[index].Amount = redrawn.For, redrawn.Amount
 	default:
-		m.copyFault(hasRoom)
+		m.copyFault(canAdd)
 	}
 }
 
@@ -73,34 +73,34 @@
 	return m.script.Faults[m.rng.IntN(len(m.script.Faults))]
 }
 
-// moveNextTo moves a fault to nearly the same time as another.
-func (m *mutation) moveNextTo(pick int) {
+// moveToSameTime moves a fault to a random time during another fault or up to 100 ms after its end.
+func (m *mutation) moveToSameTime(index int) {
 	other := m.randomFault()
-	within := other.For + 100*microtime.Millisecond
-	m.script.Faults[pick].At = m.clamp(other.At + m.randomTime(within))
+	maxDelay := other.For + 100*microtime.Millisecond
+	m.script.Faults[index].At = m.clamp(other.At + m.randomTime(maxDelay))
 }
 
-// moveToSamePlace moves a fault to the nodes of another, soon after it.
-func (m *mutation) moveToSamePlace(pick int) {
+// moveToSameNodes moves a fault to the nodes of another fault, to a time soon after it.
+func (m *mutation) moveToSameNodes(index int) {
 	other := m.randomFault()
-	fault := m.script.Faults[pick]
+	fault := m.script.Faults[index]
 	fault.Node, fault.Peer = other.Node, other.Peer
 	fault.At = m.clamp(other.At + m.randomTime(500*microtime.Millisecond))
 	if m.script.Allows(fault) {
-		m.script.Faults[pick] = fault
+		m.script.Faults[index] = fault
 	}
 }
 
-// shift moves a fault by up to a second.
-func (m *mutation) shift(pick int) {
-	at := m.script.Faults[pick].At
-	m.script.Faults[pick].At = m.clamp(at + m.randomTime(2*microtime.Second) - microtime.Second)
+// shift moves a fault by up to a second, earlier or later.
+func (m *mutation) shift(index int) {
+	at := m.script.Faults[index].At
+	m.script.Faults[index].At = m.clamp(at + m.randomTime(2*microtime.Second) - microtime.Second)
 }
 
-// copyFault adds a fault of another script of the corpus.
-func (m *mutation) copyFault(hasRoom bool) {
+// copyFault adds a fault from a script of the corpus.
+func (m *mutation) copyFault(canAdd bool) {
 	other := m.corpus[m.rng.IntN(len(m.corpus))].script
-	if len(other.Faults) == 0 || !hasRoom {
+	if len(other.Faults) == 0 || !canAdd {
 		return
 	}
 	if fault := other.Faults[m.rng.IntN(len(other.Faults))]; m.script.Allows(fault) {
@@ -108,9 +108,9 @@
 	}
 }
 
-func (m *mutation) randomTime(below microtime.Time) microtime.Time {
-	return microtime.Time(m.rng.Int64N(int64(below)))
+func (m *mutation) randomTime(limit microtime.Time) microtime.Time {
+	return microtime.Time(m.rng.Int64N(int64(limit)))
 }
 
-// clamp keeps a time within the run.
-func (m *mutation) clamp(t microtime.Time) microtime.Time { return min(max(t, 0), m.script.Length) }
+// clamp limits a time to the length of the run.
+func (m *mutation) clamp(at microtime.Time) microtime.Time { return min(max(at, 0), m.script.Length) }
--- a/internal/testbed/faultsearch/search.go
+++ b/internal/testbed/faultsearch/search.go
@@ -1,7 +1,7 @@
-// Package faultsearch decides which fault script is played next, and how a failing one is made smaller. It plays
-// nothing itself: the simulation asks for a script, plays it, and reports which situations it reached or whether it
-// still fails. It does no I/O, starts no goroutine and reads no clock; the same seed with the same reports gives the
-// same scripts.
+// Package faultsearch chooses the fault scripts for a simulation to play, and minimizes failing scripts. It plays no
+// scripts itself: the caller asks for a script, plays it, and reports which situations the script reached or whether it
+// still fails. The package does no I/O, starts no goroutine and reads no clock. The same seed and the same reports give
+// the same scripts.
 package faultsearch
 
 import (
@@ -13,23 +13,23 @@
 )
 
 const (
-	// freshShare is the share of scripts that are drawn anew although there are others to change.
+	// freshShare is the share of scripts that are drawn at random although the corpus is not empty.
 	freshShare = 0.25
-	// maxCorpus bounds the scripts that are kept to be changed.
+	// maxCorpus is the maximum number of scripts kept for mutation.
 	maxCorpus = 400
-	// maxFirstReached bounds the situations by which a kept script is valued.
+	// maxFirstReached is the maximum number of situations by which the rarity of a kept script is computed.
 	maxFirstReached = 24
 )
 
-// searchStream tells the random numbers of searches from others of the same seed.
+// searchStream selects the random number stream of searches, to separate it from other streams of the same seed.
 const searchStream = 0x73656172
 
-// Situation names something that a run has reached, such as a fault of one kind while a request was in one state.
+// Situation identifies a situation that a run reached, such as a fault of one kind while a request was in one state.
 type Situation uint64
 
-// CoverageGuided keeps scripts that reached new or rare situations and changes them, in the way of coverage-guided
-// fuzzing: M. Zalewski, "Technical whitepaper for afl-fuzz"; the preference for the rare is that of M. Boehme et al.,
-// "Coverage-based Greybox Fuzzing as Markov Chain" (CCS 2016).
+// CoverageGuided keeps scripts that reached new situations in a corpus and mutates them. It follows coverage-guided
+// fuzzing as in M. Zalewski, "Technical whitepaper for afl-fuzz". The preference for scripts that reach rare situations
+// follows M. Boehme et al., "Coverage-based Greybox Fuzzing as Markov Chain" (CCS 2016).
 type CoverageGuided struct {
 	rng      *rand.Rand
 	draw     func(seed uint64) faults.Script
@@ -39,14 +39,14 @@
 	runs     int
 }
 
-// corpusEntry is a script with what it reached.
+// corpusEntry is a kept script.
 type corpusEntry struct {
 	script       faults.Script
-	firstReached []Situation // that it was the first to reach, as far as they are kept
-	mutations    int         // how often it was changed
+	firstReached []Situation // situations that it reached first, up to maxFirstReached
+	mutations    int         // number of scripts derived from it
 }
 
-// NewCoverageGuided returns a search that draws fresh scripts by draw, from the seed first on.
+// NewCoverageGuided returns a search that draws random scripts with draw, beginning with the seed first.
 func NewCoverageGuided(first uint64, draw func(seed uint64) faults.Script) *CoverageGuided {
 	return &CoverageGuided{
 		rng:      rand.New(rand.NewPCG(first, searchStream)),
@@ -56,76 +56,78 @@
 	}
 }
 
-// Next is the script to play now.
+// Next returns the script to play next.
 func (g *CoverageGuided) Next() faults.Script {
 	g.runs++
 	if len(g.corpus) == 0 || g.rng.Float64() < freshShare {
-		s := g.draw(g.nextSeed)
+		script := g.draw(g.nextSeed)
 		g.nextSeed++
-		return s
+		return script
 	}
-	k := g.pick()
-	k.mutations++
-	return g.mutate(k.script)
+	entry := g.pick()
+	entry.mutations++
+	return g.mutate(entry.script)
 }
 
-// Runs counts the scripts asked for.
+// Runs returns the number of scripts that Next has returned.
 func (g *CoverageGuided) Runs() int { return g.runs }
 
-// SituationCount counts the situations reached.
+// SituationCount returns the number of different situations reached.
 func (g *CoverageGuided) SituationCount() int { return len(g.counts) }
 
-// CorpusSize counts the scripts that are changed further.
+// CorpusSize returns the number of scripts kept for mutation.
 func (g *CoverageGuided) CorpusSize() int { return len(g.corpus) }
 
-// Report takes what a script has reached. It is kept where something was new.
-func (g *CoverageGuided) Report(script faults.Script, reached []Situation) (fresh int) {
+// Report records the situations that a script reached, and keeps the script if any of them is new. It returns the
+// number of new situations.
+func (g *CoverageGuided) Report(script faults.Script, reached []Situation) (newCount int) {
 	reached = slices.Compact(slices.Sorted(slices.Values(reached)))
-	var first []Situation
-	for _, x := range reached {
-		if g.counts[x] == 0 {
-			if fresh++; len(first) < maxFirstReached {
-				first = append(first, x)
+	var firstReached []Situation
+	for _, situation := range reached {
+		if g.counts[situation] == 0 {
+			if newCount++; len(firstReached) < maxFirstReached {
+				firstReached = append(firstReached, situation)
 			}
 		}
-		g.counts[x]++
+		g.counts[situation]++
 	}
-	if fresh == 0 {
+	if newCount == 0 {
 		return 0
 	}
-	g.corpus = append(g.corpus, corpusEntry{script: script.Clone(), firstReached: first})
-	if len(g.corpus) > maxCorpus { // the one whose situations are the commonest goes
-		least, lowest := 0, math.Inf(1)
+	g.corpus = append(g.corpus, corpusEntry{script: script.Clone(), firstReached: firstReached})
+	if len(g.corpus) > maxCorpus { // Removes the entry with the lowest rarity.
+		index, lowest := 0, math.Inf(1)
 		for i := range g.corpus {
-			if w := g.rarity(&g.corpus[i]); w < lowest {
-				least, lowest = i, w
+			if rarity := g.rarity(&g.corpus[i]); rarity < lowest {
+				index, lowest = i, rarity
 			}
 		}
-		g.corpus = slices.Delete(g.corpus, least, least+1)
+		g.corpus = slices.Delete(g.corpus, index, index+1)
 	}
-	return fresh
+	return newCount
 }
 
-// rarity is high for a script that reaches what few others do, and falls as it is changed again and again.
-func (g *CoverageGuided) rarity(k *corpusEntry) float64 {
+// rarity returns the weight of an entry. It is high for a script that reached situations that few other scripts reach,
+// and falls with the number of mutations of that script.
+func (g *CoverageGuided) rarity(entry *corpusEntry) float64 {
 	rarest, sum := 0.0, 0.0
-	for _, x := range k.firstReached {
-		w := 1 / float64(g.counts[x])
-		rarest = max(rarest, w)
-		sum += w
+	for _, situation := range entry.firstReached {
+		weight := 1 / float64(g.counts[situation])
+		rarest = max(rarest, weight)
+		sum += weight
 	}
-	return (rarest + sum/maxFirstReached) / (1 + float64(k.mutations)/4)
+	return (rarest + sum/maxFirstReached) / (1 + float64(entry.mutations)/4)
 }
 
-// pick draws a kept script by its worth.
+// pick returns a random entry of the corpus, with probabilities proportional to rarity.
 func (g *CoverageGuided) pick() *corpusEntry {
 	total := 0.0
 	for i := range g.corpus {
 		total += g.rarity(&g.corpus[i])
 	}
-	at := g.rng.Float64() * total
+	remaining := g.rng.Float64() * total
 	for i := range g.corpus {
-		if at -= g.rarity(&g.corpus[i]); at <= 0 {
+		if remaining -= g.rarity(&g.corpus[i]); remaining <= 0 {
 			return &g.corpus[i]
 		}
 	}
--- a/internal/testbed/faultsearch/shrink.go
+++ b/internal/testbed/faultsearch/shrink.go
@@ -10,74 +10,75 @@
 	"pewterline/internal/testbed/faults"
 )
 
-// Shrinker makes a failing script smaller: fewer faults, fewer nodes, shorter, rounder, until nothing that it knows
-// how to leave out can be left out. The faults are left out in halves first, as in A. Zeller and R. Hildebrandt,
-// "Simplifying and Isolating Failure-Inducing Input" (2002).
+// Shrinker minimizes a failing script: it removes faults and nodes, shortens the run and rounds values until no
+// reduction that it knows keeps the script failing. It removes faults in large groups first, as in A. Zeller and
+// R. Hildebrandt, "Simplifying and Isolating Failure-Inducing Input" (2002).
 //
-// The host asks Next for a script, plays it, and tells by Tell whether it still fails in the same way.
+// The caller gets a script from Next, plays it, and reports with Report whether it still fails in the same way.
 type Shrinker struct {
-	best    faults.Script
-	asked   faults.Script
-	at      int  // among the smaller scripts of best
-	gained  bool // in this pass
-	left    int  // plays
-	done    bool
-	smaller []func(*faults.Script) bool
+	best       faults.Script
+	candidate  faults.Script
+	position   int  // index of the next reduction
+	improved   bool // a reduction succeeded in this pass over the reductions
+	playsLeft  int
+	done       bool
+	reductions []func(*faults.Script) bool // of best
 }
 
-// NewShrinker starts from a failing script; plays bounds how often a script may be asked for.
-func NewShrinker(s faults.Script, plays int) *Shrinker {
-	k := &Shrinker{best: s.Clone(), left: plays}
-	k.smaller = ways(&k.best)
-	return k
+// NewShrinker returns a Shrinker for a failing script. Next returns at most maxPlays scripts.
+func NewShrinker(script faults.Script, maxPlays int) *Shrinker {
+	shrinker := &Shrinker{best: script.Clone(), playsLeft: maxPlays}
+	shrinker.reductions = reductionsOf(&shrinker.best)
+	return shrinker
 }
 
-// Best is the smallest script so far that fails.
-func (k *Shrinker) Best() faults.Script { return k.best.Clone() }
+// Best returns the smallest failing script so far.
+func (s *Shrinker) Best() faults.Script { return s.best.Clone() }
 
-// Next is the script to try now; false once there is none left.
-func (k *Shrinker) Next() (faults.Script, bool) {
-	for !k.done && k.left > 0 {
-		if k.at >= len(k.smaller) {
-			if k.done = !k.gained; k.done {
+// Next returns the script to try next, or false if there is none left.
+func (s *Shrinker) Next() (faults.Script, bool) {
+	for !s.done && s.playsLeft > 0 {
+		if s.position >= len(s.reductions) {
+			if s.done = !s.improved; s.done {
 				break
 			}
-			k.at, k.gained = 0, false
-			k.smaller = ways(&k.best)
+			s.position, s.improved = 0, false
+			s.reductions = reductionsOf(&s.best)
 			continue
 		}
-		s := k.best.Clone()
-		if !k.smaller[k.at](&s) || s.Validate() != nil {
-			k.at++
+		script := s.best.Clone()
+		if !s.reductions[s.position](&script) || script.Validate() != nil {
+			s.position++
 			continue
 		}
-		k.left--
-		k.asked = s
-		return s.Clone(), true
+		s.playsLeft--
+		s.candidate = script
+		return script.Clone(), true
 	}
 	return faults.Script{}, false
 }
 
-// Report says whether the script asked for fails in the same way as the first one.
-func (k *Shrinker) Report(fails bool) {
+// Report records whether the script that Next returned last fails in the same way as the first script.
+func (s *Shrinker) Report(fails bool) {
 	if !fails {
-		k.at++
+		s.position++
 		return
 	}
-	k.best, k.gained = k.asked, true
-	// The same way may do again: the next fault, the next node, half of the half. The list is made anew, as its
-	// ways tell of places.
-	at := k.at
-	k.smaller = ways(&k.best)
-	k.at = min(at, len(k.smaller))
+	s.best, s.improved = s.candidate, true
+	// The same reduction may succeed again, on the next fault or node or with another half of the length. The list is
+	// rebuilt, as its reductions refer to faults and nodes by index.
+	position := s.position
+	s.reductions = reductionsOf(&s.best)
+	s.position = min(position, len(s.reductions))
 }
 
-// ways lists how s could be made smaller, the boldest first. Each changes a copy and says whether it did.
-func ways(script *faults.Script) (out []func(*faults.Script) bool) {
-	n := len(script.Faults)
-	for size := n; size >= 1; size /= 2 {
-		for from := 0; from < n; from += size {
-			out = append(out, func(s *faults.Script) bool {
+// reductionsOf returns the possible reductions of a script, the largest first. Each changes the given copy of the
+// script and reports whether it did.
+func reductionsOf(script *faults.Script) (reductions []func(*faults.Script) bool) {
+	count := len(script.Faults)
+	for size := count; size >= 1; size /= 2 {
+		for from := 0; from < count; from += size {
+			reductions = append(reductions, func(s *faults.Script) bool {
 				if from >= len(s.Faults) {
 					return false
 				}
@@ -87,96 +88,99 @@
 		}
 	}
 	for _, letter := range []byte("spo") {
-		count := map[byte]int{'s': script.Servers, 'p': script.Proxies, 'o': script.WebFrontends}[letter]
-		for i := count - 1; i >= 0; i-- {
-			out = append(out, func(s *faults.Script) bool { return leaveOut(s, letter, i) })
+		nodes := map[byte]int{'s': script.Servers, 'p': script.Proxies, 'o': script.WebFrontends}[letter]
+		for i := nodes - 1; i >= 0; i-- {
+			reductions = append(reductions, func(s *faults.Script) bool { return removeNode(s, letter, i) })
 		}
 	}
-	out = append(out, func(s *faults.Script) bool {
-		had := s.Store
+	reductions = append(reductions, func(s *faults.Script) bool {
+		hadStore := s.Store
 		s.Store = false
-		return had
+		return hadStore
 	})
 	for _, share := range []float64{0.25, 0.5, 0.8, 0.95} {
-		out = append(out, func(s *faults.Script) bool { return shorten(s, share) })
+		reductions = append(reductions, func(s *faults.Script) bool { return shorten(s, share) })
 	}
 	for _, share := range []float64{0.1, 0.5, 0.8} {
-		out = append(out, func(s *faults.Script) bool {
-			was := s.Rate
+		reductions = append(reductions, func(s *faults.Script) bool {
+			previous := s.Rate
 			s.Rate = math.Max(1, math.Floor(s.Rate*share))
-			return s.Rate < was
+			return s.Rate < previous
 		})
 	}
-	for i := range n {
-		out = append(out, func(s *faults.Script) bool { return round(s, i, microtime.Second) },
-			func(s *faults.Script) bool { return round(s, i, 100*microtime.Millisecond) },
-			func(s *faults.Script) bool { return round(s, i, microtime.Millisecond) })
+	for i := range count {
+		reductions = append(reductions, func(s *faults.Script) bool { return roundFault(s, i, microtime.Second) },
+			func(s *faults.Script) bool { return roundFault(s, i, 100*microtime.Millisecond) },
+			func(s *faults.Script) bool { return roundFault(s, i, microtime.Millisecond) })
 	}
-	return out
+	return reductions
 }
 
-// leaveOut takes a node out, with the faults that name it, and gives the later ones its number.
-func leaveOut(script *faults.Script, letter byte, i int) bool {
+// removeNode removes a node with the faults that name it, and renumbers the later nodes of its kind. It reports whether
+// it did: the script keeps at least one server.
+func removeNode(script *faults.Script, letter byte, index int) bool {
 	count := map[byte]*int{'s': &script.Servers, 'p': &script.Proxies, 'o': &script.WebFrontends}[letter]
-	if i >= *count || letter == 's' && *count == 1 {
+	if index >= *count || letter == 's' && *count == 1 {
 		return false
 	}
 	*count--
-	gone := false
-	rename := func(name string) string {
+	isRemoved := false // whether renumber has seen the removed node
+	renumber := func(name string) string {
 		if name == "" || name == "control" {
 			return name
 		}
-		first := name[0]
-		if first == 'w' {
-			first = 's' // a worker pool goes with its server
+		kind := name[0]
+		if kind == 'w' {
+			kind = 's' // A worker pool is removed with its server.
 		}
-		n, err := strconv.Atoi(name[1:])
+		number, err := strconv.Atoi(name[1:])
 		switch {
-		case err != nil || first != letter || n < i:
+		case err != nil || kind != letter || number < index:
 			return name
-		case n == i:
-			gone = true
+		case number == index:
+			isRemoved = true
 			return name
 		}
-		return fmt.Sprintf("%c%d", name[0], n-1)
+		return fmt.Sprintf("%c%d", name[0], number-1)
 	}
-	script.Faults = slices.DeleteFunc(script.Faults, func(f faults.Fault) bool {
-		gone = false
-		rename(f.Node)
-		rename(f.Peer)
-		return gone
+	script.Faults = slices.DeleteFunc(script.Faults, func(fault faults.Fault) bool {
+		isRemoved = false
+		renumber(fault.Node)
+		renumber(fault.Peer)
+		return isRemoved
 	})
-	for j := range script.Faults {
-		script.Faults[j].Node, script.Faults[j].Peer = rename(script.Faults[j].Node), rename(script.Faults[j].Peer)
+	for i := range script.Faults {
+		script.Faults[i].Node, script.Faults[i].Peer = renumber(script.Faults[i].Node), renumber(script.Faults[i].Peer)
 	}
 	return true
 }
 
-// shorten cuts the end off, with the faults in it.
-func shorten(s *faults.Script, share float64) bool {
-	short := microtime.Time(float64(s.Length)*share) / (100 * microtime.Millisecond) * (100 * microtime.Millisecond)
-	if short < 100*microtime.Millisecond || short >= s.Length {
+// shorten reduces the length of a script to a share of it, in steps of 100 ms, and removes the later faults. It reports
+// whether it did.
+func shorten(script *faults.Script, share float64) bool {
+	length := microtime.Time(float64(script.Length)*share) / (100 * microtime.Millisecond) * (100 * microtime.Millisecond)
+	if length < 100*microtime.Millisecond || length >= script.Length {
 		return false
 	}
-	s.Length = short
-	s.Faults = slices.DeleteFunc(s.Faults, func(f faults.Fault) bool { return f.At > short })
+	script.Length = length
+	script.Faults = slices.DeleteFunc(script.Faults, func(fault faults.Fault) bool { return fault.At > length })
 	return true
 }
 
-// round makes a fault's figures rounder.
-func round(s *faults.Script, i int, to microtime.Time) bool {
-	if i >= len(s.Faults) {
+// roundFault rounds the times of a fault down to a multiple of unit, and a larger amount to a whole number. It reports
+// whether the fault has changed.
+func roundFault(script *faults.Script, index int, unit microtime.Time) bool {
+	if index >= len(script.Faults) {
 		return false
 	}
-	f := &s.Faults[i]
-	was := *f
-	f.At = f.At / to * to
-	if f.For > 0 {
-		f.For = max(f.For/to*to, min(to, f.For))
+	fault := &script.Faults[index]
+	previous := *fault
+	fault.At = fault.At / unit * unit
+	if fault.For > 0 {
+		fault.For = max(fault.For/unit*unit, min(unit, fault.For))
 	}
-	if f.Amount >= 10 {
-		f.Amount = math.Floor(f.Amount)
+	if fault.Amount >= 10 {
+		fault.Amount = math.Floor(fault.Amount)
 	}
-	return *f != was
+	return *fault != previous
 }
--- a/internal/testbed/golden/golden.go
+++ b/internal/testbed/golden/golden.go
@@ -1,6 +1,5 @@
-// Package golden reads bytes that an earlier release wrote, for tests that pin a format on disk or on the wire. Tests
-// call it; it owns no state and never writes a file: recorded bytes change only by hand, with the reason in the
-// commit.
+// Package golden reads recorded output of earlier releases, for tests that pin a format on disk or on the wire. It has
+// no state and never changes the recorded files: they are changed only by hand, with the reason in the commit.
 package golden
 
 import (
@@ -10,14 +9,14 @@
 	"testing"
 )
 
-// Frame is one recorded piece of a format.
+// Frame is one recorded sample of a format.
 type Frame struct {
 	Name  string
 	Bytes []byte
 }
 
-// Frames reads a file of lines that each hold a name, a space and the bytes in hexadecimal. It fails the test if the
-// file cannot be read or is empty.
+// Frames reads a file with one frame per line: a name, a space and the bytes in hexadecimal. It fails the test if the
+// file cannot be read, is malformed or is empty.
 func Frames(t testing.TB, path string) []Frame {
 	t.Helper()
 	text, err := os.ReadFile(path)
@@ -29,17 +28,17 @@
 		name, digits, _ := strings.Cut(strings.TrimSpace(line), " ")
 		content, err := hex.DecodeString(digits)
 		if err != nil || name == "" {
-			t.Fatalf("golden: %s: %q is not a name and hexadecimal bytes: %v", path, line, err)
+			t.Fatalf("golden: %s: line %q is not a name and hexadecimal bytes: %v", path, line, err)
 		}
 		frames = append(frames, Frame{Name: name, Bytes: content})
 	}
 	if len(frames) == 0 {
-		t.Fatalf("golden: %s holds no frames", path)
+		t.Fatalf("golden: %s contains no frames", path)
 	}
 	return frames
 }
 
-// Folder copies a recorded folder into one of the test's own, which it returns: what is tested may write there.
+// Folder copies a recorded folder into a temporary folder, to which the tested code may write, and returns its path.
 func Folder(t testing.TB, path string) string {
 	t.Helper()
 	folder := t.TempDir()
@@ -49,7 +48,7 @@
 	return folder
 }
 
-// Files returns the content of each file of a folder by its name.
+// Files returns the contents of the files of a folder by file name.
 func Files(t testing.TB, folder string) map[string]string {
 	t.Helper()
 	entries, err := os.ReadDir(folder)
--- a/internal/testbed/modelcheck/modelcheck.go
+++ b/internal/testbed/modelcheck/modelcheck.go
@@ -1,8 +1,10 @@
-// Package modelcheck visits all states that a model can reach, nearest first, and reports a shortest way to a forbidden
-// one. A model is the state machines of a protocol, the messages between them, and what can go wrong.
+// Package modelcheck explores all reachable states of a model breadth-first, and reports a shortest trace to a
+// forbidden state. A model consists of the state machines of a protocol, the messages between them, and their possible
+// failures.
 //
-// The tests of packages consensus and execution call it. It keeps the fingerprints of all states and the states that it
-// has not gone on from yet; it never changes a state, and its report depends on nothing but the model and the bound.
+// The tests of packages consensus and execution use it. It stores the fingerprints of all reached states, and the
+// states whose successors it has not explored yet. It never changes a state, and its report depends only on the model
+// and the maximum number of states.
 package modelcheck
 
 import (
@@ -13,33 +15,34 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// State is a state of a model. It is never changed once it was given out.
+// State is a state of a model. It must not change after it was returned to the checker.
 type State interface {
-	// Fingerprint is the same for states that are the same, or that behave alike but for names: those are visited once.
+	// Fingerprint returns the same text for equal states and for states that differ only in names, such as those of
+	// interchangeable replicas. Of states with the same fingerprint, only one is visited.
 	Fingerprint() string
-	// Successors are the states that can follow, in an order that depends on nothing but the state.
+	// Successors returns the possible next steps, in an order that depends only on the state.
 	Successors() []Step
-	// Violation says why the state is forbidden; "": it is not.
+	// Violation returns why the state is forbidden, or "" if it is not.
 	Violation() string
 }
 
-// Step is what happens, and the state after it.
+// Step is a transition: a description of the event, and the state after it.
 type Step struct {
 	Description string
 	State       State
 }
 
-// Report is what was visited.
+// Report is the result of an exploration.
 type Report struct {
-	States      int
+	States      int // visited
 	Transitions int
-	Depth       int      // steps from the start to the state that was visited last
-	Exhaustive  bool     // every state was visited, none was left out by the bound
-	Violation   string   // of the first forbidden state; "": there was none
-	Trace       []string // the steps to that state
+	Depth       int      // steps from the initial state to the last visited state
+	Exhaustive  bool     // every reachable state was visited
+	Violation   string   // of the first forbidden state; "" if there was none
+	Trace       []string // descriptions of the steps to that state
 }
 
-// String describes the report, with the trace to a forbidden state.
+// String describes the report, including the trace to a forbidden state.
 func (r Report) String() string {
 	if r.Violation != "" {
 		return fmt.Sprintf("%s after %d steps:\n  %s", r.Violation, len(r.Trace), strings.Join(r.Trace, "\n  "))
@@ -48,7 +51,7 @@
 		r.States, r.Transitions, r.Depth, r.Exhaustive)
 }
 
-// fingerprint tells states apart by 128 bits of their text.
+// fingerprint is a 128-bit hash of the text of a state's fingerprint.
 type fingerprint [2]uint64
 
 func fingerprintOf(state State) fingerprint {
@@ -56,22 +59,23 @@
 	return fingerprint{xxhash.Sum64String(text), xxhash.Sum64String("2" + text)}
 }
 
-// start is the parent of the state that a model begins with.
-const start = -1
+// noParent is the parent of the initial state.
+const noParent = -1
 
-// node is a state that was reached.
+// node is a reached state.
 type node struct {
-	state       State // nil once its successors are known, so that it can be collected
-	parent      int32 // index of the node that it was reached from
-	description string
+	state       State  // nil after the visit, so that it can be garbage-collected
+	parent      int32  // index of the node from which it was reached, or noParent
+	description string // of the step from the parent
 	depth       int32
 }
 
-// Explore visits states until there are no new ones, one is forbidden, or maxStates were reached.
+// Explore visits states until there are no new ones, a forbidden state is visited, or a new state would exceed
+// maxStates.
 func Explore(initial State, maxStates int) Report {
 	var report Report
 	seen := map[fingerprint]bool{fingerprintOf(initial): true}
-	nodes := []node{{state: initial, parent: start}}
+	nodes := []node{{state: initial, parent: noParent}}
 	for i := 0; i < len(nodes); i++ {
 		state := nodes[i].state
 		nodes[i].state = nil
@@ -104,9 +108,9 @@
 	return report
 }
 
-// traceTo returns the steps from the start to a node.
+// traceTo returns the descriptions of the steps from the initial state to a node.
 func traceTo(nodes []node, index int) (trace []string) {
-	for at := int32(index); nodes[at].parent != start; at = nodes[at].parent {
+	for at := int32(index); nodes[at].parent != noParent; at = nodes[at].parent {
 		trace = append(trace, nodes[at].description)
 	}
 	slices.Reverse(trace)
--- a/internal/testbed/modelcheck/modelcheck_test.go
+++ b/internal/testbed/modelcheck/modelcheck_test.go
@@ -7,16 +7,16 @@
 	"github.com/stretchr/testify/require"
 )
 
-// jugs are two jugs of 3 and 5 that are filled, emptied and poured over.
+// jugs models two jugs with capacities 3 and 5 that are filled, emptied and poured into each other.
 type jugs struct {
 	small, large int
-	forbidden    int // in the large one
+	forbidden    int // content of the large jug
 }
 
-// Fingerprint is part of State.
+// Fingerprint implements State.
 func (j jugs) Fingerprint() string { return fmt.Sprint(j.small, j.large) }
 
-// Violation is part of State.
+// Violation implements State.
 func (j jugs) Violation() string {
 	if j.large == j.forbidden {
 		return fmt.Sprintf("%d in the larger one", j.large)
@@ -24,7 +24,7 @@
 	return ""
 }
 
-// Successors is part of State.
+// Successors implements State.
 func (j jugs) Successors() []Step {
 	step := func(description string, small, large int) Step {
 		return Step{Description: description, State: jugs{small, large, j.forbidden}}
@@ -41,7 +41,7 @@
 	}
 }
 
-// The trace is a shortest one, and replays.
+// The trace to a forbidden state is a shortest one, and can be replayed.
 func TestExploreFindsViolation(t *testing.T) {
 	report := Explore(jugs{forbidden: 4}, 100)
 	require.Equal(t, "4 in the larger one", report.Violation)
@@ -61,7 +61,7 @@
 	require.Equal(t, "4 in the larger one", state.Violation())
 }
 
-// Without a forbidden state all are visited, and a bound that cuts the visit short is told.
+// Without a forbidden state all states are visited. The report says so, and also if the limit on states prevents it.
 func TestExploreBound(t *testing.T) {
 	report := Explore(jugs{forbidden: 7}, 100)
 	require.Empty(t, report.Violation)
