--- a/internal/testbed/faultsearch/shrink.go
+++ b/internal/testbed/faultsearch/shrink.go
@@ -65,8 +65,8 @@
 		return
 	}
 	s.best, s.improved = s.candidate, true
-	// The same reduction may succeed again, on the next fault or node or with another half of the length. The list is
-	// rebuilt, as its reductions refer to faults and nodes by index.
+	// The same reduction may succeed again, on the next fault or node or on the shortened run. The list is rebuilt, as
+	// its reductions refer to faults and nodes by index.
 	position := s.position
 	s.reductions = reductionsOf(&s.best)
 	s.position = min(position, len(s.reductions))
@@ -116,8 +116,8 @@
 	return reductions
 }
 
-// removeNode removes a node with the faults that name it, and renumbers the later nodes of its kind. It reports whether
-// it did: the script keeps at least one server.
+// removeNode removes a node with the faults that name it, and renumbers the later nodes of its kind. It returns false,
+// and changes nothing, if there is no such node or it is the last server.
 func removeNode(script *faults.Script, letter byte, index int) bool {
 	count := map[byte]*int{'s': &script.Servers, 'p': &script.Proxies, 'o': &script.WebFrontends}[letter]
 	if index >= *count || letter == 's' && *count == 1 {
--- a/internal/testbed/sim/observed_core_test.go
+++ b/internal/testbed/sim/observed_core_test.go
@@ -225,7 +225,7 @@
 	core *observedCore
 }
 
-// CloseListener records that the limit of a drain has passed, as the server calls it at that time.
+// CloseListener records that the limit of a drain has passed, which is when the server calls it.
 func (l *observedLoop) CloseListener(listener int, done func()) {
 	l.core.drainLimitPassed = true
 	l.EventLoop.CloseListener(listener, done)
--- a/internal/testbed/sim/planted_calls_test.go
+++ b/internal/testbed/sim/planted_calls_test.go
@@ -26,14 +26,14 @@
 	return event.Dialer && isServer(event.Node) && strings.HasPrefix(event.Addr, vaultNode+"/")
 }
 
-// eachCall passes each call that a server sends with an event to see.
-func eachCall(event simnet.Event, see func(call vault.Command)) {
+// eachCall passes each call that a server sends with an event to visit.
+func eachCall(event simnet.Event, visit func(call vault.Command)) {
 	if event.Kind != simnet.Written || !isVaultEvent(event) {
 		return
 	}
 	for _, m := range commands(event.Bytes, vault.ParseCommand) {
 		if m.command.Verb == vault.Ask {
-			see(m.command)
+			visit(m.command)
 		}
 	}
 }
--- a/internal/testbed/sim/planted_dispatch_test.go
+++ b/internal/testbed/sim/planted_dispatch_test.go
@@ -24,7 +24,7 @@
 		name: "refuse-run", wantViolation: "duplicate/refused after a run", interpose: plantCoreBug(rejectRunning{}),
 	}
 	plantedPassLate = plantedBug{
-		name: "pass-late", wantViolation: "drain/run past the limit", interpose: plantCoreBug(startLateWaiter{}),
+		name: "pass-late", wantViolation: "drain/run past the limit", interpose: plantCoreBug(startLateRetry{}),
 	}
 )
 
@@ -77,20 +77,20 @@
 	return response.raw
 }
 
-// startLateWaiter starts a retry in place of an attempt that the pool did not run, although the retry arrived after the
+// startLateRetry starts a retry in place of an attempt that the pool did not run, although the retry arrived after the
 // limit of a drain.
-type startLateWaiter struct{ noCoreBug }
+type startLateRetry struct{ noCoreBug }
 
-func (startLateWaiter) finished(core *observedCore, request *observedRequest) {
+func (startLateRetry) finished(core *observedCore, request *observedRequest) {
 	if request.outcome != pool.Noop || request.key == "" {
 		return
 	}
-	late := slices.IndexFunc(core.requests, func(waiter *observedRequest) bool {
-		return waiter.key == request.key && waiter.afterDrainLimit && !waiter.started
+	late := slices.IndexFunc(core.requests, func(retry *observedRequest) bool {
+		return retry.key == request.key && retry.afterDrainLimit && !retry.started
 	})
 	if late >= 0 {
-		waiter := core.requests[late]
-		core.poolConn.Write(pool.AppendSpawn(nil, waiter.id, waiter.class, waiter.body))
+		retry := core.requests[late]
+		core.poolConn.Write(pool.AppendSpawn(nil, retry.id, retry.class, retry.body))
 	}
 }
 
--- a/internal/testbed/sim/planted_transport_test.go
+++ b/internal/testbed/sim/planted_transport_test.go
@@ -42,35 +42,35 @@
 type evictsBusyConnections struct{ passThrough }
 
 func (evictsBusyConnections) handler(handler transport.Handler) transport.Handler {
-	return busyEvicter{handler}
+	return alwaysIdleHandler{handler}
 }
 
-type busyEvicter struct{ transport.Handler }
+type alwaysIdleHandler struct{ transport.Handler }
 
-func (h busyEvicter) Accept(listener int, conn transport.Conn) transport.Session {
-	return alwaysIdle{h.Handler.Accept(listener, conn)}
+func (h alwaysIdleHandler) Accept(listener int, conn transport.Conn) transport.Session {
+	return alwaysIdleSession{h.Handler.Accept(listener, conn)}
 }
 
-type alwaysIdle struct{ transport.Session }
+type alwaysIdleSession struct{ transport.Session }
 
-func (alwaysIdle) Idle() bool { return true }
+func (alwaysIdleSession) Idle() bool { return true }
 
 // neverIdentifies lets the event loop close connections as unidentified although they have sent valid input.
 type neverIdentifies struct{ passThrough }
 
 func (neverIdentifies) handler(handler transport.Handler) transport.Handler {
-	return identificationLoser{handler}
+	return unidentifiedHandler{handler}
 }
 
-type identificationLoser struct{ transport.Handler }
+type unidentifiedHandler struct{ transport.Handler }
 
-func (h identificationLoser) Accept(listener int, conn transport.Conn) transport.Session {
-	return h.Handler.Accept(listener, unidentifiable{conn})
+func (h unidentifiedHandler) Accept(listener int, conn transport.Conn) transport.Session {
+	return h.Handler.Accept(listener, unidentifiedConn{conn})
 }
 
-type unidentifiable struct{ transport.Conn }
+type unidentifiedConn struct{ transport.Conn }
 
-func (unidentifiable) MarkIdentified() {}
+func (unidentifiedConn) MarkIdentified() {}
 
 // redialsOnce stops dialing after an address has refused a connection twice.
 type redialsOnce struct{ passThrough }
@@ -135,7 +135,7 @@
 
 func (s *poolSession) Receive(in []byte) (int, error) { return s.receive(s.Session, in) }
 
-// skipNotice binds each new connection one notice too late, which skips a notice.
+// skipNotice binds each new connection to the notice after the right one, so that one notice is skipped.
 func skipNotice(_ *unfinishedRuns, conn transport.Conn, open func(transport.Conn) transport.Session) transport.Session {
 	return open(&poolConn{conn, func(conn transport.Conn, p []byte) {
 		for _, m := range commands(p, pool.ParseCommand) {
--- a/internal/testbed/sim/search_test.go
+++ b/internal/testbed/sim/search_test.go
@@ -28,7 +28,7 @@
 	require.Empty(t, first.Findings)
 }
 
-// Shrink returns a script that violates no invariant unchanged.
+// Shrink does not change a script that violates no invariant.
 func TestShrinkKeepsScriptWithoutViolation(t *testing.T) {
 	script := drawScript(t, faults.World{Servers: 2, Proxies: 2, Length: 3 * microtime.Second}, 1, "worst")
 	smallest, violation, err := Shrink(script, 50, nil)
--- a/internal/testbed/sim/tables_test.go
+++ b/internal/testbed/sim/tables_test.go
@@ -77,9 +77,9 @@
 }
 
 // countTables returns the sizes of the tables that a value contains.
-func countTables(of any) tableSizes {
+func countTables(value any) tableSizes {
 	counter := tableCounter{sizes: tableSizes{}, seen: map[uintptr]bool{}}
-	counter.count(reflect.ValueOf(of), "")
+	counter.count(reflect.ValueOf(value), "")
 	return counter.sizes
 }
 
