--- a/control/completion_test.go
+++ b/control/completion_test.go
@@ -5,9 +5,10 @@
 	"time"
 )
 
-// Guards against runs that hold their slots although their answers are already too late. Such a run is preempted and
-// its caller answered at once if a queued request needs the slot; otherwise it continues. A keyed request always
-// continues. The slot time of a preempted run updates the estimate of its class.
+// Guards against runs that hold their slots although their answers are already too late. If a queued request needs the
+// slot, such a run is preempted and its caller is answered at once; otherwise the run continues. The run of a keyed
+// request is never preempted. The time for which a preempted run held its slot updates the slot time estimate of its
+// class.
 func TestLateRunsArePreempted(t *testing.T) {
 	tests := []struct {
 		name                string
@@ -28,17 +29,17 @@
 			for i := range tc.queued {
 				stepAfter(controller, 0, RequestArrived{ID: RequestID(2 + i), QueuedKB: 1})
 			}
-			actions := controller.Step(501*time.Millisecond, nil) // The objective is two seconds.
+			actions := controller.Step(501*time.Millisecond, nil) // Just past the objective of two seconds.
 			actions = append(actions, controller.Step(502*time.Millisecond, nil)...)
 			if failures := countActions[Fail](actions); failures != tc.want {
-				t.Errorf("%d failed, want %d", failures, tc.want)
+				t.Errorf("%d requests failed, want %d", failures, tc.want)
 			}
 			if preempted := countActions[Preempt](actions); preempted != tc.want {
-				t.Errorf("%d preempted, want %d", preempted, tc.want)
+				t.Errorf("%d runs preempted, want %d", preempted, tc.want)
 			}
 			slot := controller.classes.all[tc.class].slot.value
-			if learned := slot > before; learned != (tc.want == 1) {
-				t.Errorf("slot time %v, was %v", slot, before)
+			if increased := slot > before; increased != (tc.want == 1) {
+				t.Errorf("slot time estimate %v, was %v; want an increase only after a preemption", slot, before)
 			}
 		})
 	}
--- a/control/drain_test.go
+++ b/control/drain_test.go
@@ -7,30 +7,31 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards the drain against a stalled connection: a request that is read after the grace does not run, however early it
-// was sent. Found by the search over fault scripts, seed 2172 of the profile worst.
+// Guards against requests that a stalled connection delivers late during a drain: a request that is read after the
+// drain grace is not run, even if it was sent before the drain. Found by the search over fault scripts, with seed 2172
+// of the profile "worst".
 func TestRequestsReadAfterDrainGraceAreNotRun(t *testing.T) {
 	controller := newTestController(t, func(s *Settings) { s.DrainGrace = 2500 * time.Millisecond })
 	controller.Step(0, []Event{DrainRequested{StopAt: 10 * time.Second}})
 	actions := controller.Step(2400*time.Millisecond, []Event{RequestArrived{ID: 1, QueuedKB: 1}})
 	if starts := countActions[Start](actions); starts != 1 {
-		t.Errorf("read within the grace: %d starts", starts)
+		t.Errorf("request read within the grace: %d starts, want 1", starts)
 	}
 	actions = controller.Step(2600*time.Millisecond, []Event{
 		RequestArrived{ID: 2, QueuedKB: 1, Age: time.Second},
 		RequestArrived{ID: 3, QueuedKB: 1},
 	})
 	if starts, rejections := countActions[Start](actions), countActions[Reject](actions); starts != 0 || rejections != 2 {
-		t.Errorf("read after the grace: %d starts, %d rejections", starts, rejections)
+		t.Errorf("requests read after the grace: %d starts, want 0; %d rejections, want 2", starts, rejections)
 	}
 }
 
-// A drain forbids starting a request that is read after the grace or would end after the stop. Just before the stop,
-// every open request must be answered.
+// During a drain, a request is not started if it was read after the grace or would end after the process is stopped.
+// From two ticks before the process is stopped, every open request must be answered.
 func TestDrainLimits(t *testing.T) {
 	drain := drainState{grace: time.Second}
-	require.False(t, drain.forbids(time.Hour, time.Hour), "no drain")
-	require.False(t, drain.mustAnswerAll(time.Hour), "no drain")
+	require.False(t, drain.forbids(time.Hour, time.Hour), "before the drain")
+	require.False(t, drain.mustAnswerAll(time.Hour), "before the drain")
 	drain.start(10*time.Second, 20*time.Second)
 	require.False(t, drain.forbids(11*time.Second, 20*time.Second))
 	require.True(t, drain.forbids(11*time.Second+1, 12*time.Second))
--- a/control/scheduler_test.go
+++ b/control/scheduler_test.go
@@ -92,9 +92,10 @@
 	return arrived, rejected
 }
 
-// Guards the class of highest weight during minutes of overload. Its latencies look good, because requests that would
-// be late are rejected before they run. A priority share that was adjusted to the latencies alone fell until best
-// effort had nearly all slots and half of the requests of the class were rejected.
+// Guards against rejections in the class of highest weight during minutes of overload. Its latencies stay good, because
+// requests that would be late are rejected before they run. When the priority share was adjusted by the latencies
+// alone, it fell until the best-effort class had nearly all slots and half of the requests of the priority class were
+// rejected.
 func TestPriorityClassKeepsItsSlots(t *testing.T) {
 	controller, err := New(Settings{
 		Seed: 3, Cores: simulatedCores, MaxConcurrencyPerCore: 8, MaxConcurrencyWindow: 3 * time.Second,
@@ -126,15 +127,15 @@
 	}
 }
 
-// The priority share grows by a quarter while the worst class misses its target. Otherwise it falls by
-// priorityShareStep divided by the mean CV.
+// The priority share grows by a quarter if the worst class misses its target. If the classes meet their targets, the
+// share falls by priorityShareStep divided by the mean coefficient of variation (CV) of their latencies.
 func TestPriorityShare(t *testing.T) {
 	controller, err := New(Settings{Cores: 2, Classes: []Class{
 		{LatencyObjective: time.Second, Deadline: 4 * time.Second, Weight: 1},
 		{LatencyObjective: time.Second, Deadline: 4 * time.Second, Weight: 2},
 	}})
 	require.NoError(t, err)
-	require.True(t, controller.classes.all[0].bestEffort, "the lowest weight")
+	require.True(t, controller.classes.all[0].bestEffort, "the class of the lowest weight is best effort")
 	class := controller.classes.all[1]
 	require.False(t, class.bestEffort)
 	meetTarget := func() {
@@ -186,8 +187,8 @@
 	return req
 }
 
-// The priority lane starts requests by earliest due start, the best-effort lane serves its classes round-robin, and one
-// lane is served if the other one is empty.
+// The priority lane starts the request with the earliest due start, and the best-effort lane serves its classes
+// round-robin. If one lane is empty, the other one is served.
 func TestLaneOrder(t *testing.T) {
 	lanes, classes := newTestLanes()
 	require.Nil(t, lanes.next(classes, false))
@@ -196,11 +197,11 @@
 		require.Same(t, want, lanes.next(classes, false))
 		classes.of(want).dequeue(want)
 	}
-	lateObjective := queueRequest(classes, 3, 0)
+	longObjective := queueRequest(classes, 3, 0)
 	early := queueRequest(classes, 2, 900*time.Millisecond)
 	late := queueRequest(classes, 2, 1100*time.Millisecond)
 	start(early)
-	start(lateObjective)
+	start(longObjective)
 	start(late)
 	firstOfA, secondOfA := queueRequest(classes, 0, 0), queueRequest(classes, 0, 1)
 	firstOfB := queueRequest(classes, 1, 2)
@@ -224,8 +225,8 @@
 	require.InDelta(t, 7000, starts, 200)
 }
 
-// While calls are backlogged, classes that make calls are skipped.
-func TestClassesWithCallsAreSkippedInBacklog(t *testing.T) {
+// While there is a backlog of downstream calls, the scheduler skips the classes that make such calls.
+func TestClassesWithCallsAreSkippedDuringCallBacklog(t *testing.T) {
 	lanes, classes := newTestLanes()
 	withCalls := queueRequest(classes, 1, 0)
 	require.Nil(t, lanes.next(classes, true))
--- a/internal/backend/workerpool/acknowledgements_test.go
+++ b/internal/backend/workerpool/acknowledgements_test.go
@@ -6,8 +6,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// If a command was read, all commands before it on the same connection were read. It proves nothing about other
-// connections.
+// Acknowledging a command also acknowledges all commands before it on the same connection, but none on another
+// connection.
 func TestAcknowledgements(t *testing.T) {
 	acks := acknowledgements{received: map[int]int{}}
 	require.False(t, acks.includes(position{}), "a command that was not sent")
--- a/internal/backend/workerpool/notices_test.go
+++ b/internal/backend/workerpool/notices_test.go
@@ -6,36 +6,49 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A notice is accepted if its number follows that of the last notice or of the ignored messages since.
+// A notice is accepted if its number follows that of the last message, which is a notice or an ignored message. A gap
+// is accepted only if the first notice of the next connection shows about the same gap; the notices in it are lost.
 func TestNoticeSequence(t *testing.T) {
 	tests := map[string]struct {
 		sequence noticeSequence
-		ignored  []uint64
-		number   uint64
-		lost     uint64
-		gap      bool // the number is out of order
+		ignored  []uint64 // numbers of the messages ignored before the notice
+		number   uint64   // of the notice
+		wantLost uint64
+		wantGap  bool // a NoticeGapError is expected
 	}{
 		"first notice":           {number: 1},
 		"next number":            {sequence: noticeSequence{last: 7, hasNotice: true}, number: 8},
-		"too high":               {sequence: noticeSequence{last: 7, hasNotice: true}, number: 9, gap: true},
-		"too high, reconnected":  {sequence: noticeSequence{last: 7}, number: 9, gap: true},
-		"after ignored":          {sequence: noticeSequence{last: 7, hasNotice: true}, ignored: []uint64{8, 9}, number: 10},
-		"ignored without number": {sequence: noticeSequence{last: 7, hasNotice: true}, ignored: []uint64{0, 0}, number: 8},
-		"ignored out of order": {
+		"too high":               {sequence: noticeSequence{last: 7, hasNotice: true}, number: 9, wantGap: true},
+		"too high, reconnected":  {sequence: noticeSequence{last: 7}, number: 9, wantGap: true},
+		"after ignored messages": {sequence: noticeSequence{last: 7, hasNotice: true}, ignored: []uint64{8, 9}, number: 10},
+		"ignored messages without numbers": {
+			sequence: noticeSequence{last: 7, hasNotice: true},
+			ignored:  []uint64{0, 0},
+			number:   8,
+		},
+		"ignored message out of order": {
 			sequence: noticeSequence{last: 7, hasNotice: true},
 			ignored:  []uint64{9},
 			number:   9,
-			gap:      true,
+			wantGap:  true,
 		},
-		"same gap again": {sequence: noticeSequence{last: 7, gap: 10}, number: 10, lost: 2},
+		"same gap after reconnection": {sequence: noticeSequence{last: 7, gap: 10}, number: 10, wantLost: 2},
 		"gap within retention": {
 			sequence: noticeSequence{last: 7, gap: 10},
 			number:   10 + retainedNotices - 1,
-			lost:     retainedNotices + 1,
+			wantLost: retainedNotices + 1,
+		},
+		"gap beyond retention": {
+			sequence: noticeSequence{last: 7, gap: 10},
+			number:   10 + retainedNotices,
+			wantGap:  true,
+		},
+		"smaller gap after reconnection": {sequence: noticeSequence{last: 7, gap: 10}, number: 9, wantGap: true},
+		"same gap, not the first notice": {
+			sequence: noticeSequence{last: 7, gap: 10, hasNotice: true},
+			number:   10,
+			wantGap:  true,
 		},
-		"gap beyond retention": {sequence: noticeSequence{last: 7, gap: 10}, number: 10 + retainedNotices, gap: true},
-		"smaller gap":          {sequence: noticeSequence{last: 7, gap: 10}, number: 9, gap: true},
-		"same gap, not first":  {sequence: noticeSequence{last: 7, gap: 10, hasNotice: true}, number: 10, gap: true},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -44,12 +57,12 @@
 				sequence.recordIgnored(number)
 			}
 			lost, err := sequence.advance(tc.number)
-			require.Equal(t, tc.lost, lost)
-			if tc.gap {
+			require.Equal(t, tc.wantLost, lost)
+			if tc.wantGap {
 				var gap *NoticeGapError
 				require.ErrorAs(t, err, &gap)
 				require.Equal(t, tc.number, gap.Notice)
-				require.Equal(t, tc.sequence.last, sequence.last, "the last notice in order is kept for the next bind")
+				require.Equal(t, tc.sequence.last, sequence.last, "the next bind must carry the last notice in order")
 				require.Equal(t, tc.number, sequence.gap)
 				return
 			}
--- a/internal/decide/consensus/acceptor.go
+++ b/internal/decide/consensus/acceptor.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// staleKeyAllowance is how many stale entries keyOrder may hold in addition to one for each register before it is
-// compacted, so that a short keyOrder is not compacted again and again.
+// staleKeyAllowance prevents a short keyOrder from being compacted again and again: keyOrder is compacted only when its
+// stale entries outnumber the registers by more than this.
 const staleKeyAllowance = 1000
 
 // Register is the state of a key at an acceptor. A change must be durable before the reply that depends on it is sent.
@@ -28,7 +28,7 @@
 	keyOrder []string
 }
 
-// NewAcceptor returns an acceptor with its durable registers, which are nil for a new incarnation.
+// NewAcceptor returns an acceptor with the registers that were read from its disk; nil for a new incarnation.
 func NewAcceptor(self Identity, registers map[string]Register) *Acceptor {
 	if registers == nil {
 		registers = map[string]Register{}
@@ -37,7 +37,7 @@
 }
 
 // Handle answers a request. changed means that the key's register must be made durable before the reply is sent. ok is
-// false if the request is for another incarnation; then there is no reply.
+// false, and there is no reply, if the request is addressed to another acceptor or to another incarnation of this one.
 func (a *Acceptor) Handle(request Request) (_ Reply, changed, ok bool) {
 	if request.To != a.Self {
 		return Reply{}, false, false
@@ -80,9 +80,9 @@
 // Register returns the register of a key; the zero value if there is none.
 func (a *Acceptor) Register(key string) Register { return a.registers[key] }
 
-// Expire drops the keys whose last attempt was before a time (Unix milliseconds), and returns their number. The time
-// must be earlier than now by more than the retention plus the longest delay of a message: a replica that drops a key
-// while an attempt for it is still in flight could grant the lease again.
+// Expire drops the keys whose LastAttemptAt is earlier than before (Unix milliseconds), and returns their number.
+// before must be earlier than the current time by more than the retention plus the longest delay of a message: a
+// replica that drops a key while an attempt for it is still in flight could grant the lease again.
 func (a *Acceptor) Expire(before int64) (dropped int) {
 	for key, register := range a.registers {
 		if register.LastAttemptAt < before {
@@ -96,8 +96,8 @@
 // Len returns how many keys have a register.
 func (a *Acceptor) Len() int { return len(a.registers) }
 
-// setEpoch sets the epoch of the membership in force. The registers that decided earlier memberships are dropped, as
-// requests of earlier epochs are refused.
+// setEpoch sets the epoch of the membership in force. It drops the registers in which earlier memberships were decided,
+// as requests of earlier epochs are refused.
 func (a *Acceptor) setEpoch(epoch uint64) {
 	a.Epoch = epoch
 	for key := range a.registers {
@@ -118,8 +118,8 @@
 	return register, true
 }
 
-// compactKeyOrder drops the expired keys and the duplicates from keyOrder once they exceed the number of registers by
-// staleKeyAllowance.
+// compactKeyOrder drops the stale entries (expired keys and duplicates) from keyOrder, once they outnumber the
+// registers by more than staleKeyAllowance.
 func (a *Acceptor) compactKeyOrder() {
 	if len(a.keyOrder) <= 2*len(a.registers)+staleKeyAllowance {
 		return
@@ -138,7 +138,7 @@
 	return !isMembershipKey(key) && a.registers[key].Value.Kind != KindNone
 }
 
-// valueKeys returns the sorted keys that have a value, without those of memberships.
+// valueKeys returns the repairable keys, sorted.
 func (a *Acceptor) valueKeys() (keys []string) {
 	for key := range a.registers {
 		if a.repairable(key) {
--- a/internal/decide/consensus/protocol_model_test.go
+++ b/internal/decide/consensus/protocol_model_test.go
@@ -13,7 +13,7 @@
 	"pewterline/internal/testbed/modelcheck"
 )
 
-// retention is the retention of all keys in the tests of this package, in milliseconds.
+// retention is how long each key is retained in the tests of this package, in milliseconds.
 const retention = 1000
 
 var maxStates = flag.Int("states", 150_000, "maximum number of states of each model that TestAllOrders visits")
@@ -21,14 +21,14 @@
 // protocolModel models three acceptors of one or two keys, and two servers that try to run the request of each key.
 //
 // An acceptor replies at once or never. An accept request may reach an acceptor at any time and any number of times,
-// whatever the outcome of its attempt. Late prepare requests are not modelled, as they could only preempt a proposal. A
-// server that crashes restarts without any state. An acceptor that loses its disk restarts as another incarnation, or
-// as the same one if amnesia is set.
+// even after the attempt that sent it has ended. Late prepare requests are not modelled, as they could only preempt a
+// proposal. A server that crashes restarts without any state. An acceptor that loses its disk restarts with a new
+// incarnation number, or with its former one if amnesia is set.
 type protocolModel struct {
 	registers    [3][2]Register // by acceptor and key
-	incarnations [3]uint64      // number of disks that each acceptor has lost
+	incarnations [3]uint64      // how often each acceptor has lost its disk
 	proposers    []proposer     // two for each key
-	lateAccepts  []Request      // sorted by their text, with To unset: they may reach any acceptor
+	lateAccepts  []Request      // sorted by their text; To is unset, as each may reach any acceptor
 	diskLosses   int
 	crashes      int
 	runs         [2]int // by key
@@ -54,7 +54,7 @@
 
 var threeAcceptors = []Identity{{0, 1}, {1, 1}, {2, 1}}
 
-// fingerprint is a text that equal states have in common.
+// fingerprint is a text form of a state. Two states are equal if their fingerprints are equal.
 type fingerprint []byte
 
 func (f *fingerprint) add(numbers ...uint64) {
@@ -163,7 +163,7 @@
 
 type protocolSteps []modelcheck.Step
 
-// add adds a step to the state that results from applying change to a copy of from.
+// add appends a step whose next state is a copy of from with change applied.
 func (s *protocolSteps) add(from *protocolModel, description string, change func(*protocolModel)) {
 	next := from.clone()
 	change(next)
@@ -195,7 +195,7 @@
 			next.runs[current.key]++
 		})
 	case current.runStarted && !current.runEnded && current.proposal.done:
-		steps.add(m, current.name()+" run ends", func(next *protocolModel) {
+		steps.add(m, current.name()+" ends its run", func(next *protocolModel) {
 			next.proposers[i].runEnded = true
 			ended := change
 			ended.Kind = RecordResult
@@ -241,7 +241,7 @@
 
 func (p proposer) name() string { return fmt.Sprintf("server %d, key %d,", p.server, p.key) }
 
-// deliver delivers a request to an acceptor.
+// deliver passes a request to an acceptor and returns the reply, if there is one.
 func (m *protocolModel) deliver(i int, request Request) (Reply, bool) {
 	self := Identity{uint32(i), 1 + m.incarnations[i]}
 	if m.bounds.amnesia {
@@ -255,7 +255,8 @@
 	return reply, ok
 }
 
-// addLateAccepts adds accept requests to those that may be delivered late.
+// addLateAccepts adds the accept request of an attempt to those that may be delivered late. The requests to the
+// individual acceptors differ only in To, so the first stands for all.
 func (m *protocolModel) addLateAccepts(requests []Request) {
 	if len(requests) == 0 || !requests[0].Accept {
 		return
@@ -293,8 +294,8 @@
 	return report
 }
 
-// Guards against a request that runs twice, and against a result served for a request that did not run, for any order
-// of messages, with messages lost, duplicated and delayed, crashes of servers, and a lost disk.
+// Guards against two faults: a request that runs twice, and a result that is served although the request never ran. The
+// model covers every order of messages, lost, duplicated and delayed messages, crashes of servers, and a lost disk.
 func TestAllOrders(t *testing.T) {
 	for name, bounds := range map[string]protocolBounds{
 		"one attempt each":                          {attempts: 1, keys: 1},
--- a/internal/decide/loadbalancer/selection_test.go
+++ b/internal/decide/loadbalancer/selection_test.go
@@ -66,8 +66,8 @@
 	require.Less(t, balancer.cost(now+30*second, s0, 0), balancer.cost(now, s0, 0)/5)
 }
 
-// For random sequences of picks, outcomes and drains: the numbers of attempts in flight are right, concurrency limits
-// hold, no draining endpoint is chosen, and two balancers with the same seed make the same choices.
+// For random sequences of picks, outcomes and drains: the balancer counts the attempts in flight correctly, respects
+// the concurrency limits and chooses no draining endpoint, and two balancers with the same seed make the same choices.
 func TestBalancerInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		pair := newBalancerPair()
@@ -90,7 +90,7 @@
 	})
 }
 
-// balancerPair is two balancers with the same seed that get the same calls.
+// balancerPair holds two balancers with the same seed. Each call is made to both.
 type balancerPair struct {
 	first    *Balancer
 	second   *Balancer
--- a/internal/dispatch/peer_test.go
+++ b/internal/dispatch/peer_test.go
@@ -9,19 +9,19 @@
 	"pewterline/internal/microtime"
 )
 
-// handoffHarness is an old process and its successor, with a queue of the messages between them.
+// handoffHarness holds an old process, its successor, and a queue of the messages between them.
 type handoffHarness struct {
 	old, successor *harness
-	messages       []func() // deliver the messages in transit, in order
+	messages       []func() // each delivers one message; in the order in which they were sent
 }
 
 // peerMessages queues the messages to one process.
 type peerMessages struct {
-	queue *handoffHarness
-	to    *harness
+	env *handoffHarness
+	to  *harness
 }
 
-func (p peerMessages) send(deliver func()) { p.queue.messages = append(p.queue.messages, deliver) }
+func (p peerMessages) send(deliver func()) { p.env.messages = append(p.env.messages, deliver) }
 
 func (p peerMessages) Claim(request KeyedRequest) {
 	p.send(func() { p.to.core.PeerClaimed(request) })
@@ -52,7 +52,7 @@
 	return h
 }
 
-// settle ends turns of both processes and delivers their messages until there are no more messages.
+// settle alternately ends a turn of both processes and delivers their messages, until no message is left.
 func (h *handoffHarness) settle() {
 	for {
 		h.old.endTurn()
@@ -68,7 +68,8 @@
 	}
 }
 
-// A repeat that the successor reads waits for the run in the old process and gets its result.
+// If the successor receives a repeat of a request that is running in the old process, the repeat waits for that run and
+// gets its result.
 func TestRepeatAtTheSuccessorWaitsForTheRun(t *testing.T) {
 	tests := []struct {
 		name    string
@@ -101,7 +102,7 @@
 func TestSuccessorClaimsFreeKey(t *testing.T) {
 	env := newHandoffHarness(t)
 	response, id := env.successor.submitKeyed("k")
-	require.Empty(t, env.successor.started, "started before the owner has granted it")
+	require.Empty(t, env.successor.started, "started before the owner has granted the claim")
 	env.settle()
 	require.Equal(t, []string{id}, env.successor.started)
 	env.successor.core.RunFinished(id, RunSucceeded, []byte("lot"))
@@ -113,8 +114,8 @@
 	require.Empty(t, env.old.started)
 }
 
-// A key that the owner was about to run and that the successor has claimed is granted to the successor if the owner's
-// run was not started.
+// If the successor has claimed a key and the owner's own run of that key turns out not to have started, the owner
+// grants the key to the successor.
 func TestKeyNotRunByOwnerIsGranted(t *testing.T) {
 	env := newHandoffHarness(t)
 	_, id := env.old.submitKeyed("k")
@@ -126,8 +127,8 @@
 	require.Equal(t, []string{repeat}, env.successor.started)
 }
 
-// If the peer is lost while it runs a key, the run may have taken effect: repeats fail until the retention window is
-// over, and none is rejected or run.
+// If the peer is lost while it runs a key, the run may have taken effect. Until the end of the retention window,
+// repeats therefore fail; they are neither rejected nor run.
 func TestPeerLostDuringItsRun(t *testing.T) {
 	env := newHandoffHarness(t)
 	env.old.submitKeyed("k")
@@ -147,7 +148,8 @@
 	require.Equal(t, []string{fresh}, env.successor.started, "not run after the retention window")
 }
 
-// After ownership has passed, the old process claims keys before it runs them, and the successor runs keys at once.
+// After ownership has passed to the successor, the old process must claim each key before it runs it, whereas the
+// successor runs keys without a claim.
 func TestOwnershipPasses(t *testing.T) {
 	env := newHandoffHarness(t)
 	env.old.submitKeyed("held")
@@ -162,13 +164,13 @@
 	_, successorRun := env.successor.submitKeyed("new")
 	require.Equal(t, []string{successorRun}, env.successor.started)
 	claimed, oldRun := env.old.submitKeyed("other")
-	require.Len(t, env.old.started, 1, "the old process runs a key without a claim")
+	require.Len(t, env.old.started, 1, "the old process must not run a key before its claim is granted")
 	env.settle()
 	require.Equal(t, oldRun, env.old.started[1])
 	require.Empty(t, claimed.responses)
 }
 
-// The old process announces the keys that ran before the successor joined.
+// After the successor has joined, the old process announces the keys that have run or are running.
 func TestAnnouncedKeys(t *testing.T) {
 	env := newHandoffHarness(t)
 	env.old.core.JoinPeer(nil, handoff.Alone)
--- a/internal/dispatch/small_test.go
+++ b/internal/dispatch/small_test.go
@@ -9,7 +9,7 @@
 	"pewterline/internal/microtime"
 )
 
-func TestNames(t *testing.T) {
+func TestEnumStrings(t *testing.T) {
 	tests := map[string]interface{ String() string }{
 		"succeeded":     StatusSucceeded,
 		"rejected":      StatusRejected,
@@ -31,7 +31,7 @@
 	}
 }
 
-// Each outcome of a run is reported to the decision module as the outcome given here.
+// Each outcome of a run maps to the outcome that is reported to package control.
 func TestControlOutcomeOfEveryRunOutcome(t *testing.T) {
 	tests := map[RunOutcome]control.Outcome{
 		RunSucceeded:     control.OutcomeOK,
@@ -54,14 +54,14 @@
 	schedule.add(10, 1)
 	schedule.add(20, 2)
 	require.Equal(t, microtime.Time(10), schedule.next())
-	require.Equal(t, []uint64{1, 2}, schedule.takeDue(20), "not in the order in which the ticks were scheduled")
+	require.Equal(t, []uint64{1, 2}, schedule.takeDue(20), "ticks must be returned in the order of their due times")
 	require.Empty(t, schedule.takeDue(29))
 	schedule.postponeTo(40)
 	require.Equal(t, microtime.Time(40), schedule.next())
 	require.Equal(t, []uint64{3}, schedule.takeDue(40))
 }
 
-// Health checks do not report a short fault, and report a drain at once.
+// Health checks report a fault only after unhealthyGrace, but a drain at once.
 func TestHealthDuringGraceAndDrain(t *testing.T) {
 	env := newHarness(t)
 	env.core.Start(env.now, 0, false)
@@ -78,7 +78,7 @@
 	require.False(t, env.core.Healthy())
 }
 
-// Submit returns an error that names the invalid field, and the core keeps nothing of the request.
+// Submit returns an error that names the invalid field, and does not open the request.
 func TestRequestErrors(t *testing.T) {
 	valid := Request{RunID: "a", Class: 1, IdempotencyKey: "k", QueuedKB: 1, Body: []byte("body")}
 	tests := []struct {
--- a/internal/protocol/upgrade/message_test.go
+++ b/internal/protocol/upgrade/message_test.go
@@ -8,7 +8,7 @@
 	"pewterline/control"
 )
 
-// Messages are decoded from a stream unchanged.
+// Messages that were appended to one buffer are decoded one by one, unchanged.
 func TestRoundTrip(t *testing.T) {
 	state := control.LearnedState{
 		ConcurrencyLimit: 2,
@@ -78,7 +78,7 @@
 	require.Equal(t, "kind 200", Kind(200).String())
 }
 
-// Guards against a crash on arbitrary bytes, because the socket is in a shared folder.
+// Guards against a crash on arbitrary bytes: as the socket is in a shared folder, other programs can write to it.
 func FuzzParse(f *testing.F) {
 	f.Add(Append(nil, Message{Kind: Started, IdempotencyKey: "k"}))
 	f.Fuzz(func(t *testing.T, in []byte) {
--- a/internal/replication/cluster_test.go
+++ b/internal/replication/cluster_test.go
@@ -24,16 +24,16 @@
 	testKey        = "hill-estate\x00one"
 )
 
-// cluster is an event loop with a simulated clock, shared by the replicas of a group, and the network between them.
+// cluster simulates the network between the replicas of a group, and the event loop and clock that they share.
 type cluster struct {
 	t         *testing.T
 	now       microtime.Time
-	callbacks chan func() // from the goroutines that write to the disk
+	callbacks chan func() // to run in the event loop; sent by the goroutines that write to the disk
 	servers   map[uint32]*server
 	pipes     []*pipe
 }
 
-// server is a replica and the configuration to open it. replica is nil while the server is stopped.
+// server holds a replica and its configuration. replica is nil while the server is stopped.
 type server struct {
 	cluster     *cluster
 	config      Config
@@ -129,7 +129,7 @@
 	}
 }
 
-// runFor runs the loop for a duration of simulated time, in longer steps.
+// runFor runs the loop for a duration of simulated time, in steps of about 20 milliseconds.
 func (c *cluster) runFor(d microtime.Time) {
 	c.t.Helper()
 	const step = 20 * microtime.Millisecond
@@ -167,7 +167,7 @@
 	<-done
 }
 
-// serverLoop is the event loop of one server, with connections that the cluster delivers.
+// serverLoop is the event loop of the cluster as one server sees it: it dials connections from that server.
 type serverLoop struct {
 	*cluster
 	from *server
@@ -218,7 +218,7 @@
 		sender.outgoing = nil
 		receiver := p.ends[1-i]
 		if n, err := receiver.session.Receive(sent); err != nil || n != len(sent) {
-			p.from.cluster.t.Logf("%d bytes of %d received: %v", n, len(sent), err)
+			p.from.cluster.t.Logf("closing the connection: %d bytes of %d received: %v", n, len(sent), err)
 			receiver.closed = true
 		}
 	}
--- a/internal/replication/state_test.go
+++ b/internal/replication/state_test.go
@@ -36,8 +36,8 @@
 	}
 }
 
-// Guards upgrades: this release must read a directory that an earlier release has written, with a snapshot and records
-// after it.
+// Guards upgrades: this release must read a directory that an earlier release has written. The directory holds a
+// snapshot and later records.
 func TestRecordedDirectoryIsRead(t *testing.T) {
 	group := newCluster(t, 1)
 	server := group.servers[1]
@@ -56,8 +56,8 @@
 	require.Equal(t, startMilli+1+retentionMilli, server.acquire("hill-estate\x00runs").RetryAtMilli)
 }
 
-// Guards downgrades: from the same records, this release must write the same files as the release that wrote
-// testdata/v1.
+// Guards downgrades: given the same records, this release must write the same files as the release that wrote
+// testdata/v1, so that the earlier release can read them.
 func TestDirectoryIsWrittenAsRecorded(t *testing.T) {
 	directory := t.TempDir()
 	log, _, err := wal.Open(wal.Dir(directory), wal.Options{})
@@ -110,7 +110,7 @@
 	return files
 }
 
-// A snapshot of many keys is decoded to the state that was encoded. A truncated or corrupted snapshot is an error.
+// Decoding a snapshot of many keys restores the encoded state. Decoding a truncated or corrupted snapshot fails.
 func TestSnapshot(t *testing.T) {
 	state := durableState{incarnation: 5, registers: map[string]consensus.Register{}}
 	for i := range 2*snapshotChunkKeys + 1 {
@@ -129,7 +129,7 @@
 	require.ErrorIs(t, read.decodeSnapshot(corrupted), replicationwire.ErrMalformedFrame)
 }
 
-// Guards the size limit of records: the state of a turn is split into several records, in order and without loss.
+// Guards against records over wal.MaxRecordBytes: a large state is split into several records, in order and complete.
 func TestLargeStateIsSplitIntoRecords(t *testing.T) {
 	membership := consensus.Membership{Epoch: 1}
 	ready := consensus.Ready{Membership: &membership}
@@ -152,7 +152,8 @@
 	require.Equal(t, ready.Registers, registers)
 }
 
-// Once the records reach the threshold, a snapshot replaces them, and a restart restores the state from it.
+// Once the size of the records reaches snapshotThreshold, a snapshot replaces them. A restart restores the state from
+// it.
 func TestCompaction(t *testing.T) {
 	group := newCluster(t, 1)
 	server := group.servers[1]
--- a/internal/server/malformed_clients_test.go
+++ b/internal/server/malformed_clients_test.go
@@ -11,9 +11,9 @@
 	"pewterline/internal/protocol/thrift"
 )
 
-// Many clients that violate the protocol at the same time harm neither the server nor other clients. Each gets a
-// protocol error or its connection is closed; each buffers at most one message and leaves no requests or sessions
-// behind. A valid client is served at the same time.
+// Many clients that violate the protocol at the same time harm neither the server nor other clients. The server replies
+// to each with a protocol error or closes its connection, buffers at most one message of it, and keeps none of its
+// requests or sessions. A valid client is served at the same time.
 func TestMalformedClients(t *testing.T) {
 	call := func(sequence int32, id string) []byte {
 		return thrift.AppendCall(nil, sequence, thriftFields(thrift.Field{Name: "id", Value: id}), []byte("b"))
@@ -33,8 +33,8 @@
 	nested := processHead + strings.Repeat("\x0c\x00\x09", 200)
 	for name, tc := range map[string]struct {
 		sent   []byte
-		closed bool // At once. If false, the client gets an error, or nothing while its message may still be completed.
-		errors int  // The number of error replies.
+		closed bool // closed at once; if false, the client gets error replies, or waits as its message is incomplete
+		errors int  // number of error replies to each client
 	}{
 		"zero length":             {frame(0, "hello"), true, 0},
 		"length out of range":     {frame(1<<31, "hello"), true, 0},
--- a/internal/store/statements.go
+++ b/internal/store/statements.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// The kinds of database.
+// Values of Config.Driver: the supported kinds of database.
 const (
 	SQLite   = "sqlite"
 	Postgres = "postgres"
@@ -16,14 +16,14 @@
 // ErrUnknownDriver means that Config.Driver is neither SQLite nor Postgres.
 var ErrUnknownDriver = errors.New("store: unknown driver")
 
-// sqlitePragmas make a commit durable before it returns, and limit the wait for a lock of another process to 1 s.
+// sqlitePragmas make a commit durable before it returns, and limit the wait for another process's lock to 1 s.
 const sqlitePragmas = "_pragma=journal_mode(WAL)&_pragma=synchronous(FULL)&_pragma=busy_timeout(1000)"
 
-// dialect holds the differences between the kinds of database.
+// dialect holds what differs between the kinds of database.
 type dialect struct {
 	driverName  string // as registered with database/sql
 	blobType    string
-	placeholder func(number int) string // of a parameter, from 1 on
+	placeholder func(number int) string // returns that of the parameter with a number; the first is 1
 }
 
 // dialectOf returns the dialect of a kind of database, and the DSN with which database/sql opens the database.
@@ -48,7 +48,7 @@
 	return "file:" + strings.TrimPrefix(dsn, "file:") + separator + sqlitePragmas
 }
 
-// placeholders returns the placeholders of the first parameters, as a list.
+// placeholders returns the placeholders of the first count parameters, separated by commas.
 func (d dialect) placeholders(count int) string {
 	list := make([]string, count)
 	for i := range list {
@@ -57,7 +57,7 @@
 	return strings.Join(list, ", ")
 }
 
-// statements are the SQL statements of a store. The columns named once hold idempotency keys.
+// statements holds the SQL statements of a store. The column "once" of both tables holds the idempotency key.
 type statements struct {
 	createTables  []string
 	insertResult  string
@@ -66,8 +66,8 @@
 	selectIntents string
 }
 
-// newStatements returns the statements in a dialect. In the tables, an intent with a later at_ms than the result of the
-// same key has no result yet, and a cancelled intent has at_ms 0.
+// newStatements returns the statements in a dialect. A result in the table intakes belongs to an intent of the same key
+// only if the intent's at_ms is not later; otherwise the intent has no result yet. A cancelled intent has at_ms 0.
 func newStatements(dialect dialect) statements {
 	onConflict := ` ON CONFLICT (server, class, tenant, once)`
 	since := " WHERE server = " + dialect.placeholder(1) + " AND at_ms >= " + dialect.placeholder(2) + " ORDER BY at_ms"
--- a/internal/transport/limits.go
+++ b/internal/transport/limits.go
@@ -8,11 +8,11 @@
 	lingering int // number of lingering connections in conns
 }
 
-// inUse counts the connections that are not lingering.
-func (g *connGroup) inUse() int { return len(g.conns) - g.lingering }
+// openCount returns the number of connections that count against the limit.
+func (g *connGroup) openCount() int { return len(g.conns) - g.lingering }
 
 // full reports whether another connection can be added only after an eviction.
-func (g *connGroup) full() bool { return g.inUse() >= g.limit }
+func (g *connGroup) full() bool { return g.openCount() >= g.limit }
 
 // add appends a connection and makes it a member of the group.
 func (g *connGroup) add(c *Connection) {
@@ -21,7 +21,7 @@
 	g.conns = append(g.conns, c)
 }
 
-// remove removes a connection in constant time: the last one moves to its index.
+// remove removes a connection in constant time: the last connection moves to the freed index.
 func (g *connGroup) remove(c *Connection) {
 	if c.closed {
 		g.lingering--
@@ -67,12 +67,12 @@
 	}
 }
 
-// SetLimits replaces the shared connection limit and the limit of the buffered bytes. If more than maxConns connections
+// SetLimits replaces the shared connection limit and the limit on buffered bytes. If more than maxConns connections
 // are open, unidentified and idle ones are closed now; connections in use stay open.
 func (l *Loop) SetLimits(maxConns, maxBuffered int) {
 	shared := &l.accepted.shared
 	shared.limit, l.buffers.limit = maxConns, maxBuffered
-	for shared.inUse() > maxConns && l.evict(shared) {
+	for shared.openCount() > maxConns && l.evict(shared) {
 	}
 }
 
@@ -86,7 +86,7 @@
 	// Without a limit the process could run out of descriptors, and the driver might then stop listening for good.
 	group := l.accepted.groupOf(listener)
 	if group.full() && !l.evict(group) {
-		l.logf("transport: connection rejected, all are in use: peer=%s open=%d", raw.Remote(), group.inUse())
+		l.logf("transport: connection rejected, all are in use: peer=%s open=%d", raw.Remote(), group.openCount())
 		return nil
 	}
 	if len(group.conns) >= group.limit+maxLingeringConns {
@@ -100,7 +100,7 @@
 }
 
 // evict closes one connection of a group: the oldest unidentified one, or else the one that has been idle the longest.
-// It returns false if there is none.
+// It returns false if no connection can be evicted.
 func (l *Loop) evict(group *connGroup) bool {
 	victim := l.unidentified.oldest(group)
 	if victim == nil {
@@ -109,7 +109,7 @@
 	if victim == nil {
 		return false
 	}
-	l.logf("transport: connection evicted: peer=%s open=%d", victim.Remote(), group.inUse())
+	l.logf("transport: connection evicted: peer=%s open=%d", victim.Remote(), group.openCount())
 	victim.Close()
 	victim.flush() // immediately, because the new connection needs the capacity
 	return true
--- a/internal/transport/limits_test.go
+++ b/internal/transport/limits_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// At the connection limit, while all connections are in use, a further one is rejected and the others stay open.
+// If all connections up to the limit are in use, a new connection is rejected and the existing ones stay open.
 func TestConnectionOverTheLimitIsRejected(t *testing.T) {
 	env := newTestEnv(t, Options{MaxConns: 2})
 	first, firstSession := env.connect(0)
@@ -94,7 +94,7 @@
 	}
 }
 
-// Connections under a dedicated limit and under the shared one are never evicted for each other.
+// A connection under a dedicated limit is never evicted in favour of one under the shared limit, nor vice versa.
 func TestDedicatedLimit(t *testing.T) {
 	const adminListener = 3
 	env := newTestEnv(t, Options{MaxConns: 1, DedicatedLimits: map[int]int{adminListener: 1}})
@@ -109,7 +109,7 @@
 	requireOpen(t, shared, sharedSession)
 }
 
-// A lower limit closes unidentified and idle connections at once, but none that is in use.
+// Lowering the limit closes unidentified and idle connections at once, but no connection that is in use.
 func TestSetLimits(t *testing.T) {
 	env := newTestEnv(t, Options{MaxConns: 3})
 	busy, busySession := env.connect(0)
@@ -130,11 +130,11 @@
 	requireOpen(t, busy, busySession)
 }
 
-// Lingering connections do not count against the limit, but their number is limited.
+// Lingering connections do not count against the connection limit; maxLingeringConns limits their number.
 func TestLingeringConnectionsOutsideLimit(t *testing.T) {
 	env := newTestEnv(t, Options{MaxConns: 1})
 	var lingering []*fakeConn
-	for range maxLingeringConns + 1 { // each but the last is evicted as unidentified
+	for range maxLingeringConns + 1 { // each evicts the one before it, which is unidentified
 		raw, session := env.connect(0)
 		require.NotNil(t, session)
 		lingering = append(lingering, raw)
@@ -144,13 +144,13 @@
 	}
 	_, session := env.connect(0)
 	require.NotNil(t, session)
-	require.True(t, lingering[0].closed, "the connection that has lingered the longest")
+	require.True(t, lingering[0].closed, "the connection that has lingered the longest must be closed")
 	for _, raw := range lingering[1:] {
 		require.False(t, raw.closed)
 	}
 }
 
-// When a connection is removed from a group, the last one moves to its index.
+// When a connection is removed from a group, the last connection of the group moves to the freed index.
 func TestConnGroupRemove(t *testing.T) {
 	group := &connGroup{limit: 3}
 	first, second, third := &Connection{}, &Connection{}, &Connection{}
--- a/internal/wal/log_test.go
+++ b/internal/wal/log_test.go
@@ -17,12 +17,12 @@
 	rng          *rand.Rand
 	disk         *faultyDisk
 	log          *Log
-	appended     []string // appended, in order
+	appended     []string // records appended to the log, in order
 	acknowledged int      // number of appended records that are durable
 	trace        []string // steps taken, for messages of failed assertions
 }
 
-// open opens the log and checks that it contains a prefix of the appended records with all acknowledged ones.
+// open opens the log and checks that it contains a prefix of the appended records that includes all acknowledged ones.
 func (h *harness) open() {
 	h.t.Helper()
 	var rec Recovery
@@ -51,7 +51,7 @@
 	require.Equal(h.t, uint64(n), h.log.Synced())
 }
 
-// snapshotState is the content of a snapshot of the given records.
+// snapshotState returns the content of a snapshot of the given records.
 func snapshotState(all []string) string {
 	s := fmt.Sprintf("%d", len(all))
 	for _, a := range all {
@@ -138,8 +138,8 @@
 	require.Greater(t, failures, 1000)
 }
 
-// Guards against a log that silently drops records: a byte that was damaged where no crash can be the cause makes Open
-// fail with a CorruptError that names the file and the offset of the damaged part.
+// Guards against a log that silently drops records: if a byte is damaged in a place where a crash cannot have damaged
+// it, Open returns a CorruptError with the file and the offset of the damaged part.
 func TestCorruptRecordIsReported(t *testing.T) {
 	dir := t.TempDir()
 	l, _, err := Open(Dir(dir), Options{SegmentBytes: 1000})
