--- a/internal/admin/session.go
+++ b/internal/admin/session.go
@@ -14,7 +14,7 @@
 	done    bool
 }
 
-// Receive is part of transport.Session. A client that never completes its request stays unidentified: the transport
+// Receive implements transport.Session. A client that never completes its request stays unidentified: the transport
 // closes its connection.
 func (s *session) Receive(in []byte) (int, error) {
 	if s.done {
@@ -40,8 +40,8 @@
 	return len(in), nil
 }
 
-// Idle is part of transport.Session.
+// Idle implements transport.Session.
 func (s *session) Idle() bool { return true }
 
-// Closed is part of transport.Session.
+// Closed implements transport.Session.
 func (s *session) Closed() {}
--- a/internal/config/files.go
+++ b/internal/config/files.go
@@ -115,7 +115,7 @@
 	Err  error
 }
 
-// Error is part of error.
+// Error implements error.
 func (e FileError) Error() string { return e.File + ": " + e.Err.Error() }
 
 // Unwrap is for errors.Is and errors.As.
@@ -153,7 +153,7 @@
 	Err  error
 }
 
-// Error is part of error.
+// Error implements error.
 func (e *KeyError) Error() string {
 	var text strings.Builder
 	text.WriteString("config: ")
--- a/internal/config/replication.go
+++ b/internal/config/replication.go
@@ -96,7 +96,7 @@
 	serverID uint32 // id of this server
 }
 
-// Error is part of error.
+// Error implements error.
 func (e *notMemberError) Error() string {
 	return fmt.Sprintf("member: none has id %d, this server's own", e.serverID)
 }
--- a/internal/decide/consensus/protocol_model_test.go
+++ b/internal/decide/consensus/protocol_model_test.go
@@ -93,7 +93,7 @@
 	}
 }
 
-// Fingerprint is part of modelcheck.State.
+// Fingerprint implements modelcheck.State.
 func (m *protocolModel) Fingerprint() string {
 	text := make(fingerprint, 0, 256)
 	for i, registers := range m.registers {
@@ -121,7 +121,7 @@
 	return string(text)
 }
 
-// Violation is part of modelcheck.State.
+// Violation implements modelcheck.State.
 func (m *protocolModel) Violation() string {
 	if max(m.runs[0], m.runs[1]) > 1 {
 		return "run twice"
@@ -135,7 +135,7 @@
 	return ""
 }
 
-// Successors is part of modelcheck.State.
+// Successors implements modelcheck.State.
 func (m *protocolModel) Successors() []modelcheck.Step {
 	var steps protocolSteps
 	for i, p := range m.proposers {
--- a/internal/protocol/gossip/gossip.go
+++ b/internal/protocol/gossip/gossip.go
@@ -51,7 +51,7 @@
 	Version int // of the message
 }
 
-// Error is part of error.
+// Error implements error.
 func (e *VersionError) Error() string {
 	return fmt.Sprintf("version %d is not the supported version %d", e.Version, Version)
 }
@@ -63,7 +63,7 @@
 	limit int
 }
 
-// Error is part of error.
+// Error implements error.
 func (e *countError) Error() string {
 	return fmt.Sprintf("%d %s exceed the limit of %d", e.count, e.items, e.limit)
 }
--- a/internal/transport/connection.go
+++ b/internal/transport/connection.go
@@ -27,10 +27,10 @@
 	buffered   int            // this connection's share of the loop's buffered bytes
 }
 
-// Remote is part of Conn.
+// Remote implements Conn.
 func (c *Connection) Remote() string { return c.raw.Remote() }
 
-// MarkIdentified is part of Conn.
+// MarkIdentified implements Conn.
 func (c *Connection) MarkIdentified() { c.identified = true }
 
 // Received passes the received bytes to the session. It does not retain in. It returns false if the driver must close
@@ -71,7 +71,7 @@
 	return true
 }
 
-// Resume is part of Conn. It does nothing if the session has consumed all received bytes.
+// Resume implements Conn. It does nothing if the session has consumed all received bytes.
 func (c *Connection) Resume() {
 	if len(c.received) == 0 {
 		return
@@ -94,7 +94,7 @@
 	}
 }
 
-// Write is part of Conn.
+// Write implements Conn.
 func (c *Connection) Write(data []byte) {
 	if c.closed || c.closing {
 		return
@@ -111,7 +111,7 @@
 	c.outgoing = append(c.outgoing, data...)
 }
 
-// Close is part of Conn.
+// Close implements Conn.
 func (c *Connection) Close() {
 	if c.closed || c.closing {
 		return
--- a/internal/transport/sockets/driver.go
+++ b/internal/transport/sockets/driver.go
@@ -144,7 +144,7 @@
 	return err
 }
 
-// Stop is part of transport.Driver; Wait returns after it.
+// Stop implements transport.Driver; Wait returns after it.
 func (d *driver) Stop() {
 	if d.stopping.Swap(true) {
 		return
@@ -157,22 +157,22 @@
 // task adapts a function to gnet.Runnable.
 type task func()
 
-// Run is part of gnet.Runnable.
+// Run implements gnet.Runnable.
 func (t task) Run(context.Context) error {
 	t()
 	return nil
 }
 
-// Queue is part of transport.Driver.
+// Queue implements transport.Driver.
 func (d *driver) Queue(f func()) error { return d.eventLoop.Execute(context.Background(), task(f)) }
 
-// Now is part of transport.Driver.
+// Now implements transport.Driver.
 func (d *driver) Now() microtime.Time { return d.options.Clock.Now() }
 
-// Rand is part of transport.Driver.
+// Rand implements transport.Driver.
 func (d *driver) Rand() uint64 { return rand.Uint64() }
 
-// SetTimer is part of transport.Driver.
+// SetTimer implements transport.Driver.
 func (d *driver) SetTimer(at microtime.Time) {
 	if at == microtime.Never {
 		d.timer.Stop()
--- a/internal/transport/sockets/events.go
+++ b/internal/transport/sockets/events.go
@@ -109,17 +109,17 @@
 	logf func(string, ...any)
 }
 
-// Debugf is part of gnet's Logger.
+// Debugf implements gnet's Logger.
 func (gnetLogger) Debugf(string, ...any) {}
 
-// Infof is part of gnet's Logger.
+// Infof implements gnet's Logger.
 func (gnetLogger) Infof(string, ...any) {}
 
-// Warnf is part of gnet's Logger.
+// Warnf implements gnet's Logger.
 func (g gnetLogger) Warnf(format string, args ...any) { g.logf("gnet: "+format, args...) }
 
-// Errorf is part of gnet's Logger.
+// Errorf implements gnet's Logger.
 func (g gnetLogger) Errorf(format string, args ...any) { g.logf("gnet: "+format, args...) }
 
-// Fatalf is part of gnet's Logger. It does not end the process.
+// Fatalf implements gnet's Logger. It does not end the process.
 func (g gnetLogger) Fatalf(format string, args ...any) { g.logf("gnet: "+format, args...) }
--- a/internal/transport/sockets/listener.go
+++ b/internal/transport/sockets/listener.go
@@ -139,7 +139,7 @@
 	})
 }
 
-// CloseListener is part of transport.Driver. It first drops new handshakes, so that no connection can enter the accept
+// CloseListener implements transport.Driver. It first drops new handshakes, so that no connection can enter the accept
 // queue between the last accept and the close: a peer that connects meanwhile gets no response, and is refused when it
 // repeats its SYN. It accepts the queued connections itself, because gnet accepts one connection per
 // poll and offers no way to accept the rest.
--- a/internal/transport/sockets/socket.go
+++ b/internal/transport/sockets/socket.go
@@ -33,16 +33,16 @@
 	return s.conn != nil
 }
 
-// Write is part of transport.RawConn.
+// Write implements transport.RawConn.
 func (s *socket) Write(p []byte) error {
 	_, err := s.gnetConn.Write(p)
 	return err
 }
 
-// Unsent is part of transport.RawConn.
+// Unsent implements transport.RawConn.
 func (s *socket) Unsent() int { return s.gnetConn.OutboundBuffered() }
 
-// CloseWrite is part of transport.RawConn.
+// CloseWrite implements transport.RawConn.
 func (s *socket) CloseWrite() {
 	if s.halfClosed || s.gnetConn.OutboundBuffered() > 0 {
 		return
@@ -53,10 +53,10 @@
 	}
 }
 
-// Close is part of transport.RawConn. An error is ignored: it means that gnet has closed the connection already.
+// Close implements transport.RawConn. An error is ignored: it means that gnet has closed the connection already.
 func (s *socket) Close() { _ = s.driver.eventLoop.Close(s.gnetConn) }
 
-// Remote is part of transport.RawConn.
+// Remote implements transport.RawConn.
 func (s *socket) Remote() string {
 	if addr := s.gnetConn.RemoteAddr(); addr != nil {
 		return addr.String()
@@ -64,7 +64,7 @@
 	return "a closed connection"
 }
 
-// Dial is part of transport.Driver. It dials on its own goroutine, which ends within transport.DialTimeout.
+// Dial implements transport.Driver. It dials on its own goroutine, which ends within transport.DialTimeout.
 func (d *driver) Dial(dial *transport.Dial) {
 	go func() {
 		if d.connect(dial) != nil {
@@ -114,7 +114,7 @@
 	}()
 }
 
-// SetDatagramPeer is part of transport.Driver.
+// SetDatagramPeer implements transport.Driver.
 func (d *driver) SetDatagramPeer(addr string) error {
 	var conn net.Conn
 	if addr != "" {
@@ -130,7 +130,7 @@
 	return nil
 }
 
-// SendDatagram is part of transport.Driver.
+// SendDatagram implements transport.Driver.
 func (d *driver) SendDatagram(p []byte) {
 	if d.datagrams == nil {
 		return
--- a/internal/transport/transporttest/conn.go
+++ b/internal/transport/transporttest/conn.go
@@ -28,17 +28,17 @@
 // Disconnect notifies the session that the connection has ended.
 func (c *Conn) Disconnect() { c.Session.Closed() }
 
-// Write is part of transport.Conn.
+// Write implements transport.Conn.
 func (c *Conn) Write(p []byte) { c.Written += string(p) }
 
-// Close is part of transport.Conn.
+// Close implements transport.Conn.
 func (c *Conn) Close() { c.Closed = true }
 
-// Resume is part of transport.Conn.
+// Resume implements transport.Conn.
 func (c *Conn) Resume() { c.Resumed++ }
 
-// MarkIdentified is part of transport.Conn.
+// MarkIdentified implements transport.Conn.
 func (c *Conn) MarkIdentified() { c.Identified = true }
 
-// Remote is part of transport.Conn.
+// Remote implements transport.Conn.
 func (c *Conn) Remote() string { return c.Name }
