--- a/internal/server/malformed_clients_test.go
+++ b/internal/server/malformed_clients_test.go
@@ -12,8 +12,8 @@
 )
 
 // Many clients that violate the protocol at the same time harm neither the server nor other clients. The server replies
-// to each with a protocol error or closes its connection, buffers at most one message of it, and keeps none of its
-// requests or sessions. A valid client is served at the same time.
+// to each with a protocol error or closes its connection, and buffers at most one message of it. Once a client has
+// disconnected, none of its requests and sessions remain. A valid client is served at the same time.
 func TestMalformedClients(t *testing.T) {
 	call := func(sequence int32, id string) []byte {
 		return thrift.AppendCall(nil, sequence, thriftFields(thrift.Field{Name: "id", Value: id}), []byte("b"))
