--- a/cmd/pewterline-sim/main_test.go
+++ b/cmd/pewterline-sim/main_test.go
@@ -58,8 +58,8 @@
 	}
 }
 
-// With --digest, run prints the digest as its only line. A script that is read from a file has the same digest as one
-// drawn from the seed.
+// With --digest, the command run prints nothing but the digest. The run of a script that is read from a file has the
+// same digest as the run of the same script drawn from its seed.
 func TestDigestOfFileAndSeedAgree(t *testing.T) {
 	args := []string{"--seed", "7", "--seconds", "2", "--servers", "2"}
 	code, fromSeed, _ := runProgram(t, append([]string{"run", "--digest"}, args...)...)
--- a/cmd/pewterline/build_test.go
+++ b/cmd/pewterline/build_test.go
@@ -21,8 +21,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// buildDeployed builds the server with the build command of the deployment file, into a directory of the test instead
-// of bin. It returns the path of the program and the run command of the file.
+// buildDeployed builds the server with the build command of the deployment file, but into a temporary directory instead
+// of bin. It returns the path of the program, and the run command of the deployment file.
 func buildDeployed(t *testing.T) (program, run string) {
 	t.Helper()
 	var deploy struct{ Build, Run string }
@@ -30,7 +30,7 @@
 	require.NoError(t, err)
 	readme, err := os.ReadFile("../../README.md")
 	require.NoError(t, err)
-	require.Contains(t, string(readme), deploy.Build, "README has another build command")
+	require.Contains(t, string(readme), deploy.Build, "README.md must show the build command of the deployment file")
 	words := strings.Fields(deploy.Build)
 	require.Contains(t, words, "bin/", deploy.Build)
 	dir := t.TempDir()
@@ -46,9 +46,9 @@
 	return filepath.Join(dir, "pewterline"), deploy.Run
 }
 
-// The program must be started by the C library, which takes an external linker, because the platform loads a library of
-// its own into the process. A program linked by Go's own linker imports the C library too, but starts in the Go
-// runtime. The run command uses exec, so that there is one process. Features that are off by default open no sockets.
+// The platform loads a library of its own into the process, so the C library must start the program. This needs an
+// external linker: a program linked by Go's own linker imports the C library too, but starts in the Go runtime. The run
+// command must use exec, so that the program replaces the shell. Features that are off by default must open no sockets.
 func TestDeployedServer(t *testing.T) {
 	program, run := buildDeployed(t)
 	require.Equal(t, "exec bin/pewterline", run)
@@ -56,7 +56,7 @@
 	require.NoError(t, err)
 	defer func() { require.NoError(t, file.Close()) }()
 	isInterpreter := func(p *elf.Prog) bool { return p.Type == elf.PT_INTERP }
-	require.True(t, slices.ContainsFunc(file.Progs, isInterpreter), "no interpreter")
+	require.True(t, slices.ContainsFunc(file.Progs, isInterpreter), "the program names no dynamic loader")
 	libraries, err := file.ImportedLibraries()
 	require.NoError(t, err)
 	require.Contains(t, libraries, "libc.so.6")
@@ -87,7 +87,8 @@
 	go func() { ended <- cmd.Wait() }()
 	defer func() { _ = cmd.Process.Kill() }()
 	require.Equal(t, "bind 0\r\n", <-binds)
-	// One listener, the pool's connection and the socket for reports. The loop closes the socket that it opens to start.
+	// The three sockets are the listener, the connection to the worker pool and the socket for load reports. The event
+	// loop also opens a socket during its start, but closes it again.
 	var sockets []string
 	require.Eventually(t, func() bool {
 		sockets = openSockets(cmd.Process.Pid)
@@ -104,8 +105,8 @@
 }
 
 // testDisabledFeatures checks that features that are off by default run no goroutines, which would count against the
-// platform's limits: none of the goroutines of a serving process, which the runtime prints at SIGQUIT, runs code of the
-// store, its databases, the edge's upstream or the peer exchange, or was started by them.
+// platform's limits. At SIGQUIT the Go runtime prints the stack of each goroutine of the serving process, and the
+// function that started it: none may name the store, its databases, the edge's upstream or the peer exchange.
 func testDisabledFeatures(t *testing.T, program, config string, binds chan string) {
 	cmd := exec.Command(program)
 	cmd.Dir = "../.."
@@ -116,8 +117,8 @@
 	defer func() { _ = cmd.Process.Kill() }()
 	require.Equal(t, "bind 0\r\n", <-binds)
 	require.NoError(t, cmd.Process.Signal(syscall.SIGQUIT))
-	require.Error(t, cmd.Wait(), "the signal ends the process")
-	require.Contains(t, log.String(), "pewterline/internal/transport/sockets", "the event loop is printed")
+	require.Error(t, cmd.Wait(), "SIGQUIT must end the process")
+	require.Contains(t, log.String(), "pewterline/internal/transport/sockets", "the event loop must be printed")
 	for _, disabled := range []string{"internal/store", "database/sql", "sqlite", "pgx", "backend/upstream", "exchange"} {
 		require.NotContains(t, log.String(), disabled)
 	}
@@ -136,11 +137,11 @@
 	require.NoError(t, err)
 	require.NoError(t, cmd.Start())
 	defer func() { _ = cmd.Process.Kill() }()
-	writer, err := os.OpenFile(pipe, os.O_WRONLY, 0) // returns once the program has opened it
+	writer, err := os.OpenFile(pipe, os.O_WRONLY, 0) // returns once the program has opened the pipe
 	require.NoError(t, err)
 	require.NoError(t, cmd.Process.Signal(syscall.SIGTERM))
 	lines := bufio.NewReader(stderr)
-	line, err := lines.ReadString('\n') // the program has received the signal
+	line, err := lines.ReadString('\n') // returns once the program has logged the signal
 	require.NoError(t, err)
 	require.Contains(t, line, "told to stop")
 	text, err := os.ReadFile(config)
--- a/cmd/pewterline/calls_test.go
+++ b/cmd/pewterline/calls_test.go
@@ -10,7 +10,7 @@
 	"pewterline/internal/testbed/processtest"
 )
 
-// newCallingServer returns a server whose keyed requests each make one call to the returned vault.
+// newCallingServer returns a server and a vault. The run of each lot-intake request makes one call to the vault.
 func newCallingServer(t *testing.T) (*testServer, *processtest.Vault) {
 	srv := newTestServer(t)
 	vault, err := processtest.NewVault()
@@ -22,7 +22,8 @@
 	return srv, vault
 }
 
-// awaitCall returns the next call, and requires that it is the first call of the request with a body.
+// awaitCall waits for the next call to the vault, and requires that it is the first call of the request with the given
+// body.
 func awaitCall(t *testing.T, vault *processtest.Vault, requestBody string) *processtest.Call {
 	t.Helper()
 	call, err := vault.NextCall()
@@ -31,8 +32,8 @@
 	return call
 }
 
-// Runs must survive an upgrade if they wait for the reply to a call, or make their call only after the handoff: the old
-// process completes the calls, and a retry at the new process gets the result. Each call is made once.
+// An upgrade must not lose runs that wait for the reply to a call, or that make their call only after the handoff: the
+// old process completes the calls, and a retry at the new process gets the result. Each call is made once.
 func TestUpgradeWhileBlocked(t *testing.T) {
 	t.Parallel()
 	srv, vault := newCallingServer(t)
--- a/cmd/pewterline/command.go
+++ b/cmd/pewterline/command.go
@@ -20,7 +20,7 @@
 	exitUsage  = 2
 )
 
-// environment is the part of the process that commands use.
+// environment gives the commands access to the process's environment variables and output streams.
 type environment struct {
 	getenv func(string) string
 	out    io.Writer
@@ -36,7 +36,7 @@
 	Check       checkCommand       `cmd:"" help:"Check all files and name what is wrong with each."`
 	Version     versionCommand     `cmd:"" help:"Tell which build this is."`
 
-	// The former names of these commands, still accepted.
+	// The former names of Demo and Replication, which are still accepted.
 	OldDemo        demoCommand        `cmd:"" name:"try" hidden:""`
 	OldReplication replicationCommand `cmd:"" name:"copies" hidden:""`
 }
@@ -101,7 +101,7 @@
 	return err
 }
 
-// version describes the build from the information that the Go tool has embedded.
+// version describes the build by the build information that the Go toolchain has embedded in the program.
 func version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
--- a/cmd/pewterline/logs_test.go
+++ b/cmd/pewterline/logs_test.go
@@ -12,8 +12,8 @@
 	"go.uber.org/zap"
 )
 
-// A peer must not be able to slow the server down by causing a log line with each message: the rate of each kind of
-// line is limited, the next line reports how many were omitted, and other kinds are not affected.
+// A peer that causes a log line with each message that it sends must not slow the server down. The rate of each kind of
+// log line is limited separately, and the next line of a kind that is written reports how many were omitted.
 func TestLineRateIsLimited(t *testing.T) {
 	now := time.Unix(100, 0)
 	var out bytes.Buffer
@@ -40,8 +40,9 @@
 	require.Len(t, lines(), linesAtOnce+3)
 }
 
-// The rate of the process's own lines is limited by message if untrusted peers can cause the lines.
-func TestRateOfOwnLinesIsLimited(t *testing.T) {
+// The logger for lines that untrusted peers can cause, logs.limited, limits the rate of each message. The logger for
+// all other lines of this package, logs.logger, omits none.
+func TestLimitedLoggerLimitsEachMessage(t *testing.T) {
 	now := time.Unix(100, 0)
 	var out bytes.Buffer
 	logs, err := newLogs(logFormJSON, &out)
@@ -61,8 +62,8 @@
 	require.Equal(t, 1, count(`"omitted":30`))
 }
 
-// A line in JSON has the full time, the part of the program that logged it, and the process ID. An unknown form of log
-// lines is an error.
+// A line in JSON has the full time, the process ID, and the part of the program that logged it. A prefix that contains
+// a space, such as "n1 serves on here", does not name a part. An unknown form of log lines in RELAY_LOG is an error.
 func TestLinesInJSON(t *testing.T) {
 	var out bytes.Buffer
 	logs, err := newLogs(logFormJSON, &out)
@@ -91,9 +92,9 @@
 	require.ErrorContains(t, err, "RELAY_LOG")
 }
 
-// A line of another package whose format is a message with fields is logged with these fields; any other line is one
-// text.
-func TestLinesOfOtherPackagesHaveFields(t *testing.T) {
+// Logf, by which other packages log, splits a format such as "message: peer=%s status=%d" into the message and its
+// fields. A line of any other format is logged as a message without fields.
+func TestLogfSplitsFormatIntoFields(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
 		format string
--- a/cmd/pewterline/replication_test.go
+++ b/cmd/pewterline/replication_test.go
@@ -33,7 +33,7 @@
 	require.Empty(t, leftovers)
 }
 
-// The commands by which operators change a group print the result, and a reason for each error.
+// The replication commands show and change a group. A command that fails exits with exitFailed and prints the reason.
 func TestReplicationCommands(t *testing.T) {
 	t.Parallel()
 	program, err := processtest.Build("../..", t.TempDir())
--- a/cmd/pewterline/serve_test.go
+++ b/cmd/pewterline/serve_test.go
@@ -18,7 +18,8 @@
 	"pewterline/internal/server"
 )
 
-// startFakePool starts a worker pool that answers the bind command of each connection, and sends the command to binds.
+// startFakePool starts a fake worker pool. It reads the bind command of each connection, sends the command to the
+// channel binds, and answers it.
 func startFakePool(t *testing.T) (addr string, binds chan string) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -39,8 +40,8 @@
 	return ln.Addr().String(), binds
 }
 
-// SIGHUP must not end the program: it uses the addresses of a new valid file at once, and an invalid file changes
-// nothing. SIGTERM still ends the program afterwards.
+// SIGHUP must reload the configuration file without ending the program. The addresses of a valid file are used at once,
+// and an invalid file changes nothing. SIGTERM still ends the program afterwards.
 func TestSignals(t *testing.T) {
 	text, err := os.ReadFile("../../internal/config/testdata/config.json")
 	require.NoError(t, err)
@@ -76,7 +77,7 @@
 
 	write("nowhere", "")
 	signal(syscall.SIGHUP)
-	_, _, err = reports.ReadFrom(got) // reports are still sent to the old address
+	_, _, err = reports.ReadFrom(got) // reports are still sent to the address of the last valid file
 	require.NoError(t, err)
 	write(third, "")
 	signal(syscall.SIGHUP)
@@ -96,8 +97,9 @@
 	return nil
 }
 
-// A reload of an invalid file must change nothing: the log line names the key, and the server only counts the failure.
-func TestFaultyFileIsNamedOnReload(t *testing.T) {
+// A reload of an invalid file must change nothing: the log line names the invalid key, and the server only counts the
+// failed reload.
+func TestInvalidFileIsRejectedOnReload(t *testing.T) {
 	text, err := os.ReadFile("../../internal/config/testdata/config.json")
 	require.NoError(t, err)
 	path := filepath.Join(t.TempDir(), "config.json")
--- a/docs/architecture_test.go
+++ b/docs/architecture_test.go
@@ -15,14 +15,15 @@
 	"github.com/stretchr/testify/require"
 )
 
-// packagePath matches a package or a file of the repository, and qualified an identifier with its package's name.
+// Both patterns match text in backquotes: packagePath matches the path of a package or file of the repository,
+// qualified matches an identifier with the name of its package.
 var (
 	packagePath = regexp.MustCompile("`((?:internal|cmd|control|example|deploy)(?:/[\\w.-]+)*)`")
 	qualified   = regexp.MustCompile("`([a-z]+)\\.([A-Z]\\w*)(?:\\.([A-Z]\\w*))?`")
 )
 
-// A page that names what is gone sends its reader the wrong way.
-func TestPagesNameWhatExists(t *testing.T) {
+// Pages must not name packages, files or identifiers that no longer exist, which would mislead their readers.
+func TestPagesNameExistingIdentifiers(t *testing.T) {
 	declared := declarations(t, "..")
 	for _, page := range pages(t) {
 		text, err := os.ReadFile(page)
@@ -41,7 +42,7 @@
 	}
 }
 
-// pages are all pages that describe the program as it is.
+// pages returns the paths of all pages that describe the current program.
 func pages(t *testing.T) []string {
 	t.Helper()
 	found := []string{"../README.md", "../example/README.md"}
@@ -57,7 +58,7 @@
 // testName matches a test, a fuzz target or a benchmark.
 var testName = regexp.MustCompile(`\b(?:Test|Fuzz|Benchmark)[A-Z]\w+`)
 
-// A design note that names a test which is gone proves nothing.
+// Pages name tests as evidence for what they state, so each test that they name must exist.
 func TestPagesNameTestsThatExist(t *testing.T) {
 	declared := map[string]bool{}
 	walk(t, "..", "_test.go", func(text string) {
@@ -69,13 +70,13 @@
 	walk(t, ".", ".md", func(text string) {
 		for _, name := range testName.FindAllString(text, -1) {
 			named++
-			require.True(t, declared[name], "%s is named, and is no test", name)
+			require.True(t, declared[name], "a page names %s, but there is no such test", name)
 		}
 	})
 	require.Positive(t, named)
 }
 
-// walk reads all files below a folder whose names end in a suffix.
+// walk calls visit with the text of each file below root whose name ends in suffix.
 func walk(t *testing.T, root, suffix string, visit func(text string)) {
 	t.Helper()
 	require.NoError(t, filepath.WalkDir(root, func(name string, entry os.DirEntry, err error) error {
@@ -88,7 +89,8 @@
 	}))
 }
 
-// declarations are all exported identifiers of the packages below a folder, as package.Name and package.Type.Member.
+// declarations returns the top-level identifiers of all packages below root, and the members of their types, as
+// package.Name and package.Type.Member.
 func declarations(t *testing.T, root string) map[string]bool {
 	t.Helper()
 	declared := map[string]bool{}
--- a/internal/testbed/invariant/scene_test.go
+++ b/internal/testbed/invariant/scene_test.go
@@ -34,8 +34,8 @@
 	laterWorkerConn // of the server's second incarnation
 )
 
-// fixture is a simulated world without a server: the test feeds the observer the bytes that a server, its callers, its
-// worker pool and the vault would exchange.
+// fixture is an observer of a simulation in which no server runs. Instead, the test passes the observer the events and
+// bytes of the connections between a server, its callers, its worker pool and the vault.
 type fixture struct {
 	t          *testing.T
 	world      *simnet.World
@@ -103,7 +103,7 @@
 	})
 }
 
-// fields returns the envelope of a request that was sent some time ago.
+// fields returns the envelope fields of a request that its caller sent the given time ago.
 func (f *fixture) fields(id, class, idempotencyKey string, age microtime.Time) []thrift.Field {
 	at := strconv.FormatInt((&simnet.WallClock{}).UnixMilli(f.world.Now()-age), 10)
 	return []thrift.Field{
@@ -121,7 +121,7 @@
 	return f.sendAgedRequest(id, class, idempotencyKey, 0)
 }
 
-// sendAgedRequest is sendRequest for a request that its caller sent some time ago.
+// sendAgedRequest is sendRequest for a request that its caller sent the given time ago.
 func (f *fixture) sendAgedRequest(id, class, idempotencyKey string, age microtime.Time) int32 {
 	f.sequenceID++
 	message := thrift.AppendCall(nil, f.sequenceID, f.fields(id, class, idempotencyKey, age), []byte("body"))
@@ -154,7 +154,8 @@
 	f.observe(workerConn, simnet.Arrived, "w0", "s0", false, pool.AppendSpawn(nil, id, class, []byte(body)))
 }
 
-// finishRun ends the run of a request, makes the notice of it reach the server, and returns the result.
+// finishRun ends the run of a request, makes the worker pool's notice of the end reach the server, and returns the
+// result of the run.
 func (f *fixture) finishRun(id string, outcome pool.Outcome) []byte {
 	f.notices++
 	var result []byte
@@ -177,7 +178,7 @@
 	return f.finishRun(id, pool.Pass)
 }
 
-// advance advances the simulated time in small steps.
+// advance advances the simulated time in steps of 20 ms. The observer checks its rules after each step.
 func (f *fixture) advance(by microtime.Time) {
 	for end := f.world.Now() + by; f.world.Now() < end; {
 		f.world.At(min(f.world.Now()+20*microtime.Millisecond, end), func() {})
@@ -209,7 +210,7 @@
 	f.observe(conn, simnet.Written, "s0", "v0", true, vault.AppendUnask(nil, firstID))
 }
 
-// replyToFirstCall makes the vault reply to the call of the request firstID, on the first connection.
+// replyToFirstCall makes the vault's reply to the call of the request firstID reach the server, on firstVaultConn.
 func (f *fixture) replyToFirstCall(status vault.Status) {
 	reply := vault.AppendReply(nil, firstID, status, []byte("reply "+firstID))
 	f.observe(firstVaultConn, simnet.Arrived, "s0", "v0", true, reply)
@@ -225,8 +226,9 @@
 	f.writeResult(sequenceID, f.finishRun(id, pool.Pass))
 }
 
-// exchangeByAJP sends a keyed request by AJP and makes the server answer it with a status: with the given result, or
-// with that of a run if there is none and the status is OK. It returns the result.
+// exchangeByAJP makes a keyed request reach the server by AJP, and makes the server answer it with the given status and
+// result. If the result is nil and the status is OK, it completes a run of the request and uses the result of that run.
+// It returns the result that the server sent.
 func (f *fixture) exchangeByAJP(id string, status int, result []byte) []byte {
 	request := ajp.Request{
 		Method:     "POST",
@@ -257,8 +259,8 @@
 	run  func(f *fixture)
 }
 
-// runCases runs each case in a fixture of its own, and requires that the expected violation is the first one, or that
-// there is none.
+// runCases runs each case in a fixture of its own. It requires that the first violation is the expected one, or that
+// there is no violation if the case expects none.
 func runCases(t *testing.T, memoryKB float64, cases []ruleCase) {
 	t.Helper()
 	for _, tc := range cases {
--- a/internal/testbed/modelcheck/modelcheck_test.go
+++ b/internal/testbed/modelcheck/modelcheck_test.go
@@ -61,7 +61,8 @@
 	require.Equal(t, "4 in the larger one", state.Violation())
 }
 
-// Without a forbidden state all are visited, and a bound that cuts the visit short is told.
+// If no forbidden state is reachable, Explore visits all states. If the bound ends the search early, the report says
+// that the search was not exhaustive.
 func TestExploreBound(t *testing.T) {
 	report := Explore(jugs{forbidden: 7}, 100)
 	require.Empty(t, report.Violation)
--- a/internal/testbed/processtest/address_test.go
+++ b/internal/testbed/processtest/address_test.go
@@ -17,8 +17,9 @@
 // of the block at which the holder begins its search for a free block.
 const portHolderStart = "PROCESSTEST_PORT_HOLDER_START"
 
-// runPortHolder reserves a block, starts a child process that survives a kill of the holder, and prints as many
-// addresses as the block has ports. It returns the exit status at the end of the standard input.
+// runPortHolder is the main function of a port holder. It reserves a block, starts a child process that survives a kill
+// of the holder, and prints as many addresses as the block has ports. When the standard input ends, the child process
+// exits, and runPortHolder returns the exit status.
 func runPortHolder(start string) int {
 	if err := holdPorts(start); err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -57,8 +58,8 @@
 	ports   []int // allocated by the holder, in order
 }
 
-// startPortHolder starts a process that searches for a free block from startBlock on, and reads the ports that it
-// allocates.
+// startPortHolder starts a port holder, which begins its search for a free block at startBlock, and reads the ports
+// that the holder allocates.
 func startPortHolder(t *testing.T, startBlock int) *portHolder {
 	t.Helper()
 	executable, err := os.Executable()
@@ -111,7 +112,7 @@
 }
 
 // Guards against two test processes using the same port: the servers listen with SO_REUSEPORT, so two of them on one
-// port would share its connections. Two processes that search from the same block on never get the same block.
+// port would share its connections. Two processes that begin their search at the same block must get different blocks.
 func TestProcessesHoldDifferentPortBlocks(t *testing.T) {
 	t.Parallel()
 	first := startPortHolder(t, 0)
@@ -119,8 +120,8 @@
 	require.NotEqual(t, first.block(t), second.block(t))
 }
 
-// Guards against running out of port blocks: the block of a killed process becomes free even while a child process of
-// it still runs.
+// Guards against running out of port blocks: the block of a killed process must become free, even while a child process
+// of the killed process still runs.
 func TestPortBlockIsFreeAfterHolderIsKilled(t *testing.T) {
 	t.Parallel()
 	const attempts = 5 // another test process may get the block first
@@ -132,7 +133,7 @@
 			return
 		}
 	}
-	require.Fail(t, "no block became free")
+	require.Fail(t, "the block of a killed holder was free in none of the attempts")
 }
 
 // A block allocates each of its ports once before it allocates any port again. It skips ports in use.
--- a/internal/testbed/processtest/cluster_fixture_test.go
+++ b/internal/testbed/processtest/cluster_fixture_test.go
@@ -90,8 +90,8 @@
 	return outcome
 }
 
-// requireIndeterminate retries a request, and requires the reply for an unknown outcome: the request failed, and may
-// have run.
+// requireIndeterminate retries a request, and requires the reply for an unknown outcome, ReplyBroken: the request
+// failed, and may have run.
 func (c *testCluster) requireIndeterminate(id int, key string) {
 	c.t.Helper()
 	outcome := c.sendKeyed(id, key, true)
@@ -134,8 +134,8 @@
 	c.awaitMembershipChange(id, before.Epoch)
 }
 
-// awaitMembershipChange waits until a membership change that began at an epoch is complete. A change advances the epoch
-// twice: to the joint membership, and to the new one.
+// awaitMembershipChange waits until the membership change that began at the given epoch is complete. A change advances
+// the epoch twice: for the joint membership, and for the new one.
 func (c *testCluster) awaitMembershipChange(id int, epoch uint64) {
 	c.t.Helper()
 	require.NoError(c.t, c.Eventually(func() error {
@@ -148,7 +148,7 @@
 	require.NoError(c.t, c.AwaitStable())
 }
 
-// awaitKey waits until a server holds a key of a kind.
+// awaitKey waits until a server holds the key, with the given kind.
 func (c *testCluster) awaitKey(id int, key, kind string) {
 	c.t.Helper()
 	wanted := func(k ExportedKey) bool { return strings.HasSuffix(k.Key, "\x00"+key) && k.Kind == kind }
@@ -161,7 +161,7 @@
 	}))
 }
 
-// serveKeys sends requests to the given servers in turn, requires that each is served, and returns their keys.
+// serveKeys sends keyed requests to the given servers in turn, requires that each is served, and returns the keys.
 func (c *testCluster) serveKeys(count int, ids ...int) (keys []string) {
 	c.t.Helper()
 	for i := range count {
--- a/internal/testbed/processtest/relay_test.go
+++ b/internal/testbed/processtest/relay_test.go
@@ -55,7 +55,7 @@
 	require.NoError(t, conn.SetReadDeadline(time.Now().Add(WaitTimeout)))
 }
 
-// Guards against a fault of the relay having no effect, or affecting the other direction as well.
+// Each fault that a relay injects must take effect, and only in the given direction.
 func TestRelayFaults(t *testing.T) {
 	relay, client, server := relayedPair(t)
 	requireWrite(t, client, "one")
@@ -64,14 +64,14 @@
 	requireWrite(t, client, "two")
 	requireWrite(t, server, "back")
 	requireRead(t, client, "back")
-	requireNothing(t, server, "held")
+	requireNothing(t, server, "the relay must hold the data")
 	relay.Heal()
 	requireRead(t, server, "two")
 	relay.Drop(Backward)
 	requireWrite(t, server, "lost")
 	requireWrite(t, client, "three")
 	requireRead(t, server, "three")
-	requireNothing(t, client, "lost")
+	requireNothing(t, client, "the relay must drop the data")
 	relay.Heal()
 	began := time.Now()
 	relay.AddLatency(30*time.Millisecond, Forward)
@@ -83,7 +83,7 @@
 	requireWrite(t, client, "four")
 	requireRead(t, server, "fo")
 	_, err := server.Read(make([]byte, 1))
-	require.Error(t, err, "cut in the middle")
+	require.Error(t, err, "the connection must be cut after two bytes")
 	_, err = relay.Apply(faults.Fault{Kind: faults.TrafficSurge})
 	require.ErrorContains(t, err, "not a fault of a relay")
 }
--- a/internal/testbed/simnet/node.go
+++ b/internal/testbed/simnet/node.go
@@ -11,15 +11,15 @@
 // Node is a machine that runs at most one process at a time.
 type Node struct {
 	Name           string
-	Incarnation    int // of its process, from 1
+	Incarnation    int // of the current or last process; 1 for the first process
 	MaxConnections int // limit of open connections; further ones wait in the backlog
 	net            *Net
 	up             bool      // its process runs
-	streams        []*Stream // open ends; a slice, as the order of a map would not be deterministic
+	streams        []*Stream // ends of open connections; a slice, as the order of a map would not be deterministic
 	backlog        []*Stream // connections that wait to be accepted
 }
 
-// Node returns the node of a name, and creates it if there is none.
+// Node returns the node with the given name, and creates the node if there is none.
 func (n *Net) Node(name string) *Node {
 	if n.nodes[name] == nil {
 		n.nodes[name] = &Node{Name: name, net: n, MaxConnections: math.MaxInt}
@@ -53,7 +53,7 @@
 	}
 	for len(n.streams) > 0 {
 		stream := n.streams[len(n.streams)-1]
-		stream.unsent = nil // it was buffered in the process
+		stream.unsent = nil // the data was buffered in the process
 		if withMachine {
 			stream.segments = nil
 			stream.timer.Stop()
@@ -69,9 +69,9 @@
 type Listener struct {
 	node     *Node
 	addr     string
-	Accept   func(*Stream) Handler // nil Handler: the connection is closed
+	Accept   func(*Stream) Handler // if the returned Handler is nil, the connection is closed
 	Datagram func(from string, p []byte)
-	host     *Host // accepts connections in place of Accept; nil: none
+	host     *Host // if not nil, accepts connections in place of Accept
 	index    int   // the listener's index in the host's program
 }
 
@@ -92,8 +92,8 @@
 	}
 }
 
-// Dial connects to an address. Unless the node's process ends before the result is known, done is called once, with the
-// new stream or an error; it sets the stream's handler with SetHandler.
+// Dial connects to an address. It calls done once, with the new stream or an error, unless the node's process ends
+// before the result is known. If done gets a stream, it sets the stream's handler with SetHandler.
 func (n *Node) Dial(addr string, done func(*Stream, error)) {
 	world, incarnation := n.net.world, n.Incarnation
 	finish := func(delay microtime.Time, stream *Stream, err error) {
@@ -141,7 +141,7 @@
 		near, far := n.connect(to, addr, path)
 		n.addStream(near)
 		n.net.tap(near, Event{Kind: Opened})
-		if len(to.streams) >= to.MaxConnections { // the kernel keeps it in the backlog when descriptors run out
+		if len(to.streams) >= to.MaxConnections { // as in a kernel, the connection waits in the backlog
 			far.inBacklog = true
 			to.backlog = append(to.backlog, far)
 		} else {
@@ -156,10 +156,10 @@
 	n.streams = append(n.streams, stream)
 }
 
-// accept passes a new connection to the listener's host or handler.
+// accept passes a new connection to the listener's host, or to its function Accept.
 func (n *Node) accept(listener *Listener, stream *Stream) {
 	n.addStream(stream)
-	if stream.inBacklog { // bytes that arrived before are reported now that the connection is accepted
+	if stream.inBacklog { // bytes that arrived in the backlog are reported only now
 		stream.inBacklog = false
 		if len(stream.unread) > 0 {
 			n.net.tap(stream, Event{Kind: Arrived, Bytes: stream.unread})
