--- a/cmd/pewterline/logs.go
+++ b/cmd/pewterline/logs.go
@@ -34,8 +34,8 @@
 
 // logs write the process's log lines. They may be used from any goroutine.
 type logs struct {
-	logger  *zap.Logger // for lines whose number no peer can drive up
-	limited *zap.Logger // limits the rate of each kind of line
+	logger  *zap.Logger // for lines that untrusted peers cannot cause
+	limited *zap.Logger // for all other lines; limits the rate of each kind
 	limiter *logLimiter
 	// partAsField moves the prefix of other packages' lines, which names a part of the program, into a field.
 	partAsField bool
@@ -72,9 +72,9 @@
 }
 
 // Logf writes a line of another package, and limits the rate of each kind of line: otherwise peers that cause a line
-// with each message would cost the server time that it needs for proxies. The next line of a kind has the number of
-// omitted ones. A format such as "part: message: key=%v other_key=%d" is a constant message with fields; a line with an
-// error among its fields is a warning.
+// with each message would cost the server time that it needs for proxies. The next line of a kind that is written has
+// the number of omitted ones. A format such as "part: message: key=%v other_key=%d" is a constant message with fields.
+// A line with an error among its fields is a warning.
 func (l *logs) Logf(format string, args ...any) {
 	omitted, allowed := l.limiter.allow(format)
 	if !allowed {
--- a/cmd/pewterline/predecessor.go
+++ b/cmd/pewterline/predecessor.go
@@ -123,8 +123,8 @@
 	return errors.As(err, &timeout) && timeout.Timeout()
 }
 
-// tryAll tries each socket in the directory. retryable is the error of the last socket whose process may hand over at a
-// later attempt.
+// tryAll tries to connect to the process behind each socket in the directory. retryable is the last error after which a
+// later attempt may succeed.
 func (s predecessorSearch) tryAll(deadline time.Time) (found *predecessor, retryable, err error) {
 	entries, err := os.ReadDir(s.dir)
 	if err != nil {
--- a/internal/testbed/fakes/pool_link.go
+++ b/internal/testbed/fakes/pool_link.go
@@ -25,7 +25,7 @@
 func (p *Pool) finish(finished *poolRun, outcome pool.Outcome, result []byte) {
 	finished.ended = true
 	finished.blocked = false
-	if p.rng.IntN(runsPerChatter) == 0 { // it has a notice number of its own, and is sent again like other notices
+	if p.rng.IntN(runsPerChatter) == 0 { // chatter has its own notice number, and is resent like other notices
 		p.notify(func(number uint64) []byte { return fmt.Appendf(nil, "chatter %d all is well\r\n", number) })
 	}
 	durationMS := int((p.env.World.Now() - finished.startedAt) / microtime.Millisecond)
@@ -113,8 +113,8 @@
 	}
 }
 
-// bind makes this connection, in place of the previous one, the one that notices are sent on, and sends the notices
-// again that the server has not received.
+// bind makes this connection the bound one, on which notices are sent, in place of the previous one. It then resends
+// the notices that the server has not received.
 func (c *poolConn) bind(command pool.Command) {
 	owner := c.pool
 	if owner.conn != nil && owner.conn != c {
--- a/internal/testbed/golden/golden.go
+++ b/internal/testbed/golden/golden.go
@@ -39,7 +39,8 @@
 	return frames
 }
 
-// Folder copies a recorded folder into one of the test's own, which it returns: what is tested may write there.
+// Folder copies a recorded folder into a temporary folder, in which the code under test may write. It returns the path
+// of the copy.
 func Folder(t testing.TB, path string) string {
 	t.Helper()
 	folder := t.TempDir()
--- a/internal/testbed/modelcheck/modelcheck.go
+++ b/internal/testbed/modelcheck/modelcheck.go
@@ -1,8 +1,10 @@
-// Package modelcheck visits all states that a model can reach, nearest first, and reports a shortest way to a forbidden
-// one. A model is the state machines of a protocol, the messages between them, and what can go wrong.
+// Package modelcheck explores the reachable states of a model breadth-first, and reports a shortest trace to a
+// forbidden state. A model consists of the state machines of a protocol, the messages between them, and the possible
+// faults.
 //
-// The tests of packages consensus and execution call it. It keeps the fingerprints of all states and the states that it
-// has not gone on from yet; it never changes a state, and its report depends on nothing but the model and the bound.
+// The tests of packages consensus and execution call it. It keeps the fingerprints of all visited states, and the
+// states whose successors it has not computed yet. It never changes a state, and its report depends only on the model
+// and the bound.
 package modelcheck
 
 import (
@@ -13,30 +15,31 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// State is a state of a model. It is never changed once it was given out.
+// State is a state of a model. It is immutable once it has been returned to Explore.
 type State interface {
-	// Fingerprint is the same for states that are the same, or that behave alike but for names: those are visited once.
+	// Fingerprint returns the same text for states that are equal, or equal up to a renaming of their parts. Explore
+	// visits only one of them.
 	Fingerprint() string
-	// Successors are the states that can follow, in an order that depends on nothing but the state.
+	// Successors returns the steps to all possible next states, in an order that depends only on this state.
 	Successors() []Step
-	// Violation says why the state is forbidden; "": it is not.
+	// Violation describes why the state is forbidden, or returns "" if it is allowed.
 	Violation() string
 }
 
-// Step is what happens, and the state after it.
+// Step is a transition: a description of the event, and the state after it.
 type Step struct {
 	Description string
 	State       State
 }
 
-// Report is what was visited.
+// Report is the result of an exploration.
 type Report struct {
 	States      int
 	Transitions int
-	Depth       int      // steps from the start to the state that was visited last
-	Exhaustive  bool     // every state was visited, none was left out by the bound
-	Violation   string   // of the first forbidden state; "": there was none
-	Trace       []string // the steps to that state
+	Depth       int      // steps from the initial state to the last visited state
+	Exhaustive  bool     // all reachable states were visited
+	Violation   string   // of the first forbidden state; "" if there was none
+	Trace       []string // descriptions of the steps to the forbidden state
 }
 
 // String describes the report, with the trace to a forbidden state.
@@ -48,7 +51,7 @@
 		r.States, r.Transitions, r.Depth, r.Exhaustive)
 }
 
-// fingerprint tells states apart by 128 bits of their text.
+// fingerprint identifies a state by a 128-bit hash of its text.
 type fingerprint [2]uint64
 
 func fingerprintOf(state State) fingerprint {
@@ -56,18 +59,19 @@
 	return fingerprint{xxhash.Sum64String(text), xxhash.Sum64String("2" + text)}
 }
 
-// start is the parent of the state that a model begins with.
+// start is the parent index of the initial state.
 const start = -1
 
 // node is a state that was reached.
 type node struct {
-	state       State // nil once its successors are known, so that it can be collected
+	state       State // nil once its successors are computed, so that it can be garbage-collected
 	parent      int32 // index of the node that it was reached from
 	description string
 	depth       int32
 }
 
-// Explore visits states until there are no new ones, one is forbidden, or maxStates were reached.
+// Explore visits the states that can be reached from the initial state. It stops early at a forbidden state, or when it
+// has found maxStates states and there are more.
 func Explore(initial State, maxStates int) Report {
 	var report Report
 	seen := map[fingerprint]bool{fingerprintOf(initial): true}
@@ -104,7 +108,7 @@
 	return report
 }
 
-// traceTo returns the steps from the start to a node.
+// traceTo returns the descriptions of the steps from the initial state to a node.
 func traceTo(nodes []node, index int) (trace []string) {
 	for at := int32(index); nodes[at].parent != start; at = nodes[at].parent {
 		trace = append(trace, nodes[at].description)
--- a/internal/testbed/modelcheck/modelcheck_test.go
+++ b/internal/testbed/modelcheck/modelcheck_test.go
@@ -7,10 +7,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// jugs are two jugs of 3 and 5 that are filled, emptied and poured over.
+// jugs is a model of two jugs, of 3 and 5 litres, that can be filled, emptied and poured into each other.
 type jugs struct {
 	small, large int
-	forbidden    int // in the large one
+	forbidden    int // content of the large jug that is a violation
 }
 
 // Fingerprint is part of State.
@@ -41,7 +41,7 @@
 	}
 }
 
-// The trace is a shortest one, and replays.
+// Explore reports a shortest trace, and following its steps leads to the violation.
 func TestExploreFindsViolation(t *testing.T) {
 	report := Explore(jugs{forbidden: 4}, 100)
 	require.Equal(t, "4 in the larger one", report.Violation)
--- a/internal/testbed/processtest/cluster_fixture_test.go
+++ b/internal/testbed/processtest/cluster_fixture_test.go
@@ -141,7 +141,7 @@
 	require.NoError(c.t, c.Eventually(func() error {
 		state, err := c.State(id)
 		if err == nil && state.Epoch < epoch+2 {
-			err = fmt.Errorf("%+v", state)
+			err = fmt.Errorf("membership change not complete: %+v", state)
 		}
 		return err
 	}))
@@ -155,7 +155,7 @@
 	require.NoError(c.t, c.Eventually(func() error {
 		held, err := c.Export(id)
 		if err == nil && !slices.ContainsFunc(held, wanted) {
-			err = fmt.Errorf("%v", held)
+			err = fmt.Errorf("key not among the held keys: %v", held)
 		}
 		return err
 	}))
