--- a/cmd/pewterline-sim/search.go
+++ b/cmd/pewterline-sim/search.go
@@ -18,7 +18,7 @@
 var errUnboundedSearch = errors.New("--seeds: a range without an end requires --duration or --max-findings")
 
 type searchCommand struct {
-	worldFlags
+	setupFlags
 	Seeds       string        `default:"1.." help:"Seeds A..B; without B there is no end."`
 	Duration    time.Duration `aliases:"for" help:"How long to search; 0: until the seeds are through."`
 	Guided      bool          `help:"Keep scripts that reach new situations and change them, beside drawing new ones."`
--- a/cmd/pewterline-sim/world.go
+++ b/cmd/pewterline-sim/world.go
@@ -10,8 +10,8 @@
 	"pewterline/internal/testbed/faults"
 )
 
-// worldFlags are the parameters of a simulation whose script is drawn from a seed.
-type worldFlags struct {
+// setupFlags are the parameters of a simulation whose script is drawn from a seed.
+type setupFlags struct {
 	Profile string  `default:"worst" help:"How much goes wrong, and what: ${profiles}."`
 	Servers int     `default:"3" help:"Log servers, each with a worker pool."`
 	Proxies int     `default:"4" help:"Proxies; there are half as many web front ends beside."`
@@ -21,10 +21,10 @@
 	Rate    float64 `help:"First attempts a second in all; 0 has the profile choose."`
 }
 
-func (f worldFlags) length() microtime.Time { return microtime.Time(f.Seconds * 1e6) }
+func (f setupFlags) length() microtime.Time { return microtime.Time(f.Seconds * 1e6) }
 
-func (f worldFlags) draw(seed uint64) (faults.Script, error) {
-	world := faults.World{
+func (f setupFlags) draw(seed uint64) (faults.Script, error) {
+	setup := faults.Setup{
 		Servers: f.Servers,
 		Proxies: f.Proxies,
 		Edges:   f.Edges,
@@ -32,14 +32,14 @@
 		Rate:    f.Rate,
 		Vault:   f.Vault,
 	}
-	return world.Draw(seed, f.Profile)
+	return setup.Draw(seed, f.Profile)
 }
 
 // scriptSource specifies a script, either by a file or by a seed.
 type scriptSource struct {
 	Seed   uint64 `help:"Seed to draw the script from."`
 	Script string `type:"path" help:"File to read the script from, in place of a seed."`
-	worldFlags
+	setupFlags
 }
 
 func (s scriptSource) script() (faults.Script, error) {
--- a/internal/testbed/fakes/allowance.go
+++ b/internal/testbed/fakes/allowance.go
@@ -23,7 +23,7 @@
 	if err != nil || c.env.Settings.LoadSignal != control.LoadSignalAllowance || c.number%ignoreAllowanceEvery == 0 {
 		return
 	}
-	until := c.env.World.Now() + microtime.FromDuration(c.env.Settings.LoadSignalTTL)
+	until := c.env.Clock.Now() + microtime.FromDuration(c.env.Settings.LoadSignalTTL)
 	c.allowances[server] = allowance{requests, until}
 }
 
@@ -45,7 +45,7 @@
 // of a further request.
 func (c *Caller) allowed(server string) bool {
 	granted, known := c.allowances[server]
-	if !known || c.env.World.Now() > granted.until {
+	if !known || c.env.Clock.Now() > granted.until {
 		return true
 	}
 	outstanding := 0
--- a/internal/testbed/fakes/caller.go
+++ b/internal/testbed/fakes/caller.go
@@ -60,7 +60,7 @@
 func NewCaller(env *Environment, config CallerConfig) *Caller {
 	caller := &Caller{
 		env:        env,
-		rng:        env.World.Fork(config.Seed, config.Name),
+		rng:        env.Clock.Fork(config.Seed, config.Name),
 		node:       env.Net.Node(config.Name),
 		number:     config.Number,
 		ajp:        config.AJP,
@@ -94,7 +94,7 @@
 	c.conns = nil
 	c.node.Kill(false)
 	c.frozenUntil = max(c.frozenUntil, back+staleEndpointsAfterCrash)
-	c.env.World.At(back, func() {
+	c.env.Clock.At(back, func() {
 		if c.node.Up() {
 			return
 		}
@@ -127,9 +127,9 @@
 			conn.stream.PauseReading(true)
 		}
 	}
-	c.env.World.At(until, func() {
+	c.env.Clock.At(until, func() {
 		for _, conn := range slices.Clone(c.conns) {
-			if conn.stream != nil && !conn.ended && c.faults.notReadingUntil <= c.env.World.Now() {
+			if conn.stream != nil && !conn.ended && c.faults.notReadingUntil <= c.env.Clock.Now() {
 				conn.stream.PauseReading(false)
 			}
 		}
@@ -138,7 +138,7 @@
 
 // endpointsReceived handles an update of the endpoint list.
 func (c *Caller) endpointsReceived(endpoints []string) {
-	if c.env.World.Now() >= c.frozenUntil {
+	if c.env.Clock.Now() >= c.frozenUntil {
 		c.endpoints = endpoints
 	}
 }
--- a/internal/testbed/fakes/caller_conn.go
+++ b/internal/testbed/fakes/caller_conn.go
@@ -135,7 +135,7 @@
 	c.waiting = nil
 	c.stream = stream
 	stream.SetHandler(c)
-	if c.caller.faults.notReadingUntil > c.caller.env.World.Now() {
+	if c.caller.faults.notReadingUntil > c.caller.env.Clock.Now() {
 		stream.PauseReading(true)
 	}
 	for _, sent := range waiting {
@@ -192,14 +192,14 @@
 	} else {
 		c.writeThrift(started)
 	}
-	started.timer = env.World.In(caller.timeout(sent), func() { c.cancel(started) })
+	started.timer = env.Clock.In(caller.timeout(sent), func() { c.cancel(started) })
 }
 
 // timeout returns how long the caller waits for an answer: until shortly after the deadline, or a shorter time during a
 // fault that cancels early or, at random in a deployment with a vault, to cancel while a run waits for a call.
 func (c *Caller) timeout(sent *job) microtime.Time {
 	wait := c.deadline(sent) + deadlineGrace
-	if c.faults.cancelEarlyUntil > c.env.World.Now() {
+	if c.faults.cancelEarlyUntil > c.env.Clock.Now() {
 		wait = min(wait, c.faults.cancelAfter)
 	}
 	if c.env.Deployment.HasVault && c.rng.IntN(requestsPerEarlyCancel) == 0 {
@@ -244,7 +244,7 @@
 		return
 	}
 	c.idleTimer.Stop()
-	c.idleTimer = c.caller.env.World.In(idleTimeout, func() {
+	c.idleTimer = c.caller.env.Clock.In(idleTimeout, func() {
 		if len(c.open) == 0 && !c.ended {
 			c.close()
 		}
--- a/internal/testbed/fakes/caller_health.go
+++ b/internal/testbed/fakes/caller_health.go
@@ -16,8 +16,8 @@
 // scheduleHealthCheck schedules the next health check, which schedules the one after it.
 func (c *Caller) scheduleHealthCheck() {
 	incarnation := c.incarnation
-	c.env.World.In(healthCheckInterval/2+randomUpTo(c.rng, healthCheckInterval), func() {
-		if !c.alive(incarnation) || c.env.World.Now() > c.until {
+	c.env.Clock.In(healthCheckInterval/2+randomUpTo(c.rng, healthCheckInterval), func() {
+		if !c.alive(incarnation) || c.env.Clock.Now() > c.until {
 			return
 		}
 		c.scheduleHealthCheck()
@@ -36,7 +36,7 @@
 		}
 		stream.SetHandler(healthChecker{})
 		stream.Write(thrift.AppendProbe(nil, 1, deep))
-		c.env.World.In(healthCheckTimeout, stream.Close)
+		c.env.Clock.In(healthCheckTimeout, stream.Close)
 	})
 }
 
--- a/internal/testbed/fakes/caller_jobs.go
+++ b/internal/testbed/fakes/caller_jobs.go
@@ -48,8 +48,8 @@
 	if c.rate <= 0 {
 		return
 	}
-	c.env.World.In(microtime.Time(c.rng.ExpFloat64()*1e6/c.rate), func() {
-		if !c.alive(incarnation) || c.env.World.Now() > c.until {
+	c.env.Clock.In(microtime.Time(c.rng.ExpFloat64()*1e6/c.rate), func() {
+		if !c.alive(incarnation) || c.env.Clock.Now() > c.until {
 			return
 		}
 		c.scheduleJob()
@@ -87,7 +87,7 @@
 	started := &job{
 		tenant:    tenant,
 		sizeKB:    13 + 50*c.rng.Float64(),
-		startedAt: c.env.World.Now(),
+		startedAt: c.env.Clock.Now(),
 		class:     class,
 	}
 	if class == anyClass {
@@ -155,7 +155,7 @@
 		}
 	}
 	sent.attempts++
-	if sent.attempts > maxAttempts || c.env.World.Now() > sent.startedAt+jobLifetime {
+	if sent.attempts > maxAttempts || c.env.Clock.Now() > sent.startedAt+jobLifetime {
 		return
 	}
 	conn := c.connTo(server)
@@ -184,8 +184,8 @@
 // retry dispatches a job again after a pause.
 func (c *Caller) retry(sent *job, pause microtime.Time) {
 	incarnation := c.incarnation
-	c.env.World.In(pause, func() {
-		if c.alive(incarnation) && c.env.World.Now() < sent.startedAt+jobLifetime {
+	c.env.Clock.In(pause, func() {
+		if c.alive(incarnation) && c.env.Clock.Now() < sent.startedAt+jobLifetime {
 			c.dispatch(sent)
 		}
 	})
@@ -193,7 +193,7 @@
 
 // attemptServed counts a job whose result was received.
 func (c *Caller) attemptServed(sent *job) {
-	now := c.env.World.Now()
+	now := c.env.Clock.Now()
 	class := c.classOf(sent)
 	c.env.Served[class.Name]++
 	if now <= sent.startedAt+microtime.FromDuration(class.LatencyObjective) {
@@ -207,7 +207,7 @@
 func (c *Caller) attemptRejected(sent *job, server string, final answer) {
 	sent.avoidServer = server
 	switch {
-	case c.faults.retryAtOnceUntil > c.env.World.Now():
+	case c.faults.retryAtOnceUntil > c.env.Clock.Now():
 		c.retry(sent, 0)
 	case final.noRetry && sent.stickyServer == "": // the job is dropped
 	default:
--- a/internal/testbed/fakes/caller_thrift.go
+++ b/internal/testbed/fakes/caller_thrift.go
@@ -21,7 +21,7 @@
 	fields := []thrift.Field{
 		{Name: "class", Value: c.classOf(request).Name},
 		{Name: "id", Value: sent.id},
-		{Name: "at", Value: strconv.FormatInt(c.env.wall.UnixMilli(c.env.World.Now()), 10)},
+		{Name: "at", Value: strconv.FormatInt(c.env.wall.UnixMilli(c.env.Clock.Now()), 10)},
 		{Name: "from", Value: strconv.Itoa(c.number)},
 		{Name: "kb", Value: strconv.FormatFloat(request.sizeKB, 'f', 1, 64)},
 		{Name: "rank", Value: strconv.FormatFloat(request.priority, 'f', 4, 64)},
@@ -80,7 +80,7 @@
 	finished := c.open[index]
 	c.finish(finished)
 	c.caller.allowanceReceived(c.server, reply.Fields["say"])
-	if c.caller.faults.cancelLateUntil > c.caller.env.World.Now() {
+	if c.caller.faults.cancelLateUntil > c.caller.env.Clock.Now() {
 		c.writeCancel(finished.sequenceID)
 		c.writeCancel(finished.sequenceID + unusedSequenceOffset)
 	}
--- a/internal/testbed/fakes/environment.go
+++ b/internal/testbed/fakes/environment.go
@@ -7,10 +7,10 @@
 	"pewterline/internal/testbed/simnet"
 )
 
-// Environment holds the data that all fakes of a simulated world share.
+// Environment holds the data that all fakes of a simulation share.
 type Environment struct {
 	Net           *simnet.Net
-	World         *simnet.World
+	Clock         *simnet.Clock
 	Settings      control.Settings
 	Deployment    Deployment
 	Requests      *RequestRegistry
@@ -35,7 +35,7 @@
 func NewEnvironment(config EnvironmentConfig) *Environment {
 	env := &Environment{
 		Net:           config.Net,
-		World:         config.Net.World(),
+		Clock:         config.Net.Clock(),
 		Settings:      config.Settings,
 		Deployment:    config.Deployment,
 		Requests:      &RequestRegistry{attempts: map[string]*sentAttempt{}},
@@ -43,7 +43,7 @@
 		Served:        map[string]int{},
 		Started:       map[string]int{},
 	}
-	env.Registry = newRegistry(env, env.World.Fork(config.Seed, controlNode))
+	env.Registry = newRegistry(env, env.Clock.Fork(config.Seed, controlNode))
 	return env
 }
 
--- a/internal/testbed/fakes/pool.go
+++ b/internal/testbed/fakes/pool.go
@@ -84,15 +84,15 @@
 		server:        config.Server,
 		cores:         float64(env.Settings.Cores),
 		cold:          config.Cold,
-		startedAt:     env.World.Now(),
+		startedAt:     env.Clock.Now(),
 		slowdown:      1,
 		classSlowdown: map[string]float64{},
 		runs:          map[string]*poolRun{},
-		serviceAt:     env.World.Now(),
+		serviceAt:     env.Clock.Now(),
 		firstNotice:   1,
 	}
 	started.node.Boot()
-	started.rng = env.World.Fork(config.Seed, fmt.Sprintf("%s/%d", name, started.node.Incarnation))
+	started.rng = env.Clock.Fork(config.Seed, fmt.Sprintf("%s/%d", name, started.node.Incarnation))
 	started.listen()
 	if config.Cold {
 		started.warmUp()
@@ -116,7 +116,7 @@
 	p.listener.Close()
 	p.address++
 	p.listen()
-	p.env.World.In(oldAddressGrace, func() {
+	p.env.Clock.In(oldAddressGrace, func() {
 		for _, stream := range old {
 			stream.Close()
 		}
@@ -144,7 +144,7 @@
 	speed := 1.0
 	if p.cold {
 		slowest := coldSpeed
-		speed = min(1, slowest+(1-slowest)*float64(p.env.World.Now()-p.startedAt)/float64(warmUpTime))
+		speed = min(1, slowest+(1-slowest)*float64(p.env.Clock.Now()-p.startedAt)/float64(warmUpTime))
 	}
 	return speed / p.slowdown * min(1, p.cores/float64(max(len(p.running), 1)))
 }
@@ -154,22 +154,22 @@
 	if p.killed {
 		return
 	}
-	now := p.env.World.Now()
+	now := p.env.Clock.Now()
 	p.service += p.rate() * float64(now-p.serviceAt)
 	p.serviceAt = now
 	apply()
 	p.nextEnd.Stop()
 	if len(p.running) > 0 {
 		left := max(p.running[0].endService-p.service, 0)
-		p.nextEnd = p.env.World.In(microtime.Time(math.Ceil(left/p.rate())), p.endRuns)
+		p.nextEnd = p.env.Clock.In(microtime.Time(math.Ceil(left/p.rate())), p.endRuns)
 	}
 }
 
 // warmUp updates the speed at intervals until the pool is warm.
 func (p *Pool) warmUp() {
 	p.change(func() {})
-	if !p.killed && p.env.World.Now() < p.startedAt+warmUpTime {
-		p.env.World.In(warmUpStep, p.warmUp)
+	if !p.killed && p.env.Clock.Now() < p.startedAt+warmUpTime {
+		p.env.Clock.In(warmUpStep, p.warmUp)
 	}
 }
 
--- a/internal/testbed/fakes/pool_link.go
+++ b/internal/testbed/fakes/pool_link.go
@@ -28,7 +28,7 @@
 	if p.rng.IntN(runsPerChatter) == 0 { // it has a notice number of its own, and is sent again like other notices
 		p.notify(func(number uint64) []byte { return fmt.Appendf(nil, "chatter %d all is well\r\n", number) })
 	}
-	durationMS := int((p.env.World.Now() - finished.startedAt) / microtime.Millisecond)
+	durationMS := int((p.env.Clock.Now() - finished.startedAt) / microtime.Millisecond)
 	p.notify(func(number uint64) []byte {
 		return pool.AppendFinished(nil, number, finished.id, outcome, durationMS, result)
 	})
@@ -45,7 +45,7 @@
 	if p.conn == nil || !p.conn.bound {
 		return
 	}
-	if p.duplicateUntil > p.env.World.Now() {
+	if p.duplicateUntil > p.env.Clock.Now() {
 		line = append(slices.Clone(line), line...)
 	}
 	p.conn.stream.Write(line)
@@ -126,7 +126,7 @@
 	if owner.cold {
 		state = "EMPTY"
 	}
-	uptimeMS := (owner.env.World.Now() - owner.startedAt) / microtime.Millisecond
+	uptimeMS := (owner.env.Clock.Now() - owner.startedAt) / microtime.Millisecond
 	c.stream.Write(fmt.Appendf(nil, "bound %s %d\r\n", state, uptimeMS))
 	for number := max(command.Notice+1, owner.firstNotice); number < owner.nextNotice(); number++ {
 		c.stream.Write(owner.notices[number-owner.firstNotice])
@@ -144,7 +144,7 @@
 	if earlier := owner.runs[command.ID]; earlier != nil && !earlier.ended {
 		return
 	}
-	started := &poolRun{id: command.ID, startedAt: owner.env.World.Now(), body: slices.Clone(command.Body)}
+	started := &poolRun{id: command.ID, startedAt: owner.env.Clock.Now(), body: slices.Clone(command.Body)}
 	owner.runs[command.ID] = started
 	if attempt.ended { // a request that has ended is not run
 		owner.finish(started, pool.Noop, nil)
@@ -192,7 +192,7 @@
 // verify answers a deep health check after verifyDuration, scaled by the slowdown.
 func (c *poolConn) verify(command pool.Command) {
 	owner := c.pool
-	owner.env.World.In(microtime.Time(float64(verifyDuration)*owner.slowdown), func() {
+	owner.env.Clock.In(microtime.Time(float64(verifyDuration)*owner.slowdown), func() {
 		if owner.conn == c {
 			c.stream.Write(pool.AppendVerified(nil, command.Tag, pool.Pass))
 		}
--- a/internal/testbed/fakes/registry.go
+++ b/internal/testbed/fakes/registry.go
@@ -46,7 +46,7 @@
 			Datagram: func(_ string, datagram []byte) { registry.reportReceived(string(datagram)) },
 		})
 	}
-	env.World.In(0, registry.push)
+	env.Clock.In(0, registry.push)
 	return registry
 }
 
@@ -77,7 +77,7 @@
 // refresh records a report of a server.
 func (r *Registry) refresh(server string, ready bool) {
 	reported := r.endpoint(server)
-	reported.reportedAt = r.env.World.Now()
+	reported.reportedAt = r.env.Clock.Now()
 	reported.ready = ready
 }
 
@@ -85,21 +85,21 @@
 func (r *Registry) reportReceived(text string) {
 	var server, state string
 	fields, _ := fmt.Sscanf(text, "lease %s %s", &server, &state) // the count tells whether the report could be parsed
-	if fields == 2 && r.downUntil <= r.env.World.Now() {
+	if fields == 2 && r.downUntil <= r.env.Clock.Now() {
 		r.refresh(server, state == readyState)
 	}
 }
 
 // push sends the current list to every caller, each with a random delay, and schedules the next push.
 func (r *Registry) push() {
-	if r.env.World.Now() >= r.downUntil {
+	if r.env.Clock.Now() >= r.downUntil {
 		list := r.listed()
 		for _, caller := range r.callers {
 			delay := minPushDelay + randomUpTo(r.rng, minPushDelay)
-			r.env.World.In(delay, func() { caller.endpointsReceived(list) })
+			r.env.Clock.In(delay, func() { caller.endpointsReceived(list) })
 		}
 	}
-	r.env.World.In(pushInterval, r.push)
+	r.env.Clock.In(pushInterval, r.push)
 }
 
 // listed returns the current endpoint list.
@@ -109,7 +109,7 @@
 		if r.downUntil > 0 && known.reportedAt < r.downUntil && known.reportedAt > 0 {
 			known.reportedAt = r.downUntil // entries do not expire while the control plane is down
 		}
-		if known.ready && !r.hidden[known.server] && r.env.World.Now() < known.reportedAt+endpointTTL {
+		if known.ready && !r.hidden[known.server] && r.env.Clock.Now() < known.reportedAt+endpointTTL {
 			list = append(list, known.server)
 		}
 	}
--- a/internal/testbed/fakes/store.go
+++ b/internal/testbed/fakes/store.go
@@ -18,7 +18,7 @@
 
 // Store is a store of record on the simulated clock. Its records outlive the servers that use it.
 type Store struct {
-	world     *simnet.World
+	clock     *simnet.Clock
 	records   []store.Record
 	idleAt    microtime.Time // when the last queued write completes
 	slowBy    microtime.Time // added to each write
@@ -27,7 +27,7 @@
 }
 
 // NewStore returns an empty store.
-func NewStore(world *simnet.World) *Store { return &Store{world: world} }
+func NewStore(clock *simnet.Clock) *Store { return &Store{clock: clock} }
 
 // Slow adds a duration to each write until a time.
 func (s *Store) Slow(by, until microtime.Time) {
@@ -61,15 +61,15 @@
 
 // Record implements server.Records: it writes a record after the earlier ones.
 func (s *Store) Record(record store.Record, done func(error)) {
-	now := s.world.Now()
+	now := s.clock.Now()
 	duration := writeDuration
 	if now < s.slowUntil {
 		duration += s.slowBy
 	}
 	s.idleAt = max(s.idleAt, now) + duration
 	record.Result = slices.Clone(record.Result)
-	s.world.At(s.idleAt, func() {
-		failing := s.world.Now() < s.failUntil
+	s.clock.At(s.idleAt, func() {
+		failing := s.clock.Now() < s.failUntil
 		if !failing || len(s.records)%2 == 0 {
 			s.put(record)
 		}
--- a/internal/testbed/fakes/unidentified.go
+++ b/internal/testbed/fakes/unidentified.go
@@ -24,7 +24,7 @@
 	}
 	for i := range count {
 		address := server + "/" + []string{"thrift", "ajp"}[rng.IntN(2)]
-		e.World.In(microtime.Time(i)*unidentifiedInterval, func() {
+		e.Clock.In(microtime.Time(i)*unidentifiedInterval, func() {
 			node.Dial(address, func(stream *simnet.Stream, err error) {
 				if err != nil {
 					return
@@ -36,7 +36,7 @@
 				case 1:
 					stream.Write([]byte("GET / HTTP/1.1\r\n\r\n"))
 				}
-				e.World.In(unidentifiedLifetime, stream.Close)
+				e.Clock.In(unidentifiedLifetime, stream.Close)
 			})
 		})
 	}
--- a/internal/testbed/fakes/vault.go
+++ b/internal/testbed/fakes/vault.go
@@ -46,8 +46,8 @@
 	return names[f]
 }
 
-// Vault is the simulated vault that all servers of a world call, on a node of its own. Each call takes a random time,
-// and replies are sent in the order in which calls complete.
+// Vault is the simulated vault that all servers of a simulation call, on a node of its own. Each call takes a random
+// time, and replies are sent in the order in which calls complete.
 type Vault struct {
 	env         *Environment
 	rng         *rand.Rand
@@ -81,7 +81,7 @@
 func NewVault(env *Environment, seed uint64) *Vault {
 	started := &Vault{
 		env:      env,
-		rng:      env.World.Fork(seed, vaultNode),
+		rng:      env.Clock.Fork(seed, vaultNode),
 		node:     env.Net.Node(vaultNode),
 		slowdown: 1,
 		calls:    map[string]*vaultCall{},
@@ -115,7 +115,7 @@
 		stream.Reset()
 	}
 	if !alreadyDown { // otherwise the end of the earlier outage restarts it
-		v.env.World.At(until, v.listen)
+		v.env.Clock.At(until, v.listen)
 	}
 }
 
@@ -130,7 +130,7 @@
 
 // faultOccurs reports whether a fault occurs now, at random with its probability.
 func (v *Vault) faultOccurs(fault VaultFault) bool {
-	return v.env.World.Now() < v.until[fault] && v.rng.Float64() < v.probability[fault]
+	return v.env.Clock.Now() < v.until[fault] && v.rng.Float64() < v.probability[fault]
 }
 
 // end removes a call from those in flight.
@@ -145,7 +145,7 @@
 	c.idleTimer.Stop()
 	c.idleTimer = nil
 	if c.open == 0 && c.stream.IsOpen() {
-		c.idleTimer = c.vault.env.World.In(vaultIdleTimeout, c.stream.Close)
+		c.idleTimer = c.vault.env.Clock.In(vaultIdleTimeout, c.stream.Close)
 	}
 }
 
@@ -216,7 +216,7 @@
 	if owner.faultOccurs(VaultShuffles) {
 		duration += randomUpTo(owner.rng, maxShuffleDelay)
 	}
-	call.timer = owner.env.World.In(duration, func() { c.reply(call, status) })
+	call.timer = owner.env.Clock.In(duration, func() { c.reply(call, status) })
 }
 
 // reply ends a call and sends its reply.
--- a/internal/testbed/faults/draw.go
+++ b/internal/testbed/faults/draw.go
@@ -11,8 +11,8 @@
 	"pewterline/internal/microtime"
 )
 
-// World is the topology, duration and load of the simulation that a script is drawn for.
-type World struct {
+// Setup is the topology, duration and load of the simulation that a script is drawn for.
+type Setup struct {
 	Servers int
 	Proxies int
 	Edges   int // edges in front of the servers; 0: callers connect to the servers
@@ -26,7 +26,7 @@
 
 // Draw generates a random script from a seed and the profile of that name. The same arguments give the same script.
 // With a vault, every third seed has idempotent orders.
-func (w World) Draw(seed uint64, name string) (Script, error) {
+func (s Setup) Draw(seed uint64, name string) (Script, error) {
 	chosen, ok := profiles[name]
 	if !ok {
 		return Script{}, fieldErrorf("profile", "unknown %q; want one of %s", name, strings.Join(Profiles(), ", "))
@@ -35,24 +35,24 @@
 	script := Script{
 		Seed:             seed,
 		Profile:          name,
-		Servers:          w.Servers,
-		Proxies:          w.Proxies,
-		WebFrontends:     max(w.Proxies/2, 1),
-		Edges:            w.Edges,
-		Length:           w.Length,
-		Rate:             w.Rate,
+		Servers:          s.Servers,
+		Proxies:          s.Proxies,
+		WebFrontends:     max(s.Proxies/2, 1),
+		Edges:            s.Edges,
+		Length:           s.Length,
+		Rate:             s.Rate,
 		Store:            rng.IntN(4) == 0,
-		Gossip:           w.Edges > 1 && seed%2 == 0,
-		Vault:            w.Vault,
-		IdempotentOrders: w.Vault && seed%3 == 0,
+		Gossip:           s.Edges > 1 && seed%2 == 0,
+		Vault:            s.Vault,
+		IdempotentOrders: s.Vault && seed%3 == 0,
 	}
-	if w.Rate == 0 {
-		script.Rate = math.Round(chosen.load * ratePerServer * float64(w.Servers) * (0.7 + 0.6*rng.Float64()))
+	if s.Rate == 0 {
+		script.Rate = math.Round(chosen.load * ratePerServer * float64(s.Servers) * (0.7 + 0.6*rng.Float64()))
 	}
-	if err := script.checkWorld(); err != nil {
+	if err := script.checkSetup(); err != nil {
 		return script, err
 	}
-	mean := w.Length.Duration().Seconds() * math.Sqrt(float64(w.Servers)) / chosen.interval * (0.5 + rng.Float64())
+	mean := s.Length.Duration().Seconds() * math.Sqrt(float64(s.Servers)) / chosen.interval * (0.5 + rng.Float64())
 	for range min(max(int(mean+rng.Float64()), 1), MaxFaults) {
 		script.Faults = append(script.Faults, script.RandomFault(rng))
 	}
--- a/internal/testbed/faults/faults_test.go
+++ b/internal/testbed/faults/faults_test.go
@@ -15,14 +15,14 @@
 func TestDrawnScriptsRoundTrip(t *testing.T) {
 	for _, profile := range Profiles() {
 		for seed := range uint64(300) {
-			world := World{Servers: 1 + int(seed%5), Proxies: int(seed % 4), Length: 12 * microtime.Second, Vault: seed%2 == 1}
-			script, err := world.Draw(seed, profile)
+			setup := Setup{Servers: 1 + int(seed%5), Proxies: int(seed % 4), Length: 12 * microtime.Second, Vault: seed%2 == 1}
+			script, err := setup.Draw(seed, profile)
 			require.NoError(t, err)
 			require.NoError(t, script.Validate())
 			parsed, err := Parse(script.String())
 			require.NoError(t, err, script.String())
 			require.Equal(t, script, parsed)
-			again, err := world.Draw(seed, profile)
+			again, err := setup.Draw(seed, profile)
 			require.NoError(t, err)
 			require.Equal(t, script, again)
 		}
@@ -49,7 +49,7 @@
 
 // A parse error names the line and the invalid field.
 func TestErrorsNameTheLineAndTheField(t *testing.T) {
-	world := "# a comment\nworld seed=1 servers=2 proxies=1 offices=1 seconds=10 rate=5\n\n"
+	worldLine := "# a comment\nworld seed=1 servers=2 proxies=1 offices=1 seconds=10 rate=5\n\n"
 	for _, test := range []struct {
 		text, field string
 		line        int
@@ -61,22 +61,22 @@
 		{"world seed=1 servers=1 seconds=0", "seconds", 1},
 		{"world seed=1 servers=1 seconds=1 color=red", "color", 1},
 		{"world seed=1 seed=2 servers=1 seconds=1", "seed", 1},
-		{world + "world seed=1", "world", 4},
-		{world + "storm at=1s", "storm", 4},
-		{world + "fault at=1s kind=quake node=s0", "kind", 4},
-		{world + "fault at=soon kind=kill node=s0", "at", 4},
-		{world + "fault at=11s kind=kill node=s0", "at", 4},
-		{world + "fault at=1s kind=kill", "node", 4},
-		{world + "fault at=1s kind=kill node=s2", "node", 4},
-		{world + "fault at=1s kind=kill node=p0", "node", 4},
-		{world + "fault at=1s kind=kill node=s00", "node", 4},
-		{world + "fault at=1s kind=mute node=s0", "node", 4},
-		{world + "fault at=1s kind=kill node=s0 peer=w0", "peer", 4},
-		{world + "fault at=1s kind=cut node=s0", "peer", 4},
-		{world + "fault at=1s kind=hup node=s0 for=1s", "for", 4},
-		{world + "fault at=1s kind=pause node=s0 for=-1s", "for", 4},
-		{world + "fault at=1s kind=flood what=nobody amount=2", "what", 4},
-		{world + "fault at=1s kind=vault-down node=v0", "node", 4},
+		{worldLine + "world seed=1", "world", 4},
+		{worldLine + "storm at=1s", "storm", 4},
+		{worldLine + "fault at=1s kind=quake node=s0", "kind", 4},
+		{worldLine + "fault at=soon kind=kill node=s0", "at", 4},
+		{worldLine + "fault at=11s kind=kill node=s0", "at", 4},
+		{worldLine + "fault at=1s kind=kill", "node", 4},
+		{worldLine + "fault at=1s kind=kill node=s2", "node", 4},
+		{worldLine + "fault at=1s kind=kill node=p0", "node", 4},
+		{worldLine + "fault at=1s kind=kill node=s00", "node", 4},
+		{worldLine + "fault at=1s kind=mute node=s0", "node", 4},
+		{worldLine + "fault at=1s kind=kill node=s0 peer=w0", "peer", 4},
+		{worldLine + "fault at=1s kind=cut node=s0", "peer", 4},
+		{worldLine + "fault at=1s kind=hup node=s0 for=1s", "for", 4},
+		{worldLine + "fault at=1s kind=pause node=s0 for=-1s", "for", 4},
+		{worldLine + "fault at=1s kind=flood what=nobody amount=2", "what", 4},
+		{worldLine + "fault at=1s kind=vault-down node=v0", "node", 4},
 		{"world seed=1 servers=1 seconds=1 vault=true edges=2", "vault", 1},
 		{"world seed=1 servers=1 seconds=1 guarded=true", "guarded", 1},
 		{"world seed=1 servers=1 seconds=1 vault=true\nfault at=1s kind=flood what=hill-estate amount=2", "what", 2},
@@ -85,9 +85,9 @@
 			"world seed=1 servers=1 seconds=1 vault=true\nfault at=1s kind=vault-failing node=v0 what=notnow amount=1",
 			"what", 2,
 		},
-		{world + "fault at=1s kind=slow node=w0 amount=0.5", "amount", 4},
-		{world + "fault at=1s kind=slow node=w0 amount=NaN", "amount", 4},
-		{world + "fault at=1s kind=kill node", "node", 4},
+		{worldLine + "fault at=1s kind=slow node=w0 amount=0.5", "amount", 4},
+		{worldLine + "fault at=1s kind=slow node=w0 amount=NaN", "amount", 4},
+		{worldLine + "fault at=1s kind=kill node", "node", 4},
 	} {
 		_, err := Parse(test.text)
 		var parseErr *Error
@@ -95,7 +95,7 @@
 		require.Equal(t, test.field, parseErr.Field, test.text)
 		require.Equal(t, test.line, parseErr.Line, test.text)
 	}
-	_, err := World{Servers: 1, Proxies: 1, Length: microtime.Second}.Draw(1, "tea-time")
+	_, err := Setup{Servers: 1, Proxies: 1, Length: microtime.Second}.Draw(1, "tea-time")
 	require.ErrorContains(t, err, "profile")
 }
 
@@ -105,7 +105,7 @@
 	sum := xxhash.New()
 	for _, profile := range Profiles() {
 		for seed := range uint64(50) {
-			s, err := World{Servers: 3, Proxies: 4, Edges: int(seed % 3), Length: 12 * microtime.Second}.Draw(seed, profile)
+			s, err := Setup{Servers: 3, Proxies: 4, Edges: int(seed % 3), Length: 12 * microtime.Second}.Draw(seed, profile)
 			require.NoError(t, err)
 			_, _ = sum.WriteString(s.String())
 		}
--- a/internal/testbed/faults/parse.go
+++ b/internal/testbed/faults/parse.go
@@ -19,7 +19,7 @@
 			return parsing.script, err
 		}
 	}
-	if !parsing.hasWorld {
+	if !parsing.hasWorldLine {
 		return parsing.script, fieldErrorf("world", "missing")
 	}
 	parsing.script.SortFaults()
@@ -28,8 +28,8 @@
 
 // parser holds the part of a script that has been read.
 type parser struct {
-	script   Script
-	hasWorld bool
+	script       Script
+	hasWorldLine bool
 }
 
 func (p *parser) parseLine(words []string) *Error {
@@ -41,17 +41,17 @@
 		return err
 	}
 	switch {
-	case words[0] == "world" && !p.hasWorld:
-		p.hasWorld = true
-		if err := p.script.readWorld(fields); err != nil {
+	case words[0] == "world" && !p.hasWorldLine:
+		p.hasWorldLine = true
+		if err := p.script.readWorldLine(fields); err != nil {
 			return err
 		}
-		return p.script.checkWorld()
+		return p.script.checkSetup()
 	case words[0] == "world":
 		return fieldErrorf("world", "duplicate world line")
 	case words[0] != "fault":
 		return fieldErrorf(words[0], "unknown keyword, want world or fault")
-	case !p.hasWorld:
+	case !p.hasWorldLine:
 		return fieldErrorf("fault", "precedes the world line")
 	}
 	return p.addFault(fields)
@@ -89,8 +89,8 @@
 	return fields, nil
 }
 
-// readWorld reads the fields of the world line. Kept scripts use these names.
-func (s *Script) readWorld(fields []field) *Error {
+// readWorldLine reads the fields of the world line. Kept scripts use these names.
+func (s *Script) readWorldLine(fields []field) *Error {
 	readers := map[string]func(value string) error{
 		"seed":    readInto(&s.Seed, parseUint),
 		"profile": func(value string) error { s.Profile = value; return nil },
--- a/internal/testbed/faults/validate.go
+++ b/internal/testbed/faults/validate.go
@@ -57,7 +57,7 @@
 
 // Validate returns an *Error for the first invalid field of the script, or nil.
 func (s *Script) Validate() error {
-	if err := s.checkWorld(); err != nil {
+	if err := s.checkSetup(); err != nil {
 		return err
 	}
 	for i, f := range s.Faults {
@@ -71,7 +71,7 @@
 // Allows reports whether a fault is valid in the script.
 func (s *Script) Allows(f Fault) bool { return s.check(f) == nil }
 
-func (s *Script) checkWorld() *Error {
+func (s *Script) checkSetup() *Error {
 	checkRange := func(field string, value, lo, hi float64) *Error {
 		if !(value >= lo && value <= hi) {
 			return fieldErrorf(field, "%v is not within %v to %v", value, lo, hi)
--- a/internal/testbed/faultsearch/search_test.go
+++ b/internal/testbed/faultsearch/search_test.go
@@ -11,7 +11,7 @@
 )
 
 func draw(seed uint64) faults.Script {
-	script, err := faults.World{Servers: 3, Proxies: 4, Length: 12 * microtime.Second}.Draw(seed, "worst")
+	script, err := faults.Setup{Servers: 3, Proxies: 4, Length: 12 * microtime.Second}.Draw(seed, "worst")
 	if err != nil {
 		panic(err)
 	}
--- a/internal/testbed/invariant/call_rules.go
+++ b/internal/testbed/invariant/call_rules.go
@@ -20,7 +20,7 @@
 // checkCallAddress checks that a call goes to the configured address, with a grace period after a change of it.
 func (o *Observer) checkCallAddress(made *call) {
 	server := made.conn.server
-	since := o.world.Now() - server.callAddressSetAt - o.pausedSince(server, server.callAddressSetAt)
+	since := o.clock.Now() - server.callAddressSetAt - o.pausedSince(server, server.callAddressSetAt)
 	if server.callAddress != "" && made.conn.address != server.callAddress && since > maxReadDelay+microtime.Millisecond {
 		o.report(ruleCall, server, made.request,
 			"to another address: %s, where %s is configured", made.conn.address, server.callAddress)
@@ -59,7 +59,7 @@
 		return
 	}
 	endedAt, ended := made.request.endKnown()
-	since := o.world.Now() - endedAt - o.pausedSince(made.conn.server, endedAt)
+	since := o.clock.Now() - endedAt - o.pausedSince(made.conn.server, endedAt)
 	if ended && since > maxReadDelay {
 		o.report(ruleCall, made.conn.server, made.request,
 			"after the request's end: request %s, ended %v before", made.id, since.Duration())
--- a/internal/testbed/invariant/calls.go
+++ b/internal/testbed/invariant/calls.go
@@ -101,7 +101,7 @@
 		conn:    conn,
 		run:     server.runs[command.ID],
 		request: server.requests[command.ID],
-		askedAt: o.world.Now(),
+		askedAt: o.clock.Now(),
 		timeout: microtime.Time(command.WaitMS) * microtime.Millisecond,
 	}
 	o.noteCall(made, "call, for %v", made.timeout.Duration())
--- a/internal/testbed/invariant/drain_rules.go
+++ b/internal/testbed/invariant/drain_rules.go
@@ -7,7 +7,7 @@
 // checkStopped checks, if a process exited by itself, that it has answered every request that it had read. After its
 // end, no answer is required any more.
 func (o *Observer) checkStopped(server *serverState, exited bool) {
-	now := o.world.Now()
+	now := o.clock.Now()
 	for _, request := range server.open {
 		if exited && request.awaitsAnswer() &&
 			now-request.arrivedAt > crossingGrace+o.pausedSince(server, request.arrivedAt) {
--- a/internal/testbed/invariant/health_checks.go
+++ b/internal/testbed/invariant/health_checks.go
@@ -20,7 +20,7 @@
 // healthCheckReceived records a deep health check when it reaches the server.
 func (o *Observer) healthCheckReceived(conn *connState, message thrift.Call) {
 	if message.Deep && !conn.server.stopped {
-		conn.server.healthChecks = append(conn.server.healthChecks, healthCheck{conn, message.SequenceID, o.world.Now()})
+		conn.server.healthChecks = append(conn.server.healthChecks, healthCheck{conn, message.SequenceID, o.clock.Now()})
 	}
 }
 
--- a/internal/testbed/invariant/lost_rules.go
+++ b/internal/testbed/invariant/lost_rules.go
@@ -69,7 +69,7 @@
 		if request.conn != conn || !request.awaitsAnswer() {
 			continue
 		}
-		if o.world.Now()-request.arrivedAt > crossingGrace+o.pausedSince(conn.server, request.arrivedAt) {
+		if o.clock.Now()-request.arrivedAt > crossingGrace+o.pausedSince(conn.server, request.arrivedAt) {
 			o.report(ruleLost, conn.server, request, "closed by the server: request %s was open on the connection", request.id)
 		}
 		request.settled = true
--- a/internal/testbed/invariant/observer.go
+++ b/internal/testbed/invariant/observer.go
@@ -38,7 +38,7 @@
 	Store                 bool // a store of record is in use: results outlive the server's process
 }
 
-// Observer checks one simulated world. It must be used only on the goroutine that runs the world.
+// Observer checks one simulation. It must be used only on the goroutine that runs the simulation.
 type Observer struct {
 	Limits     Limits
 	Violations []Violation
@@ -58,7 +58,7 @@
 	// Example is the history of the first served request whose run made a call.
 	Example []string
 
-	world          *simnet.World
+	clock          *simnet.Clock
 	wall           simnet.WallClock
 	classIndex     map[string]int // by name, into the settings' classes
 	servers        map[string]*serverState
@@ -74,15 +74,16 @@
 	startedRuns    map[string]*run        // by server and idempotency key: last runs started, in any incarnation
 }
 
-// New returns an observer of a world. Its Tap must receive the events of the world's network.
-func New(world *simnet.World, limits Limits) *Observer {
+// New returns an observer of the simulation that clock belongs to. Its Tap must receive the events of the simulation's
+// network.
+func New(clock *simnet.Clock, limits Limits) *Observer {
 	observer := &Observer{
 		Limits:          limits,
 		MaxViolations:   defaultMaxViolations,
 		Answers:         map[string]int{},
 		SituationCounts: map[string]int{},
 		Replies:         map[string]int{},
-		world:           world,
+		clock:           clock,
 		classIndex:      map[string]int{},
 		servers:         map[string]*serverState{},
 		conns:           map[uint64]*connState{},
@@ -103,8 +104,8 @@
 	started := &serverState{
 		name:        name,
 		incarnation: incarnation,
-		startedAt:   o.world.Now(),
-		lastDialAt:  o.world.Now(),
+		startedAt:   o.clock.Now(),
+		lastDialAt:  o.clock.Now(),
 		drainSentAt: microtime.Never,
 		requests:    map[string]*requestState{},
 		keys:        map[string]*keyState{},
@@ -122,14 +123,14 @@
 // DrainSent reports that the drain notice has been sent to a server.
 func (o *Observer) DrainSent(name string) {
 	if server := o.servers[name]; server.drainSentAt == microtime.Never {
-		server.drainSentAt = o.world.Now()
+		server.drainSentAt = o.clock.Now()
 	}
 }
 
 // ServerPaused reports that a server's process is paused until a time. Time limits are extended by the pause.
 func (o *Observer) ServerPaused(name string, until microtime.Time) {
 	server := o.servers[name]
-	server.pauses = append(server.pauses, pauseInterval{o.world.Now(), until})
+	server.pauses = append(server.pauses, pauseInterval{o.clock.Now(), until})
 }
 
 // ServerStopped reports that a server's process has exited by itself or was killed.
@@ -147,12 +148,12 @@
 func (o *Observer) CallsRoutedTo(name, address string) {
 	server := o.servers[name]
 	server.callAddress = address
-	server.callAddressSetAt = o.world.Now()
+	server.callAddressSetAt = o.clock.Now()
 }
 
-// Check applies the rules that depend on the time. It must be called after every step of the world.
+// Check applies the rules that depend on the time. It must be called after every step of the simulation.
 func (o *Observer) Check() {
-	now := o.world.Now()
+	now := o.clock.Now()
 	o.checkOverdue(now)
 	if now < o.nextAudit {
 		return
--- a/internal/testbed/invariant/observer_test.go
+++ b/internal/testbed/invariant/observer_test.go
@@ -30,12 +30,12 @@
 		{"answered late", "lost/answered late", func(f *fixture) {
 			n := f.sendAgedRequest("a", idempotentClass, "", 4*microtime.Second)
 			f.advance(140 * microtime.Millisecond)
-			f.world.Run(f.world.Now() + 100*microtime.Millisecond) // no steps, so that nothing is checked meanwhile
+			f.clock.Run(f.clock.Now() + 100*microtime.Millisecond) // no steps, so that nothing is checked meanwhile
 			f.writeReply(thrift.AppendBroken(nil, n, nil))
 		}},
 		{"answered late after a pause of the process", "", func(f *fixture) {
 			n := f.sendRequest("a", idempotentClass, "")
-			f.observer.ServerPaused("s0", f.world.Now()+6*microtime.Second)
+			f.observer.ServerPaused("s0", f.clock.Now()+6*microtime.Second)
 			f.advance(6100 * microtime.Millisecond)
 			f.writeReply(thrift.AppendBroken(nil, n, nil))
 		}},
@@ -158,7 +158,7 @@
 			f.sendRequest("a", idempotentClass, "")
 			f.advance(60 * microtime.Millisecond)
 			f.observer.Tap(simnet.Event{
-				At:    f.world.Now(),
+				At:    f.clock.Now(),
 				Kind:  simnet.HalfClosed,
 				Cause: simnet.CauseCut,
 				Conn:  callerConn,
--- a/internal/testbed/invariant/overload_rules.go
+++ b/internal/testbed/invariant/overload_rules.go
@@ -9,7 +9,7 @@
 // runningChanged records a change of the number of runs on a server's cores.
 func (o *Observer) runningChanged(server *serverState, by int) {
 	server.running += by
-	server.runningSamples = append(server.runningSamples, runningSample{o.world.Now(), server.running})
+	server.runningSamples = append(server.runningSamples, runningSample{o.clock.Now(), server.running})
 }
 
 // checkMemory checks that reserved memory stays within its bound. It also removes the requests that hold no memory.
--- a/internal/testbed/invariant/pool.go
+++ b/internal/testbed/invariant/pool.go
@@ -149,7 +149,7 @@
 		}
 		finished := conn.server.runs[message.ID]
 		if message.Kind == pool.Finished && finished != nil && finished.ended && finished.endReceivedAt == 0 {
-			finished.endReceivedAt = o.world.Now()
+			finished.endReceivedAt = o.clock.Now()
 		}
 	}
 	conn.fromPool = conn.fromPool[:copy(conn.fromPool, conn.fromPool[parsed:])]
--- a/internal/testbed/invariant/requests.go
+++ b/internal/testbed/invariant/requests.go
@@ -26,7 +26,7 @@
 		id:          header("id"),
 		class:       class,
 		requestedAt: o.wall.FromUnixMilli(atMilli),
-		arrivedAt:   o.world.Now(),
+		arrivedAt:   o.clock.Now(),
 		sizeKB:      sizeKB,
 		bodyHash:    xxhash.Sum64(body),
 	}
@@ -97,7 +97,7 @@
 	if request.cancelled {
 		o.noteSituation(server, "answer after give-up "+kind)
 	}
-	o.checkAnsweredInTime(server, request, o.world.Now())
+	o.checkAnsweredInTime(server, request, o.clock.Now())
 	o.noteSituation(server, fmt.Sprintf("%s running%v class%d drain%d",
 		kind, request.running, request.class, o.drainPhase(server)))
 	switch kind {
@@ -122,7 +122,7 @@
 // noteEndKnown records that the server has learned that a request has ended.
 func (o *Observer) noteEndKnown(request *requestState) {
 	if request.endKnownAt == 0 {
-		request.endKnownAt = o.world.Now()
+		request.endKnownAt = o.clock.Now()
 	}
 }
 
--- a/internal/testbed/invariant/scene_test.go
+++ b/internal/testbed/invariant/scene_test.go
@@ -34,11 +34,11 @@
 	laterWorkerConn // of the server's second incarnation
 )
 
-// fixture is a simulated world without a server: the test feeds the observer the bytes that a server, its callers, its
+// fixture is a simulation without a server: the test feeds the observer the bytes that a server, its callers, its
 // worker pool and the vault would exchange.
 type fixture struct {
 	t          *testing.T
-	world      *simnet.World
+	clock      *simnet.Clock
 	observer   *Observer
 	sequenceID int32
 	notices    uint64
@@ -48,8 +48,8 @@
 // caller.
 func newFixture(t *testing.T, memoryKB float64) *fixture {
 	t.Helper()
-	world := simnet.NewWorld(1)
-	created := &fixture{t: t, world: world, observer: New(world, Limits{
+	clock := simnet.NewClock(1)
+	created := &fixture{t: t, clock: clock, observer: New(clock, Limits{
 		Settings: control.Settings{Classes: []control.Class{
 			{Name: idempotentClass, Deadline: 4 * time.Second},
 			{
@@ -70,7 +70,7 @@
 		WarmUpTime:            10 * microtime.Second,
 		Store:                 true,
 	})}
-	world.After = created.observer.Check
+	clock.After = created.observer.Check
 	created.observer.ServerStarted("s0", 1)
 	created.openConn(callerConn, "s0/thrift", "p0")
 	created.openConn(workerConn, "w0/a", "s0")
@@ -81,7 +81,7 @@
 // observe passes an event on a connection to the observer.
 func (f *fixture) observe(conn uint64, kind simnet.EventKind, node, peer string, dialer bool, payload []byte) {
 	f.observer.Tap(simnet.Event{
-		At:     f.world.Now(),
+		At:     f.clock.Now(),
 		Kind:   kind,
 		Conn:   conn,
 		Node:   node,
@@ -94,7 +94,7 @@
 // openConn passes the opening of a connection to the observer.
 func (f *fixture) openConn(conn uint64, addr, from string) {
 	f.observer.Tap(simnet.Event{
-		At:     f.world.Now(),
+		At:     f.clock.Now(),
 		Kind:   simnet.Opened,
 		Conn:   conn,
 		Node:   from,
@@ -105,7 +105,7 @@
 
 // fields returns the envelope of a request that was sent some time ago.
 func (f *fixture) fields(id, class, idempotencyKey string, age microtime.Time) []thrift.Field {
-	at := strconv.FormatInt((&simnet.WallClock{}).UnixMilli(f.world.Now()-age), 10)
+	at := strconv.FormatInt((&simnet.WallClock{}).UnixMilli(f.clock.Now()-age), 10)
 	return []thrift.Field{
 		{Name: "class", Value: class},
 		{Name: "id", Value: id},
@@ -179,9 +179,9 @@
 
 // advance advances the simulated time in small steps.
 func (f *fixture) advance(by microtime.Time) {
-	for end := f.world.Now() + by; f.world.Now() < end; {
-		f.world.At(min(f.world.Now()+20*microtime.Millisecond, end), func() {})
-		f.world.Step(end)
+	for end := f.clock.Now() + by; f.clock.Now() < end; {
+		f.clock.At(min(f.clock.Now()+20*microtime.Millisecond, end), func() {})
+		f.clock.Step(end)
 	}
 }
 
--- a/internal/testbed/invariant/situations.go
+++ b/internal/testbed/invariant/situations.go
@@ -57,7 +57,7 @@
 	switch {
 	case server.drainSentAt == microtime.Never:
 		return 0
-	case o.world.Now() < server.drainSentAt+o.Limits.DrainGrace:
+	case o.clock.Now() < server.drainSentAt+o.Limits.DrainGrace:
 		return 1
 	}
 	return 2
@@ -66,7 +66,7 @@
 // noteSituation records a situation, alone and in combination with each fault active on the server.
 func (o *Observer) noteSituation(server *serverState, situation string) {
 	o.SituationCounts[situation]++
-	now := o.world.Now()
+	now := o.clock.Now()
 	o.activeFaults = slices.DeleteFunc(o.activeFaults, func(f activeFault) bool { return f.until+faultEffectTime < now })
 	o.situations[situationOf(situation)] = struct{}{}
 	for _, fault := range o.activeFaults {
--- a/internal/testbed/invariant/state.go
+++ b/internal/testbed/invariant/state.go
@@ -151,7 +151,7 @@
 
 // pausedSince returns for how long in total a server's process has been paused since a time.
 func (o *Observer) pausedSince(server *serverState, from microtime.Time) microtime.Time {
-	now := o.world.Now()
+	now := o.clock.Now()
 	sum := microtime.Time(0)
 	for _, pause := range server.pauses {
 		sum += max(0, min(pause.to, now)-max(pause.from, from))
--- a/internal/testbed/invariant/violation.go
+++ b/internal/testbed/invariant/violation.go
@@ -25,7 +25,7 @@
 type Violation struct {
 	Rule    string
 	Server  string
-	At      microtime.Time // since the start of the world
+	At      microtime.Time // since the start of the simulation
 	Message string
 	History []string // one event per line, in order of time
 }
@@ -48,7 +48,7 @@
 // report records a violation. The part of the message before its first colon becomes part of the violation's key. The
 // request is nil if the violation concerns no single request.
 func (o *Observer) report(rule string, server *serverState, request *requestState, format string, args ...any) {
-	violation := Violation{Rule: rule, Server: server.name, At: o.world.Since(), Message: fmt.Sprintf(format, args...)}
+	violation := Violation{Rule: rule, Server: server.name, At: o.clock.Since(), Message: fmt.Sprintf(format, args...)}
 	if request != nil {
 		violation.History = o.history(server, request)
 	}
@@ -59,7 +59,7 @@
 
 // note adds an event to the history of a request.
 func (o *Observer) note(request *requestState, format string, args ...any) {
-	request.notes = append(request.notes, note{o.world.Since(), fmt.Sprintf(format, args...)})
+	request.notes = append(request.notes, note{o.clock.Since(), fmt.Sprintf(format, args...)})
 }
 
 // history returns the events of a request and of all attempts with its idempotency key on the server, in time order.
--- a/internal/testbed/sim/balancer_run.go
+++ b/internal/testbed/sim/balancer_run.go
@@ -37,7 +37,7 @@
 type balancerRun struct {
 	comparison  BalancerComparison
 	policy      string
-	clock       *simnet.World
+	clock       *simnet.Clock
 	rng         *rand.Rand // for the traffic, which is the same for each policy
 	servers     []*balancedServer
 	balancer    *loadbalancer.Balancer
@@ -52,7 +52,7 @@
 }
 
 func newBalancerRun(comparison BalancerComparison, policy string) (*balancerRun, error) {
-	clock := simnet.NewWorld(comparison.Seed)
+	clock := simnet.NewClock(comparison.Seed)
 	balancer, err := loadbalancer.New(loadbalancer.Config{Classes: 1}, comparison.Seed)
 	if err != nil {
 		return nil, err
--- a/internal/testbed/sim/balancer_server.go
+++ b/internal/testbed/sim/balancer_server.go
@@ -26,7 +26,7 @@
 
 // balancedServer models a server as a queue and a few cores.
 type balancedServer struct {
-	clock          *simnet.World
+	clock          *simnet.Clock
 	name           string
 	slowdownFactor float64 // multiplies the processor time of requests
 	startedAt      microtime.Time
--- a/internal/testbed/sim/calls_test.go
+++ b/internal/testbed/sim/calls_test.go
@@ -13,11 +13,11 @@
 // invariants on downstream calls check.
 func TestVaultSeeds(t *testing.T) {
 	t.Parallel()
-	world := faults.World{Servers: 3, Proxies: 4, Length: 8 * microtime.Second, Vault: true}
+	setup := faults.Setup{Servers: 3, Proxies: 4, Length: 8 * microtime.Second, Vault: true}
 	seen := map[string]int{}
 	answers := 0
 	for seed := uint64(1); seed <= 60; seed++ {
-		outcome := playClean(t, drawScript(t, world, seed, mixedProfile(seed)), Options{})
+		outcome := playClean(t, drawScript(t, setup, seed, mixedProfile(seed)), Options{})
 		answers += outcome.Requests
 		addCounts(seen, outcome.SituationCounts)
 	}
--- a/internal/testbed/sim/determinism_test.go
+++ b/internal/testbed/sim/determinism_test.go
@@ -17,15 +17,15 @@
 // digestsEnvVariable is set in the environment of a test process that only prints the digests.
 const digestsEnvVariable = "SIM_DIGESTS"
 
-// digestWorld is the deployment of all runs whose digests are compared.
-var digestWorld = faults.World{Servers: 3, Proxies: 3, Length: 4 * microtime.Second}
+// digestSetup is the setup of all runs whose digests are compared.
+var digestSetup = faults.Setup{Servers: 3, Proxies: 3, Length: 4 * microtime.Second}
 
 // digests plays fifty seeds and returns a line with the digest of each.
 func digests(t *testing.T) string {
 	t.Helper()
 	var lines strings.Builder
 	for seed := uint64(1); seed <= 50; seed++ {
-		outcome := mustPlay(t, drawScript(t, digestWorld, seed, "worst"), Options{})
+		outcome := mustPlay(t, drawScript(t, digestSetup, seed, "worst"), Options{})
 		fmt.Fprintf(&lines, "%d %016x %d\n", seed, outcome.Digest, outcome.Events)
 	}
 	return lines.String()
@@ -52,7 +52,7 @@
 	fromProcess, _, _ = strings.Cut(fromProcess, "END\n")
 	require.Equal(t, expected, fromProcess)
 
-	alone := mustPlay(t, drawScript(t, digestWorld, 50, "worst"), Options{})
+	alone := mustPlay(t, drawScript(t, digestSetup, 50, "worst"), Options{})
 	require.Contains(t, expected, fmt.Sprintf("50 %016x", alone.Digest), "the digest must not depend on earlier runs")
 	require.Equal(t, 50, strings.Count(expected, "\n"))
 }
--- a/internal/testbed/sim/figures_test.go
+++ b/internal/testbed/sim/figures_test.go
@@ -19,10 +19,10 @@
 	checked, answers := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
 		profile := rapid.SampledFrom(faults.Profiles()).Draw(t, "profile")
-		world := faults.World{
+		setup := faults.Setup{
 			Servers: 2, Proxies: 3, Length: 4 * microtime.Second, Vault: rapid.Bool().Draw(t, "vault"),
 		}
-		script, err := world.Draw(rapid.Uint64().Draw(t, "seed"), profile)
+		script, err := setup.Draw(rapid.Uint64().Draw(t, "seed"), profile)
 		require.NoError(t, err)
 		compareCounters := func(sim *simulation) {
 			for _, server := range sim.servers {
--- a/internal/testbed/sim/gossip.go
+++ b/internal/testbed/sim/gossip.go
@@ -77,7 +77,7 @@
 		Rate:    e.Rate,
 	}
 	if e.DrawFaults {
-		world := faults.World{
+		setup := faults.Setup{
 			Servers: e.Servers,
 			Proxies: script.Proxies,
 			Edges:   e.Edges,
@@ -85,7 +85,7 @@
 			Rate:    e.Rate,
 		}
 		var err error
-		if script, err = world.Draw(e.Seed, worstProfile); err != nil {
+		if script, err = setup.Draw(e.Seed, worstProfile); err != nil {
 			return script, err
 		}
 	}
--- a/internal/testbed/sim/planted_dispatch_test.go
+++ b/internal/testbed/sim/planted_dispatch_test.go
@@ -85,11 +85,11 @@
 	if request.outcome != pool.Noop || request.key == "" {
 		return
 	}
-	late := slices.IndexFunc(core.requests, func(retry *observedRequest) bool {
+	index := slices.IndexFunc(core.requests, func(retry *observedRequest) bool {
 		return retry.key == request.key && retry.afterDrainLimit && !retry.started
 	})
-	if late >= 0 {
-		retry := core.requests[late]
+	if index >= 0 {
+		retry := core.requests[index]
 		core.poolConn.Write(pool.AppendSpawn(nil, retry.id, retry.class, retry.body))
 	}
 }
--- a/internal/testbed/sim/play_test.go
+++ b/internal/testbed/sim/play_test.go
@@ -21,10 +21,10 @@
 	return script
 }
 
-// drawScript draws a script with random faults for a world.
-func drawScript(t testing.TB, world faults.World, seed uint64, profile string) faults.Script {
+// drawScript draws a script with random faults for a setup.
+func drawScript(t testing.TB, setup faults.Setup, seed uint64, profile string) faults.Script {
 	t.Helper()
-	script, err := world.Draw(seed, profile)
+	script, err := setup.Draw(seed, profile)
 	require.NoError(t, err)
 	return script
 }
@@ -66,30 +66,30 @@
 
 // A fixed set of seeds of every profile violates no invariant. The command pewterline-sim runs longer searches.
 func TestSeeds(t *testing.T) {
-	world := faults.World{Servers: 3, Proxies: 4, Length: 8 * microtime.Second}
+	setup := faults.Setup{Servers: 3, Proxies: 4, Length: 8 * microtime.Second}
 	for _, profile := range faults.Profiles() {
 		t.Run(profile, func(t *testing.T) {
 			t.Parallel()
 			answers := 0
 			for seed := uint64(1); seed <= 60; seed++ {
-				answers += playClean(t, drawScript(t, world, seed, profile), Options{}).Requests
+				answers += playClean(t, drawScript(t, setup, seed, profile), Options{}).Requests
 			}
 			require.Greater(t, answers, 60*100, "the servers must have answered requests")
 		})
 	}
 }
 
-// mixedProfile returns the profile for a seed of a world with edges or a vault. The profiles alternate.
+// mixedProfile returns the profile for a seed of a setup with edges or a vault. The profiles alternate.
 func mixedProfile(seed uint64) string { return []string{"worst", "release", "noon"}[seed%3] }
 
 // Two edges before three servers violate no invariant. One invariant is that no two servers run requests with the same
 // idempotency key within its retention window.
 func TestEdgeSeeds(t *testing.T) {
 	t.Parallel()
-	world := faults.World{Servers: 3, Proxies: 3, Edges: 2, Length: 6 * microtime.Second}
+	setup := faults.Setup{Servers: 3, Proxies: 3, Edges: 2, Length: 6 * microtime.Second}
 	answers := 0
 	for seed := uint64(1); seed <= 60; seed++ {
-		answers += playClean(t, drawScript(t, world, seed, mixedProfile(seed)), Options{}).Requests
+		answers += playClean(t, drawScript(t, setup, seed, mixedProfile(seed)), Options{}).Requests
 	}
 	require.Greater(t, answers, 60*100)
 }
--- a/internal/testbed/sim/search.go
+++ b/internal/testbed/sim/search.go
@@ -56,7 +56,7 @@
 // search without a Duration is deterministic for a given number of Jobs. Run returns an error if the settings of the
 // search are not valid.
 func (s Search) Run() (Progress, error) {
-	world := faults.World{
+	setup := faults.Setup{
 		Servers: s.Servers,
 		Proxies: s.Proxies,
 		Edges:   s.Edges,
@@ -64,11 +64,11 @@
 		Rate:    s.Rate,
 		Vault:   s.Vault,
 	}
-	if _, err := world.Draw(s.FirstSeed, s.Profile); err != nil {
+	if _, err := setup.Draw(s.FirstSeed, s.Profile); err != nil {
 		return Progress{}, err
 	}
 	draw := func(seed uint64) faults.Script {
-		script, _ := world.Draw(seed, s.Profile) // Its error does not depend on the seed; the first seed gave none.
+		script, _ := setup.Draw(seed, s.Profile) // Its error does not depend on the seed; the first seed gave none.
 		return script
 	}
 	run := searchRun{
--- a/internal/testbed/sim/search_test.go
+++ b/internal/testbed/sim/search_test.go
@@ -30,7 +30,7 @@
 
 // Shrink does not change a script that violates no invariant.
 func TestShrinkKeepsScriptWithoutViolation(t *testing.T) {
-	script := drawScript(t, faults.World{Servers: 2, Proxies: 2, Length: 3 * microtime.Second}, 1, "worst")
+	script := drawScript(t, faults.Setup{Servers: 2, Proxies: 2, Length: 3 * microtime.Second}, 1, "worst")
 	smallest, violation, err := Shrink(script, 50, nil)
 	require.NoError(t, err)
 	require.Equal(t, invariant.Violation{}, violation)
--- a/internal/testbed/sim/simulation.go
+++ b/internal/testbed/sim/simulation.go
@@ -35,7 +35,7 @@
 type simulation struct {
 	script          faults.Script
 	options         Options
-	clock           *simnet.World
+	clock           *simnet.Clock
 	net             *simnet.Net
 	environment     *fakes.Environment
 	vault           *fakes.Vault   // nil if the script has no vault
@@ -57,7 +57,7 @@
 	sim := &simulation{
 		script:          script,
 		options:         options,
-		clock:           simnet.NewWorld(script.Seed),
+		clock:           simnet.NewClock(script.Seed),
 		shutdownTimeout: deployment.shutdownTimeout,
 		callers:         map[string]*fakes.Caller{},
 	}
--- a/internal/testbed/simnet/host.go
+++ b/internal/testbed/simnet/host.go
@@ -125,15 +125,15 @@
 	if h.Ended || h.turnTimer != nil || h.inTurn {
 		return
 	}
-	world := h.node.net.world
-	h.turnTimer = world.At(max(world.now, h.busyUntil), h.turn)
+	clock := h.node.net.clock
+	h.turnTimer = clock.At(max(clock.now, h.busyUntil), h.turn)
 }
 
 // turn is one iteration of the event loop: first the ready connections, then the queued tasks.
 func (h *Host) turn() {
-	world := h.node.net.world
+	clock := h.node.net.clock
 	h.turnTimer = nil
-	if h.busyUntil > world.now { // paused since this turn was scheduled
+	if h.busyUntil > clock.now { // paused since this turn was scheduled
 		h.scheduleTurn()
 		return
 	}
@@ -154,7 +154,7 @@
 		task()
 	}
 	h.inTurn = false
-	h.busyUntil = max(h.busyUntil, world.now+h.cost.Turn+h.cost.KB*microtime.Time(h.bytes)/1024)
+	h.busyUntil = max(h.busyUntil, clock.now+h.cost.Turn+h.cost.KB*microtime.Time(h.bytes)/1024)
 	if len(h.ready)+len(h.tasks) > 0 {
 		h.scheduleTurn()
 	}
@@ -174,7 +174,7 @@
 }
 
 // Now is part of transport.Driver.
-func (h *Host) Now() microtime.Time { return h.node.net.world.now }
+func (h *Host) Now() microtime.Time { return h.node.net.clock.now }
 
 // Queue is part of transport.Driver.
 func (h *Host) Queue(task func()) error {
@@ -191,7 +191,7 @@
 	h.wakeTimer.Stop()
 	h.wakeTimer = nil
 	if at != microtime.Never && !h.Ended {
-		h.wakeTimer = h.node.net.world.At(at, func() { _ = h.Queue(h.loop.TimerFired) })
+		h.wakeTimer = h.node.net.clock.At(at, func() { _ = h.Queue(h.loop.TimerFired) })
 	}
 }
 
--- a/internal/testbed/simnet/host_test.go
+++ b/internal/testbed/simnet/host_test.go
@@ -68,17 +68,17 @@
 
 // environment is a program on a host of a simulated network. Its transport loop runs on the simulated clock.
 type environment struct {
-	t          *testing.T
-	simulation *simnet.World
-	net        *simnet.Net
-	program    *program
-	host       *simnet.Host
-	clients    int // connected so far
+	t       *testing.T
+	clock   *simnet.Clock
+	net     *simnet.Net
+	program *program
+	host    *simnet.Host
+	clients int // connected so far
 }
 
 func newEnvironment(t *testing.T, options transport.Options) *environment {
-	env := &environment{t: t, simulation: simnet.NewWorld(3), program: &program{reply: []byte("r")}}
-	env.net = simnet.NewNet(env.simulation, simnet.Quality{Latency: microtime.Millisecond})
+	env := &environment{t: t, clock: simnet.NewClock(3), program: &program{reply: []byte("r")}}
+	env.net = simnet.NewNet(env.clock, simnet.Quality{Latency: microtime.Millisecond})
 	server := env.net.Node("s0")
 	server.Boot()
 	options.Logf = t.Logf
@@ -86,7 +86,7 @@
 		Options: options,
 		Handler: env.program,
 		Begin:   func(*transport.Loop) {},
-		Rand:    env.simulation.Fork(3, "s0"),
+		Rand:    env.clock.Fork(3, "s0"),
 		Cost:    simnet.Cost{Turn: 20, KB: 10},
 	})
 	require.NoError(t, env.host.Listen("s0/x", 0))
@@ -110,7 +110,7 @@
 
 // advance runs the simulation for a duration.
 func (e *environment) advance(duration microtime.Time) {
-	e.simulation.Run(e.simulation.Now() + duration)
+	e.clock.Run(e.clock.Now() + duration)
 }
 
 // send sends bytes from a client and collects the replies to them.
@@ -146,9 +146,9 @@
 		env.send(env.connect(), "v")
 		require.True(t, evicted.ended)
 	}
-	late := env.connect()
+	rejected := env.connect()
 	env.advance(10 * microtime.Millisecond)
-	require.True(t, late.ended, "all are in use")
+	require.True(t, rejected.ended, "all are in use")
 	require.False(t, busy.ended)
 }
 
@@ -225,7 +225,7 @@
 func TestPausedProgramCatchesUpInOneTurn(t *testing.T) {
 	env := newEnvironment(t, transport.Options{MaxConns: 9})
 	from := env.connect()
-	env.host.Pause(env.simulation.Now() + 2*microtime.Second)
+	env.host.Pause(env.clock.Now() + 2*microtime.Second)
 	for range 5 {
 		env.send(from, "v")
 	}
--- a/internal/testbed/simnet/net.go
+++ b/internal/testbed/simnet/net.go
@@ -20,7 +20,7 @@
 
 // Net is the simulated network: its nodes, the paths between them, and their listeners.
 type Net struct {
-	world   *World
+	clock   *Clock
 	Default Quality     // of new paths
 	Tap     func(Event) // observes all events; nil: none
 	// Intercept, if set, replaces the bytes of each write before they are recorded and sent. Tests use it to plant a bug
@@ -33,9 +33,9 @@
 }
 
 // NewNet returns a network without nodes.
-func NewNet(w *World, q Quality) *Net {
+func NewNet(clock *Clock, q Quality) *Net {
 	return &Net{
-		world:     w,
+		clock:     clock,
 		Default:   q,
 		nodes:     map[string]*Node{},
 		paths:     map[[2]string]*Path{},
@@ -43,5 +43,5 @@
 	}
 }
 
-// World returns the simulation that the network runs in.
-func (n *Net) World() *World { return n.world }
+// Clock returns the virtual clock that schedules the network's events.
+func (n *Net) Clock() *Clock { return n.clock }
--- a/internal/testbed/simnet/node.go
+++ b/internal/testbed/simnet/node.go
@@ -95,9 +95,9 @@
 // Dial connects to an address. Unless the node's process ends before the result is known, done is called once, with the
 // new stream or an error; it sets the stream's handler with SetHandler.
 func (n *Node) Dial(addr string, done func(*Stream, error)) {
-	world, incarnation := n.net.world, n.Incarnation
+	clock, incarnation := n.net.clock, n.Incarnation
 	finish := func(delay microtime.Time, stream *Stream, err error) {
-		world.In(delay, func() {
+		clock.In(delay, func() {
 			if !n.up || n.Incarnation != incarnation {
 				if stream != nil {
 					stream.finish(CauseKilled)
@@ -110,7 +110,7 @@
 	host, _, _ := strings.Cut(addr, "/")
 	if n.net.Tap != nil {
 		n.net.Tap(Event{
-			At:          world.now,
+			At:          clock.now,
 			Kind:        ConnectAttempted,
 			Node:        n.Name,
 			Incarnation: n.Incarnation,
@@ -125,11 +125,11 @@
 		return
 	}
 	path := n.net.Path(n.Name, host)
-	if path.LostUntil > world.now || path.StalledUntil > world.now+dialTimeout {
+	if path.LostUntil > clock.now || path.StalledUntil > clock.now+dialTimeout {
 		finish(dialTimeout, nil, ErrTimeout)
 		return
 	}
-	world.At(max(world.now, path.StalledUntil)+n.net.delay(path), func() {
+	clock.At(max(clock.now, path.StalledUntil)+n.net.delay(path), func() {
 		listener := n.net.listeners[addr]
 		if listener == nil || !to.up {
 			finish(path.Latency, nil, ErrRefused)
@@ -216,23 +216,23 @@
 	host, _, _ := strings.Cut(addr, "/")
 	net, path := n.net, n.net.Path(n.Name, host)
 	copies := 1
-	if path.Duplicate > 0 && net.world.rng.Float64() < path.Duplicate {
+	if path.Duplicate > 0 && net.clock.rng.Float64() < path.Duplicate {
 		copies = 2
 	}
-	if path.Loss > 0 && net.world.rng.Float64() < path.Loss || path.LostUntil > net.world.now {
+	if path.Loss > 0 && net.clock.rng.Float64() < path.Loss || path.LostUntil > net.clock.now {
 		copies = 0
 	}
 	for range copies {
 		data := append([]byte(nil), payload...)
-		net.world.At(max(net.world.now, path.StalledUntil)+net.delay(path), func() {
+		net.clock.At(max(net.clock.now, path.StalledUntil)+net.delay(path), func() {
 			listener := net.listeners[addr]
 			if listener == nil || !listener.node.up || listener.Datagram == nil {
 				return
 			}
-			net.world.Record(listener.node.Name, data)
+			net.clock.Record(listener.node.Name, data)
 			if net.Tap != nil {
 				net.Tap(Event{
-					At:          net.world.now,
+					At:          net.clock.now,
 					Kind:        DatagramArrived,
 					Node:        listener.node.Name,
 					Incarnation: listener.node.Incarnation,
--- a/internal/testbed/simnet/path.go
+++ b/internal/testbed/simnet/path.go
@@ -37,7 +37,7 @@
 func (n *Net) delay(path *Path) microtime.Time {
 	delay := path.Latency
 	if path.Jitter > 0 {
-		delay += microtime.Time(n.world.rng.Int64N(int64(path.Jitter)))
+		delay += microtime.Time(n.clock.rng.Int64N(int64(path.Jitter)))
 	}
 	return delay
 }
--- a/internal/testbed/simnet/simnet_test.go
+++ b/internal/testbed/simnet/simnet_test.go
@@ -11,10 +11,10 @@
 
 // recorder is a Handler that records the bytes that arrive at one end of a stream, and how the stream ends.
 type recorder struct {
-	simulation *World
-	text       string
-	ends       []string
-	staysOpen  bool // does not close when its peer does
+	clock     *Clock
+	text      string
+	ends      []string
+	staysOpen bool // does not close when its peer does
 }
 
 func (h *recorder) record(end string) {
@@ -31,7 +31,7 @@
 
 // nodePair is a pair of nodes with one connection from the client to the server.
 type nodePair struct {
-	simulation     *World
+	clock          *Clock
 	net            *Net
 	client, server *Node
 	near           *Stream // the client's end of the connection
@@ -43,26 +43,26 @@
 }
 
 func newNodePair(t *testing.T, quality Quality) *nodePair {
-	pair := &nodePair{simulation: NewWorld(1)}
-	pair.net = NewNet(pair.simulation, quality)
+	pair := &nodePair{clock: NewClock(1)}
+	pair.net = NewNet(pair.clock, quality)
 	pair.client, pair.server = pair.net.Node("a"), pair.net.Node("b")
 	pair.client.Boot()
 	pair.server.Boot()
-	pair.nearHandler, pair.farHandler = &recorder{simulation: pair.simulation}, &recorder{simulation: pair.simulation}
+	pair.nearHandler, pair.farHandler = &recorder{clock: pair.clock}, &recorder{clock: pair.clock}
 	_, err := pair.server.Listen("b/x", Listener{Accept: func(s *Stream) Handler { pair.far = s; return pair.farHandler }})
 	require.NoError(t, err)
 	pair.client.Dial("b/x", func(stream *Stream, err error) {
-		pair.near, pair.openedAt = stream, pair.simulation.Since()
+		pair.near, pair.openedAt = stream, pair.clock.Since()
 		pair.dialErr = err
 		stream.SetHandler(pair.nearHandler)
 	})
-	pair.simulation.Run(Start + microtime.Second)
+	pair.clock.Run(Start + microtime.Second)
 	require.NoError(t, pair.dialErr)
 	return pair
 }
 
 // advance runs the simulation for a duration.
-func (p *nodePair) advance(duration microtime.Time) { p.simulation.Run(p.simulation.Now() + duration) }
+func (p *nodePair) advance(duration microtime.Time) { p.clock.Run(p.clock.Now() + duration) }
 
 func TestStreamLatencyAndBandwidth(t *testing.T) {
 	pair := newNodePair(t, Quality{Latency: 10 * microtime.Millisecond, Bandwidth: 1000})
@@ -76,7 +76,7 @@
 
 func TestStalledPathLosesNothingAndKeepsOrder(t *testing.T) {
 	pair := newNodePair(t, Quality{Latency: microtime.Millisecond})
-	pair.net.Path("b", "a").StalledUntil = pair.simulation.Now() + 20*microtime.Second
+	pair.net.Path("b", "a").StalledUntil = pair.clock.Now() + 20*microtime.Second
 	pair.near.Write([]byte("one "))
 	pair.advance(5 * microtime.Second)
 	pair.near.Write([]byte("two"))
@@ -144,7 +144,7 @@
 	}
 	dial("b/nobody")
 	dial("nowhere/x")
-	pair.net.Path("a", "b").LostUntil = pair.simulation.Now() + microtime.Second
+	pair.net.Path("a", "b").LostUntil = pair.clock.Now() + microtime.Second
 	dial("b/x")
 	require.Equal(t, map[string]error{"b/nobody": ErrRefused, "nowhere/x": ErrTimeout, "b/x": ErrTimeout}, results)
 }
@@ -206,15 +206,15 @@
 
 // Events of the same time run in the order in which they were scheduled, and a stopped event does not run.
 func TestOrderOfEvents(t *testing.T) {
-	simulation := NewWorld(1)
+	clock := NewClock(1)
 	var order []int
 	for i := range 100 {
-		timer := simulation.At(Start+microtime.Time(i%3)*microtime.Second, func() { order = append(order, i) })
+		timer := clock.At(Start+microtime.Time(i%3)*microtime.Second, func() { order = append(order, i) })
 		if i%10 == 9 {
 			timer.Stop()
 		}
 	}
-	simulation.Run(Start + microtime.Time(10)*microtime.Second)
+	clock.Run(Start + microtime.Time(10)*microtime.Second)
 	require.Len(t, order, 90)
 	for i := 1; i < len(order); i++ {
 		require.True(t, order[i-1]%3 < order[i]%3 || order[i-1]%3 == order[i]%3 && order[i-1] < order[i])
--- a/internal/testbed/simnet/stream.go
+++ b/internal/testbed/simnet/stream.go
@@ -111,7 +111,7 @@
 // send schedules a segment's arrival after all earlier ones.
 func (s *Stream) send(seg segment) {
 	net := s.node.net
-	seg.at = max(net.world.now+net.delay(s.path), s.lastArrival)
+	seg.at = max(net.clock.now+net.delay(s.path), s.lastArrival)
 	if bandwidth := s.path.Bandwidth; bandwidth > 0 {
 		seg.at += microtime.Time(len(seg.data)) * microtime.Second / microtime.Time(bandwidth)
 	}
@@ -124,13 +124,13 @@
 
 func (s *Stream) armTimer() {
 	s.timer.Stop()
-	s.timer = s.node.net.world.At(max(s.segments[0].at, s.path.StalledUntil), s.arrive)
+	s.timer = s.node.net.clock.At(max(s.segments[0].at, s.path.StalledUntil), s.arrive)
 }
 
 // arrive delivers the segments that are due to the peer.
 func (s *Stream) arrive() {
-	world := s.node.net.world
-	for len(s.segments) > 0 && max(s.segments[0].at, s.path.StalledUntil) <= world.now {
+	clock := s.node.net.clock
+	for len(s.segments) > 0 && max(s.segments[0].at, s.path.StalledUntil) <= clock.now {
 		seg := s.segments[0]
 		s.segments = s.segments[1:]
 		s.peer.receive(seg)
@@ -266,7 +266,7 @@
 	s.segments, s.unsent = nil, nil
 	s.timer.Stop()
 	peer := s.peer
-	s.node.net.world.At(max(s.node.net.world.now, s.path.StalledUntil)+s.path.Latency, func() { peer.abort(CauseReset) })
+	s.node.net.clock.At(max(s.node.net.clock.now, s.path.StalledUntil)+s.path.Latency, func() { peer.abort(CauseReset) })
 }
 
 // abort handles a reset by the peer or by the network.
--- a/internal/testbed/simnet/tap.go
+++ b/internal/testbed/simnet/tap.go
@@ -45,14 +45,14 @@
 
 // tap adds an event at one end of a connection to the digest and passes it to Tap.
 func (n *Net) tap(s *Stream, event Event) {
-	event.At = n.world.now
+	event.At = n.clock.now
 	event.Conn = s.connID
 	event.Node = s.node.Name
 	event.Incarnation = s.incarnation
 	event.Peer = s.peer.node.Name
 	event.Addr = s.addr
 	event.Dialer = s.dialer
-	n.world.Record(event.Node, event.Bytes)
+	n.clock.Record(event.Node, event.Bytes)
 	if n.Tap != nil {
 		n.Tap(event)
 	}
--- a/internal/testbed/simnet/world.go
+++ b/internal/testbed/simnet/world.go
@@ -22,8 +22,9 @@
 // unixStart is the wall clock time at Start, in Unix milliseconds.
 const unixStart = 1_764_576_000_000
 
-// World is a simulation: the clock, the pending events, the random numbers and the digest of the events so far.
-type World struct {
+// Clock is the virtual clock of a simulation. It also holds the pending events, the random number generator and the
+// digest of the events so far.
+type Clock struct {
 	now          microtime.Time
 	timers       []*Timer // a 4-ary heap ordered by before
 	lastSequence uint64
@@ -49,110 +50,110 @@
 	}
 }
 
-// NewWorld returns a simulation whose clock is at Start.
-func NewWorld(seed uint64) *World {
-	return &World{now: Start, rng: rand.New(rand.NewPCG(seed, 0x76697274)), digest: xxhash.New()}
+// NewClock returns a clock at Start without pending events.
+func NewClock(seed uint64) *Clock {
+	return &Clock{now: Start, rng: rand.New(rand.NewPCG(seed, 0x76697274)), digest: xxhash.New()}
 }
 
 // Now returns the simulated time.
-func (w *World) Now() microtime.Time { return w.now }
+func (c *Clock) Now() microtime.Time { return c.now }
 
 // Since returns the simulated time since Start.
-func (w *World) Since() microtime.Time { return w.now - Start }
+func (c *Clock) Since() microtime.Time { return c.now - Start }
 
 // Events returns the number of events that have run.
-func (w *World) Events() uint64 { return w.events }
+func (c *Clock) Events() uint64 { return c.events }
 
 // Rand returns the simulation's shared random number generator. Components with one of their own, from Fork, draw from
 // it without changing the draws of other components.
-func (w *World) Rand() *rand.Rand { return w.rng }
+func (c *Clock) Rand() *rand.Rand { return c.rng }
 
 // Fork returns a new random number generator for the component of that name.
-func (w *World) Fork(seed uint64, name string) *rand.Rand {
+func (c *Clock) Fork(seed uint64, name string) *rand.Rand {
 	return rand.New(rand.NewPCG(seed, xxhash.Sum64String(name)))
 }
 
 // At schedules f for a time, or for the current time if that has passed.
-func (w *World) At(at microtime.Time, f func()) *Timer {
-	w.lastSequence++
-	timer := &Timer{at: max(at, w.now), sequence: w.lastSequence, run: f}
-	w.push(timer)
+func (c *Clock) At(at microtime.Time, f func()) *Timer {
+	c.lastSequence++
+	timer := &Timer{at: max(at, c.now), sequence: c.lastSequence, run: f}
+	c.push(timer)
 	return timer
 }
 
 // In schedules f after a delay.
-func (w *World) In(delay microtime.Time, f func()) *Timer { return w.At(w.now+max(delay, 0), f) }
+func (c *Clock) In(delay microtime.Time, f func()) *Timer { return c.At(c.now+max(delay, 0), f) }
 
-// Step runs the next event. If none is due by the time until, it sets the clock to that time and returns false.
-func (w *World) Step(until microtime.Time) bool {
-	for len(w.timers) > 0 && w.timers[0].at <= until {
-		timer := w.pop()
+// Step runs the next event. If none is due by the time until, it advances the clock to that time and returns false.
+func (c *Clock) Step(until microtime.Time) bool {
+	for len(c.timers) > 0 && c.timers[0].at <= until {
+		timer := c.pop()
 		if timer.stopped {
 			continue
 		}
-		w.now = timer.at
-		w.events++
+		c.now = timer.at
+		c.events++
 		run := timer.run
 		timer.stopped, timer.run = true, nil
 		run()
-		if w.After != nil {
-			w.After()
+		if c.After != nil {
+			c.After()
 		}
 		return true
 	}
-	w.now = max(w.now, until)
+	c.now = max(c.now, until)
 	return false
 }
 
 // Run runs all events up to a time.
-func (w *World) Run(until microtime.Time) {
-	for w.Step(until) {
+func (c *Clock) Run(until microtime.Time) {
+	for c.Step(until) {
 	}
 }
 
 // Record adds a label and a payload, with the current time, to the digest.
-func (w *World) Record(label string, payload []byte) {
+func (c *Clock) Record(label string, payload []byte) {
 	var header [16]byte
-	binary.LittleEndian.PutUint64(header[:], uint64(w.now))
+	binary.LittleEndian.PutUint64(header[:], uint64(c.now))
 	binary.LittleEndian.PutUint64(header[8:], uint64(len(payload)))
-	_, _ = w.digest.Write(header[:])
-	_, _ = w.digest.WriteString(label)
-	_, _ = w.digest.Write(payload)
+	_, _ = c.digest.Write(header[:])
+	_, _ = c.digest.WriteString(label)
+	_, _ = c.digest.Write(payload)
 }
 
 // Digest returns the hash of all bytes and times recorded so far.
-func (w *World) Digest() uint64 { return w.digest.Sum64() }
+func (c *Clock) Digest() uint64 { return c.digest.Sum64() }
 
 func before(a, b *Timer) bool { return a.at < b.at || a.at == b.at && a.sequence < b.sequence }
 
-func (w *World) push(t *Timer) {
-	w.timers = append(w.timers, t)
-	for i := len(w.timers) - 1; i > 0; {
+func (c *Clock) push(t *Timer) {
+	c.timers = append(c.timers, t)
+	for i := len(c.timers) - 1; i > 0; {
 		parent := (i - 1) / 4
-		if !before(w.timers[i], w.timers[parent]) {
+		if !before(c.timers[i], c.timers[parent]) {
 			break
 		}
-		w.timers[i], w.timers[parent] = w.timers[parent], w.timers[i]
+		c.timers[i], c.timers[parent] = c.timers[parent], c.timers[i]
 		i = parent
 	}
 }
 
-func (w *World) pop() *Timer {
-	first, last := w.timers[0], len(w.timers)-1
-	w.timers[0] = w.timers[last]
-	w.timers[last] = nil
-	w.timers = w.timers[:last]
+func (c *Clock) pop() *Timer {
+	first, last := c.timers[0], len(c.timers)-1
+	c.timers[0] = c.timers[last]
+	c.timers[last] = nil
+	c.timers = c.timers[:last]
 	for i := 0; ; {
 		least := i
 		for child := 4*i + 1; child <= 4*i+4 && child < last; child++ {
-			if before(w.timers[child], w.timers[least]) {
+			if before(c.timers[child], c.timers[least]) {
 				least = child
 			}
 		}
 		if least == i {
 			return first
 		}
-		w.timers[i], w.timers[least] = w.timers[least], w.timers[i]
+		c.timers[i], c.timers[least] = c.timers[least], c.timers[i]
 		i = least
 	}
 }
